--- a/app/admission_duty.cpp
+++ b/app/admission_duty.cpp
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <strings.h>
 
-#include "app/answers.h"
+#include "app/header_names.h"
 #include "base/errors.h"
 #include "delivery/request_flow.h"
 
--- a/app/agent.cpp
+++ b/app/agent.cpp
@@ -4,8 +4,8 @@
 
 #include "app/admission_duty.h"
 #include "app/announce_duty.h"
-#include "app/answers.h"
 #include "app/follow_duty.h"
+#include "app/header_names.h"
 #include "app/keeper_duty.h"
 #include "app/lanes.h"
 #include "app/process.h"
--- a/app/config_duty.h
+++ b/app/config_duty.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <variant>
 
-#include "app/ask.h"
+#include "app/await_reply.h"
 #include "app/lanes.h"
 #include "app/request_duty.h"
 #include "base/log.h"
--- a/app/configuration_follower.h
+++ b/app/configuration_follower.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "app/row_store.h"
+#include "app/store_client.h"
 #include "app/table_follower.h"
 #include "base/event_log.h"
-#include "jobs/configuration_watch.h"
+#include "jobs/configuration_tracker.h"
 #include "jobs/evacuations.h"
 #include "jobs/queues.h"
 #include "net/event_loop.h"
--- a/app/entry_life.cpp
+++ b/app/entry_registration.cpp
@@ -1,4 +1,4 @@
-#include "app/entry_life.h"
+#include "app/entry_registration.h"
 
 #include <optional>
 #include <utility>
--- a/app/entry_life.h
+++ b/app/entry_registration.h
@@ -5,7 +5,7 @@
 
 #include "app/entry_directory.h"
 #include "app/job_settings.h"
-#include "app/row_store.h"
+#include "app/store_client.h"
 #include "net/event_loop.h"
 
 namespace zinniabarrow {
--- a/app/follow_duty.h
+++ b/app/follow_duty.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <variant>
 
-#include "app/ask.h"
+#include "app/await_reply.h"
 #include "app/lanes.h"
 #include "base/log.h"
 #include "config/generation_follower.h"
--- a/app/forwarding.cpp
+++ b/app/forwarding.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 #include <strings.h>
 
-#include "app/answers.h"
+#include "app/header_names.h"
 #include "base/errors.h"
 
 namespace zinniabarrow {
--- a/app/answers.cpp
+++ b/app/header_names.cpp
@@ -1,4 +1,4 @@
-#include "app/answers.h"
+#include "app/header_names.h"
 
 #include <strings.h>
 
--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -4,20 +4,20 @@
 #include <chrono>
 #include <utility>
 
-#include "app/entry_reports.h"
 #include "app/job_tables.h"
 #include "app/lease_keeper.h"
 #include "app/process.h"
-#include "app/row_store.h"
-#include "app/stop_walk.h"
+#include "app/report_sender.h"
+#include "app/shutdown_driver.h"
+#include "app/store_client.h"
 #include "app/table_follower.h"
 #include "app/worker_calls.h"
 #include "app/worker_clock.h"
 #include "app/worker_presence.h"
 #include "base/errors.h"
-#include "jobs/pacer.h"
 #include "jobs/run_table.h"
-#include "jobs/worker_silence.h"
+#include "jobs/throttle_controller.h"
+#include "jobs/worker_liveness.h"
 #include "net/http_listener.h"
 #include "platform/worker_wire.h"
 
--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -6,8 +6,8 @@
 
 #include "app/configuration_follower.h"
 #include "app/entry_directory.h"
-#include "app/entry_life.h"
 #include "app/entry_pings.h"
+#include "app/entry_registration.h"
 #include "app/job_requests.h"
 #include "app/job_tables.h"
 #include "app/job_takeover.h"
@@ -15,11 +15,11 @@
 #include "app/lease_watcher.h"
 #include "app/order_sender.h"
 #include "app/process.h"
-#include "app/row_store.h"
-#include "app/stop_walk.h"
+#include "app/shutdown_driver.h"
+#include "app/store_client.h"
 #include "app/table_follower.h"
 #include "base/errors.h"
-#include "jobs/job_book.h"
+#include "jobs/job_controller.h"
 #include "net/http_listener.h"
 
 namespace zinniabarrow {
--- a/app/job_requests.cpp
+++ b/app/job_requests.cpp
@@ -6,8 +6,8 @@
 
 #include "app/job_tables.h"
 #include "base/errors.h"
-#include "jobs/come_back.h"
 #include "jobs/messages.h"
+#include "jobs/retry_delay.h"
 #include "platform/caller_wire.h"
 
 namespace zinniabarrow {
--- a/app/job_takeover.h
+++ b/app/job_takeover.h
@@ -9,8 +9,8 @@
 
 #include "app/entry_directory.h"
 #include "app/job_view.h"
-#include "app/row_store.h"
-#include "jobs/job_book.h"
+#include "app/store_client.h"
+#include "jobs/job_controller.h"
 #include "runtime/metrics.h"
 
 namespace zinniabarrow {
--- a/app/keeper_duty.h
+++ b/app/keeper_duty.h
@@ -15,7 +15,7 @@
 #include "request/latency_window.h"
 #include "runtime/duty.h"
 #include "runtime/metrics.h"
-#include "work/task_keeper.h"
+#include "work/task_supervisor.h"
 #include "work/usage.h"
 
 namespace zinniabarrow {
--- a/app/lease_keeper.h
+++ b/app/lease_keeper.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "app/row_store.h"
+#include "app/store_client.h"
 #include "base/event_log.h"
 #include "jobs/worker_lease.h"
 #include "net/event_loop.h"
--- a/app/lease_watcher.h
+++ b/app/lease_watcher.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "app/row_store.h"
+#include "app/store_client.h"
 #include "base/event_log.h"
 #include "jobs/lease.h"
 #include "net/event_loop.h"
--- a/app/order_sender.h
+++ b/app/order_sender.h
@@ -10,7 +10,7 @@
 #include "app/job_settings.h"
 #include "app/order_outcomes.h"
 #include "base/event_log.h"
-#include "jobs/job_book.h"
+#include "jobs/job_controller.h"
 #include "jobs/worker_pool.h"
 #include "net/http_caller.h"
 #include "runtime/metrics.h"
--- a/app/owned_shard.h
+++ b/app/owned_shard.h
@@ -13,7 +13,7 @@
 #include "placement/scheduler.h"
 #include "runtime/metrics.h"
 #include "work/quota_parts.h"
-#include "work/task_table.h"
+#include "work/task_coordinator.h"
 
 namespace zinniabarrow {
 
--- a/app/entry_reports.cpp
+++ b/app/report_sender.cpp
@@ -1,4 +1,4 @@
-#include "app/entry_reports.h"
+#include "app/report_sender.h"
 
 #include <utility>
 
--- a/app/entry_reports.h
+++ b/app/report_sender.h
@@ -6,17 +6,17 @@
 #include <string>
 #include <vector>
 
-#include "app/entry_links.h"
 #include "app/job_settings.h"
 #include "app/lease_keeper.h"
+#include "app/report_targets.h"
 #include "app/worker_presence.h"
 #include "base/event_log.h"
 #include "jobs/evacuations.h"
 #include "jobs/messages.h"
-#include "jobs/pacer.h"
-#include "jobs/press_turn.h"
 #include "jobs/rows.h"
 #include "jobs/run_table.h"
+#include "jobs/table_source_rotation.h"
+#include "jobs/throttle_controller.h"
 #include "net/http_caller.h"
 #include "runtime/metrics.h"
 
--- a/app/entry_links.cpp
+++ b/app/report_targets.cpp
@@ -1,4 +1,4 @@
-#include "app/entry_links.h"
+#include "app/report_targets.h"
 
 #include <algorithm>
 
--- a/app/request_duty.cpp
+++ b/app/request_duty.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "app/answers.h"
+#include "app/header_names.h"
 #include "base/hash.h"
 #include "base/json.h"
 #include "base/json_member.h"
--- a/app/request_duty.h
+++ b/app/request_duty.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <variant>
 
-#include "app/ask.h"
+#include "app/await_reply.h"
 #include "app/forwarding.h"
 #include "app/lanes.h"
 #include "base/log.h"
--- a/app/schedule_duty.h
+++ b/app/schedule_duty.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <variant>
 
-#include "app/ask.h"
+#include "app/await_reply.h"
 #include "app/config_duty.h"
 #include "app/lanes.h"
 #include "app/owned_shard.h"
--- a/app/stop_walk.cpp
+++ b/app/shutdown_driver.cpp
@@ -1,4 +1,4 @@
-#include "app/stop_walk.h"
+#include "app/shutdown_driver.h"
 
 #include <utility>
 
--- a/app/stop_walk.h
+++ b/app/shutdown_driver.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <optional>
 
-#include "app/planned_stop.h"
+#include "app/shutdown_plan.h"
 #include "net/event_loop.h"
 
 namespace zinniabarrow {
--- a/app/planned_stop.cpp
+++ b/app/shutdown_plan.cpp
@@ -1,4 +1,4 @@
-#include "app/planned_stop.h"
+#include "app/shutdown_plan.h"
 
 #include <algorithm>
 
--- a/app/row_store.cpp
+++ b/app/store_client.cpp
@@ -1,4 +1,4 @@
-#include "app/row_store.h"
+#include "app/store_client.h"
 
 #include <algorithm>
 #include <utility>
--- a/app/table_follower.h
+++ b/app/table_follower.h
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-#include "app/row_store.h"
+#include "app/store_client.h"
 #include "base/event_log.h"
 #include "base/time.h"
 #include "jobs/rows.h"
--- a/app/worker_calls.h
+++ b/app/worker_calls.h
@@ -9,10 +9,10 @@
 #include "app/worker_clock.h"
 #include "app/worker_presence.h"
 #include "base/event_log.h"
-#include "jobs/disturbance.h"
-#include "jobs/pacer.h"
+#include "jobs/interference_estimator.h"
 #include "jobs/run_table.h"
-#include "jobs/worker_silence.h"
+#include "jobs/throttle_controller.h"
+#include "jobs/worker_liveness.h"
 #include "net/http_caller.h"
 #include "runtime/metrics.h"
 
--- a/include/zinniabarrow/zinniabarrow.h
+++ b/include/zinniabarrow/zinniabarrow.h
@@ -30,14 +30,14 @@
 #include "delivery/request_flow.h"
 
 // Placement: what fits where, learned sizes, interference, quotas, quarantine.
-#include "placement/ledger.h"
+#include "placement/reservation_ledger.h"
 #include "placement/scheduler.h"
 
 // Work: who decides for which workers, tasks that run once, quotas over all shards.
 #include "work/ownership.h"
 #include "work/quota_parts.h"
-#include "work/task_keeper.h"
-#include "work/task_table.h"
+#include "work/task_coordinator.h"
+#include "work/task_supervisor.h"
 #include "work/trace_checker.h"
 #include "work/usage.h"
 
--- a/libs/jobs/configuration_watch.cpp
+++ b/libs/jobs/configuration_tracker.cpp
@@ -1,4 +1,4 @@
-#include "jobs/configuration_watch.h"
+#include "jobs/configuration_tracker.h"
 
 #include <algorithm>
 
--- a/libs/jobs/disturbance.cpp
+++ b/libs/jobs/interference_estimator.cpp
@@ -1,4 +1,4 @@
-#include "jobs/disturbance.h"
+#include "jobs/interference_estimator.h"
 
 #include <algorithm>
 
--- a/libs/jobs/job_book.cpp
+++ b/libs/jobs/job_controller.cpp
@@ -1,4 +1,4 @@
-#include "jobs/job_book.h"
+#include "jobs/job_controller.h"
 
 #include <algorithm>
 #include <utility>
--- a/libs/jobs/job_book.h
+++ b/libs/jobs/job_controller.h
@@ -13,7 +13,7 @@
 #include "base/time.h"
 #include "jobs/messages.h"
 #include "jobs/model.h"
-#include "jobs/standing_task.h"
+#include "jobs/stall_timer.h"
 #include "jobs/worker_pool.h"
 
 namespace zinniabarrow::jobs {
--- a/libs/jobs/job_book_ends.cpp
+++ b/libs/jobs/job_controller_ends.cpp
@@ -4,7 +4,7 @@
 
 #include <fmt/core.h>
 
-#include "jobs/job_book.h"
+#include "jobs/job_controller.h"
 
 namespace zinniabarrow::jobs {
 
--- a/libs/jobs/job_book_telling.cpp
+++ b/libs/jobs/job_controller_log.cpp
@@ -3,7 +3,7 @@
 
 #include <fmt/core.h>
 
-#include "jobs/job_book.h"
+#include "jobs/job_controller.h"
 #include "jobs/urgency.h"
 
 namespace zinniabarrow::jobs {
--- a/libs/jobs/job_book_standing.cpp
+++ b/libs/jobs/job_controller_stalls.cpp
@@ -5,7 +5,7 @@
 #include <fmt/core.h>
 
 #include "base/names.h"
-#include "jobs/job_book.h"
+#include "jobs/job_controller.h"
 
 namespace zinniabarrow::jobs {
 
--- a/libs/jobs/messages.h
+++ b/libs/jobs/messages.h
@@ -9,7 +9,7 @@
 
 #include <json/json.h>
 
-#include "jobs/disturbance.h"
+#include "jobs/interference_estimator.h"
 #include "jobs/model.h"
 
 namespace zinniabarrow::jobs {
--- a/libs/jobs/run_table.h
+++ b/libs/jobs/run_table.h
@@ -12,7 +12,7 @@
 
 #include "base/time.h"
 #include "jobs/messages.h"
-#include "jobs/pacer.h"
+#include "jobs/throttle_controller.h"
 
 namespace zinniabarrow::jobs {
 
--- a/libs/jobs/press_turn.cpp
+++ b/libs/jobs/table_source_rotation.cpp
@@ -1,4 +1,4 @@
-#include "jobs/press_turn.h"
+#include "jobs/table_source_rotation.h"
 
 #include "base/hash.h"
 
--- a/libs/jobs/pacer.cpp
+++ b/libs/jobs/throttle_controller.cpp
@@ -1,4 +1,4 @@
-#include "jobs/pacer.h"
+#include "jobs/throttle_controller.h"
 
 #include <algorithm>
 
--- a/libs/jobs/pacer.h
+++ b/libs/jobs/throttle_controller.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "jobs/disturbance.h"
+#include "jobs/interference_estimator.h"
 #include "jobs/load_forecast.h"
 #include "jobs/model.h"
 
--- a/libs/jobs/worker_silence.cpp
+++ b/libs/jobs/worker_liveness.cpp
@@ -1,4 +1,4 @@
-#include "jobs/worker_silence.h"
+#include "jobs/worker_liveness.h"
 
 #include <algorithm>
 
--- a/libs/placement/preemption.cpp
+++ b/libs/placement/preemption_planner.cpp
@@ -1,4 +1,4 @@
-#include "placement/preemption.h"
+#include "placement/preemption_planner.h"
 
 #include <algorithm>
 #include <tuple>
--- a/libs/placement/preemption.h
+++ b/libs/placement/preemption_planner.h
@@ -6,9 +6,9 @@
 #include <optional>
 #include <vector>
 
-#include "placement/choose.h"
 #include "placement/resources.h"
 #include "placement/task_table.h"
+#include "placement/worker_chooser.h"
 #include "placement/worker_table.h"
 
 namespace zinniabarrow::placement {
--- a/libs/placement/quota.cpp
+++ b/libs/placement/quota_table.cpp
@@ -1,4 +1,4 @@
-#include "placement/quota.h"
+#include "placement/quota_table.h"
 
 #include <algorithm>
 
--- a/libs/placement/ledger.cpp
+++ b/libs/placement/reservation_ledger.cpp
@@ -1,4 +1,4 @@
-#include "placement/ledger.h"
+#include "placement/reservation_ledger.h"
 
 #include <algorithm>
 
--- a/libs/placement/scheduler.h
+++ b/libs/placement/scheduler.h
@@ -26,16 +26,16 @@
 #include <vector>
 
 #include "placement/actions.h"
-#include "placement/choose.h"
 #include "placement/interference.h"
-#include "placement/ledger.h"
 #include "placement/placer_settings.h"
-#include "placement/preemption.h"
+#include "placement/preemption_planner.h"
 #include "placement/quarantine.h"
-#include "placement/quota.h"
+#include "placement/quota_table.h"
 #include "placement/relief.h"
+#include "placement/reservation_ledger.h"
 #include "placement/size_learner.h"
 #include "placement/task_table.h"
+#include "placement/worker_chooser.h"
 #include "placement/worker_table.h"
 
 namespace zinniabarrow::placement {
--- a/libs/placement/choose.cpp
+++ b/libs/placement/worker_chooser.cpp
@@ -1,4 +1,4 @@
-#include "placement/choose.h"
+#include "placement/worker_chooser.h"
 
 #include <algorithm>
 #include <cmath>
--- a/libs/placement/worker_table.h
+++ b/libs/placement/worker_table.h
@@ -9,8 +9,8 @@
 
 #include "base/time.h"
 #include "placement/interference.h"
-#include "placement/ledger.h"
 #include "placement/load_signal.h"
+#include "placement/reservation_ledger.h"
 #include "placement/resources.h"
 
 namespace zinniabarrow::placement {
--- a/libs/work/task_table.cpp
+++ b/libs/work/task_coordinator.cpp
@@ -1,7 +1,7 @@
 // Sections: Jobs | Reports of agents | Grants | Silent workers | Records |
 // The store, changes for the ledger
 
-#include "work/task_table.h"
+#include "work/task_coordinator.h"
 
 #include <algorithm>
 
--- a/libs/work/task_keeper.cpp
+++ b/libs/work/task_supervisor.cpp
@@ -1,6 +1,6 @@
 // Sections: Events | What a grant brings | What a listing brings | Leases, listings, reports
 
-#include "work/task_keeper.h"
+#include "work/task_supervisor.h"
 
 #include <algorithm>
 #include <set>
--- a/libs/work/worker_tasks.h
+++ b/libs/work/worker_tasks.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "work/task_keeper.h"
+#include "work/task_supervisor.h"
 
 namespace zinniabarrow::work {
 
--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -11,7 +11,7 @@
 
 #include <criterion/criterion.h>
 
-#include "jobs/job_book.h"
+#include "jobs/job_controller.h"
 #include "jobs/run_table.h"
 #include "section.h"
 
--- a/tests/configuration_follow_test.cpp
+++ b/tests/configuration_follow_test.cpp
@@ -6,7 +6,7 @@
 #include <criterion/criterion.h>
 #include <fmt/core.h>
 
-#include "jobs/configuration_watch.h"
+#include "jobs/configuration_tracker.h"
 #include "jobs/queues.h"
 #include "net/answer_deadline.h"
 #include "platform/configuration_wire.h"
--- a/tests/disturbance_test.cpp
+++ b/tests/disturbance_test.cpp
@@ -4,8 +4,8 @@
 
 #include <criterion/criterion.h>
 
-#include "jobs/disturbance.h"
-#include "jobs/pacer.h"
+#include "jobs/interference_estimator.h"
+#include "jobs/throttle_controller.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -3,8 +3,8 @@
 
 #include "jobs/evacuations.h"
 #include "jobs/messages.h"
+#include "jobs/worker_liveness.h"
 #include "jobs/worker_pool.h"
-#include "jobs/worker_silence.h"
 #include "platform/store_wire.h"
 #include "section.h"
 
--- a/tests/harm_shared_test.cpp
+++ b/tests/harm_shared_test.cpp
@@ -10,7 +10,7 @@
 #include <criterion/criterion.h>
 #include <fmt/core.h>
 
-#include "taught_pool.h"
+#include "trained_pool.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::jobs;
--- a/tests/large_lasting_tasks_test.cpp
+++ b/tests/large_lasting_tasks_test.cpp
@@ -1,7 +1,7 @@
 // Large tasks that last among small ones that end.
 #include <criterion/criterion.h>
 
-#include "busy_site.h"
+#include "saturated_workers.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
--- a/tests/large_rows_test.cpp
+++ b/tests/large_rows_test.cpp
@@ -12,7 +12,7 @@
 #include <criterion/criterion.h>
 #include <fmt/core.h>
 
-#include "app/row_store.h"
+#include "app/store_client.h"
 #include "app/table_follower.h"
 #include "base/event_log.h"
 #include "net/event_loop.h"
--- a/tests/lasting_jobs_test.cpp
+++ b/tests/lasting_jobs_test.cpp
@@ -4,7 +4,7 @@
 
 #include <criterion/criterion.h>
 
-#include "busy_site.h"
+#include "saturated_workers.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/order_model.h
+++ b/tests/order_model.h
@@ -15,7 +15,7 @@
 
 #include <fmt/core.h>
 
-#include "jobs/job_book.h"
+#include "jobs/job_controller.h"
 #include "jobs/run_table.h"
 #include "modelled_worker.h"
 #include "run_rules.h"
--- a/tests/placement_world.h
+++ b/tests/placement_simulation.h
@@ -13,7 +13,7 @@
 
 #include <fmt/core.h>
 
-#include "jobs/job_book.h"
+#include "jobs/job_controller.h"
 #include "jobs/run_table.h"
 #include "section.h"
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -5,11 +5,11 @@
 
 #include "base/errors.h"
 #include "placement/interference.h"
-#include "placement/ledger.h"
 #include "placement/load_signal.h"
 #include "placement/quarantine.h"
-#include "placement/quota.h"
+#include "placement/quota_table.h"
 #include "placement/relief.h"
+#include "placement/reservation_ledger.h"
 #include "placement/size_learner.h"
 #include "section.h"
 
--- a/tests/report_load_test.cpp
+++ b/tests/report_load_test.cpp
@@ -7,7 +7,7 @@
 #include "base/errors.h"
 #include "base/json.h"
 #include "jobs/messages.h"
-#include "jobs/press_turn.h"
+#include "jobs/table_source_rotation.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/entry_links_test.cpp
+++ b/tests/report_targets_test.cpp
@@ -4,7 +4,7 @@
 
 #include <criterion/criterion.h>
 
-#include "app/entry_links.h"
+#include "app/report_targets.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/room_on_the_way_test.cpp
+++ b/tests/room_on_the_way_test.cpp
@@ -6,8 +6,8 @@
 
 #include <criterion/criterion.h>
 
-#include "busy_site.h"
-#include "jobs/job_book.h"
+#include "jobs/job_controller.h"
+#include "saturated_workers.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/busy_site.h
+++ b/tests/saturated_workers.h
@@ -4,7 +4,7 @@
 
 #include <fmt/core.h>
 
-#include "placement_world.h"
+#include "placement_simulation.h"
 #include "section.h"
 
 namespace zinniabarrow::tests {
--- a/tests/shard_world.h
+++ b/tests/shard_world.h
@@ -13,7 +13,7 @@
 #include "platform/memory_platform.h"
 #include "section.h"
 #include "work/ownership.h"
-#include "work/task_keeper.h"
+#include "work/task_supervisor.h"
 #include "work/worker_tasks.h"
 
 namespace zinniabarrow::tests {
--- a/tests/planned_stop_test.cpp
+++ b/tests/shutdown_plan_test.cpp
@@ -3,7 +3,7 @@
 
 #include <criterion/criterion.h>
 
-#include "app/planned_stop.h"
+#include "app/shutdown_plan.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/work_bench.h
+++ b/tests/work_fixtures.h
@@ -9,8 +9,8 @@
 
 #include "platform/memory_platform.h"
 #include "work/ownership.h"
-#include "work/task_keeper.h"
-#include "work/task_table.h"
+#include "work/task_coordinator.h"
+#include "work/task_supervisor.h"
 #include "work/worker_tasks.h"
 
 namespace zinniabarrow::tests {
--- a/tests/work_model.h
+++ b/tests/work_model.h
@@ -17,8 +17,8 @@
 #include "base/random.h"
 #include "platform/memory_platform.h"
 #include "work/ownership.h"
-#include "work/task_keeper.h"
-#include "work/task_table.h"
+#include "work/task_coordinator.h"
+#include "work/task_supervisor.h"
 #include "work/trace_checker.h"
 #include "work/worker_tasks.h"
 
--- a/tests/work_test.cpp
+++ b/tests/work_test.cpp
@@ -7,7 +7,7 @@
 #include "work/trace_checker.h"
 
 #include "section.h"
-#include "work_bench.h"
+#include "work_fixtures.h"
 
 namespace zinniabarrow::tests {
 
--- a/tests/work_waits_test.cpp
+++ b/tests/work_waits_test.cpp
@@ -2,7 +2,7 @@
 // at which it can't be acted on.
 #include "section.h"
 #include "work/quota_parts.h"
-#include "work_bench.h"
+#include "work_fixtures.h"
 
 namespace zinniabarrow::tests {
 
--- a/tests/work_writes_test.cpp
+++ b/tests/work_writes_test.cpp
@@ -8,7 +8,7 @@
 #include "base/random.h"
 #include "platform/memory_platform.h"
 #include "work/ownership.h"
-#include "work/task_table.h"
+#include "work/task_coordinator.h"
 
 #include "section.h"
 
--- a/tests/worker_pool_test.cpp
+++ b/tests/worker_pool_test.cpp
@@ -4,7 +4,7 @@
 #include "base/json.h"
 #include "base/json_member.h"
 #include "section.h"
-#include "taught_pool.h"
+#include "trained_pool.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::jobs;
--- a/tests/worker_silence_test.cpp
+++ b/tests/worker_silence_test.cpp
@@ -1,7 +1,7 @@
 // What an agent concludes of a worker that answers nothing, and when.
 #include <criterion/criterion.h>
 
-#include "jobs/worker_silence.h"
+#include "jobs/worker_liveness.h"
 #include "section.h"
 
 using namespace zinniabarrow;
