--- a/app/configuration_follower.cpp
+++ b/app/configuration_follower.cpp
@@ -32,7 +32,7 @@
 
 void configuration_follower::heardOf(std::int64_t version)
 {
-    m_watch.heardOf(version, suspendAwareNow());
+    m_watch.noteVersionElsewhere(version, suspendAwareNow());
 }
 
 const queue_table *configuration_follower::queues() const
@@ -50,10 +50,10 @@
     return m_watch.isConfirmed(suspendAwareNow());
 }
 
-configuration_standing configuration_follower::standing()
+configuration_freshness configuration_follower::standing()
 {
-    const auto result = m_watch.standing(suspendAwareNow());
-    const bool outdated = result == configuration_standing::Outdated;
+    const auto result = m_watch.freshness(suspendAwareNow());
+    const bool outdated = result == configuration_freshness::Outdated;
     if (outdated != std::exchange(m_outdated, outdated))
         m_log.note(outdated ? "configuration_outdated" : "configuration_caught_up",
                    {{"version", version()}});
@@ -63,20 +63,20 @@
 void configuration_follower::heed(const feed_answer_begun &head)
 {
     const auto now = suspendAwareNow();
-    if (head.bytes > configuration_watch::EmptyAnswerBytes)
+    if (head.bytes > configuration_tracker::MaxEmptyAnswerBytes)
         m_answerFrom = now;
-    m_watch.answerBegun(head.bytes, now);
+    m_watch.noteAnswerStarted(head.bytes, now);
 }
 
 void configuration_follower::heed(const all_changes_taken &taken)
 {
-    m_watch.answerRead(taken.askedAt);
+    m_watch.noteAnswerRead(taken.askedAt);
 }
 
 void configuration_follower::allRead()
 {
     const auto before = m_evacuated.zones();
-    m_evacuated.allRead();
+    m_evacuated.finishFullRead();
     noteZones(before);
 }
 
@@ -88,7 +88,7 @@
             zones.push_back({std::move(*zone), one.removed});
     }
     const auto before = m_evacuated.zones();
-    m_evacuated.changed(zones);
+    m_evacuated.applyRows(zones);
     noteZones(before);
 }
 
@@ -123,7 +123,7 @@
         if (m_queues && next.version() <= m_queues->version())
             return true;
         m_queues.emplace(std::move(next));
-        m_watch.taken(m_queues->version());
+        m_watch.noteVersionApplied(m_queues->version());
         note(row.value.size(), startedAt);
         return true;
     } catch (const error &problem) {
--- a/app/configuration_follower.h
+++ b/app/configuration_follower.h
@@ -32,7 +32,7 @@
     bool isConfirmed() const;                // lately, as the newest
     const jobs::evacuated_zones &evacuated() const { return m_evacuated; }
     // Says in the log when the configuration becomes outdated, and when it no longer is.
-    jobs::configuration_standing standing();
+    jobs::configuration_freshness standing();
 
 private:
     void heed(const feed_answer_begun &head);
@@ -50,7 +50,7 @@
     jobs::evacuated_zones m_evacuated;
     std::int64_t m_rowVersion = 0;          // the store's, of the row that was read last
     std::optional<time_point> m_answerFrom; // when the last answer with changes began
-    jobs::configuration_watch m_watch;
+    jobs::configuration_tracker m_watch;
     bool m_outdated = false; // as last asked
 };
 
--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -63,7 +63,7 @@
                   [this](const auto &rows) { takeCancels(rows); }, [this] { m_cancelsRead = true; })
         , m_stop(m_loop, StopPauses, StopTimes, stopHooks())
         , m_keeper(m_loop, m_store, m_log, m_settings.id, leaseListeners())
-        , m_reports(reportsParts(), [this] { return readiness() == start_readiness::Open; })
+        , m_reports(reportsParts(), [this] { return readiness() == start_readiness::Ready; })
         , m_calls(callsParts(),
                   {[this] { act(); }, [this](auto samples) { m_reports.add(std::move(samples)); }})
         , m_internal(m_loop, m_settings.internal, {},
@@ -82,7 +82,7 @@
         m_loop.every(LogFlushEvery, [this] { m_log.flush(); });
         m_loop.every(DueEvery, [this] { act(); });
         m_loop.every(ReportEvery, [this] { m_reports.reportRegularly(); });
-        m_loop.every(RenewEvery, [this] { m_keeper.renew(m_silence.heldWithoutAnswer()); });
+        m_loop.every(LeaseRenewInterval, [this] { m_keeper.renew(m_silence.heldUntilIfSilent()); });
         m_entriesTable.start();
         m_cancelsTable.start();
         m_keeper.seek("process_start");
@@ -91,9 +91,9 @@
             m_log.note("callback_failed", {{"why", problem.what()}});
         });
         m_log.noteAlways("stopped", {{"epoch", m_table.epoch()},
-                                     {"runs", m_table.running()},
+                                     {"runs", m_table.activeRunCount()},
                                      {"worker", m_worker.isPresent() ? "present" : "absent"},
-                                     {"lease_write_out", lease().writeOut() ? "yes" : "no"}});
+                                     {"lease_write_out", lease().isWritePending() ? "yes" : "no"}});
         m_log.flush();
     }
 
@@ -128,12 +128,12 @@
     void epochSettled(const epoch_settled &settled)
     {
         m_table.setEpoch(settled.epoch);
-        m_table.setAgentLife(lease().fence());
+        m_table.setAgentIncarnation(lease().fence());
         const auto now = suspendAwareNow();
-        if (settled.begun) {
+        if (settled.isNew) {
             m_reports.epochBegun(now);
-            if (lease().settled())
-                m_silence.epochBegun(now);
+            if (lease().isSettled())
+                m_silence.noteNewEpoch(now);
         } else {
             // A run that an earlier life of this agent told to stop is in neither list until it
             // has ended, and takes room all the while.
@@ -145,8 +145,8 @@
     // Nothing of any earlier epoch runs any more: what was placed here may go elsewhere.
     void allEnded(const std::string &nextLife)
     {
-        m_table.clear();
-        m_silence.allEnded();
+        m_table.clearRuns();
+        m_silence.clearHold();
         m_keeper.allEnded(nextLife);
     }
 
@@ -163,16 +163,16 @@
         std::optional<std::int64_t> deadline;
         // A worker that answers nothing is only looked at: each call that may have reached it would
         // put off the time from which all that it runs has ended for certain.
-        if (m_clock.isKnown() && now < lease().until() && m_silence.answers(now)) {
-            const auto until = std::min<time_point>(lease().until(), now + HoldLength);
+        if (m_clock.isKnown() && now < lease().validUntil() && m_silence.isResponsive(now)) {
+            const auto until = std::min<time_point>(lease().validUntil(), now + HoldDuration);
             deadline = m_clock.at(until);
-            m_silence.held(until);
+            m_silence.noteHold(until);
         }
         // Without a clock to count from, the first look only reads it.
-        const auto longest = m_table.servingNow().empty() ? LookWait : LookWaitServing;
+        const auto longest = m_table.servingSamples().empty() ? LookWait : LookWaitServing;
         const auto wait = m_clock.isKnown() ? millisecondsIn(longest) : 0;
         auto request = platform_wire::holdRequest(m_worker.id(), deadline, lease().fence(),
-                                                  m_table.lastSeen(), wait);
+                                                  m_table.acknowledgedThrough(), wait);
         if (m_worker.id().empty())
             request.headers.clear();
         m_caller.call(m_settings.worker, std::move(request), milliseconds(wait) + LookTimeout,
@@ -191,8 +191,8 @@
         const auto now = suspendAwareNow();
         const auto seen = platform_wire::holdResult(result);
         noteAnswering(seen.has_value(), result);
-        const bool heardAgain = seen && m_silence.heldWithoutAnswer();
-        m_silence.looked(seen.has_value(), now);
+        const bool heardAgain = seen && m_silence.heldUntilIfSilent();
+        m_silence.notePoll(seen.has_value(), now);
         if (heardAgain)
             m_keeper.renew(); // the last renewals were for what had been held
         if (!seen) {
@@ -210,8 +210,8 @@
         if (life == worker_presence::look::Stayed)
             stayed();
         m_clock.read(seen->listing.clockMs, now);
-        m_table.look(seen->listing, now);
-        const bool news = m_table.endsSeen() != m_endsTold;
+        m_table.applyListing(seen->listing, now);
+        const bool news = m_table.newEndCount() != m_endsTold;
         settleEpoch(now);
         act();
         m_calls.pace(now);
@@ -225,14 +225,14 @@
     // One line when looks begin to fail and one when they are answered again.
     void noteAnswering(bool answered, const call_result &result)
     {
-        if (answered == m_silence.answered())
+        if (answered == m_silence.lastPollAnswered())
             return;
         if (answered)
             return m_log.note("worker_answers", {{"worker", m_worker.id()}});
         const auto *failure = std::get_if<call_failure>(&result);
         m_log.note("worker_unanswering", {{"worker", m_worker.id()},
                                           {"why", failure ? nameOf(*failure) : "refused"},
-                                          {"runs", m_table.running()}});
+                                          {"runs", m_table.activeRunCount()}});
     }
 
     // With a new fence: the same life as the lease's row tells keeps its runs; in another one, or
@@ -241,7 +241,7 @@
     {
         if (!m_worker.isBorn())
             return;
-        if (m_keeper.seen(m_worker.lifeName(), m_table.running()))
+        if (m_keeper.seen(m_worker.lifeName(), m_table.activeRunCount()))
             m_table.stopAll(now);
     }
 
@@ -249,18 +249,19 @@
     {
         m_log.note("worker_life_ended", {{"why", why}, {"worker", m_worker.id()}});
         m_metrics.count("worker_lives_ended_total", why);
-        m_table.clear();
+        m_table.clearRuns();
         m_clock.forget();
-        m_silence.lifeBegun(suspendAwareNow());
+        m_silence.noteNewIncarnation(suspendAwareNow());
         m_keeper.seek(why);
     }
 
     // A worker that answers nothing ends all it runs when the last lease that it was given is over.
     void judgeSilence(time_point now)
     {
-        if (!m_silence.nothingRuns(now) || (lease().settled() && m_table.running() == 0))
+        if (!m_silence.hasNothingRunning(now)
+            || (lease().isSettled() && m_table.activeRunCount() == 0))
             return;
-        m_log.note("worker_silent", {{"runs", m_table.running()}});
+        m_log.note("worker_silent", {{"runs", m_table.activeRunCount()}});
         m_metrics.count("worker_lives_ended_total", "silent");
         allEnded(m_worker.lifeName());
     }
@@ -310,8 +311,8 @@
     {
         // What is known of the lease tells whether the end of the epoch can be written at once.
         m_log.note("worker_gone", {{"worker", m_worker.id()},
-                                   {"runs", m_table.running()},
-                                   {"lease_write_out", lease().writeOut() ? "yes" : "no"},
+                                   {"runs", m_table.activeRunCount()},
+                                   {"lease_write_out", lease().isWritePending() ? "yes" : "no"},
                                    {"lease", lease().holdsFence() ? "held" : "sought"}});
         m_clock.forget();
         allEnded(""); // and looks go on: a worker that lives anew may tell so in no other way
@@ -320,8 +321,8 @@
     start_readiness readiness() const
     {
         const auto now = suspendAwareNow();
-        const bool leased = m_cancelsRead && now >= m_startFrom && lease().settled()
-                            && m_clock.isKnown() && now < lease().until();
+        const bool leased = m_cancelsRead && now >= m_startFrom && lease().isSettled()
+                            && m_clock.isKnown() && now < lease().validUntil();
         return readinessOf({m_worker.isPresent(), m_worker.isLeaving(), leased,
                             m_reports.isZoneEvacuated(now)},
                            m_silence, now);
@@ -355,7 +356,7 @@
         m_table.setWorker(m_worker.told().capacity, readiness());
         std::vector<order_answer> answers;
         for (const auto &order : batch.orders) {
-            answers.push_back(m_table.take(order, batch.owner, now));
+            answers.push_back(m_table.handleOrder(order, batch.owner, now));
             const auto &answer = answers.back();
             m_metrics.count("orders_total", nameOf(answer.outcome));
             if (answer.outcome != order_outcome::Accepted) {
@@ -373,10 +374,11 @@
         const auto now = suspendAwareNow();
         // A worker that answers nothing is not told to start anything: each such call would put off
         // the time from which all that it runs has ended for certain.
-        const bool mayStart = now < lease().until() && m_clock.isKnown() && m_silence.answers(now);
-        for (const auto &action : m_table.due(now, mayStart))
+        const bool mayStart =
+                now < lease().validUntil() && m_clock.isKnown() && m_silence.isResponsive(now);
+        for (const auto &action : m_table.takeDueActions(now, mayStart))
             std::visit([this](const auto &one) { m_calls.carryOut(one); }, action);
-        if (std::exchange(m_endsTold, m_table.endsSeen()) != m_table.endsSeen())
+        if (std::exchange(m_endsTold, m_table.newEndCount()) != m_table.newEndCount())
             m_reports.reportAll();
     }
 
@@ -388,7 +390,7 @@
         for (const auto &one : rows) {
             if (one.removed)
                 continue; // the job is over for long
-            const int runs = m_table.cancelled(one.name.key, now);
+            const int runs = m_table.cancelJob(one.name.key, now);
             if (runs > 0)
                 m_log.note("job_cancelled", {{"job", one.name.key}, {"runs", runs}});
         }
@@ -405,7 +407,7 @@
 
     void leave()
     {
-        m_log.noteAlways("drain_started", {{"runs", m_table.running()},
+        m_log.noteAlways("drain_started", {{"runs", m_table.activeRunCount()},
                                            {"worker", m_worker.isLeaving() ? "leaving" : "staying"},
                                            {"stays", hasToStay() ? "yes" : "no"}});
         m_internal.announceClose();
@@ -417,7 +419,7 @@
         if (m_stop.step() == stop_step::Finish)
             giveBack();
         const bool open = !m_internal.drained() || !m_workers.drained();
-        const bool writes = lease().writeOut() && !m_stop.hasGivenUp();
+        const bool writes = lease().isWritePending() && !m_stop.hasGivenUp();
         return {hasToStay(), false, open || writes};
     }
 
@@ -444,7 +446,7 @@
     void giveBack()
     {
         const auto held = m_silence.heldUntil();
-        if (held && !lease().writeOut() && !std::exchange(m_gaveBack, true))
+        if (held && !lease().isWritePending() && !std::exchange(m_gaveBack, true))
             m_keeper.renew(held);
     }
 
@@ -453,8 +455,8 @@
     // placed there would wait for the end of the lease.
     bool hasToStay() const
     {
-        return m_worker.goesAway() || lease().owesEnd()
-               || m_reports.entriesWaitForEpoch(suspendAwareNow()) || m_table.hasEndsOfTheGone();
+        return m_worker.goesAway() || lease().hasUnwrittenEnd()
+               || m_reports.entriesWaitForEpoch(suspendAwareNow()) || m_table.hasEndsOfGoneWorker();
     }
 
     job_agent_settings m_settings;
@@ -466,7 +468,7 @@
     table_follower m_entriesTable;
     table_follower m_cancelsTable;
     run_table m_table;
-    pacer m_pacer;
+    throttle_controller m_pacer;
 
     worker_presence m_worker;
     worker_clock m_clock;
@@ -476,7 +478,7 @@
 
     lease_keeper m_keeper;
     entry_reports m_reports;
-    worker_silence m_silence{suspendAwareNow()};
+    worker_liveness m_silence{suspendAwareNow()};
     worker_calls m_calls;
 
     std::size_t m_endsTold = 0; // of `m_table.endsSeen()`
--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -329,7 +329,7 @@
         if (before == nullptr || before->last.epoch != report.epoch) {
             m_log.note("worker_seen", {{"worker", report.worker},
                                        {"epoch", report.epoch},
-                                       {"accepting", report.accepting ? "yes" : "no"}});
+                                       {"accepting", report.isAccepting ? "yes" : "no"}});
         }
         const bool livesAnew = m_pool.update(report, now) && report.epoch > 0;
         for (const auto &progress : report.progress)
@@ -344,14 +344,14 @@
         // From an old reading it would go on after the zone is taken back.
         state->answer.zoneEvacuated =
                 m_configuration.isConfirmed() && m_configuration.evacuated().contains(report.zone);
-        if (report.wantsPresses)
-            state->answer.presses = m_pool.disturbance().table();
+        if (report.wantsInterferenceTable)
+            state->answer.interference = m_pool.disturbance().table();
         for (const auto &end : report.ends)
             takeEnd(report.worker, end, state);
         // After the ends: those of the epoch before end their own placements.
         if (livesAnew)
             m_book->workerRenewed(report.worker, report.epoch, now);
-        if (m_pool.find(report.worker)->last.agentLife == report.agentLife)
+        if (m_pool.find(report.worker)->last.agentIncarnation == report.agentIncarnation)
             m_book->workerTold(report.worker, now);
         if (state->open == 0)
             answerReport(*state);
@@ -366,7 +366,7 @@
         const auto token = m_waits.add([state, end](bool isStored) {
             auto &answer = state->answer;
             auto &ends = isStored ? answer.acknowledged : answer.notOwned;
-            ends.push_back({end.task, end.run, end.how});
+            ends.push_back({end.task, end.run, end.endKind});
             if (--state->open == 0)
                 answerReport(*state);
         });
@@ -389,7 +389,7 @@
     bool isReady()
     {
         return m_configuration.queues() != nullptr
-               && m_configuration.standing() != configuration_standing::Outdated
+               && m_configuration.standing() != configuration_freshness::Outdated
                && m_configuration.isConfirmed() && m_jobsKnown && !isLeaving()
                && suspendAwareNow() - m_store.lastAnswerAt() < StoreSilentAtMost;
     }
--- a/app/job_requests.cpp
+++ b/app/job_requests.cpp
@@ -93,10 +93,10 @@
     if (queues == nullptr)
         return respond(counted(503, "no_configuration"));
     const auto known = m_configuration.standing();
-    if (known == configuration_standing::Outdated)
+    if (known == configuration_freshness::Outdated)
         return respond(counted(503, "configuration_outdated"));
     const auto target = queues->find(request.header("Host"), request.path());
-    if (!target && known == configuration_standing::Doubtful)
+    if (!target && known == configuration_freshness::PossiblyOutdated)
         return respond(counted(503, "queue_perhaps_newer"));
     if (!target)
         return respond(counted(404, "unknown_queue"));
@@ -129,7 +129,7 @@
 http_response job_requests::storeUnreachable()
 {
     return counted(503, "store_unreachable",
-                   comeBackAfter(suspendAwareNow() - m_store.lastAnswerAt()));
+                   suggestedRetryDelay(suspendAwareNow() - m_store.lastAnswerAt()));
 }
 
 void job_requests::submit(const std::string &id, const queue_policy &policy, http_request request,
--- a/app/lease_keeper.cpp
+++ b/app/lease_keeper.cpp
@@ -25,7 +25,7 @@
     if (rows.empty())
         return std::nullopt;
     try {
-        if (leaseFrom(rows.front().value).write == write)
+        if (leaseFrom(rows.front().value).writeId == write)
             return rows.front().version;
     } catch (const error &) {
         return std::nullopt;
@@ -49,7 +49,7 @@
 {
     m_log.note("lease_sought", {{"why", why}});
     m_hear.unsettled();
-    m_lease.seek();
+    m_lease.acquireFence();
     carryOut();
 }
 
@@ -61,7 +61,7 @@
 
 bool lease_keeper::seen(const std::string &life, std::size_t running)
 {
-    const bool allStop = m_lease.seen(life, running, suspendAwareNow());
+    const bool allStop = m_lease.reconcile(life, running, suspendAwareNow());
     carryOut();
     return allStop;
 }
@@ -69,7 +69,7 @@
 void lease_keeper::allEnded(const std::string &nextLife)
 {
     m_hear.unsettled();
-    m_lease.allEnded(nextLife, suspendAwareNow());
+    m_lease.endEpoch(nextLife, suspendAwareNow());
     carryOut();
 }
 
@@ -85,7 +85,7 @@
                  [this, sentAt = suspendAwareNow()](const std::optional<row_page> &page) {
                      if (!page)
                          return m_loop.after(ReadRetry, [this] { carryOut(read_lease{}); });
-                     m_lease.storeTold(page->storeMs, sentAt, suspendAwareNow());
+                     m_lease.noteStoreClock(page->storeMs, sentAt, suspendAwareNow());
                      rowRead(*page);
                  });
 }
@@ -106,10 +106,10 @@
 {
     const auto name = leaseRow(m_agent);
     m_store.commit({{{name, action.expectedVersion}}, {{name, toText(action.row), 0, false}}, {}},
-                   [this, write = action.row.write,
+                   [this, write = action.row.writeId,
                     sentAt = suspendAwareNow()](const row_store::outcome &outcome) {
                        if (const auto *done = std::get_if<committed>(&outcome))
-                           m_lease.storeTold(done->storeMs, sentAt, suspendAwareNow());
+                           m_lease.noteStoreClock(done->storeMs, sentAt, suspendAwareNow());
                        rowWritten(write, outcome);
                    });
 }
@@ -122,7 +122,7 @@
     } else {
         m_log.note("lease_sought", {{"why", "lease_taken"}});
         m_hear.unsettled();
-        m_lease.rowTaken();
+        m_lease.rowConflict();
     }
     carryOut();
     if (m_lease.holdsFence() && !heldBefore)
@@ -131,8 +131,8 @@
 
 void lease_keeper::carryOut(const epoch_settled &action)
 {
-    m_log.note(action.begun ? "epoch_begun" : "epoch_resumed",
-               {{"epoch", action.epoch}, {"life", m_lease.life()}});
+    m_log.note(action.isNew ? "epoch_begun" : "epoch_resumed",
+               {{"epoch", action.epoch}, {"life", m_lease.workerIncarnation()}});
     m_hear.settled(action);
 }
 
--- a/app/lease_watcher.cpp
+++ b/app/lease_watcher.cpp
@@ -84,9 +84,9 @@
     m_log.note("worker_lease_read", {{"worker", worker},
                                      {"epoch", lease.epoch},
                                      {"renewals", lease.renewals},
-                                     {"over", verdict.over ? "yes" : "no"}});
-    if (!verdict.over)
-        return lookAt(worker, verdict.lookAgainAt);
+                                     {"over", verdict.isExpired ? "yes" : "no"}});
+    if (!verdict.isExpired)
+        return lookAt(worker, verdict.checkAgainAt);
     end(worker, lease, row.version);
 }
 
@@ -94,9 +94,9 @@
 {
     auto next = lease;
     ++next.epoch;
-    next.ended = true;
+    next.endedByWatcher = true;
     // Not the agent's own name: a renewal of its that is repeated would take this for itself.
-    next.write = fmt::format("{}:ends:{}", m_self, version);
+    next.writeId = fmt::format("{}:ends:{}", m_self, version);
     const auto name = leaseRow(worker);
     m_store.commit({{{name, version}}, {{name, toText(next), 0, false}}, {}},
                    [this, worker, epoch = next.epoch](const row_store::outcome &outcome) {
--- a/app/lease_watcher.h
+++ b/app/lease_watcher.h
@@ -40,7 +40,7 @@
     event_log &m_log;
     std::string m_self;
     epoch_known m_known;
-    jobs::lease_watch m_watch;
+    jobs::lease_expiry_detector m_watch;
     std::set<std::string> m_watched;
 };
 
--- a/app/report_sender.cpp
+++ b/app/report_sender.cpp
@@ -67,7 +67,7 @@
         report(name);
 }
 
-void entry_reports::add(std::vector<disturbance_sample> samples)
+void entry_reports::add(std::vector<interference_sample> samples)
 {
     for (auto &sample : samples)
         m_samples.push_back(std::move(sample));
@@ -102,31 +102,31 @@
     worker_report told;
     told.worker = m_settings.id;
     told.address = toText(m_settings.internal);
-    told.agentLife = m_keeper.lease().fence();
+    told.agentIncarnation = m_keeper.lease().fence();
     told.epoch = m_table.epoch();
     told.clockMs = millisecondsIn(suspendAwareNow().time_since_epoch());
     told.service = m_settings.service;
     told.zone = m_worker.told().zone;
     told.kind = m_worker.told().kind;
     told.rack = m_worker.told().rack;
-    told.accepting = m_accepting();
+    told.isAccepting = m_accepting();
     told.capacity = m_worker.told().capacity;
     told.used = m_table.used();
-    told.lasting = m_table.lasting();
-    told.fillMillicores = m_table.fillMillicores();
-    const auto filling = m_table.fillingNow();
-    for (const auto &run : m_table.servingNow())
-        told.serving.push_back(
-                {run.image, m_pacer.roomOf(run, filling), run.task.job, run.tailMs > run.targetMs});
+    told.usedByLongRunning = m_table.usedByLongRunning();
+    told.bestEffortMillicores = m_table.bestEffortMillicores();
+    const auto filling = m_table.bestEffortRuns();
+    for (const auto &run : m_table.servingSamples())
+        told.serving.push_back({run.image, m_pacer.headroomOf(run, filling), run.task.job,
+                                run.tailLatencyMs > run.latencyTargetMs});
     for (const auto &run : filling)
-        told.filling[run.image] += run.declared;
+        told.bestEffortDemand[run.image] += run.requestedCores;
     told.samples = m_samples;
-    told.wantsPresses = entry == m_pressesFrom;
-    if (told.wantsPresses)
+    told.wantsInterferenceTable = entry == m_pressesFrom;
+    if (told.wantsInterferenceTable)
         m_pressesFrom.clear();
     told.ends = m_table.endsFor(entry);
     told.progress = m_table.progressFor(entry);
-    told.started = m_table.startedFor(entry);
+    told.started = m_table.startsFor(entry);
     return told;
 }
 
@@ -138,11 +138,11 @@
     const auto *answer = std::get_if<http_response>(&result);
     if (answer == nullptr || answer->status != 200) {
         m_metrics.count("reports_unanswered_total", "entry_silent");
-        m_table.ownerSilent(entry);
+        m_table.noteOwnerSilent(entry);
         return; // the next turn reports again
     }
     m_entries.told(entry, epoch);
-    m_table.startsTold(started, entry);
+    m_table.noteStartsReported(started, entry);
     try {
         takeAnswer(entry, reportAnswerFrom(answer->body));
     } catch (const error &problem) {
@@ -156,24 +156,24 @@
 {
     const auto now = suspendAwareNow();
     for (const auto &end : answer.acknowledged) {
-        if (m_table.acknowledged(end, now))
+        if (m_table.acknowledgeEnd(end, now))
             m_pacer.forget(end.task, end.run);
     }
     bool news = false;
     for (const auto &end : answer.notOwned)
-        news = m_table.notOwned(end, entry) || news;
+        news = m_table.noteNotOwned(end, entry) || news;
     if (news)
         reportAll();
     if (answer.zoneEvacuated)
         takeEvacuation(now);
-    if (!answer.presses.empty())
-        m_pacer.setPresses(std::move(answer.presses));
+    if (!answer.interference.empty())
+        m_pacer.setInterference(std::move(answer.interference));
 }
 
 void entry_reports::takeEvacuation(time_point now)
 {
-    const bool news = !m_evacuation.holds(now);
-    m_evacuation.heard(now);
+    const bool news = !m_evacuation.isActive(now);
+    m_evacuation.refresh(now);
     if (!news)
         return;
     m_log.note("zone_evacuated", {{"zone", m_worker.told().zone}});
--- a/app/report_sender.h
+++ b/app/report_sender.h
@@ -30,7 +30,7 @@
     const lease_keeper &keeper;
     const worker_presence &worker;
     jobs::run_table &table;
-    jobs::pacer &pacer;
+    jobs::throttle_controller &pacer;
     metrics &numbers;
     event_log &log;
 };
@@ -44,15 +44,15 @@
     void takeEntries(const std::vector<jobs::row> &rows); // of the store
     std::vector<std::string> relays() const;              // internal addresses of all entries
 
-    void reportRegularly();                                  // each second
-    void reportAll();                                        // there is news
-    void add(std::vector<jobs::disturbance_sample> samples); // for the reports until the next
-                                                             // regular one
+    void reportRegularly();                                   // each second
+    void reportAll();                                         // there is news
+    void add(std::vector<jobs::interference_sample> samples); // for the reports until the next
+                                                              // regular one
     void epochBegun(time_point now);
     // Entries are still to be told the present epoch, and there is time for that.
     bool entriesWaitForEpoch(time_point now) const;
     // Operators empty the worker's zone, by the word of an entry.
-    bool isZoneEvacuated(time_point now) const { return m_evacuation.holds(now); }
+    bool isZoneEvacuated(time_point now) const { return m_evacuation.isActive(now); }
 
 private:
     void report(const std::string &entry);
@@ -67,13 +67,13 @@
     const lease_keeper &m_keeper;
     const worker_presence &m_worker;
     jobs::run_table &m_table;
-    jobs::pacer &m_pacer;
+    jobs::throttle_controller &m_pacer;
     metrics &m_metrics;
     event_log &m_log;
     std::function<bool()> m_accepting;
     entry_links m_entries;
-    std::vector<jobs::disturbance_sample> m_samples; // since the last regular report
-    jobs::press_turn m_pressTurn;
+    std::vector<jobs::interference_sample> m_samples; // since the last regular report
+    jobs::table_source_rotation m_pressTurn;
     std::string m_pressesFrom; // the entry that its next report asks; empty: none
     jobs::evacuation_notice m_evacuation;
     time_point m_tellUntil{}; // entries have answered a report with the present epoch by then
--- a/app/worker_calls.cpp
+++ b/app/worker_calls.cpp
@@ -39,11 +39,11 @@
     // has run out, while the task runs elsewhere. Frozen after this line, the call's own
     // deadline stops it.
     const auto now = suspendAwareNow();
-    if (now >= std::min(lease().until(), start.callBy))
+    if (now >= std::min(lease().validUntil(), start.callDeadline))
         return;
-    const auto until = std::min<time_point>(lease().until(), start.callBy + StartTakes);
+    const auto until = std::min<time_point>(lease().validUntil(), start.callDeadline + StartTakes);
     const auto deadline = m_clock.at(until);
-    m_silence.held(until);
+    m_silence.noteHold(until);
     m_table.startCalled(start.task, start.run, deadline);
     m_caller.call(
             m_address, platform_wire::startRequest(m_worker.id(), start, deadline, lease().fence()),
@@ -79,13 +79,13 @@
 
 void worker_calls::pace(time_point now)
 {
-    const auto serving = m_table.servingNow();
-    const auto filling = m_table.fillingNow();
+    const auto serving = m_table.servingSamples();
+    const auto filling = m_table.bestEffortRuns();
     if (now >= m_sampleFrom) {
         m_sampleFrom = now + SampleEvery;
         m_hooks.measured(m_pacer.takeSamples(serving, filling));
     }
-    const auto changes = m_pacer.look(serving, filling, now);
+    const auto changes = m_pacer.decide(serving, filling, now);
     for (const auto &change : changes) {
         m_metrics.count("paces_total", change.percent < 100 ? "slowed" : "full");
         m_caller.call(m_address,
@@ -94,7 +94,7 @@
                       CallTimeout, [this, change](const call_result &result) {
                           const auto *answer = std::get_if<http_response>(&result);
                           if (answer != nullptr && answer->status == 200)
-                              m_pacer.confirmed(change);
+                              m_pacer.noteConfirmed(change);
                       });
     }
 }
--- a/app/worker_calls.h
+++ b/app/worker_calls.h
@@ -26,9 +26,9 @@
     const lease_keeper &keeper;
     const worker_presence &worker;
     const worker_clock &clock;
-    jobs::worker_silence &silence;
+    jobs::worker_liveness &silence;
     jobs::run_table &table;
-    jobs::pacer &pacer;
+    jobs::throttle_controller &pacer;
     metrics &numbers;
     event_log &log;
 };
@@ -39,7 +39,7 @@
     struct hooks
     {
         std::function<void()> changed; // the table may have actions that are due
-        std::function<void(std::vector<jobs::disturbance_sample>)> measured;
+        std::function<void(std::vector<jobs::interference_sample>)> measured;
     };
 
     worker_calls(const worker_calls_parts &parts, hooks callbacks);
@@ -58,9 +58,9 @@
     const lease_keeper &m_keeper;
     const worker_presence &m_worker;
     const worker_clock &m_clock;
-    jobs::worker_silence &m_silence;
+    jobs::worker_liveness &m_silence;
     jobs::run_table &m_table;
-    jobs::pacer &m_pacer;
+    jobs::throttle_controller &m_pacer;
     metrics &m_metrics;
     event_log &m_log;
     hooks m_hooks;
--- a/libs/jobs/agent_clock.h
+++ b/libs/jobs/agent_clock.h
@@ -11,14 +11,14 @@
 // the agent's clock is never behind what is counted on from it.
 struct agent_clock
 {
-    std::int64_t readMs = 0;
-    time_point readAt{};
+    std::int64_t reportedMs = 0;
+    time_point receivedAt{};
 
-    std::int64_t atLeast(time_point now) const
+    std::int64_t lowerBoundMs(time_point now) const
     {
-        constexpr std::int64_t ApartPercent = 4; // each of two clocks may be off by 2%
-        const auto since = millisecondsIn(now - readAt);
-        return readMs + since - since * ApartPercent / 100;
+        constexpr std::int64_t MaxDriftPercent = 4; // each of two clocks may be off by 2%
+        const auto elapsedMs = millisecondsIn(now - receivedAt);
+        return reportedMs + elapsedMs - elapsedMs * MaxDriftPercent / 100;
     }
 };
 
--- a/libs/jobs/configuration_tracker.cpp
+++ b/libs/jobs/configuration_tracker.cpp
@@ -4,53 +4,53 @@
 
 namespace zinniabarrow::jobs {
 
-void configuration_watch::taken(std::int64_t version)
+void configuration_tracker::noteVersionApplied(std::int64_t version)
 {
-    m_version = std::max(m_version, version);
-    m_newer.erase(m_newer.begin(), m_newer.upper_bound(m_version));
+    m_appliedVersion = std::max(m_appliedVersion, version);
+    m_newerVersions.erase(m_newerVersions.begin(), m_newerVersions.upper_bound(m_appliedVersion));
 }
 
-void configuration_watch::heardOf(std::int64_t version, time_point now)
+void configuration_tracker::noteVersionElsewhere(std::int64_t version, time_point now)
 {
-    if (version > m_version)
-        m_newer.emplace(version, now);
+    if (version > m_appliedVersion)
+        m_newerVersions.emplace(version, now);
 }
 
-void configuration_watch::answerBegun(std::uint64_t bytes, time_point now)
+void configuration_tracker::noteAnswerStarted(std::uint64_t bytes, time_point now)
 {
     // Also when an earlier answer broke off: the changes that it carried are still unread.
-    if (bytes > EmptyAnswerBytes && !m_readingSince)
+    if (bytes > MaxEmptyAnswerBytes && !m_readingSince)
         m_readingSince = now;
 }
 
-void configuration_watch::answerRead(time_point askedAt)
+void configuration_tracker::noteAnswerRead(time_point requestedAt)
 {
     m_readingSince.reset();
-    m_confirmedAt = askedAt;
+    m_confirmedAt = requestedAt;
 }
 
-std::optional<time_point> configuration_watch::behindSince() const
+std::optional<time_point> configuration_tracker::outdatedSince() const
 {
-    if (m_newer.empty())
+    if (m_newerVersions.empty())
         return m_readingSince;
-    auto earliest = m_newer.begin()->second;
-    for (const auto &[version, heardAt] : m_newer)
-        earliest = std::min(earliest, heardAt);
+    auto earliest = m_newerVersions.begin()->second;
+    for (const auto &[version, learnedAt] : m_newerVersions)
+        earliest = std::min(earliest, learnedAt);
     return m_readingSince ? std::min(earliest, *m_readingSince) : earliest;
 }
 
-configuration_standing configuration_watch::standing(time_point now) const
+configuration_freshness configuration_tracker::freshness(time_point now) const
 {
-    const auto behind = behindSince();
-    if (behind && now - *behind > UnreadAtMost)
-        return configuration_standing::Outdated;
-    return behind || !isConfirmed(now) ? configuration_standing::Doubtful
-                                       : configuration_standing::Current;
+    const auto outdatedFrom = outdatedSince();
+    if (outdatedFrom && now - *outdatedFrom > MaxUnreadTime)
+        return configuration_freshness::Outdated;
+    return outdatedFrom || !isConfirmed(now) ? configuration_freshness::PossiblyOutdated
+                                             : configuration_freshness::Current;
 }
 
-bool configuration_watch::isConfirmed(time_point now) const
+bool configuration_tracker::isConfirmed(time_point now) const
 {
-    return m_confirmedAt && now - *m_confirmedAt <= UnconfirmedAtMost;
+    return m_confirmedAt && now - *m_confirmedAt <= MaxUnconfirmedTime;
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/evacuations.cpp
+++ b/libs/jobs/evacuations.cpp
@@ -2,23 +2,23 @@
 
 namespace zinniabarrow::jobs {
 
-void evacuated_zones::changed(const std::vector<zone_row> &rows)
+void evacuated_zones::applyRows(const std::vector<zone_row> &rows)
 {
-    m_inLast.clear();
+    m_zonesLastRead.clear();
     for (const auto &row : rows) {
         if (row.removed) {
             m_zones.erase(row.zone);
-            m_inLast.erase(row.zone);
+            m_zonesLastRead.erase(row.zone);
         } else {
             m_zones.insert(row.zone);
-            m_inLast.insert(row.zone);
+            m_zonesLastRead.insert(row.zone);
         }
     }
 }
 
-void evacuated_zones::allRead()
+void evacuated_zones::finishFullRead()
 {
-    m_zones = m_inLast;
+    m_zones = m_zonesLastRead;
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/evacuations.h
+++ b/libs/jobs/evacuations.h
@@ -22,16 +22,16 @@
 {
 public:
     // Of a feed, or of a reading of all rows, in their order.
-    void changed(const std::vector<zone_row> &rows);
+    void applyRows(const std::vector<zone_row> &rows);
     // What `changed` got last was a reading of all: what it left out was removed meanwhile.
-    void allRead();
+    void finishFullRead();
 
     const std::set<std::string> &zones() const { return m_zones; }
     bool contains(const std::string &zone) const { return m_zones.contains(zone); }
 
 private:
     std::set<std::string> m_zones;
-    std::set<std::string> m_inLast; // the rows that came last
+    std::set<std::string> m_zonesLastRead; // the rows that came last
 };
 
 // What an agent knows: entries tell it with each answer to its reports, once a second.
@@ -39,13 +39,13 @@
 {
 public:
     // One answer may be lost. Entries that stop saying so have seen the row removed.
-    static constexpr milliseconds HoldsFor{2500};
+    static constexpr milliseconds ValidFor{2500};
 
-    void heard(time_point now) { m_until = now + HoldsFor; }
-    bool holds(time_point now) const { return m_until && now < *m_until; }
+    void refresh(time_point now) { m_expiresAt = now + ValidFor; }
+    bool isActive(time_point now) const { return m_expiresAt && now < *m_expiresAt; }
 
 private:
-    std::optional<time_point> m_until;
+    std::optional<time_point> m_expiresAt;
 };
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/interference_estimator.cpp
+++ b/libs/jobs/interference_estimator.cpp
@@ -6,159 +6,169 @@
 
 namespace {
 
-constexpr double HighestLoad = 0.98; // beyond, a tail says only that the queue grows
+constexpr double MaxLoad = 0.98; // beyond, a tail says only that the queue grows
 constexpr std::size_t NotFound = static_cast<std::size_t>(-1);
 
-std::size_t placeOf(const std::vector<std::string> &names, const std::string &name)
+std::size_t coefficientIndexOf(const std::vector<std::string> &names, const std::string &name)
 {
     const auto found = std::find(names.begin(), names.end(), name);
     return found == names.end() ? NotFound : static_cast<std::size_t>(found - names.begin()) + 1;
 }
 
 // In the same direction.
-bool goesAsFar(double expected, double change)
+bool reachesBound(double expected, double change)
 {
     return change >= 0 ? expected >= change : expected <= change;
 }
 
 } // namespace
 
-double loadOf(double tailMs, double floorMs)
+double loadOf(double tailLatencyMs, double floorMs)
 {
-    if (tailMs <= floorMs)
+    if (tailLatencyMs <= floorMs)
         return 0;
-    return std::min(HighestLoad, 1 - floorMs / tailMs);
+    return std::min(MaxLoad, 1 - floorMs / tailLatencyMs);
 }
 
-disturbance_model::disturbance_model(const disturbance_settings &settings)
+interference_estimator::interference_estimator(const estimator_settings &settings)
     : m_settings(settings)
 { }
 
-disturbance_model::belief &disturbance_model::beliefOf(const std::string &serving)
+interference_estimator::image_estimate &
+interference_estimator::estimateFor(const std::string &serving)
 {
-    auto &about = m_beliefs[serving];
-    if (about.loads.size() == 0) {
-        about.loads.add(m_settings.priorBase, m_settings.baseDeviation);
-        about.base = m_settings.priorBase;
+    auto &estimate = m_estimates[serving];
+    if (estimate.coefficients.size() == 0) {
+        estimate.coefficients.addCoefficient(m_settings.priorBaseLoad,
+                                             m_settings.baseLoadDeviation);
+        estimate.baseLoad = m_settings.priorBaseLoad;
     }
-    return about;
+    return estimate;
 }
 
-std::size_t disturbance_model::indexOf(belief &about, const std::string &filling)
+std::size_t interference_estimator::indexOf(image_estimate &estimate, const std::string &bestEffort)
 {
-    const auto known = placeOf(about.names, filling);
-    if (known != NotFound || about.names.size() >= m_settings.mostImages)
+    const auto known = coefficientIndexOf(estimate.bestEffortImages, bestEffort);
+    if (known != NotFound || estimate.bestEffortImages.size() >= m_settings.maxImages)
         return known;
-    about.names.push_back(filling);
-    return about.loads.add(m_settings.priorPress, m_settings.priorDeviation);
+    estimate.bestEffortImages.push_back(bestEffort);
+    return estimate.coefficients.addCoefficient(m_settings.priorLoadPerCore,
+                                                m_settings.priorDeviation);
 }
 
 // By index of the belief; that of the base is 0.
-std::vector<double> disturbance_model::amountsOf(belief &about,
-                                                 const std::map<std::string, double> &fills)
+std::vector<double>
+interference_estimator::coresByIndex(image_estimate &estimate,
+                                     const std::map<std::string, double> &bestEffortCores)
 {
     std::vector<std::pair<std::size_t, double>> present;
-    for (const auto &[image, amount] : fills) {
-        const auto index = indexOf(about, image);
+    for (const auto &[image, amount] : bestEffortCores) {
+        const auto index = indexOf(estimate, image);
         if (index != NotFound)
             present.emplace_back(index, amount);
     }
-    std::vector<double> amounts(about.loads.size(), 0.0);
+    std::vector<double> inputs(estimate.coefficients.size(), 0.0);
     for (const auto &[index, amount] : present)
-        amounts[index] = amount;
-    return amounts;
+        inputs[index] = amount;
+    return inputs;
 }
 
-void disturbance_model::learn(const disturbance_sample &sample)
+void interference_estimator::learn(const interference_sample &sample)
 {
-    if (sample.tailMs <= 0 || sample.targetMs <= 0)
+    if (sample.tailLatencyMs <= 0 || sample.latencyTargetMs <= 0)
         return; // it has not served yet
-    if (!m_beliefs.contains(sample.image) && m_beliefs.size() >= m_settings.mostImages)
+    if (!m_estimates.contains(sample.image) && m_estimates.size() >= m_settings.maxImages)
         return;
-    auto &about = beliefOf(sample.image);
-    noteFloor(about, sample);
+    auto &estimate = estimateFor(sample.image);
+    updateFloor(estimate, sample);
     if (sample.change)
-        learnChange(about, sample);
+        learnChange(estimate, sample);
     else
-        learnLevel(about, sample);
+        learnLevel(estimate, sample);
 }
 
-void disturbance_model::learnLevel(belief &about, const disturbance_sample &sample)
+void interference_estimator::learnLevel(image_estimate &estimate, const interference_sample &sample)
 {
-    auto amounts = amountsOf(about, sample.fills);
-    amounts[0] = 1;
-    const double load = loadOf(static_cast<double>(sample.tailMs), about.floorMs);
-    correct(about, amounts, load, m_settings.noise);
-    about.base = about.loads.mean(0);
+    auto inputs = coresByIndex(estimate, sample.bestEffortCores);
+    inputs[0] = 1;
+    const double load = loadOf(static_cast<double>(sample.tailLatencyMs), estimate.floorMs);
+    correct(estimate, inputs, load, m_settings.levelNoise);
+    estimate.baseLoad = estimate.coefficients.mean(0);
 }
 
-void disturbance_model::learnChange(belief &about, const disturbance_sample &sample)
+void interference_estimator::learnChange(image_estimate &estimate,
+                                         const interference_sample &sample)
 {
-    const auto amounts = amountsOf(about, sample.change->fills);
-    const double change = sample.change->inverseFall * about.floorMs;
-    if (!sample.change->atLeast || !goesAsFar(about.loads.expected(amounts), change))
-        correct(about, amounts, change, m_settings.changeNoise);
+    const auto inputs = coresByIndex(estimate, sample.change->bestEffortCores);
+    const double change = sample.change->inverseTailDrop * estimate.floorMs;
+    if (!sample.change->isLowerBound
+        || !reachesBound(estimate.coefficients.predict(inputs), change))
+        correct(estimate, inputs, change, m_settings.changeNoise);
     // What the presses don't explain of the level is the image's own.
-    double own = loadOf(static_cast<double>(sample.tailMs), about.floorMs);
-    for (const auto &[filling, cores] : sample.fills)
-        own -= press(sample.image, filling) * cores;
+    double own = loadOf(static_cast<double>(sample.tailLatencyMs), estimate.floorMs);
+    for (const auto &[bestEffort, cores] : sample.bestEffortCores)
+        own -= loadPerCore(sample.image, bestEffort) * cores;
     constexpr double Weight = 0.02; // of the newest: about the last minute on one worker counts
-    about.base += Weight * (std::max(0.0, own) - about.base);
+    estimate.baseLoad += Weight * (std::max(0.0, own) - estimate.baseLoad);
 }
 
-void disturbance_model::noteFloor(belief &about, const disturbance_sample &sample)
+void interference_estimator::updateFloor(image_estimate &estimate,
+                                         const interference_sample &sample)
 {
-    constexpr double BelowLowest = 0.9; // the lowest tail seen was not without any load
-    const double floor = BelowLowest * static_cast<double>(sample.tailMs);
-    if (about.floorMs <= 0 || floor < about.floorMs)
-        about.floorMs = floor;
-    about.targetMs = static_cast<double>(sample.targetMs);
+    constexpr double FloorFraction = 0.9; // the lowest tail seen was not without any load
+    const double floor = FloorFraction * static_cast<double>(sample.tailLatencyMs);
+    if (estimate.floorMs <= 0 || floor < estimate.floorMs)
+        estimate.floorMs = floor;
+    estimate.latencyTargetMs = static_cast<double>(sample.latencyTargetMs);
 }
 
-void disturbance_model::correct(belief &about, const std::vector<double> &amounts, double load,
-                                double noise) const
+void interference_estimator::correct(image_estimate &estimate, const std::vector<double> &inputs,
+                                     double load, double noise) const
 {
     // The tail only says that the load is at least so high, which was known.
-    if (load >= HighestLoad && about.loads.expected(amounts) >= load)
+    if (load >= MaxLoad && estimate.coefficients.predict(inputs) >= load)
         return;
-    about.loads.correct(amounts, load, noise);
-    about.loads.boundBelow(0);           // neighbours never speed a run up
-    about.loads.fade(m_settings.forget); // presses change
+    estimate.coefficients.update(inputs, load, noise);
+    estimate.coefficients.clampBelow(0); // neighbours never speed a run up
+    estimate.coefficients.applyForgetting(m_settings.forgettingFactor); // presses change
 }
 
-double disturbance_model::press(const std::string &serving, const std::string &filling) const
+double interference_estimator::loadPerCore(const std::string &serving,
+                                           const std::string &bestEffort) const
 {
-    const auto about = m_beliefs.find(serving);
-    if (about == m_beliefs.end())
-        return m_settings.priorPress;
-    const auto index = placeOf(about->second.names, filling);
-    return index == NotFound ? m_settings.priorPress : about->second.loads.mean(index);
+    const auto estimate = m_estimates.find(serving);
+    if (estimate == m_estimates.end())
+        return m_settings.priorLoadPerCore;
+    const auto index = coefficientIndexOf(estimate->second.bestEffortImages, bestEffort);
+    return index == NotFound ? m_settings.priorLoadPerCore
+                             : estimate->second.coefficients.mean(index);
 }
 
-double disturbance_model::base(const std::string &serving) const
+double interference_estimator::baseLoad(const std::string &serving) const
 {
-    const auto about = m_beliefs.find(serving);
-    return about == m_beliefs.end() ? m_settings.priorBase : about->second.base;
+    const auto estimate = m_estimates.find(serving);
+    return estimate == m_estimates.end() ? m_settings.priorBaseLoad : estimate->second.baseLoad;
 }
 
-double disturbance_model::limit(const std::string &serving) const
+double interference_estimator::loadAtTarget(const std::string &serving) const
 {
-    constexpr double Unmeasured = 0.8; // a target is usually some five times the floor
-    const auto about = m_beliefs.find(serving);
-    if (about == m_beliefs.end() || about->second.targetMs <= 0)
-        return Unmeasured;
-    return loadOf(about->second.targetMs, about->second.floorMs);
+    constexpr double DefaultLoadAtTarget = 0.8; // a target is usually some five times the floor
+    const auto estimate = m_estimates.find(serving);
+    if (estimate == m_estimates.end() || estimate->second.latencyTargetMs <= 0)
+        return DefaultLoadAtTarget;
+    return loadOf(estimate->second.latencyTargetMs, estimate->second.floorMs);
 }
 
-press_table disturbance_model::table() const
+interference_table interference_estimator::table() const
 {
-    press_table presses;
-    for (const auto &[serving, about] : m_beliefs) {
-        presses[serving].floorMs = about.floorMs;
-        for (std::size_t index = 0; index < about.names.size(); ++index)
-            presses[serving].presses[about.names[index]] = about.loads.mean(index + 1);
+    interference_table interference;
+    for (const auto &[serving, estimate] : m_estimates) {
+        interference[serving].floorMs = estimate.floorMs;
+        for (std::size_t index = 0; index < estimate.bestEffortImages.size(); ++index)
+            interference[serving].loadsPerCore[estimate.bestEffortImages[index]] =
+                    estimate.coefficients.mean(index + 1);
     }
-    return presses;
+    return interference;
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/job_controller.cpp
+++ b/libs/jobs/job_controller.cpp
@@ -21,7 +21,7 @@
         task.unheard.erase(task.unheard.begin());
 }
 
-run_traits traitsOf(const step_spec &step)
+run_requirements traitsOf(const step_spec &step)
 {
     return {step.size, step.fills, step.lasting, step.image, step.targetMs};
 }
@@ -239,7 +239,7 @@
     const auto givenBy = order == job.starts.end() ? time_point{} : order->second.heardAt;
     // The life that answered is over, and took what it was told along. An owner that was frozen
     // reads what came meanwhile in any order.
-    if (isGivenAgain(answer.outcome) || !isOfThePresentLife(worker, agentLife))
+    if (shouldRetry(answer.outcome) || !isOfThePresentLife(worker, agentLife))
         return orderUnanswered(worker, answer.task, answer.run, now);
     // Each answer settles its own order only. A start's answer that took the stop away, while that
     // waited for the write of the cancel, would leave the run to itself.
@@ -247,7 +247,7 @@
         job.stops.erase(key);
     else if (job.starts.erase(key) > 0 && answer.outcome == order_outcome::Accepted)
         job.startedAt[key] = now;
-    if (!neverStarts(answer.outcome))
+    if (!isPermanentRefusal(answer.outcome))
         return;
     auto *task = job.record.find(answer.task);
     if (task == nullptr || !isPlacedOn(*task, worker, answer.run))
@@ -266,7 +266,7 @@
 bool job_book::isOfThePresentLife(const std::string &worker, std::int64_t agentLife) const
 {
     const auto *view = m_workers.find(worker);
-    return agentLife == 0 || view == nullptr || view->last.agentLife == agentLife;
+    return agentLife == 0 || view == nullptr || view->last.agentIncarnation == agentLife;
 }
 
 void job_book::orderUnanswered(const std::string &worker, const task_id &task, int run,
@@ -498,13 +498,13 @@
     order.task = task;
     order.run = where.run;
     order.epoch = where.epoch;
-    order.agentLife = where.agentLife;
-    order.holdsUntilMs = m_workers.orderHoldsUntil(where.worker, where.agentLife, now);
+    order.agentIncarnation = where.agentLife;
+    order.startDeadlineMs = m_workers.orderHoldsUntil(where.worker, where.agentLife, now);
     order.payload = job.payload;
     order.checkpoint = job.record.find(task)->checkpoint;
     const auto &step = stepOf(job, task);
-    order.traits = traitsOf(step);
-    order.tellsStart = !job.record.begun;
+    order.requirements = traitsOf(step);
+    order.wantsStartReport = !job.record.begun;
     return order;
 }
 
--- a/libs/jobs/job_controller.h
+++ b/libs/jobs/job_controller.h
@@ -192,7 +192,7 @@
         std::map<task_id, std::vector<std::string>> avoided;     // workers
         std::map<std::pair<int, int>, time_point> waitingSince;  // by occurrence and step
         std::map<std::pair<int, int>, waiting_step> unplaced;    // the same
-        std::map<task_id, standing_task> standing;               // tasks that last
+        std::map<task_id, stall_timer> standing;                 // tasks that last
         job_course course;
     };
 
@@ -257,10 +257,10 @@
     void tellStandingTask(owned_job &job, const task_id &task, const task_state &state,
                           time_point now);
     static bool mayRun(const owned_job &job, const task_id &task, std::int64_t wallMs);
-    std::optional<standing_reason> whyStanding(const owned_job &job, const task_id &task,
-                                               const task_state &state, time_point now) const;
+    std::optional<stall_reason> whyStanding(const owned_job &job, const task_id &task,
+                                            const task_state &state, time_point now) const;
     std::string describeStanding(const owned_job &job, const task_id &task, const task_state &state,
-                                 standing_reason why, time_point now) const;
+                                 stall_reason why, time_point now) const;
     int servingAt(const std::string &id, const std::string &worker) const;
     static int placedAt(const owned_job &job, const std::string &worker);
     void tellEnded(std::int64_t wallMs);
--- a/libs/jobs/job_controller_ends.cpp
+++ b/libs/jobs/job_controller_ends.cpp
@@ -36,17 +36,17 @@
     auto &task = *job.record.find(end.task);
     const auto &step = stepOf(job, end.task);
     const auto ran = takeRunTime(job, end, now);
-    m_workers.noteEnd(worker, end.how, slownessOf(ran, step), now);
+    m_workers.noteEnd(worker, end.endKind, slownessOf(ran, step), now);
     removePlacement(job, end.task, end.run);
-    if (end.how != end_kind::NeverStarted)
+    if (end.endKind != end_kind::NeverStarted)
         noteBegun(id, job, now);
     if (!end.checkpoint.empty())
         task.checkpoint = end.checkpoint;
-    if (end.how == end_kind::NeverStarted)
+    if (end.endKind == end_kind::NeverStarted)
         notStarted(job, worker, end.task, end.run);
-    if (end.how != end_kind::Done)
+    if (end.endKind != end_kind::Done)
         note("run_ended", id,
-             fmt::format("{}: {}", describe(end.task, end.run, worker), nameOf(end.how)));
+             fmt::format("{}: {}", describe(end.task, end.run, worker), nameOf(end.endKind)));
     applyEnd(id, job, worker, end, ran);
 }
 
@@ -58,7 +58,7 @@
     job.startedAt.erase({end.task, end.run});
     changed(id, job);
     note("needless_run_ended", id,
-         fmt::format("{}: {}", describe(end.task, end.run, worker), nameOf(end.how)));
+         fmt::format("{}: {}", describe(end.task, end.run, worker), nameOf(end.endKind)));
 }
 
 // The end of a run whose placement is gone. Acknowledged, its worker forgets it: what it says has
@@ -69,11 +69,11 @@
     auto &task = *job.record.find(end.task);
     const auto &step = stepOf(job, end.task);
     const bool isNews = std::erase(task.unheard, end.run) > 0;
-    const bool finishes = end.how == end_kind::Done && !step.lasting;
+    const bool finishes = end.endKind == end_kind::Done && !step.lasting;
     note(finishes || isNews ? "run_ended_late" : "run_ended_again", id,
-         fmt::format("{}: {}; newest run {}", describe(end.task, end.run, worker), nameOf(end.how),
-                     task.lastRun));
-    if (end.how != end_kind::NeverStarted)
+         fmt::format("{}: {}; newest run {}", describe(end.task, end.run, worker),
+                     nameOf(end.endKind), task.lastRun));
+    if (end.endKind != end_kind::NeverStarted)
         noteBegun(id, job, now);
     if (!finishes && !isNews)
         return;
@@ -88,9 +88,9 @@
 {
     const auto &step = stepOf(job, end.task);
     changed(id, job);
-    if (end.how == end_kind::Done && !step.lasting)
+    if (end.endKind == end_kind::Done && !step.lasting)
         finishTask(id, job, end.task, end.run, step);
-    if (end.how == end_kind::Failed)
+    if (end.endKind == end_kind::Failed)
         countFailure(id, job, worker, end, step, ran);
     if (job.record.state() == job_state::Completed)
         m_completed.push_back(id);
--- a/libs/jobs/job_controller_log.cpp
+++ b/libs/jobs/job_controller_log.cpp
@@ -78,11 +78,11 @@
             continue;
         const auto found = counts.find(id);
         const auto seen = found == counts.end() ? serving_count{} : found->second;
-        if (wanted.placed == wanted.asked && seen.atWork >= wanted.withTarget && seen.late == 0)
+        if (wanted.placed == wanted.asked && seen.running >= wanted.withTarget && seen.late == 0)
             continue;
         note("job_underserved", id,
              fmt::format("{} tasks that last, {} placed, {} of {} with a target at work, {} late",
-                         wanted.asked, wanted.placed, seen.atWork, wanted.withTarget, seen.late));
+                         wanted.asked, wanted.placed, seen.running, wanted.withTarget, seen.late));
     }
 }
 
--- a/libs/jobs/job_controller_placing.cpp
+++ b/libs/jobs/job_controller_placing.cpp
@@ -132,7 +132,7 @@
     auto &state = *job.record.find(task);
     state.lastRun = run;
     const auto &told = m_workers.find(worker)->last;
-    state.placements.push_back({worker, told.epoch, run, told.agentLife});
+    state.placements.push_back({worker, told.epoch, run, told.agentIncarnation});
     m_workers.reserve(worker, step);
     changed(id, job);
     job.starts[{task, run}] = {worker, job.revision, false, {}};
--- a/libs/jobs/job_controller_stalls.cpp
+++ b/libs/jobs/job_controller_stalls.cpp
@@ -11,44 +11,44 @@
 
 namespace {
 
-constexpr name_table<standing_reason, 7> StandingReasonNames{{
-        {standing_reason::NoWorker, "no_worker"},
-        {standing_reason::NotStored, "not_stored"},
-        {standing_reason::StartUnanswered, "start_unanswered"},
-        {standing_reason::StopOutstanding, "stop_outstanding"},
-        {standing_reason::WorkerUnheard, "worker_unheard"},
-        {standing_reason::EarlierEpoch, "earlier_epoch"},
-        {standing_reason::NotAtWork, "not_at_work"},
+constexpr name_table<stall_reason, 7> StandingReasonNames{{
+        {stall_reason::NoWorker, "no_worker"},
+        {stall_reason::PlacementNotStored, "not_stored"},
+        {stall_reason::StartUnanswered, "start_unanswered"},
+        {stall_reason::StopPending, "stop_outstanding"},
+        {stall_reason::AgentSilent, "worker_unheard"},
+        {stall_reason::EarlierEpoch, "earlier_epoch"},
+        {stall_reason::NotRunning, "not_at_work"},
 }};
 
 } // namespace
 
-std::string_view nameOf(standing_reason why)
+std::string_view nameOf(stall_reason why)
 {
     return nameOf(StandingReasonNames, why);
 }
 
-std::optional<standing_reason> job_book::whyStanding(const owned_job &job, const task_id &task,
-                                                     const task_state &state, time_point now) const
+std::optional<stall_reason> job_book::whyStanding(const owned_job &job, const task_id &task,
+                                                  const task_state &state, time_point now) const
 {
     if (state.placements.empty())
-        return standing_reason::NoWorker;
+        return stall_reason::NoWorker;
     const auto &where = state.placements.back();
     const std::pair key{task, where.run};
     if (job.stops.contains(key))
-        return standing_reason::StopOutstanding;
+        return stall_reason::StopPending;
     const auto start = job.starts.find(key);
     if (start != job.starts.end())
-        return start->second.revision > job.storedRevision ? standing_reason::NotStored
-                                                           : standing_reason::StartUnanswered;
+        return start->second.revision > job.storedRevision ? stall_reason::PlacementNotStored
+                                                           : stall_reason::StartUnanswered;
     if (!m_workers.isHeard(where.worker, now))
-        return standing_reason::WorkerUnheard;
+        return stall_reason::AgentSilent;
     if (where.epoch < m_workers.find(where.worker)->last.epoch)
-        return standing_reason::EarlierEpoch;
+        return stall_reason::EarlierEpoch;
     const auto &step = stepOf(job, task);
     const bool isTold = step.targetMs > 0; // reports tell of no others
     if (isTold && servingAt(task.job, where.worker) < placedAt(job, where.worker))
-        return standing_reason::NotAtWork;
+        return stall_reason::NotRunning;
     return std::nullopt;
 }
 
@@ -110,24 +110,24 @@
 void job_book::tellStandingTask(owned_job &job, const task_id &task, const task_state &state,
                                 time_point now)
 {
-    const standing_task begins{now, now + m_settings.standsStill};
+    const stall_timer begins{now, now + m_settings.standsStill};
     auto &standing = job.standing.try_emplace(task, begins).first->second;
     const auto why = whyStanding(job, task, state, now);
     if (!why)
         standing = begins;
-    if (!why || now < standing.tellAt)
+    if (!why || now < standing.logAt)
         return;
-    standing.tellAt = now + m_settings.tellStanding;
+    standing.logAt = now + m_settings.tellStanding;
     note("task_stands_still", task.job,
-         fmt::format("{} for {} ms: {}", toText(task), millisecondsIn(now - standing.since),
+         fmt::format("{} for {} ms: {}", toText(task), millisecondsIn(now - standing.lastRunningAt),
                      describeStanding(job, task, state, *why, now)));
 }
 
 std::string job_book::describeStanding(const owned_job &job, const task_id &task,
-                                       const task_state &state, standing_reason why,
+                                       const task_state &state, stall_reason why,
                                        time_point now) const
 {
-    if (why == standing_reason::NoWorker) {
+    if (why == stall_reason::NoWorker) {
         const auto &step = stepOf(job, task);
         return fmt::format(
                 "{}, after run {}; {}", nameOf(why), state.lastRun,
@@ -136,7 +136,7 @@
     const auto &where = state.placements.back();
     auto text = fmt::format("{}, run {} on {}, epoch {}", nameOf(why), where.run, where.worker,
                             where.epoch);
-    if (why == standing_reason::NotAtWork)
+    if (why == stall_reason::NotRunning)
         text += fmt::format(", {} of {} of its job at work there",
                             servingAt(task.job, where.worker), placedAt(job, where.worker));
     return text;
--- a/libs/jobs/least_squares.h
+++ b/libs/jobs/least_squares.h
@@ -12,20 +12,20 @@
 {
 public:
     // Adds a coefficient and gives its index.
-    std::size_t add(double mean, double deviation);
+    std::size_t addCoefficient(double mean, double deviation);
     std::size_t size() const { return m_means.size(); }
     double mean(std::size_t index) const { return m_means[index]; }
-    double expected(const std::vector<double> &amounts) const; // the sum, as believed
+    double predict(const std::vector<double> &inputs) const; // the sum, as believed
 
     // One measured sum; `noise` is its deviation.
-    void correct(const std::vector<double> &amounts, double sum, double noise);
+    void update(const std::vector<double> &inputs, double sum, double noise);
     // Old samples lose weight: uncertainty grows, up to that of the beginning.
-    void fade(double keep);
-    void boundBelow(double lowest); // of all coefficients
+    void applyForgetting(double forgettingFactor);
+    void clampBelow(double lowest); // of all coefficients
 
 private:
     std::vector<double> m_means;
-    std::vector<double> m_widest; // variance at the beginning
+    std::vector<double> m_initialVariances; // variance at the beginning
     std::vector<std::vector<double>> m_covariance;
 };
 
--- a/libs/jobs/load_forecast.h
+++ b/libs/jobs/load_forecast.h
@@ -21,14 +21,14 @@
 
     // The own loads of all serving runs, at each sampling of the worker: every half second. Runs
     // that are not among them are forgotten.
-    void note(const std::map<run_key, double> &loads);
+    void recordLoads(const std::map<run_key, double> &loads);
     // The highest load between now and the time up to which the rule looks.
-    double highestAhead(const run_key &run, double now) const;
+    double peakLoadAhead(const run_key &run, double now) const;
 
 private:
     void append(std::deque<double> &history, double load);
 
-    least_squares m_rule;                              // of: one, the load now, the load before
+    least_squares m_predictor;                         // of: one, the load now, the load before
     std::map<run_key, std::deque<double>> m_histories; // oldest first
 };
 
--- a/libs/jobs/messages.cpp
+++ b/libs/jobs/messages.cpp
@@ -11,34 +11,34 @@
 
 namespace {
 
-constexpr name_table<order_kind, 2> OrderNames{{
+constexpr name_table<order_kind, 2> OrderKindNames{{
         {order_kind::Start, "start"},
         {order_kind::Stop, "stop"},
 }};
 
-constexpr name_table<order_outcome, 8> OutcomeNames{{
+constexpr name_table<order_outcome, 8> OrderOutcomeNames{{
         {order_outcome::Accepted, "accepted"},
         {order_outcome::NoRoom, "no_room"},
         {order_outcome::Draining, "draining"},
         {order_outcome::WrongEpoch, "wrong_epoch"},
         {order_outcome::Superseded, "superseded"},
-        {order_outcome::OtherLife, "other_life"},
+        {order_outcome::WrongAgentIncarnation, "other_life"},
         {order_outcome::NotReady, "not_ready"},
-        {order_outcome::Overdue, "overdue"},
+        {order_outcome::DeadlineExceeded, "overdue"},
 }};
 
-constexpr name_table<end_kind, 7> EndNames{{
+constexpr name_table<end_kind, 7> EndKindNames{{
         {end_kind::Done, "done"},
         {end_kind::Failed, "failed"},
         {end_kind::Stopped, "stopped"},
-        {end_kind::Lapsed, "lapsed"},
+        {end_kind::HoldExpired, "lapsed"},
         {end_kind::Broken, "broken"},
         {end_kind::Alone, "alone"},
         {end_kind::NeverStarted, "never_started"},
 }};
 
 template <typename Enum, std::size_t Size>
-Enum named(const name_table<Enum, Size> &table, const std::string &name)
+Enum enumFromName(const name_table<Enum, Size> &table, const std::string &name)
 {
     const auto value = valueOf(table, name);
     if (!value)
@@ -73,29 +73,29 @@
 Json::Value toJson(const run_order &order)
 {
     Json::Value value(Json::objectValue);
-    value["kind"] = std::string(nameOf(OrderNames, order.kind));
+    value["kind"] = std::string(nameOf(OrderKindNames, order.kind));
     value["task"] = toText(order.task);
     value["run"] = order.run;
     value["epoch"] = Json::Int64(order.epoch);
     if (order.kind == order_kind::Stop)
         return value;
-    value["agent_life"] = Json::Int64(order.agentLife);
-    value["holds_until_ms"] = Json::Int64(order.holdsUntilMs);
+    value["agent_life"] = Json::Int64(order.agentIncarnation);
+    value["holds_until_ms"] = Json::Int64(order.startDeadlineMs);
     value["payload"] = order.payload;
     value["checkpoint"] = order.checkpoint;
-    value["size"] = toJson(order.traits.size);
-    value["fills"] = order.traits.fills;
-    value["lasting"] = order.traits.lasting;
-    value["image"] = order.traits.image;
-    value["target_ms"] = Json::Int64(order.traits.targetMs);
-    value["tells_start"] = order.tellsStart;
+    value["size"] = toJson(order.requirements.size);
+    value["fills"] = order.requirements.isBestEffort;
+    value["lasting"] = order.requirements.isLongRunning;
+    value["image"] = order.requirements.image;
+    value["target_ms"] = Json::Int64(order.requirements.latencyTargetMs);
+    value["tells_start"] = order.wantsStartReport;
     return value;
 }
 
 run_order orderFrom(const Json::Value &value)
 {
     run_order order;
-    order.kind = named(OrderNames, stringMember(value, "kind"));
+    order.kind = enumFromName(OrderKindNames, stringMember(value, "kind"));
     order.task = taskMember(value);
     order.run = smallIntegerMember(value, "run");
     order.epoch = integerMember(value, "epoch");
@@ -103,27 +103,27 @@
         return order;
     // Entries of the release before don't tell these.
     if (value.isMember("agent_life"))
-        order.agentLife = integerMember(value, "agent_life");
+        order.agentIncarnation = integerMember(value, "agent_life");
     if (value.isMember("holds_until_ms"))
-        order.holdsUntilMs = integerMember(value, "holds_until_ms");
+        order.startDeadlineMs = integerMember(value, "holds_until_ms");
     order.payload = stringMember(value, "payload");
     order.checkpoint = stringMember(value, "checkpoint");
-    order.traits.size = sizeFrom(objectMember(value, "size"));
-    order.traits.fills = boolMember(value, "fills");
-    order.traits.lasting = boolMember(value, "lasting");
-    order.traits.image = stringMember(value, "image");
-    order.traits.targetMs = integerMember(value, "target_ms");
-    order.tellsStart = boolMember(value, "tells_start");
+    order.requirements.size = sizeFrom(objectMember(value, "size"));
+    order.requirements.isBestEffort = boolMember(value, "fills");
+    order.requirements.isLongRunning = boolMember(value, "lasting");
+    order.requirements.image = stringMember(value, "image");
+    order.requirements.latencyTargetMs = integerMember(value, "target_ms");
+    order.wantsStartReport = boolMember(value, "tells_start");
     return order;
 }
 
 Json::Value toJson(const run_end &end)
 {
     Json::Value value(Json::objectValue);
-    value["number"] = Json::Int64(end.number);
+    value["number"] = Json::Int64(end.sequence);
     value["task"] = toText(end.task);
     value["run"] = end.run;
-    value["how"] = std::string(nameOf(end.how));
+    value["how"] = std::string(nameOf(end.endKind));
     value["checkpoint"] = end.checkpoint;
     return value;
 }
@@ -147,42 +147,42 @@
     return value;
 }
 
-Json::Value toJson(const std::vector<acknowledged_end> &ends)
+Json::Value toJson(const std::vector<run_end_id> &ends)
 {
     Json::Value rows(Json::arrayValue);
     for (const auto &end : ends) {
         Json::Value row(Json::objectValue);
         row["task"] = toText(end.task);
         row["run"] = end.run;
-        row["how"] = std::string(nameOf(end.how));
+        row["how"] = std::string(nameOf(end.endKind));
         rows.append(std::move(row));
     }
     return rows;
 }
 
-std::vector<acknowledged_end> answeredEndsFrom(const Json::Value &rows)
+std::vector<run_end_id> endIdsFrom(const Json::Value &rows)
 {
-    std::vector<acknowledged_end> ends;
+    std::vector<run_end_id> ends;
     for (const auto &row : rows) {
-        const auto how = endKindNamed(stringMember(row, "how"));
-        if (!how)
+        const auto endKind = endKindNamed(stringMember(row, "how"));
+        if (!endKind)
             throw error(error_kind::BadRequest, "an answered end of an unknown kind");
-        ends.push_back({taskMember(row), smallIntegerMember(row, "run"), *how});
+        ends.push_back({taskMember(row), smallIntegerMember(row, "run"), *endKind});
     }
     return ends;
 }
 
-Json::Value toJson(const disturbance_sample &sample)
+Json::Value toJson(const interference_sample &sample)
 {
     Json::Value value(Json::objectValue);
     value["image"] = sample.image;
-    value["tail_ms"] = Json::Int64(sample.tailMs);
-    value["target_ms"] = Json::Int64(sample.targetMs);
-    value["fills"] = toJson(sample.fills);
+    value["tail_ms"] = Json::Int64(sample.tailLatencyMs);
+    value["target_ms"] = Json::Int64(sample.latencyTargetMs);
+    value["fills"] = toJson(sample.bestEffortCores);
     if (sample.change) {
-        value["inverse_fall"] = sample.change->inverseFall;
-        value["fill_changes"] = toJson(sample.change->fills);
-        if (sample.change->atLeast)
+        value["inverse_fall"] = sample.change->inverseTailDrop;
+        value["fill_changes"] = toJson(sample.change->bestEffortCores);
+        if (sample.change->isLowerBound)
             value["change_at_least"] = true;
     }
     return value;
@@ -192,27 +192,27 @@
 
 std::string_view nameOf(order_outcome outcome)
 {
-    return nameOf(OutcomeNames, outcome);
+    return nameOf(OrderOutcomeNames, outcome);
 }
 
-bool isGivenAgain(order_outcome outcome)
+bool shouldRetry(order_outcome outcome)
 {
-    return outcome == order_outcome::NotReady || outcome == order_outcome::Overdue;
+    return outcome == order_outcome::NotReady || outcome == order_outcome::DeadlineExceeded;
 }
 
-bool neverStarts(order_outcome outcome)
+bool isPermanentRefusal(order_outcome outcome)
 {
-    return outcome != order_outcome::Accepted && !isGivenAgain(outcome);
+    return outcome != order_outcome::Accepted && !shouldRetry(outcome);
 }
 
-std::string_view nameOf(end_kind how)
+std::string_view nameOf(end_kind endKind)
 {
-    return nameOf(EndNames, how);
+    return nameOf(EndKindNames, endKind);
 }
 
 std::optional<end_kind> endKindNamed(std::string_view name)
 {
-    return valueOf(EndNames, name);
+    return valueOf(EndKindNames, name);
 }
 
 std::string toText(const report_answer &answer)
@@ -222,11 +222,11 @@
     if (!answer.notOwned.empty())
         value["not_owned"] = toJson(answer.notOwned);
     value["presses"] = Json::Value(Json::objectValue);
-    for (const auto &[serving, row] : answer.presses) {
+    for (const auto &[serving, row] : answer.interference) {
         value["presses"][serving]["floor_ms"] = row.floorMs;
         value["presses"][serving]["by"] = Json::Value(Json::objectValue);
-        for (const auto &[filling, press] : row.presses)
-            value["presses"][serving]["by"][filling] = std::round(press * 1000) / 1000;
+        for (const auto &[bestEffortImage, load] : row.loadsPerCore)
+            value["presses"][serving]["by"][bestEffortImage] = std::round(load * 1000) / 1000;
     }
     if (answer.zoneEvacuated)
         value["zone_evacuated"] = true;
@@ -237,15 +237,15 @@
 {
     const auto value = parseJsonObject(text);
     report_answer answer;
-    answer.acknowledged = answeredEndsFrom(arrayMember(value, "acknowledged"));
+    answer.acknowledged = endIdsFrom(arrayMember(value, "acknowledged"));
     // Entries of the release before don't tell it.
     if (value.isMember("not_owned"))
-        answer.notOwned = answeredEndsFrom(arrayMember(value, "not_owned"));
+        answer.notOwned = endIdsFrom(arrayMember(value, "not_owned"));
     const auto &presses = objectMember(value, "presses");
     for (const auto &serving : presses.getMemberNames()) {
         const auto &row = objectMember(presses, serving.c_str());
-        answer.presses[serving] = {numberMember(row, "floor_ms"),
-                                   amountsFrom(objectMember(row, "by"))};
+        answer.interference[serving] = {numberMember(row, "floor_ms"),
+                                        amountsFrom(objectMember(row, "by"))};
     }
     if (value.isMember("zone_evacuated"))
         answer.zoneEvacuated = boolMember(value, "zone_evacuated");
@@ -283,7 +283,7 @@
         row["task"] = toText(answer.task);
         row["run"] = answer.run;
         row["outcome"] = std::string(nameOf(answer.outcome));
-        row["kind"] = std::string(nameOf(OrderNames, answer.kind));
+        row["kind"] = std::string(nameOf(OrderKindNames, answer.kind));
         value["answers"].append(std::move(row));
     }
     return compactJson(value);
@@ -295,8 +295,8 @@
     std::vector<order_answer> answers;
     for (const auto &row : arrayMember(value, "answers")) {
         answers.push_back({taskMember(row), smallIntegerMember(row, "run"),
-                           named(OutcomeNames, stringMember(row, "outcome")),
-                           named(OrderNames, stringMember(row, "kind"))});
+                           enumFromName(OrderOutcomeNames, stringMember(row, "outcome")),
+                           enumFromName(OrderKindNames, stringMember(row, "kind"))});
     }
     return answers;
 }
@@ -306,31 +306,31 @@
     Json::Value value(Json::objectValue);
     value["worker"] = report.worker;
     value["address"] = report.address;
-    value["agent_life"] = Json::Int64(report.agentLife);
+    value["agent_life"] = Json::Int64(report.agentIncarnation);
     value["epoch"] = Json::Int64(report.epoch);
     value["clock_ms"] = Json::Int64(report.clockMs);
     value["service"] = report.service;
     value["zone"] = report.zone;
     value["kind"] = report.kind;
     value["rack"] = report.rack;
-    value["accepting"] = report.accepting;
+    value["accepting"] = report.isAccepting;
     value["capacity"] = toJson(report.capacity);
     value["used"] = toJson(report.used);
-    value["lasting"] = toJson(report.lasting);
-    value["fill_millicores"] = Json::Int64(report.fillMillicores);
+    value["lasting"] = toJson(report.usedByLongRunning);
+    value["fill_millicores"] = Json::Int64(report.bestEffortMillicores);
     for (const auto &run : report.serving) {
         Json::Value row(Json::objectValue);
         row["image"] = run.image;
-        row["room"] = std::round(run.room * 1000) / 1000;
+        row["room"] = std::round(run.headroom * 1000) / 1000;
         row["job"] = run.job;
-        if (run.late)
+        if (run.isLate)
             row["late"] = true;
         value["serving"].append(std::move(row));
     }
-    value["filling"] = toJson(report.filling);
+    value["filling"] = toJson(report.bestEffortDemand);
     for (const auto &sample : report.samples)
         value["samples"].append(toJson(sample));
-    value["wants_presses"] = report.wantsPresses;
+    value["wants_presses"] = report.wantsInterferenceTable;
     value["ends"] = Json::Value(Json::arrayValue);
     for (const auto &end : report.ends)
         value["ends"].append(toJson(end));
--- a/libs/jobs/messages.h
+++ b/libs/jobs/messages.h
@@ -20,13 +20,13 @@
 };
 
 // What a task asks of the worker beside its payload.
-struct run_traits
+struct run_requirements
 {
     task_size size;
-    bool fills = false; // millicores are not counted against the worker
-    bool lasting = false;
+    bool isBestEffort = false; // millicores are not counted against the worker
+    bool isLongRunning = false;
     std::string image;
-    std::int64_t targetMs = 0; // ms; 0: none
+    std::int64_t latencyTargetMs = 0; // ms; 0: none
 };
 
 struct run_order
@@ -36,27 +36,28 @@
     int run = 0;
     std::int64_t epoch = 0; // of the worker, as placed
     // Of a start only:
-    std::int64_t agentLife = 0;    // of the agent, as placed; 0: not told
-    std::int64_t holdsUntilMs = 0; // agent's clock: started by this order no later; 0: not told
+    std::int64_t agentIncarnation = 0; // of the agent, as placed; 0: not told
+    std::int64_t startDeadlineMs = 0;  // agent's clock: started by this order no later; 0: not told
     std::string payload;
     std::string checkpoint;
-    run_traits traits;
-    bool tellsStart = false; // the agent reports when its worker runs it
+    run_requirements requirements;
+    bool wantsStartReport = false; // the agent reports when its worker runs it
 };
 
 enum class order_outcome {
-    Accepted,   // it is there, or is being started or stopped
-    NoRoom,     // not started, and it never will be
-    Draining,   // the same: the worker is leaving
-    WrongEpoch, // the same: placed in another life of the worker
-    Superseded, // the same: that run was stopped or refused before
-    OtherLife,  // the same: placed in another life of the agent, and not known to this one
-    NotReady,   // nothing was done; ask again
-    Overdue,    // the same: on its way for longer than the order holds
+    Accepted,              // it is there, or is being started or stopped
+    NoRoom,                // not started, and it never will be
+    Draining,              // the same: the worker is leaving
+    WrongEpoch,            // the same: placed in another life of the worker
+    Superseded,            // the same: that run was stopped or refused before
+    WrongAgentIncarnation, // the same: placed in another life of the agent, and not known to this
+                           // one
+    NotReady,              // nothing was done; ask again
+    DeadlineExceeded,      // the same: on its way for longer than the order holds
 };
 std::string_view nameOf(order_outcome outcome);
-bool isGivenAgain(order_outcome outcome);
-bool neverStarts(order_outcome outcome);
+bool shouldRetry(order_outcome outcome);
+bool isPermanentRefusal(order_outcome outcome);
 
 struct order_answer
 {
@@ -73,16 +74,16 @@
     std::vector<run_order> orders;
 };
 
-enum class end_kind { Done, Failed, Stopped, Lapsed, Broken, Alone, NeverStarted };
+enum class end_kind { Done, Failed, Stopped, HoldExpired, Broken, Alone, NeverStarted };
 std::string_view nameOf(end_kind how);
 std::optional<end_kind> endKindNamed(std::string_view name);
 
 struct run_end
 {
-    std::int64_t number = 0; // of the worker's list; 0: the worker never listed it
+    std::int64_t sequence = 0; // of the worker's list; 0: the worker never listed it
     task_id task;
     int run = 0;
-    end_kind how = end_kind::Done;
+    end_kind endKind = end_kind::Done;
     std::string checkpoint;
 };
 
@@ -102,35 +103,35 @@
 };
 
 // A serving run: how much load its neighbours may add before it is over its target.
-struct serving_room
+struct serving_headroom
 {
     std::string image;
-    double room = 0;      // load, below zero: it is over
+    double headroom = 0;  // load, below zero: it is over
     std::string job = {}; // empty: not told
-    bool late = false;    // over its target, as last measured
+    bool isLate = false;  // over its target, as last measured
 };
 
 // What an agent says of its worker. `ends` are repeated until they are acknowledged.
 struct worker_report
 {
-    std::string worker;         // name of its machine
-    std::string address;        // of the agent
-    std::int64_t agentLife = 0; // changes when the agent starts anew
-    std::int64_t epoch = 0;     // of the worker; 0: not known yet
-    std::int64_t clockMs = 0;   // of the agent, monotonic in its life; 0: not told
+    std::string worker;                // name of its machine
+    std::string address;               // of the agent
+    std::int64_t agentIncarnation = 0; // changes when the agent starts anew
+    std::int64_t epoch = 0;            // of the worker; 0: not known yet
+    std::int64_t clockMs = 0;          // of the agent, monotonic in its life; 0: not told
     std::string service;
     std::string zone;
     std::string kind;
     std::string rack;
-    bool accepting = false; // takes new runs
+    bool isAccepting = false; // takes new runs
     task_size capacity;
-    task_size used;                          // by what runs, starts or is being stopped
-    task_size lasting;                       // of it, by runs that last
-    std::int64_t fillMillicores = 0;         // asked by runs that fill
-    std::vector<serving_room> serving;       // runs with a target for their latency
-    std::map<std::string, double> filling;   // by image: cores asked for by runs that fill
-    std::vector<disturbance_sample> samples; // since the last regular report
-    bool wantsPresses = false;               // asks for the table of presses
+    task_size used;                                 // by what runs, starts or is being stopped
+    task_size usedByLongRunning;                    // of it, by runs that last
+    std::int64_t bestEffortMillicores = 0;          // asked by runs that fill
+    std::vector<serving_headroom> serving;          // runs with a target for their latency
+    std::map<std::string, double> bestEffortDemand; // by image: cores asked for by runs that fill
+    std::vector<interference_sample> samples;       // since the last regular report
+    bool wantsInterferenceTable = false;            // asks for the table of presses
     std::vector<run_end> ends;
     std::vector<run_progress> progress;
     std::vector<started_run> started; // repeated until the report is answered
@@ -138,19 +139,20 @@
 
 // An end that an entry answers for. It is named in full: a run that was taken for never started may
 // turn out to have ended otherwise, and that end is another one.
-struct acknowledged_end
+struct run_end_id
 {
     task_id task;
     int run = 0;
-    end_kind how = end_kind::Done;
+    end_kind endKind = end_kind::Done;
 };
 
 // What an entry answers to a report.
 struct report_answer
 {
-    std::vector<acknowledged_end> acknowledged;
-    std::vector<acknowledged_end> notOwned; // the job belongs to another entry
-    press_table presses; // as learned from all workers; empty: not asked for, or nothing learned
+    std::vector<run_end_id> acknowledged;
+    std::vector<run_end_id> notOwned; // the job belongs to another entry
+    interference_table
+            interference; // as learned from all workers; empty: not asked for, or nothing learned
     bool zoneEvacuated = false; // of the worker: nothing more is started there
 };
 
--- a/libs/jobs/report_text.cpp
+++ b/libs/jobs/report_text.cpp
@@ -27,7 +27,7 @@
 }
 
 // Told only where it is so.
-bool isTold(const value &object, const char *name)
+bool isSetIfPresent(const value &object, const char *name)
 {
     return large_json::find(object, name) != nullptr && flag(object, name);
 }
@@ -72,29 +72,29 @@
     return amounts;
 }
 
-serving_room servingFrom(const value &row)
+serving_headroom headroomFrom(const value &row)
 {
     // Agents of the release before don't tell the job. Only a run that is late says so.
     return {large_json::text(row, "image"), real(row, "room"), large_json::textOrNone(row, "job"),
-            isTold(row, "late")};
+            isSetIfPresent(row, "late")};
 }
 
 // Agents of the release before don't tell it: then none of the worker's room comes free by itself.
-task_size lastingIn(const value &report, const task_size &used)
+task_size longRunningUseFrom(const value &report, const task_size &used)
 {
     const auto *lasting = large_json::find(report, "lasting");
     return lasting == nullptr ? used : sizeFrom(*lasting);
 }
 
-disturbance_sample sampleFrom(const value &row)
+interference_sample sampleFrom(const value &row)
 {
-    disturbance_sample sample{large_json::text(row, "image"), large_json::number(row, "tail_ms"),
-                              large_json::number(row, "target_ms"),
-                              amountsFrom(member(row, "fills"))};
+    interference_sample sample{large_json::text(row, "image"), large_json::number(row, "tail_ms"),
+                               large_json::number(row, "target_ms"),
+                               amountsFrom(member(row, "fills"))};
     if (large_json::find(row, "inverse_fall") != nullptr) {
-        sample.change = disturbance_change{real(row, "inverse_fall"),
-                                           amountsFrom(member(row, "fill_changes")),
-                                           isTold(row, "change_at_least")};
+        sample.change = interference_change{real(row, "inverse_fall"),
+                                            amountsFrom(member(row, "fill_changes")),
+                                            isSetIfPresent(row, "change_at_least")};
     }
     return sample;
 }
@@ -102,10 +102,10 @@
 run_end endFrom(const value &row)
 {
     const auto name = large_json::text(row, "how");
-    const auto how = endKindNamed(name);
-    if (!how)
+    const auto endKind = endKindNamed(name);
+    if (!endKind)
         throw error(error_kind::BadRequest, "unknown name " + name);
-    return {large_json::number(row, "number"), taskOf(row), count(row, "run"), *how,
+    return {large_json::number(row, "number"), taskOf(row), count(row, "run"), *endKind,
             large_json::text(row, "checkpoint")};
 }
 
@@ -115,7 +115,7 @@
 }
 
 // Agents of the release before don't say whether they ask: they take the table for their samples.
-bool wantsPresses(const value &report, const std::vector<disturbance_sample> &samples)
+bool wantsPresses(const value &report, const std::vector<interference_sample> &samples)
 {
     if (large_json::find(report, "wants_presses") == nullptr)
         return !samples.empty();
@@ -131,7 +131,7 @@
     worker_report report;
     report.worker = large_json::text(value, "worker");
     report.address = large_json::text(value, "address");
-    report.agentLife = number(value, "agent_life");
+    report.agentIncarnation = number(value, "agent_life");
     report.epoch = number(value, "epoch");
     // Agents of the release before don't tell it.
     if (find(value, "clock_ms") != nullptr)
@@ -140,16 +140,17 @@
     report.zone = large_json::text(value, "zone");
     report.kind = large_json::text(value, "kind");
     report.rack = large_json::text(value, "rack");
-    report.accepting = flag(value, "accepting");
+    report.isAccepting = flag(value, "accepting");
     report.capacity = sizeFrom(member(value, "capacity"));
     report.used = sizeFrom(member(value, "used"));
-    report.lasting = lastingIn(value, report.used);
-    report.fillMillicores = number(value, "fill_millicores");
-    forEach(value, "serving", [&](const auto &row) { report.serving.push_back(servingFrom(row)); });
+    report.usedByLongRunning = longRunningUseFrom(value, report.used);
+    report.bestEffortMillicores = number(value, "fill_millicores");
+    forEach(value, "serving",
+            [&](const auto &row) { report.serving.push_back(headroomFrom(row)); });
     if (const auto *filling = find(value, "filling"))
-        report.filling = amountsFrom(*filling);
+        report.bestEffortDemand = amountsFrom(*filling);
     forEach(value, "samples", [&](const auto &row) { report.samples.push_back(sampleFrom(row)); });
-    report.wantsPresses = wantsPresses(value, report.samples);
+    report.wantsInterferenceTable = wantsPresses(value, report.samples);
     for (const auto &row : array(value, "ends").GetArray())
         report.ends.push_back(endFrom(row));
     for (const auto &row : array(value, "progress").GetArray())
--- a/libs/jobs/retry_delay.h
+++ b/libs/jobs/retry_delay.h
@@ -8,13 +8,13 @@
 // The store has not answered for `silence`. A short silence is mostly a hiccup; one that has lasted
 // is an outage of 4 to 9 s, and callers that come each second have used up their few retries before
 // its end.
-constexpr milliseconds Hiccup{1000};
-constexpr seconds AfterHiccup{1};
-constexpr seconds DuringOutage{2}; // four retries reach over 8 s
+constexpr milliseconds ShortOutage{1000};
+constexpr seconds RetryDelayShortOutage{1};
+constexpr seconds RetryDelayLongOutage{2}; // four retries reach over 8 s
 
-constexpr seconds comeBackAfter(duration silence)
+constexpr seconds suggestedRetryDelay(duration outage)
 {
-    return silence < Hiccup ? AfterHiccup : DuringOutage;
+    return outage < ShortOutage ? RetryDelayShortOutage : RetryDelayLongOutage;
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/run_table.cpp
+++ b/libs/jobs/run_table.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-task_size countedSize(const run_traits &traits)
+task_size countedSize(const run_requirements &requirements)
 {
-    return jobs::countedSize(traits.size, traits.fills);
+    return jobs::countedSize(requirements.size, requirements.isBestEffort);
 }
 
 double coresOf(std::int64_t millicores)
@@ -36,38 +36,39 @@
     m_epoch = epoch;
 }
 
-void run_table::setAgentLife(std::int64_t life)
+void run_table::setAgentIncarnation(std::int64_t incarnation)
 {
-    m_agentLife = life;
+    m_agentIncarnation = incarnation;
 }
 
-void run_table::clear()
+void run_table::clearRuns()
 {
     std::erase_if(m_runs, [](const auto &entry) { return entry.second.phase != run_phase::Ended; });
     // The next life numbers its ends anew: it must not be told to forget by numbers of before.
-    for (auto &[key, entry] : m_runs)
-        entry.end.number = 0;
-    m_highestEnd = 0;
+    for (auto &[key, tracked] : m_runs)
+        tracked.end.sequence = 0;
+    m_highestEndSequence = 0;
     m_epoch = 0;
 }
 
-void run_table::run_entry::belongsTo(const std::string &entry)
+void run_table::tracked_run::setOwner(const std::string &entry)
 {
     owner = entry;
-    endToAll = false;
+    reportsEndToAll = false;
 }
 
-bool run_table::run_entry::isToldOnlyTo(const std::string &entry) const
+bool run_table::tracked_run::reportsEndOnlyTo(const std::string &entry) const
 {
-    return owner == entry && !endToAll;
+    return owner == entry && !reportsEndToAll;
 }
 
-bool run_table::run_entry::endGoesTo(const std::string &entry) const
+bool run_table::tracked_run::reportsEndTo(const std::string &entry) const
 {
-    return owner.empty() || endToAll || owner == entry;
+    return owner.empty() || reportsEndToAll || owner == entry;
 }
 
-order_answer run_table::take(const run_order &order, const std::string &owner, time_point now)
+order_answer run_table::handleOrder(const run_order &order, const std::string &owner,
+                                    time_point now)
 {
     return order.kind == order_kind::Start ? start(order, owner, now) : stop(order, owner, now);
 }
@@ -82,59 +83,60 @@
         return answer(order_outcome::NotReady);
     const auto known = m_runs.find(key);
     if (known != m_runs.end()) {
-        if (known->second.phase == run_phase::Ended && !known->second.isToldOnlyTo(owner))
-            ++m_endsSeen; // news to this owner
-        known->second.claimed = true;
-        known->second.belongsTo(owner);
-        known->second.traits = order.traits;
-        known->second.tellsStart = order.tellsStart;
-        known->second.startBy = std::max(known->second.startBy, startBy(order, now));
+        if (known->second.phase == run_phase::Ended && !known->second.reportsEndOnlyTo(owner))
+            ++m_newEndCount; // news to this owner
+        known->second.isClaimed = true;
+        known->second.setOwner(owner);
+        known->second.requirements = order.requirements;
+        known->second.wantsStartReport = order.wantsStartReport;
+        known->second.startDeadline =
+                std::max(known->second.startDeadline, startDeadline(order, now));
         return answer(order_outcome::Accepted);
     }
     // An order of an earlier epoch comes from an owner that was away: its task runs elsewhere by
     // now, and starting it here would run it twice.
     if (order.epoch != m_epoch) {
-        refuse(key, now);
+        rememberRefusal(key, now);
         return answer(order_outcome::WrongEpoch);
     }
-    if (refused(key) || isCancelled(order.task.job) || hasNewerRun(key))
+    if (isRefused(key) || isCancelled(order.task.job) || hasNewerRun(key))
         return answer(order_outcome::Superseded);
-    if (m_readiness == start_readiness::Closed) {
-        refuse(key, now);
+    if (m_readiness == start_readiness::Unavailable) {
+        rememberRefusal(key, now);
         return answer(order_outcome::Draining);
     }
-    if (m_readiness == start_readiness::Later || !complete())
+    if (m_readiness == start_readiness::RetryLater || !allRunsClaimed())
         return answer(order_outcome::NotReady);
     // An earlier life of this agent may have told that the run never starts, and its task may run
     // elsewhere by now. That is forgotten here, while an order can be on its way for seconds.
-    if (order.agentLife != 0 && order.agentLife != m_agentLife) {
-        refuse(key, now);
-        return answer(order_outcome::OtherLife);
+    if (order.agentIncarnation != 0 && order.agentIncarnation != m_agentIncarnation) {
+        rememberRefusal(key, now);
+        return answer(order_outcome::WrongAgentIncarnation);
     }
     // Nothing is remembered: the same run is started by an order that comes in time.
-    if (startBy(order, now) <= now)
-        return answer(order_outcome::Overdue);
+    if (startDeadline(order, now) <= now)
+        return answer(order_outcome::DeadlineExceeded);
     if (!hasRoom(order)) {
-        refuse(key, now);
+        rememberRefusal(key, now);
         return answer(order_outcome::NoRoom);
     }
-    auto &entry = m_runs[key];
-    entry.traits = order.traits;
-    entry.claimed = true;
-    entry.belongsTo(owner);
-    entry.payload = order.payload;
-    entry.checkpoint = order.checkpoint;
-    entry.tellsStart = order.tellsStart;
-    entry.startBy = startBy(order, now);
+    auto &tracked = m_runs[key];
+    tracked.requirements = order.requirements;
+    tracked.isClaimed = true;
+    tracked.setOwner(owner);
+    tracked.payload = order.payload;
+    tracked.checkpoint = order.checkpoint;
+    tracked.wantsStartReport = order.wantsStartReport;
+    tracked.startDeadline = startDeadline(order, now);
     return answer(order_outcome::Accepted);
 }
 
-time_point run_table::startBy(const run_order &order, time_point now) const
+time_point run_table::startDeadline(const run_order &order, time_point now) const
 {
-    const auto latest = now + m_settings.startWithin;
-    if (order.holdsUntilMs == 0)
+    const auto latest = now + m_settings.maxStartDelay;
+    if (order.startDeadlineMs == 0)
         return latest;
-    return std::min<time_point>(latest, time_point(milliseconds(order.holdsUntilMs)));
+    return std::min<time_point>(latest, time_point(milliseconds(order.startDeadlineMs)));
 }
 
 order_answer run_table::stop(const run_order &order, const std::string &owner, time_point now)
@@ -147,29 +149,29 @@
     if (m_epoch == 0)
         return answer(order_outcome::NotReady);
     if (known == m_runs.end()) {
-        refuse(key, now);
+        rememberRefusal(key, now);
         // What an earlier life of this agent was stopping may be there yet, in neither list.
-        const bool mayBeThere = m_readiness == start_readiness::Later;
-        return answer(mayBeThere ? order_outcome::NotReady : order_outcome::Superseded);
+        const bool mayStillRun = m_readiness == start_readiness::RetryLater;
+        return answer(mayStillRun ? order_outcome::NotReady : order_outcome::Superseded);
     }
-    auto &entry = known->second;
-    entry.belongsTo(owner);
+    auto &tracked = known->second;
+    tracked.setOwner(owner);
     // A stop tells no sizes: the run stays unclaimed, and nothing is started beside it before it
     // has ended. Otherwise a run that an earlier life of the agent started would count as nothing.
-    stopEntry(key, entry, now);
+    stopRun(key, tracked, now);
     return answer(order_outcome::Accepted);
 }
 
-int run_table::cancelled(const std::string &job, time_point now)
+int run_table::cancelJob(const std::string &job, time_point now)
 {
-    m_cancelled[job] = now + m_settings.keepCancels;
+    m_cancelledJobs[job] = now + m_settings.cancelRetention;
     int stopped = 0;
     const task_id first{job, 0, 0, 0};
     for (auto at = m_runs.lower_bound({first, 0}); at != m_runs.end(); ++at) {
-        auto &[key, entry] = *at;
+        auto &[key, tracked] = *at;
         if (key.first.job != job)
             break;
-        stopped += stopEntry(key, entry, now) ? 1 : 0;
+        stopped += stopRun(key, tracked, now) ? 1 : 0;
     }
     return stopped;
 }
@@ -179,8 +181,8 @@
     const auto known = m_runs.find({task, run});
     if (known == m_runs.end())
         return;
-    known->second.startUntilMs = std::max(known->second.startUntilMs, deadlineMs);
-    ++known->second.openCalls;
+    known->second.lastStartEffectMs = std::max(known->second.lastStartEffectMs, deadlineMs);
+    ++known->second.openStartCalls;
 }
 
 void run_table::startAnswered(const task_id &task, int run, start_answer answer, time_point now)
@@ -188,174 +190,176 @@
     const auto known = m_runs.find({task, run});
     if (known == m_runs.end())
         return;
-    auto &entry = known->second;
+    auto &tracked = known->second;
     if (answer == start_answer::Started)
-        entry.startUntilMs = 0; // also of one that is being stopped: its end will be listed
-    if (entry.phase != run_phase::Starting)
+        tracked.lastStartEffectMs = 0; // also of one that is being stopped: its end will be listed
+    if (tracked.phase != run_phase::Starting)
         return;
     if (answer == start_answer::Started)
-        entry.phase = run_phase::Running;
-    if (answer == start_answer::Refused || answer == start_answer::Unhealthy)
-        entry.openCalls = std::max(0, entry.openCalls - 1);
+        tracked.phase = run_phase::Running;
+    if (answer == start_answer::Refused || answer == start_answer::NotExecuted)
+        tracked.openStartCalls = std::max(0, tracked.openStartCalls - 1);
     // Another call without an answer may have started it, or may still. Only the worker's own
     // list, read after the calls' deadlines, says that it never ran.
     if (answer == start_answer::Refused) {
-        entry.repeatAt = Never;
-        if (entry.openCalls == 0)
-            neverStarted(known->first, entry);
+        tracked.retryAt = Never;
+        if (tracked.openStartCalls == 0)
+            markNeverStarted(known->first, tracked);
     }
-    if (answer == start_answer::Unhealthy)
-        entry.repeatAt = now + m_settings.repeatStart;
+    if (answer == start_answer::NotExecuted)
+        tracked.retryAt = now + m_settings.startRetryInterval;
 }
 
-void run_table::look(const run_listing &listing, time_point now)
+void run_table::applyListing(const run_listing &listing, time_point now)
 {
     for (const auto &listed : listing.running) {
         const run_key key{listed.task, listed.run};
         const auto known = m_runs.find(key);
-        if (known == m_runs.end() && refused(key)) {
-            m_strays.insert(key);
+        if (known == m_runs.end() && isRefused(key)) {
+            m_strayRuns.insert(key);
             continue;
         }
-        auto &entry = m_runs[key];
+        auto &tracked = m_runs[key];
         if (known == m_runs.end())
-            entry.claimUntil = now + m_settings.claimWithin;
-        if (entry.phase == run_phase::Starting)
-            entry.phase = run_phase::Running;
-        entry.startUntilMs = 0; // what comes of it is in the list of ends
-        entry.checkpoint = listed.checkpoint;
-        entry.measured = listed.measured;
+            tracked.claimDeadline = now + m_settings.claimTimeout;
+        if (tracked.phase == run_phase::Starting)
+            tracked.phase = run_phase::Running;
+        tracked.lastStartEffectMs = 0; // what comes of it is in the list of ends
+        tracked.checkpoint = listed.checkpoint;
+        tracked.measured = listed.measured;
         if (isCancelled(key.first.job))
-            stopEntry(key, entry, now);
+            stopRun(key, tracked, now);
     }
-    const auto seenUpTo = m_highestEnd;
+    const auto previousHighest = m_highestEndSequence;
     for (const auto &end : listing.ended)
-        ended(end, seenUpTo, now);
-    for (auto &[key, entry] : m_runs) {
+        applyEnd(end, previousHighest, now);
+    for (auto &[key, tracked] : m_runs) {
         const bool mayStart =
-                entry.phase == run_phase::Starting || entry.phase == run_phase::Stopping;
-        if (mayStart && entry.startUntilMs > 0 && listing.clockMs > entry.startUntilMs)
-            neverStarted(key, entry);
+                tracked.phase == run_phase::Starting || tracked.phase == run_phase::Stopping;
+        if (mayStart && tracked.lastStartEffectMs > 0
+            && listing.clockMs > tracked.lastStartEffectMs)
+            markNeverStarted(key, tracked);
     }
 }
 
-void run_table::neverStarted(const run_key &key, run_entry &entry)
+void run_table::markNeverStarted(const run_key &key, tracked_run &tracked)
 {
-    entry.phase = run_phase::Ended;
-    entry.end = {0, key.first, key.second, end_kind::NeverStarted, ""};
-    ++m_endsSeen;
+    tracked.phase = run_phase::Ended;
+    tracked.end = {0, key.first, key.second, end_kind::NeverStarted, ""};
+    ++m_newEndCount;
 }
 
 // No call may still take effect, or the worker's list will tell what became of the last.
-void run_table::giveUpStart(const run_key &key, run_entry &entry)
+void run_table::abandonStart(const run_key &key, tracked_run &tracked)
 {
-    entry.repeatAt = Never;
-    if (entry.openCalls == 0)
-        neverStarted(key, entry);
+    tracked.retryAt = Never;
+    if (tracked.openStartCalls == 0)
+        markNeverStarted(key, tracked);
 }
 
 void run_table::stopAll(time_point now)
 {
-    for (auto &[key, entry] : m_runs)
-        stopEntry(key, entry, now);
+    for (auto &[key, tracked] : m_runs)
+        stopRun(key, tracked, now);
 }
 
 // A run that the worker was never told of is in neither of its lists, ever: told to stop, it would
 // count as running for good, and the next epoch, which begins once nothing runs, never would.
-bool run_table::stopEntry(const run_key &key, run_entry &entry, time_point now)
+bool run_table::stopRun(const run_key &key, tracked_run &tracked, time_point now)
 {
-    if (entry.phase == run_phase::Ended || entry.phase == run_phase::Stopping)
+    if (tracked.phase == run_phase::Ended || tracked.phase == run_phase::Stopping)
         return false;
-    if (entry.phase == run_phase::Starting && entry.openCalls == 0) {
-        neverStarted(key, entry);
+    if (tracked.phase == run_phase::Starting && tracked.openStartCalls == 0) {
+        markNeverStarted(key, tracked);
         return true;
     }
-    entry.phase = run_phase::Stopping;
-    entry.repeatAt = now;
+    tracked.phase = run_phase::Stopping;
+    tracked.retryAt = now;
     return true;
 }
 
-void run_table::ownerSilent(const std::string &owner)
+void run_table::noteOwnerSilent(const std::string &owner)
 {
-    for (auto &[key, entry] : m_runs) {
-        if (entry.owner == owner)
-            entry.endToAll = true;
+    for (auto &[key, tracked] : m_runs) {
+        if (tracked.owner == owner)
+            tracked.reportsEndToAll = true;
     }
 }
 
-void run_table::ended(const run_end &end, std::int64_t seenUpTo, time_point now)
+void run_table::applyEnd(const run_end &end, std::int64_t previousHighest, time_point now)
 {
     const run_key key{end.task, end.run};
-    m_highestEnd = std::max(m_highestEnd, end.number);
+    m_highestEndSequence = std::max(m_highestEndSequence, end.sequence);
     const auto known = m_runs.find(key);
     // Acknowledged before: the worker will forget it with the next look. One that was not listed
     // before is news, whatever was thought of its run.
-    if (known == m_runs.end() && refused(key) && end.number <= seenUpTo)
+    if (known == m_runs.end() && isRefused(key) && end.sequence <= previousHighest)
         return;
-    auto &entry = m_runs[key];
-    if (entry.phase != run_phase::Ended)
-        ++m_endsSeen;
-    entry.phase = run_phase::Ended;
-    entry.end = end;
-    refuse(key, now);
+    auto &tracked = m_runs[key];
+    if (tracked.phase != run_phase::Ended)
+        ++m_newEndCount;
+    tracked.phase = run_phase::Ended;
+    tracked.end = end;
+    rememberRefusal(key, now);
 }
 
-bool run_table::acknowledged(const acknowledged_end &end, time_point now)
+bool run_table::acknowledgeEnd(const run_end_id &end, time_point now)
 {
     const auto known = m_runs.find({end.task, end.run});
     if (known == m_runs.end() || known->second.phase != run_phase::Ended
-        || known->second.end.how != end.how)
+        || known->second.end.endKind != end.endKind)
         return false;
-    refuse(known->first, now);
+    rememberRefusal(known->first, now);
     m_runs.erase(known);
     return true;
 }
 
-bool run_table::notOwned(const acknowledged_end &end, const std::string &owner)
+bool run_table::noteNotOwned(const run_end_id &end, const std::string &owner)
 {
     const auto known = m_runs.find({end.task, end.run});
     if (known == m_runs.end() || known->second.owner != owner)
         return false;
-    return !std::exchange(known->second.endToAll, true);
+    return !std::exchange(known->second.reportsEndToAll, true);
 }
 
-std::vector<run_action> run_table::due(time_point now, bool mayStart)
+std::vector<run_action> run_table::takeDueActions(time_point now, bool mayStart)
 {
     std::vector<run_action> actions;
     // Told again as long as they are listed: with an entry here they would count as running for
     // good if they had ended meanwhile.
-    for (const auto &[task, run] : std::exchange(m_strays, {}))
+    for (const auto &[task, run] : std::exchange(m_strayRuns, {}))
         actions.emplace_back(stop_run{task, run});
-    for (auto &[key, entry] : m_runs) {
-        if (!entry.claimed && entry.phase == run_phase::Running && now >= entry.claimUntil) {
-            entry.phase = run_phase::Stopping;
-            entry.repeatAt = now;
+    for (auto &[key, tracked] : m_runs) {
+        if (!tracked.isClaimed && tracked.phase == run_phase::Running
+            && now >= tracked.claimDeadline) {
+            tracked.phase = run_phase::Stopping;
+            tracked.retryAt = now;
         }
-        if (entry.repeatAt > now)
+        if (tracked.retryAt > now)
             continue;
-        if (entry.phase == run_phase::Starting && now >= entry.startBy)
-            giveUpStart(key, entry);
-        else if (entry.phase == run_phase::Starting && mayStart) {
-            entry.repeatAt = now + m_settings.repeatStart;
-            actions.emplace_back(start_run{key.first, key.second, entry.payload, entry.checkpoint,
-                                           entry.startBy});
+        if (tracked.phase == run_phase::Starting && now >= tracked.startDeadline)
+            abandonStart(key, tracked);
+        else if (tracked.phase == run_phase::Starting && mayStart) {
+            tracked.retryAt = now + m_settings.startRetryInterval;
+            actions.emplace_back(start_run{key.first, key.second, tracked.payload,
+                                           tracked.checkpoint, tracked.startDeadline});
         }
-        if (entry.phase == run_phase::Stopping) {
-            entry.repeatAt = now + m_settings.repeatStop;
+        if (tracked.phase == run_phase::Stopping) {
+            tracked.retryAt = now + m_settings.stopRetryInterval;
             actions.emplace_back(stop_run{key.first, key.second});
         }
     }
-    std::erase_if(m_refused, [&](const auto &entry) { return entry.second.keepUntil <= now; });
-    std::erase_if(m_cancelled, [&](const auto &entry) { return entry.second <= now; });
+    std::erase_if(m_refusals, [&](const auto &entry) { return entry.second.expiresAt <= now; });
+    std::erase_if(m_cancelledJobs, [&](const auto &entry) { return entry.second <= now; });
     return actions;
 }
 
-std::int64_t run_table::lastSeen() const
+std::int64_t run_table::acknowledgedThrough() const
 {
-    auto lowest = m_highestEnd + 1;
-    for (const auto &[key, entry] : m_runs) {
-        if (entry.phase == run_phase::Ended && entry.end.number > 0)
-            lowest = std::min(lowest, entry.end.number);
+    auto lowest = m_highestEndSequence + 1;
+    for (const auto &[key, tracked] : m_runs) {
+        if (tracked.phase == run_phase::Ended && tracked.end.sequence > 0)
+            lowest = std::min(lowest, tracked.end.sequence);
     }
     return lowest - 1;
 }
@@ -363,41 +367,41 @@
 task_size run_table::used() const
 {
     task_size sum;
-    for (const auto &[key, entry] : m_runs) {
-        if (entry.phase != run_phase::Ended)
-            sum += countedSize(entry.traits);
+    for (const auto &[key, tracked] : m_runs) {
+        if (tracked.phase != run_phase::Ended)
+            sum += countedSize(tracked.requirements);
     }
     return sum;
 }
 
-task_size run_table::lasting() const
+task_size run_table::usedByLongRunning() const
 {
     task_size sum;
-    for (const auto &[key, entry] : m_runs) {
-        if (entry.phase != run_phase::Ended && entry.traits.lasting)
-            sum += countedSize(entry.traits);
+    for (const auto &[key, tracked] : m_runs) {
+        if (tracked.phase != run_phase::Ended && tracked.requirements.isLongRunning)
+            sum += countedSize(tracked.requirements);
     }
     return sum;
 }
 
-std::int64_t run_table::fillMillicores() const
+std::int64_t run_table::bestEffortMillicores() const
 {
     std::int64_t sum = 0;
-    for (const auto &[key, entry] : m_runs) {
-        if (entry.phase != run_phase::Ended && entry.traits.fills)
-            sum += entry.traits.size.millicores;
+    for (const auto &[key, tracked] : m_runs) {
+        if (tracked.phase != run_phase::Ended && tracked.requirements.isBestEffort)
+            sum += tracked.requirements.size.millicores;
     }
     return sum;
 }
 
-bool run_table::complete() const
+bool run_table::allRunsClaimed() const
 {
     return std::all_of(m_runs.begin(), m_runs.end(), [](const auto &entry) {
-        return entry.second.claimed || entry.second.phase == run_phase::Ended;
+        return entry.second.isClaimed || entry.second.phase == run_phase::Ended;
     });
 }
 
-std::size_t run_table::running() const
+std::size_t run_table::activeRunCount() const
 {
     return static_cast<std::size_t>(
             std::count_if(m_runs.begin(), m_runs.end(), [](const auto &entry) {
@@ -405,35 +409,35 @@
             }));
 }
 
-bool run_table::hasEndsOfTheGone() const
+bool run_table::hasEndsOfGoneWorker() const
 {
     return std::any_of(m_runs.begin(), m_runs.end(), [](const auto &entry) {
         const auto &run = entry.second;
-        return run.phase == run_phase::Ended && run.end.number == 0
-               && run.end.how != end_kind::NeverStarted;
+        return run.phase == run_phase::Ended && run.end.sequence == 0
+               && run.end.endKind != end_kind::NeverStarted;
     });
 }
 
-std::vector<serving_sample> run_table::servingNow() const
+std::vector<serving_sample> run_table::servingSamples() const
 {
     std::vector<serving_sample> samples;
-    for (const auto &[key, entry] : m_runs) {
-        if (entry.phase == run_phase::Running && entry.traits.targetMs > 0)
-            samples.push_back({key.first, key.second, entry.traits.image, entry.measured,
-                               entry.traits.targetMs});
+    for (const auto &[key, tracked] : m_runs) {
+        if (tracked.phase == run_phase::Running && tracked.requirements.latencyTargetMs > 0)
+            samples.push_back({key.first, key.second, tracked.requirements.image, tracked.measured,
+                               tracked.requirements.latencyTargetMs});
     }
     return samples;
 }
 
-std::vector<filling_run> run_table::fillingNow() const
+std::vector<best_effort_run> run_table::bestEffortRuns() const
 {
-    std::vector<filling_run> runs;
-    for (const auto &[key, entry] : m_runs) {
-        if (entry.phase != run_phase::Running || !entry.traits.fills)
+    std::vector<best_effort_run> runs;
+    for (const auto &[key, tracked] : m_runs) {
+        if (tracked.phase != run_phase::Running || !tracked.requirements.isBestEffort)
             continue;
-        const auto declared = coresOf(entry.traits.size.millicores);
-        runs.push_back(
-                {key.first, key.second, entry.traits.image, coresOf(entry.measured), declared});
+        const auto requestedCores = coresOf(tracked.requirements.size.millicores);
+        runs.push_back({key.first, key.second, tracked.requirements.image,
+                        coresOf(tracked.measured), requestedCores});
     }
     return runs;
 }
@@ -441,9 +445,9 @@
 std::vector<run_end> run_table::endsFor(const std::string &owner) const
 {
     std::vector<run_end> ends;
-    for (const auto &[key, entry] : m_runs) {
-        if (entry.phase == run_phase::Ended && entry.endGoesTo(owner))
-            ends.push_back(entry.end);
+    for (const auto &[key, tracked] : m_runs) {
+        if (tracked.phase == run_phase::Ended && tracked.reportsEndTo(owner))
+            ends.push_back(tracked.end);
     }
     return ends;
 }
@@ -451,43 +455,45 @@
 std::vector<run_progress> run_table::progressFor(const std::string &owner) const
 {
     std::vector<run_progress> progress;
-    for (const auto &[key, entry] : m_runs) {
-        if (entry.phase == run_phase::Running && entry.owner == owner && !entry.checkpoint.empty())
-            progress.push_back({key.first, key.second, entry.checkpoint});
+    for (const auto &[key, tracked] : m_runs) {
+        if (tracked.phase == run_phase::Running && tracked.owner == owner
+            && !tracked.checkpoint.empty())
+            progress.push_back({key.first, key.second, tracked.checkpoint});
     }
     return progress;
 }
 
-std::vector<started_run> run_table::startedFor(const std::string &owner) const
+std::vector<started_run> run_table::startsFor(const std::string &owner) const
 {
     std::vector<started_run> runs;
-    for (const auto &[key, entry] : m_runs) {
-        if (entry.tellsStart && entry.phase == run_phase::Running && entry.owner == owner)
+    for (const auto &[key, tracked] : m_runs) {
+        if (tracked.wantsStartReport && tracked.phase == run_phase::Running
+            && tracked.owner == owner)
             runs.push_back({key.first, key.second});
     }
     return runs;
 }
 
-void run_table::startsTold(const std::vector<started_run> &runs, const std::string &owner)
+void run_table::noteStartsReported(const std::vector<started_run> &runs, const std::string &owner)
 {
     for (const auto &run : runs) {
         const auto known = m_runs.find({run.task, run.run});
         if (known != m_runs.end() && known->second.owner == owner)
-            known->second.tellsStart = false;
+            known->second.wantsStartReport = false;
     }
 }
 
-void run_table::refuse(const run_key &key, time_point now)
+void run_table::rememberRefusal(const run_key &key, time_point now)
 {
-    auto &last = m_refused[key.first];
-    last.upTo = std::max(last.upTo, key.second);
-    last.keepUntil = now + m_settings.keepRefusals;
+    auto &last = m_refusals[key.first];
+    last.upToRun = std::max(last.upToRun, key.second);
+    last.expiresAt = now + m_settings.refusalRetention;
 }
 
-bool run_table::refused(const run_key &key) const
+bool run_table::isRefused(const run_key &key) const
 {
-    const auto found = m_refused.find(key.first);
-    return found != m_refused.end() && found->second.upTo >= key.second;
+    const auto found = m_refusals.find(key.first);
+    return found != m_refusals.end() && found->second.upToRun >= key.second;
 }
 
 bool run_table::hasNewerRun(const run_key &key) const
@@ -498,13 +504,13 @@
 
 bool run_table::isCancelled(const std::string &job) const
 {
-    return m_cancelled.contains(job);
+    return m_cancelledJobs.contains(job);
 }
 
 bool run_table::hasRoom(const run_order &order) const
 {
     auto sum = used();
-    sum += countedSize(order.traits);
+    sum += countedSize(order.requirements);
     return sum.fitsInto(m_capacity);
 }
 
--- a/libs/jobs/stall_timer.h
+++ b/libs/jobs/stall_timer.h
@@ -7,21 +7,21 @@
 
 namespace zinniabarrow::jobs {
 
-enum class standing_reason {
-    NoWorker,        // no worker is found
-    NotStored,       // its placement is not in the store yet
-    StartUnanswered, // no answer settles its start
-    StopOutstanding, // its run is being stopped, and its end is not known
-    WorkerUnheard,   // the agent of its worker is silent
-    EarlierEpoch,    // placed before the epoch that its worker has begun
-    NotAtWork,       // accepted, and the worker's reports show too few runs of its job
+enum class stall_reason {
+    NoWorker,           // no worker is found
+    PlacementNotStored, // its placement is not in the store yet
+    StartUnanswered,    // no answer settles its start
+    StopPending,        // its run is being stopped, and its end is not known
+    AgentSilent,        // the agent of its worker is silent
+    EarlierEpoch,       // placed before the epoch that its worker has begun
+    NotRunning,         // accepted, and the worker's reports show too few runs of its job
 };
-std::string_view nameOf(standing_reason why);
+std::string_view nameOf(stall_reason why);
 
-struct standing_task
+struct stall_timer
 {
-    time_point since{};  // last known to be at work, or first looked at
-    time_point tellAt{}; // the log
+    time_point lastRunningAt{}; // last known to be at work, or first looked at
+    time_point logAt{};         // the log
 };
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/table_source_rotation.cpp
+++ b/libs/jobs/table_source_rotation.cpp
@@ -4,15 +4,15 @@
 
 namespace zinniabarrow::jobs {
 
-press_turn::press_turn(std::string_view agent)
-    : m_turn(stableHash(agent))
+table_source_rotation::table_source_rotation(std::string_view agent)
+    : m_nextIndex(stableHash(agent))
 { }
 
-std::string press_turn::next(const std::vector<std::string> &entries)
+std::string table_source_rotation::next(const std::vector<std::string> &entries)
 {
     if (entries.empty())
         return {};
-    return entries[m_turn++ % entries.size()];
+    return entries[m_nextIndex++ % entries.size()];
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/table_source_rotation.h
+++ b/libs/jobs/table_source_rotation.h
@@ -10,17 +10,17 @@
 
 namespace zinniabarrow::jobs {
 
-class press_turn
+class table_source_rotation
 {
 public:
     // Agents begin at different entries.
-    explicit press_turn(std::string_view agent);
+    explicit table_source_rotation(std::string_view agent);
 
     // The next of `entries`, which are in order; empty: there is none.
     std::string next(const std::vector<std::string> &entries);
 
 private:
-    std::size_t m_turn;
+    std::size_t m_nextIndex;
 };
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/throttle_controller.cpp
+++ b/libs/jobs/throttle_controller.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // How far 1 / tail fell, 1/ms, over several runs.
-struct falls
+struct drop_average
 {
     double sum = 0;
     int runs = 0;
@@ -22,186 +22,195 @@
 
 // Of runs that were measured both times, and of those whose load went beyond what a tail can tell
 // or came from there.
-struct tail_falls
+struct tail_drops
 {
-    falls measured;
-    falls atLeast;
+    drop_average measured;
+    drop_average lowerBounds;
 
-    void add(std::int64_t beforeMs, std::int64_t nowMs, double boundMs)
+    void add(std::int64_t beforeMs, std::int64_t nowMs, double maxMeasurableMs)
     {
         const auto [shorter, longer] = std::minmax(beforeMs, nowMs);
-        if (static_cast<double>(shorter) > boundMs)
+        if (static_cast<double>(shorter) > maxMeasurableMs)
             return; // a queue all the while
-        auto &kind = static_cast<double>(longer) > boundMs ? atLeast : measured;
+        auto &kind = static_cast<double>(longer) > maxMeasurableMs ? lowerBounds : measured;
         kind.add(beforeMs, nowMs);
     }
 };
 
 } // namespace
 
-pacer::pacer(const pacer_settings &settings)
+throttle_controller::throttle_controller(const throttle_settings &settings)
     : m_settings(settings)
 { }
 
-double pacer::press(const std::string &serving, const std::string &filling) const
+double throttle_controller::loadPerCore(const std::string &serving,
+                                        const std::string &bestEffort) const
 {
-    const auto row = m_presses.find(serving);
-    if (row == m_presses.end())
-        return m_settings.unknownPress;
-    const auto &presses = row->second.presses;
-    const auto found = presses.find(filling);
-    return found == presses.end() ? m_settings.unknownPress : found->second;
+    const auto row = m_interference.find(serving);
+    if (row == m_interference.end())
+        return m_settings.defaultLoadPerCore;
+    const auto &loadByImage = row->second.loadsPerCore;
+    const auto found = loadByImage.find(bestEffort);
+    return found == loadByImage.end() ? m_settings.defaultLoadPerCore : found->second;
 }
 
-std::map<std::string, double> pacer::amounts(const std::vector<filling_run> &filling) const
+std::map<std::string, double>
+throttle_controller::coresByImage(const std::vector<best_effort_run> &bestEffort) const
 {
     std::map<std::string, double> sums;
-    for (const auto &run : filling)
-        sums[run.image] += run.cores;
+    for (const auto &run : bestEffort)
+        sums[run.image] += run.usedCores;
     return sums;
 }
 
-std::vector<disturbance_sample> pacer::takeSamples(const std::vector<serving_sample> &serving,
-                                                   const std::vector<filling_run> &filling)
+std::vector<interference_sample>
+throttle_controller::takeSamples(const std::vector<serving_sample> &serving,
+                                 const std::vector<best_effort_run> &bestEffort)
 {
-    std::map<std::string, const serving_sample *> worst;
+    std::map<std::string, const serving_sample *> worstByImage;
     for (const auto &sample : serving) {
-        auto &known = worst[sample.image];
-        if (sample.targetMs > 0 && (known == nullptr || sample.tailMs > known->tailMs))
+        auto &known = worstByImage[sample.image];
+        if (sample.latencyTargetMs > 0
+            && (known == nullptr || sample.tailLatencyMs > known->tailLatencyMs))
             known = &sample;
     }
-    const auto beside = amounts(filling);
-    std::vector<disturbance_sample> found;
-    for (const auto &[image, sample] : worst) {
+    const auto currentCores = coresByImage(bestEffort);
+    std::vector<interference_sample> found;
+    for (const auto &[image, sample] : worstByImage) {
         if (sample != nullptr)
-            found.push_back({image, sample->tailMs, sample->targetMs, beside,
-                             changeOf(image, serving, beside)});
+            found.push_back({image, sample->tailLatencyMs, sample->latencyTargetMs, currentCores,
+                             changeOf(image, serving, currentCores)});
     }
-    remember(serving, filling);
+    storePreviousSample(serving, bestEffort);
     return found;
 }
 
-std::optional<disturbance_change> pacer::changeOf(const std::string &image,
-                                                  const std::vector<serving_sample> &serving,
-                                                  const std::map<std::string, double> &beside) const
+std::optional<interference_change>
+throttle_controller::changeOf(const std::string &image, const std::vector<serving_sample> &serving,
+                              const std::map<std::string, double> &currentCores) const
 {
-    constexpr double Queueing = 20; // times the floor: beyond, a tail says only that a queue grows
-    tail_falls found;
+    constexpr double QueueingFactor =
+            20; // times the floor: beyond, a tail says only that a queue grows
+    tail_drops found;
     for (const auto &sample : serving) {
-        const auto before = m_tailsBefore.find({sample.task, sample.run});
-        if (sample.image != image || before == m_tailsBefore.end())
+        const auto before = m_previousTailMs.find({sample.task, sample.run});
+        if (sample.image != image || before == m_previousTailMs.end())
             continue;
-        if (sample.tailMs > 0 && before->second > 0)
-            found.add(before->second, sample.tailMs, Queueing * floorOf(sample));
+        if (sample.tailLatencyMs > 0 && before->second > 0)
+            found.add(before->second, sample.tailLatencyMs, QueueingFactor * floorMsOf(sample));
     }
-    if (found.measured.runs + found.atLeast.runs == 0)
+    if (found.measured.runs + found.lowerBounds.runs == 0)
         return std::nullopt;
-    disturbance_change change;
-    change.atLeast = found.measured.runs == 0;
-    change.inverseFall = (change.atLeast ? found.atLeast : found.measured).mean();
-    change.fills = beside;
-    for (const auto &[filling, cores] : m_besideBefore)
-        change.fills[filling] -= cores;
+    interference_change change;
+    change.isLowerBound = found.measured.runs == 0;
+    change.inverseTailDrop = (change.isLowerBound ? found.lowerBounds : found.measured).mean();
+    change.bestEffortCores = currentCores;
+    for (const auto &[bestEffort, cores] : m_previousCores)
+        change.bestEffortCores[bestEffort] -= cores;
     return change;
 }
 
-void pacer::remember(const std::vector<serving_sample> &serving,
-                     const std::vector<filling_run> &filling)
+void throttle_controller::storePreviousSample(const std::vector<serving_sample> &serving,
+                                              const std::vector<best_effort_run> &bestEffort)
 {
-    m_tailsBefore.clear();
+    m_previousTailMs.clear();
     std::map<run_key, double> loads;
     for (const auto &sample : serving) {
         const run_key key{sample.task, sample.run};
-        m_tailsBefore[key] = sample.tailMs;
-        if (sample.tailMs > 0)
-            loads[key] = ownLoad(sample, filling);
+        m_previousTailMs[key] = sample.tailLatencyMs;
+        if (sample.tailLatencyMs > 0)
+            loads[key] = ownLoad(sample, bestEffort);
     }
-    m_besideBefore = amounts(filling);
-    m_forecast.note(loads);
+    m_previousCores = coresByImage(bestEffort);
+    m_forecast.recordLoads(loads);
 }
 
-bool pacer::needsRelief(const serving_sample &sample, time_point now)
+bool throttle_controller::needsPause(const serving_sample &sample, time_point now)
 {
     const run_key key{sample.task, sample.run};
-    const bool isLate = sample.targetMs > 0 && sample.tailMs > sample.targetMs;
-    const auto known = m_late.find(key);
-    if (known == m_late.end()) {
+    const bool isLate = sample.latencyTargetMs > 0 && sample.tailLatencyMs > sample.latencyTargetMs;
+    const auto known = m_lateRuns.find(key);
+    if (known == m_lateRuns.end()) {
         if (isLate)
-            m_late.emplace(key, late_run{now, {}});
+            m_lateRuns.emplace(key, late_run{now, {}});
         return false;
     }
     auto &late = known->second;
-    if (late.stoppedAt == time_point{}) {
+    if (late.pausedAt == time_point{}) {
         if (!isLate) {
-            m_late.erase(known);
+            m_lateRuns.erase(known);
             return false;
         }
-        if (now - late.countFrom < m_settings.lateAtMost)
+        if (now - late.lateSince < m_settings.maxLateTime)
             return false;
-        late.stoppedAt = now;
+        late.pausedAt = now;
         return true;
     }
-    const auto stopped = now - late.stoppedAt;
-    if (stopped < m_settings.shortestStop || (isLate && stopped < m_settings.longestStop))
+    const auto pausedFor = now - late.pausedAt;
+    if (pausedFor < m_settings.minPause || (isLate && pausedFor < m_settings.maxPause))
         return true;
     if (isLate)
         late = {now, {}};
     else
-        m_late.erase(known);
+        m_lateRuns.erase(known);
     return false;
 }
 
-std::vector<pace_run> pacer::look(const std::vector<serving_sample> &serving,
-                                  const std::vector<filling_run> &filling, time_point now)
+std::vector<run_speed> throttle_controller::decide(const std::vector<serving_sample> &serving,
+                                                   const std::vector<best_effort_run> &bestEffort,
+                                                   time_point now)
 {
-    bool standStill = false;
+    bool shouldPause = false;
     for (const auto &sample : serving)
-        standStill = needsRelief(sample, now) || standStill;
-    std::vector<pace_run> changes;
-    for (const auto &run : filling) {
-        const int next = standStill ? 0 : 100;
-        const auto told = m_told.try_emplace({run.task, run.run}, 100).first;
-        if (told->second != next)
+        shouldPause = needsPause(sample, now) || shouldPause;
+    std::vector<run_speed> changes;
+    for (const auto &run : bestEffort) {
+        const int next = shouldPause ? 0 : 100;
+        const auto lastSpeed = m_confirmedSpeeds.try_emplace({run.task, run.run}, 100).first;
+        if (lastSpeed->second != next)
             changes.push_back({run.task, run.run, next});
     }
     return changes;
 }
 
-double pacer::floorOf(const serving_sample &sample) const
+double throttle_controller::floorMsOf(const serving_sample &sample) const
 {
-    const auto row = m_presses.find(sample.image);
-    if (row == m_presses.end() || row->second.floorMs <= 0)
-        return m_settings.unknownFloor * static_cast<double>(sample.targetMs);
+    const auto row = m_interference.find(sample.image);
+    if (row == m_interference.end() || row->second.floorMs <= 0)
+        return m_settings.defaultFloorFraction * static_cast<double>(sample.latencyTargetMs);
     return row->second.floorMs;
 }
 
 // What the presses don't explain of the measurement counts as the run's own load.
-double pacer::ownLoad(const serving_sample &sample, const std::vector<filling_run> &filling) const
+double throttle_controller::ownLoad(const serving_sample &sample,
+                                    const std::vector<best_effort_run> &bestEffort) const
 {
-    double own = loadOf(static_cast<double>(sample.tailMs), floorOf(sample));
-    for (const auto &run : filling)
-        own -= press(sample.image, run.image) * run.cores;
+    double own = loadOf(static_cast<double>(sample.tailLatencyMs), floorMsOf(sample));
+    for (const auto &run : bestEffort)
+        own -= loadPerCore(sample.image, run.image) * run.usedCores;
     return std::max(0.0, own);
 }
 
-double pacer::roomOf(const serving_sample &sample, const std::vector<filling_run> &filling) const
+double throttle_controller::headroomOf(const serving_sample &sample,
+                                       const std::vector<best_effort_run> &bestEffort) const
 {
     const double limit =
-            loadOf(m_settings.aim * static_cast<double>(sample.targetMs), floorOf(sample));
-    return limit - m_forecast.highestAhead({sample.task, sample.run}, ownLoad(sample, filling));
+            loadOf(m_settings.headroomTargetFraction * static_cast<double>(sample.latencyTargetMs),
+                   floorMsOf(sample));
+    return limit - m_forecast.peakLoadAhead({sample.task, sample.run}, ownLoad(sample, bestEffort));
 }
 
-void pacer::confirmed(const pace_run &pace)
+void throttle_controller::noteConfirmed(const run_speed &speed)
 {
-    const auto told = m_told.find({pace.task, pace.run});
-    if (told != m_told.end())
-        told->second = pace.percent;
+    const auto lastSpeed = m_confirmedSpeeds.find({speed.task, speed.run});
+    if (lastSpeed != m_confirmedSpeeds.end())
+        lastSpeed->second = speed.percent;
 }
 
-void pacer::forget(const task_id &task, int run)
+void throttle_controller::forget(const task_id &task, int run)
 {
-    m_told.erase({task, run});
-    m_late.erase({task, run});
+    m_confirmedSpeeds.erase({task, run});
+    m_lateRuns.erase({task, run});
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/worker_liveness.cpp
+++ b/libs/jobs/worker_liveness.cpp
@@ -4,75 +4,75 @@
 
 namespace zinniabarrow::jobs {
 
-worker_silence::worker_silence(time_point now)
-    : m_heldUntil(now + HoldLength)
+worker_liveness::worker_liveness(time_point now)
+    : m_heldUntil(now + HoldDuration)
 { }
 
-void worker_silence::held(time_point until)
+void worker_liveness::noteHold(time_point until)
 {
     m_heldUntil = std::max(m_heldUntil, until);
 }
 
-void worker_silence::lifeBegun(time_point now)
+void worker_liveness::noteNewIncarnation(time_point now)
 {
-    m_heldUntil = now + LongestHold;
+    m_heldUntil = now + MaxHoldDuration;
 }
 
-void worker_silence::epochBegun(time_point now)
+void worker_liveness::noteNewEpoch(time_point now)
 {
-    m_heldUntil = now + HoldLength;
+    m_heldUntil = now + HoldDuration;
 }
 
-void worker_silence::allEnded()
+void worker_liveness::clearHold()
 {
     m_heldUntil = {};
 }
 
-void worker_silence::looked(bool answered, time_point now)
+void worker_liveness::notePoll(bool answered, time_point now)
 {
-    m_answered = answered;
-    m_failedInRow = answered ? 0 : m_failedInRow + 1;
+    m_lastPollAnswered = answered;
+    m_consecutiveFailures = answered ? 0 : m_consecutiveFailures + 1;
     if (answered)
-        m_seenAt = now;
+        m_answeredAt = now;
 }
 
-bool worker_silence::answers(time_point now) const
+bool worker_liveness::isResponsive(time_point now) const
 {
-    return now - m_seenAt < WorkerSilent;
+    return now - m_answeredAt < WorkerSilentAfter;
 }
 
-bool worker_silence::isSilent(time_point now) const
+bool worker_liveness::isSilent(time_point now) const
 {
     // An agent that was frozen has no answer either, and asks again at once.
-    return !m_answered && !answers(now);
+    return !m_lastPollAnswered && !isResponsive(now);
 }
 
-std::optional<time_point> worker_silence::heldUntil() const
+std::optional<time_point> worker_liveness::heldUntil() const
 {
     return m_heldUntil == time_point{} ? std::nullopt : std::optional(m_heldUntil);
 }
 
-std::optional<time_point> worker_silence::heldWithoutAnswer() const
+std::optional<time_point> worker_liveness::heldUntilIfSilent() const
 {
-    constexpr int LooksLost = 2; // one is lost now and then
-    return m_failedInRow < LooksLost ? std::nullopt : heldUntil();
+    constexpr int FailedPollLimit = 2; // one is lost now and then
+    return m_consecutiveFailures < FailedPollLimit ? std::nullopt : heldUntil();
 }
 
-bool worker_silence::nothingRuns(time_point now) const
+bool worker_liveness::hasNothingRunning(time_point now) const
 {
-    return m_heldUntil != time_point{} && now >= m_heldUntil + slackOf(LongestHold);
+    return m_heldUntil != time_point{} && now >= m_heldUntil + expirySlack(MaxHoldDuration);
 }
 
-start_readiness readinessOf(const worker_standing &standing, const worker_silence &silence,
+start_readiness readinessOf(const worker_status &status, const worker_liveness &liveness,
                             time_point now)
 {
     // A lost worker may have nothing whose end would end a placement on it: an order that was put
     // off would be repeated for as long as the agent lives. Refused, its task goes elsewhere.
-    if (!standing.present || standing.leaving || silence.isSilent(now))
-        return start_readiness::Closed;
-    if (!standing.leased || !silence.answers(now))
-        return start_readiness::Later;
-    return standing.evacuated ? start_readiness::Closed : start_readiness::Open;
+    if (!status.isPresent || status.isLeaving || liveness.isSilent(now))
+        return start_readiness::Unavailable;
+    if (!status.hasLease || !liveness.isResponsive(now))
+        return start_readiness::RetryLater;
+    return status.isEvacuated ? start_readiness::Unavailable : start_readiness::Ready;
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/worker_pool.cpp
+++ b/libs/jobs/worker_pool.cpp
@@ -74,9 +74,10 @@
 {
     auto &view = m_workers[report.worker];
     // Held up on its way from a life that was followed by another: what is placed by it is refused.
-    if (report.agentLife != 0 && report.agentLife < view.last.agentLife)
+    if (report.agentIncarnation != 0 && report.agentIncarnation < view.last.agentIncarnation)
         return false;
-    const bool newLife = view.last.agentLife != report.agentLife || view.last.epoch != report.epoch;
+    const bool newLife = view.last.agentIncarnation != report.agentIncarnation
+                         || view.last.epoch != report.epoch;
     noteClock(view, report, now);
     view.last = report;
     view.last.ends.clear();
@@ -84,19 +85,19 @@
     view.refused.clear();
     view.heardAt = now;
     view.lateJobs = lateJobsOf(view);
-    if (m_service.due(now))
-        m_service.note(servingByJob(now), now);
+    if (m_service.isDue(now))
+        m_service.recordCounts(servingByJob(now), now);
     return newLife;
 }
 
 // Of all readings the one counts that says most: a report that was slow to come takes nothing back.
 void worker_pool::noteClock(worker_view &view, const worker_report &report, time_point now)
 {
-    if (report.clockMs == 0 || report.agentLife != view.last.agentLife)
+    if (report.clockMs == 0 || report.agentIncarnation != view.last.agentIncarnation)
         view.clock.reset();
     if (report.clockMs == 0)
         return;
-    if (!view.clock || view.clock->atLeast(now) < report.clockMs)
+    if (!view.clock || view.clock->lowerBoundMs(now) < report.clockMs)
         view.clock = agent_clock{report.clockMs, now};
 }
 
@@ -107,9 +108,9 @@
     if (view == nullptr || !view->clock)
         return 0;
     // The clock of that life is not known yet: the order claims a run that is there, no more.
-    if (view->last.agentLife < agentLife)
+    if (view->last.agentIncarnation < agentLife)
         return LongPast;
-    return view->clock->atLeast(now) + m_settings.orderHolds.count();
+    return view->clock->lowerBoundMs(now) + m_settings.orderHolds.count();
 }
 
 const worker_view *worker_pool::find(const std::string &worker) const
@@ -148,7 +149,7 @@
         return unfit::OtherService;
     if (m_evacuated.contains(last.zone))
         return unfit::Evacuated;
-    if (!last.accepting || last.epoch == 0)
+    if (!last.isAccepting || last.epoch == 0)
         return unfit::NotAccepting;
     if (now - view.heardAt > m_settings.silentAfter)
         return unfit::Silent;
@@ -160,7 +161,7 @@
     // Beyond, runs that fill only slow each other down: jobs that wait in order come in time more
     // often than jobs that all run at a fraction of their pace.
     constexpr double MostShare = 0.95;
-    if (step.fills && last.fillMillicores > 0 && shareWith(view, step) > MostShare)
+    if (step.fills && last.bestEffortMillicores > 0 && shareWith(view, step) > MostShare)
         return unfit::Full;
     // What fills waits for a worker where it harms nobody: its objective leaves it time, and a late
     // answer can't be made good.
@@ -191,7 +192,8 @@
 
 bool worker_pool::hasRoomBesideLasting(const worker_view &view, const step_spec &step)
 {
-    return roomFor(countedSize(step.size, step.fills), view.last.capacity, view.last.lasting)
+    return roomFor(countedSize(step.size, step.fills), view.last.capacity,
+                   view.last.usedByLongRunning)
            == unfit::No;
 }
 
@@ -202,7 +204,7 @@
     const auto capacity = static_cast<double>(std::max<std::int64_t>(1, last.capacity.millicores));
     // What serves has about half of its size in use, and what fills works with the rest.
     constexpr double InUse = 0.5;
-    const auto asked = static_cast<double>(last.fillMillicores + step.size.millicores);
+    const auto asked = static_cast<double>(last.bestEffortMillicores + step.size.millicores);
     return (InUse * static_cast<double>(last.used.millicores) + asked) / capacity;
 }
 
@@ -270,9 +272,9 @@
     constexpr double Counts = 0.05;   // load: a run that adds less is in part to blame
     const double cores = static_cast<double>(step.size.millicores) / 1000;
     for (const auto &run : view.last.serving) {
-        const double more = m_disturbance.press(run.image, step.image) * cores;
+        const double more = m_disturbance.loadPerCore(run.image, step.image) * cores;
         const double load = loadBeside(view, run) + more;
-        const double late = std::clamp((load - run.room) / Uncertain + 0.5, 0.0, 1.0);
+        const double late = std::clamp((load - run.headroom) / Uncertain + 0.5, 0.0, 1.0);
         if (late <= 0 || more <= 0)
             continue;
         auto &worst = jobs[run.job];
@@ -296,7 +298,7 @@
 {
     double sum = 0;
     for (const auto &[job, late] : expectedLate(view, step))
-        sum += late * (m_service.isBehind(job) ? 1 : leftToLose(view, job));
+        sum += late * (m_service.isBelowAverage(job) ? 1 : leftToLose(view, job));
     return sum;
 }
 
@@ -306,11 +308,11 @@
     return isLateElsewhere(view, job) ? Spoilt : 1;
 }
 
-double worker_pool::loadBeside(const worker_view &view, const serving_room &run) const
+double worker_pool::loadBeside(const worker_view &view, const serving_headroom &run) const
 {
     double load = 0;
-    for (const auto &[filling, amount] : view.last.filling)
-        load += m_disturbance.press(run.image, filling) * amount;
+    for (const auto &[filling, amount] : view.last.bestEffortDemand)
+        load += m_disturbance.loadPerCore(run.image, filling) * amount;
     return load;
 }
 
@@ -319,7 +321,7 @@
     constexpr double Clearly = 0.05; // load
     std::set<std::string> late;
     for (const auto &run : view.last.serving) {
-        if (!run.job.empty() && loadBeside(view, run) > run.room + Clearly)
+        if (!run.job.empty() && loadBeside(view, run) > run.headroom + Clearly)
             late.insert(run.job);
     }
     return late;
@@ -388,8 +390,8 @@
             if (run.job.empty())
                 continue;
             auto &job = jobs[run.job];
-            ++job.atWork;
-            job.late += run.late ? 1 : 0;
+            ++job.running;
+            job.late += run.isLate ? 1 : 0;
         }
     }
     return jobs;
@@ -418,13 +420,15 @@
     const auto size = countedSize(step.size, step.fills);
     found->second.last.used += size;
     if (step.lasting)
-        found->second.last.lasting += size;
+        found->second.last.usedByLongRunning += size;
     if (step.fills) {
-        found->second.last.fillMillicores += step.size.millicores;
-        found->second.last.filling[step.image] += static_cast<double>(step.size.millicores) / 1000;
+        found->second.last.bestEffortMillicores += step.size.millicores;
+        found->second.last.bestEffortDemand[step.image] +=
+                static_cast<double>(step.size.millicores) / 1000;
     }
     if (step.targetMs > 0) {
-        const auto room = m_disturbance.limit(step.image) - m_disturbance.base(step.image);
+        const auto room =
+                m_disturbance.loadAtTarget(step.image) - m_disturbance.baseLoad(step.image);
         found->second.last.serving.push_back({step.image, room, ""}); // its job is in the report
     }
 }
--- a/libs/jobs/worker_pool.h
+++ b/libs/jobs/worker_pool.h
@@ -108,7 +108,7 @@
     // next report none as large goes there. A report that has come since knows better.
     void noteNoRoom(const std::string &worker, const step_spec &step, time_point reportCame);
 
-    disturbance_model &disturbance() { return m_disturbance; }
+    interference_estimator &disturbance() { return m_disturbance; }
 
 private:
     static void noteClock(worker_view &view, const worker_report &report, time_point now);
@@ -126,14 +126,14 @@
     double lateJobsExpected(const worker_view &view, const step_spec &step) const;
     double harmExpected(const worker_view &view, const step_spec &step) const;
     double leftToLose(const worker_view &view, const std::string &job) const;
-    double loadBeside(const worker_view &view, const serving_room &run) const;
+    double loadBeside(const worker_view &view, const serving_headroom &run) const;
     std::set<std::string> lateJobsOf(const worker_view &view) const;
     bool isLateElsewhere(const worker_view &view, const std::string &job) const;
 
     pool_settings m_settings;
     std::map<std::string, worker_view> m_workers;
     std::set<std::string> m_evacuated;
-    disturbance_model m_disturbance;
+    interference_estimator m_disturbance;
     service_history m_service;
 };
 
--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -21,12 +21,13 @@
 
 namespace {
 
-constexpr milliseconds Turn{50};
-constexpr milliseconds HoldsWithin{3000}; // an acknowledged cancel, at every agent
-constexpr milliseconds Watched{12'000};   // longer than anything that is on its way
+constexpr milliseconds TickDuration{50};
+constexpr milliseconds CancelEffectiveWithin{3000}; // an acknowledged cancel, at every agent
+constexpr milliseconds ObservedFor{12'000};         // longer than anything that is on its way
 constexpr milliseconds TakeoverAfter{1600};
-constexpr milliseconds ReportEvery{1000};
-constexpr milliseconds FollowTakes{300}; // from a row of the store to the agents that follow it
+constexpr milliseconds ReportInterval{1000};
+constexpr milliseconds StoreFollowDelay{
+        300}; // from a row of the store to the agents that follow it
 constexpr std::int64_t Epoch = 1;
 const std::string Job = "j";
 
@@ -34,25 +35,25 @@
 struct event
 {
     time_point at{};
-    std::function<void()> happen;
+    std::function<void()> callback;
 };
 
 struct worker_model
 {
     std::set<std::pair<task_id, int>> running;
-    std::map<task_id, int> highest; // run that was stopped or ended
+    std::map<task_id, int> highestStoppedRun; // run that was stopped or ended
     std::vector<run_end> ended;
-    int starts = 0;
-    time_point lastStart{};
+    int startCount = 0;
+    time_point lastStartAt{};
 };
 
 struct agent_model
 {
     run_table table;
     worker_model worker;
-    bool cutOff = false;             // from all entries
-    milliseconds startTakesEffect{}; // after the call
-    bool startsAreAnswered = true;
+    bool isCutOff = false;           // from all entries
+    milliseconds startEffectDelay{}; // after the call
+    bool answersStarts = true;
     time_point reportAt{};
 };
 
@@ -66,15 +67,15 @@
     owner_id self;
     worker_pool workers;
     job_book book;
-    bool lives = true;
-    bool ordersLost = false;      // it died before they were sent
-    milliseconds writeTakes{50};  // until a write takes effect
-    milliseconds orderTakes{50};  // to the agent
-    milliseconds answerTakes{50}; // and back
+    bool isAlive = true;
+    bool losesOrders = false;     // it died before they were sent
+    milliseconds writeDelay{50};  // until a write takes effect
+    milliseconds orderDelay{50};  // to the agent
+    milliseconds answerDelay{50}; // and back
     std::vector<std::int64_t> storedTokens;
 };
 
-struct scene
+struct cancel_simulation
 {
     time_point now{std::chrono::hours(1)};
     std::vector<event> events;
@@ -84,35 +85,35 @@
     std::optional<std::string> row;
     std::int64_t version = 0;
     std::string payload;
-    bool cancelStored = false; // the row that agents follow,
-    bool agentsFollow = true;  // if they reach the store
+    bool isCancelStored = false;   // the row that agents follow,
+    bool agentsFollowStore = true; // if they reach the store
     time_point cancelledAt{};
 
-    scene()
+    cancel_simulation()
     {
         for (const char *name : {"w1", "w2"})
-            begin(agents[name]);
-        hear();
+            beginIncarnation(agents[name]);
+        reportAllWorkers();
     }
 
     // A life of the agent: it reads the cancels before it accepts anything.
-    void begin(agent_model &agent) const
+    void beginIncarnation(agent_model &agent) const
     {
         agent.table = run_table();
-        agent.table.setWorker({16'000, 64'000, 0}, start_readiness::Open);
+        agent.table.setWorker({16'000, 64'000, 0}, start_readiness::Ready);
         agent.table.setEpoch(Epoch);
-        if (cancelStored)
-            agent.table.cancelled(Job, now);
+        if (isCancelStored)
+            agent.table.cancelJob(Job, now);
     }
 
-    void hear()
+    void reportAllWorkers()
     {
         for (const auto &entry : agents) {
             worker_report report;
             report.worker = entry.first;
             report.epoch = Epoch;
             report.service = "tickets";
-            report.accepting = true;
+            report.isAccepting = true;
             report.capacity = {16'000, 64'000, 0};
             first.workers.update(report, now);
             second.workers.update(report, now);
@@ -139,46 +140,46 @@
         check(runningTasks() == 3);
     }
 
-    void after(milliseconds span, std::function<void()> happen)
+    void schedule(milliseconds span, std::function<void()> callback)
     {
-        events.push_back({now + span, std::move(happen)});
+        events.push_back({now + span, std::move(callback)});
     }
 
     // --- what happens in one turn
 
-    void turn()
+    void tick()
     {
-        now += Turn;
-        hear();
+        now += TickDuration;
+        reportAllWorkers();
         auto due = std::exchange(events, {});
         for (auto &one : due) {
             if (one.at <= now)
-                one.happen();
+                one.callback();
             else
                 events.push_back(std::move(one));
         }
         for (auto *entry : {&first, &second}) {
-            if (entry->lives)
-                pump(*entry);
+            if (entry->isAlive)
+                runEntry(*entry);
         }
         for (auto &[name, agent] : agents)
-            act(name, agent);
+            runAgent(name, agent);
     }
 
     void run(milliseconds span)
     {
         for (const auto until = now + span; now < until;)
-            turn();
+            tick();
     }
 
-    void pump(entry_model &entry)
+    void runEntry(entry_model &entry)
     {
         entry.book.plan(now, 1000);
         for (auto &action : entry.book.takeActions()) {
             if (const auto *write = std::get_if<write_row>(&action))
-                after(entry.writeTakes, [this, &entry, out = *write] { commit(entry, out); });
+                schedule(entry.writeDelay, [this, &entry, out = *write] { commit(entry, out); });
             else if (const auto *order = std::get_if<give_order>(&action))
-                send(entry, *order);
+                sendOrder(entry, *order);
             else if (const auto *done = std::get_if<stored>(&action))
                 entry.storedTokens.push_back(done->token);
         }
@@ -186,8 +187,8 @@
 
     void commit(entry_model &entry, const write_row &write)
     {
-        const bool holds = write.expectedVersion == (row ? version : 0);
-        if (holds) {
+        const bool versionMatches = write.expectedVersion == (row ? version : 0);
+        if (versionMatches) {
             row = write.content;
             ++version;
             if (write.payload)
@@ -195,9 +196,9 @@
             if (write.cancels)
                 storeCancel();
         }
-        if (!entry.lives)
+        if (!entry.isAlive)
             return;
-        if (holds)
+        if (versionMatches)
             entry.book.rowWritten(Job, version);
         else
             entry.book.rowConflict(Job, version, row);
@@ -205,50 +206,50 @@
 
     void storeCancel()
     {
-        cancelStored = agentsFollow;
-        if (!agentsFollow)
+        isCancelStored = agentsFollowStore;
+        if (!agentsFollowStore)
             return;
-        after(FollowTakes, [this] {
+        schedule(StoreFollowDelay, [this] {
             for (auto &entry : agents)
-                entry.second.table.cancelled(Job, now);
+                entry.second.table.cancelJob(Job, now);
         });
     }
 
-    void send(entry_model &entry, const give_order &given)
+    void sendOrder(entry_model &entry, const give_order &message)
     {
-        after(entry.orderTakes, [this, &entry, given] {
-            auto &agent = agents.at(given.worker);
-            if (agent.cutOff || entry.ordersLost)
-                return unanswered(entry, given);
-            const auto answer = agent.table.take(given.order, entry.self.entry, now);
-            after(entry.answerTakes, [this, &entry, given, answer] {
-                if (entry.lives)
-                    entry.book.orderAnswered(given.worker, answer, now, 0);
+        schedule(entry.orderDelay, [this, &entry, message] {
+            auto &agent = agents.at(message.worker);
+            if (agent.isCutOff || entry.losesOrders)
+                return reportUnanswered(entry, message);
+            const auto answer = agent.table.handleOrder(message.order, entry.self.entry, now);
+            schedule(entry.answerDelay, [this, &entry, message, answer] {
+                if (entry.isAlive)
+                    entry.book.orderAnswered(message.worker, answer, now, 0);
             });
         });
     }
 
-    void unanswered(entry_model &entry, const give_order &given)
+    void reportUnanswered(entry_model &entry, const give_order &message)
     {
-        if (entry.lives)
-            entry.book.orderUnanswered(given.worker, given.order.task, given.order.run, now);
+        if (entry.isAlive)
+            entry.book.orderUnanswered(message.worker, message.order.task, message.order.run, now);
     }
 
-    void act(const std::string &name, agent_model &agent)
+    void runAgent(const std::string &name, agent_model &agent)
     {
-        for (const auto &action : agent.table.due(now, true)) {
+        for (const auto &action : agent.table.takeDueActions(now, true)) {
             if (const auto *start = std::get_if<start_run>(&action))
-                call(agent, *start);
+                callStart(agent, *start);
             else
-                stopAt(agent, std::get<stop_run>(action));
+                stopOnWorker(agent, std::get<stop_run>(action));
         }
         run_listing seen;
         seen.clockMs = clockMs();
         for (const auto &[task, number] : agent.worker.running)
             seen.running.push_back({task, number, "", 0});
         seen.ended = agent.worker.ended;
-        agent.table.look(seen, now);
-        if (!agent.cutOff)
+        agent.table.applyListing(seen, now);
+        if (!agent.isCutOff)
             report(name, agent);
     }
 
@@ -257,35 +258,35 @@
         return std::chrono::duration_cast<milliseconds>(now.time_since_epoch()).count();
     }
 
-    void call(agent_model &agent, const start_run &start)
+    void callStart(agent_model &agent, const start_run &start)
     {
         const auto deadline = clockMs() + 1500;
         agent.table.startCalled(start.task, start.run, deadline);
-        after(agent.startTakesEffect, [this, &agent, start, deadline] {
+        schedule(agent.startEffectDelay, [this, &agent, start, deadline] {
             if (clockMs() <= deadline)
-                startAt(agent, start);
+                startOnWorker(agent, start);
         });
-        if (agent.startsAreAnswered)
+        if (agent.answersStarts)
             agent.table.startAnswered(start.task, start.run, start_answer::Started, now);
     }
 
-    void startAt(agent_model &agent, const start_run &start)
+    void startOnWorker(agent_model &agent, const start_run &start)
     {
         auto &worker = agent.worker;
         const std::pair key{start.task, start.run};
-        const auto highest = worker.highest.find(start.task);
-        const bool old = highest != worker.highest.end() && start.run <= highest->second;
+        const auto highest = worker.highestStoppedRun.find(start.task);
+        const bool old = highest != worker.highestStoppedRun.end() && start.run <= highest->second;
         if (old || worker.running.contains(key))
             return;
         worker.running.insert(key);
-        ++worker.starts;
-        worker.lastStart = now;
+        ++worker.startCount;
+        worker.lastStartAt = now;
     }
 
-    static void stopAt(agent_model &agent, const stop_run &stop)
+    static void stopOnWorker(agent_model &agent, const stop_run &stop)
     {
         auto &worker = agent.worker;
-        auto &highest = worker.highest[stop.task];
+        auto &highest = worker.highestStoppedRun[stop.task];
         highest = std::max(highest, stop.run);
         if (worker.running.erase({stop.task, stop.run}) == 0)
             return;
@@ -297,9 +298,9 @@
     {
         if (now < agent.reportAt)
             return;
-        agent.reportAt = now + ReportEvery;
+        agent.reportAt = now + ReportInterval;
         for (auto *entry : {&first, &second}) {
-            if (!entry->lives)
+            if (!entry->isAlive)
                 continue;
             for (const auto &end : agent.table.endsFor(entry->self.entry))
                 entry->book.runEnded(name, end, now, 100);
@@ -312,8 +313,8 @@
     void cancelAtOwner()
     {
         first.book.cancel(Job, 2);
-        for (int turns = 0; turns < 200 && !isAcknowledged(first); ++turns)
-            turn();
+        for (int ticks = 0; ticks < 200 && !isAcknowledged(first); ++ticks)
+            tick();
         require(isAcknowledged(first));
         cancelledAt = now;
     }
@@ -336,16 +337,16 @@
         cancelledAt = now;
     }
 
-    static void die(entry_model &entry)
+    static void crash(entry_model &entry)
     {
-        entry.lives = false;
-        entry.ordersLost = true;
+        entry.isAlive = false;
+        entry.losesOrders = true;
     }
 
-    void cutOff(bool all)
+    void setCutOff(bool all)
     {
         for (auto &entry : agents)
-            entry.second.cutOff = all;
+            entry.second.isCutOff = all;
     }
 
     void takeOver()
@@ -372,126 +373,126 @@
     }
 
     // From the end of the bound on, nothing of the job runs and nothing starts.
-    void checkHolds()
+    void checkCancelEffective()
     {
-        run(HoldsWithin
-            - (now - cancelledAt < HoldsWithin
+        run(CancelEffectiveWithin
+            - (now - cancelledAt < CancelEffectiveWithin
                        ? std::chrono::duration_cast<milliseconds>(now - cancelledAt)
-                       : HoldsWithin));
+                       : CancelEffectiveWithin));
         check(runningTasks() == 0);
-        run(Watched);
+        run(ObservedFor);
         check(runningTasks() == 0);
         for (const auto &entry : agents)
-            check(entry.second.worker.lastStart <= cancelledAt + HoldsWithin);
+            check(entry.second.worker.lastStartAt <= cancelledAt + CancelEffectiveWithin);
     }
 };
 
 // What happens around a cancel, up to its acknowledgement and right after it.
-struct planting
+struct scenario
 {
     const char *title;
-    bool entriesSuffice; // also when the agents don't hear of cancels from the store
-    void (*happens)(scene &);
+    bool areEntriesEnough; // also when the agents don't hear of cancels from the store
+    void (*play)(cancel_simulation &);
 };
 
-const planting Plantings[] = {
+const scenario Scenarios[] = {
         {"nothing else happens", true,
-         [](scene &on) {
-             on.submitAndRun();
-             on.cancelAtOwner();
+         [](cancel_simulation &sim) {
+             sim.submitAndRun();
+             sim.cancelAtOwner();
          }},
         {"its owner dies right after the acknowledgement", true,
-         [](scene &on) {
-             on.submitAndRun();
-             on.cancelAtOwner();
-             scene::die(on.first);
-             on.after(TakeoverAfter, [&on] { on.takeOver(); });
+         [](cancel_simulation &sim) {
+             sim.submitAndRun();
+             sim.cancelAtOwner();
+             cancel_simulation::crash(sim.first);
+             sim.schedule(TakeoverAfter, [&sim] { sim.takeOver(); });
          }},
         {"all entries die right after it", false,
-         [](scene &on) {
-             on.submitAndRun();
-             on.cancelAtOwner();
-             scene::die(on.first);
-             scene::die(on.second);
+         [](cancel_simulation &sim) {
+             sim.submitAndRun();
+             sim.cancelAtOwner();
+             cancel_simulation::crash(sim.first);
+             cancel_simulation::crash(sim.second);
          }},
         {"the agents hear no entry", false,
-         [](scene &on) {
-             on.submitAndRun();
-             on.cutOff(true);
-             on.cancelAtOwner();
+         [](cancel_simulation &sim) {
+             sim.submitAndRun();
+             sim.setCutOff(true);
+             sim.cancelAtOwner();
          }},
         {"the agents hear no entry for a second", true,
-         [](scene &on) {
-             on.submitAndRun();
-             on.cutOff(true);
-             on.after(milliseconds(1200), [&on] { on.cutOff(false); });
-             on.cancelAtOwner();
+         [](cancel_simulation &sim) {
+             sim.submitAndRun();
+             sim.setCutOff(true);
+             sim.schedule(milliseconds(1200), [&sim] { sim.setCutOff(false); });
+             sim.cancelAtOwner();
          }},
         {"the owner can't be asked, and writes beside the cancel", true,
-         [](scene &on) {
-             on.submitAndRun();
-             on.first.writeTakes = milliseconds(400);
+         [](cancel_simulation &sim) {
+             sim.submitAndRun();
+             sim.first.writeDelay = milliseconds(400);
              const task_id task{Job, 0, 0, 0};
-             on.first.book.progressed(on.workerOf(task), {task, 1, "0001"});
-             on.run(milliseconds(100));
-             on.cancelInRow();
+             sim.first.book.progressed(sim.workerOf(task), {task, 1, "0001"});
+             sim.run(milliseconds(100));
+             sim.cancelInRow();
          }},
         {"the answers to its starts come while the cancel is written", true,
-         [](scene &on) {
-             on.first.answerTakes = milliseconds(300);
-             on.submit();
-             on.run(milliseconds(250));
-             check(on.runningTasks() == 3);
-             on.first.writeTakes = milliseconds(600);
-             on.cancelAtOwner();
+         [](cancel_simulation &sim) {
+             sim.first.answerDelay = milliseconds(300);
+             sim.submit();
+             sim.run(milliseconds(250));
+             check(sim.runningTasks() == 3);
+             sim.first.writeDelay = milliseconds(600);
+             sim.cancelAtOwner();
          }},
         {"its starts are overtaken by its stops", true,
-         [](scene &on) {
-             on.first.orderTakes = milliseconds(500);
-             on.submit();
-             on.run(milliseconds(200));
-             on.first.orderTakes = milliseconds(50);
-             on.cancelAtOwner();
+         [](cancel_simulation &sim) {
+             sim.first.orderDelay = milliseconds(500);
+             sim.submit();
+             sim.run(milliseconds(200));
+             sim.first.orderDelay = milliseconds(50);
+             sim.cancelAtOwner();
          }},
         {"its starts arrive at agents that live anew, from an owner that was frozen", false,
-         [](scene &on) {
-             on.first.orderTakes = milliseconds(5000);
-             on.submit();
-             on.run(milliseconds(200));
-             on.cancelInRow();
-             on.first.lives = false;
-             on.takeOver();
-             on.run(milliseconds(2000));
-             for (auto &entry : on.agents)
-                 on.begin(entry.second);
+         [](cancel_simulation &sim) {
+             sim.first.orderDelay = milliseconds(5000);
+             sim.submit();
+             sim.run(milliseconds(200));
+             sim.cancelInRow();
+             sim.first.isAlive = false;
+             sim.takeOver();
+             sim.run(milliseconds(2000));
+             for (auto &entry : sim.agents)
+                 sim.beginIncarnation(entry.second);
          }},
         {"its row is written for the first time while the cancel arrives", true,
-         [](scene &on) {
-             on.first.writeTakes = milliseconds(400);
-             on.submit();
-             on.run(milliseconds(100));
-             on.cancelAtOwner();
-             check(on.runningTasks() == 0); // it was cancelled before its first start was due
+         [](cancel_simulation &sim) {
+             sim.first.writeDelay = milliseconds(400);
+             sim.submit();
+             sim.run(milliseconds(100));
+             sim.cancelAtOwner();
+             check(sim.runningTasks() == 0); // it was cancelled before its first start was due
          }},
         {"a takeover is under way, and the cancel is written into the row", true,
-         [](scene &on) {
-             on.submitAndRun();
-             on.first.lives = false;
-             on.second.writeTakes = milliseconds(400);
-             on.takeOver();
-             on.run(milliseconds(100));
-             on.cancelInRow();
-             on.after(milliseconds(800), [&on] { on.takeOver(); });
+         [](cancel_simulation &sim) {
+             sim.submitAndRun();
+             sim.first.isAlive = false;
+             sim.second.writeDelay = milliseconds(400);
+             sim.takeOver();
+             sim.run(milliseconds(100));
+             sim.cancelInRow();
+             sim.schedule(milliseconds(800), [&sim] { sim.takeOver(); });
          }},
         {"start calls have no answer, and take effect late", true,
-         [](scene &on) {
-             for (auto &entry : on.agents) {
-                 entry.second.startTakesEffect = milliseconds(1400);
-                 entry.second.startsAreAnswered = false;
+         [](cancel_simulation &sim) {
+             for (auto &entry : sim.agents) {
+                 entry.second.startEffectDelay = milliseconds(1400);
+                 entry.second.answersStarts = false;
              }
-             on.submit();
-             on.run(milliseconds(200));
-             on.cancelAtOwner();
+             sim.submit();
+             sim.run(milliseconds(200));
+             sim.cancelAtOwner();
          }},
 };
 
@@ -502,25 +503,25 @@
 // and agents stop it independently of each other, so both ways are tried alone where one suffices.
 Test(cancel, holds_at_every_agent)
 {
-    for (const auto &planted : Plantings) {
-        section(planted.title, [&] {
-            scene on;
-            planted.happens(on);
-            on.checkHolds();
+    for (const auto &tried : Scenarios) {
+        section(tried.title, [&] {
+            cancel_simulation sim;
+            tried.play(sim);
+            sim.checkCancelEffective();
         });
     }
 }
 
 Test(cancel, holds_where_agents_hear_only_entries)
 {
-    for (const auto &planted : Plantings) {
-        if (!planted.entriesSuffice)
+    for (const auto &tried : Scenarios) {
+        if (!tried.areEntriesEnough)
             continue;
-        section(planted.title, [&] {
-            scene on;
-            on.agentsFollow = false;
-            planted.happens(on);
-            on.checkHolds();
+        section(tried.title, [&] {
+            cancel_simulation sim;
+            sim.agentsFollowStore = false;
+            tried.play(sim);
+            sim.checkCancelEffective();
         });
     }
 }
@@ -529,20 +530,20 @@
 // The cancel stops it; no list of the worker will ever name it, so its end is known by that.
 Test(cancel, a_start_that_never_went_out_takes_no_room)
 {
-    scene on;
-    auto &table = on.agents.at("w1").table;
+    cancel_simulation sim;
+    auto &table = sim.agents.at("w1").table;
     run_order order;
     order.task = {Job, 0, 0, 0};
     order.run = 1;
     order.epoch = Epoch;
-    order.traits.size = {1000, 100, 0};
-    check(table.take(order, "entry-a", on.now).outcome == order_outcome::Accepted);
+    order.requirements.size = {1000, 100, 0};
+    check(table.handleOrder(order, "entry-a", sim.now).outcome == order_outcome::Accepted);
     check(table.used().millicores == 1000);
-    table.cancelled(Job, on.now);
-    table.look({}, on.now);
+    table.cancelJob(Job, sim.now);
+    table.applyListing({}, sim.now);
     check(table.used().millicores == 0);
-    check(table.due(on.now, true).empty());
+    check(table.takeDueActions(sim.now, true).empty());
     const auto ends = table.endsFor("entry-a");
     require(ends.size() == 1);
-    check(ends[0].how == end_kind::NeverStarted);
+    check(ends[0].endKind == end_kind::NeverStarted);
 }
--- a/tests/configuration_follow_test.cpp
+++ b/tests/configuration_follow_test.cpp
@@ -81,31 +81,31 @@
 // place in the table, five a nanosecond.
 constexpr double WorkPerRouteUs = 5;
 
-struct learning
+struct update_timing
 {
-    bool inTime = true; // no call of it was late
-    double seconds = 0; // from the first byte of the answer until the version is in force
+    bool inTime = true;      // no call of it was late
+    double totalSeconds = 0; // from the first byte of the answer until the version is in force
 };
 
 // The answer comes over the link in parts of 64 KB, the first at the very end of the feed's wait.
-learning learn(int routes)
+update_timing simulateUpdate(int routes)
 {
     const auto bytes = static_cast<double>(feedWith(configurationOf(routes)).size());
     constexpr double Part = 65536;
-    const auto waits = milliseconds(1150);
-    net::answer_deadline deadline({waits, milliseconds(1500), waits + seconds(20)}, Start);
-    const auto begun = Start + waits - milliseconds(1);
-    learning result;
+    const auto feedWait = milliseconds(1150);
+    net::answer_deadline deadline({feedWait, milliseconds(1500), feedWait + seconds(20)}, Start);
+    const auto answerStartedAt = Start + feedWait - milliseconds(1);
+    update_timing result;
     double sent = 0;
     while (sent < bytes) {
         sent = std::min(bytes, sent + Part);
-        const auto at = begun
+        const auto at = answerStartedAt
                         + microseconds(static_cast<std::int64_t>((sent - std::min(sent, Part))
                                                                  / LinkBytesPerSecond * 1e6));
         result.inTime = result.inTime && at <= deadline.lateAt();
         deadline.partCame(at);
     }
-    result.seconds = bytes / LinkBytesPerSecond + routes * WorkPerRouteUs / 1e6 / CoreShare;
+    result.totalSeconds = bytes / LinkBytesPerSecond + routes * WorkPerRouteUs / 1e6 / CoreShare;
     return result;
 }
 
@@ -121,10 +121,10 @@
         double seconds;
     };
     for (const auto &size : {bound{1400, 0.6}, bound{5000, 1.8}, bound{20'000, 7.0}}) {
-        const auto learned = learn(size.routes);
-        section(fmt::format("{} routes: {:.2f} s", size.routes, learned.seconds), [&] {
-            check(learned.inTime);
-            check(learned.seconds < size.seconds);
+        const auto timing = simulateUpdate(size.routes);
+        section(fmt::format("{} routes: {:.2f} s", size.routes, timing.totalSeconds), [&] {
+            check(timing.inTime);
+            check(timing.totalSeconds < size.seconds);
             check(size.routes * WorkPerRouteUs / 1e6 / CoreShare < 1.6);
         });
     }
@@ -214,45 +214,46 @@
 // dropped.
 Test(configuration_follow, an_entry_that_is_behind_does_not_answer_from_an_old_version)
 {
-    configuration_watch watch;
+    configuration_tracker tracker;
     auto now = Start;
-    check(watch.standing(now) == configuration_standing::Doubtful); // nothing was read yet
-    watch.taken(7);
-    watch.answerRead(now);
-    check(watch.standing(now) == configuration_standing::Current);
+    check(tracker.freshness(now)
+          == configuration_freshness::PossiblyOutdated); // nothing was read yet
+    tracker.noteVersionApplied(7);
+    tracker.noteAnswerRead(now);
+    check(tracker.freshness(now) == configuration_freshness::Current);
     section("another entry has a newer one", [&] {
-        watch.heardOf(6, now);
-        watch.heardOf(7, now);
-        check(watch.standing(now) == configuration_standing::Current);
-        watch.heardOf(9, now);
-        check(watch.standing(now) == configuration_standing::Doubtful);
-        now += configuration_watch::UnreadAtMost;
-        watch.heardOf(9, now); // again, with each ping
-        watch.answerRead(now);
-        check(watch.standing(now) == configuration_standing::Doubtful);
-        check(watch.standing(now + milliseconds(1)) == configuration_standing::Outdated);
-        watch.taken(8);
-        check(watch.standing(now + milliseconds(1)) == configuration_standing::Outdated);
-        watch.taken(9);
-        check(watch.standing(now) == configuration_standing::Current);
+        tracker.noteVersionElsewhere(6, now);
+        tracker.noteVersionElsewhere(7, now);
+        check(tracker.freshness(now) == configuration_freshness::Current);
+        tracker.noteVersionElsewhere(9, now);
+        check(tracker.freshness(now) == configuration_freshness::PossiblyOutdated);
+        now += configuration_tracker::MaxUnreadTime;
+        tracker.noteVersionElsewhere(9, now); // again, with each ping
+        tracker.noteAnswerRead(now);
+        check(tracker.freshness(now) == configuration_freshness::PossiblyOutdated);
+        check(tracker.freshness(now + milliseconds(1)) == configuration_freshness::Outdated);
+        tracker.noteVersionApplied(8);
+        check(tracker.freshness(now + milliseconds(1)) == configuration_freshness::Outdated);
+        tracker.noteVersionApplied(9);
+        check(tracker.freshness(now) == configuration_freshness::Current);
     });
     section("an answer with changes begins, and breaks off", [&] {
-        watch.answerBegun(60, now); // none
-        check(watch.standing(now) == configuration_standing::Current);
-        watch.answerBegun(350'000, now);
-        check(watch.standing(now) == configuration_standing::Doubtful);
-        now += configuration_watch::UnreadAtMost + milliseconds(1);
-        watch.answerBegun(350'000, now);
-        check(watch.standing(now) == configuration_standing::Outdated);
-        watch.answerRead(now);
-        check(watch.standing(now) == configuration_standing::Current);
+        tracker.noteAnswerStarted(60, now); // none
+        check(tracker.freshness(now) == configuration_freshness::Current);
+        tracker.noteAnswerStarted(350'000, now);
+        check(tracker.freshness(now) == configuration_freshness::PossiblyOutdated);
+        now += configuration_tracker::MaxUnreadTime + milliseconds(1);
+        tracker.noteAnswerStarted(350'000, now);
+        check(tracker.freshness(now) == configuration_freshness::Outdated);
+        tracker.noteAnswerRead(now);
+        check(tracker.freshness(now) == configuration_freshness::Current);
     });
     section("nothing confirms it any more", [&] {
-        now += configuration_watch::UnconfirmedAtMost;
-        check(watch.isConfirmed(now));
+        now += configuration_tracker::MaxUnconfirmedTime;
+        check(tracker.isConfirmed(now));
         now += milliseconds(1);
-        check(!watch.isConfirmed(now));
-        check(watch.standing(now) == configuration_standing::Doubtful);
+        check(!tracker.isConfirmed(now));
+        check(tracker.freshness(now) == configuration_freshness::PossiblyOutdated);
     });
 }
 
--- a/tests/disturbance_test.cpp
+++ b/tests/disturbance_test.cpp
@@ -16,24 +16,25 @@
 
 constexpr double FloorMs = 25;
 constexpr double LongestTailMs = 2200; // that workers were seen to measure
-constexpr double Heavy = 0.06; // load for each core; the other half of the pairs is harmless
-constexpr int Fills = 9;       // images
+constexpr double InterferingLoadPerCore =
+        0.06;                 // load for each core; the other half of the pairs is harmless
+constexpr int ImageCount = 9; // images
 
-std::string fillName(int number)
+std::string imageName(int number)
 {
     return "fill-" + std::to_string(number);
 }
 
-bool isHeavy(int number)
+bool isInterfering(int number)
 {
     return number % 2 == 0;
 }
 
 // The load of a serving run beside what fills.
-double withPresses(double load, const std::map<std::string, double> &fills)
+double withInterference(double load, const std::map<std::string, double> &bestEffortCores)
 {
-    for (const auto &[image, cores] : fills)
-        load += (isHeavy(std::stoi(image.substr(5))) ? Heavy : 0) * cores;
+    for (const auto &[image, cores] : bestEffortCores)
+        load += (isInterfering(std::stoi(image.substr(5))) ? InterferingLoadPerCore : 0) * cores;
     return load;
 }
 
@@ -42,41 +43,42 @@
 {
 public:
     // Neighbours change each `stay` samples; one image in `rare` is there at a time.
-    explicit measured_worker(unsigned seed, int stay = 4, int rare = 4)
+    explicit measured_worker(unsigned seed, int samplesPerChange = 4, int imageOdds = 4)
         : m_random(seed)
-        , m_stay(stay)
-        , m_rare(rare)
+        , m_samplesPerChange(samplesPerChange)
+        , m_imageOdds(imageOdds)
     { }
 
-    disturbance_sample next()
+    interference_sample next()
     {
-        ++m_turn;
-        if (m_turn % m_stay == 0)
+        ++m_sampleCount;
+        if (m_sampleCount % m_samplesPerChange == 0)
             changeNeighbours();
         // Its own load swings by half within 20 s.
-        double load = 0.4 * (1 + 0.5 * std::sin(m_turn / 40.0 * 2 * M_PI));
-        load = withPresses(load, m_fills);
+        double load = 0.4 * (1 + 0.5 * std::sin(m_sampleCount / 40.0 * 2 * M_PI));
+        load = withInterference(load, m_bestEffortCores);
         std::normal_distribution<double> noise(0, 0.03);
         load += noise(m_random);
         const double tail = load >= 0.98 ? LongestTailMs : FloorMs / (1 - std::max(0.0, load));
-        return {"serving", static_cast<std::int64_t>(tail), 150, m_fills};
+        return {"serving", static_cast<std::int64_t>(tail), 150, m_bestEffortCores};
     }
 
 private:
     void changeNeighbours()
     {
-        m_fills.clear();
-        for (int number = 0; number < Fills; ++number) {
-            if (m_random() % static_cast<unsigned>(m_rare) == 0)
-                m_fills[fillName(number)] = 1 + static_cast<double>(m_random() % 50) / 10;
+        m_bestEffortCores.clear();
+        for (int number = 0; number < ImageCount; ++number) {
+            if (m_random() % static_cast<unsigned>(m_imageOdds) == 0)
+                m_bestEffortCores[imageName(number)] =
+                        1 + static_cast<double>(m_random() % 50) / 10;
         }
     }
 
     std::mt19937 m_random;
-    int m_stay;
-    int m_rare;
-    int m_turn = 0;
-    std::map<std::string, double> m_fills;
+    int m_samplesPerChange;
+    int m_imageOdds;
+    int m_sampleCount = 0;
+    std::map<std::string, double> m_bestEffortCores;
 };
 
 } // namespace
@@ -89,21 +91,24 @@
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         section("seed " + std::to_string(seed), [&] {
-            disturbance_model model;
+            interference_estimator estimator;
             measured_worker busy(seed, 4, 4);
             measured_worker calm(seed + 100, 8, 12);
-            for (int turn = 0; turn < 400; ++turn) {
-                model.learn(turn % 2 == 0 ? busy.next() : calm.next());
-                for (int number = 0; number < Fills; ++number)
-                    require(model.press("serving", fillName(number)) < 5 * Heavy);
-                require(model.base("serving") >= 0 && model.base("serving") <= 1);
+            for (int iteration = 0; iteration < 400; ++iteration) {
+                estimator.learn(iteration % 2 == 0 ? busy.next() : calm.next());
+                for (int number = 0; number < ImageCount; ++number)
+                    require(estimator.loadPerCore("serving", imageName(number))
+                            < 5 * InterferingLoadPerCore);
+                require(estimator.baseLoad("serving") >= 0 && estimator.baseLoad("serving") <= 1);
             }
-            double heavy = 0;
-            double harmless = 0;
-            for (int number = 0; number < Fills; ++number)
-                (isHeavy(number) ? heavy : harmless) += model.press("serving", fillName(number));
-            check(heavy / 5 > 0.6 * Heavy && heavy / 5 < 1.6 * Heavy);
-            check(harmless / 4 < 0.4 * Heavy);
+            double interferingSum = 0;
+            double harmlessSum = 0;
+            for (int number = 0; number < ImageCount; ++number)
+                (isInterfering(number) ? interferingSum : harmlessSum) +=
+                        estimator.loadPerCore("serving", imageName(number));
+            check(interferingSum / 5 > 0.6 * InterferingLoadPerCore
+                  && interferingSum / 5 < 1.6 * InterferingLoadPerCore);
+            check(harmlessSum / 4 < 0.4 * InterferingLoadPerCore);
         });
     }
 }
@@ -114,17 +119,17 @@
 {
     for (const double cores : {0.5, 1.0, 2.0, 3.2, 5.0, 10.0}) {
         section(std::to_string(cores) + " cores", [&] {
-            disturbance_model model;
-            for (int turn = 0; turn < 300; ++turn) {
-                const int phase = turn / 25;
-                const std::int64_t tail = 40 + turn * 7 % 40;
-                std::map<std::string, double> fills;
+            interference_estimator estimator;
+            for (int iteration = 0; iteration < 300; ++iteration) {
+                const int phase = iteration / 25;
+                const std::int64_t tail = 40 + iteration * 7 % 40;
+                std::map<std::string, double> bestEffortCores;
                 if (phase % 2 == 0)
-                    fills[fillName(phase % Fills)] = cores;
-                model.learn({"serving", tail, 150, fills});
-                require(model.base("serving") >= 0 && model.base("serving") <= 1);
-                for (int number = 0; number < Fills; ++number)
-                    require(model.press("serving", fillName(number)) <= 0.5);
+                    bestEffortCores[imageName(phase % ImageCount)] = cores;
+                estimator.learn({"serving", tail, 150, bestEffortCores});
+                require(estimator.baseLoad("serving") >= 0 && estimator.baseLoad("serving") <= 1);
+                for (int number = 0; number < ImageCount; ++number)
+                    require(estimator.loadPerCore("serving", imageName(number)) <= 0.5);
             }
         });
     }
@@ -132,70 +137,71 @@
 
 Test(disturbance, a_pair_never_seen_keeps_the_prior)
 {
-    disturbance_model model;
-    check(model.press("serving", "fill-0") == disturbance_settings().priorPress);
+    interference_estimator estimator;
+    check(estimator.loadPerCore("serving", "fill-0") == estimator_settings().priorLoadPerCore);
     measured_worker worker(1);
-    model.learn(worker.next());
-    check(model.press("serving", "never") == disturbance_settings().priorPress);
+    estimator.learn(worker.next());
+    check(estimator.loadPerCore("serving", "never") == estimator_settings().priorLoadPerCore);
 }
 
 // A tail that is longer than can be measured says that the load is at least so high: it must not
 // teach that runs, which together are far more than enough, press less than they do.
 Test(disturbance, a_tail_without_bound_teaches_no_less)
 {
-    disturbance_model model;
+    interference_estimator estimator;
     measured_worker worker(3);
-    for (int turn = 0; turn < 400; ++turn)
-        model.learn(worker.next());
-    const double before = model.press("serving", fillName(0));
-    for (int turn = 0; turn < 50; ++turn)
-        model.learn({"serving", 2200, 150, {{fillName(0), 40.0}}});
-    check(model.press("serving", fillName(0)) > 0.8 * before);
+    for (int iteration = 0; iteration < 400; ++iteration)
+        estimator.learn(worker.next());
+    const double before = estimator.loadPerCore("serving", imageName(0));
+    for (int iteration = 0; iteration < 50; ++iteration)
+        estimator.learn({"serving", 2200, 150, {{imageName(0), 40.0}}});
+    check(estimator.loadPerCore("serving", imageName(0)) > 0.8 * before);
 }
 
 namespace {
 
 // One worker whose scheduler places what fills while the users' load is low, as it should: then the
 // level of the load says the opposite of the truth, runs that harm are seen beside low loads.
-class well_placed_worker
+class low_load_worker
 {
 public:
-    explicit well_placed_worker(unsigned seed)
+    explicit low_load_worker(unsigned seed)
         : m_random(seed)
         , m_phase(static_cast<double>(seed % 20))
     { }
 
-    disturbance_sample next()
+    interference_sample next()
     {
-        ++m_turn;
-        const double own = 0.42 * (1 + 0.5 * std::sin((m_turn + m_phase) / 20 * 2 * M_PI));
-        const auto before = m_fills;
-        if (m_turn % 3 == 0) {
-            m_fills.clear();
+        ++m_sampleCount;
+        const double own = 0.42 * (1 + 0.5 * std::sin((m_sampleCount + m_phase) / 20 * 2 * M_PI));
+        const auto before = m_bestEffortCores;
+        if (m_sampleCount % 3 == 0) {
+            m_bestEffortCores.clear();
             if (own < 0.42)
-                m_fills[fillName(static_cast<int>(m_random() % Fills))] = 3.5;
+                m_bestEffortCores[imageName(static_cast<int>(m_random() % ImageCount))] = 3.5;
         }
         double load = own;
-        load = withPresses(load, m_fills);
+        load = withInterference(load, m_bestEffortCores);
         std::normal_distribution<double> noise(0, 0.02);
         const double tail = FloorMs / (1 - std::min(0.97, load + noise(m_random)));
-        disturbance_sample sample{"serving", static_cast<std::int64_t>(tail), 150, m_fills};
-        if (m_tail > 0) {
-            disturbance_change change{1 / m_tail - 1 / tail, m_fills};
+        interference_sample sample{"serving", static_cast<std::int64_t>(tail), 150,
+                                   m_bestEffortCores};
+        if (m_previousTailMs > 0) {
+            interference_change change{1 / m_previousTailMs - 1 / tail, m_bestEffortCores};
             for (const auto &[image, cores] : before)
-                change.fills[image] -= cores;
+                change.bestEffortCores[image] -= cores;
             sample.change = change;
         }
-        m_tail = tail;
+        m_previousTailMs = tail;
         return sample;
     }
 
 private:
     std::mt19937 m_random;
     double m_phase;
-    int m_turn = 0;
-    double m_tail = 0;
-    std::map<std::string, double> m_fills;
+    int m_sampleCount = 0;
+    double m_previousTailMs = 0;
+    std::map<std::string, double> m_bestEffortCores;
 };
 
 } // namespace
@@ -207,20 +213,22 @@
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
         section("seed " + std::to_string(seed), [&] {
-            disturbance_model model;
-            std::vector<well_placed_worker> workers;
+            interference_estimator estimator;
+            std::vector<low_load_worker> workers;
             for (unsigned worker = 0; worker < 4; ++worker)
                 workers.emplace_back(10 * seed + worker);
-            for (int turn = 0; turn < 100; ++turn) { // 50 s
+            for (int iteration = 0; iteration < 100; ++iteration) { // 50 s
                 for (auto &worker : workers)
-                    model.learn(worker.next());
+                    estimator.learn(worker.next());
             }
-            double heavy = 0;
-            double harmless = 0;
-            for (int number = 0; number < Fills; ++number)
-                (isHeavy(number) ? heavy : harmless) += model.press("serving", fillName(number));
-            check(heavy / 5 > 0.7 * Heavy && heavy / 5 < 1.4 * Heavy);
-            check(harmless / 4 < 0.25 * Heavy);
+            double interferingSum = 0;
+            double harmlessSum = 0;
+            for (int number = 0; number < ImageCount; ++number)
+                (isInterfering(number) ? interferingSum : harmlessSum) +=
+                        estimator.loadPerCore("serving", imageName(number));
+            check(interferingSum / 5 > 0.7 * InterferingLoadPerCore
+                  && interferingSum / 5 < 1.4 * InterferingLoadPerCore);
+            check(harmlessSum / 4 < 0.25 * InterferingLoadPerCore);
         });
     }
 }
@@ -229,30 +237,30 @@
 
 // One worker as its agent measures it. Runs of one job come together, twelve cores at a time, while
 // the users' load is low; those that harm are more than the serving run bears at any time.
-class overrun_worker
+class saturated_worker
 {
 public:
-    explicit overrun_worker(unsigned seed)
+    explicit saturated_worker(unsigned seed)
         : m_random(seed)
         , m_phase(static_cast<double>(seed % 20))
-        , m_next(static_cast<int>(seed % Fills))
+        , m_nextImage(static_cast<int>(seed % ImageCount))
     { }
 
-    std::vector<disturbance_sample> next()
+    std::vector<interference_sample> next()
     {
         constexpr double Cores = 12;
-        ++m_turn;
-        const double own = 0.48 * (1 + 0.5 * std::sin((m_turn + m_phase) / 20 * 2 * M_PI));
-        if (m_turn % 4 == 0) {
-            m_fills.clear();
+        ++m_sampleCount;
+        const double own = 0.48 * (1 + 0.5 * std::sin((m_sampleCount + m_phase) / 20 * 2 * M_PI));
+        if (m_sampleCount % 4 == 0) {
+            m_bestEffortCores.clear();
             if (own < 0.48)
-                m_fills[fillName(m_next++ % Fills)] = Cores;
+                m_bestEffortCores[imageName(m_nextImage++ % ImageCount)] = Cores;
         }
         const serving_sample serving{{"site", 0, 0, 0}, 1, "serving", tailAt(own), TargetMs};
-        std::vector<filling_run> filling;
-        for (const auto &[image, cores] : m_fills)
-            filling.push_back({{image, 0, 0, 0}, 1, image, cores, cores});
-        return m_pacer.takeSamples({serving}, filling);
+        std::vector<best_effort_run> bestEffort;
+        for (const auto &[image, cores] : m_bestEffortCores)
+            bestEffort.push_back({{image, 0, 0, 0}, 1, image, cores, cores});
+        return m_throttle.takeSamples({serving}, bestEffort);
     }
 
 private:
@@ -260,7 +268,7 @@
     {
         std::normal_distribution<double> noise(0, 0.02);
         std::uniform_int_distribution<std::int64_t> queueing(1000, 2200);
-        const double load = withPresses(own, m_fills) + noise(m_random);
+        const double load = withInterference(own, m_bestEffortCores) + noise(m_random);
         return load >= 0.98 ? queueing(m_random) : static_cast<std::int64_t>(FloorMs / (1 - load));
     }
 
@@ -268,10 +276,10 @@
 
     std::mt19937 m_random;
     double m_phase;
-    int m_next; // image that comes next
-    int m_turn = 0;
-    pacer m_pacer;
-    std::map<std::string, double> m_fills;
+    int m_nextImage; // image that comes next
+    int m_sampleCount = 0;
+    throttle_controller m_throttle;
+    std::map<std::string, double> m_bestEffortCores;
 };
 
 } // namespace
@@ -282,22 +290,24 @@
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         section("seed " + std::to_string(seed), [&] {
-            disturbance_model model;
-            std::vector<overrun_worker> workers;
+            interference_estimator estimator;
+            std::vector<saturated_worker> workers;
             for (unsigned worker = 0; worker < 4; ++worker)
                 workers.emplace_back(10 * seed + worker);
-            for (int turn = 0; turn < 60; ++turn) { // 30 s
+            for (int iteration = 0; iteration < 60; ++iteration) { // 30 s
                 for (auto &worker : workers) {
                     for (const auto &sample : worker.next())
-                        model.learn(sample);
+                        estimator.learn(sample);
                 }
             }
-            double heavy = 0;
-            double harmless = 0;
-            for (int number = 0; number < Fills; ++number)
-                (isHeavy(number) ? heavy : harmless) += model.press("serving", fillName(number));
-            check(heavy / 5 > 0.85 * Heavy && heavy / 5 < 1.2 * Heavy);
-            check(harmless / 4 < 0.25 * Heavy);
+            double interferingSum = 0;
+            double harmlessSum = 0;
+            for (int number = 0; number < ImageCount; ++number)
+                (isInterfering(number) ? interferingSum : harmlessSum) +=
+                        estimator.loadPerCore("serving", imageName(number));
+            check(interferingSum / 5 > 0.85 * InterferingLoadPerCore
+                  && interferingSum / 5 < 1.2 * InterferingLoadPerCore);
+            check(harmlessSum / 4 < 0.25 * InterferingLoadPerCore);
         });
     }
 }
