--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -23,7 +23,7 @@
     report.epoch = 1;
     report.service = "tickets";
     report.zone = zone;
-    report.accepting = true;
+    report.isAccepting = true;
     report.capacity = {16'000, 64'000, 0};
     return report;
 }
@@ -55,7 +55,7 @@
     section("that is the reason told, also once its agents accept nothing", [&] {
         worker_pool other;
         auto report = reportOf("a-1", "a");
-        report.accepting = false;
+        report.isAccepting = false;
         other.update(report, Now);
         other.setEvacuated({"a"});
         check(other.whyNobody("tickets", oneTask(), {}, Now).find("1 evacuated")
@@ -70,18 +70,18 @@
 Test(evacuation, what_entries_read)
 {
     evacuated_zones known;
-    known.changed({{"a"}, {"b"}, {"a", true}});
+    known.applyRows({{"a"}, {"b"}, {"a", true}});
     check(known.zones() == std::set<std::string>{"b"});
     section("changes of other rows change nothing", [&] {
-        known.changed({});
+        known.applyRows({});
         check(known.contains("b"));
     });
     section("a reading of all tells of what was removed unseen", [&] {
-        known.changed({{"c"}});
-        known.allRead();
+        known.applyRows({{"c"}});
+        known.finishFullRead();
         check(known.zones() == std::set<std::string>{"c"});
-        known.changed({});
-        known.allRead();
+        known.applyRows({});
+        known.finishFullRead();
         check(known.zones().empty());
     });
     section("rows of operators that are about something else are none of them", [] {
@@ -98,21 +98,21 @@
 // task there all the same.
 Test(evacuation, an_agent_starts_nothing_once_it_was_told)
 {
-    worker_silence silence(Now);
-    silence.looked(true, Now);
-    worker_standing standing{true, false, true, true};
+    worker_liveness liveness(Now);
+    liveness.notePoll(true, Now);
+    worker_status status{true, false, true, true};
     section("what may start else is refused, for its owner to place it elsewhere",
-            [&] { check(readinessOf(standing, silence, Now) == start_readiness::Closed); });
+            [&] { check(readinessOf(status, liveness, Now) == start_readiness::Unavailable); });
     section("before all is known of the worker nothing is refused for good", [&] {
-        standing.leased = false;
-        check(readinessOf(standing, silence, Now) == start_readiness::Later);
+        status.hasLease = false;
+        check(readinessOf(status, liveness, Now) == start_readiness::RetryLater);
     });
     section("it holds while entries say so", [] {
         evacuation_notice notice;
-        check(!notice.holds(Now));
-        notice.heard(Now);
-        check(notice.holds(Now + evacuation_notice::HoldsFor - milliseconds(1)));
-        check(!notice.holds(Now + evacuation_notice::HoldsFor));
+        check(!notice.isActive(Now));
+        notice.refresh(Now);
+        check(notice.isActive(Now + evacuation_notice::ValidFor - milliseconds(1)));
+        check(!notice.isActive(Now + evacuation_notice::ValidFor));
     });
     section("they say so in their answers, which other releases read", [] {
         report_answer answer;
--- a/tests/job_book_test.cpp
+++ b/tests/job_book_test.cpp
@@ -43,10 +43,10 @@
     {
         worker_report report;
         report.worker = worker;
-        report.agentLife = agentLife;
+        report.agentIncarnation = agentLife;
         report.epoch = epoch;
         report.service = "tickets";
-        report.accepting = accepting;
+        report.isAccepting = accepting;
         report.capacity = {16'000, 64'000, 0};
         workers.update(report, now);
     }
@@ -510,18 +510,18 @@
 Test(job_book, a_start_names_the_life_of_the_agent_it_was_placed_on)
 {
     scene on;
-    on.hearAgainOfAll([](auto &report) { report.agentLife = 7; });
+    on.hearAgainOfAll([](auto &report) { report.agentIncarnation = 7; });
     on.submit();
     on.written();
-    check(on.orders[0].order.agentLife == 7);
+    check(on.orders[0].order.agentIncarnation == 7);
     section("also when it is given again to the next life", [&] {
         const auto &worker = on.orders[0].worker;
-        on.hearAgain(worker, [](auto &report) { report.agentLife = 8; });
+        on.hearAgain(worker, [](auto &report) { report.agentIncarnation = 8; });
         on.orders.clear();
         on.book.workerRenewed(worker, 1, on.now);
         on.turn();
         require(!on.orders.empty());
-        check(on.orders[0].order.agentLife == 7);
+        check(on.orders[0].order.agentIncarnation == 7);
     });
     section("also by an heir", [&] {
         scene heir;
@@ -529,11 +529,11 @@
         heir.turn();
         heir.written();
         require(heir.orders.size() == 2);
-        check(heir.orders[0].order.agentLife == 7);
+        check(heir.orders[0].order.agentIncarnation == 7);
     });
     section("on the wire too", [&] {
         const auto sent = orderBatchFrom(toText(order_batch{"a", "b", {on.orders[0].order}}));
-        check(sent.orders[0].agentLife == 7);
+        check(sent.orders[0].agentIncarnation == 7);
     });
 }
 
@@ -546,29 +546,29 @@
     on.written();
     const auto first = on.orders[0];
     section("on the agent's clock", [&] {
-        check(first.order.holdsUntilMs > 5000);
-        check(first.order.holdsUntilMs < 6000);
+        check(first.order.startDeadlineMs > 5000);
+        check(first.order.startDeadlineMs < 6000);
     });
     section("on the wire too", [&] {
         const auto sent = orderBatchFrom(toText(order_batch{"a", "b", {first.order}}));
-        check(sent.orders[0].holdsUntilMs == first.order.holdsUntilMs);
+        check(sent.orders[0].startDeadlineMs == first.order.startDeadlineMs);
         auto report = on.workers.find("w1")->last;
         check(reportFrom(toText(report)).clockMs == 5000);
     });
     section("and so do answers", [] {
-        const order_answer answer{{"j", 0, 0, 0}, 1, order_outcome::Overdue};
-        check(orderAnswersFrom(toText({answer}))[0].outcome == order_outcome::Overdue);
+        const order_answer answer{{"j", 0, 0, 0}, 1, order_outcome::DeadlineExceeded};
+        check(orderAnswersFrom(toText({answer}))[0].outcome == order_outcome::DeadlineExceeded);
     });
     section("overdue, the same run is ordered again and holds for longer", [&] {
         on.orders.clear();
-        on.book.orderAnswered(first.worker, {first.order.task, 1, order_outcome::Overdue}, on.now,
-                              0);
+        on.book.orderAnswered(first.worker, {first.order.task, 1, order_outcome::DeadlineExceeded},
+                              on.now, 0);
         on.now += milliseconds(400);
         on.turn();
         require(on.orders.size() == 1);
         check(on.orders[0].worker == first.worker);
         check(on.orders[0].order.run == 1);
-        check(on.orders[0].order.holdsUntilMs > first.order.holdsUntilMs);
+        check(on.orders[0].order.startDeadlineMs > first.order.startDeadlineMs);
     });
 }
 
@@ -745,7 +745,7 @@
     const auto order = on.orders[0];
     const auto begunInRow = [&] { return recordFrom(on.writes.back().content).begun; };
     section("not by an order, nor by its acceptance", [&] {
-        check(order.order.tellsStart);
+        check(order.order.wantsStartReport);
         on.accept(order);
         on.now += milliseconds(5000);
         on.turn();
@@ -783,7 +783,7 @@
         heir.turn();
         heir.written();
         require(!heir.orders.empty());
-        check(!heir.orders[0].order.tellsStart);
+        check(!heir.orders[0].order.wantsStartReport);
     });
 }
 
@@ -1022,7 +1022,7 @@
         report.worker = name;
         report.epoch = 1;
         report.service = "tickets";
-        report.accepting = true;
+        report.isAccepting = true;
         report.capacity = {16'000, 64'000, 0};
         report.used = {usedMillicores, 0, 0};
         report.serving = {{"site", 0.0}};
@@ -1133,7 +1133,7 @@
 Test(job_book, an_owner_that_was_frozen_orders_again)
 {
     run_table agent;
-    agent.setWorker({16'000, 64'000, 0}, start_readiness::Open);
+    agent.setWorker({16'000, 64'000, 0}, start_readiness::Ready);
     agent.setEpoch(1);
     scene frozen;
     auto spec = scene::twoSteps();
@@ -1144,7 +1144,7 @@
     frozen.written();
     require(frozen.orders.size() == 1);
     const auto order = frozen.orders[0];
-    agent.take(order.order, Self.entry, frozen.now);
+    agent.handleOrder(order.order, Self.entry, frozen.now);
 
     scene heir;
     job_book heirs{Other, heir.workers};
@@ -1154,14 +1154,15 @@
     heirs.rowWritten("j", frozen.version + 1);
     heirs.plan(heir.now, 1000);
     const auto again = std::get<give_order>(heirs.takeActions().back());
-    heirs.orderAnswered(order.worker, agent.take(again.order, Other.entry, heir.now), heir.now, 0);
+    heirs.orderAnswered(order.worker, agent.handleOrder(again.order, Other.entry, heir.now),
+                        heir.now, 0);
 
     section("the owner before gives its order once more, and reads the row after that", [&] {
         frozen.book.orderUnanswered(order.worker, order.order.task, 1, frozen.now);
         frozen.now += milliseconds(301);
         frozen.turn();
         require(frozen.orders.size() == 2);
-        check(agent.take(frozen.orders[1].order, Self.entry, frozen.now).outcome
+        check(agent.handleOrder(frozen.orders[1].order, Self.entry, frozen.now).outcome
               == order_outcome::Accepted);
         frozen.book.rowSeen("j", recordFrom(adopted.content), frozen.version + 1);
         check(!frozen.book.owns("j"));
@@ -1170,11 +1171,11 @@
         run_listing seen;
         seen.clockMs = 1000;
         seen.ended = {{1, order.order.task, 1, end_kind::Failed, ""}};
-        agent.look(seen, frozen.now);
+        agent.applyListing(seen, frozen.now);
         const auto told = agent.endsFor(Self.entry);
         require(told.size() == 1);
         check(!frozen.book.runEnded(order.worker, told[0], frozen.now, 50));
-        check(agent.notOwned({told[0].task, 1, told[0].how}, Self.entry));
+        check(agent.noteNotOwned({told[0].task, 1, told[0].endKind}, Self.entry));
     });
     section("the owner hears of it with the next report, and the task runs again", [&] {
         const auto told = agent.endsFor(Other.entry);
@@ -1222,7 +1223,7 @@
         told.worker = "w1";
         told.epoch = epoch;
         told.service = "tickets";
-        told.accepting = true;
+        told.isAccepting = true;
         told.capacity = {hasRoom ? 16'000 : 100, 64'000, 0};
         told.serving.assign(static_cast<std::size_t>(atWork), {"keeper", 1, "j"});
         workers.update(told, now);
--- a/tests/job_platform_test.cpp
+++ b/tests/job_platform_test.cpp
@@ -127,7 +127,7 @@
 {
     check(startResult(answer(200, "{}")) == start_answer::Started);
     check(startResult(answer(409, R"({"reason":"late"})")) == start_answer::Refused);
-    check(startResult(answer(503, "")) == start_answer::Unhealthy);
+    check(startResult(answer(503, "")) == start_answer::NotExecuted);
     check(startResult(call_failure::Late) == start_answer::Unanswered);
     check(startResult(call_failure::Cut) == start_answer::Unanswered);
     const auto looked = holdResult(
@@ -144,17 +144,17 @@
 // take the lease only when the row was unchanged for the whole lease and margin on its own clock.
 Test(job_platform, leases)
 {
-    lease_watch watch;
+    lease_expiry_detector watch;
     time_point now{std::chrono::hours(1)};
     const lease_row untimed{4, 7, 12, "17", false, "w:7:12"};
     const auto over = [&](std::int64_t version) {
-        return watch.observe("w", untimed, version, 0, now).over;
+        return watch.observe("w", untimed, version, 0, now).isExpired;
     };
     check(!over(5));
-    now += LeaseLength;
+    now += LeaseDuration;
     check(!over(5)); // a slow clock and the way here are not counted yet
     check(!over(6)); // renewed
-    now += LeaseLength + LeaseMargin;
+    now += LeaseDuration + LeaseMargin;
     check(!over(6));
     now += milliseconds(200);
     check(over(6));
@@ -164,7 +164,7 @@
     section("the row of an agent of the release before", [] {
         const auto before = leaseFrom(R"({"epoch":4,"fence":7,"renewals":12,"life":"17",)"
                                       R"("ended":false,"write":"w:7:12"})");
-        check(before.endsAtMs == 0);
+        check(before.expiresAtMs == 0);
     });
 }
 
@@ -176,19 +176,19 @@
 {
     constexpr std::int64_t GoneMs = 5'000'000; // store's clock
     const time_point gone{std::chrono::hours(1)};
-    lease_row row{4, 7, 12, "17", false, "w:7:12", GoneMs + LeaseLength.count()};
-    const auto over = [&](lease_watch &watch, milliseconds after) {
-        return watch.observe("w", row, 5, GoneMs + after.count(), gone + after).over;
+    lease_row row{4, 7, 12, "17", false, "w:7:12", GoneMs + LeaseDuration.count()};
+    const auto over = [&](lease_expiry_detector &watch, milliseconds after) {
+        return watch.observe("w", row, 5, GoneMs + after.count(), gone + after).isExpired;
     };
-    lease_watch before;
+    lease_expiry_detector before;
     check(!over(before, seconds(3)));
-    lease_watch after; // entries were killed and live anew
+    lease_expiry_detector after; // entries were killed and live anew
     check(!over(after, seconds(6)));
-    check(over(after, LostAfter));
+    check(over(after, TaskLostAfter));
     section("never while a run may go on", [&] {
-        lease_watch early;
-        check(!over(early, LeaseLength + LeaseMargin));
-        check(!over(early, onSlowClock(LeaseLength)));
+        lease_expiry_detector early;
+        check(!over(early, LeaseDuration + LeaseMargin));
+        check(!over(early, durationOnSlowClock(LeaseDuration)));
     });
 }
 
@@ -201,19 +201,19 @@
     constexpr milliseconds NoticedAtMost{3700};   // three reports missed, then the next turn
     constexpr milliseconds StartsWithin{300};     // a write, a placement and its order
     const time_point renewed{std::chrono::hours(1)};
-    const lease_row row{4, 7, 12, "17", false, "w:7:12", RenewedMs + LeaseLength.count()};
-    lease_watch watch;
+    const lease_row row{4, 7, 12, "17", false, "w:7:12", RenewedMs + LeaseDuration.count()};
+    lease_expiry_detector watch;
     auto now = renewed + NoticedAtMost;
     int looks = 0;
     for (;; ++looks) {
         const auto storeMs = RenewedMs + (now - renewed) / milliseconds(1);
         const auto verdict = watch.observe("w", row, 5, storeMs, now);
-        if (verdict.over)
+        if (verdict.isExpired)
             break;
-        require(verdict.lookAgainAt > now);
-        now = verdict.lookAgainAt;
+        require(verdict.checkAgainAt > now);
+        now = verdict.checkAgainAt;
     }
-    check(now + StartsWithin < renewed + LostAfter);
+    check(now + StartsWithin < renewed + TaskLostAfter);
     check(looks <= 5);
 }
 
@@ -223,28 +223,28 @@
 {
     const time_point start{std::chrono::hours(1)};
     store_clock clock;
-    check(clock.latestAt(start) == 0);
+    check(clock.upperBoundMs(start) == 0);
     section("it was read after the call was sent, nobody knows when", [&] {
-        clock.told(5000, start, start + seconds(1));
-        check(clock.latestAt(start) == 5000);
-        check(clock.latestAt(start + seconds(1)) == 6000);
+        clock.noteReading(5000, start, start + seconds(1));
+        check(clock.upperBoundMs(start) == 5000);
+        check(clock.upperBoundMs(start + seconds(1)) == 6000);
     });
     section("a quicker answer tells more, a slower one nothing", [&] {
-        clock.told(6700, start + seconds(2), start + milliseconds(2010));
-        check(clock.latestAt(start + seconds(2)) == 6700);
-        clock.told(8900, start + seconds(3), start + seconds(5));
-        check(clock.latestAt(start + milliseconds(2010)) == 6710);
+        clock.noteReading(6700, start + seconds(2), start + milliseconds(2010));
+        check(clock.upperBoundMs(start + seconds(2)) == 6700);
+        clock.noteReading(8900, start + seconds(3), start + seconds(5));
+        check(clock.upperBoundMs(start + milliseconds(2010)) == 6710);
     });
     section("an old answer counts for less with time, as clocks drift", [&] {
         const auto later = start + milliseconds(1'002'010);
-        check(clock.latestAt(later) == 6710 + 1'000'000 + 1000);
-        clock.told(1'007'000, later, later);
-        check(clock.latestAt(later) == 1'007'000);
+        check(clock.upperBoundMs(later) == 6710 + 1'000'000 + 1000);
+        clock.noteReading(1'007'000, later, later);
+        check(clock.upperBoundMs(later) == 1'007'000);
     });
     section("an answer that doesn't tell it changes nothing", [&] {
         store_clock untold;
-        untold.told(0, start, start);
-        check(untold.latestAt(start) == 0);
+        untold.noteReading(0, start, start);
+        check(untold.upperBoundMs(start) == 0);
     });
 }
 
@@ -296,20 +296,20 @@
 // before it ends.
 Test(job_platform, callers_come_back_after_an_outage)
 {
-    check(comeBackAfter(milliseconds(600)) == seconds(1));
-    check(comeBackAfter(milliseconds(999)) == seconds(1));
-    check(comeBackAfter(milliseconds(1000)) == seconds(2));
+    check(suggestedRetryDelay(milliseconds(600)) == seconds(1));
+    check(suggestedRetryDelay(milliseconds(999)) == seconds(1));
+    check(suggestedRetryDelay(milliseconds(1000)) == seconds(2));
 }
 
 // Users of a serving run wait longer than its target because of what fills beside it. All that
 // fills stands still for a moment, and goes on by itself also when the tail stays high.
 Test(job_platform, what_fills_gives_way_for_a_moment)
 {
-    pacer subject;
+    throttle_controller subject;
     time_point now{std::chrono::hours(1)};
-    const filling_run filling{{"f", 0, 0, 0}, 1, "press", 2, 2};
+    const best_effort_run filling{{"f", 0, 0, 0}, 1, "press", 2, 2};
     const auto look = [&](std::int64_t tailMs) {
-        return subject.look({{{"s", 0, 0, 0}, 1, "site", tailMs, 150}}, {filling}, now);
+        return subject.decide({{{"s", 0, 0, 0}, 1, "site", tailMs, 150}}, {filling}, now);
     };
     check(look(400).empty());
     now += milliseconds(2199);
@@ -318,14 +318,14 @@
     const auto stopped = look(400);
     require(stopped.size() == 1);
     check(stopped[0].percent == 0);
-    subject.confirmed(stopped[0]);
+    subject.noteConfirmed(stopped[0]);
     now += milliseconds(1299);
     check(look(400).empty());
     now += milliseconds(1);
     const auto again = look(400);
     require(again.size() == 1);
     check(again[0].percent == 100);
-    subject.confirmed(again[0]);
+    subject.noteConfirmed(again[0]);
     section("a run that was in time meanwhile is counted anew", [&] {
         now += milliseconds(2000);
         check(look(100).empty());
@@ -335,7 +335,7 @@
         check(look(400).size() == 1);
     });
     section("a stop ends early when a sample shows that it helped", [&] {
-        subject.confirmed({filling.task, filling.run, 0});
+        subject.noteConfirmed({filling.task, filling.run, 0});
         now += milliseconds(399);
         check(look(100).empty());
         now += milliseconds(1);
@@ -388,10 +388,10 @@
 {
     const time_point start{std::chrono::hours(1)};
     store_clock clock;
-    clock.told(5000, start, start);
+    clock.noteReading(5000, start, start);
     const auto later = start + seconds(1);
-    clock.told(9000, later, later); // 6000 was the latest that it could show
-    check(clock.latestAt(later) >= 9000);
+    clock.noteReading(9000, later, later); // 6000 was the latest that it could show
+    check(clock.upperBoundMs(later) >= 9000);
 }
 
 // Each entry that reads the row of a lease that another one has ended ends it once more: an
@@ -400,8 +400,8 @@
 {
     const time_point now{std::chrono::hours(1)};
     const lease_row row{5, 7, 12, "17", true, "entry-a:ends:5", 5'000'000};
-    lease_watch watch;
-    check(!watch.observe("w", row, 6, 5'010'000, now).over);
+    lease_expiry_detector watch;
+    check(!watch.observe("w", row, 6, 5'010'000, now).isExpired);
 }
 
 // One exception ends a timer that repeats for good, while the process goes on: reports,
--- a/tests/load_forecast_test.cpp
+++ b/tests/load_forecast_test.cpp
@@ -15,13 +15,13 @@
 
 const load_forecast::run_key Run{{"site", 0, 0, 0}, 1};
 constexpr int PerSecond = 2; // samples
-constexpr int Ahead = 2 * PerSecond;
+constexpr int HorizonSamples = 2 * PerSecond;
 
 // Users' load of 0.42 that swings by half within `periodSeconds`, as measured.
-class swinging_load
+class periodic_load
 {
 public:
-    explicit swinging_load(double periodSeconds)
+    explicit periodic_load(double periodSeconds)
         : m_period(periodSeconds)
     { }
 
@@ -41,9 +41,9 @@
     std::mt19937 m_random{7};
 };
 
-double highestOf(const swinging_load &load, int from)
+double peakOf(const periodic_load &load, int from)
 {
-    return std::max(load.at(from), load.at(from + Ahead));
+    return std::max(load.at(from), load.at(from + HorizonSamples));
 }
 
 } // namespace
@@ -54,19 +54,19 @@
 {
     for (const double period : {10.0, 20.0}) {
         section(std::to_string(period) + " s", [&] {
-            swinging_load load(period);
+            periodic_load load(period);
             load_forecast forecast;
             double error = 0;
-            double errorIfItStayed = 0;
+            double persistenceError = 0;
             for (int sample = 0; sample < 240; ++sample) {
                 const double now = load.measuredAt(sample);
-                forecast.note({{Run, now}});
+                forecast.recordLoads({{Run, now}});
                 if (sample < 120)
                     continue;
-                error += std::abs(forecast.highestAhead(Run, now) - highestOf(load, sample));
-                errorIfItStayed += std::abs(now - highestOf(load, sample));
+                error += std::abs(forecast.peakLoadAhead(Run, now) - peakOf(load, sample));
+                persistenceError += std::abs(now - peakOf(load, sample));
             }
-            check(error < 0.55 * errorIfItStayed);
+            check(error < 0.55 * persistenceError);
         });
     }
 }
@@ -75,19 +75,19 @@
 {
     load_forecast forecast;
     for (int sample = 0; sample < 40; ++sample)
-        forecast.note({{Run, 0.4}});
-    check(std::abs(forecast.highestAhead(Run, 0.4) - 0.4) < 0.02);
+        forecast.recordLoads({{Run, 0.4}});
+    check(std::abs(forecast.peakLoadAhead(Run, 0.4) - 0.4) < 0.02);
 }
 
 Test(load_forecast, a_run_that_has_just_begun)
 {
     load_forecast forecast;
     section("nothing is known of it but the load now",
-            [&] { check(forecast.highestAhead(Run, 0.3) == 0.3); });
+            [&] { check(forecast.peakLoadAhead(Run, 0.3) == 0.3); });
     section("what is known of a run ends with it", [&] {
         for (int sample = 0; sample < 40; ++sample)
-            forecast.note({{Run, sample % 8 < 4 ? 0.2 : 0.6}});
-        forecast.note({});
-        check(forecast.highestAhead(Run, 0.3) == 0.3);
+            forecast.recordLoads({{Run, sample % 8 < 4 ? 0.2 : 0.6}});
+        forecast.recordLoads({});
+        check(forecast.peakLoadAhead(Run, 0.3) == 0.3);
     });
 }
--- a/tests/modelled_worker.h
+++ b/tests/modelled_worker.h
@@ -67,7 +67,7 @@
         if (!takeFence(fence))
             return jobs::start_answer::Refused;
         if (now < m_turnsAwayUntil)
-            return jobs::start_answer::Unhealthy;
+            return jobs::start_answer::NotExecuted;
         pass(now);
         const run_key key{order.task, order.run};
         if (m_running.contains(key))
@@ -106,7 +106,7 @@
         pass(now);
         if (deadlineMs)
             extend(*deadlineMs);
-        std::erase_if(m_ended, [&](const auto &end) { return end.number <= lastSeen; });
+        std::erase_if(m_ended, [&](const auto &end) { return end.sequence <= lastSeen; });
         jobs::run_listing listing;
         listing.clockMs = clockOf(now);
         for (const auto &[key, run] : m_running)
@@ -130,7 +130,7 @@
                 ++at;
                 continue;
             }
-            list(key, isThrough ? run.how : jobs::end_kind::Lapsed);
+            list(key, isThrough ? run.how : jobs::end_kind::HoldExpired);
             remember(key);
             at = m_running.erase(at);
         }
--- a/tests/order_model.h
+++ b/tests/order_model.h
@@ -797,7 +797,7 @@
     static std::int64_t lifeTold(const modelled_entry &entry, const std::string &worker)
     {
         const auto *view = entry.pool->find(worker);
-        return view == nullptr ? 0 : view->last.agentLife;
+        return view == nullptr ? 0 : view->last.agentIncarnation;
     }
 
     void arrive(modelled_entry &entry, std::int64_t incarnation, const jobs::give_order &given,
@@ -816,7 +816,8 @@
                    const std::shared_ptr<bool> &heard)
     {
         agent.table.setWorker(agent.capacity, readinessOf(agent));
-        const auto answer = agent.table.take(onModelClock(agent, given.order), entry.name, m_now);
+        const auto answer =
+                agent.table.handleOrder(onModelClock(agent, given.order), entry.name, m_now);
         say("agent of {} takes {} of {} run {} from {}: {}", agent.name,
             given.order.kind == jobs::order_kind::Start ? "start" : "stop",
             toText(given.order.task), given.order.run, entry.name, nameOf(answer.outcome));
@@ -847,20 +848,20 @@
 
     static jobs::run_order onModelClock(const modelled_agent &agent, jobs::run_order order)
     {
-        if (order.holdsUntilMs != 0)
-            order.holdsUntilMs -= clockOffset(agent);
+        if (order.startDeadlineMs != 0)
+            order.startDeadlineMs -= clockOffset(agent);
         return order;
     }
 
     // What a life of an agent is told of itself before it takes anything.
-    static void tellLife(modelled_agent &agent) { agent.table.setAgentLife(agent.fence); }
+    static void tellLife(modelled_agent &agent) { agent.table.setAgentIncarnation(agent.fence); }
 
     jobs::start_readiness readinessOf(const modelled_agent &agent) const
     {
         if (agent.leaving)
-            return jobs::start_readiness::Closed;
+            return jobs::start_readiness::Unavailable;
         const bool isOpen = agent.table.epoch() > 0 && m_now < agent.leaseUntil;
-        return isOpen ? jobs::start_readiness::Open : jobs::start_readiness::Later;
+        return isOpen ? jobs::start_readiness::Ready : jobs::start_readiness::RetryLater;
     }
 
     // Renews the lease, or begins the epoch that the store has by now.
@@ -880,7 +881,7 @@
             agent.table.stopAll(m_now);
         }
         const bool mayBegin = agent.leaseEpoch != 0 || !lease.isOver
-                              || (agent.fenceSeen && agent.table.running() == 0);
+                              || (agent.fenceSeen && agent.table.activeRunCount() == 0);
         if (!mayBegin)
             return;
         agent.leaseEpoch = lease.epoch;
@@ -894,7 +895,7 @@
     {
         if (!agent.fenceSeen)
             return false;
-        if (agent.table.running() > 0) {
+        if (agent.table.activeRunCount() > 0) {
             agent.table.stopAll(m_now);
             return false;
         }
@@ -921,7 +922,7 @@
         if (std::exchange(agent.workerLife, life) == life)
             return;
         say("agent of {} knows that its worker lives anew", agent.name);
-        agent.table.clear();
+        agent.table.clearRuns();
         ++agent.fence;
         tellLife(agent);
         agent.fenceSeen = false;
@@ -935,7 +936,8 @@
         std::optional<std::int64_t> deadline;
         if (agent.leaseEpoch != 0 && m_now < agent.leaseUntil)
             deadline = clockOf(agent.leaseUntil);
-        const auto listing = worker.hold(deadline, agent.table.lastSeen(), agent.fence, m_now);
+        const auto listing =
+                worker.hold(deadline, agent.table.acknowledgedThrough(), agent.fence, m_now);
         const auto back = m_passages(way::Look);
         if (!listing || back.isLost)
             return;
@@ -952,21 +954,21 @@
     {
         if (workerLife != agent.workerLife)
             return seeWorkerLife(agent);
-        const auto before = agent.table.endsSeen();
+        const auto before = agent.table.newEndCount();
         agent.fenceSeen = true;
-        agent.table.look(listing, m_now);
+        agent.table.applyListing(listing, m_now);
         const bool settles = agent.leaseEpoch != 0 && agent.table.epoch() != agent.leaseEpoch;
         if (settles)
             agent.table.setEpoch(agent.leaseEpoch);
         act(agent);
-        if (settles || agent.table.endsSeen() != before)
+        if (settles || agent.table.newEndCount() != before)
             reportAll(agent);
     }
 
     void act(modelled_agent &agent)
     {
         const bool mayStart = agent.fenceSeen && agent.leaseEpoch != 0 && m_now < agent.leaseUntil;
-        for (const auto &action : agent.table.due(m_now, mayStart))
+        for (const auto &action : agent.table.takeDueActions(m_now, mayStart))
             std::visit([&](const auto &one) { carryOut(agent, one); }, action);
     }
 
@@ -1018,9 +1020,9 @@
         if (std::exchange(*heard, true))
             return;
         atAgent(agent, life, [this, &agent, start, answer] {
-            const auto before = agent.table.endsSeen();
+            const auto before = agent.table.newEndCount();
             agent.table.startAnswered(start.task, start.run, answer, m_now);
-            if (agent.table.endsSeen() != before)
+            if (agent.table.newEndCount() != before)
                 reportAll(agent);
         });
     }
@@ -1060,15 +1062,15 @@
     {
         jobs::worker_report told;
         told.worker = agent.name;
-        told.agentLife = agent.fence;
+        told.agentIncarnation = agent.fence;
         told.epoch = agent.table.epoch();
         told.clockMs = clockOf(m_now) + clockOffset(agent);
         told.service = "tickets";
-        told.accepting = readinessOf(agent) == jobs::start_readiness::Open;
+        told.isAccepting = readinessOf(agent) == jobs::start_readiness::Ready;
         told.capacity = agent.capacity;
         told.used = agent.table.used();
         told.ends = agent.table.endsFor(entry);
-        told.started = agent.table.startedFor(entry);
+        told.started = agent.table.startsFor(entry);
         return told;
     }
 
@@ -1079,7 +1081,7 @@
         const auto life = agent.life;
         after(ReportTimeout, [&agent, &entry, life, answered] {
             if (!std::exchange(*answered, true) && agent.lives && agent.life == life)
-                agent.table.ownerSilent(entry.name);
+                agent.table.noteOwnerSilent(entry.name);
         });
         if (there.isLost)
             return;
@@ -1104,10 +1106,10 @@
             takeEnd(entry, agent, life, end, inTime);
         if (livesAnew)
             entry.book->workerRenewed(told.worker, told.epoch, m_now);
-        if (entry.pool->find(told.worker)->last.agentLife == told.agentLife)
+        if (entry.pool->find(told.worker)->last.agentIncarnation == told.agentIncarnation)
             entry.book->workerTold(told.worker, m_now);
         if (inTime && agent.lives && agent.life == life)
-            agent.table.startsTold(told.started, entry.name);
+            agent.table.noteStartsReported(told.started, entry.name);
         pump(entry);
     }
 
@@ -1136,7 +1138,7 @@
                      const jobs::run_end &end)
     {
         answerReport(entry, agent, life, [this, &entry, &agent, end] {
-            if (agent.table.notOwned({end.task, end.run, end.how}, entry.name))
+            if (agent.table.noteNotOwned({end.task, end.run, end.endKind}, entry.name))
                 reportAll(agent);
         });
     }
@@ -1145,7 +1147,7 @@
                      const jobs::run_end &end)
     {
         answerReport(entry, agent, life, [this, &agent, end] {
-            agent.table.acknowledged({end.task, end.run, end.how}, m_now);
+            agent.table.acknowledgeEnd({end.task, end.run, end.endKind}, m_now);
         });
     }
 
--- a/tests/order_of_events_test.cpp
+++ b/tests/order_of_events_test.cpp
@@ -476,7 +476,7 @@
         model.run(Watched);
         require(!afterDone.empty());
         for (const auto outcome : afterDone)
-            check(outcome == order_outcome::Overdue);
+            check(outcome == order_outcome::DeadlineExceeded);
         checkRules(model);
     });
 }
--- a/tests/placement_simulation.h
+++ b/tests/placement_simulation.h
@@ -107,7 +107,7 @@
         jobs::worker_pool pool;
         jobs::job_book book;
         std::int64_t version = 1;
-        std::map<std::int64_t, std::pair<std::string, jobs::acknowledged_end>> ends; // by token
+        std::map<std::int64_t, std::pair<std::string, jobs::run_end_id>> ends; // by token
     };
 
     struct running_task
@@ -160,7 +160,7 @@
 
     void endDue(modelled_worker &on)
     {
-        const auto endsBefore = on.table.endsSeen();
+        const auto endsBefore = on.table.newEndCount();
         for (auto at = on.running.begin(); at != on.running.end();) {
             if (at->second.endsAt > m_now) {
                 ++at;
@@ -170,9 +170,11 @@
                     {++on.lastEnd, at->first.first, at->first.second, jobs::end_kind::Done, ""});
             at = on.running.erase(at);
         }
-        std::erase_if(on.ended, [&](const auto &end) { return end.number <= on.table.lastSeen(); });
-        on.table.look(listingOf(on), m_now);
-        if (on.table.endsSeen() != endsBefore)
+        std::erase_if(on.ended, [&](const auto &end) {
+            return end.sequence <= on.table.acknowledgedThrough();
+        });
+        on.table.applyListing(listingOf(on), m_now);
+        if (on.table.newEndCount() != endsBefore)
             on.reportAt = m_now;
     }
 
@@ -188,8 +190,8 @@
 
     void startDue(modelled_worker &on)
     {
-        on.table.setWorker(on.capacity, jobs::start_readiness::Open);
-        for (const auto &action : on.table.due(m_now, true)) {
+        on.table.setWorker(on.capacity, jobs::start_readiness::Ready);
+        for (const auto &action : on.table.takeDueActions(m_now, true)) {
             if (const auto *start = std::get_if<jobs::start_run>(&action))
                 begin(on, *start);
             else
@@ -237,10 +239,10 @@
         told.worker = name;
         told.epoch = Epoch;
         told.service = "tickets";
-        told.accepting = true;
+        told.isAccepting = true;
         told.capacity = on.capacity;
         told.used = on.table.used();
-        told.lasting = on.table.lasting();
+        told.usedByLongRunning = on.table.usedByLongRunning();
         for (auto &one : m_owners) {
             later(m_delays.report, [this, &by = *one, told, ends = on.table.endsFor(one->name)] {
                 takeReport(by, told, ends);
@@ -254,7 +256,7 @@
         by.pool.update(told, m_now);
         for (const auto &end : ends) {
             const auto token = m_nextToken++;
-            by.ends[token] = {told.worker, {end.task, end.run, end.how}};
+            by.ends[token] = {told.worker, {end.task, end.run, end.endKind}};
             by.book.runEnded(told.worker, end, m_now, token);
         }
         by.book.workerTold(told.worker, m_now);
@@ -280,8 +282,8 @@
     {
         later(m_delays.order, [this, &by, given = std::move(order)] {
             auto &on = m_workers.at(given.worker);
-            on.table.setWorker(on.capacity, jobs::start_readiness::Open);
-            const auto answer = on.table.take(given.order, by.name, m_now);
+            on.table.setWorker(on.capacity, jobs::start_readiness::Ready);
+            const auto answer = on.table.handleOrder(given.order, by.name, m_now);
             later(m_delays.order, [this, &by, worker = given.worker, answer] {
                 by.book.orderAnswered(worker, answer, m_now, 0);
             });
@@ -291,7 +293,7 @@
     {
         const auto found = by.ends.extract(done.token);
         if (!found.empty())
-            m_workers.at(found.mapped().first).table.acknowledged(found.mapped().second, m_now);
+            m_workers.at(found.mapped().first).table.acknowledgeEnd(found.mapped().second, m_now);
     }
     void carryOut(owning_entry & /*by*/, const jobs::disowned & /*none: no job changes its owner*/)
     { }
--- a/tests/report_load_test.cpp
+++ b/tests/report_load_test.cpp
@@ -32,14 +32,14 @@
 }
 
 // As a deployment with 10 images that serve and 18 that fill comes to learn it.
-press_table learnedTable()
+interference_table learnedTable()
 {
-    press_table table;
+    interference_table table;
     for (int serving = 0; serving < 10; ++serving) {
         auto &row = table["serving-" + std::to_string(serving)];
         row.floorMs = 25;
         for (int filling = 0; filling < 18; ++filling)
-            row.presses["filling-" + std::to_string(filling)] = 0.031;
+            row.loadsPerCore["filling-" + std::to_string(filling)] = 0.031;
     }
     return table;
 }
@@ -54,11 +54,11 @@
 }
 
 // What an entry sends for one report, as it reads it.
-std::size_t answerBytes(const std::string &report, const press_table &table)
+std::size_t answerBytes(const std::string &report, const interference_table &table)
 {
     report_answer answer;
-    if (reportFrom(report).wantsPresses)
-        answer.presses = table;
+    if (reportFrom(report).wantsInterferenceTable)
+        answer.interference = table;
     return toText(answer).size();
 }
 
@@ -71,16 +71,16 @@
     const auto names = entries(14);
     const auto table = learnedTable();
     report_answer whole;
-    whole.presses = table;
+    whole.interference = table;
     const auto tableBytes = toText(whole).size();
     std::map<std::string, std::size_t> sent; // by entry
     for (int number = 0; number < Workers; ++number) {
-        press_turn turn(workerNamed(number));
+        table_source_rotation rotation(workerNamed(number));
         for (std::size_t second = 0; second < names.size(); ++second) {
-            const auto asked = turn.next(names);
+            const auto asked = rotation.next(names);
             for (const auto &entry : names) {
                 auto report = reportOf(workerNamed(number));
-                report.wantsPresses = entry == asked;
+                report.wantsInterferenceTable = entry == asked;
                 sent[entry] += answerBytes(toText(report), table);
             }
         }
@@ -93,29 +93,29 @@
     });
 
     section("and no second brings one entry the workers of many", [&] {
-        std::map<std::string, int> first;
+        std::map<std::string, int> workersPerEntry;
         for (int number = 0; number < Workers; ++number)
-            ++first[press_turn(workerNamed(number)).next(names)];
-        for (const auto &[entry, workers] : first)
+            ++workersPerEntry[table_source_rotation(workerNamed(number)).next(names)];
+        for (const auto &[entry, workers] : workersPerEntry)
             cr_assert_leq(workers, 3 * Workers / 14, "%s: %d", entry.c_str(), workers);
     });
 }
 
 Test(report_load, each_entry_is_asked_in_turn)
 {
-    press_turn turn(workerNamed(1));
+    table_source_rotation rotation(workerNamed(1));
 
-    section("without entries none", [&] { cr_assert(turn.next({}).empty()); });
+    section("without entries none", [&] { cr_assert(rotation.next({}).empty()); });
 
     section("one entry is asked each time", [&] {
-        cr_assert_eq(turn.next(entries(1)), "entry-0");
-        cr_assert_eq(turn.next(entries(1)), "entry-0");
+        cr_assert_eq(rotation.next(entries(1)), "entry-0");
+        cr_assert_eq(rotation.next(entries(1)), "entry-0");
     });
 
     section("of several each comes once before any comes again", [&] {
         std::set<std::string> asked;
         for (int second = 0; second < 5; ++second)
-            asked.insert(turn.next(entries(5)));
+            asked.insert(rotation.next(entries(5)));
         cr_assert_eq(asked.size(), 5U);
     });
 }
@@ -128,24 +128,24 @@
     const std::string member = R"(,"wants_presses":false)";
 
     section("an agent that does not ask gets no table",
-            [&] { cr_assert_not(reportFrom(text).wantsPresses); });
+            [&] { cr_assert_not(reportFrom(text).wantsInterferenceTable); });
 
     section("one that asks gets it", [&] {
-        report.wantsPresses = true;
-        cr_assert(reportFrom(toText(report)).wantsPresses);
+        report.wantsInterferenceTable = true;
+        cr_assert(reportFrom(toText(report)).wantsInterferenceTable);
     });
 
     section("an agent of the release before says nothing, and gets it for its samples", [&] {
         text.erase(text.find(member), member.size());
-        cr_assert(reportFrom(text).wantsPresses);
+        cr_assert(reportFrom(text).wantsInterferenceTable);
     });
 
     section("as ever not without samples", [&] {
         report.samples.clear();
-        report.wantsPresses = false;
+        report.wantsInterferenceTable = false;
         text = toText(report);
         text.erase(text.find(member), member.size());
-        cr_assert_not(reportFrom(text).wantsPresses);
+        cr_assert_not(reportFrom(text).wantsInterferenceTable);
     });
 }
 
@@ -154,17 +154,18 @@
 {
     auto report = reportOf("worker-1");
     report.address = "10.0.0.1:7641";
-    report.agentLife = 3;
+    report.agentIncarnation = 3;
     report.clockMs = 486'000;
-    report.accepting = true;
+    report.isAccepting = true;
     report.capacity = {16'000, 64'000, 2};
     report.used = {9000, 30'000, 1};
-    report.lasting = {4000, 16'000, 0};
-    report.fillMillicores = 5250;
+    report.usedByLongRunning = {4000, 16'000, 0};
+    report.bestEffortMillicores = 5250;
     report.serving = {{"serving-1", 0.351, "job-1"}, {"serving-2", -1, "job-2", true}};
-    report.filling = {{"filling-1", 1.75}, {"filling-2", 2}};
-    report.samples.push_back({"serving-2", 80, 150, {}, disturbance_change{0.0125, {{"x", -1.5}}}});
-    report.wantsPresses = true;
+    report.bestEffortDemand = {{"filling-1", 1.75}, {"filling-2", 2}};
+    report.samples.push_back(
+            {"serving-2", 80, 150, {}, interference_change{0.0125, {{"x", -1.5}}}});
+    report.wantsInterferenceTable = true;
     report.ends = {{7, {"job-1", 0, 1, 2}, 4, end_kind::Failed, "half"}};
     report.progress = {{{"job-2", 1, 0, 0}, 1, "a \"quarter\"\n"}};
 
@@ -172,8 +173,8 @@
         const auto read = reportFrom(toText(report));
         cr_assert_eq(toText(read), toText(report));
         cr_assert_eq(read.clockMs, 486'000);
-        cr_assert_eq(read.ends.front().how, end_kind::Failed);
-        cr_assert_eq(read.serving.back().room, -1);
+        cr_assert_eq(read.ends.front().endKind, end_kind::Failed);
+        cr_assert_eq(read.serving.back().headroom, -1);
     });
 
     section("without any of its members it is refused or read as one of the release before", [&] {
@@ -181,11 +182,11 @@
                                              "wants_presses", "lasting", "clock_ms"};
         const auto whole = parseJsonObject(toText(report));
         for (const auto &name : whole.getMemberNames()) {
-            auto less = whole;
-            less.removeMember(name);
+            auto reduced = whole;
+            reduced.removeMember(name);
             bool read = true;
             try {
-                reportFrom(compactJson(less));
+                reportFrom(compactJson(reduced));
             } catch (const error &) {
                 read = false;
             }
--- a/tests/room_on_the_way_test.cpp
+++ b/tests/room_on_the_way_test.cpp
@@ -173,7 +173,7 @@
     report.worker = "w1";
     report.epoch = 1;
     report.service = "tickets";
-    report.accepting = true;
+    report.isAccepting = true;
     report.capacity = {16 * Cores, 64'000, 0};
     jobs::worker_pool pool;
     pool.update(report, now);
@@ -236,10 +236,10 @@
     {
         jobs::worker_report told;
         told.worker = "w1";
-        told.agentLife = agentLife;
+        told.agentIncarnation = agentLife;
         told.epoch = epoch;
         told.service = "tickets";
-        told.accepting = true;
+        told.isAccepting = true;
         told.capacity = {16 * Cores, 64'000, 0};
         return told;
     }
--- a/tests/worker_lease_test.cpp
+++ b/tests/worker_lease_test.cpp
@@ -11,55 +11,55 @@
 namespace {
 
 // An agent, and the row of its lease.
-struct scene
+struct lease_fixture
 {
     worker_lease lease{"agent"};
     time_point now{std::chrono::hours(1)};
     std::optional<lease_row> row;
     std::int64_t version = 0;
-    std::optional<write_lease> out; // not yet carried out
-    std::vector<std::int64_t> begun;
-    std::vector<std::int64_t> resumed;
+    std::optional<write_lease> pendingWrite; // not yet carried out
+    std::vector<std::int64_t> begunEpochs;
+    std::vector<std::int64_t> resumedEpochs;
 
     // Carries out what is asked, but for writes while `writes` is false.
-    void carryOut(bool writes = true)
+    void runActions(bool answersWrites = true)
     {
         for (auto actions = lease.takeActions(); !actions.empty(); actions = lease.takeActions()) {
             for (const auto &action : actions) {
                 if (std::holds_alternative<read_lease>(action))
                     lease.rowRead(row, version, now);
                 if (const auto *write = std::get_if<write_lease>(&action))
-                    out = *write;
+                    pendingWrite = *write;
                 if (const auto *settled = std::get_if<epoch_settled>(&action))
-                    (settled->begun ? begun : resumed).push_back(settled->epoch);
+                    (settled->isNew ? begunEpochs : resumedEpochs).push_back(settled->epoch);
             }
-            if (writes)
-                answerWrite();
+            if (answersWrites)
+                completeWrite();
         }
     }
 
     // The write that is out takes effect if its condition holds; the agent hears which.
-    void answerWrite()
+    void completeWrite()
     {
-        if (!out)
+        if (!pendingWrite)
             return;
-        const auto write = *out;
-        out.reset();
+        const auto write = *pendingWrite;
+        pendingWrite.reset();
         if (write.expectedVersion != version)
-            return lease.rowTaken();
+            return lease.rowConflict();
         row = write.row;
         lease.rowWritten(++version, now);
     }
 
     // An agent that runs tasks of life `a` under epoch 2.
-    void begin()
+    void startLease()
     {
-        lease.seek();
-        carryOut();
-        check(!lease.seen("a", 0, now));
-        carryOut();
-        check(begun == std::vector<std::int64_t>{2});
-        check(lease.settled());
+        lease.acquireFence();
+        runActions();
+        check(!lease.reconcile("a", 0, now));
+        runActions();
+        check(begunEpochs == std::vector<std::int64_t>{2});
+        check(lease.isSettled());
     }
 };
 
@@ -71,22 +71,22 @@
 {
     for (const bool renewalTakesEffect : {true, false}) {
         section(renewalTakesEffect ? "the renewal takes effect" : "the renewal is void", [&] {
-            scene on;
-            on.begin();
-            on.lease.renew(on.now);
-            on.carryOut(false);
-            require(on.out.has_value());
-            on.lease.allEnded("", on.now);
-            check(on.lease.owesEnd());
-            check(!on.lease.settled());
+            lease_fixture fixture;
+            fixture.startLease();
+            fixture.lease.renew(fixture.now);
+            fixture.runActions(false);
+            require(fixture.pendingWrite.has_value());
+            fixture.lease.endEpoch("", fixture.now);
+            check(fixture.lease.hasUnwrittenEnd());
+            check(!fixture.lease.isSettled());
             if (!renewalTakesEffect)
-                ++on.version; // a watcher's write, or one of an earlier life of the agent
-            on.answerWrite();
-            on.carryOut();
-            check(on.begun == (std::vector<std::int64_t>{2, 3}));
-            check(on.row->life.empty());
-            check(!on.lease.owesEnd());
-            check(!on.lease.settled()); // nobody is there to start anything
+                ++fixture.version; // a watcher's write, or one of an earlier life of the agent
+            fixture.completeWrite();
+            fixture.runActions();
+            check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
+            check(fixture.row->workerIncarnation.empty());
+            check(!fixture.lease.hasUnwrittenEnd());
+            check(!fixture.lease.isSettled()); // nobody is there to start anything
         });
     }
 }
@@ -96,130 +96,130 @@
 Test(worker_lease, worker_is_gone_before_the_fence_is_taken)
 {
     section("while the row is read", [] {
-        scene on;
-        on.begin();
-        on.lease.seek();
-        on.lease.allEnded("", on.now);
-        on.carryOut();
-        check(on.begun == (std::vector<std::int64_t>{2, 3}));
+        lease_fixture fixture;
+        fixture.startLease();
+        fixture.lease.acquireFence();
+        fixture.lease.endEpoch("", fixture.now);
+        fixture.runActions();
+        check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
     });
     section("while the fence is written", [] {
-        scene on;
-        on.begin();
-        on.lease.seek();
-        on.carryOut(false);
-        on.lease.allEnded("", on.now);
-        on.answerWrite();
-        on.carryOut();
-        check(on.begun == (std::vector<std::int64_t>{2, 3}));
+        lease_fixture fixture;
+        fixture.startLease();
+        fixture.lease.acquireFence();
+        fixture.runActions(false);
+        fixture.lease.endEpoch("", fixture.now);
+        fixture.completeWrite();
+        fixture.runActions();
+        check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
     });
     section("and the write that says so is void", [] {
-        scene on;
-        on.begin();
-        on.lease.allEnded("", on.now);
-        on.carryOut(false);
-        ++on.version;
-        on.answerWrite();
-        on.carryOut();
-        check(on.begun == (std::vector<std::int64_t>{2, 3}));
+        lease_fixture fixture;
+        fixture.startLease();
+        fixture.lease.endEpoch("", fixture.now);
+        fixture.runActions(false);
+        ++fixture.version;
+        fixture.completeWrite();
+        fixture.runActions();
+        check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
     });
     section("and it ends again, in another life, while that is written", [] {
-        scene on;
-        on.begin();
-        on.lease.allEnded("b", on.now);
-        on.carryOut(false);
-        on.lease.allEnded("", on.now);
-        on.answerWrite();
-        check(!on.lease.settled());
-        on.carryOut();
-        check(on.begun == (std::vector<std::int64_t>{2, 4}));
-        check(on.row->life.empty());
+        lease_fixture fixture;
+        fixture.startLease();
+        fixture.lease.endEpoch("b", fixture.now);
+        fixture.runActions(false);
+        fixture.lease.endEpoch("", fixture.now);
+        fixture.completeWrite();
+        check(!fixture.lease.isSettled());
+        fixture.runActions();
+        check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 4}));
+        check(fixture.row->workerIncarnation.empty());
     });
 }
 
 Test(worker_lease, a_new_fence)
 {
     section("the same life keeps its runs and its epoch", [] {
-        scene on;
-        on.begin();
-        on.lease.seek();
-        check(!on.lease.settled());
-        on.carryOut();
-        check(!on.lease.seen("a", 3, on.now));
-        on.carryOut();
-        check(on.resumed == std::vector<std::int64_t>{2});
-        check(on.lease.fence() == 2);
+        lease_fixture fixture;
+        fixture.startLease();
+        fixture.lease.acquireFence();
+        check(!fixture.lease.isSettled());
+        fixture.runActions();
+        check(!fixture.lease.reconcile("a", 3, fixture.now));
+        fixture.runActions();
+        check(fixture.resumedEpochs == std::vector<std::int64_t>{2});
+        check(fixture.lease.fence() == 2);
     });
     section("in another life all that runs is stopped first", [] {
-        scene on;
-        on.begin();
-        on.lease.seek();
-        on.carryOut();
-        check(on.lease.seen("b", 1, on.now));
-        check(on.begun.size() == 1);
-        check(!on.lease.seen("b", 0, on.now));
-        on.carryOut();
-        check(on.begun == (std::vector<std::int64_t>{2, 3}));
+        lease_fixture fixture;
+        fixture.startLease();
+        fixture.lease.acquireFence();
+        fixture.runActions();
+        check(fixture.lease.reconcile("b", 1, fixture.now));
+        check(fixture.begunEpochs.size() == 1);
+        check(!fixture.lease.reconcile("b", 0, fixture.now));
+        fixture.runActions();
+        check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
     });
     section("after a watcher ended the epoch, too", [] {
-        scene on;
-        on.begin();
-        ++on.row->epoch;
-        on.row->ended = true;
-        ++on.version;
-        on.lease.renew(on.now);
-        on.carryOut();
-        check(!on.lease.settled());
-        check(on.lease.seen("a", 1, on.now));
-        check(!on.lease.seen("a", 0, on.now));
-        on.carryOut();
-        check(on.begun == (std::vector<std::int64_t>{2, 4}));
-        check(!on.row->ended);
+        lease_fixture fixture;
+        fixture.startLease();
+        ++fixture.row->epoch;
+        fixture.row->endedByWatcher = true;
+        ++fixture.version;
+        fixture.lease.renew(fixture.now);
+        fixture.runActions();
+        check(!fixture.lease.isSettled());
+        check(fixture.lease.reconcile("a", 1, fixture.now));
+        check(!fixture.lease.reconcile("a", 0, fixture.now));
+        fixture.runActions();
+        check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 4}));
+        check(!fixture.row->endedByWatcher);
     });
     section("it is sought while a renewal is out, whose answer is not taken for its own", [] {
-        scene on;
-        on.begin();
-        on.lease.renew(on.now);
-        on.carryOut(false);
-        on.lease.seek();
-        on.carryOut(false);
-        check(!on.lease.holdsFence());
-        on.answerWrite();
-        check(!on.lease.holdsFence());
-        on.carryOut();
-        check(on.lease.holdsFence());
-        check(on.lease.fence() == 2);
+        lease_fixture fixture;
+        fixture.startLease();
+        fixture.lease.renew(fixture.now);
+        fixture.runActions(false);
+        fixture.lease.acquireFence();
+        fixture.runActions(false);
+        check(!fixture.lease.holdsFence());
+        fixture.completeWrite();
+        check(!fixture.lease.holdsFence());
+        fixture.runActions();
+        check(fixture.lease.holdsFence());
+        check(fixture.lease.fence() == 2);
     });
 }
 
 Test(worker_lease, until_when_tasks_may_run)
 {
-    scene on;
-    on.begin();
+    lease_fixture fixture;
+    fixture.startLease();
     section("counted from before the renewal was sent", [&] {
-        const auto sentAt = on.now;
-        on.lease.renew(on.now);
-        on.carryOut(false);
-        on.now += seconds(2);
-        on.answerWrite();
-        check(on.lease.until() == sentAt + LeaseLength);
+        const auto sentAt = fixture.now;
+        fixture.lease.renew(fixture.now);
+        fixture.runActions(false);
+        fixture.now += seconds(2);
+        fixture.completeWrite();
+        check(fixture.lease.validUntil() == sentAt + LeaseDuration);
     });
     section("and told in the row by the store's clock", [&] {
-        check(on.row->endsAtMs == 0); // it was never told
-        on.lease.storeTold(70'000, on.now, on.now);
-        on.now += RenewEvery;
-        on.lease.renew(on.now);
-        on.carryOut();
-        const auto exact = 70'000 + (RenewEvery + LeaseLength).count();
-        check(on.row->endsAtMs >= exact);     // never too early,
-        check(on.row->endsAtMs <= exact + 2); // and late by the drift of clocks alone
+        check(fixture.row->expiresAtMs == 0); // it was never told
+        fixture.lease.noteStoreClock(70'000, fixture.now, fixture.now);
+        fixture.now += LeaseRenewInterval;
+        fixture.lease.renew(fixture.now);
+        fixture.runActions();
+        const auto exact = 70'000 + (LeaseRenewInterval + LeaseDuration).count();
+        check(fixture.row->expiresAtMs >= exact);     // never too early,
+        check(fixture.row->expiresAtMs <= exact + 2); // and late by the drift of clocks alone
     });
     section("a renewal whose outcome is not known extends nothing", [&] {
-        const auto before = on.lease.until();
-        on.now += RenewEvery;
-        on.lease.renew(on.now);
-        on.carryOut(false);
-        check(on.lease.until() == before);
+        const auto before = fixture.lease.validUntil();
+        fixture.now += LeaseRenewInterval;
+        fixture.lease.renew(fixture.now);
+        fixture.runActions(false);
+        check(fixture.lease.validUntil() == before);
     });
 }
 
@@ -231,27 +231,27 @@
 // there, may still take effect, and the row never tells "b".
 Test(worker_lease, worker_lives_anew_while_its_end_is_not_written)
 {
-    for (const std::string owed : {"", "a"}) { // it left, or was silent
-        section(owed.empty() ? "it left" : "it was silent", [&] {
-            scene on;
-            on.begin();
-            on.lease.renew(on.now);
-            on.carryOut(false);
-            require(on.out.has_value());
-            on.lease.allEnded(owed, on.now);
-            on.lease.seek(); // "b" was announced
-            on.answerWrite();
-            on.carryOut();
-            require(on.lease.holdsFence());
-            check(!on.lease.settled()); // "b" has not been seen
-            check(!on.lease.seen("b", 0, on.now));
-            on.carryOut();
-            check(on.lease.settled());
-            check(on.row->life == "b");
+    for (const std::string endedIncarnation : {"", "a"}) { // it left, or was silent
+        section(endedIncarnation.empty() ? "it left" : "it was silent", [&] {
+            lease_fixture fixture;
+            fixture.startLease();
+            fixture.lease.renew(fixture.now);
+            fixture.runActions(false);
+            require(fixture.pendingWrite.has_value());
+            fixture.lease.endEpoch(endedIncarnation, fixture.now);
+            fixture.lease.acquireFence(); // "b" was announced
+            fixture.completeWrite();
+            fixture.runActions();
+            require(fixture.lease.holdsFence());
+            check(!fixture.lease.isSettled()); // "b" has not been seen
+            check(!fixture.lease.reconcile("b", 0, fixture.now));
+            fixture.runActions();
+            check(fixture.lease.isSettled());
+            check(fixture.row->workerIncarnation == "b");
             section("the next life of the agent goes on with what runs", [&] {
-                on.lease.seek();
-                on.carryOut();
-                check(!on.lease.seen("b", 3, on.now)); // true: stops them all
+                fixture.lease.acquireFence();
+                fixture.runActions();
+                check(!fixture.lease.reconcile("b", 3, fixture.now)); // true: stops them all
             });
         });
     }
@@ -262,22 +262,23 @@
 // its own, and the end that the row tells is earlier than the one it counts with.
 Test(worker_lease, writes_of_two_lives_of_the_agent)
 {
-    scene on;
-    on.begin();
+    lease_fixture fixture;
+    fixture.startLease();
     const auto firstWrite = [&] {
         worker_lease life{"agent"};
-        life.storeTold(70'000 + (on.now - time_point{std::chrono::hours(1)}) / milliseconds(1),
-                       on.now, on.now);
-        life.seek();
+        life.noteStoreClock(
+                70'000 + (fixture.now - time_point{std::chrono::hours(1)}) / milliseconds(1),
+                fixture.now, fixture.now);
+        life.acquireFence();
         life.takeActions();
-        life.rowRead(on.row, on.version, on.now);
+        life.rowRead(fixture.row, fixture.version, fixture.now);
         return std::get<write_lease>(life.takeActions().front());
     };
     const auto killed = firstWrite();
-    on.now += seconds(2);
+    fixture.now += seconds(2);
     const auto next = firstWrite();
-    require(killed.row.endsAtMs < next.row.endsAtMs);
-    check(killed.row.write != next.row.write);
+    require(killed.row.expiresAtMs < next.row.expiresAtMs);
+    check(killed.row.writeId != next.row.writeId);
 }
 
 // Callers see all tasks of a healthy worker stopped and begun anew elsewhere, when its agent is
@@ -286,23 +287,23 @@
 // runs.
 Test(worker_lease, the_next_life_is_there_before_the_end_is_written)
 {
-    scene on;
-    on.begin();
-    on.lease.renew(on.now);
-    on.carryOut(false);
-    on.lease.allEnded("", on.now);
-    on.lease.seek();
-    on.answerWrite();
-    on.carryOut();
-    check(!on.lease.seen("b", 0, on.now));
-    on.carryOut();
-    check(on.lease.settled());
-    check(on.row->life == "b");
+    lease_fixture fixture;
+    fixture.startLease();
+    fixture.lease.renew(fixture.now);
+    fixture.runActions(false);
+    fixture.lease.endEpoch("", fixture.now);
+    fixture.lease.acquireFence();
+    fixture.completeWrite();
+    fixture.runActions();
+    check(!fixture.lease.reconcile("b", 0, fixture.now));
+    fixture.runActions();
+    check(fixture.lease.isSettled());
+    check(fixture.row->workerIncarnation == "b");
     section("an agent that is replaced lets its tasks run on", [&] {
-        on.lease = worker_lease("agent");
-        on.lease.seek();
-        on.carryOut();
-        check(!on.lease.seen("b", 3, on.now));
+        fixture.lease = worker_lease("agent");
+        fixture.lease.acquireFence();
+        fixture.runActions();
+        check(!fixture.lease.reconcile("b", 3, fixture.now));
     });
 }
 
@@ -311,29 +312,30 @@
 // nothing can run there for longer than the last call let it.
 Test(worker_lease, renewals_beside_a_worker_that_answers_nothing)
 {
-    scene on;
-    on.begin();
-    on.lease.storeTold(70'000, on.now, on.now);
-    const auto held = on.now + seconds(5);
+    lease_fixture fixture;
+    fixture.startLease();
+    fixture.lease.noteStoreClock(70'000, fixture.now, fixture.now);
+    const auto held = fixture.now + seconds(5);
     section("the row tells the end of what was held", [&] {
-        on.now += seconds(1);
-        on.lease.renew(on.now, held);
-        on.carryOut(false);
-        check(on.lease.until() <= held); // as soon as it is sent: it may take effect at any time
-        on.answerWrite();
-        check(on.lease.until() == held);
-        check(on.row->endsAtMs >= 75'000);
-        check(on.row->endsAtMs <= 75'002);
+        fixture.now += seconds(1);
+        fixture.lease.renew(fixture.now, held);
+        fixture.runActions(false);
+        check(fixture.lease.validUntil()
+              <= held); // as soon as it is sent: it may take effect at any time
+        fixture.completeWrite();
+        check(fixture.lease.validUntil() == held);
+        check(fixture.row->expiresAtMs >= 75'000);
+        check(fixture.row->expiresAtMs <= 75'002);
     });
     section("once that is over there is nothing to renew", [&] {
-        on.now = held;
-        on.lease.renew(on.now, held);
-        on.carryOut(false);
-        check(!on.out.has_value());
+        fixture.now = held;
+        fixture.lease.renew(fixture.now, held);
+        fixture.runActions(false);
+        check(!fixture.pendingWrite.has_value());
     });
     section("a worker that answers again has a whole lease", [&] {
-        on.lease.renew(on.now);
-        on.carryOut();
-        check(on.lease.until() == on.now + LeaseLength);
+        fixture.lease.renew(fixture.now);
+        fixture.runActions();
+        check(fixture.lease.validUntil() == fixture.now + LeaseDuration);
     });
 }
--- a/tests/worker_pool_test.cpp
+++ b/tests/worker_pool_test.cpp
@@ -20,7 +20,7 @@
 {
     step_spec step;
     step.count = count;
-    step.size = {3 * Cores, 6000, 0};
+    step.size = {3 * MillicoresPerCore, 6000, 0};
     step.lasting = true;
     step.image = image;
     step.targetMs = 150;
@@ -30,7 +30,7 @@
 step_spec fillingStep(const std::string &image)
 {
     step_spec step;
-    step.size = {2 * Cores, 3000, 0};
+    step.size = {2 * MillicoresPerCore, 3000, 0};
     step.fills = true;
     step.image = image;
     step.estimateMs = 2000;
@@ -57,16 +57,16 @@
     worker_report report;
     report.worker = "w1";
     report.epoch = 3;
-    report.agentLife = 8;
+    report.agentIncarnation = 8;
     check(workers.update(report, now));
     auto earlier = report;
-    earlier.agentLife = 7;
-    earlier.accepting = true;
+    earlier.agentIncarnation = 7;
+    earlier.isAccepting = true;
     check(!workers.update(earlier, now));
-    check(workers.find("w1")->last.agentLife == 8);
-    check(!workers.find("w1")->last.accepting);
+    check(workers.find("w1")->last.agentIncarnation == 8);
+    check(!workers.find("w1")->last.isAccepting);
     section("one of an agent that has no fence yet counts", [&] {
-        earlier.agentLife = 0;
+        earlier.agentIncarnation = 0;
         check(workers.update(earlier, now));
     });
 }
@@ -77,8 +77,8 @@
     constexpr std::int64_t Clock = 50'000;
     constexpr std::int64_t Holds = 700;
     worker_pool workers;
-    auto report = openReport("w1");
-    report.agentLife = Life;
+    auto report = acceptingReport("w1");
+    report.agentIncarnation = Life;
     const auto told = [&](std::int64_t clockMs, milliseconds after) {
         report.clockMs = clockMs;
         workers.update(report, Now + after);
@@ -108,7 +108,7 @@
         check(holdsUntil(milliseconds(2000)) == Clock + 2000 + Holds);
     });
     section("each life has its own clock", [&] {
-        report.agentLife = Life + 1;
+        report.agentIncarnation = Life + 1;
         told(900, milliseconds(3000));
         check(holdsUntil(milliseconds(3000), Life + 1) == 900 + Holds);
         check(holdsUntil(milliseconds(3000), Life) == 900 + Holds);
@@ -126,7 +126,7 @@
 {
     worker_pool pool;
     for (const char *name : {"w1", "w2", "w3", "w4"})
-        pool.update(openReport(name), Now);
+        pool.update(acceptingReport(name), Now);
     const auto first = servingStep("site", 4);
     const auto home = placed(pool, first, 4);
     section("a job's tasks are on one worker", [&] {
@@ -149,10 +149,10 @@
 Test(worker_pool, what_fills_keeps_off_those_that_it_harms)
 {
     worker_pool pool;
-    teach(pool, "site", "heavy", 0.06);
-    teach(pool, "site", "light", 0.0);
-    auto busy = openReport("busy");
-    busy.used = {12 * Cores, 24'000, 0};
+    trainInterference(pool, "site", "heavy", 0.06);
+    trainInterference(pool, "site", "light", 0.0);
+    auto busy = acceptingReport("busy");
+    busy.used = {12 * MillicoresPerCore, 24'000, 0};
     busy.serving = {{"site", 0.1}, {"site", 0.1}};
     pool.update(busy, Now);
     section("it waits while there is no other worker",
@@ -170,9 +170,9 @@
         auto late = busy;
         late.worker = "late";
         late.serving = {{"site", -0.5}};
-        late.filling = {{"heavy", 8}};
+        late.bestEffortDemand = {{"heavy", 8}};
         worker_pool other;
-        teach(other, "site", "heavy", 0.06);
+        trainInterference(other, "site", "heavy", 0.06);
         other.update(late, Now);
         check(placed(other, fillingStep("heavy")) == "none");
     });
@@ -180,10 +180,10 @@
 
 namespace {
 
-worker_report besideOf(const std::string &worker, std::vector<serving_room> serving)
+worker_report besideOf(const std::string &worker, std::vector<serving_headroom> serving)
 {
-    auto report = openReport(worker);
-    report.used = {12 * Cores, 24'000, 0};
+    auto report = acceptingReport(worker);
+    report.used = {12 * MillicoresPerCore, 24'000, 0};
     report.serving = std::move(serving);
     return report;
 }
@@ -196,7 +196,7 @@
 Test(worker_pool, what_fills_spoils_few_jobs)
 {
     worker_pool pool;
-    teach(pool, "site", "heavy", 0.06);
+    trainInterference(pool, "site", "heavy", 0.06);
     const auto placedImpatiently = [&] {
         return pool.choose("tickets", fillingStep("heavy"), {}, Now, {1, false}).value_or("none");
     };
@@ -208,8 +208,8 @@
     });
     section("a job that is late elsewhere has little left to lose", [&] {
         auto crowded = besideOf("crowded", {{"site", 0, "b"}});
-        crowded.filling = {{"heavy", 8}};
-        crowded.accepting = false;
+        crowded.bestEffortDemand = {{"heavy", 8}};
+        crowded.isAccepting = false;
         pool.update(crowded, Now);
         pool.update(besideOf("one-job", {{"site", 0, "a"}}), Now);
         pool.update(besideOf("two-jobs", {{"site", 0, "b"}}), Now);
@@ -222,10 +222,10 @@
 Test(worker_pool, a_job_that_has_had_less_is_spared)
 {
     worker_pool pool;
-    teach(pool, "site", "heavy", 0.06);
+    trainInterference(pool, "site", "heavy", 0.06);
     auto crowded = besideOf("crowded", {{"site", 0, "wide", true}});
-    crowded.filling = {{"heavy", 8}};
-    crowded.accepting = false;
+    crowded.bestEffortDemand = {{"heavy", 8}};
+    crowded.isAccepting = false;
     const auto placedAt = [&](time_point now) {
         pool.update(crowded, now);
         pool.update(besideOf("narrow", {{"site", 0, "narrow"}}), now);
@@ -249,20 +249,20 @@
 Test(worker_pool, reports_are_read)
 {
     auto report = besideOf("w1", {{"site", 0.25, "a", true}});
-    report.lasting = {9 * Cores, 18'000, 0};
+    report.usedByLongRunning = {9 * MillicoresPerCore, 18'000, 0};
     report.samples = {{"site",
                        40,
                        150,
                        {{"heavy", 2.0}},
-                       disturbance_change{0.002, {{"heavy", -1.0}}, true}}};
+                       interference_change{0.002, {{"heavy", -1.0}}, true}}};
     section("as written", [&] {
         const auto read = reportFrom(toText(report));
         check(read.serving.front().job == "a");
-        check(read.serving.front().late);
-        check(read.lasting == report.lasting);
-        check(read.samples.front().change->inverseFall == 0.002);
-        check(read.samples.front().change->fills.at("heavy") == -1.0);
-        check(read.samples.front().change->atLeast);
+        check(read.serving.front().isLate);
+        check(read.usedByLongRunning == report.usedByLongRunning);
+        check(read.samples.front().change->inverseTailDrop == 0.002);
+        check(read.samples.front().change->bestEffortCores.at("heavy") == -1.0);
+        check(read.samples.front().change->isLowerBound);
     });
     section("without jobs and changes", [&] {
         auto text = parseJsonObject(toText(report));
@@ -272,14 +272,14 @@
         text["samples"][0].removeMember("inverse_fall");
         const auto read = reportFrom(compactJson(text));
         check(read.serving.front().job.empty());
-        check(!read.serving.front().late);
-        check(read.lasting == read.used);
+        check(!read.serving.front().isLate);
+        check(read.usedByLongRunning == read.used);
         check(!read.samples.front().change);
     });
     section("with a change that was measured", [&] {
         auto text = parseJsonObject(toText(report));
         text["samples"][0].removeMember("change_at_least");
-        check(!reportFrom(compactJson(text)).samples.front().change->atLeast);
+        check(!reportFrom(compactJson(text)).samples.front().change->isLowerBound);
     });
 }
 
@@ -293,7 +293,7 @@
     section("over all workers, late ones too", [&] {
         const auto jobs = pool.servingByJob(Now);
         check(jobs.size() == 2);
-        check(jobs.at("a").atWork == 3);
+        check(jobs.at("a").running == 3);
         check(jobs.at("a").late == 1);
         check(jobs.at("b").late == 0);
     });
@@ -306,16 +306,16 @@
 Test(worker_pool, the_log_names_what_is_short)
 {
     worker_pool pool;
-    auto lasting = openReport("lasting");
-    lasting.used = {15 * Cores, 24'000, 0};
-    lasting.lasting = lasting.used;
-    auto ending = openReport("ending");
-    ending.used = {15 * Cores, 24'000, 0};
-    ending.lasting = {8 * Cores, 12'000, 0};
-    auto memory = openReport("memory");
-    memory.used = {8 * Cores, 63'000, 0};
-    memory.lasting = memory.used;
-    for (const auto &report : {lasting, ending, memory, openReport("avoided")})
+    auto lasting = acceptingReport("lasting");
+    lasting.used = {15 * MillicoresPerCore, 24'000, 0};
+    lasting.usedByLongRunning = lasting.used;
+    auto ending = acceptingReport("ending");
+    ending.used = {15 * MillicoresPerCore, 24'000, 0};
+    ending.usedByLongRunning = {8 * MillicoresPerCore, 12'000, 0};
+    auto memory = acceptingReport("memory");
+    memory.used = {8 * MillicoresPerCore, 63'000, 0};
+    memory.usedByLongRunning = memory.used;
+    for (const auto &report : {lasting, ending, memory, acceptingReport("avoided")})
         pool.update(report, Now);
     check(pool.whyNobody("tickets", servingStep("site", 1), {"avoided"}, Now)
           == "1 avoided, 2 no_processors, 1 no_memory, 1 with room beside what lasts");
--- a/tests/worker_silence_test.cpp
+++ b/tests/worker_silence_test.cpp
@@ -10,30 +10,30 @@
 
 namespace {
 
-constexpr milliseconds StartsWithin{300}; // a write, a placement and its order
+constexpr milliseconds PlacementDelay{300}; // a write, a placement and its order
 
 } // namespace
 
 Test(worker_silence, what_it_was_given_ends)
 {
     const time_point start{std::chrono::hours(1)};
-    worker_silence silence(start);
-    silence.allEnded();
-    section("nothing is held", [&] { check(!silence.nothingRuns(start + seconds(100))); });
+    worker_liveness liveness(start);
+    liveness.clearHold();
+    section("nothing is held", [&] { check(!liveness.hasNothingRunning(start + seconds(100))); });
     section("a call lets runs go on", [&] {
-        silence.held(start + HoldLength);
-        check(!silence.nothingRuns(start + HoldLength));
-        check(!silence.nothingRuns(start + onSlowClock(HoldLength)));
-        check(silence.nothingRuns(start + HoldLength + seconds(1)));
+        liveness.noteHold(start + HoldDuration);
+        check(!liveness.hasNothingRunning(start + HoldDuration));
+        check(!liveness.hasNothingRunning(start + durationOnSlowClock(HoldDuration)));
+        check(liveness.hasNothingRunning(start + HoldDuration + seconds(1)));
         section("an earlier end never counts", [&] {
-            silence.held(start + seconds(1));
-            check(!silence.nothingRuns(start + HoldLength));
+            liveness.noteHold(start + seconds(1));
+            check(!liveness.hasNothingRunning(start + HoldDuration));
         });
     });
     section("a new life of the worker may be met by late starts", [&] {
-        silence.lifeBegun(start);
-        check(!silence.nothingRuns(start + LongestHold));
-        check(silence.nothingRuns(start + LongestHold + seconds(1)));
+        liveness.noteNewIncarnation(start);
+        check(!liveness.hasNothingRunning(start + MaxHoldDuration));
+        check(liveness.hasNothingRunning(start + MaxHoldDuration + seconds(1)));
     });
 }
 
@@ -43,10 +43,10 @@
 Test(worker_silence, worker_lost_and_agent_killed_at_once)
 {
     constexpr milliseconds AgentBackAfter{2000};
-    const time_point lost{std::chrono::hours(1)};
-    worker_silence silence(lost + AgentBackAfter);
-    check(!silence.nothingRuns(lost + HoldLength)); // a look in the last moment
-    check(silence.nothingRuns(lost + LostAfter - StartsWithin));
+    const time_point lostAt{std::chrono::hours(1)};
+    worker_liveness liveness(lostAt + AgentBackAfter);
+    check(!liveness.hasNothingRunning(lostAt + HoldDuration)); // a look in the last moment
+    check(liveness.hasNothingRunning(lostAt + TaskLostAfter - PlacementDelay));
 }
 
 // Callers see a task that was placed on a lost worker wait for as long as its agent lives. The
@@ -54,35 +54,36 @@
 // end would end the placement, and an answer of "not yet" has the order repeated for ever.
 Test(worker_silence, order_for_a_worker_that_is_lost)
 {
-    const time_point lost{std::chrono::hours(1)};
-    worker_silence silence(lost - seconds(10));
-    silence.looked(true, lost);
-    const worker_standing standing{true, false, true};
-    check(readinessOf(standing, silence, lost) == start_readiness::Open);
+    const time_point lostAt{std::chrono::hours(1)};
+    worker_liveness liveness(lostAt - seconds(10));
+    liveness.notePoll(true, lostAt);
+    const worker_status status{true, false, true};
+    check(readinessOf(status, liveness, lostAt) == start_readiness::Ready);
     section("one look that failed says little", [&] {
-        silence.looked(false, lost + seconds(1));
-        check(readinessOf(standing, silence, lost + seconds(1)) == start_readiness::Open);
+        liveness.notePoll(false, lostAt + seconds(1));
+        check(readinessOf(status, liveness, lostAt + seconds(1)) == start_readiness::Ready);
     });
     section("looks that fail for a while close it", [&] {
-        silence.looked(false, lost + WorkerSilent);
-        check(readinessOf(standing, silence, lost + WorkerSilent) == start_readiness::Closed);
+        liveness.notePoll(false, lostAt + WorkerSilentAfter);
+        check(readinessOf(status, liveness, lostAt + WorkerSilentAfter)
+              == start_readiness::Unavailable);
     });
     section("an answer opens it again", [&] {
-        silence.looked(true, lost + seconds(5));
-        check(readinessOf(standing, silence, lost + seconds(5)) == start_readiness::Open);
+        liveness.notePoll(true, lostAt + seconds(5));
+        check(readinessOf(status, liveness, lostAt + seconds(5)) == start_readiness::Ready);
     });
     section("an agent that was frozen asks first", [&] {
-        check(readinessOf(standing, silence, lost + seconds(60)) == start_readiness::Later);
+        check(readinessOf(status, liveness, lostAt + seconds(60)) == start_readiness::RetryLater);
     });
     section("without a lease it is for a moment, too", [&] {
-        silence.looked(true, lost + seconds(60));
-        check(readinessOf({true, false, false}, silence, lost + seconds(60))
-              == start_readiness::Later);
+        liveness.notePoll(true, lostAt + seconds(60));
+        check(readinessOf({true, false, false}, liveness, lostAt + seconds(60))
+              == start_readiness::RetryLater);
     });
     section("a worker that leaves takes nothing", [&] {
-        check(readinessOf({true, true, true}, silence, lost + seconds(60))
-              == start_readiness::Closed);
-        check(readinessOf({false, false, true}, silence, lost + seconds(60))
-              == start_readiness::Closed);
+        check(readinessOf({true, true, true}, liveness, lostAt + seconds(60))
+              == start_readiness::Unavailable);
+        check(readinessOf({false, false, true}, liveness, lostAt + seconds(60))
+              == start_readiness::Unavailable);
     });
 }
