--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -162,13 +162,13 @@
         for (const auto &one : rows) {
             if (one.removed) {
                 m_view.removed(one.name.key);
-                m_book->forget(one.name.key);
+                m_book->rowRemoved(one.name.key);
                 continue;
             }
             try {
                 m_view.seen(one.name.key, one.value, one.version, now);
                 if (m_book->owns(one.name.key))
-                    m_book->rowSeen(one.name.key, recordFrom(one.value), one.version);
+                    m_book->rowChanged(one.name.key, recordFrom(one.value), one.version);
             } catch (const error &problem) {
                 m_log.note("job_row_unreadable", {{"job", one.name.key}, {"why", problem.what()}});
             }
@@ -196,7 +196,7 @@
         m_pumping = false;
         if (!m_book)
             return;
-        m_pool.setEvacuated(m_configuration.evacuated().zones());
+        m_pool.setEvacuatedZones(m_configuration.evacuated().zones());
         m_book->plan(suspendAwareNow(), wallMs());
         std::map<std::string, std::vector<run_order>> orders;
         for (auto &action : m_book->takeActions()) {
@@ -216,7 +216,7 @@
         transaction.set.push_back({name, std::move(write.content), 0, false});
         if (write.payload)
             transaction.set.push_back({payloadRow(write.job), std::move(*write.payload), 0, false});
-        if (write.cancels)
+        if (write.writesCancelRow)
             transaction.set.push_back(cancelNotice(write.job));
         m_store.commit(std::move(transaction),
                        [this, id = write.job](const row_store::outcome &outcome) {
@@ -243,21 +243,21 @@
         pumpSoon();
     }
 
-    void carryOut(give_order &order, orders_by_worker &orders)
+    void carryOut(send_order &order, orders_by_worker &orders)
     {
         orders[order.worker].push_back(std::move(order.order));
     }
 
-    void carryOut(stored &action, orders_by_worker & /*orders*/)
+    void carryOut(change_stored &action, orders_by_worker & /*orders*/)
     {
         m_waits.resolve(action.token, true);
     }
-    void carryOut(disowned &action, orders_by_worker & /*orders*/)
+    void carryOut(ownership_lost &action, orders_by_worker & /*orders*/)
     {
         m_waits.resolve(action.token, false);
     }
 
-    void carryOut(noted &action, orders_by_worker & /*orders*/)
+    void carryOut(log_event &action, orders_by_worker & /*orders*/)
     {
         m_metrics.count("job_events_total", action.event);
         m_log.note(action.event, {{"job", action.job}, {"detail", action.detail}});
@@ -271,9 +271,9 @@
             return;
         const auto now = suspendAwareNow();
         std::map<std::string, time_point> silent;
-        for (const auto &worker : m_book->busyWorkers()) {
+        for (const auto &worker : m_book->workersWithPlacements()) {
             const auto *view = m_pool.find(worker);
-            const auto heardAt = view == nullptr ? m_startedAt : view->heardAt;
+            const auto heardAt = view == nullptr ? m_startedAt : view->lastReportAt;
             if (now - heardAt >= SilentWorker)
                 silent.emplace(worker, heardAt);
         }
@@ -326,33 +326,33 @@
     {
         const auto now = suspendAwareNow();
         const auto *before = m_pool.find(report.worker);
-        if (before == nullptr || before->last.epoch != report.epoch) {
+        if (before == nullptr || before->lastReport.epoch != report.epoch) {
             m_log.note("worker_seen", {{"worker", report.worker},
                                        {"epoch", report.epoch},
                                        {"accepting", report.isAccepting ? "yes" : "no"}});
         }
         const bool livesAnew = m_pool.update(report, now) && report.epoch > 0;
         for (const auto &progress : report.progress)
-            m_book->progressed(report.worker, progress);
+            m_book->checkpointReported(report.worker, progress);
         for (const auto &run : report.started)
             m_book->runStarted(run, now);
         auto state = std::make_shared<open_report>();
         state->respond = std::move(respond);
         state->open = report.ends.size();
         for (const auto &sample : report.samples)
-            m_pool.disturbance().learn(sample);
+            m_pool.interferenceEstimator().learn(sample);
         // From an old reading it would go on after the zone is taken back.
         state->answer.zoneEvacuated =
                 m_configuration.isConfirmed() && m_configuration.evacuated().contains(report.zone);
         if (report.wantsInterferenceTable)
-            state->answer.interference = m_pool.disturbance().table();
+            state->answer.interference = m_pool.interferenceEstimator().table();
         for (const auto &end : report.ends)
             takeEnd(report.worker, end, state);
         // After the ends: those of the epoch before end their own placements.
         if (livesAnew)
-            m_book->workerRenewed(report.worker, report.epoch, now);
-        if (m_pool.find(report.worker)->last.agentIncarnation == report.agentIncarnation)
-            m_book->workerTold(report.worker, now);
+            m_book->workerRestarted(report.worker, report.epoch, now);
+        if (m_pool.find(report.worker)->lastReport.agentIncarnation == report.agentIncarnation)
+            m_book->workerReported(report.worker, now);
         if (state->open == 0)
             answerReport(*state);
         else
@@ -420,7 +420,7 @@
 
     void leave()
     {
-        m_log.noteAlways("drain_started", {{"owned", m_book ? m_book->ownedUnfinished() : 0},
+        m_log.noteAlways("drain_started", {{"owned", m_book ? m_book->unfinishedJobCount() : 0},
                                            {"late_ms", millisecondsIn(m_loop.lateness())}});
         m_callers.announceClose();
         m_internal.announceClose();
@@ -431,7 +431,7 @@
     stop_needs stopNeeds() const
     {
         const bool heirs = m_book && !m_directory.entries().empty();
-        return {heirs && m_book->ownedUnfinished() > 0, m_callers.inFlight() > 0,
+        return {heirs && m_book->unfinishedJobCount() > 0, m_callers.inFlight() > 0,
                 !m_callers.drained() || !m_internal.drained()};
     }
 
@@ -439,7 +439,7 @@
     {
         const auto callers = m_callers.activity();
         m_log.noteAlways("stop_step", {{"step", nameOf(step)},
-                                       {"owned", m_book ? m_book->ownedUnfinished() : 0},
+                                       {"owned", m_book ? m_book->unfinishedJobCount() : 0},
                                        {"callers_idle", callers.idle},
                                        {"callers_reading", callers.reading},
                                        {"callers_answering", callers.answering},
@@ -477,7 +477,7 @@
     owner_id m_self;
     job_view m_view;
     worker_pool m_pool;
-    std::optional<job_book> m_book;
+    std::optional<job_controller> m_book;
     job_takeover m_takeover;
     order_sender m_orders;
     lease_watcher m_leases;
--- a/app/job_requests.cpp
+++ b/app/job_requests.cpp
@@ -41,7 +41,7 @@
     if (std::holds_alternative<committed>(outcome))
         return true;
     const auto &rows = std::get<conflicting>(outcome).rows;
-    return !rows.empty() && recordFrom(rows.front().value).write == write;
+    return !rows.empty() && recordFrom(rows.front().value).writeId == write;
 }
 
 } // namespace
@@ -154,7 +154,7 @@
         return respond(counted(400, "bad_request"));
     }
     const auto placer = m_directory.placerOf(policy.service, suspendAwareNow());
-    if (spec.hasLastingStep() && placer != m_self)
+    if (spec.hasLongRunningStep() && placer != m_self)
         return handOver(placer, id, spec, policy, std::move(respond));
     accept(id, spec, policy, std::move(respond));
 }
@@ -169,7 +169,7 @@
         answer({200, {}, ""});
     });
     if (m_book->owns(id))
-        m_book->whenStored(id, token);
+        m_book->notifyWhenStored(id, token);
     else {
         m_log.note("job_submitted", {{"job", id}, {"queue", policy.queue}});
         m_book->submit(id, spec, policy, wallMs(), suspendAwareNow(), token);
@@ -185,7 +185,7 @@
     http_request request;
     request.method = "POST";
     request.target = "/v1/jobs/" + id;
-    request.body = toText(handed_job{newRecord(spec, policy, wallMs()), spec.payload});
+    request.body = toText(forwarded_job{newRecord(spec, policy, wallMs()), spec.payload});
     m_caller.call(m_directory.find(placer)->row.internal, std::move(request), PeerTimeout,
                   [this, placer, id, spec, policy,
                    respond = std::move(respond)](const call_result &result) {
@@ -208,7 +208,7 @@
         return respond({200, {}, ""});
     if (!m_hooks.jobsKnown() || isLeaving() || !m_store.reachable())
         return respond(refusal(503, "not_now"));
-    const auto job = handedJobFrom(body);
+    const auto job = forwardedJobFrom(body);
     accept(id, specOf(job), job.record.policy, std::move(respond));
 }
 
@@ -382,12 +382,12 @@
         if (isFinal(record.state()))
             return respond({200, {}, ""});
         record.cancelled = true;
-        record.write = m_self + ":cancel:" + std::to_string(m_nextCancel++);
+        record.writeId = m_self + ":cancel:" + std::to_string(m_nextCancel++);
         m_store.commit(
                 {{{one.name, one.version}},
                  {{one.name, toText(record), 0, false}, cancelNotice(id)},
                  {}},
-                [this, id, respond, write = record.write](const row_store::outcome &outcome) {
+                [this, id, respond, write = record.writeId](const row_store::outcome &outcome) {
                     if (wasWritten(outcome, write))
                         return respond({200, {}, ""});
                     cancelInStore(id, respond);
--- a/app/job_requests.h
+++ b/app/job_requests.h
@@ -38,7 +38,7 @@
     configuration_follower &configuration;
     entry_directory &directory;
     job_view &view;
-    std::optional<jobs::job_book> &book; // none before this life of the entry has begun
+    std::optional<jobs::job_controller> &book; // none before this life of the entry has begun
     write_waits &waits;
     const std::optional<planned_stop> &stop; // none before the signal
     metrics &numbers;
@@ -95,7 +95,7 @@
     configuration_follower &m_configuration;
     entry_directory &m_directory;
     job_view &m_view;
-    std::optional<jobs::job_book> &m_book;
+    std::optional<jobs::job_controller> &m_book;
     write_waits &m_waits;
     const std::optional<planned_stop> &m_stop;
     metrics &m_metrics;
--- a/app/job_takeover.cpp
+++ b/app/job_takeover.cpp
@@ -65,7 +65,7 @@
             old.push_back(id);
     }
     for (const auto &id : old) {
-        m_book->forget(id);
+        m_book->rowRemoved(id);
         m_view.removed(id);
         m_store.commit({{}, {}, {jobRow(id), payloadRow(id), cancelRow(id)}},
                        [](const row_store::outcome & /*outcome*/) {
--- a/app/job_takeover.h
+++ b/app/job_takeover.h
@@ -21,7 +21,7 @@
     row_store &store;
     entry_directory &directory;
     job_view &view;
-    std::optional<jobs::job_book> &book; // there is one before the first look
+    std::optional<jobs::job_controller> &book; // there is one before the first look
     metrics &numbers;
 };
 
@@ -41,7 +41,7 @@
     row_store &m_store;
     entry_directory &m_directory;
     job_view &m_view;
-    std::optional<jobs::job_book> &m_book;
+    std::optional<jobs::job_controller> &m_book;
     metrics &m_metrics;
     std::function<void()> m_changed;
     std::set<std::string> m_adopting;
--- a/app/job_view.cpp
+++ b/app/job_view.cpp
@@ -17,7 +17,7 @@
     known.state = record.state();
     known.needsOwner = record.needsOwner();
     known.content = known.needsOwner ? content : std::string();
-    known.begun = known.begun || record.begun || record.hasEndedRuns();
+    known.begun = known.begun || record.hasStarted || record.hasEndedRuns();
     if (!known.needsOwner && known.finalAt == time_point{})
         known.finalAt = now;
     return &known;
--- a/app/lease_keeper.cpp
+++ b/app/lease_keeper.cpp
@@ -85,7 +85,7 @@
                  [this, sentAt = suspendAwareNow()](const std::optional<row_page> &page) {
                      if (!page)
                          return m_loop.after(ReadRetry, [this] { carryOut(read_lease{}); });
-                     m_lease.noteStoreClock(page->storeMs, sentAt, suspendAwareNow());
+                     m_lease.noteStoreClock(page->storeClockMs, sentAt, suspendAwareNow());
                      rowRead(*page);
                  });
 }
@@ -109,7 +109,7 @@
                    [this, write = action.row.writeId,
                     sentAt = suspendAwareNow()](const row_store::outcome &outcome) {
                        if (const auto *done = std::get_if<committed>(&outcome))
-                           m_lease.noteStoreClock(done->storeMs, sentAt, suspendAwareNow());
+                           m_lease.noteStoreClock(done->storeClockMs, sentAt, suspendAwareNow());
                        rowWritten(write, outcome);
                    });
 }
--- a/app/lease_watcher.cpp
+++ b/app/lease_watcher.cpp
@@ -67,7 +67,7 @@
         if (!page || page->rows.empty())
             return lookAgain(worker);
         try {
-            judge(worker, page->rows.front(), page->storeMs);
+            judge(worker, page->rows.front(), page->storeClockMs);
         } catch (const error &problem) {
             m_log.note("lease_row_unreadable", {{"worker", worker}, {"why", problem.what()}});
             lookAgain(worker);
--- a/app/order_sender.cpp
+++ b/app/order_sender.cpp
@@ -34,9 +34,9 @@
     request.method = "POST";
     request.target = "/v1/orders";
     request.body = toText(order_batch{m_settings.id, toText(m_settings.internal), orders});
-    m_caller.call(view->last.address, std::move(request), OrderTimeout,
+    m_caller.call(view->lastReport.address, std::move(request), OrderTimeout,
                   [this, worker, orders = std::move(orders),
-                   agentLife = view->last.agentIncarnation](const call_result &result) {
+                   agentLife = view->lastReport.agentIncarnation](const call_result &result) {
                       ordersAnswered(worker, outcomesOf(orders, result), agentLife);
                   });
 }
--- a/app/order_sender.h
+++ b/app/order_sender.h
@@ -23,7 +23,7 @@
     const job_entry_settings &settings;
     net::http_caller &caller;
     jobs::worker_pool &pool;
-    std::optional<jobs::job_book> &book; // that the orders are of
+    std::optional<jobs::job_controller> &book; // that the orders are of
     metrics &numbers;
     event_log &log;
 };
@@ -44,7 +44,7 @@
     const job_entry_settings &m_settings;
     net::http_caller &m_caller;
     jobs::worker_pool &m_pool;
-    std::optional<jobs::job_book> &m_book;
+    std::optional<jobs::job_controller> &m_book;
     metrics &m_metrics;
     event_log &m_log;
     std::function<void()> m_changed;
--- a/app/store_client.cpp
+++ b/app/store_client.cpp
@@ -181,7 +181,7 @@
                  sofar->version = page->version;
              for (auto &one : page->rows)
                  sofar->rows.push_back(std::move(one));
-             if (!page->more || sofar->rows.empty())
+             if (!page->hasMore || sofar->rows.empty())
                  return done(std::move(*sofar));
              // The first key after the last one that was read.
              readPages(table, part, sofar->rows.back().name.key + std::string(1, '\x01'), sofar,
--- a/app/table_follower.cpp
+++ b/app/table_follower.cpp
@@ -69,7 +69,7 @@
 
 void table_follower::takeFeed(const jobs::feed_page &page, time_point askedAt)
 {
-    if (page.historyGone) {
+    if (page.historyExpired) {
         m_log.note("history_gone", {{"table", m_what.table}});
         return start();
     }
--- a/libs/jobs/job_controller_placing.cpp
+++ b/libs/jobs/job_controller_placing.cpp
@@ -12,86 +12,90 @@
 
 namespace {
 
-constexpr double MostlyFree = 0.55; // of a service's processors: a little over half
+constexpr double MostlyUsedShare = 0.55; // of a service's processors: a little over half
 
 // Another one for each run: a task that was refused tries its luck elsewhere.
-std::uint64_t spreadOf(const task_id &task, int run)
+std::uint64_t tieBreakSeedOf(const task_id &task, int run)
 {
     return stableHash(fmt::format("{} {}", toText(task), run));
 }
 
 } // namespace
 
-void job_book::placeWaiting(const std::string &id, owned_job &job, time_point now,
-                            std::int64_t wallMs)
+void job_controller::placeWaitingTasks(const std::string &id, owned_job &job, time_point now,
+                                       std::int64_t wallMs)
 {
     if (isFinal(job.record.state())) {
-        m_waiting.erase(id);
+        m_waitingJobs.erase(id);
         return;
     }
-    bool waits = false;
+    bool hasWaitingTasks = false;
     for (std::size_t occurrence = 0; occurrence < job.record.tasks.size(); ++occurrence) {
         const auto number = static_cast<std::int64_t>(occurrence);
         if (job.record.occurrences > 0
-            && wallMs < job.record.firstDueMs + number * job.record.intervalMs) {
-            waits = true;
+            && wallMs < job.record.firstOccurrenceMs + number * job.record.intervalMs) {
+            hasWaitingTasks = true;
             continue;
         }
         for (std::size_t step = 0; step < job.record.steps.size(); ++step) {
-            const auto at = static_cast<int>(occurrence);
-            const auto which = static_cast<int>(step);
-            if (job.record.stepReady(at, which))
-                waits = placeStep(id, job, at, which, now) || waits;
+            const auto occurrenceNumber = static_cast<int>(occurrence);
+            const auto stepNumber = static_cast<int>(step);
+            if (job.record.isStepReady(occurrenceNumber, stepNumber))
+                hasWaitingTasks =
+                        placeStep(id, job, occurrenceNumber, stepNumber, now) || hasWaitingTasks;
         }
     }
-    if (!waits)
-        m_waiting.erase(id);
-    if (!job.record.begun && !job.course.firstAtMs && !job.starts.empty()) {
-        job.course.firstAtMs = wallMs;
-        job.course.spareAtFirstMs = timeToSpareMs(job.record, wallMs);
+    if (!hasWaitingTasks)
+        m_waitingJobs.erase(id);
+    if (!job.record.hasStarted && !job.timeline.firstPlacedAtMs && !job.startOrders.empty()) {
+        job.timeline.firstPlacedAtMs = wallMs;
+        job.timeline.slackAtFirstPlacementMs = slackMs(job.record, wallMs);
     }
 }
 
 // True when some task of the step still waits for a worker.
-bool job_book::placeStep(const std::string &id, owned_job &job, int occurrence, int stepIndex,
-                         time_point now)
+bool job_controller::placeStep(const std::string &id, owned_job &job, int occurrence, int stepIndex,
+                               time_point now)
 {
     const auto &step = job.record.steps[static_cast<std::size_t>(stepIndex)];
-    if (step.gang)
+    if (step.isGang)
         return placeGang(id, job, occurrence, stepIndex, now);
-    const auto &inStep = job.record.tasks[static_cast<std::size_t>(occurrence)]
-                                         [static_cast<std::size_t>(stepIndex)];
-    auto left = waitingIn(inStep);
-    auto &since = job.waitingSince.try_emplace({occurrence, stepIndex}, now).first->second;
-    if (left == 0)
-        since = now;
-    placement_wish wish;
-    const bool crowded = m_workers.usedShare(job.record.policy.service, now) > MostlyFree;
-    wish.patient = now - since < (crowded ? m_settings.patience : m_settings.patienceBesideRoom);
-    bool waits = false;
+    const auto &stepTasks = job.record.tasks[static_cast<std::size_t>(occurrence)]
+                                            [static_cast<std::size_t>(stepIndex)];
+    auto unplacedTasks = countWaiting(stepTasks);
+    auto &waitStart = job.waitingSince.try_emplace({occurrence, stepIndex}, now).first->second;
+    if (unplacedTasks == 0)
+        waitStart = now;
+    placement_preferences preferences;
+    const bool isMostlyUsed =
+            m_workers.usedProcessorShare(job.record.policy.service, now) > MostlyUsedShare;
+    preferences.avoidsInterference =
+            now - waitStart < (isMostlyUsed ? m_settings.maxInterferenceWait
+                                            : m_settings.maxInterferenceWaitWhenIdle);
+    bool hasWaitingTasks = false;
     for (int index = 0; index < step.count; ++index) {
         const task_id task{id, occurrence, stepIndex, index};
         auto &state = *job.record.find(task);
         if (!state.isWaiting())
             continue;
-        wish.together = left--;
-        wish.spread = spreadOf(task, state.lastRun + 1);
-        const auto worker = chooseFor(m_workers, job, task, step, now, wish);
+        preferences.waitingTasks = unplacedTasks--;
+        preferences.tieBreakSeed = tieBreakSeedOf(task, state.lastRun + 1);
+        const auto worker = chooseWorkerFor(m_workers, job, task, step, now, preferences);
         if (!worker) {
-            waits = true;
-            if (step.mostPerWorker == 0)
+            hasWaitingTasks = true;
+            if (step.maxPerWorker == 0)
                 break; // its twins find no room either
             continue;
         }
-        place(id, job, task, step, *worker, state.lastRun + 1);
+        placeTask(id, job, task, step, *worker, state.lastRun + 1);
     }
-    tellUnplaced(id, job, occurrence, stepIndex, waitingIn(inStep), wish, now);
-    return waits;
+    logUnplacedTasks(id, job, occurrence, stepIndex, countWaiting(stepTasks), preferences, now);
+    return hasWaitingTasks;
 }
 
 // All members or none: a member that runs alone holds its worker for nothing.
-bool job_book::placeGang(const std::string &id, owned_job &job, int occurrence, int stepIndex,
-                         time_point now)
+bool job_controller::placeGang(const std::string &id, owned_job &job, int occurrence, int stepIndex,
+                               time_point now)
 {
     const auto &step = job.record.steps[static_cast<std::size_t>(stepIndex)];
     auto &members = job.record.tasks[static_cast<std::size_t>(occurrence)]
@@ -102,17 +106,17 @@
             return false; // done, or the last members of an earlier run are still there
         run = std::max(run, member.lastRun + 1);
     }
-    auto trial = m_workers;
-    std::vector<std::string> picks;
+    auto trialPool = m_workers;
+    std::vector<std::string> chosenWorkers;
     for (int index = 0; index < step.count; ++index) {
         const task_id task{id, occurrence, stepIndex, index};
-        placement_wish wish;
-        wish.spread = spreadOf(task, run);
-        const auto worker = chooseFor(trial, job, task, step, now, wish);
+        placement_preferences preferences;
+        preferences.tieBreakSeed = tieBreakSeedOf(task, run);
+        const auto worker = chooseWorkerFor(trialPool, job, task, step, now, preferences);
         if (!worker)
             return true;
-        trial.reserve(*worker, step);
-        picks.push_back(*worker);
+        trialPool.reserve(*worker, step);
+        chosenWorkers.push_back(*worker);
     }
     // The latest saved progress of any member holds for all of them.
     std::string checkpoint;
@@ -120,59 +124,62 @@
         checkpoint = std::max(checkpoint, member.checkpoint);
     for (int index = 0; index < step.count; ++index) {
         members[static_cast<std::size_t>(index)].checkpoint = checkpoint;
-        place(id, job, {id, occurrence, stepIndex, index}, step,
-              picks[static_cast<std::size_t>(index)], run);
+        placeTask(id, job, {id, occurrence, stepIndex, index}, step,
+                  chosenWorkers[static_cast<std::size_t>(index)], run);
     }
     return false;
 }
 
-void job_book::place(const std::string &id, owned_job &job, const task_id &task,
-                     const step_spec &step, const std::string &worker, int run)
+void job_controller::placeTask(const std::string &id, owned_job &job, const task_id &task,
+                               const step_spec &step, const std::string &worker, int run)
 {
     auto &state = *job.record.find(task);
     state.lastRun = run;
-    const auto &told = m_workers.find(worker)->last;
-    state.placements.push_back({worker, told.epoch, run, told.agentIncarnation});
+    const auto &workerReport = m_workers.find(worker)->lastReport;
+    state.placements.push_back({worker, workerReport.epoch, run, workerReport.agentIncarnation});
     m_workers.reserve(worker, step);
-    changed(id, job);
-    job.starts[{task, run}] = {worker, job.revision, false, {}};
-    m_onTheWay[worker].emplace(task, run);
-    m_ordering.insert(id);
+    markChanged(id, job);
+    job.startOrders[{task, run}] = {worker, job.revision, false, {}};
+    m_startsInFlight[worker].emplace(task, run);
+    m_jobsWithOrders.insert(id);
 }
 
 // A worker for the task: not one where it has just failed, as long as there is another.
-std::optional<std::string> job_book::chooseFor(const worker_pool &workers, const owned_job &job,
-                                               const task_id &task, const step_spec &step,
-                                               time_point now, const placement_wish &wish)
+std::optional<std::string> job_controller::chooseWorkerFor(const worker_pool &workers,
+                                                           const owned_job &job,
+                                                           const task_id &task,
+                                                           const step_spec &step, time_point now,
+                                                           const placement_preferences &preferences)
 {
     const auto &service = job.record.policy.service;
-    const auto full = fullOf(job, task, step);
-    auto avoid = full;
-    const auto avoided = job.avoided.find(task);
-    if (avoided == job.avoided.end())
-        return workers.choose(service, step, full, now, wish);
+    const auto fullWorkers = workersAtTaskLimit(job, task, step);
+    auto avoid = fullWorkers;
+    const auto avoided = job.avoidedWorkers.find(task);
+    if (avoided == job.avoidedWorkers.end())
+        return workers.chooseWorker(service, step, fullWorkers, now, preferences);
     avoid.insert(avoid.end(), avoided->second.begin(), avoided->second.end());
-    const auto elsewhere = workers.choose(service, step, avoid, now, wish);
-    return elsewhere ? elsewhere : workers.choose(service, step, full, now, wish);
+    const auto otherWorker = workers.chooseWorker(service, step, avoid, now, preferences);
+    return otherWorker ? otherWorker
+                       : workers.chooseWorker(service, step, fullWorkers, now, preferences);
 }
 
 // Workers that run as many tasks of the step as they may.
-std::vector<std::string> job_book::fullOf(const owned_job &job, const task_id &task,
-                                          const step_spec &step)
+std::vector<std::string>
+job_controller::workersAtTaskLimit(const owned_job &job, const task_id &task, const step_spec &step)
 {
-    std::vector<std::string> full;
-    if (step.mostPerWorker == 0)
-        return full;
+    std::vector<std::string> fullWorkers;
+    if (step.maxPerWorker == 0)
+        return fullWorkers;
     std::map<std::string, int> perWorker;
-    const auto &inStep = job.record.tasks[static_cast<std::size_t>(task.occurrence)]
-                                         [static_cast<std::size_t>(task.step)];
-    for (const auto &other : inStep) {
-        for (const auto &where : other.placements) {
-            if (++perWorker[where.worker] >= step.mostPerWorker)
-                full.push_back(where.worker);
+    const auto &stepTasks = job.record.tasks[static_cast<std::size_t>(task.occurrence)]
+                                            [static_cast<std::size_t>(task.step)];
+    for (const auto &other : stepTasks) {
+        for (const auto &runPlacement : other.placements) {
+            if (++perWorker[runPlacement.worker] >= step.maxPerWorker)
+                fullWorkers.push_back(runPlacement.worker);
         }
     }
-    return full;
+    return fullWorkers;
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/job_controller_stalls.cpp
+++ b/libs/jobs/job_controller_stalls.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr name_table<stall_reason, 7> StandingReasonNames{{
+constexpr name_table<stall_reason, 7> StallReasonNames{{
         {stall_reason::NoWorker, "no_worker"},
         {stall_reason::PlacementNotStored, "not_stored"},
         {stall_reason::StartUnanswered, "start_unanswered"},
@@ -23,122 +23,128 @@
 
 } // namespace
 
-std::string_view nameOf(stall_reason why)
+std::string_view nameOf(stall_reason reason)
 {
-    return nameOf(StandingReasonNames, why);
+    return nameOf(StallReasonNames, reason);
 }
 
-std::optional<stall_reason> job_book::whyStanding(const owned_job &job, const task_id &task,
-                                                  const task_state &state, time_point now) const
+std::optional<stall_reason> job_controller::stallReasonOf(const owned_job &job, const task_id &task,
+                                                          const task_state &state,
+                                                          time_point now) const
 {
     if (state.placements.empty())
         return stall_reason::NoWorker;
-    const auto &where = state.placements.back();
-    const std::pair key{task, where.run};
-    if (job.stops.contains(key))
+    const auto &runPlacement = state.placements.back();
+    const std::pair key{task, runPlacement.run};
+    if (job.stopOrders.contains(key))
         return stall_reason::StopPending;
-    const auto start = job.starts.find(key);
-    if (start != job.starts.end())
-        return start->second.revision > job.storedRevision ? stall_reason::PlacementNotStored
-                                                           : stall_reason::StartUnanswered;
-    if (!m_workers.isHeard(where.worker, now))
+    const auto start = job.startOrders.find(key);
+    if (start != job.startOrders.end())
+        return start->second.neededRevision > job.storedRevision ? stall_reason::PlacementNotStored
+                                                                 : stall_reason::StartUnanswered;
+    if (!m_workers.isReporting(runPlacement.worker, now))
         return stall_reason::AgentSilent;
-    if (where.epoch < m_workers.find(where.worker)->last.epoch)
+    if (runPlacement.epoch < m_workers.find(runPlacement.worker)->lastReport.epoch)
         return stall_reason::EarlierEpoch;
     const auto &step = stepOf(job, task);
-    const bool isTold = step.targetMs > 0; // reports tell of no others
-    if (isTold && servingAt(task.job, where.worker) < placedAt(job, where.worker))
+    const bool isReported = step.latencyTargetMs > 0; // reports tell of no others
+    if (isReported
+        && countReportedRuns(task.job, runPlacement.worker)
+                   < countPlacedRuns(job, runPlacement.worker))
         return stall_reason::NotRunning;
     return std::nullopt;
 }
 
 // Runs of the job with a target that the worker's newest report shows.
-int job_book::servingAt(const std::string &id, const std::string &worker) const
+int job_controller::countReportedRuns(const std::string &id, const std::string &worker) const
 {
     const auto *view = m_workers.find(worker);
     if (view == nullptr)
         return 0;
-    const auto &serving = view->last.serving;
+    const auto &serving = view->lastReport.serving;
     return static_cast<int>(std::count_if(serving.begin(), serving.end(),
                                           [&](const auto &run) { return run.job == id; }));
 }
 
 // Those that have to be shown.
-int job_book::placedAt(const owned_job &job, const std::string &worker)
+int job_controller::countPlacedRuns(const owned_job &job, const std::string &worker)
 {
     int placed = 0;
     for (const auto &steps : job.record.tasks) {
         for (std::size_t step = 0; step < steps.size(); ++step) {
-            if (job.record.steps[step].targetMs <= 0)
+            if (job.record.steps[step].latencyTargetMs <= 0)
                 continue;
             for (const auto &task : steps[step]) {
-                placed += static_cast<int>(
-                        std::count_if(task.placements.begin(), task.placements.end(),
-                                      [&](const auto &where) { return where.worker == worker; }));
+                placed += static_cast<int>(std::count_if(
+                        task.placements.begin(), task.placements.end(),
+                        [&](const auto &runPlacement) { return runPlacement.worker == worker; }));
             }
         }
     }
     return placed;
 }
 
-void job_book::tellStanding(time_point now, std::int64_t wallMs)
+void job_controller::logStalledTasks(time_point now, std::int64_t wallMs)
 {
-    if (now < m_lookStandingAt)
+    if (now < m_nextStallCheckAt)
         return;
-    m_lookStandingAt = now + m_settings.lookStanding;
+    m_nextStallCheckAt = now + m_settings.stallCheckInterval;
     for (auto &[id, job] : m_jobs) {
         if (isFinal(job.record.state()))
             continue;
-        eachTask(id, job, [&, &owned = job](const task_id &task, const task_state &state) {
-            if (mayRun(owned, task, wallMs))
-                tellStandingTask(owned, task, state, now);
+        forEachTask(id, job, [&, &owned = job](const task_id &task, const task_state &state) {
+            if (shouldBeRunning(owned, task, wallMs))
+                logIfStalled(owned, task, state, now);
         });
     }
 }
 
 // It lasts, its time has come, and the steps before it are done.
-bool job_book::mayRun(const owned_job &job, const task_id &task, std::int64_t wallMs)
+bool job_controller::shouldBeRunning(const owned_job &job, const task_id &task, std::int64_t wallMs)
 {
     const auto &record = job.record;
-    if (!record.steps[static_cast<std::size_t>(task.step)].lasting)
+    if (!record.steps[static_cast<std::size_t>(task.step)].isLongRunning)
         return false;
     const bool isDue = record.occurrences == 0
-                       || wallMs >= record.firstDueMs + task.occurrence * record.intervalMs;
-    return isDue && record.stepReady(task.occurrence, task.step);
+                       || wallMs >= record.firstOccurrenceMs + task.occurrence * record.intervalMs;
+    return isDue && record.isStepReady(task.occurrence, task.step);
 }
 
-void job_book::tellStandingTask(owned_job &job, const task_id &task, const task_state &state,
-                                time_point now)
+void job_controller::logIfStalled(owned_job &job, const task_id &task, const task_state &state,
+                                  time_point now)
 {
-    const stall_timer begins{now, now + m_settings.standsStill};
-    auto &standing = job.standing.try_emplace(task, begins).first->second;
-    const auto why = whyStanding(job, task, state, now);
-    if (!why)
-        standing = begins;
-    if (!why || now < standing.logAt)
+    const stall_timer initial{now, now + m_settings.stallThreshold};
+    auto &stall = job.stalls.try_emplace(task, initial).first->second;
+    const auto reason = stallReasonOf(job, task, state, now);
+    if (!reason)
+        stall = initial;
+    if (!reason || now < stall.logAt)
         return;
-    standing.logAt = now + m_settings.tellStanding;
-    note("task_stands_still", task.job,
-         fmt::format("{} for {} ms: {}", toText(task), millisecondsIn(now - standing.lastRunningAt),
-                     describeStanding(job, task, state, *why, now)));
+    stall.logAt = now + m_settings.stallLogInterval;
+    logEvent("task_stands_still", task.job,
+             fmt::format("{} for {} ms: {}", toText(task),
+                         millisecondsIn(now - stall.lastRunningAt),
+                         describeStall(job, task, state, *reason, now)));
 }
 
-std::string job_book::describeStanding(const owned_job &job, const task_id &task,
-                                       const task_state &state, stall_reason why,
-                                       time_point now) const
+std::string job_controller::describeStall(const owned_job &job, const task_id &task,
+                                          const task_state &state, stall_reason reason,
+                                          time_point now) const
 {
-    if (why == stall_reason::NoWorker) {
+    if (reason == stall_reason::NoWorker) {
         const auto &step = stepOf(job, task);
-        return fmt::format(
-                "{}, after run {}; {}", nameOf(why), state.lastRun,
-                m_workers.whyNobody(job.record.policy.service, step, fullOf(job, task, step), now));
+        return fmt::format("{}, after run {}; {}", nameOf(reason), state.lastRun,
+                           m_workers.describeUnfitWorkers(job.record.policy.service, step,
+                                                          workersAtTaskLimit(job, task, step),
+                                                          now));
     }
-    const auto &where = state.placements.back();
-    auto text = fmt::format("{}, run {} on {}, epoch {}", nameOf(why), where.run, where.worker,
-                            where.epoch);
-    if (why == stall_reason::NotRunning)
+    const auto &runPlacement = state.placements.back();
+    auto text = fmt::format("{}, run {} on {}, epoch {}", nameOf(reason), runPlacement.run,
+                            runPlacement.worker, runPlacement.epoch);
+    if (reason == stall_reason::NotRunning)
         text += fmt::format(", {} of {} of its job at work there",
-                            servingAt(task.job, where.worker), placedAt(job, where.worker));
+                            countReportedRuns(task.job, runPlacement.worker),
+                            countPlacedRuns(job, runPlacement.worker));
     return text;
 }
 
--- a/libs/jobs/model.cpp
+++ b/libs/jobs/model.cpp
@@ -23,15 +23,15 @@
 
 // Bounds on one job, so that its record stays far below the 64 KiB of a row and one caller can't
 // fill an entry's memory.
-constexpr int MostTasks = 600; // over all occurrences and steps
-constexpr int MostSteps = 64;
-constexpr int MostOccurrences = 200;
+constexpr int MaxTasks = 600; // over all occurrences and steps
+constexpr int MaxSteps = 64;
+constexpr int MaxOccurrences = 200;
 
 bool readNumber(std::string_view text, int &number)
 {
     const auto *end = text.data() + text.size();
-    const auto [stopped, problem] = std::from_chars(text.data(), end, number);
-    return problem == std::errc{} && stopped == end && number >= 0;
+    const auto [parsedEnd, errorCode] = std::from_chars(text.data(), end, number);
+    return errorCode == std::errc{} && parsedEnd == end && number >= 0;
 }
 
 } // namespace
@@ -65,21 +65,21 @@
 
 std::optional<task_id> taskIdFrom(const std::string &text)
 {
-    const auto third = text.rfind('.');
-    if (third == std::string::npos || third == 0)
+    const auto lastDot = text.rfind('.');
+    if (lastDot == std::string::npos || lastDot == 0)
         return std::nullopt;
-    const auto second = text.rfind('.', third - 1);
-    if (second == std::string::npos || second == 0)
+    const auto middleDot = text.rfind('.', lastDot - 1);
+    if (middleDot == std::string::npos || middleDot == 0)
         return std::nullopt;
-    const auto first = text.rfind('.', second - 1);
-    if (first == std::string::npos || first == 0)
+    const auto firstDot = text.rfind('.', middleDot - 1);
+    if (firstDot == std::string::npos || firstDot == 0)
         return std::nullopt;
     task_id task;
-    task.job = text.substr(0, first);
+    task.job = text.substr(0, firstDot);
     const std::string_view view(text);
-    if (!readNumber(view.substr(first + 1, second - first - 1), task.occurrence)
-        || !readNumber(view.substr(second + 1, third - second - 1), task.step)
-        || !readNumber(view.substr(third + 1), task.index))
+    if (!readNumber(view.substr(firstDot + 1, middleDot - firstDot - 1), task.occurrence)
+        || !readNumber(view.substr(middleDot + 1, lastDot - middleDot - 1), task.step)
+        || !readNumber(view.substr(lastDot + 1), task.index))
         return std::nullopt;
     return task;
 }
@@ -89,7 +89,7 @@
     return nameOf(StateNames, state);
 }
 
-int waitingIn(const std::vector<task_state> &step)
+int countWaiting(const std::vector<task_state> &step)
 {
     return static_cast<int>(std::count_if(step.begin(), step.end(),
                                           [](const auto &task) { return task.isWaiting(); }));
@@ -105,13 +105,13 @@
 {
     if (task.occurrence < 0 || task.occurrence >= static_cast<int>(tasks.size()))
         return nullptr;
-    const auto &inOccurrence = tasks[static_cast<std::size_t>(task.occurrence)];
-    if (task.step < 0 || task.step >= static_cast<int>(inOccurrence.size()))
+    const auto &occurrenceSteps = tasks[static_cast<std::size_t>(task.occurrence)];
+    if (task.step < 0 || task.step >= static_cast<int>(occurrenceSteps.size()))
         return nullptr;
-    const auto &inStep = inOccurrence[static_cast<std::size_t>(task.step)];
-    if (task.index < 0 || task.index >= static_cast<int>(inStep.size()))
+    const auto &stepTasks = occurrenceSteps[static_cast<std::size_t>(task.step)];
+    if (task.index < 0 || task.index >= static_cast<int>(stepTasks.size()))
         return nullptr;
-    return &inStep[static_cast<std::size_t>(task.index)];
+    return &stepTasks[static_cast<std::size_t>(task.index)];
 }
 
 task_state *job_record::find(const task_id &task)
@@ -119,19 +119,19 @@
     return const_cast<task_state *>(std::as_const(*this).find(task));
 }
 
-bool job_record::stepDone(int occurrence, int step) const
+bool job_record::isStepDone(int occurrence, int step) const
 {
-    const auto &inStep =
+    const auto &stepTasks =
             tasks[static_cast<std::size_t>(occurrence)][static_cast<std::size_t>(step)];
-    return std::all_of(inStep.begin(), inStep.end(),
+    return std::all_of(stepTasks.begin(), stepTasks.end(),
                        [](const task_state &task) { return task.done; });
 }
 
-bool job_record::stepReady(int occurrence, int step) const
+bool job_record::isStepReady(int occurrence, int step) const
 {
-    const auto &after = steps[static_cast<std::size_t>(step)].after;
-    return std::all_of(after.begin(), after.end(),
-                       [&](int earlier) { return stepDone(occurrence, earlier); });
+    const auto &dependencies = steps[static_cast<std::size_t>(step)].after;
+    return std::all_of(dependencies.begin(), dependencies.end(),
+                       [&](int earlierStep) { return isStepDone(occurrence, earlierStep); });
 }
 
 job_state job_record::state() const
@@ -140,19 +140,19 @@
         return job_state::Cancelled;
     if (failed)
         return job_state::Failed;
-    bool placed = false;
-    bool completed = true;
-    for (const auto &inOccurrence : tasks) {
-        for (const auto &inStep : inOccurrence) {
-            for (const auto &task : inStep) {
-                placed = placed || task.lastRun > 0;
-                completed = completed && task.done;
+    bool isAnyPlaced = false;
+    bool areAllDone = true;
+    for (const auto &occurrenceSteps : tasks) {
+        for (const auto &stepTasks : occurrenceSteps) {
+            for (const auto &task : stepTasks) {
+                isAnyPlaced = isAnyPlaced || task.lastRun > 0;
+                areAllDone = areAllDone && task.done;
             }
         }
     }
-    if (completed)
+    if (areAllDone)
         return job_state::Completed;
-    return placed ? job_state::Running : job_state::Queued;
+    return isAnyPlaced ? job_state::Running : job_state::Queued;
 }
 
 bool job_record::hasEndedRuns() const
@@ -160,16 +160,16 @@
     const auto hasRun = [](const task_state &task) {
         return task.done || task.failures > 0 || !task.checkpoint.empty();
     };
-    for (const auto &inOccurrence : tasks) {
-        for (const auto &inStep : inOccurrence) {
-            if (std::any_of(inStep.begin(), inStep.end(), hasRun))
+    for (const auto &occurrenceSteps : tasks) {
+        for (const auto &stepTasks : occurrenceSteps) {
+            if (std::any_of(stepTasks.begin(), stepTasks.end(), hasRun))
                 return true;
         }
     }
     return false;
 }
 
-bool job_record::isNeeded(const task_state &task) const
+bool job_record::shouldRun(const task_state &task) const
 {
     return !cancelled && !failed && !task.done;
 }
@@ -178,9 +178,9 @@
 {
     if (!isFinal(state()))
         return true;
-    for (const auto &inOccurrence : tasks) {
-        for (const auto &inStep : inOccurrence) {
-            if (std::any_of(inStep.begin(), inStep.end(),
+    for (const auto &occurrenceSteps : tasks) {
+        for (const auto &stepTasks : occurrenceSteps) {
+            if (std::any_of(stepTasks.begin(), stepTasks.end(),
                             [](const task_state &task) { return !task.placements.empty(); }))
                 return true;
         }
@@ -188,15 +188,17 @@
     return false;
 }
 
-bool job_spec::hasLastingStep() const
+bool job_spec::hasLongRunningStep() const
 {
-    return std::any_of(steps.begin(), steps.end(), [](const auto &step) { return step.lasting; });
+    return std::any_of(steps.begin(), steps.end(),
+                       [](const auto &step) { return step.isLongRunning; });
 }
 
-job_spec specOf(const handed_job &job)
+job_spec specOf(const forwarded_job &job)
 {
     const auto &record = job.record;
-    return {job.payload, record.steps, record.occurrences, record.firstDueMs, record.intervalMs};
+    return {job.payload, record.steps, record.occurrences, record.firstOccurrenceMs,
+            record.intervalMs};
 }
 
 job_record newRecord(const job_spec &spec, const queue_policy &policy, std::int64_t acceptedAtMs)
@@ -205,39 +207,39 @@
     record.policy = policy;
     record.steps = spec.steps;
     record.occurrences = spec.occurrences;
-    record.firstDueMs = spec.firstDueMs;
+    record.firstOccurrenceMs = spec.firstOccurrenceMs;
     record.intervalMs = spec.intervalMs;
     record.acceptedAtMs = acceptedAtMs;
-    occurrence_tasks once;
+    occurrence_tasks initialTasks;
     for (const auto &step : spec.steps)
-        once.emplace_back(static_cast<std::size_t>(step.count));
-    record.tasks.assign(static_cast<std::size_t>(std::max(1, spec.occurrences)), once);
+        initialTasks.emplace_back(static_cast<std::size_t>(step.count));
+    record.tasks.assign(static_cast<std::size_t>(std::max(1, spec.occurrences)), initialTasks);
     return record;
 }
 
 void checkSpec(const job_spec &spec)
 {
-    const auto refuse = [](const std::string &why) { throw error(error_kind::BadRequest, why); };
-    if (spec.steps.empty() || spec.steps.size() > MostSteps)
-        refuse(fmt::format("a job has 1 to {} steps", MostSteps));
-    if (spec.occurrences < 0 || spec.occurrences > MostOccurrences)
-        refuse(fmt::format("a job has at most {} occurrences", MostOccurrences));
+    const auto reject = [](const std::string &why) { throw error(error_kind::BadRequest, why); };
+    if (spec.steps.empty() || spec.steps.size() > MaxSteps)
+        reject(fmt::format("a job has 1 to {} steps", MaxSteps));
+    if (spec.occurrences < 0 || spec.occurrences > MaxOccurrences)
+        reject(fmt::format("a job has at most {} occurrences", MaxOccurrences));
     std::int64_t tasks = 0;
     for (std::size_t index = 0; index < spec.steps.size(); ++index) {
         const auto &step = spec.steps[index];
         if (step.count < 1)
-            refuse(fmt::format("step {}: at least one task is needed", index));
+            reject(fmt::format("step {}: at least one task is needed", index));
         if (step.size.millicores < 0 || step.size.memoryMb < 0 || step.size.accelerators < 0)
-            refuse(fmt::format("step {}: a size below zero", index));
-        for (const int earlier : step.after) {
-            if (earlier < 0 || earlier >= static_cast<int>(index))
-                refuse(fmt::format("step {} waits for step {}, which is not an earlier one", index,
-                                   earlier));
+            reject(fmt::format("step {}: a size below zero", index));
+        for (const int earlierStep : step.after) {
+            if (earlierStep < 0 || earlierStep >= static_cast<int>(index))
+                reject(fmt::format("step {} waits for step {}, which is not an earlier one", index,
+                                   earlierStep));
         }
         tasks += step.count;
     }
-    if (tasks * std::max(1, spec.occurrences) > MostTasks)
-        refuse(fmt::format("a job has at most {} tasks", MostTasks));
+    if (tasks * std::max(1, spec.occurrences) > MaxTasks)
+        reject(fmt::format("a job has at most {} tasks", MaxTasks));
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/model.h
+++ b/libs/jobs/model.h
@@ -24,33 +24,33 @@
 
 struct step_spec
 {
-    int count = 1;               // tasks
-    task_size size;              // of each task
-    std::int64_t estimateMs = 0; // ms, rough
-    std::vector<int> after;      // earlier steps, all of whose tasks are done first
-    bool checkpointing = false;  // tasks save their progress
-    bool gang = false;           // tasks work only together
-    bool sameRack = false;       // slower when spread over racks
-    std::string requiredLabel;   // of the worker; empty: any
-    std::string dataRack;        // slower on any other rack; empty: any
-    int mostPerWorker = 0;       // tasks of the step on one worker; 0: no bound
-    bool speculative = false;    // copies may run in parallel
-    bool lasting = false;        // runs until the job is cancelled
-    std::string image;           // what the tasks run; empty: not told
-    std::int64_t targetMs = 0;   // tail latency to stay below, ms; 0: none
-    bool fills = false;          // uses processor time that others leave
-    int mostUnavailable = 0; // tasks that may be away through acts of the scheduler; 0: not told
+    int count = 1;                    // tasks
+    task_size size;                   // of each task
+    std::int64_t estimateMs = 0;      // ms, rough
+    std::vector<int> after;           // earlier steps, all of whose tasks are done first
+    bool checkpointing = false;       // tasks save their progress
+    bool isGang = false;              // tasks work only together
+    bool prefersSameRack = false;     // slower when spread over racks
+    std::string requiredLabel;        // of the worker; empty: any
+    std::string dataRack;             // slower on any other rack; empty: any
+    int maxPerWorker = 0;             // tasks of the step on one worker; 0: no bound
+    bool isSpeculative = false;       // copies may run in parallel
+    bool isLongRunning = false;       // runs until the job is cancelled
+    std::string image;                // what the tasks run; empty: not told
+    std::int64_t latencyTargetMs = 0; // tail latency to stay below, ms; 0: none
+    bool isBestEffort = false;        // uses processor time that others leave
+    int maxUnavailable = 0; // tasks that may be away through acts of the scheduler; 0: not told
 };
 
 struct job_spec
 {
     std::string payload; // handed to each task as it is
     std::vector<step_spec> steps;
-    int occurrences = 0;         // 0: once, at once
-    std::int64_t firstDueMs = 0; // Unix ms of occurrence 0
-    std::int64_t intervalMs = 0; // ms between occurrences
+    int occurrences = 0;                // 0: once, at once
+    std::int64_t firstOccurrenceMs = 0; // Unix ms of occurrence 0
+    std::int64_t intervalMs = 0;        // ms between occurrences
 
-    bool hasLastingStep() const;
+    bool hasLongRunningStep() const;
 };
 
 // What the operator's configuration said of the queue when the job was accepted.
@@ -84,7 +84,7 @@
     std::string worker;
     std::int64_t epoch = 0;
     int run = 0;
-    std::int64_t agentLife = 0; // of the worker's agent, as it was placed; 0: not told
+    std::int64_t agentIncarnation = 0; // of the worker's agent, as it was placed; 0: not told
 };
 
 struct task_state
@@ -97,12 +97,12 @@
             placements; // more than one: copies; of a task that is done: to be stopped
     // Runs that were over with their worker's epoch, and whose own end was never told: the end may
     // still come, and each counts once.
-    std::vector<int> unheard = {};
+    std::vector<int> unreportedRuns = {};
 
     bool isWaiting() const { return !done && placements.empty(); }
 };
 
-int waitingIn(const std::vector<task_state> &step); // tasks that no worker has
+int countWaiting(const std::vector<task_state> &step); // tasks that no worker has
 
 enum class job_state { Queued, Running, Completed, Failed, Cancelled };
 std::string_view nameOf(job_state state);
@@ -123,24 +123,24 @@
 struct job_record
 {
     owner_id owner;
-    std::string write; // names the write that made this content
+    std::string writeId; // names the write that made this content
     queue_policy policy;
     std::vector<step_spec> steps; // without the payload, which has a row of its own
     int occurrences = 0;
-    std::int64_t firstDueMs = 0;
+    std::int64_t firstOccurrenceMs = 0;
     std::int64_t intervalMs = 0;
     std::int64_t acceptedAtMs = 0; // Unix ms
     bool cancelled = false;
     bool failed = false;
-    bool begun = false; // a worker has begun a run of some task
+    bool hasStarted = false; // a worker has begun a run of some task
     std::vector<occurrence_tasks> tasks;
 
     task_state *find(const task_id &task); // null: no such task
     const task_state *find(const task_id &task) const;
-    bool hasEndedRuns() const;                   // a task has certainly run
-    bool isNeeded(const task_state &task) const; // a run of it may start, or go on
-    bool stepDone(int occurrence, int step) const;
-    bool stepReady(int occurrence, int step) const; // all steps before it are done
+    bool hasEndedRuns() const;                    // a task has certainly run
+    bool shouldRun(const task_state &task) const; // a run of it may start, or go on
+    bool isStepDone(int occurrence, int step) const;
+    bool isStepReady(int occurrence, int step) const; // all steps before it are done
     job_state state() const;
     // Somebody has to act on the job: it is not over, or runs of it are still placed. A job that
     // was cancelled and lost its owner in the same moment would otherwise run on.
@@ -151,14 +151,14 @@
 job_record newRecord(const job_spec &spec, const queue_policy &policy, std::int64_t acceptedAtMs);
 
 // A job on its way from the entry that a caller reached to the one that accepts it.
-struct handed_job
+struct forwarded_job
 {
     job_record record;
     std::string payload;
 };
-job_spec specOf(const handed_job &job);
-std::string toText(const handed_job &job);
-handed_job handedJobFrom(const std::string &text); // throws error BadRequest
+job_spec specOf(const forwarded_job &job);
+std::string toText(const forwarded_job &job);
+forwarded_job forwardedJobFrom(const std::string &text); // throws error BadRequest
 
 // Throws error BadRequest that says what is wrong.
 void checkSpec(const job_spec &spec);
--- a/libs/jobs/queues.cpp
+++ b/libs/jobs/queues.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr char AfterHost = '\n'; // in no host
+constexpr char HostSeparator = '\n'; // in no host
 
 } // namespace
 
@@ -20,23 +20,23 @@
     m_byPrefix.reserve(m_routes.size());
     for (std::size_t index = 0; index < m_routes.size(); ++index) {
         const auto &route = m_routes[index];
-        m_byPrefix.emplace(route.host + AfterHost + route.prefix, index);
+        m_byPrefix.emplace(route.host + HostSeparator + route.prefix, index);
         lengths.insert(route.prefix.size());
     }
-    m_lengths.assign(lengths.begin(), lengths.end());
+    m_prefixLengths.assign(lengths.begin(), lengths.end());
 }
 
-std::optional<routed> queue_table::find(const std::string &host, const std::string &path) const
+std::optional<route_match> queue_table::find(const std::string &host, const std::string &path) const
 {
-    auto key = host.substr(0, host.find(':')) + AfterHost; // a port may follow
+    auto key = host.substr(0, host.find(':')) + HostSeparator; // a port may follow
     const auto hostSize = key.size();
-    for (const auto length : m_lengths) {
+    for (const auto length : m_prefixLengths) {
         if (length > path.size())
             continue;
         key.resize(hostSize);
         key.append(path, 0, length);
         if (const auto found = m_byPrefix.find(key); found != m_byPrefix.end())
-            return routed{&m_routes[found->second], path.substr(length)};
+            return route_match{&m_routes[found->second], path.substr(length)};
     }
     return std::nullopt;
 }
--- a/libs/jobs/queues.h
+++ b/libs/jobs/queues.h
@@ -25,7 +25,7 @@
     std::vector<queue_route> routes;
 };
 
-struct routed
+struct route_match
 {
     const queue_route *route = nullptr;
     std::string job; // empty: the queue itself
@@ -40,15 +40,15 @@
 
     std::int64_t version() const { return m_version; }
     std::size_t size() const { return m_routes.size(); }
-    std::size_t prefixLengths() const { return m_lengths.size(); }
+    std::size_t prefixLengthCount() const { return m_prefixLengths.size(); }
     // The route with the longest prefix; none: there is no such queue.
-    std::optional<routed> find(const std::string &host, const std::string &path) const;
+    std::optional<route_match> find(const std::string &host, const std::string &path) const;
 
 private:
     std::int64_t m_version;
     std::vector<queue_route> m_routes;
     std::unordered_map<std::string, std::size_t> m_byPrefix; // host and prefix to the route
-    std::vector<std::size_t> m_lengths;                      // of prefixes, the longest first
+    std::vector<std::size_t> m_prefixLengths;                // of prefixes, the longest first
 };
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/record.cpp
+++ b/libs/jobs/record.cpp
@@ -40,20 +40,20 @@
     put(value, "m", step.size.memoryMb);
     put(value, "g", step.size.accelerators);
     put(value, "e", step.estimateMs);
-    for (const int earlier : step.after)
-        value["a"].append(earlier);
+    for (const int earlierStep : step.after)
+        value["a"].append(earlierStep);
     putFlag(value, "ck", step.checkpointing);
-    putFlag(value, "ga", step.gang);
-    putFlag(value, "sr", step.sameRack);
+    putFlag(value, "ga", step.isGang);
+    putFlag(value, "sr", step.prefersSameRack);
     put(value, "rl", step.requiredLabel);
     put(value, "dr", step.dataRack);
-    put(value, "mw", step.mostPerWorker);
-    putFlag(value, "sp", step.speculative);
-    putFlag(value, "la", step.lasting);
+    put(value, "mw", step.maxPerWorker);
+    putFlag(value, "sp", step.isSpeculative);
+    putFlag(value, "la", step.isLongRunning);
     put(value, "im", step.image);
-    put(value, "tg", step.targetMs);
-    putFlag(value, "fi", step.fills);
-    put(value, "mu", step.mostUnavailable);
+    put(value, "tg", step.latencyTargetMs);
+    putFlag(value, "fi", step.isBestEffort);
+    put(value, "mu", step.maxUnavailable);
     return value;
 }
 
@@ -64,28 +64,29 @@
     step.count = countOr0(value, "n");
     step.size = {numberOr0(value, "c"), numberOr0(value, "m"), numberOr0(value, "g")};
     step.estimateMs = numberOr0(value, "e");
-    forEach(value, "a", [&](const auto &earlier) { step.after.push_back(asCount(earlier)); });
+    forEach(value, "a",
+            [&](const auto &earlierStep) { step.after.push_back(asCount(earlierStep)); });
     step.checkpointing = find(value, "ck") != nullptr;
-    step.gang = find(value, "ga") != nullptr;
-    step.sameRack = find(value, "sr") != nullptr;
+    step.isGang = find(value, "ga") != nullptr;
+    step.prefersSameRack = find(value, "sr") != nullptr;
     step.requiredLabel = textOrNone(value, "rl");
     step.dataRack = textOrNone(value, "dr");
-    step.mostPerWorker = countOr0(value, "mw");
-    step.speculative = find(value, "sp") != nullptr;
-    step.lasting = find(value, "la") != nullptr;
+    step.maxPerWorker = countOr0(value, "mw");
+    step.isSpeculative = find(value, "sp") != nullptr;
+    step.isLongRunning = find(value, "la") != nullptr;
     step.image = textOrNone(value, "im");
-    step.targetMs = numberOr0(value, "tg");
-    step.fills = find(value, "fi") != nullptr;
-    step.mostUnavailable = countOr0(value, "mu");
+    step.latencyTargetMs = numberOr0(value, "tg");
+    step.isBestEffort = find(value, "fi") != nullptr;
+    step.maxUnavailable = countOr0(value, "mu");
     return step;
 }
 
-Json::Value toJson(const placement &where)
+Json::Value toJson(const placement &runPlacement)
 {
     Json::Value row(Json::arrayValue);
-    row.append(where.worker);
-    row.append(Json::Int64(where.epoch));
-    row.append(where.run);
+    row.append(runPlacement.worker);
+    row.append(Json::Int64(runPlacement.epoch));
+    row.append(runPlacement.run);
     return row;
 }
 
@@ -101,11 +102,11 @@
     put(value, "f", task.failures);
     put(value, "k", task.checkpoint);
     // The agents' lives stand beside the placements, whose three members the release before counts.
-    for (const auto &where : task.placements) {
-        value["p"].append(toJson(where));
-        value["l"].append(Json::Int64(where.agentLife));
+    for (const auto &runPlacement : task.placements) {
+        value["p"].append(toJson(runPlacement));
+        value["l"].append(Json::Int64(runPlacement.agentIncarnation));
     }
-    for (const int run : task.unheard)
+    for (const int run : task.unreportedRuns)
         value["u"].append(run);
     return value;
 }
@@ -118,7 +119,7 @@
     return {large_json::asText(row[0]), large_json::asNumber(row[1]), large_json::asCount(row[2])};
 }
 
-void takeNeedlessRun(const large_json::value &row, job_record &record)
+void readRedundantRun(const large_json::value &row, job_record &record)
 {
     constexpr rapidjson::SizeType Members = 7;
     if (!row.IsArray() || row.Size() != Members)
@@ -133,20 +134,20 @@
 
 // Runs of tasks that are done, to be stopped. They stand apart: a task that is done is 1 to the
 // release before, too, which leaves these out when it writes the row.
-Json::Value needlessRuns(const std::vector<occurrence_tasks> &tasks)
+Json::Value redundantRuns(const std::vector<occurrence_tasks> &tasks)
 {
     Json::Value rows(Json::arrayValue);
     for (std::size_t occurrence = 0; occurrence < tasks.size(); ++occurrence) {
         for (std::size_t step = 0; step < tasks[occurrence].size(); ++step) {
-            const auto &inStep = tasks[occurrence][step];
-            for (std::size_t index = 0; index < inStep.size(); ++index) {
-                for (const auto &where : inStep[index].placements) {
-                    if (!inStep[index].done)
+            const auto &stepTasks = tasks[occurrence][step];
+            for (std::size_t index = 0; index < stepTasks.size(); ++index) {
+                for (const auto &runPlacement : stepTasks[index].placements) {
+                    if (!stepTasks[index].done)
                         continue;
-                    Json::Value row = toJson(where);
+                    Json::Value row = toJson(runPlacement);
                     for (const auto member : {occurrence, step, index})
                         row.append(Json::UInt64(member));
-                    row.append(Json::Int64(where.agentLife));
+                    row.append(Json::Int64(runPlacement.agentIncarnation));
                     rows.append(std::move(row));
                 }
             }
@@ -168,12 +169,12 @@
     task.failures = countOr0(value, "f");
     task.checkpoint = textOrNone(value, "k");
     forEach(value, "p", [&](const auto &row) { task.placements.push_back(placementFrom(row)); });
-    std::size_t at = 0;
-    forEach(value, "l", [&](const auto &life) {
-        if (at < task.placements.size())
-            task.placements[at++].agentLife = asNumber(life);
+    std::size_t placementIndex = 0;
+    forEach(value, "l", [&](const auto &storedIncarnation) {
+        if (placementIndex < task.placements.size())
+            task.placements[placementIndex++].agentIncarnation = asNumber(storedIncarnation);
     });
-    forEach(value, "u", [&](const auto &run) { task.unheard.push_back(asCount(run)); });
+    forEach(value, "u", [&](const auto &run) { task.unreportedRuns.push_back(asCount(run)); });
     return task;
 }
 
@@ -185,10 +186,10 @@
     for (const auto &row : steps.GetArray()) {
         if (!row.IsArray())
             throw error(error_kind::BadRequest, "a job's record: tasks are an array");
-        auto &inStep = result.emplace_back();
-        inStep.reserve(row.Size());
+        auto &stepTasks = result.emplace_back();
+        stepTasks.reserve(row.Size());
         for (const auto &task : row.GetArray())
-            inStep.push_back(taskFrom(task));
+            stepTasks.push_back(taskFrom(task));
     }
     return result;
 }
@@ -220,30 +221,30 @@
     value["v"] = RecordVersion;
     value["o"] = record.owner.entry;
     value["i"] = Json::Int64(record.owner.incarnation);
-    value["w"] = record.write;
+    value["w"] = record.writeId;
     value["q"] = toJson(record.policy);
     for (const auto &step : record.steps)
         value["s"].append(toJson(step));
     put(value, "oc", record.occurrences);
-    put(value, "od", record.firstDueMs);
+    put(value, "od", record.firstOccurrenceMs);
     put(value, "oi", record.intervalMs);
     put(value, "at", record.acceptedAtMs);
     putFlag(value, "cx", record.cancelled);
     putFlag(value, "fx", record.failed);
-    putFlag(value, "bg", record.begun);
-    for (const auto &inOccurrence : record.tasks) {
+    putFlag(value, "bg", record.hasStarted);
+    for (const auto &occurrenceSteps : record.tasks) {
         Json::Value steps(Json::arrayValue);
-        for (const auto &inStep : inOccurrence) {
+        for (const auto &stepTasks : occurrenceSteps) {
             Json::Value row(Json::arrayValue);
-            for (const auto &task : inStep)
+            for (const auto &task : stepTasks)
                 row.append(toJson(task));
             steps.append(std::move(row));
         }
         value["t"].append(std::move(steps));
     }
-    auto needless = needlessRuns(record.tasks);
-    if (!needless.empty())
-        value["x"] = std::move(needless);
+    auto redundant = redundantRuns(record.tasks);
+    if (!redundant.empty())
+        value["x"] = std::move(redundant);
     return compactJson(value);
 }
 
@@ -255,27 +256,27 @@
         throw error(error_kind::BadRequest, "a job's record of another version");
     job_record record;
     record.owner = {textOrNone(value, "o"), numberOr0(value, "i")};
-    record.write = textOrNone(value, "w");
+    record.writeId = textOrNone(value, "w");
     if (const auto *policy = find(value, "q"))
         record.policy = policyFrom(*policy);
     forEach(value, "s", [&](const auto &step) { record.steps.push_back(stepFrom(step)); });
     record.occurrences = countOr0(value, "oc");
-    record.firstDueMs = numberOr0(value, "od");
+    record.firstOccurrenceMs = numberOr0(value, "od");
     record.intervalMs = numberOr0(value, "oi");
     record.acceptedAtMs = numberOr0(value, "at");
     record.cancelled = find(value, "cx") != nullptr;
     record.failed = find(value, "fx") != nullptr;
-    record.begun = find(value, "bg") != nullptr;
+    record.hasStarted = find(value, "bg") != nullptr;
     forEach(value, "t", [&](const auto &steps) { record.tasks.push_back(occurrenceFrom(steps)); });
     for (const auto &steps : record.tasks) {
         if (steps.size() != record.steps.size())
             throw error(error_kind::BadRequest, "a job's record whose steps don't agree");
     }
-    forEach(value, "x", [&](const auto &row) { takeNeedlessRun(row, record); });
+    forEach(value, "x", [&](const auto &row) { readRedundantRun(row, record); });
     return record;
 }
 
-std::string toText(const handed_job &job)
+std::string toText(const forwarded_job &job)
 {
     Json::Value value(Json::objectValue);
     value["record"] = toText(job.record);
@@ -283,7 +284,7 @@
     return compactJson(value);
 }
 
-handed_job handedJobFrom(const std::string &text)
+forwarded_job forwardedJobFrom(const std::string &text)
 {
     const auto value = parseJsonObject(text);
     return {recordFrom(stringMember(value, "record")), stringMember(value, "payload")};
--- a/libs/jobs/rows.h
+++ b/libs/jobs/rows.h
@@ -12,7 +12,7 @@
 struct row_name
 {
     std::string table;
-    std::string part; // rows of one part change together
+    std::string partition; // rows of one part change together
     std::string key;
 
     friend auto operator<=>(const row_name &, const row_name &) = default;
@@ -43,31 +43,31 @@
 struct committed
 {
     std::int64_t version = 0;
-    std::int64_t storeMs = 0; // the store's own steady clock; 0: not told
+    std::int64_t storeClockMs = 0; // the store's own steady clock; 0: not told
 };
 struct conflicting
 {
     std::vector<row> rows; // as they are, of those that were expected; a missing one is left out
 };
-struct not_done // the store refused, and nothing was written
+struct not_committed // the store refused, and nothing was written
 { };
 struct in_doubt // no answer: it may have been written, or may be yet
 { };
-using commit_result = std::variant<committed, conflicting, not_done, in_doubt>;
+using commit_result = std::variant<committed, conflicting, not_committed, in_doubt>;
 
 struct row_page
 {
     std::vector<row> rows;
-    bool more = false;
-    std::int64_t version = 0; // of the whole store when it was read
-    std::int64_t storeMs = 0; // the store's own steady clock then; 0: not told
+    bool hasMore = false;
+    std::int64_t version = 0;      // of the whole store when it was read
+    std::int64_t storeClockMs = 0; // the store's own steady clock then; 0: not told
 };
 
 struct feed_page
 {
     std::vector<row> rows;
-    std::int64_t version = 0; // to continue from
-    bool historyGone = false; // read everything anew
+    std::int64_t version = 0;    // to continue from
+    bool historyExpired = false; // read everything anew
 };
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/run_table.cpp
+++ b/libs/jobs/run_table.cpp
@@ -11,7 +11,7 @@
 
 task_size countedSize(const run_requirements &requirements)
 {
-    return jobs::countedSize(requirements.size, requirements.isBestEffort);
+    return jobs::reservedSize(requirements.size, requirements.isBestEffort);
 }
 
 double coresOf(std::int64_t millicores)
--- a/libs/jobs/urgency.cpp
+++ b/libs/jobs/urgency.cpp
@@ -8,17 +8,18 @@
 namespace {
 
 // The longest chain of estimates, of all steps or of those that are not done in `occurrence`, ms.
-std::int64_t longestChainMs(const job_record &record, std::optional<int> occurrence)
+std::int64_t criticalPathMs(const job_record &record, std::optional<int> occurrence)
 {
-    std::vector<std::int64_t> until(record.steps.size(), 0); // the end of each step
+    std::vector<std::int64_t> finishMs(record.steps.size(), 0); // the end of each step
     std::int64_t longest = 0;
     for (std::size_t index = 0; index < record.steps.size(); ++index) {
         const auto &step = record.steps[index];
-        for (const int earlier : step.after)
-            until[index] = std::max(until[index], until[static_cast<std::size_t>(earlier)]);
-        if (!occurrence || !record.stepDone(*occurrence, static_cast<int>(index)))
-            until[index] += step.estimateMs;
-        longest = std::max(longest, until[index]);
+        for (const int earlierStep : step.after)
+            finishMs[index] =
+                    std::max(finishMs[index], finishMs[static_cast<std::size_t>(earlierStep)]);
+        if (!occurrence || !record.isStepDone(*occurrence, static_cast<int>(index)))
+            finishMs[index] += step.estimateMs;
+        longest = std::max(longest, finishMs[index]);
     }
     return longest;
 }
@@ -26,13 +27,13 @@
 bool isDone(const job_record &record, int occurrence)
 {
     for (std::size_t step = 0; step < record.steps.size(); ++step) {
-        if (!record.stepDone(occurrence, static_cast<int>(step)))
+        if (!record.isStepDone(occurrence, static_cast<int>(step)))
             return false;
     }
     return true;
 }
 
-int firstOpenOccurrence(const job_record &record)
+int firstUnfinishedOccurrence(const job_record &record)
 {
     const auto count = static_cast<int>(record.tasks.size());
     int occurrence = 0;
@@ -43,29 +44,30 @@
 
 } // namespace
 
-std::int64_t estimatedMs(const job_record &record)
+std::int64_t estimatedCriticalPathMs(const job_record &record)
 {
-    return longestChainMs(record, std::nullopt);
+    return criticalPathMs(record, std::nullopt);
 }
 
-std::int64_t timeToSpareMs(const job_record &record, std::int64_t wallMs)
+std::int64_t slackMs(const job_record &record, std::int64_t wallMs)
 {
-    const int occurrence = firstOpenOccurrence(record);
-    const auto from = record.occurrences > 0 ? record.firstDueMs + occurrence * record.intervalMs
-                                             : record.acceptedAtMs;
-    const auto chain = static_cast<double>(estimatedMs(record));
-    const auto objective = static_cast<std::int64_t>(record.policy.stretch * chain)
+    const int occurrence = firstUnfinishedOccurrence(record);
+    const auto startMs = record.occurrences > 0
+                                 ? record.firstOccurrenceMs + occurrence * record.intervalMs
+                                 : record.acceptedAtMs;
+    const auto criticalPath = static_cast<double>(estimatedCriticalPathMs(record));
+    const auto objective = static_cast<std::int64_t>(record.policy.stretch * criticalPath)
                            + record.policy.targetLatencyMs;
-    return from + objective - longestChainMs(record, occurrence) - wallMs;
+    return startMs + objective - criticalPathMs(record, occurrence) - wallMs;
 }
 
 job_urgency urgencyOf(const job_record &record, std::int64_t wallMs)
 {
-    using standing = job_urgency::standing;
-    const auto spare = timeToSpareMs(record, wallMs);
-    if (spare < 0)
+    using standing = job_urgency::deadline_state;
+    const auto slack = slackMs(record, wallMs);
+    if (slack < 0)
         return {record.policy.priority, standing::Late, record.acceptedAtMs};
-    return {record.policy.priority, standing::InTime, spare};
+    return {record.policy.priority, standing::OnTime, slack};
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/urgency.h
+++ b/libs/jobs/urgency.h
@@ -13,11 +13,11 @@
 // in time.
 struct job_urgency
 {
-    enum class standing { InTime, Late };
+    enum class deadline_state { OnTime, Late };
 
     int priority = 0; // 0 first
-    standing at = standing::InTime;
-    std::int64_t rank = 0; // ms: time to spare, or Unix time of acceptance
+    deadline_state deadlineState = deadline_state::OnTime;
+    std::int64_t sortKeyMs = 0; // ms: time to spare, or Unix time of acceptance
 
     friend auto operator<=>(const job_urgency &, const job_urgency &) = default;
 };
@@ -26,9 +26,9 @@
 
 // How long the job may wait and still meet its objective by the estimates of its steps, ms; below
 // zero: it can't.
-std::int64_t timeToSpareMs(const job_record &record, std::int64_t wallMs);
+std::int64_t slackMs(const job_record &record, std::int64_t wallMs);
 
 // How long the job takes by the estimates of its steps, its longest chain, ms.
-std::int64_t estimatedMs(const job_record &record);
+std::int64_t estimatedCriticalPathMs(const job_record &record);
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/worker_pool.cpp
+++ b/libs/jobs/worker_pool.cpp
@@ -11,57 +11,58 @@
 
 namespace {
 
-constexpr name_table<unfit, 14> UnfitNames{{
-        {unfit::No, "fit"},
-        {unfit::OtherService, "other_service"},
-        {unfit::NotAccepting, "not_accepting"},
-        {unfit::Evacuated, "evacuated"},
-        {unfit::Silent, "silent"},
-        {unfit::SetAside, "set_aside"},
-        {unfit::OtherLabel, "other_label"},
-        {unfit::Full, "full"},
-        {unfit::MakesLate, "makes_late"},
-        {unfit::Avoided, "avoided"},
-        {unfit::Refused, "refused"},
-        {unfit::NoProcessors, "no_processors"},
-        {unfit::NoMemory, "no_memory"},
-        {unfit::NoAccelerators, "no_accelerators"},
+constexpr name_table<unfit_reason, 14> UnfitReasonNames{{
+        {unfit_reason::None, "fit"},
+        {unfit_reason::ServiceMismatch, "other_service"},
+        {unfit_reason::NotAccepting, "not_accepting"},
+        {unfit_reason::Evacuated, "evacuated"},
+        {unfit_reason::Silent, "silent"},
+        {unfit_reason::Quarantined, "set_aside"},
+        {unfit_reason::LabelMismatch, "other_label"},
+        {unfit_reason::BestEffortFull, "full"},
+        {unfit_reason::WouldCauseLateness, "makes_late"},
+        {unfit_reason::Avoided, "avoided"},
+        {unfit_reason::RefusedByAgent, "refused"},
+        {unfit_reason::NoProcessors, "no_processors"},
+        {unfit_reason::NoMemory, "no_memory"},
+        {unfit_reason::NoAccelerators, "no_accelerators"},
 }};
 
 // Of an agent's clock: before any order.
-constexpr std::int64_t LongPast = 1;
+constexpr std::int64_t ExpiredDeadlineMs = 1;
 
 // Entries hear the same of the workers at the same time. Where all take the worker that is best by
 // little, all but the first are refused. Less than any single reason for or against a worker.
-double spreadOf(const std::string &worker, std::uint64_t spread)
+double tieBreakOf(const std::string &worker, std::uint64_t seed)
 {
-    constexpr double Amount = 0.05; // a quarter of a worker's processors
-    constexpr std::uint64_t Parts = 1024;
-    if (spread == 0)
+    constexpr double MaxTieBreak = 0.05; // a quarter of a worker's processors
+    constexpr std::uint64_t TieBreakSteps = 1024;
+    if (seed == 0)
         return 0;
-    auto mixed = stableHash(worker) ^ (spread * 0x9e3779b97f4a7c15ULL);
-    mixed = (mixed ^ (mixed >> 31)) * 0xbf58476d1ce4e5b9ULL;
-    mixed ^= mixed >> 29;
-    return Amount * static_cast<double>(mixed % Parts) / static_cast<double>(Parts);
+    auto hash = stableHash(worker) ^ (seed * 0x9e3779b97f4a7c15ULL);
+    hash = (hash ^ (hash >> 31)) * 0xbf58476d1ce4e5b9ULL;
+    hash ^= hash >> 29;
+    return MaxTieBreak * static_cast<double>(hash % TieBreakSteps)
+           / static_cast<double>(TieBreakSteps);
 }
 
-bool lacksRoom(unfit why)
+bool lacksRoom(unfit_reason reason)
 {
-    return why == unfit::Refused || why == unfit::NoProcessors || why == unfit::NoMemory
-           || why == unfit::NoAccelerators;
+    return reason == unfit_reason::RefusedByAgent || reason == unfit_reason::NoProcessors
+           || reason == unfit_reason::NoMemory || reason == unfit_reason::NoAccelerators;
 }
 
 } // namespace
 
-std::string_view nameOf(unfit why)
+std::string_view nameOf(unfit_reason reason)
 {
-    return nameOf(UnfitNames, why);
+    return nameOf(UnfitReasonNames, reason);
 }
 
-task_size countedSize(const task_size &size, bool fills)
+task_size reservedSize(const task_size &size, bool isBestEffort)
 {
     auto counted = size;
-    if (fills)
+    if (isBestEffort)
         counted.millicores = 0;
     return counted;
 }
@@ -74,26 +75,26 @@
 {
     auto &view = m_workers[report.worker];
     // Held up on its way from a life that was followed by another: what is placed by it is refused.
-    if (report.agentIncarnation != 0 && report.agentIncarnation < view.last.agentIncarnation)
+    if (report.agentIncarnation != 0 && report.agentIncarnation < view.lastReport.agentIncarnation)
         return false;
-    const bool newLife = view.last.agentIncarnation != report.agentIncarnation
-                         || view.last.epoch != report.epoch;
-    noteClock(view, report, now);
-    view.last = report;
-    view.last.ends.clear();
-    view.last.progress.clear();
-    view.refused.clear();
-    view.heardAt = now;
+    const bool isNewIncarnation = view.lastReport.agentIncarnation != report.agentIncarnation
+                                  || view.lastReport.epoch != report.epoch;
+    updateClock(view, report, now);
+    view.lastReport = report;
+    view.lastReport.ends.clear();
+    view.lastReport.progress.clear();
+    view.refusedSizes.clear();
+    view.lastReportAt = now;
     view.lateJobs = lateJobsOf(view);
-    if (m_service.isDue(now))
-        m_service.recordCounts(servingByJob(now), now);
-    return newLife;
+    if (m_serviceHistory.isDue(now))
+        m_serviceHistory.recordCounts(countServingRuns(now), now);
+    return isNewIncarnation;
 }
 
 // Of all readings the one counts that says most: a report that was slow to come takes nothing back.
-void worker_pool::noteClock(worker_view &view, const worker_report &report, time_point now)
+void worker_pool::updateClock(worker_view &view, const worker_report &report, time_point now)
 {
-    if (report.clockMs == 0 || report.agentIncarnation != view.last.agentIncarnation)
+    if (report.clockMs == 0 || report.agentIncarnation != view.lastReport.agentIncarnation)
         view.clock.reset();
     if (report.clockMs == 0)
         return;
@@ -101,16 +102,16 @@
         view.clock = agent_clock{report.clockMs, now};
 }
 
-std::int64_t worker_pool::orderHoldsUntil(const std::string &worker, std::int64_t agentLife,
-                                          time_point now) const
+std::int64_t worker_pool::startDeadlineFor(const std::string &worker, std::int64_t agentIncarnation,
+                                           time_point now) const
 {
     const auto *view = find(worker);
     if (view == nullptr || !view->clock)
         return 0;
     // The clock of that life is not known yet: the order claims a run that is there, no more.
-    if (view->last.agentIncarnation < agentLife)
-        return LongPast;
-    return view->clock->lowerBoundMs(now) + m_settings.orderHolds.count();
+    if (view->lastReport.agentIncarnation < agentIncarnation)
+        return ExpiredDeadlineMs;
+    return view->clock->lowerBoundMs(now) + m_settings.startOrderValidity.count();
 }
 
 const worker_view *worker_pool::find(const std::string &worker) const
@@ -119,212 +120,225 @@
     return found == m_workers.end() ? nullptr : &found->second;
 }
 
-bool worker_pool::isHeard(const std::string &worker, time_point now) const
+bool worker_pool::isReporting(const std::string &worker, time_point now) const
 {
     const auto *view = find(worker);
-    return view != nullptr && now - view->heardAt <= m_settings.silentAfter;
+    return view != nullptr && now - view->lastReportAt <= m_settings.reportTimeout;
 }
 
-void worker_pool::noteEnd(const std::string &worker, end_kind how, double slowness, time_point now)
+void worker_pool::recordRunEnd(const std::string &worker, end_kind endKind, double slowdown,
+                               time_point now)
 {
     const auto found = m_workers.find(worker);
     if (found == m_workers.end())
         return;
     auto &view = found->second;
-    constexpr double Weight = 0.2; // of the newest: about the last five runs count
-    if (how == end_kind::Done) {
-        view.failuresInRow = 0;
-        if (slowness > 0)
-            view.slowness += Weight * (slowness - view.slowness);
+    constexpr double NewestRunWeight = 0.2; // of the newest: about the last five runs count
+    if (endKind == end_kind::Done) {
+        view.consecutiveFailures = 0;
+        if (slowdown > 0)
+            view.slowdown += NewestRunWeight * (slowdown - view.slowdown);
     }
-    if (how == end_kind::Failed && ++view.failuresInRow >= m_settings.failuresInRow)
-        view.setAsideUntil = now + m_settings.setAside;
+    if (endKind == end_kind::Failed
+        && ++view.consecutiveFailures >= m_settings.maxConsecutiveFailures)
+        view.quarantinedUntil = now + m_settings.quarantineTime;
 }
 
-unfit worker_pool::unfitFor(const worker_view &view, const std::string &service,
-                            const step_spec &step, bool patient, time_point now) const
+unfit_reason worker_pool::unfitReasonOf(const worker_view &view, const std::string &service,
+                                        const step_spec &step, bool avoidsInterference,
+                                        time_point now) const
 {
-    const auto &last = view.last;
+    const auto &last = view.lastReport;
     if (last.service != service)
-        return unfit::OtherService;
-    if (m_evacuated.contains(last.zone))
-        return unfit::Evacuated;
+        return unfit_reason::ServiceMismatch;
+    if (m_evacuatedZones.contains(last.zone))
+        return unfit_reason::Evacuated;
     if (!last.isAccepting || last.epoch == 0)
-        return unfit::NotAccepting;
-    if (now - view.heardAt > m_settings.silentAfter)
-        return unfit::Silent;
-    if (now < view.setAsideUntil)
-        return unfit::SetAside;
+        return unfit_reason::NotAccepting;
+    if (now - view.lastReportAt > m_settings.reportTimeout)
+        return unfit_reason::Silent;
+    if (now < view.quarantinedUntil)
+        return unfit_reason::Quarantined;
     if (!step.requiredLabel.empty() && step.requiredLabel != last.kind
         && step.requiredLabel != last.rack)
-        return unfit::OtherLabel;
+        return unfit_reason::LabelMismatch;
     // Beyond, runs that fill only slow each other down: jobs that wait in order come in time more
     // often than jobs that all run at a fraction of their pace.
-    constexpr double MostShare = 0.95;
-    if (step.fills && last.bestEffortMillicores > 0 && shareWith(view, step) > MostShare)
-        return unfit::Full;
+    constexpr double MaxProcessorShare = 0.95;
+    if (step.isBestEffort && last.bestEffortMillicores > 0
+        && processorShareWith(view, step) > MaxProcessorShare)
+        return unfit_reason::BestEffortFull;
     // What fills waits for a worker where it harms nobody: its objective leaves it time, and a late
     // answer can't be made good.
-    constexpr double MostLateJobs = 0.15;
-    if (step.fills && patient && lateJobsExpected(view, step) > MostLateJobs)
-        return unfit::MakesLate;
-    const auto size = countedSize(step.size, step.fills);
-    const auto room = roomFor(size, last.capacity, last.used);
-    return room == unfit::No && wasRefused(view, size) ? unfit::Refused : room;
+    constexpr double MaxExpectedLateJobs = 0.15;
+    if (step.isBestEffort && avoidsInterference
+        && expectedLateJobs(view, step) > MaxExpectedLateJobs)
+        return unfit_reason::WouldCauseLateness;
+    const auto size = reservedSize(step.size, step.isBestEffort);
+    const auto room = lackingResource(size, last.capacity, last.used);
+    return room == unfit_reason::None && wasRefused(view, size) ? unfit_reason::RefusedByAgent
+                                                                : room;
 }
 
 bool worker_pool::wasRefused(const worker_view &view, const task_size &size)
 {
-    return std::any_of(view.refused.begin(), view.refused.end(),
+    return std::any_of(view.refusedSizes.begin(), view.refusedSizes.end(),
                        [&](const auto &refused) { return refused.fitsInto(size); });
 }
 
-unfit worker_pool::roomFor(const task_size &size, const task_size &capacity, const task_size &used)
+unfit_reason worker_pool::lackingResource(const task_size &size, const task_size &capacity,
+                                          const task_size &used)
 {
     if (used.millicores + size.millicores > capacity.millicores)
-        return unfit::NoProcessors;
+        return unfit_reason::NoProcessors;
     if (used.memoryMb + size.memoryMb > capacity.memoryMb)
-        return unfit::NoMemory;
+        return unfit_reason::NoMemory;
     if (used.accelerators + size.accelerators > capacity.accelerators)
-        return unfit::NoAccelerators;
-    return unfit::No;
+        return unfit_reason::NoAccelerators;
+    return unfit_reason::None;
 }
 
-bool worker_pool::hasRoomBesideLasting(const worker_view &view, const step_spec &step)
+bool worker_pool::hasRoomBesideLongRunning(const worker_view &view, const step_spec &step)
 {
-    return roomFor(countedSize(step.size, step.fills), view.last.capacity,
-                   view.last.usedByLongRunning)
-           == unfit::No;
+    return lackingResource(reservedSize(step.size, step.isBestEffort), view.lastReport.capacity,
+                           view.lastReport.usedByLongRunning)
+           == unfit_reason::None;
 }
 
 // The share of the worker's processors that would be in use.
-double worker_pool::shareWith(const worker_view &view, const step_spec &step)
+double worker_pool::processorShareWith(const worker_view &view, const step_spec &step)
 {
-    const auto &last = view.last;
+    const auto &last = view.lastReport;
     const auto capacity = static_cast<double>(std::max<std::int64_t>(1, last.capacity.millicores));
     // What serves has about half of its size in use, and what fills works with the rest.
-    constexpr double InUse = 0.5;
-    const auto asked = static_cast<double>(last.bestEffortMillicores + step.size.millicores);
-    return (InUse * static_cast<double>(last.used.millicores) + asked) / capacity;
+    constexpr double ReservationUsage = 0.5;
+    const auto requested = static_cast<double>(last.bestEffortMillicores + step.size.millicores);
+    return (ReservationUsage * static_cast<double>(last.used.millicores) + requested) / capacity;
 }
 
 // Higher is better: the share of the processor that stays free, less what makes the run slow or
 // its neighbours late.
-double worker_pool::score(const worker_view &view, const step_spec &step, int together) const
+double worker_pool::score(const worker_view &view, const step_spec &step, int waitingTasks) const
 {
-    if (step.targetMs > 0)
-        return servingScore(view, step, together);
-    const auto &last = view.last;
-    const double share = shareWith(view, step);
+    if (step.latencyTargetMs > 0)
+        return servingScore(view, step, waitingTasks);
+    const auto &last = view.lastReport;
+    const double share = processorShareWith(view, step);
     // Below its size a worker runs everything at full speed; above, what fills shares what is left.
-    constexpr double Full = 0.9;  // sizes are declared roughly
-    constexpr double Crowded = 4; // a run at half speed is worse than one that harms its neighbours
-    double score = -0.2 * share - Crowded * std::max(0.0, share - Full);
+    constexpr double OvercommitStart = 0.9; // sizes are declared roughly
+    constexpr double OvercommitPenalty =
+            4; // a run at half speed is worse than one that harms its neighbours
+    double score = -0.2 * share - OvercommitPenalty * std::max(0.0, share - OvercommitStart);
     if (!step.dataRack.empty() && step.dataRack != last.rack)
         score -= 0.5; // a task far from its data takes half as long again
-    score -= 0.25 * std::max(0.0, view.slowness - 1.3); // estimates alone are off by a fifth
-    constexpr double LateJob = 4; // as much as the whole worker's processors over again
-    return score - LateJob * harmExpected(view, step);
+    score -= 0.25 * std::max(0.0, view.slowdown - 1.3); // estimates alone are off by a fifth
+    constexpr double LateJobPenalty = 4; // as much as the whole worker's processors over again
+    return score - LateJobPenalty * expectedHarm(view, step);
 }
 
 // Runs that serve are gathered on few workers, those of one job and one image together, so that
 // what fills finds workers where it harms nobody, and elsewhere meets one image at one load and not
 // many.
-double worker_pool::servingScore(const worker_view &view, const step_spec &step, int together)
+double worker_pool::servingScore(const worker_view &view, const step_spec &step, int waitingTasks)
 {
-    const auto &last = view.last;
-    const auto twins = std::count_if(last.serving.begin(), last.serving.end(),
-                                     [&](const auto &run) { return run.image == step.image; });
-    double score = static_cast<double>(fitting(view, step, together)) / together;
+    const auto &last = view.lastReport;
+    const auto sameImageRuns =
+            std::count_if(last.serving.begin(), last.serving.end(),
+                          [&](const auto &run) { return run.image == step.image; });
+    double score = static_cast<double>(countFitting(view, step, waitingTasks)) / waitingTasks;
     if (!last.serving.empty())
-        score += 0.5 + static_cast<double>(twins) / static_cast<double>(last.serving.size());
+        score +=
+                0.5 + static_cast<double>(sameImageRuns) / static_cast<double>(last.serving.size());
     // The tightest of those that are alike.
     const auto free = static_cast<double>(last.capacity.millicores - last.used.millicores);
     score -= 0.2 * free / static_cast<double>(std::max<std::int64_t>(1, last.capacity.millicores));
-    score -= 0.25 * std::max(0.0, view.slowness - 1.3); // estimates alone are off by a fifth
+    score -= 0.25 * std::max(0.0, view.slowdown - 1.3); // estimates alone are off by a fifth
     return score;
 }
 
 // How many of `together` tasks of the step would fit.
-int worker_pool::fitting(const worker_view &view, const step_spec &step, int together)
+int worker_pool::countFitting(const worker_view &view, const step_spec &step, int waitingTasks)
 {
-    auto room = view.last.capacity;
-    room -= view.last.used;
+    auto room = view.lastReport.capacity;
+    room -= view.lastReport.used;
     int tasks = 0;
-    while (tasks < together && step.size.fitsInto(room)) {
+    while (tasks < waitingTasks && step.size.fitsInto(room)) {
         room -= step.size;
         ++tasks;
     }
-    return step.mostPerWorker > 0 ? std::min(tasks, step.mostPerWorker) : tasks;
+    return step.maxPerWorker > 0 ? std::min(tasks, step.maxPerWorker) : tasks;
 }
 
 // By job, how likely the placement of a run that fills makes it late on this worker, or keeps it
 // late. Users of a job meet each of its tasks, so that one late task spoils the job, and a second
 // one adds little.
-std::map<std::string, double> worker_pool::expectedLate(const worker_view &view,
-                                                        const step_spec &step) const
+std::map<std::string, double> worker_pool::expectedLateness(const worker_view &view,
+                                                            const step_spec &step) const
 {
     std::map<std::string, double> jobs;
-    if (!step.fills)
+    if (!step.isBestEffort)
         return jobs;
     // Between surely in time and surely late: own loads swing while the run works.
-    constexpr double Uncertain = 0.2; // load
-    constexpr double Counts = 0.05;   // load: a run that adds less is in part to blame
+    constexpr double LoadUncertainty = 0.2; // load
+    constexpr double FullBlameLoad = 0.05;  // load: a run that adds less is in part to blame
     const double cores = static_cast<double>(step.size.millicores) / 1000;
-    for (const auto &run : view.last.serving) {
-        const double more = m_disturbance.loadPerCore(run.image, step.image) * cores;
-        const double load = loadBeside(view, run) + more;
-        const double late = std::clamp((load - run.headroom) / Uncertain + 0.5, 0.0, 1.0);
-        if (late <= 0 || more <= 0)
+    for (const auto &run : view.lastReport.serving) {
+        const double addedLoad = m_interferenceEstimator.loadPerCore(run.image, step.image) * cores;
+        const double load = interferenceLoad(view, run) + addedLoad;
+        const double probability =
+                std::clamp((load - run.headroom) / LoadUncertainty + 0.5, 0.0, 1.0);
+        if (probability <= 0 || addedLoad <= 0)
             continue;
-        auto &worst = jobs[run.job];
-        worst = std::max(worst, late * std::min(1.0, more / Counts));
+        auto &worstLateness = jobs[run.job];
+        worstLateness =
+                std::max(worstLateness, probability * std::min(1.0, addedLoad / FullBlameLoad));
     }
     return jobs;
 }
 
-double worker_pool::lateJobsExpected(const worker_view &view, const step_spec &step) const
+double worker_pool::expectedLateJobs(const worker_view &view, const step_spec &step) const
 {
     double sum = 0;
-    for (const auto &[job, late] : expectedLate(view, step))
-        sum += late * leftToLose(view, job);
+    for (const auto &[job, probability] : expectedLateness(view, step))
+        sum += probability * latenessWeight(view, job);
     return sum;
 }
 
 // Decides between workers. A job that was served less than others counts whole here: a job of many
 // tasks is late somewhere nearly always, and would else be sent all that fills. How long what fills
 // waits for a worker does not follow from that, since the harm that is done stays as much.
-double worker_pool::harmExpected(const worker_view &view, const step_spec &step) const
+double worker_pool::expectedHarm(const worker_view &view, const step_spec &step) const
 {
     double sum = 0;
-    for (const auto &[job, late] : expectedLate(view, step))
-        sum += late * (m_service.isBelowAverage(job) ? 1 : leftToLose(view, job));
+    for (const auto &[job, probability] : expectedLateness(view, step))
+        sum += probability * (m_serviceHistory.isBelowAverage(job) ? 1 : latenessWeight(view, job));
     return sum;
 }
 
-double worker_pool::leftToLose(const worker_view &view, const std::string &job) const
+double worker_pool::latenessWeight(const worker_view &view, const std::string &job) const
 {
-    constexpr double Spoilt = 0.3; // what is left to lose of a job that is late elsewhere
-    return isLateElsewhere(view, job) ? Spoilt : 1;
+    constexpr double LateElsewhereWeight =
+            0.3; // what is left to lose of a job that is late elsewhere
+    return isLateElsewhere(view, job) ? LateElsewhereWeight : 1;
 }
 
-double worker_pool::loadBeside(const worker_view &view, const serving_headroom &run) const
+double worker_pool::interferenceLoad(const worker_view &view, const serving_headroom &run) const
 {
     double load = 0;
-    for (const auto &[filling, amount] : view.last.bestEffortDemand)
-        load += m_disturbance.loadPerCore(run.image, filling) * amount;
+    for (const auto &[bestEffortImage, amount] : view.lastReport.bestEffortDemand)
+        load += m_interferenceEstimator.loadPerCore(run.image, bestEffortImage) * amount;
     return load;
 }
 
 std::set<std::string> worker_pool::lateJobsOf(const worker_view &view) const
 {
-    constexpr double Clearly = 0.05; // load
-    std::set<std::string> late;
-    for (const auto &run : view.last.serving) {
-        if (!run.job.empty() && loadBeside(view, run) > run.headroom + Clearly)
-            late.insert(run.job);
+    constexpr double LateMargin = 0.05; // load
+    std::set<std::string> overTarget;
+    for (const auto &run : view.lastReport.serving) {
+        if (!run.job.empty() && interferenceLoad(view, run) > run.headroom + LateMargin)
+            overTarget.insert(run.job);
     }
-    return late;
+    return overTarget;
 }
 
 bool worker_pool::isLateElsewhere(const worker_view &view, const std::string &job) const
@@ -334,18 +348,22 @@
     });
 }
 
-std::optional<std::string> worker_pool::choose(const std::string &service, const step_spec &step,
-                                               const std::vector<std::string> &avoid,
-                                               time_point now, const placement_wish &wish) const
+std::optional<std::string> worker_pool::chooseWorker(const std::string &service,
+                                                     const step_spec &step,
+                                                     const std::vector<std::string> &avoid,
+                                                     time_point now,
+                                                     const placement_preferences &preferences) const
 {
     const worker_view *best = nullptr;
     double bestScore = 0;
     for (const auto &[name, view] : m_workers) {
-        if (unfitFor(view, service, step, wish.patient, now) != unfit::No)
+        if (unfitReasonOf(view, service, step, preferences.avoidsInterference, now)
+            != unfit_reason::None)
             continue;
         if (std::find(avoid.begin(), avoid.end(), name) != avoid.end())
             continue;
-        const auto candidate = score(view, step, wish.together) + spreadOf(name, wish.spread);
+        const auto candidate = score(view, step, preferences.waitingTasks)
+                               + tieBreakOf(name, preferences.tieBreakSeed);
         if (best != nullptr && candidate <= bestScore)
             continue;
         best = &view;
@@ -353,40 +371,41 @@
     }
     if (best == nullptr)
         return std::nullopt;
-    return best->last.worker;
+    return best->lastReport.worker;
 }
 
-std::string worker_pool::whyNobody(const std::string &service, const step_spec &step,
-                                   const std::vector<std::string> &avoid, time_point now,
-                                   const placement_wish &wish) const
+std::string worker_pool::describeUnfitWorkers(const std::string &service, const step_spec &step,
+                                              const std::vector<std::string> &avoid, time_point now,
+                                              const placement_preferences &preferences) const
 {
-    std::map<unfit, int> counts;
-    int besideLasting = 0;
+    std::map<unfit_reason, int> counts;
+    int roomBesideLongRunning = 0;
     for (const auto &[name, view] : m_workers) {
-        auto why = unfitFor(view, service, step, wish.patient, now);
-        if (why == unfit::OtherService)
+        auto reason = unfitReasonOf(view, service, step, preferences.avoidsInterference, now);
+        if (reason == unfit_reason::ServiceMismatch)
             continue;
-        if (why == unfit::No && std::find(avoid.begin(), avoid.end(), name) != avoid.end())
-            why = unfit::Avoided;
-        ++counts[why];
-        if (lacksRoom(why))
-            besideLasting += hasRoomBesideLasting(view, step) ? 1 : 0;
+        if (reason == unfit_reason::None
+            && std::find(avoid.begin(), avoid.end(), name) != avoid.end())
+            reason = unfit_reason::Avoided;
+        ++counts[reason];
+        if (lacksRoom(reason))
+            roomBesideLongRunning += hasRoomBesideLongRunning(view, step) ? 1 : 0;
     }
     if (counts.empty())
         return "no worker";
     std::string text;
-    for (const auto &[why, count] : counts)
-        text += fmt::format("{} {}, ", count, nameOf(why));
-    return text + fmt::format("{} with room beside what lasts", besideLasting);
+    for (const auto &[reason, count] : counts)
+        text += fmt::format("{} {}, ", count, nameOf(reason));
+    return text + fmt::format("{} with room beside what lasts", roomBesideLongRunning);
 }
 
-serving_counts worker_pool::servingByJob(time_point now) const
+serving_counts worker_pool::countServingRuns(time_point now) const
 {
     serving_counts jobs;
     for (const auto &[name, view] : m_workers) {
-        if (now - view.heardAt > m_settings.silentAfter)
+        if (now - view.lastReportAt > m_settings.reportTimeout)
             continue;
-        for (const auto &run : view.last.serving) {
+        for (const auto &run : view.lastReport.serving) {
             if (run.job.empty())
                 continue;
             auto &job = jobs[run.job];
@@ -397,15 +416,16 @@
     return jobs;
 }
 
-double worker_pool::usedShare(const std::string &service, time_point now) const
+double worker_pool::usedProcessorShare(const std::string &service, time_point now) const
 {
     task_size used;
     task_size capacity;
     for (const auto &[name, view] : m_workers) {
-        if (view.last.service != service || now - view.heardAt > m_settings.silentAfter)
+        if (view.lastReport.service != service
+            || now - view.lastReportAt > m_settings.reportTimeout)
             continue;
-        used += view.last.used;
-        capacity += view.last.capacity;
+        used += view.lastReport.used;
+        capacity += view.lastReport.capacity;
     }
     if (capacity.millicores <= 0)
         return 1;
@@ -417,28 +437,29 @@
     const auto found = m_workers.find(worker);
     if (found == m_workers.end())
         return;
-    const auto size = countedSize(step.size, step.fills);
-    found->second.last.used += size;
-    if (step.lasting)
-        found->second.last.usedByLongRunning += size;
-    if (step.fills) {
-        found->second.last.bestEffortMillicores += step.size.millicores;
-        found->second.last.bestEffortDemand[step.image] +=
+    const auto size = reservedSize(step.size, step.isBestEffort);
+    found->second.lastReport.used += size;
+    if (step.isLongRunning)
+        found->second.lastReport.usedByLongRunning += size;
+    if (step.isBestEffort) {
+        found->second.lastReport.bestEffortMillicores += step.size.millicores;
+        found->second.lastReport.bestEffortDemand[step.image] +=
                 static_cast<double>(step.size.millicores) / 1000;
     }
-    if (step.targetMs > 0) {
-        const auto room =
-                m_disturbance.loadAtTarget(step.image) - m_disturbance.baseLoad(step.image);
-        found->second.last.serving.push_back({step.image, room, ""}); // its job is in the report
+    if (step.latencyTargetMs > 0) {
+        const auto room = m_interferenceEstimator.loadAtTarget(step.image)
+                          - m_interferenceEstimator.baseLoad(step.image);
+        found->second.lastReport.serving.push_back(
+                {step.image, room, ""}); // its job is in the report
     }
 }
 
-void worker_pool::noteNoRoom(const std::string &worker, const step_spec &step,
-                             time_point reportCame)
+void worker_pool::recordRefusal(const std::string &worker, const step_spec &step,
+                                time_point reportedAt)
 {
     const auto found = m_workers.find(worker);
-    if (found != m_workers.end() && found->second.heardAt == reportCame)
-        found->second.refused.push_back(countedSize(step.size, step.fills));
+    if (found != m_workers.end() && found->second.lastReportAt == reportedAt)
+        found->second.refusedSizes.push_back(reservedSize(step.size, step.isBestEffort));
 }
 
 } // namespace zinniabarrow::jobs
--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -66,7 +66,7 @@
 
     owner_id self;
     worker_pool workers;
-    job_book book;
+    job_controller book;
     bool isAlive = true;
     bool losesOrders = false;     // it died before they were sent
     milliseconds writeDelay{50};  // until a write takes effect
@@ -178,9 +178,9 @@
         for (auto &action : entry.book.takeActions()) {
             if (const auto *write = std::get_if<write_row>(&action))
                 schedule(entry.writeDelay, [this, &entry, out = *write] { commit(entry, out); });
-            else if (const auto *order = std::get_if<give_order>(&action))
+            else if (const auto *order = std::get_if<send_order>(&action))
                 sendOrder(entry, *order);
-            else if (const auto *done = std::get_if<stored>(&action))
+            else if (const auto *done = std::get_if<change_stored>(&action))
                 entry.storedTokens.push_back(done->token);
         }
     }
@@ -193,7 +193,7 @@
             ++version;
             if (write.payload)
                 payload = *write.payload;
-            if (write.cancels)
+            if (write.writesCancelRow)
                 storeCancel();
         }
         if (!entry.isAlive)
@@ -215,7 +215,7 @@
         });
     }
 
-    void sendOrder(entry_model &entry, const give_order &message)
+    void sendOrder(entry_model &entry, const send_order &message)
     {
         schedule(entry.orderDelay, [this, &entry, message] {
             auto &agent = agents.at(message.worker);
@@ -229,7 +229,7 @@
         });
     }
 
-    void reportUnanswered(entry_model &entry, const give_order &message)
+    void reportUnanswered(entry_model &entry, const send_order &message)
     {
         if (entry.isAlive)
             entry.book.orderUnanswered(message.worker, message.order.task, message.order.run, now);
@@ -330,7 +330,7 @@
     {
         auto record = recordFrom(*row);
         record.cancelled = true;
-        record.write = "entry-c:cancel:1";
+        record.writeId = "entry-c:cancel:1";
         row = toText(record);
         ++version;
         storeCancel();
@@ -433,7 +433,7 @@
              sim.submitAndRun();
              sim.first.writeDelay = milliseconds(400);
              const task_id task{Job, 0, 0, 0};
-             sim.first.book.progressed(sim.workerOf(task), {task, 1, "0001"});
+             sim.first.book.checkpointReported(sim.workerOf(task), {task, 1, "0001"});
              sim.run(milliseconds(100));
              sim.cancelInRow();
          }},
--- a/tests/configuration_follow_test.cpp
+++ b/tests/configuration_follow_test.cpp
@@ -148,7 +148,7 @@
     check(perRoute(20'000) < small * 1.5);
     section("and a request costs the same in any table", [] {
         const auto table = tableOf(20'000);
-        check(table.prefixLengths() <= 5);
+        check(table.prefixLengthCount() <= 5);
         const auto before = allocatedBytes;
         check(table.find("host1.example:80", "/queue4/5c0e7a21d94b36f8").has_value());
         check(allocatedBytes - before < 256);
@@ -190,11 +190,11 @@
 {
     job_record record;
     record.owner = {"entry-1", 3};
-    record.write = "w";
+    record.writeId = "w";
     record.policy = {"queue", "service", 2, 3, 1.5, 2500};
     record.steps = {step_spec{}, step_spec{}};
     record.steps[1].after = {0};
-    record.steps[1].lasting = true;
+    record.steps[1].isLongRunning = true;
     record.tasks = {{{task_state{true, 1, 0, "", {}}, task_state{}},
                      {task_state{false, 4, 1, "point", {{"agent-7", 12, 4}, {"agent-8", 1, 5}}}}}};
     const auto text = toText(record);
--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -44,12 +44,12 @@
     pool.update(reportOf("a-1", "a"), Now);
     pool.update(reportOf("b-1", "b"), Now);
     section("while it lasts, other zones take all", [&] {
-        pool.setEvacuated({"a"});
+        pool.setEvacuatedZones({"a"});
         for (int task = 0; task < 10; ++task)
-            check(pool.choose("tickets", oneTask(), {}, Now) == "b-1");
-        pool.setEvacuated({"a", "b"});
-        check(!pool.choose("tickets", oneTask(), {}, Now));
-        check(pool.whyNobody("tickets", oneTask(), {}, Now).find("2 evacuated")
+            check(pool.chooseWorker("tickets", oneTask(), {}, Now) == "b-1");
+        pool.setEvacuatedZones({"a", "b"});
+        check(!pool.chooseWorker("tickets", oneTask(), {}, Now));
+        check(pool.describeUnfitWorkers("tickets", oneTask(), {}, Now).find("2 evacuated")
               != std::string::npos);
     });
     section("that is the reason told, also once its agents accept nothing", [&] {
@@ -57,13 +57,13 @@
         auto report = reportOf("a-1", "a");
         report.isAccepting = false;
         other.update(report, Now);
-        other.setEvacuated({"a"});
-        check(other.whyNobody("tickets", oneTask(), {}, Now).find("1 evacuated")
+        other.setEvacuatedZones({"a"});
+        check(other.describeUnfitWorkers("tickets", oneTask(), {}, Now).find("1 evacuated")
               != std::string::npos);
     });
     section("taken back, it is a zone like the others", [&] {
-        pool.setEvacuated({"b"});
-        check(pool.choose("tickets", oneTask(), {}, Now) == "a-1");
+        pool.setEvacuatedZones({"b"});
+        check(pool.chooseWorker("tickets", oneTask(), {}, Now) == "a-1");
     });
 }
 
--- a/tests/harm_shared_test.cpp
+++ b/tests/harm_shared_test.cpp
@@ -95,13 +95,13 @@
     void place()
     {
         step_spec step;
-        step.fills = true;
+        step.isBestEffort = true;
         step.image = "heavy";
         step.size = {static_cast<std::int64_t>(RunCores * 1000), 500, 0};
         step.estimateMs = 2000;
         for (int arrival = 0; arrival < 4; ++arrival) {
             const bool isPatient = randomBelow(3) > 0;
-            const auto worker = m_pool.choose("tickets", step, {}, m_now, {1, isPatient});
+            const auto worker = m_pool.chooseWorker("tickets", step, {}, m_now, {1, isPatient});
             if (!worker)
                 continue;
             m_pool.reserve(*worker, step);
--- a/tests/job_platform_test.cpp
+++ b/tests/job_platform_test.cpp
@@ -88,9 +88,9 @@
         check(std::holds_alternative<in_doubt>(commitResult(answer(502, ""))));
     });
     section("a refusal does not", [] {
-        check(std::holds_alternative<not_done>(commitResult(call_failure::NotConnected)));
-        check(std::holds_alternative<not_done>(commitResult(answer(503, ""))));
-        check(std::holds_alternative<not_done>(commitResult(answer(429, ""))));
+        check(std::holds_alternative<not_committed>(commitResult(call_failure::NotConnected)));
+        check(std::holds_alternative<not_committed>(commitResult(answer(503, ""))));
+        check(std::holds_alternative<not_committed>(commitResult(answer(429, ""))));
     });
     section("one row that can't be read hides no other", [] {
         const auto page =
@@ -102,7 +102,7 @@
     });
     section("history that is gone asks for everything anew", [] {
         const auto page = feedResult(answer(410, ""));
-        check(page.has_value() && page->historyGone);
+        check(page.has_value() && page->historyExpired);
         check(!feedResult(answer(503, "")).has_value());
     });
 }
@@ -115,8 +115,8 @@
                     R"("anti-affinity":2,"long-running":true,"target-ms":150,"may-miss":1}]})");
     check(spec.steps.size() == 2);
     check(spec.steps[0].dataRack == "r1-3");
-    check(spec.steps[1].mostPerWorker == 2);
-    check(spec.steps[1].lasting && spec.steps[1].targetMs == 150);
+    check(spec.steps[1].maxPerWorker == 2);
+    check(spec.steps[1].isLongRunning && spec.steps[1].latencyTargetMs == 150);
     cr_expect_throw(jobFrom("{"), error);
     cr_expect_throw(jobFrom(R"({"steps":[]})"), error);
     cr_expect_throw(jobFrom(R"({"steps":[{"count":"4"}]})"), error);
--- a/tests/job_view_test.cpp
+++ b/tests/job_view_test.cpp
@@ -31,7 +31,7 @@
         task(index).placements = {{"worker", 1, run}};
     }
     void refuse(int index) { task(index).placements.clear(); }
-    void begin() { m_record.begun = true; }
+    void begin() { m_record.hasStarted = true; }
     // Its row is read.
     void seen(milliseconds at) { m_view.seen("job", toText(m_record), ++m_version, Start + at); }
     std::size_t waiting() const { return m_view.waitingIn("queue"); }
--- a/tests/large_lasting_tasks_test.cpp
+++ b/tests/large_lasting_tasks_test.cpp
@@ -17,9 +17,9 @@
 // them, and goes to the next short task.
 Test(lasting_jobs, large_tasks_get_room_among_small_ones)
 {
-    busy_site on;
-    on.world.submit(0, "large-service", lastingStep(6, 4 * Cores));
-    on.advance(PlacedWithin);
-    cr_expect(on.world.atWork("large-service") == 6, "%d of 6 tasks at work",
-              on.world.atWork("large-service"));
+    saturated_workers workers;
+    workers.simulation.submit(0, "large-service", longRunningStep(6, 4 * Cores));
+    workers.advanceUnderLoad(PlacedWithin);
+    cr_expect(workers.simulation.countRunning("large-service") == 6, "%d of 6 tasks at work",
+              workers.simulation.countRunning("large-service"));
 }
--- a/tests/lasting_jobs_test.cpp
+++ b/tests/lasting_jobs_test.cpp
@@ -14,31 +14,32 @@
 // wait for room, for which, and in whose way, or are late where they run.
 Test(lasting_jobs, the_log_says_what_a_job_lacks)
 {
-    const auto linesOf = [](const busy_site &on, const std::string &event, const std::string &job) {
+    const auto linesOf = [](const saturated_workers &workers, const std::string &event,
+                            const std::string &job) {
         std::vector<std::string> lines;
-        for (const auto &line : on.world.notes()) {
+        for (const auto &line : workers.simulation.logEvents()) {
             if (line.event == event && line.job == job)
                 lines.push_back(line.detail);
         }
         return lines;
     };
-    busy_site on;
+    saturated_workers workers;
     section("nothing of one that is served in full", [&] {
-        on.advance(seconds(3));
-        const auto before = linesOf(on, "job_underserved", "small-services").size();
-        on.advance(seconds(5));
-        check(linesOf(on, "job_underserved", "small-services").size() == before);
+        workers.advanceUnderLoad(seconds(3));
+        const auto before = linesOf(workers, "job_underserved", "small-services").size();
+        workers.advanceUnderLoad(seconds(5));
+        check(linesOf(workers, "job_underserved", "small-services").size() == before);
     });
-    on.world.submit(0, "too-large", lastingStep(2, 7 * Cores));
-    on.advance(seconds(10));
+    workers.simulation.submit(0, "too-large", longRunningStep(2, 7 * Cores));
+    workers.advanceUnderLoad(seconds(10));
     section("tasks that have no worker, each two seconds", [&] {
-        const auto lines = linesOf(on, "job_underserved", "too-large");
+        const auto lines = linesOf(workers, "job_underserved", "too-large");
         check(lines.size() >= 4 && lines.size() <= 5);
         require(!lines.empty());
         check(lines.back() == "2 tasks that last, 0 placed, 0 of 0 with a target at work, 0 late");
     });
     section("the resource that is short, and that no end of a short task would help", [&] {
-        const auto lines = linesOf(on, "tasks_unplaced", "too-large");
+        const auto lines = linesOf(workers, "tasks_unplaced", "too-large");
         require(!lines.empty());
         check(lines.back().ends_with(": 8 no_processors, 0 with room beside what lasts"));
     });
--- a/tests/order_model.h
+++ b/tests/order_model.h
@@ -71,7 +71,7 @@
     time_point frozenUntil{};
     time_point cutOffUntil{}; // from the store, from agents and from the others
     std::unique_ptr<jobs::worker_pool> pool;
-    std::unique_ptr<jobs::job_book> book;
+    std::unique_ptr<jobs::job_controller> book;
     std::map<std::int64_t, std::function<void(bool)>> waits;
     std::int64_t nextToken = 1;
     std::map<std::string, job_row> view;
@@ -140,10 +140,10 @@
     // --- what a test plants
 
     // Asked for each order that is sent: none, it travels as all do.
-    std::function<std::optional<milliseconds>(const jobs::give_order &)> holdUpOrder;
+    std::function<std::optional<milliseconds>(const jobs::send_order &)> holdUpOrder;
     std::function<void(modelled_entry &, const std::string &, const jobs::job_record &)>
             onRowStored;
-    std::function<void(const jobs::give_order &, const jobs::order_answer &)> onOrderTaken;
+    std::function<void(const jobs::send_order &, const jobs::order_answer &)> onOrderTaken;
 
     void submit(const std::string &id, const jobs::job_spec &spec)
     {
@@ -174,7 +174,7 @@
         entry.leaving = false;
         entry.frozenUntil = {};
         entry.pool = std::make_unique<jobs::worker_pool>();
-        entry.book = std::make_unique<jobs::job_book>(
+        entry.book = std::make_unique<jobs::job_controller>(
                 jobs::owner_id{entry.name, ++entry.incarnation}, *entry.pool);
         entry.waits.clear();
         entry.beganAt = m_now;
@@ -575,9 +575,9 @@
         if (m_kind == model_kind::First || m_now < entry.lookAtLeasesAt || !reachesStore(entry))
             return;
         entry.lookAtLeasesAt = m_now + LookAtLeasesEvery;
-        for (const auto &worker : entry.book->busyWorkers()) {
+        for (const auto &worker : entry.book->workersWithPlacements()) {
             const auto *view = entry.pool->find(worker);
-            const auto heardAt = view == nullptr ? entry.beganAt : view->heardAt;
+            const auto heardAt = view == nullptr ? entry.beganAt : view->lastReportAt;
             if (m_now - heardAt >= SilentWorker)
                 entry.book->epochSeen(worker, m_leases[worker].epoch);
         }
@@ -587,7 +587,7 @@
     {
         after(Tick, [this, &entry, incarnation, spent] {
             atEntry(entry, incarnation, [this, &entry, incarnation, spent] {
-                if (entry.book->ownedUnfinished() > 0 && spent < LeavesWithin)
+                if (entry.book->unfinishedJobCount() > 0 && spent < LeavesWithin)
                     return leaveOn(entry, incarnation, spent + Tick);
                 entry.lives = false;
                 say("{} has ended", entry.name);
@@ -607,19 +607,19 @@
         tryWrite(entry, entry.incarnation, write);
     }
 
-    void carryOut(modelled_entry &entry, const jobs::give_order &given) { send(entry, given); }
+    void carryOut(modelled_entry &entry, const jobs::send_order &given) { send(entry, given); }
 
-    void carryOut(modelled_entry &entry, const jobs::stored &done)
+    void carryOut(modelled_entry &entry, const jobs::change_stored &done)
     {
         resolve(entry, done.token, true);
     }
 
-    void carryOut(modelled_entry &entry, const jobs::disowned &lost)
+    void carryOut(modelled_entry &entry, const jobs::ownership_lost &lost)
     {
         resolve(entry, lost.token, false);
     }
 
-    void carryOut(modelled_entry &entry, const jobs::noted &line)
+    void carryOut(modelled_entry &entry, const jobs::log_event &line)
     {
         say("{} notes {} {} {}", entry.name, line.event, line.job, line.detail);
     }
@@ -719,7 +719,7 @@
             return;
         known = row;
         if (entry.book->owns(job))
-            entry.book->rowSeen(job, *row.record, row.version);
+            entry.book->rowChanged(job, *row.record, row.version);
         pump(entry);
     }
 
@@ -758,7 +758,7 @@
                 return;
             }
             atEntry(entry, incarnation, [this, &entry, worker, epoch] {
-                entry.book->workerRenewed(worker, epoch, m_now);
+                entry.book->workerRestarted(worker, epoch, m_now);
                 pump(entry);
             });
         });
@@ -768,7 +768,7 @@
 
     modelled_agent &agentOf(const std::string &worker) { return *m_agents[indexOf(worker)]; }
 
-    void send(modelled_entry &entry, const jobs::give_order &given)
+    void send(modelled_entry &entry, const jobs::send_order &given)
     {
         if (entry.pool->find(given.worker) == nullptr) // its agent's address is not known
             return entry.book->orderUnanswered(given.worker, given.order.task, given.order.run,
@@ -797,10 +797,10 @@
     static std::int64_t lifeTold(const modelled_entry &entry, const std::string &worker)
     {
         const auto *view = entry.pool->find(worker);
-        return view == nullptr ? 0 : view->last.agentIncarnation;
+        return view == nullptr ? 0 : view->lastReport.agentIncarnation;
     }
 
-    void arrive(modelled_entry &entry, std::int64_t incarnation, const jobs::give_order &given,
+    void arrive(modelled_entry &entry, std::int64_t incarnation, const jobs::send_order &given,
                 std::int64_t agentLife, const std::shared_ptr<bool> &heard)
     {
         auto &agent = agentOf(given.worker);
@@ -812,7 +812,7 @@
     }
 
     void takeOrder(modelled_entry &entry, modelled_agent &agent, std::int64_t incarnation,
-                   const jobs::give_order &given, std::int64_t agentLife,
+                   const jobs::send_order &given, std::int64_t agentLife,
                    const std::shared_ptr<bool> &heard)
     {
         agent.table.setWorker(agent.capacity, readinessOf(agent));
@@ -1105,9 +1105,9 @@
         for (const auto &end : told.ends)
             takeEnd(entry, agent, life, end, inTime);
         if (livesAnew)
-            entry.book->workerRenewed(told.worker, told.epoch, m_now);
-        if (entry.pool->find(told.worker)->last.agentIncarnation == told.agentIncarnation)
-            entry.book->workerTold(told.worker, m_now);
+            entry.book->workerRestarted(told.worker, told.epoch, m_now);
+        if (entry.pool->find(told.worker)->lastReport.agentIncarnation == told.agentIncarnation)
+            entry.book->workerReported(told.worker, m_now);
         if (inTime && agent.lives && agent.life == life)
             agent.table.noteStartsReported(told.started, entry.name);
         pump(entry);
--- a/tests/order_of_events_test.cpp
+++ b/tests/order_of_events_test.cpp
@@ -56,7 +56,7 @@
 {
     auto spec = oneTask();
     spec.steps[0].count = 2;
-    spec.steps[0].gang = true;
+    spec.steps[0].isGang = true;
     return spec;
 }
 
@@ -88,7 +88,7 @@
         : model(3, workers, firstShortOthersLong)
         , tasks(spec.steps.front().count)
     {
-        model.onOrderTaken = [this](const give_order &given, const order_answer &answer) {
+        model.onOrderTaken = [this](const send_order &given, const order_answer &answer) {
             if (answer.outcome == order_outcome::Accepted)
                 accepted(given);
         };
@@ -102,7 +102,7 @@
         model.submit(Job, spec);
     }
 
-    void accepted(const give_order &given)
+    void accepted(const send_order &given)
     {
         if (given.order.kind != order_kind::Start || given.order.task.step > 0)
             return;
@@ -305,7 +305,7 @@
 {
     late_end scene(twoSteps());
     bool isHeldUp = false;
-    scene.model.holdUpOrder = [&](const give_order &given) -> std::optional<milliseconds> {
+    scene.model.holdUpOrder = [&](const send_order &given) -> std::optional<milliseconds> {
         if (given.order.kind != order_kind::Start || given.order.task != Task
             || given.order.run != 2)
             return std::nullopt;
@@ -319,7 +319,7 @@
         on.model.after(milliseconds(2300), [&on] { on.model.beginAgentLife(*on.secondAt); });
     };
     int arrived = 0;
-    scene.model.onOrderTaken = [&](const give_order &given, const order_answer &answer) {
+    scene.model.onOrderTaken = [&](const send_order &given, const order_answer &answer) {
         if (scene.isDone && given.order.kind == order_kind::Start && given.order.task == Task)
             ++arrived;
         if (answer.outcome == order_outcome::Accepted)
@@ -351,13 +351,13 @@
     explicit held_up_order(int workers, milliseconds heldUp = milliseconds(4500))
         : model(3, workers, [](const task_id &, int) { return run_plan{milliseconds(8000)}; })
     {
-        model.holdUpOrder = [this, heldUp](const give_order &given) -> std::optional<milliseconds> {
+        model.holdUpOrder = [this, heldUp](const send_order &given) -> std::optional<milliseconds> {
             if (given.order.run != 1 || std::exchange(isHeldUp, true))
                 return std::nullopt;
             agent = &model.agent(model.indexOf(given.worker));
             return heldUp;
         };
-        model.onOrderTaken = [this](const give_order &given, const order_answer &answer) {
+        model.onOrderTaken = [this](const send_order &given, const order_answer &answer) {
             if (given.order.run == 1)
                 answers.push_back(answer.outcome);
         };
@@ -443,7 +443,7 @@
     modelled_agent *firstAt = nullptr;
     modelled_agent *secondAt = nullptr;
     std::vector<order_outcome> afterDone;
-    model.holdUpOrder = [&](const give_order &given) -> std::optional<milliseconds> {
+    model.holdUpOrder = [&](const send_order &given) -> std::optional<milliseconds> {
         if (given.order.task != Task || given.order.run != 2)
             return std::nullopt;
         if (given.order.kind == order_kind::Stop)
@@ -454,7 +454,7 @@
         }
         return milliseconds(2500);
     };
-    model.onOrderTaken = [&](const give_order &given, const order_answer &answer) {
+    model.onOrderTaken = [&](const send_order &given, const order_answer &answer) {
         if (given.order.task == Task && given.order.run == 1)
             firstAt = &model.agent(model.indexOf(given.worker));
         if (given.order.task == Task && given.order.run == 2 && model.rules().isDone(Task))
@@ -518,7 +518,7 @@
     section("both are for the same worker", [] {
         held_up_order scene(1);
         const auto passes = scene.model.now() + milliseconds(5000);
-        scene.model.holdUpOrder = [&, first = scene.model.holdUpOrder](const give_order &given) {
+        scene.model.holdUpOrder = [&, first = scene.model.holdUpOrder](const send_order &given) {
             const bool isLost = given.order.run == 2 && scene.model.now() < passes;
             return isLost ? std::optional(milliseconds(60'000)) : first(given);
         };
@@ -567,7 +567,7 @@
             model.onRowStored = {};
         };
         std::vector<order_outcome> answers; // to orders of run 1
-        model.onOrderTaken = [&](const give_order &given, const order_answer &answer) {
+        model.onOrderTaken = [&](const send_order &given, const order_answer &answer) {
             if (given.order.run == 1)
                 answers.push_back(answer.outcome);
         };
@@ -589,7 +589,7 @@
 {
     section("its task is done and its job is over", [] {
         late_end scene(oneTask());
-        scene.model.holdUpOrder = [&](const give_order &given) -> std::optional<milliseconds> {
+        scene.model.holdUpOrder = [&](const send_order &given) -> std::optional<milliseconds> {
             if (given.order.run == 1 || scene.secondAt != nullptr)
                 return std::nullopt;
             scene.secondAt = &scene.model.agent(scene.model.indexOf(given.worker));
--- a/tests/order_search.h
+++ b/tests/order_search.h
@@ -108,7 +108,7 @@
         auto spec = drawJob();
         spec.steps.resize(1);
         spec.steps[0].count = 2;
-        spec.steps[0].lasting = true;
+        spec.steps[0].isLongRunning = true;
         return spec;
     }
 
--- a/tests/overload_order_test.cpp
+++ b/tests/overload_order_test.cpp
@@ -14,66 +14,66 @@
 
 namespace {
 
-constexpr int Places = 40;              // tasks that work at a time
-constexpr std::int64_t LastMs = 90'000; // the last job comes in
-constexpr std::int64_t TurnMs = 50;
-constexpr std::int64_t AskedPerMs = 46; // ms of tasks: 1.15 of what the places can do
+constexpr int SlotCount = 40;                 // tasks that work at a time
+constexpr std::int64_t LastSubmitMs = 90'000; // the last job comes in
+constexpr std::int64_t TickMs = 50;
+constexpr std::int64_t RequestedPerMs = 46; // ms of tasks: 1.15 of what the places can do
 
-struct working_task
+struct running_task
 {
-    std::size_t job = 0;
+    std::size_t jobIndex = 0;
     int step = 0;
     int index = 0;
     std::int64_t endsAtMs = 0;
 };
 
-struct model_job
+struct simulated_job
 {
     job_record record;
-    std::vector<std::vector<std::int64_t>> tookMs; // by step and task, as they really take
-    bool over = false;
+    std::vector<std::vector<std::int64_t>> actualMs; // by step and task, as they really take
+    bool isCompleted = false;
 };
 
 // Longest real time of what is left, tasks without a worker in full.
-std::int64_t reallyLeftMs(const model_job &job)
+std::int64_t remainingActualMs(const simulated_job &job)
 {
-    std::int64_t left = 0;
-    for (std::size_t step = 0; step < job.tookMs.size(); ++step) {
-        if (!job.record.stepDone(0, static_cast<int>(step)))
-            left += *std::max_element(job.tookMs[step].begin(), job.tookMs[step].end());
+    std::int64_t remainingMs = 0;
+    for (std::size_t step = 0; step < job.actualMs.size(); ++step) {
+        if (!job.record.isStepDone(0, static_cast<int>(step)))
+            remainingMs += *std::max_element(job.actualMs[step].begin(), job.actualMs[step].end());
     }
-    return left;
+    return remainingMs;
 }
 
-class crowded_places
+class overload_simulation
 {
 public:
-    explicit crowded_places(unsigned seed)
+    explicit overload_simulation(unsigned seed)
         : m_random(seed)
     { }
 
     // With what really happens known: jobs that can't be in time come last, the others by the time
     // that they have to spare.
-    double inTimeWithHindsight()
+    double onTimeShareWithHindsight()
     {
-        return play([](const model_job &job, std::int64_t now) {
+        return simulate([](const simulated_job &job, std::int64_t now) {
             const auto end = job.record.acceptedAtMs + objectiveMs(job);
-            const bool lost = now + reallyLeftMs(job) > end;
-            return std::pair(lost, timeToSpareMs(job.record, now));
+            const bool cannotFinishOnTime = now + remainingActualMs(job) > end;
+            return std::pair(cannotFinishOnTime, slackMs(job.record, now));
         });
     }
-    double inTime()
+    double onTimeShare()
     {
-        return play([](const model_job &job, std::int64_t now) {
+        return simulate([](const simulated_job &job, std::int64_t now) {
             return std::pair(false, urgencyOf(job.record, now));
         });
     }
 
 private:
-    static std::int64_t objectiveMs(const model_job &job)
+    static std::int64_t objectiveMs(const simulated_job &job)
     {
         return static_cast<std::int64_t>(job.record.policy.stretch
-                                         * static_cast<double>(estimatedMs(job.record)))
+                                         * static_cast<double>(estimatedCriticalPathMs(job.record)))
                + job.record.policy.targetLatencyMs;
     }
     std::int64_t between(std::int64_t low, std::int64_t high)
@@ -82,10 +82,10 @@
     }
 
     // Steps take 1.3 to 1.5 times their estimates, their tasks not all the same.
-    void handIn(std::int64_t now)
+    void submitJob(std::int64_t now)
     {
         job_spec spec;
-        model_job job;
+        simulated_job job;
         const auto steps = between(1, 3);
         for (int index = 0; index < steps; ++index) {
             step_spec step;
@@ -96,10 +96,10 @@
                 step.after = {index - 1};
             spec.steps.push_back(step);
             const auto slowest = step.estimateMs * between(130, 150) / 100;
-            auto &took = job.tookMs.emplace_back();
+            auto &taskTimesMs = job.actualMs.emplace_back();
             for (int task = 0; task < step.count; ++task) {
-                took.push_back(slowest * between(70, 100) / 100);
-                m_askedMs += took.back();
+                taskTimesMs.push_back(slowest * between(70, 100) / 100);
+                m_requestedMs += taskTimesMs.back();
             }
         }
         queue_policy policy;
@@ -111,16 +111,17 @@
 
     void endTasks(std::int64_t now)
     {
-        std::erase_if(m_working, [&](const working_task &run) {
+        std::erase_if(m_runningTasks, [&](const running_task &run) {
             if (run.endsAtMs > now)
                 return false;
-            auto &job = m_jobs[run.job];
+            auto &job = m_jobs[run.jobIndex];
             auto &task = *job.record.find({"", 0, run.step, run.index});
             task.placements.clear();
             task.done = true;
             if (job.record.state() == job_state::Completed) {
-                job.over = true;
-                m_inTime += run.endsAtMs <= job.record.acceptedAtMs + objectiveMs(job) ? 1 : 0;
+                job.isCompleted = true;
+                m_completedOnTime +=
+                        run.endsAtMs <= job.record.acceptedAtMs + objectiveMs(job) ? 1 : 0;
             }
             return true;
         });
@@ -131,7 +132,7 @@
     {
         std::vector<std::pair<decltype(order(m_jobs[0], now)), std::size_t>> waiting;
         for (std::size_t index = 0; index < m_jobs.size(); ++index) {
-            if (!m_jobs[index].over)
+            if (!m_jobs[index].isCompleted)
                 waiting.emplace_back(order(m_jobs[index], now), index);
         }
         std::sort(waiting.begin(), waiting.end());
@@ -142,38 +143,38 @@
     void startTasksOf(std::size_t number, std::int64_t now)
     {
         auto &job = m_jobs[number];
-        for (int step = 0; step < static_cast<int>(job.tookMs.size()); ++step) {
-            if (!job.record.stepReady(0, step))
+        for (int step = 0; step < static_cast<int>(job.actualMs.size()); ++step) {
+            if (!job.record.isStepReady(0, step))
                 continue;
-            const auto &took = job.tookMs[static_cast<std::size_t>(step)];
-            for (int index = 0; index < static_cast<int>(took.size()); ++index) {
+            const auto &taskTimesMs = job.actualMs[static_cast<std::size_t>(step)];
+            for (int index = 0; index < static_cast<int>(taskTimesMs.size()); ++index) {
                 auto &task = *job.record.find({"", 0, step, index});
-                if (!task.isWaiting() || m_working.size() >= Places)
+                if (!task.isWaiting() || m_runningTasks.size() >= SlotCount)
                     continue;
                 task.placements.push_back({"w", 1, 1, 0});
-                m_working.push_back(
-                        {number, step, index, now + took[static_cast<std::size_t>(index)]});
+                m_runningTasks.push_back(
+                        {number, step, index, now + taskTimesMs[static_cast<std::size_t>(index)]});
             }
         }
     }
 
     template <typename Order>
-    double play(Order order)
+    double simulate(Order order)
     {
-        for (std::int64_t now = 0; now < LastMs + 60'000; now += TurnMs) {
-            while (now < LastMs && m_askedMs < AskedPerMs * now)
-                handIn(now);
+        for (std::int64_t now = 0; now < LastSubmitMs + 60'000; now += TickMs) {
+            while (now < LastSubmitMs && m_requestedMs < RequestedPerMs * now)
+                submitJob(now);
             endTasks(now);
             startTasks(now, order);
         }
-        return static_cast<double>(m_inTime) / static_cast<double>(m_jobs.size());
+        return static_cast<double>(m_completedOnTime) / static_cast<double>(m_jobs.size());
     }
 
     std::mt19937 m_random;
-    std::vector<model_job> m_jobs;
-    std::vector<working_task> m_working;
-    std::int64_t m_askedMs = 0;
-    int m_inTime = 0;
+    std::vector<simulated_job> m_jobs;
+    std::vector<running_task> m_runningTasks;
+    std::int64_t m_requestedMs = 0;
+    int m_completedOnTime = 0;
 };
 
 } // namespace
@@ -183,10 +184,11 @@
 {
     constexpr unsigned Seeds = 20;
     double share = 0;
-    double known = 0;
+    double hindsightShare = 0;
     for (unsigned seed = 1; seed <= Seeds; ++seed) {
-        share += crowded_places(seed).inTime() / Seeds;
-        known += crowded_places(seed).inTimeWithHindsight() / Seeds;
+        share += overload_simulation(seed).onTimeShare() / Seeds;
+        hindsightShare += overload_simulation(seed).onTimeShareWithHindsight() / Seeds;
     }
-    cr_expect(share >= known, "%.3f in time, %.3f with lost jobs last", share, known);
+    cr_expect(share >= hindsightShare, "%.3f in time, %.3f with lost jobs last", share,
+              hindsightShare);
 }
--- a/tests/placement_simulation.h
+++ b/tests/placement_simulation.h
@@ -20,21 +20,21 @@
 namespace zinniabarrow::tests {
 
 // One way each.
-struct world_delays
+struct simulated_delays
 {
     milliseconds write{0}; // until its outcome is known
     milliseconds order{0};
     milliseconds report{0};
 };
 
-class placement_world
+class placement_simulation
 {
 public:
-    explicit placement_world(int owners, const world_delays &delays = {})
+    explicit placement_simulation(int owners, const simulated_delays &delays = {})
         : m_delays(delays)
     {
         for (int number = 0; number < owners; ++number)
-            m_owners.push_back(std::make_unique<owning_entry>(fmt::format("entry-{}", number)));
+            m_owners.push_back(std::make_unique<simulated_entry>(fmt::format("entry-{}", number)));
     }
 
     void addWorker(const jobs::task_size &capacity)
@@ -42,37 +42,37 @@
         auto &added = m_workers[fmt::format("w{}", m_workers.size())];
         added.capacity = capacity;
         added.table.setEpoch(Epoch);
-        added.reportAt = m_now + Step * static_cast<int>(m_workers.size());
+        added.nextReportAt = m_now + TickInterval * static_cast<int>(m_workers.size());
     }
 
     // Its tasks that end do so after `runsFor`.
     void submit(int owner, const std::string &job, const jobs::step_spec &step,
-                milliseconds runsFor = {})
+                milliseconds runTime = {})
     {
         jobs::job_spec spec;
         spec.steps = {step};
         jobs::queue_policy policy;
         policy.service = "tickets";
         policy.stretch = 2;
-        m_runsFor[job] = runsFor;
-        m_owners[static_cast<std::size_t>(owner)]->book.submit(job, spec, policy, wallMs(), m_now,
-                                                               m_nextToken++);
+        m_runTimes[job] = runTime;
+        m_owners[static_cast<std::size_t>(owner)]->controller.submit(job, spec, policy, wallMs(),
+                                                                     m_now, m_nextToken++);
     }
 
-    void advance(milliseconds time)
+    void advance(milliseconds duration)
     {
-        const auto until = m_now + time;
+        const auto until = m_now + duration;
         while (m_now < until)
-            step();
+            tick();
     }
 
     // Tasks of the job that a worker has begun and that have not ended.
-    int atWork(const std::string &job) const
+    int countRunning(const std::string &job) const
     {
         int count = 0;
-        for (const auto &[name, one] : m_workers) {
+        for (const auto &[name, item] : m_workers) {
             count += static_cast<int>(
-                    std::count_if(one.running.begin(), one.running.end(),
+                    std::count_if(item.running.begin(), item.running.end(),
                                   [&](const auto &run) { return run.first.first.job == job; }));
         }
         return count;
@@ -81,231 +81,242 @@
     int highestRun(const std::string &job) const
     {
         int highest = 0;
-        for (const auto &one : m_owners) {
-            if (!one->book.owns(job))
+        for (const auto &item : m_owners) {
+            if (!item->controller.owns(job))
                 continue;
-            for (const auto &task : one->book.record(job)->tasks.at(0).at(0))
+            for (const auto &task : item->controller.record(job)->tasks.at(0).at(0))
                 highest = std::max(highest, task.lastRun);
         }
         return highest;
     }
-    const std::vector<jobs::noted> &notes() const { return m_notes; }
+    const std::vector<jobs::log_event> &logEvents() const { return m_logEvents; }
 
-    static constexpr milliseconds Step{10};
+    static constexpr milliseconds TickInterval{10};
 
 private:
     static constexpr std::int64_t Epoch = 1;
 
-    struct owning_entry
+    struct simulated_entry
     {
-        explicit owning_entry(std::string entry)
+        explicit simulated_entry(std::string entry)
             : name(entry)
-            , book({std::move(entry), 1}, pool)
+            , controller({std::move(entry), 1}, pool)
         { }
 
         std::string name;
         jobs::worker_pool pool;
-        jobs::job_book book;
+        jobs::job_controller controller;
         std::int64_t version = 1;
-        std::map<std::int64_t, std::pair<std::string, jobs::run_end_id>> ends; // by token
+        std::map<std::int64_t, std::pair<std::string, jobs::run_end_id>>
+                unacknowledgedEnds; // by token
     };
 
     struct running_task
     {
         jobs::task_size size;
-        time_point endsAt = Never;
+        time_point endTime = Never;
     };
 
-    struct modelled_worker
+    struct simulated_worker
     {
         jobs::run_table table;
         jobs::task_size capacity;
         std::map<std::pair<jobs::task_id, int>, running_task> running;
         std::vector<jobs::run_end> ended;
-        std::int64_t lastEnd = 0;
-        time_point reportAt{};
+        std::int64_t lastEndNumber = 0;
+        time_point nextReportAt{};
     };
 
     std::int64_t wallMs() const { return millisecondsIn(m_now.time_since_epoch()); }
 
-    void later(milliseconds span, std::function<void()> happen)
+    void runAfter(milliseconds delay, std::function<void()> event)
     {
-        if (span == milliseconds(0))
-            return happen();
-        m_onTheWay.emplace(m_now + span, std::move(happen));
+        if (delay == milliseconds(0))
+            return event();
+        m_delayedEvents.emplace(m_now + delay, std::move(event));
     }
 
-    void arrive()
+    void runDueEvents()
     {
-        while (!m_onTheWay.empty() && m_onTheWay.begin()->first <= m_now)
-            m_onTheWay.extract(m_onTheWay.begin()).mapped()();
+        while (!m_delayedEvents.empty() && m_delayedEvents.begin()->first <= m_now)
+            m_delayedEvents.extract(m_delayedEvents.begin()).mapped()();
     }
 
-    void step()
+    void tick()
     {
-        m_now += Step;
-        arrive();
-        for (auto &[name, one] : m_workers) {
-            endDue(one);
-            startDue(one);
-            checkCapacity(name, one);
+        m_now += TickInterval;
+        runDueEvents();
+        for (auto &[name, item] : m_workers) {
+            endDueRuns(item);
+            carryOutRunActions(item);
+            checkCapacity(name, item);
         }
-        for (auto &[name, one] : m_workers) {
-            if (one.reportAt <= m_now)
-                report(name, one);
+        for (auto &[name, item] : m_workers) {
+            if (item.nextReportAt <= m_now)
+                sendReport(name, item);
         }
-        for (auto &one : m_owners)
-            turn(*one);
+        for (auto &item : m_owners)
+            planAndAct(*item);
     }
 
-    void endDue(modelled_worker &on)
+    void endDueRuns(simulated_worker &target)
     {
-        const auto endsBefore = on.table.newEndCount();
-        for (auto at = on.running.begin(); at != on.running.end();) {
-            if (at->second.endsAt > m_now) {
-                ++at;
+        const auto endCountBefore = target.table.newEndCount();
+        for (auto iterator = target.running.begin(); iterator != target.running.end();) {
+            if (iterator->second.endTime > m_now) {
+                ++iterator;
                 continue;
             }
-            on.ended.push_back(
-                    {++on.lastEnd, at->first.first, at->first.second, jobs::end_kind::Done, ""});
-            at = on.running.erase(at);
+            target.ended.push_back({++target.lastEndNumber, iterator->first.first,
+                                    iterator->first.second, jobs::end_kind::Done, ""});
+            iterator = target.running.erase(iterator);
         }
-        std::erase_if(on.ended, [&](const auto &end) {
-            return end.sequence <= on.table.acknowledgedThrough();
+        std::erase_if(target.ended, [&](const auto &end) {
+            return end.sequence <= target.table.acknowledgedThrough();
         });
-        on.table.applyListing(listingOf(on), m_now);
-        if (on.table.newEndCount() != endsBefore)
-            on.reportAt = m_now;
+        target.table.applyListing(listingOf(target), m_now);
+        if (target.table.newEndCount() != endCountBefore)
+            target.nextReportAt = m_now;
     }
 
-    jobs::run_listing listingOf(const modelled_worker &on) const
+    jobs::run_listing listingOf(const simulated_worker &target) const
     {
         jobs::run_listing seen;
         seen.clockMs = wallMs();
-        for (const auto &[key, run] : on.running)
+        for (const auto &[key, run] : target.running)
             seen.running.push_back({key.first, key.second, "", 0});
-        seen.ended = on.ended;
+        seen.ended = target.ended;
         return seen;
     }
 
-    void startDue(modelled_worker &on)
+    void carryOutRunActions(simulated_worker &target)
     {
-        on.table.setWorker(on.capacity, jobs::start_readiness::Ready);
-        for (const auto &action : on.table.takeDueActions(m_now, true)) {
+        target.table.setWorker(target.capacity, jobs::start_readiness::Ready);
+        for (const auto &action : target.table.takeDueActions(m_now, true)) {
             if (const auto *start = std::get_if<jobs::start_run>(&action))
-                begin(on, *start);
+                startRun(target, *start);
             else
-                stop(on, std::get<jobs::stop_run>(action));
+                stopRun(target, std::get<jobs::stop_run>(action));
         }
     }
 
-    void begin(modelled_worker &on, const jobs::start_run &start)
+    void startRun(simulated_worker &target, const jobs::start_run &start)
     {
         const auto &step = specOf(start.task);
-        auto &run = on.running[{start.task, start.run}];
-        run.size = jobs::countedSize(step.size, step.fills);
-        run.endsAt = step.lasting ? Never : m_now + m_runsFor.at(start.task.job);
-        on.table.startCalled(start.task, start.run, wallMs() + 1000);
-        on.table.startAnswered(start.task, start.run, jobs::start_answer::Started, m_now);
+        auto &run = target.running[{start.task, start.run}];
+        run.size = jobs::reservedSize(step.size, step.isBestEffort);
+        run.endTime = step.isLongRunning ? Never : m_now + m_runTimes.at(start.task.job);
+        target.table.startCalled(start.task, start.run, wallMs() + 1000);
+        target.table.startAnswered(start.task, start.run, jobs::start_answer::Started, m_now);
     }
 
-    void stop(modelled_worker &on, const jobs::stop_run &stop)
+    void stopRun(simulated_worker &target, const jobs::stop_run &stop)
     {
-        if (on.running.erase({stop.task, stop.run}) > 0)
-            on.ended.push_back({++on.lastEnd, stop.task, stop.run, jobs::end_kind::Stopped, ""});
+        if (target.running.erase({stop.task, stop.run}) > 0)
+            target.ended.push_back(
+                    {++target.lastEndNumber, stop.task, stop.run, jobs::end_kind::Stopped, ""});
     }
 
     const jobs::step_spec &specOf(const jobs::task_id &task) const
     {
-        for (const auto &one : m_owners) {
-            if (one->book.owns(task.job))
-                return one->book.record(task.job)->steps[static_cast<std::size_t>(task.step)];
+        for (const auto &item : m_owners) {
+            if (item->controller.owns(task.job))
+                return item->controller.record(task.job)
+                        ->steps[static_cast<std::size_t>(task.step)];
         }
         throw std::logic_error("a start of a job that nobody owns");
     }
 
-    void checkCapacity(const std::string &name, const modelled_worker &on) const
+    void checkCapacity(const std::string &name, const simulated_worker &target) const
     {
         jobs::task_size sum;
-        for (const auto &[key, run] : on.running)
+        for (const auto &[key, run] : target.running)
             sum += run.size;
-        cr_assert(sum.fitsInto(on.capacity), "%s has more than it holds", name.c_str());
+        cr_assert(sum.fitsInto(target.capacity), "%s has more than it holds", name.c_str());
     }
 
-    void report(const std::string &name, modelled_worker &on)
+    void sendReport(const std::string &name, simulated_worker &target)
     {
-        on.reportAt = m_now + seconds(1);
-        jobs::worker_report told;
-        told.worker = name;
-        told.epoch = Epoch;
-        told.service = "tickets";
-        told.isAccepting = true;
-        told.capacity = on.capacity;
-        told.used = on.table.used();
-        told.usedByLongRunning = on.table.usedByLongRunning();
-        for (auto &one : m_owners) {
-            later(m_delays.report, [this, &by = *one, told, ends = on.table.endsFor(one->name)] {
-                takeReport(by, told, ends);
+        target.nextReportAt = m_now + seconds(1);
+        jobs::worker_report workerReport;
+        workerReport.worker = name;
+        workerReport.epoch = Epoch;
+        workerReport.service = "tickets";
+        workerReport.isAccepting = true;
+        workerReport.capacity = target.capacity;
+        workerReport.used = target.table.used();
+        workerReport.usedByLongRunning = target.table.usedByLongRunning();
+        for (auto &item : m_owners) {
+            runAfter(m_delays.report, [this, &receiver = *item, workerReport,
+                                       ends = target.table.endsFor(item->name)] {
+                receiveReport(receiver, workerReport, ends);
             });
         }
     }
 
-    void takeReport(owning_entry &by, const jobs::worker_report &told,
-                    const std::vector<jobs::run_end> &ends)
+    void receiveReport(simulated_entry &receiver, const jobs::worker_report &workerReport,
+                       const std::vector<jobs::run_end> &ends)
     {
-        by.pool.update(told, m_now);
+        receiver.pool.update(workerReport, m_now);
         for (const auto &end : ends) {
             const auto token = m_nextToken++;
-            by.ends[token] = {told.worker, {end.task, end.run, end.endKind}};
-            by.book.runEnded(told.worker, end, m_now, token);
+            receiver.unacknowledgedEnds[token] = {workerReport.worker,
+                                                  {end.task, end.run, end.endKind}};
+            receiver.controller.runEnded(workerReport.worker, end, m_now, token);
         }
-        by.book.workerTold(told.worker, m_now);
+        receiver.controller.workerReported(workerReport.worker, m_now);
     }
 
     // Plans until nothing is left to be done: writes and orders are answered at once.
-    void turn(owning_entry &one)
+    void planAndAct(simulated_entry &item)
     {
-        one.book.plan(m_now, wallMs());
-        for (auto actions = one.book.takeActions(); !actions.empty();
-             actions = one.book.takeActions()) {
+        item.controller.plan(m_now, wallMs());
+        for (auto actions = item.controller.takeActions(); !actions.empty();
+             actions = item.controller.takeActions()) {
             for (auto &action : actions)
-                std::visit([&](auto &what) { carryOut(one, what); }, action);
-            one.book.plan(m_now, wallMs());
+                std::visit([&](auto &specificAction) { execute(item, specificAction); }, action);
+            item.controller.plan(m_now, wallMs());
         }
     }
 
-    void carryOut(owning_entry &by, jobs::write_row &write)
+    void execute(simulated_entry &receiver, jobs::write_row &write)
     {
-        later(m_delays.write, [&by, job = write.job] { by.book.rowWritten(job, ++by.version); });
+        runAfter(m_delays.write, [&receiver, job = write.job] {
+            receiver.controller.rowWritten(job, ++receiver.version);
+        });
     }
-    void carryOut(owning_entry &by, jobs::give_order &order)
+    void execute(simulated_entry &receiver, jobs::send_order &order)
     {
-        later(m_delays.order, [this, &by, given = std::move(order)] {
-            auto &on = m_workers.at(given.worker);
-            on.table.setWorker(on.capacity, jobs::start_readiness::Ready);
-            const auto answer = on.table.handleOrder(given.order, by.name, m_now);
-            later(m_delays.order, [this, &by, worker = given.worker, answer] {
-                by.book.orderAnswered(worker, answer, m_now, 0);
+        runAfter(m_delays.order, [this, &receiver, given = std::move(order)] {
+            auto &target = m_workers.at(given.worker);
+            target.table.setWorker(target.capacity, jobs::start_readiness::Ready);
+            const auto answer = target.table.handleOrder(given.order, receiver.name, m_now);
+            runAfter(m_delays.order, [this, &receiver, worker = given.worker, answer] {
+                receiver.controller.orderAnswered(worker, answer, m_now, 0);
             });
         });
     }
-    void carryOut(owning_entry &by, const jobs::stored &done)
+    void execute(simulated_entry &receiver, const jobs::change_stored &done)
     {
-        const auto found = by.ends.extract(done.token);
+        const auto found = receiver.unacknowledgedEnds.extract(done.token);
         if (!found.empty())
             m_workers.at(found.mapped().first).table.acknowledgeEnd(found.mapped().second, m_now);
     }
-    void carryOut(owning_entry & /*by*/, const jobs::disowned & /*none: no job changes its owner*/)
+    void execute(simulated_entry & /*by*/,
+                 const jobs::ownership_lost & /*none: no job changes its owner*/)
     { }
-    void carryOut(owning_entry & /*by*/, jobs::noted &line) { m_notes.push_back(std::move(line)); }
+    void execute(simulated_entry & /*by*/, jobs::log_event &line)
+    {
+        m_logEvents.push_back(std::move(line));
+    }
 
-    world_delays m_delays;
+    simulated_delays m_delays;
     time_point m_now{std::chrono::hours(1)};
-    std::multimap<time_point, std::function<void()>> m_onTheWay; // by when it comes
-    std::vector<std::unique_ptr<owning_entry>> m_owners;
-    std::map<std::string, modelled_worker> m_workers;
-    std::map<std::string, milliseconds> m_runsFor; // by job
-    std::vector<jobs::noted> m_notes;
+    std::multimap<time_point, std::function<void()>> m_delayedEvents; // by when it comes
+    std::vector<std::unique_ptr<simulated_entry>> m_owners;
+    std::map<std::string, simulated_worker> m_workers;
+    std::map<std::string, milliseconds> m_runTimes; // by job
+    std::vector<jobs::log_event> m_logEvents;
     std::int64_t m_nextToken = 1;
 };
 
--- a/tests/room_on_the_way_test.cpp
+++ b/tests/room_on_the_way_test.cpp
@@ -16,69 +16,71 @@
 namespace {
 
 constexpr unsigned Seeds = 10;
-constexpr int LastingJobs = 8;
-constexpr int TasksOfEach = 2;
-constexpr world_delays Delays{milliseconds(40), milliseconds(10), milliseconds(10)};
-constexpr milliseconds Turn{10};
+constexpr int LongRunningJobCount = 8;
+constexpr int TasksPerJob = 2;
+constexpr simulated_delays Delays{milliseconds(40), milliseconds(10), milliseconds(10)};
+constexpr milliseconds TickInterval{10};
 
 // What happened from when the jobs that last came.
-struct told_by_notes
+struct refusal_counts
 {
-    int placed = 0;         // short tasks handed in
-    int refused = 0;        // orders, for want of room
-    int refusedLasting = 0; // of these of tasks that last
-    int lastingAtWork = 0;
-    int highestLastingRun = 0;
+    int submittedShortTasks = 0; // short tasks handed in
+    int refusedOrders = 0;       // orders, for want of room
+    int refusedLongRunning = 0;  // of these of tasks that last
+    int runningLongRunning = 0;
+    int highestLongRunningRun = 0;
 
-    told_by_notes &operator+=(const told_by_notes &other)
+    refusal_counts &operator+=(const refusal_counts &other)
     {
-        placed += other.placed;
-        refused += other.refused;
-        refusedLasting += other.refusedLasting;
-        lastingAtWork += other.lastingAtWork;
-        highestLastingRun = std::max(highestLastingRun, other.highestLastingRun);
+        submittedShortTasks += other.submittedShortTasks;
+        refusedOrders += other.refusedOrders;
+        refusedLongRunning += other.refusedLongRunning;
+        runningLongRunning += other.runningLongRunning;
+        highestLongRunningRun = std::max(highestLongRunningRun, other.highestLongRunningRun);
         return *this;
     }
 };
 
-std::string lastingJob(int number)
+std::string longRunningJobName(int number)
 {
     return fmt::format("lasting-{}", number);
 }
 
-class many_owners
+class shared_workers_scenario
 {
 public:
     // `load`: the share of the workers' processors that short tasks ask for.
-    many_owners(int owners, double load, unsigned seed)
+    shared_workers_scenario(int owners, double load, unsigned seed)
         : m_owners(owners)
         , m_load(load)
         , m_random(seed)
-        , m_world(owners, Delays)
+        , m_simulation(owners, Delays)
     {
-        for (int number = 0; number < Workers; ++number)
-            m_world.addWorker({16 * Cores, 64'000, 0});
-        m_world.advance(seconds(1));
+        for (int number = 0; number < WorkerCount; ++number)
+            m_simulation.addWorker({16 * Cores, 64'000, 0});
+        m_simulation.advance(seconds(1));
     }
 
-    told_by_notes play()
+    refusal_counts simulate()
     {
         advance(seconds(2));
-        m_handedIn = 0;
-        const auto notesBefore = m_world.notes().size();
-        for (int number = 0; number < LastingJobs; ++number)
-            m_world.submit(anyOwner(), lastingJob(number), lastingStep(TasksOfEach, 2 * Cores));
+        m_submittedShortTasks = 0;
+        const auto notesBefore = m_simulation.logEvents().size();
+        for (int number = 0; number < LongRunningJobCount; ++number)
+            m_simulation.submit(anyOwner(), longRunningJobName(number),
+                                longRunningStep(TasksPerJob, 2 * Cores));
         advance(seconds(3));
-        told_by_notes told;
-        told.placed = m_handedIn;
-        for (auto at = notesBefore; at < m_world.notes().size(); ++at)
-            count(m_world.notes()[at], told);
-        for (int number = 0; number < LastingJobs; ++number) {
-            told.lastingAtWork += m_world.atWork(lastingJob(number));
-            told.highestLastingRun =
-                    std::max(told.highestLastingRun, m_world.highestRun(lastingJob(number)));
+        refusal_counts counts;
+        counts.submittedShortTasks = m_submittedShortTasks;
+        for (auto at = notesBefore; at < m_simulation.logEvents().size(); ++at)
+            count(m_simulation.logEvents()[at], counts);
+        for (int number = 0; number < LongRunningJobCount; ++number) {
+            counts.runningLongRunning += m_simulation.countRunning(longRunningJobName(number));
+            counts.highestLongRunningRun =
+                    std::max(counts.highestLongRunningRun,
+                             m_simulation.highestRun(longRunningJobName(number)));
         }
-        return told;
+        return counts;
     }
 
 private:
@@ -88,54 +90,54 @@
     }
     int anyOwner() { return between(0, m_owners - 1); }
 
-    void advance(milliseconds time)
+    void advance(milliseconds duration)
     {
-        constexpr double Places = Workers * 16 * 2; // for short tasks, half a core each
-        const auto perTurn = m_load * Places * static_cast<double>(Turn.count())
-                             / static_cast<double>(ShortRun.count());
-        for (milliseconds passed{0}; passed < time; passed += Turn) {
-            for (m_owed += perTurn; m_owed > 0;)
-                handIn();
-            m_world.advance(Turn);
+        constexpr double ShortTaskSlots = WorkerCount * 16 * 2; // for short tasks, half a core each
+        const auto perTurn = m_load * ShortTaskSlots * static_cast<double>(TickInterval.count())
+                             / static_cast<double>(ShortRunTime.count());
+        for (milliseconds passed{0}; passed < duration; passed += TickInterval) {
+            for (m_dueShortTasks += perTurn; m_dueShortTasks > 0;)
+                submitShortJob();
+            m_simulation.advance(TickInterval);
         }
     }
 
-    void handIn()
+    void submitShortJob()
     {
         const int tasks = between(1, 10);
-        const auto half = static_cast<int>(ShortRun.count() / 2);
-        m_world.submit(anyOwner(), fmt::format("short-{}", m_jobs++), shortStep(tasks),
-                       milliseconds(between(half, 3 * half)));
-        m_owed -= tasks;
-        m_handedIn += tasks;
+        const auto half = static_cast<int>(ShortRunTime.count() / 2);
+        m_simulation.submit(anyOwner(), fmt::format("short-{}", m_submittedJobs++),
+                            shortStep(tasks), milliseconds(between(half, 3 * half)));
+        m_dueShortTasks -= tasks;
+        m_submittedShortTasks += tasks;
     }
 
-    static void count(const jobs::noted &line, told_by_notes &told)
+    static void count(const jobs::log_event &line, refusal_counts &counts)
     {
         if (line.event != "order_refused" || !line.detail.ends_with("no_room"))
             return;
-        ++told.refused;
-        told.refusedLasting += line.job.starts_with("lasting") ? 1 : 0;
+        ++counts.refusedOrders;
+        counts.refusedLongRunning += line.job.starts_with("lasting") ? 1 : 0;
     }
 
     int m_owners;
     double m_load;
     std::mt19937 m_random;
-    placement_world m_world;
-    double m_owed = 0; // short tasks
-    int m_jobs = 0;
-    int m_handedIn = 0;
+    placement_simulation m_simulation;
+    double m_dueShortTasks = 0; // short tasks
+    int m_submittedJobs = 0;
+    int m_submittedShortTasks = 0;
 };
 
-told_by_notes playOf(int owners, double load)
+refusal_counts runSeeds(int owners, double load)
 {
-    told_by_notes told;
+    refusal_counts counts;
     for (unsigned seed = 1; seed <= Seeds; ++seed)
-        told += many_owners(owners, load, seed).play();
-    return told;
+        counts += shared_workers_scenario(owners, load, seed).simulate();
+    return counts;
 }
 
-constexpr int AllLasting = static_cast<int>(Seeds) * LastingJobs * TasksOfEach;
+constexpr int AllLongRunningTasks = static_cast<int>(Seeds) * LongRunningJobCount * TasksPerJob;
 
 } // namespace
 
@@ -143,130 +145,134 @@
 // soon as that agent reports anything.
 Test(room_on_the_way, what_an_owner_has_placed_counts_until_its_agent_answers)
 {
-    const auto told = playOf(1, 0.7);
-    section("the only owner is never refused", [&] { check(told.refused == 0); });
-    section("and all that lasts is at work", [&] { check(told.lastingAtWork == AllLasting); });
-    section("with its first run", [&] { check(told.highestLastingRun == 1); });
+    const auto counts = runSeeds(1, 0.7);
+    section("the only owner is never refused", [&] { check(counts.refusedOrders == 0); });
+    section("and all that lasts is at work",
+            [&] { check(counts.runningLongRunning == AllLongRunningTasks); });
+    section("with its first run", [&] { check(counts.highestLongRunningRun == 1); });
 }
 
 // Guards against owners that all take the same worker, and are refused again and again though
 // others have room.
 Test(room_on_the_way, owners_seldom_meet_while_half_of_the_room_is_free)
 {
-    const auto told = playOf(17, 0.5);
+    const auto counts = runSeeds(17, 0.5);
     section("one order in twenty is refused at most", [&] {
-        cr_expect(told.refused * 20 <= told.placed, "%d of %d", told.refused, told.placed);
+        cr_expect(counts.refusedOrders * 20 <= counts.submittedShortTasks, "%d of %d",
+                  counts.refusedOrders, counts.submittedShortTasks);
     });
     section("one in five of those of tasks that last", [&] {
-        cr_expect(told.refusedLasting * 5 <= AllLasting, "%d of %d", told.refusedLasting,
-                  AllLasting);
+        cr_expect(counts.refusedLongRunning * 5 <= AllLongRunningTasks, "%d of %d",
+                  counts.refusedLongRunning, AllLongRunningTasks);
+    });
+    section("and all that lasts is at work", [&] {
+        cr_expect(counts.runningLongRunning == AllLongRunningTasks, "%d",
+                  counts.runningLongRunning);
     });
-    section("and all that lasts is at work",
-            [&] { cr_expect(told.lastingAtWork == AllLasting, "%d", told.lastingAtWork); });
 }
 
 // Guards against orders for a worker that has just said to have no room.
 Test(room_on_the_way, a_refusal_holds_until_the_next_report)
 {
     time_point now{std::chrono::hours(1)};
-    jobs::worker_report report;
-    report.worker = "w1";
-    report.epoch = 1;
-    report.service = "tickets";
-    report.isAccepting = true;
-    report.capacity = {16 * Cores, 64'000, 0};
+    jobs::worker_report workerReport;
+    workerReport.worker = "w1";
+    workerReport.epoch = 1;
+    workerReport.service = "tickets";
+    workerReport.isAccepting = true;
+    workerReport.capacity = {16 * Cores, 64'000, 0};
     jobs::worker_pool pool;
-    pool.update(report, now);
+    pool.update(workerReport, now);
     const auto choose = [&](const jobs::step_spec &step) {
-        return pool.choose("tickets", step, {}, now).has_value();
+        return pool.chooseWorker("tickets", step, {}, now).has_value();
     };
-    pool.noteNoRoom("w1", lastingStep(1, 2 * Cores), pool.find("w1")->heardAt);
+    pool.recordRefusal("w1", longRunningStep(1, 2 * Cores), pool.find("w1")->lastReportAt);
 
     section("neither for the same size nor for a larger one", [&] {
-        check(!choose(lastingStep(1, 2 * Cores)));
-        check(!choose(lastingStep(1, 3 * Cores)));
+        check(!choose(longRunningStep(1, 2 * Cores)));
+        check(!choose(longRunningStep(1, 3 * Cores)));
     });
-    section("a smaller one may fit", [&] { check(choose(lastingStep(1, Cores))); });
+    section("a smaller one may fit", [&] { check(choose(longRunningStep(1, Cores))); });
     section("the log tells it", [&] {
-        check(pool.whyNobody("tickets", lastingStep(1, 2 * Cores), {}, now)
+        check(pool.describeUnfitWorkers("tickets", longRunningStep(1, 2 * Cores), {}, now)
                       .starts_with("1 refused, "));
     });
     section("the next report is newer", [&] {
         now += milliseconds(10);
-        pool.update(report, now);
-        check(choose(lastingStep(1, 2 * Cores)));
+        pool.update(workerReport, now);
+        check(choose(longRunningStep(1, 2 * Cores)));
     });
     section("so is one that has overtaken the refusal", [&] {
-        pool.noteNoRoom("w1", lastingStep(1, 2 * Cores), now - milliseconds(10));
-        check(choose(lastingStep(1, 2 * Cores)));
+        pool.recordRefusal("w1", longRunningStep(1, 2 * Cores), now - milliseconds(10));
+        check(choose(longRunningStep(1, 2 * Cores)));
     });
 }
 
 namespace {
 
 // One owner and one worker, by hand.
-struct one_worker
+struct single_worker_fixture
 {
     jobs::worker_pool pool;
-    jobs::job_book book{{"entry-a", 1}, pool};
+    jobs::job_controller controller{{"entry-a", 1}, pool};
     time_point now{std::chrono::hours(1)};
-    std::vector<jobs::give_order> orders;
-    std::vector<std::string> unwritten;
+    std::vector<jobs::send_order> orders;
+    std::vector<std::string> pendingWrites;
     std::int64_t version = 1;
 
-    one_worker()
+    single_worker_fixture()
     {
         takeReport(report());
         jobs::job_spec spec;
         spec.steps = {shortStep(8)};
-        spec.steps[0].fills = false;
+        spec.steps[0].isBestEffort = false;
         spec.steps[0].size = {2 * Cores, 100, 0};
         jobs::queue_policy policy;
         policy.service = "tickets";
-        book.submit("job", spec, policy, 1000, now, 1);
-        turn();
-        for (const auto &id : std::exchange(unwritten, {}))
-            book.rowWritten(id, ++version);
-        turn();
+        controller.submit("job", spec, policy, 1000, now, 1);
+        planAndCollect();
+        for (const auto &id : std::exchange(pendingWrites, {}))
+            controller.rowWritten(id, ++version);
+        planAndCollect();
         require(orders.size() == 8);
         require(used() == 16 * Cores);
     }
 
-    static jobs::worker_report report(std::int64_t epoch = 1, std::int64_t agentLife = 5)
+    static jobs::worker_report report(std::int64_t epoch = 1, std::int64_t agentIncarnation = 5)
     {
-        jobs::worker_report told;
-        told.worker = "w1";
-        told.agentIncarnation = agentLife;
-        told.epoch = epoch;
-        told.service = "tickets";
-        told.isAccepting = true;
-        told.capacity = {16 * Cores, 64'000, 0};
-        return told;
+        jobs::worker_report counts;
+        counts.worker = "w1";
+        counts.agentIncarnation = agentIncarnation;
+        counts.epoch = epoch;
+        counts.service = "tickets";
+        counts.isAccepting = true;
+        counts.capacity = {16 * Cores, 64'000, 0};
+        return counts;
     }
 
     // In the order in which an entry takes it.
-    void takeReport(const jobs::worker_report &told)
+    void takeReport(const jobs::worker_report &counts)
     {
-        const bool livesAnew = pool.update(told, now) && told.epoch > 0;
-        for (const auto &end : told.ends)
-            book.runEnded(told.worker, end, now, 1);
-        if (livesAnew)
-            book.workerRenewed(told.worker, told.epoch, now);
-        book.workerTold(told.worker, now);
+        const bool hasRestarted = pool.update(counts, now) && counts.epoch > 0;
+        for (const auto &end : counts.ends)
+            controller.runEnded(counts.worker, end, now, 1);
+        if (hasRestarted)
+            controller.workerRestarted(counts.worker, counts.epoch, now);
+        controller.workerReported(counts.worker, now);
     }
 
-    void turn()
+    void planAndCollect()
     {
-        book.plan(now, 1000);
-        for (auto &action : book.takeActions()) {
-            if (auto *order = std::get_if<jobs::give_order>(&action))
+        controller.plan(now, 1000);
+        for (auto &action : controller.takeActions()) {
+            if (auto *order = std::get_if<jobs::send_order>(&action))
                 orders.push_back(*order);
             if (auto *write = std::get_if<jobs::write_row>(&action))
-                unwritten.push_back(write->job);
+                pendingWrites.push_back(write->job);
         }
     }
 
-    std::int64_t used() const { return pool.find("w1")->last.used.millicores; }
+    std::int64_t used() const { return pool.find("w1")->lastReport.used.millicores; }
 };
 
 } // namespace
@@ -275,31 +281,31 @@
 Test(room_on_the_way, what_no_longer_is_on_its_way_takes_no_room)
 {
     section("until it is answered it does", [] {
-        one_worker on;
-        on.takeReport(one_worker::report());
-        check(on.used() == 16 * Cores);
+        single_worker_fixture fixture;
+        fixture.takeReport(single_worker_fixture::report());
+        check(fixture.used() == 16 * Cores);
     });
     section("a new epoch has ended what was placed by the old one", [] {
-        one_worker on;
-        on.takeReport(one_worker::report(2));
-        check(on.used() == 0);
+        single_worker_fixture fixture;
+        fixture.takeReport(single_worker_fixture::report(2));
+        check(fixture.used() == 0);
     });
     section("so does an end that comes before the answer", [] {
-        one_worker on;
-        auto told = one_worker::report();
-        for (const auto &order : on.orders)
-            told.ends.push_back({1, order.order.task, order.order.run, jobs::end_kind::Done, ""});
-        on.takeReport(told);
-        check(on.used() == 0);
+        single_worker_fixture fixture;
+        auto counts = single_worker_fixture::report();
+        for (const auto &order : fixture.orders)
+            counts.ends.push_back({1, order.order.task, order.order.run, jobs::end_kind::Done, ""});
+        fixture.takeReport(counts);
+        check(fixture.used() == 0);
     });
     section("given long ago, it is in the report or starts no more", [] {
-        one_worker on;
-        on.now += seconds(1);
-        auto told = one_worker::report();
-        told.used = {16 * Cores, 800, 0};
+        single_worker_fixture fixture;
+        fixture.now += seconds(1);
+        auto counts = single_worker_fixture::report();
+        counts.used = {16 * Cores, 800, 0};
         for (int round = 0; round < 3; ++round) {
-            on.takeReport(told);
-            check(on.used() == 16 * Cores);
+            fixture.takeReport(counts);
+            check(fixture.used() == 16 * Cores);
         }
     });
 }
--- a/tests/saturated_workers.h
+++ b/tests/saturated_workers.h
@@ -11,12 +11,12 @@
 
 inline constexpr std::int64_t Cores = 1000; // millicores
 
-inline jobs::step_spec lastingStep(int count, std::int64_t millicores)
+inline jobs::step_spec longRunningStep(int count, std::int64_t millicores)
 {
     jobs::step_spec step;
     step.count = count;
     step.size = {millicores, 1000, 0};
-    step.lasting = true;
+    step.isLongRunning = true;
     step.estimateMs = 500;
     return step;
 }
@@ -30,41 +30,41 @@
     return step;
 }
 
-inline constexpr int Workers = 8;
-inline constexpr int Owners = 3;
-inline constexpr milliseconds ShortRun{640};
+inline constexpr int WorkerCount = 8;
+inline constexpr int OwnerCount = 3;
+inline constexpr milliseconds ShortRunTime{640};
 
 // Of each worker's 16 cores tasks that last have 10; jobs of short tasks ask for more than the
 // rest.
-struct busy_site
+struct saturated_workers
 {
-    int owners = Owners;
-    placement_world world;
-    int handedIn = 0;
+    int ownerCount = OwnerCount;
+    placement_simulation simulation;
+    int submittedJobs = 0;
 
-    explicit busy_site(int entries = Owners, const world_delays &delays = {})
-        : owners(entries)
-        , world(entries, delays)
+    explicit saturated_workers(int entryCount = OwnerCount, const simulated_delays &delays = {})
+        : ownerCount(entryCount)
+        , simulation(entryCount, delays)
     {
-        for (int number = 0; number < Workers; ++number)
-            world.addWorker({16 * Cores, 64'000, 0});
-        world.advance(milliseconds(1000));
-        auto small = lastingStep(4 * Workers, 2500);
-        small.mostPerWorker = 4;
-        world.submit(0, "small-services", small);
-        advance(milliseconds(4000));
-        require(world.atWork("small-services") == 4 * Workers);
+        for (int number = 0; number < WorkerCount; ++number)
+            simulation.addWorker({16 * Cores, 64'000, 0});
+        simulation.advance(milliseconds(1000));
+        auto small = longRunningStep(4 * WorkerCount, 2500);
+        small.maxPerWorker = 4;
+        simulation.submit(0, "small-services", small);
+        advanceUnderLoad(milliseconds(4000));
+        require(simulation.countRunning("small-services") == 4 * WorkerCount);
     }
 
     // Short tasks for 1.5 times of the 6 cores that each worker has left.
-    void advance(milliseconds time)
+    void advanceUnderLoad(milliseconds duration)
     {
-        constexpr milliseconds Every{40};
-        for (milliseconds passed{0}; passed < time; passed += Every) {
-            world.submit(handedIn % owners, fmt::format("short-{}", handedIn), shortStep(9),
-                         ShortRun);
-            ++handedIn;
-            world.advance(Every);
+        constexpr milliseconds SubmitInterval{40};
+        for (milliseconds elapsed{0}; elapsed < duration; elapsed += SubmitInterval) {
+            simulation.submit(submittedJobs % ownerCount, fmt::format("short-{}", submittedJobs),
+                              shortStep(9), ShortRunTime);
+            ++submittedJobs;
+            simulation.advance(SubmitInterval);
         }
     }
 };
--- a/tests/standing_rules.h
+++ b/tests/standing_rules.h
@@ -47,7 +47,7 @@
     void judgeTasks(const std::string &job, const jobs::job_record &record, time_point now)
     {
         for (std::size_t step = 0; step < record.steps.size(); ++step) {
-            if (!record.steps[step].lasting)
+            if (!record.steps[step].isLongRunning)
                 continue;
             for (int index = 0; index < record.steps[step].count; ++index) {
                 const jobs::task_id task{job, 0, static_cast<int>(step), index};
--- a/tests/trained_pool.h
+++ b/tests/trained_pool.h
@@ -31,7 +31,7 @@
         const double cores = sample % 2 == 0 ? 0.0 : 4.0;
         const double load = 0.4 + loadPerCore * cores;
         const auto tail = static_cast<std::int64_t>(FloorMs / (1 - load));
-        pool.disturbance().learn({serving, tail, 150, {{bestEffort, cores}}});
+        pool.interferenceEstimator().learn({serving, tail, 150, {{bestEffort, cores}}});
     }
 }
 
--- a/tests/urgency_test.cpp
+++ b/tests/urgency_test.cpp
@@ -46,24 +46,24 @@
 {
     auto record = accepted(chain({2000, 1000})); // objective: 7 s
     section("what is left to do counts", [&] {
-        check(timeToSpareMs(record, Accepted) == 4000);
-        check(timeToSpareMs(record, Accepted + 4001) == -1);
+        check(slackMs(record, Accepted) == 4000);
+        check(slackMs(record, Accepted + 4001) == -1);
     });
     section("what is done does not", [&] {
         finish(record, 0);
-        check(timeToSpareMs(record, Accepted + 4001) == 1999);
+        check(slackMs(record, Accepted + 4001) == 1999);
     });
     section("steps beside each other take the time of the longest", [&] {
         auto spec = chain({2000, 1000});
         spec.steps[1].after.clear();
-        check(timeToSpareMs(accepted(spec), Accepted) == 3000);
+        check(slackMs(accepted(spec), Accepted) == 3000);
     });
     section("an occurrence counts from when it is due", [&] {
         auto spec = chain({2000});
         spec.occurrences = 2;
-        spec.firstDueMs = Accepted + 10'000;
+        spec.firstOccurrenceMs = Accepted + 10'000;
         spec.intervalMs = 5000;
-        check(timeToSpareMs(accepted(spec), Accepted) == 13'000);
+        check(slackMs(accepted(spec), Accepted) == 13'000);
     });
 }
 
--- a/tests/worker_pool_test.cpp
+++ b/tests/worker_pool_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::int64_t Life = 8; // of an agent
+constexpr std::int64_t AgentIncarnation = 8; // of an agent
 
 const time_point Now{std::chrono::hours(1)};
 
@@ -21,25 +21,25 @@
     step_spec step;
     step.count = count;
     step.size = {3 * MillicoresPerCore, 6000, 0};
-    step.lasting = true;
+    step.isLongRunning = true;
     step.image = image;
-    step.targetMs = 150;
+    step.latencyTargetMs = 150;
     return step;
 }
 
-step_spec fillingStep(const std::string &image)
+step_spec bestEffortStep(const std::string &image)
 {
     step_spec step;
     step.size = {2 * MillicoresPerCore, 3000, 0};
-    step.fills = true;
+    step.isBestEffort = true;
     step.image = image;
     step.estimateMs = 2000;
     return step;
 }
 
-std::string placed(worker_pool &pool, const step_spec &step, int together = 1)
+std::string chooseAndReserve(worker_pool &pool, const step_spec &step, int waitingTasks = 1)
 {
-    const auto worker = pool.choose("tickets", step, {}, Now, {together, true});
+    const auto worker = pool.chooseWorker("tickets", step, {}, Now, {waitingTasks, true});
     if (!worker)
         return "none";
     pool.reserve(*worker, step);
@@ -63,8 +63,8 @@
     earlier.agentIncarnation = 7;
     earlier.isAccepting = true;
     check(!workers.update(earlier, now));
-    check(workers.find("w1")->last.agentIncarnation == 8);
-    check(!workers.find("w1")->last.isAccepting);
+    check(workers.find("w1")->lastReport.agentIncarnation == 8);
+    check(!workers.find("w1")->lastReport.isAccepting);
     section("one of an agent that has no fence yet counts", [&] {
         earlier.agentIncarnation = 0;
         check(workers.update(earlier, now));
@@ -74,47 +74,47 @@
 // A task that is done runs again: an order that holds for too long on the agent's clock.
 Test(worker_pool, how_long_an_order_holds)
 {
-    constexpr std::int64_t Clock = 50'000;
-    constexpr std::int64_t Holds = 700;
+    constexpr std::int64_t ClockMs = 50'000;
+    constexpr std::int64_t OrderValidityMs = 700;
     worker_pool workers;
     auto report = acceptingReport("w1");
-    report.agentIncarnation = Life;
-    const auto told = [&](std::int64_t clockMs, milliseconds after) {
+    report.agentIncarnation = AgentIncarnation;
+    const auto receiveReport = [&](std::int64_t clockMs, milliseconds after) {
         report.clockMs = clockMs;
         workers.update(report, Now + after);
     };
-    const auto holdsUntil = [&](milliseconds after, std::int64_t life = Life) {
-        return workers.orderHoldsUntil("w1", life, Now + after);
+    const auto deadlineAfter = [&](milliseconds after, std::int64_t life = AgentIncarnation) {
+        return workers.startDeadlineFor("w1", life, Now + after);
     };
     section("an agent that tells no clock is given no deadline", [&] {
-        check(holdsUntil({}) == 0);
-        told(0, {});
-        check(holdsUntil({}) == 0);
+        check(deadlineAfter({}) == 0);
+        receiveReport(0, {});
+        check(deadlineAfter({}) == 0);
     });
     section("counted from the reading, as if the report had come at once", [&] {
-        told(Clock, {});
-        check(holdsUntil({}) == Clock + Holds);
+        receiveReport(ClockMs, {});
+        check(deadlineAfter({}) == ClockMs + OrderValidityMs);
     });
     section("on as the slower of two clocks that are off", [&] {
-        check(holdsUntil(milliseconds(500)) == Clock + 500 - 20 + Holds);
-        check(holdsUntil(milliseconds(1000)) == Clock + 1000 - 40 + Holds);
+        check(deadlineAfter(milliseconds(500)) == ClockMs + 500 - 20 + OrderValidityMs);
+        check(deadlineAfter(milliseconds(1000)) == ClockMs + 1000 - 40 + OrderValidityMs);
     });
     section("a report that was slow to come takes nothing back", [&] {
-        told(Clock + 200, milliseconds(1000));
-        check(holdsUntil(milliseconds(1000)) == Clock + 1000 - 40 + Holds);
+        receiveReport(ClockMs + 200, milliseconds(1000));
+        check(deadlineAfter(milliseconds(1000)) == ClockMs + 1000 - 40 + OrderValidityMs);
     });
     section("a prompt one tells more", [&] {
-        told(Clock + 2000, milliseconds(2000));
-        check(holdsUntil(milliseconds(2000)) == Clock + 2000 + Holds);
+        receiveReport(ClockMs + 2000, milliseconds(2000));
+        check(deadlineAfter(milliseconds(2000)) == ClockMs + 2000 + OrderValidityMs);
     });
     section("each life has its own clock", [&] {
-        report.agentIncarnation = Life + 1;
-        told(900, milliseconds(3000));
-        check(holdsUntil(milliseconds(3000), Life + 1) == 900 + Holds);
-        check(holdsUntil(milliseconds(3000), Life) == 900 + Holds);
+        report.agentIncarnation = AgentIncarnation + 1;
+        receiveReport(900, milliseconds(3000));
+        check(deadlineAfter(milliseconds(3000), AgentIncarnation + 1) == 900 + OrderValidityMs);
+        check(deadlineAfter(milliseconds(3000), AgentIncarnation) == 900 + OrderValidityMs);
     });
     section("a task of a life not heard of yet is claimed there, not started", [&] {
-        const auto deadline = holdsUntil(milliseconds(3000), Life + 2);
+        const auto deadline = deadlineAfter(milliseconds(3000), AgentIncarnation + 2);
         check(deadline > 0 && deadline < 900);
     });
 }
@@ -128,20 +128,20 @@
     for (const char *name : {"w1", "w2", "w3", "w4"})
         pool.update(acceptingReport(name), Now);
     const auto first = servingStep("site", 4);
-    const auto home = placed(pool, first, 4);
+    const auto firstWorker = chooseAndReserve(pool, first, 4);
     section("a job's tasks are on one worker", [&] {
-        for (int left = 3; left > 0; --left)
-            check(placed(pool, first, left) == home);
+        for (int remaining = 3; remaining > 0; --remaining)
+            check(chooseAndReserve(pool, first, remaining) == firstWorker);
     });
     section("a job that does not fit beside them begins another worker", [&] {
         const auto second = servingStep("shop", 5);
-        const auto other = placed(pool, second, 5);
-        check(other != home);
-        for (int left = 4; left > 0; --left)
-            check(placed(pool, second, left) == other);
+        const auto other = chooseAndReserve(pool, second, 5);
+        check(other != firstWorker);
+        for (int remaining = 4; remaining > 0; --remaining)
+            check(chooseAndReserve(pool, second, remaining) == other);
     });
     section("one that fits beside its twins joins them",
-            [&] { check(placed(pool, servingStep("site", 1)) == home); });
+            [&] { check(chooseAndReserve(pool, servingStep("site", 1)) == firstWorker); });
 }
 
 // Users of a service get late answers for seconds, because a batch job was placed beside it that
@@ -156,15 +156,15 @@
     busy.serving = {{"site", 0.1}, {"site", 0.1}};
     pool.update(busy, Now);
     section("it waits while there is no other worker",
-            [&] { check(placed(pool, fillingStep("heavy")) == "none"); });
+            [&] { check(chooseAndReserve(pool, bestEffortStep("heavy")) == "none"); });
     section("one that harms nobody does not",
-            [&] { check(placed(pool, fillingStep("light")) == "busy"); });
+            [&] { check(chooseAndReserve(pool, bestEffortStep("light")) == "busy"); });
     section("it goes where there is room for its press", [&] {
         auto calm = busy;
         calm.worker = "calm";
         calm.serving = {{"site", 0.5}, {"site", 0.5}};
         pool.update(calm, Now);
-        check(placed(pool, fillingStep("heavy")) == "calm");
+        check(chooseAndReserve(pool, bestEffortStep("heavy")) == "calm");
     });
     section("a run that is late already is not kept late", [&] {
         auto late = busy;
@@ -174,13 +174,13 @@
         worker_pool other;
         trainInterference(other, "site", "heavy", 0.06);
         other.update(late, Now);
-        check(placed(other, fillingStep("heavy")) == "none");
+        check(chooseAndReserve(other, bestEffortStep("heavy")) == "none");
     });
 }
 
 namespace {
 
-worker_report besideOf(const std::string &worker, std::vector<serving_headroom> serving)
+worker_report reportWithServing(const std::string &worker, std::vector<serving_headroom> serving)
 {
     auto report = acceptingReport(worker);
     report.used = {12 * MillicoresPerCore, 24'000, 0};
@@ -198,21 +198,23 @@
     worker_pool pool;
     trainInterference(pool, "site", "heavy", 0.06);
     const auto placedImpatiently = [&] {
-        return pool.choose("tickets", fillingStep("heavy"), {}, Now, {1, false}).value_or("none");
+        return pool.chooseWorker("tickets", bestEffortStep("heavy"), {}, Now, {1, false})
+                .value_or("none");
     };
     section("three tasks of one job are less to lose than two jobs", [&] {
-        pool.update(besideOf("one-job", {{"site", 0, "a"}, {"site", 0, "a"}, {"site", 0, "a"}}),
+        pool.update(reportWithServing("one-job",
+                                      {{"site", 0, "a"}, {"site", 0, "a"}, {"site", 0, "a"}}),
                     Now);
-        pool.update(besideOf("two-jobs", {{"site", 0, "b"}, {"site", 0, "c"}}), Now);
+        pool.update(reportWithServing("two-jobs", {{"site", 0, "b"}, {"site", 0, "c"}}), Now);
         check(placedImpatiently() == "one-job");
     });
     section("a job that is late elsewhere has little left to lose", [&] {
-        auto crowded = besideOf("crowded", {{"site", 0, "b"}});
+        auto crowded = reportWithServing("crowded", {{"site", 0, "b"}});
         crowded.bestEffortDemand = {{"heavy", 8}};
         crowded.isAccepting = false;
         pool.update(crowded, Now);
-        pool.update(besideOf("one-job", {{"site", 0, "a"}}), Now);
-        pool.update(besideOf("two-jobs", {{"site", 0, "b"}}), Now);
+        pool.update(reportWithServing("one-job", {{"site", 0, "a"}}), Now);
+        pool.update(reportWithServing("two-jobs", {{"site", 0, "b"}}), Now);
         check(placedImpatiently() == "two-jobs");
     });
 }
@@ -223,15 +225,15 @@
 {
     worker_pool pool;
     trainInterference(pool, "site", "heavy", 0.06);
-    auto crowded = besideOf("crowded", {{"site", 0, "wide", true}});
+    auto crowded = reportWithServing("crowded", {{"site", 0, "wide", true}});
     crowded.bestEffortDemand = {{"heavy", 8}};
     crowded.isAccepting = false;
     const auto placedAt = [&](time_point now) {
         pool.update(crowded, now);
-        pool.update(besideOf("narrow", {{"site", 0, "narrow"}}), now);
-        pool.update(besideOf("wide", {{"site", 0, "wide"}, {"site", 0, "wide"}}), now);
-        auto step = fillingStep("heavy");
-        return pool.choose("tickets", step, {}, now, {1, false}).value_or("none");
+        pool.update(reportWithServing("narrow", {{"site", 0, "narrow"}}), now);
+        pool.update(reportWithServing("wide", {{"site", 0, "wide"}, {"site", 0, "wide"}}), now);
+        auto step = bestEffortStep("heavy");
+        return pool.chooseWorker("tickets", step, {}, now, {1, false}).value_or("none");
     };
     section("first the one that is late elsewhere is harmed",
             [&] { check(placedAt(Now) == "wide"); });
@@ -248,7 +250,7 @@
 // as silent all through a rolling release.
 Test(worker_pool, reports_are_read)
 {
-    auto report = besideOf("w1", {{"site", 0.25, "a", true}});
+    auto report = reportWithServing("w1", {{"site", 0.25, "a", true}});
     report.usedByLongRunning = {9 * MillicoresPerCore, 18'000, 0};
     report.samples = {{"site",
                        40,
@@ -288,17 +290,17 @@
 Test(worker_pool, runs_that_serve_are_counted_by_job)
 {
     worker_pool pool;
-    pool.update(besideOf("w1", {{"site", 0.25, "a"}, {"site", -0.1, "a", true}}), Now);
-    pool.update(besideOf("w2", {{"site", 0.25, "b"}, {"site", 0.25, "a"}}), Now);
+    pool.update(reportWithServing("w1", {{"site", 0.25, "a"}, {"site", -0.1, "a", true}}), Now);
+    pool.update(reportWithServing("w2", {{"site", 0.25, "b"}, {"site", 0.25, "a"}}), Now);
     section("over all workers, late ones too", [&] {
-        const auto jobs = pool.servingByJob(Now);
+        const auto jobs = pool.countServingRuns(Now);
         check(jobs.size() == 2);
         check(jobs.at("a").running == 3);
         check(jobs.at("a").late == 1);
         check(jobs.at("b").late == 0);
     });
     section("not those of a worker that nobody hears of",
-            [&] { check(pool.servingByJob(Now + seconds(3)).empty()); });
+            [&] { check(pool.countServingRuns(Now + seconds(3)).empty()); });
 }
 
 // An operator is told that a task has no room, and not which: a worker is bought where memory
@@ -317,6 +319,6 @@
     memory.usedByLongRunning = memory.used;
     for (const auto &report : {lasting, ending, memory, acceptingReport("avoided")})
         pool.update(report, Now);
-    check(pool.whyNobody("tickets", servingStep("site", 1), {"avoided"}, Now)
+    check(pool.describeUnfitWorkers("tickets", servingStep("site", 1), {"avoided"}, Now)
           == "1 avoided, 2 no_processors, 1 no_memory, 1 with room beside what lasts");
 }
