--- a/app/config_duty.cpp
+++ b/app/config_duty.cpp
@@ -108,7 +108,9 @@
 Json::Value
 config_duty::ask(std::function<Json::Value(const config::generation_keeper &, time_point)> how)
 {
-    return askDuty([&](const reply_promise &reply) { return m_duty->post(question{how, reply}); });
+    return postAndAwaitReply([&](const reply_promise &reply) {
+        return m_duty->post(question{how, reply});
+    });
 }
 
 Json::Value config_duty::generationPushed(const Json::Value &parameters)
--- a/app/configuration_follower.cpp
+++ b/app/configuration_follower.cpp
@@ -14,23 +14,24 @@
 using namespace jobs;
 using net::suspendAwareNow;
 
-configuration_follower::configuration_follower(net::event_loop &loop, row_store &store,
+configuration_follower::configuration_follower(net::event_loop &loop, store_client &store,
                                                event_log &log)
     : m_log(log)
-    , m_table(
+    , m_follower(
               loop, store, log, {platform_wire::ConfigurationRow.table},
-              [this](const auto &rows) { takeRows(rows); }, [this] { allRead(); },
+              [this](const auto &rows) { applyConfigurationRows(rows); },
+              [this] { handleAllRead(); },
               [this](const follow_progress &progress) {
-                  std::visit([this](const auto &what) { heed(what); }, progress);
+                  std::visit([this](const auto &what) { handleProgress(what); }, progress);
               })
 { }
 
 void configuration_follower::start()
 {
-    m_table.start();
+    m_follower.start();
 }
 
-void configuration_follower::heardOf(std::int64_t version)
+void configuration_follower::noteNewerVersion(std::int64_t version)
 {
     m_watch.noteVersionElsewhere(version, suspendAwareNow());
 }
@@ -50,37 +51,37 @@
     return m_watch.isConfirmed(suspendAwareNow());
 }
 
-configuration_freshness configuration_follower::standing()
+configuration_freshness configuration_follower::freshness()
 {
     const auto result = m_watch.freshness(suspendAwareNow());
-    const bool outdated = result == configuration_freshness::Outdated;
-    if (outdated != std::exchange(m_outdated, outdated))
-        m_log.note(outdated ? "configuration_outdated" : "configuration_caught_up",
+    const bool isOutdated = result == configuration_freshness::Outdated;
+    if (isOutdated != std::exchange(m_wasOutdated, isOutdated))
+        m_log.note(isOutdated ? "configuration_outdated" : "configuration_caught_up",
                    {{"version", version()}});
     return result;
 }
 
-void configuration_follower::heed(const feed_answer_begun &head)
+void configuration_follower::handleProgress(const feed_answer_begun &answer)
 {
     const auto now = suspendAwareNow();
-    if (head.bytes > configuration_tracker::MaxEmptyAnswerBytes)
-        m_answerFrom = now;
-    m_watch.noteAnswerStarted(head.bytes, now);
+    if (answer.bytes > configuration_tracker::MaxEmptyAnswerBytes)
+        m_answerBegunAt = now;
+    m_watch.noteAnswerStarted(answer.bytes, now);
 }
 
-void configuration_follower::heed(const all_changes_taken &taken)
+void configuration_follower::handleProgress(const all_changes_applied &changes)
 {
-    m_watch.noteAnswerRead(taken.askedAt);
+    m_watch.noteAnswerRead(changes.requestedAt);
 }
 
-void configuration_follower::allRead()
+void configuration_follower::handleAllRead()
 {
     const auto before = m_evacuated.zones();
     m_evacuated.finishFullRead();
-    noteZones(before);
+    logZoneChanges(before);
 }
 
-void configuration_follower::takeZones(const std::vector<row> &rows)
+void configuration_follower::applyZones(const std::vector<row> &rows)
 {
     std::vector<zone_row> zones;
     for (const auto &one : rows) {
@@ -89,10 +90,10 @@
     }
     const auto before = m_evacuated.zones();
     m_evacuated.applyRows(zones);
-    noteZones(before);
+    logZoneChanges(before);
 }
 
-void configuration_follower::noteZones(const std::set<std::string> &before)
+void configuration_follower::logZoneChanges(const std::set<std::string> &before)
 {
     if (before != m_evacuated.zones())
         m_log.note("zones_evacuated",
@@ -101,17 +102,17 @@
 
 // Only the newest row that can be read is worked through: one that is overtaken would hold up the
 // others, and callers meanwhile.
-void configuration_follower::takeRows(const std::vector<row> &rows)
+void configuration_follower::applyConfigurationRows(const std::vector<row> &rows)
 {
-    takeZones(rows);
+    applyZones(rows);
     for (auto one = rows.rbegin(); one != rows.rend(); ++one) {
-        if (one->name == platform_wire::ConfigurationRow && !one->removed && takeRow(*one))
+        if (one->name == platform_wire::ConfigurationRow && !one->removed && applyRow(*one))
             return;
     }
 }
 
 // No: it can't be read.
-bool configuration_follower::takeRow(const row &row)
+bool configuration_follower::applyRow(const row &row)
 {
     if (row.version > 0 && row.version <= m_rowVersion)
         return true; // read before: all of the table is read anew when its history is gone
@@ -124,7 +125,7 @@
             return true;
         m_queues.emplace(std::move(next));
         m_watch.noteVersionApplied(m_queues->version());
-        note(row.value.size(), startedAt);
+        logConfiguration(row.value.size(), startedAt);
         return true;
     } catch (const error &problem) {
         m_log.note("configuration_unreadable", {{"why", problem.what()}});
@@ -132,14 +133,15 @@
     }
 }
 
-void configuration_follower::note(std::size_t bytes, time_point startedAt)
+void configuration_follower::logConfiguration(std::size_t bytes, time_point startedAt)
 {
-    const auto from = std::exchange(m_answerFrom, std::nullopt);
-    m_log.note("configuration", {{"version", m_queues->version()},
-                                 {"routes", m_queues->size()},
-                                 {"bytes", bytes},
-                                 {"read_ms", millisecondsIn(startedAt - from.value_or(startedAt))},
-                                 {"parse_ms", millisecondsIn(suspendAwareNow() - startedAt)}});
+    const auto answerBegunAt = std::exchange(m_answerBegunAt, std::nullopt);
+    m_log.note("configuration",
+               {{"version", m_queues->version()},
+                {"routes", m_queues->size()},
+                {"bytes", bytes},
+                {"read_ms", millisecondsIn(startedAt - answerBegunAt.value_or(startedAt))},
+                {"parse_ms", millisecondsIn(suspendAwareNow() - startedAt)}});
 }
 
 } // namespace zinniabarrow
--- a/app/entry_directory.cpp
+++ b/app/entry_directory.cpp
@@ -10,8 +10,8 @@
 {
     Json::Value value(Json::objectValue);
     value["incarnation"] = Json::Int64(row.incarnation);
-    value["internal"] = row.internal;
-    value["callers"] = row.callers;
+    value["internal"] = row.internalAddress;
+    value["callers"] = row.callerAddress;
     return compactJson(value);
 }
 
@@ -27,7 +27,7 @@
     , m_startedAt(startedAt)
 { }
 
-void entry_directory::seen(const std::string &entry, const entry_row &row)
+void entry_directory::updateRow(const std::string &entry, const entry_row &row)
 {
     if (entry == m_self)
         return;
@@ -35,22 +35,22 @@
     if (row.incarnation < known.row.incarnation)
         return;
     if (row.incarnation > known.row.incarnation)
-        known.leaving = false;
+        known.isLeaving = false;
     known.row = row;
 }
 
-void entry_directory::heard(const std::string &entry, std::int64_t incarnation, bool leaving,
-                            time_point now)
+void entry_directory::recordHeartbeat(const std::string &entry, std::int64_t incarnation,
+                                      bool leaving, time_point now)
 {
     const auto found = m_entries.find(entry);
     if (found == m_entries.end() || incarnation < found->second.row.incarnation)
         return;
     found->second.row.incarnation = incarnation;
-    found->second.heardAt = now;
-    found->second.leaving = leaving;
+    found->second.lastHeartbeatAt = now;
+    found->second.isLeaving = leaving;
 }
 
-void entry_directory::gone(const std::string &entry)
+void entry_directory::removeEntry(const std::string &entry)
 {
     m_entries.erase(entry);
 }
@@ -61,61 +61,63 @@
     return found == m_entries.end() ? nullptr : &found->second;
 }
 
-bool entry_directory::lives(const std::string &entry, time_point now) const
+bool entry_directory::isAlive(const std::string &entry, time_point now) const
 {
     const auto *known = find(entry);
-    return known != nullptr && !known->leaving && now - known->heardAt < SilentAfter;
+    return known != nullptr && !known->isLeaving && now - known->lastHeartbeatAt < HeartbeatTimeout;
 }
 
-std::vector<std::string> entry_directory::others(time_point now) const
+std::vector<std::string> entry_directory::liveInternalAddresses(time_point now) const
 {
     std::vector<std::string> addresses;
-    for (const auto &name : living(now))
-        addresses.push_back(find(name)->row.internal);
+    for (const auto &name : liveEntries(now))
+        addresses.push_back(find(name)->row.internalAddress);
     return addresses;
 }
 
 std::string entry_directory::placerOf(const std::string &service, time_point now) const
 {
-    return firstLiving(service, now);
+    return preferredLiveEntry(service, now);
 }
 
-std::string entry_directory::firstLiving(const std::string &key, time_point now) const
+std::string entry_directory::preferredLiveEntry(const std::string &key, time_point now) const
 {
-    auto candidates = living(now);
+    auto candidates = liveEntries(now);
     candidates.push_back(m_self);
     return rendezvousOrder(key, candidates).front();
 }
 
-std::vector<std::string> entry_directory::livingFor(const std::string &key, time_point now) const
+std::vector<std::string> entry_directory::liveEntriesFor(const std::string &key,
+                                                         time_point now) const
 {
-    return rendezvousOrder(key, living(now));
+    return rendezvousOrder(key, liveEntries(now));
 }
 
-std::vector<std::string> entry_directory::living(time_point now) const
+std::vector<std::string> entry_directory::liveEntries(time_point now) const
 {
     std::vector<std::string> names;
     for (const auto &[name, known] : m_entries) {
-        if (lives(name, now))
+        if (isAlive(name, now))
             names.push_back(name);
     }
     return names;
 }
 
-std::optional<std::string> entry_directory::heirOf(const std::string &job,
-                                                   const jobs::owner_id &owner,
-                                                   const jobs::owner_id &self, time_point now) const
+std::optional<std::string> entry_directory::successorOf(const std::string &job,
+                                                        const jobs::owner_id &owner,
+                                                        const jobs::owner_id &self,
+                                                        time_point now) const
 {
     if (owner.entry == self.entry)
         return owner.incarnation == self.incarnation ? std::nullopt : std::optional(self.entry);
-    if (lives(owner.entry, now)) {
+    if (isAlive(owner.entry, now)) {
         // An entry that lives anew takes back what its earlier life owned.
         return std::nullopt;
     }
     // Nobody is judged before there was time to hear of everybody.
-    if (now - m_startedAt < SilentAfter)
+    if (now - m_startedAt < HeartbeatTimeout)
         return std::nullopt;
-    return firstLiving(job, now);
+    return preferredLiveEntry(job, now);
 }
 
 } // namespace zinniabarrow
--- a/app/entry_directory.h
+++ b/app/entry_directory.h
@@ -16,8 +16,8 @@
 struct entry_row
 {
     std::int64_t incarnation = 0; // rises with each life
-    std::string internal;         // "ip:port" for the system's own processes
-    std::string callers;          // "ip:port" for callers
+    std::string internalAddress;  // "ip:port" for the system's own processes
+    std::string callerAddress;    // "ip:port" for callers
 };
 std::string toText(const entry_row &row);
 entry_row entryRowFrom(const std::string &text); // throws error BadRequest
@@ -25,8 +25,8 @@
 struct known_entry
 {
     entry_row row;
-    time_point heardAt{};
-    bool leaving = false; // a planned stop: its jobs go to others at once
+    time_point lastHeartbeatAt{};
+    bool isLeaving = false; // a planned stop: its jobs go to others at once
 };
 
 class entry_directory
@@ -35,32 +35,34 @@
     // An entry that is silent for longer is taken as gone: its jobs go to others. A false alarm
     // costs a write a job, since rows change owner only under a condition; three calls in a row
     // have to fail.
-    static constexpr milliseconds SilentAfter{1600};
+    static constexpr milliseconds HeartbeatTimeout{1600};
 
     explicit entry_directory(std::string self, time_point startedAt);
 
-    void seen(const std::string &entry, const entry_row &row);
-    void heard(const std::string &entry, std::int64_t incarnation, bool leaving, time_point now);
-    void gone(const std::string &entry);
+    void updateRow(const std::string &entry, const entry_row &row);
+    void recordHeartbeat(const std::string &entry, std::int64_t incarnation, bool leaving,
+                         time_point now);
+    void removeEntry(const std::string &entry);
 
     const known_entry *find(const std::string &entry) const;
     const std::map<std::string, known_entry> &entries() const { return m_entries; }
-    bool lives(const std::string &entry, time_point now) const;
-    std::vector<std::string> others(time_point now) const; // internal addresses, live ones
+    bool isAlive(const std::string &entry, time_point now) const;
+    std::vector<std::string>
+    liveInternalAddresses(time_point now) const; // internal addresses, live ones
     // Living entries other than this one, in an order that differs by key: who passes work on
     // spreads it so.
-    std::vector<std::string> livingFor(const std::string &key, time_point now) const;
+    std::vector<std::string> liveEntriesFor(const std::string &key, time_point now) const;
     // The entry that places what all entries should place as one; the same at all of them as long
     // as they agree on who lives.
     std::string placerOf(const std::string &service, time_point now) const;
     // The entry that should take over a job of `owner`; none: the owner lives.
-    std::optional<std::string> heirOf(const std::string &job, const jobs::owner_id &owner,
-                                      const jobs::owner_id &self, time_point now) const;
+    std::optional<std::string> successorOf(const std::string &job, const jobs::owner_id &owner,
+                                           const jobs::owner_id &self, time_point now) const;
 
 private:
-    std::vector<std::string> living(time_point now) const;
+    std::vector<std::string> liveEntries(time_point now) const;
     // The same at all entries that agree on who lives.
-    std::string firstLiving(const std::string &key, time_point now) const;
+    std::string preferredLiveEntry(const std::string &key, time_point now) const;
 
     std::string m_self;
     time_point m_startedAt;
--- a/app/entry_pings.cpp
+++ b/app/entry_pings.cpp
@@ -17,40 +17,41 @@
 
 } // namespace
 
-entry_pings::entry_pings(std::string self, const entry_pings_parts &parts,
-                         std::function<bool()> leaving)
+entry_pings::entry_pings(std::string self, const entry_pings_dependencies &dependencies,
+                         std::function<bool()> isLeaving)
     : m_self(std::move(self))
-    , m_caller(parts.caller)
-    , m_configuration(parts.configuration)
-    , m_directory(parts.directory)
-    , m_log(parts.log)
-    , m_leaving(std::move(leaving))
+    , m_caller(dependencies.caller)
+    , m_configuration(dependencies.configuration)
+    , m_directory(dependencies.directory)
+    , m_log(dependencies.log)
+    , m_isLeaving(std::move(isLeaving))
 { }
 
 std::string entry_pings::selfDescription() const
 {
     Json::Value value(Json::objectValue);
     value["entry"] = m_self;
-    value["row"] = toText(m_row);
-    value["leaving"] = m_leaving();
+    value["row"] = toText(m_ownRow);
+    value["leaving"] = m_isLeaving();
     value["configuration"] = Json::Int64(m_configuration.version());
     return compactJson(value);
 }
 
-void entry_pings::takeDescription(const std::string &text)
+void entry_pings::applyDescription(const std::string &text)
 {
     const auto value = parseJsonObject(text);
     const auto name = stringMember(value, "entry");
     const auto row = entryRowFrom(stringMember(value, "row"));
-    m_directory.seen(name, row);
-    m_directory.heard(name, row.incarnation, boolMember(value, "leaving"), suspendAwareNow());
+    m_directory.updateRow(name, row);
+    m_directory.recordHeartbeat(name, row.incarnation, boolMember(value, "leaving"),
+                                suspendAwareNow());
     if (value.isMember("configuration"))
-        m_configuration.heardOf(integerMember(value, "configuration"));
+        m_configuration.noteNewerVersion(integerMember(value, "configuration"));
 }
 
-std::string entry_pings::take(const std::string &ping)
+std::string entry_pings::handlePing(const std::string &ping)
 {
-    takeDescription(ping);
+    applyDescription(ping);
     return selfDescription();
 }
 
@@ -61,13 +62,13 @@
         ping.method = "POST";
         ping.target = "/v1/ping";
         ping.body = selfDescription();
-        m_caller.call(known.row.internal, std::move(ping), PingTimeout,
+        m_caller.call(known.row.internalAddress, std::move(ping), PingTimeout,
                       [this](const call_result &result) {
                           const auto *answer = std::get_if<http_response>(&result);
                           if (answer == nullptr || answer->status != 200)
                               return;
                           try {
-                              takeDescription(answer->body);
+                              applyDescription(answer->body);
                           } catch (const error &problem) {
                               m_log.note("ping_unreadable", {{"why", problem.what()}});
                           }
--- a/app/entry_pings.h
+++ b/app/entry_pings.h
@@ -13,7 +13,7 @@
 namespace zinniabarrow {
 
 // What an entry consists of, as far as its pings need it; all of it outlives them.
-struct entry_pings_parts
+struct entry_pings_dependencies
 {
     net::http_caller &caller;
     configuration_follower &configuration;
@@ -24,24 +24,25 @@
 class entry_pings
 {
 public:
-    entry_pings(std::string self, const entry_pings_parts &parts, std::function<bool()> leaving);
+    entry_pings(std::string self, const entry_pings_dependencies &dependencies,
+                std::function<bool()> isLeaving);
 
-    void begin(const entry_row &mine) { m_row = mine; } // this life of the entry
+    void setOwnRow(const entry_row &ownRow) { m_ownRow = ownRow; } // this life of the entry
     void pingAll();
     // Another entry's ping, and what it is answered. Throws error BadRequest.
-    std::string take(const std::string &ping);
+    std::string handlePing(const std::string &ping);
 
 private:
     std::string selfDescription() const;
-    void takeDescription(const std::string &text);
+    void applyDescription(const std::string &text);
 
     std::string m_self;
     net::http_caller &m_caller;
     configuration_follower &m_configuration;
     entry_directory &m_directory;
     event_log &m_log;
-    std::function<bool()> m_leaving;
-    entry_row m_row;
+    std::function<bool()> m_isLeaving;
+    entry_row m_ownRow;
 };
 
 } // namespace zinniabarrow
--- a/app/entry_registration.cpp
+++ b/app/entry_registration.cpp
@@ -15,40 +15,41 @@
 
 } // namespace
 
-entry_life::entry_life(net::event_loop &loop, row_store &store, const job_entry_settings &settings,
-                       begun callback)
+entry_registration::entry_registration(net::event_loop &loop, store_client &store,
+                                       const job_entry_settings &settings,
+                                       registered_callback callback)
     : m_loop(loop)
     , m_store(store)
     , m_settings(settings)
-    , m_begun(std::move(callback))
+    , m_onRegistered(std::move(callback))
 { }
 
-void entry_life::enter()
+void entry_registration::registerEntry()
 {
     m_store.read(EntriesTable, "", m_settings.id, m_settings.id + "\x01",
                  [this](const std::optional<row_page> &page) {
                      if (!page)
-                         return m_loop.after(StoreRetry, [this] { enter(); });
-                     takeIncarnation(*page);
+                         return m_loop.after(StoreRetry, [this] { registerEntry(); });
+                     writeNextIncarnation(*page);
                  });
 }
 
-void entry_life::takeIncarnation(const row_page &page)
+void entry_registration::writeNextIncarnation(const row_page &page)
 {
-    entry_row mine{1, toText(m_settings.internal), toText(m_settings.callers)};
+    entry_row ownRow{1, toText(m_settings.internalAddress), toText(m_settings.callersAddress)};
     std::int64_t version = 0;
     if (!page.rows.empty()) {
         version = page.rows.front().version;
-        mine.incarnation = entryRowFrom(page.rows.front().value).incarnation + 1;
+        ownRow.incarnation = entryRowFrom(page.rows.front().value).incarnation + 1;
     }
-    const auto name = entryRow(m_settings.id);
-    m_store.commit({{{name, version}}, {{name, toText(mine), 0, false}}, {}},
-                   [this, mine](const row_store::outcome &outcome) {
+    const auto name = entryRowName(m_settings.id);
+    m_store.commit({{{name, version}}, {{name, toText(ownRow), 0, false}}, {}},
+                   [this, ownRow](const store_client::commit_outcome &outcome) {
                        // Also when an earlier try took effect: one more incarnation does no
                        // harm, one used twice would.
                        if (!std::holds_alternative<committed>(outcome))
-                           return enter();
-                       m_begun(mine);
+                           return registerEntry();
+                       m_onRegistered(ownRow);
                    });
 }
 
--- a/app/entry_registration.h
+++ b/app/entry_registration.h
@@ -10,24 +10,24 @@
 
 namespace zinniabarrow {
 
-class entry_life
+class entry_registration
 {
 public:
-    using begun = std::function<void(const entry_row &mine)>;
+    using registered_callback = std::function<void(const entry_row &mine)>;
 
-    entry_life(net::event_loop &loop, row_store &store, const job_entry_settings &settings,
-               begun callback);
+    entry_registration(net::event_loop &loop, store_client &store,
+                       const job_entry_settings &settings, registered_callback callback);
 
     // Goes on until the store has taken the incarnation, whatever is lost meanwhile.
-    void enter();
+    void registerEntry();
 
 private:
-    void takeIncarnation(const jobs::row_page &page);
+    void writeNextIncarnation(const jobs::row_page &page);
 
     net::event_loop &m_loop;
-    row_store &m_store;
+    store_client &m_store;
     const job_entry_settings &m_settings;
-    begun m_begun;
+    registered_callback m_onRegistered;
 };
 
 } // namespace zinniabarrow
--- a/app/follow_duty.cpp
+++ b/app/follow_duty.cpp
@@ -47,7 +47,7 @@
 {
     const auto report = config::generationReportFromJson(objectMember(parameters, "report"));
     const auto address = stringMember(parameters, "address");
-    return askDuty([&](const reply_promise &reply) {
+    return postAndAwaitReply([&](const reply_promise &reply) {
         return m_duty->post(pushed{report, address, reply});
     });
 }
--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -30,72 +30,75 @@
 
 namespace {
 
-constexpr milliseconds PlanEvery{100};     // beside each event: repeats of orders, tasks that wait
-constexpr milliseconds PingEvery{400};     // four pings within the time after which one is gone
-constexpr milliseconds JobsFeedPause{250}; // joins the changes of many jobs into one answer
-constexpr milliseconds TakeoverEvery{250};
-constexpr milliseconds WatchEvery{700};    // for workers that fell silent
-constexpr milliseconds SilentWorker{3000}; // three reports were missed
-constexpr milliseconds ReportWithin{1500};
-constexpr stop_pauses StopPauses{milliseconds(50), milliseconds(50)};
-constexpr milliseconds LogFlushEvery{100};
-constexpr milliseconds StoreSilentAtMost{2500}; // then this entry is not ready
+constexpr milliseconds PlanInterval{100};   // beside each event: repeats of orders, tasks that wait
+constexpr milliseconds PingInterval{400};   // four pings within the time after which one is gone
+constexpr milliseconds JobsBatchDelay{250}; // joins the changes of many jobs into one answer
+constexpr milliseconds TakeoverInterval{250};
+constexpr milliseconds LeaseWatchInterval{700};   // for workers that fell silent
+constexpr milliseconds WorkerReportTimeout{3000}; // three reports were missed
+constexpr milliseconds ReportAnswerTimeout{1500};
+constexpr shutdown_poll_intervals ShutdownIntervals{milliseconds(50), milliseconds(50)};
+constexpr milliseconds LogFlushInterval{100};
+constexpr milliseconds MaxStoreSilence{2500}; // then this entry is not ready
 
 class entry_process
 {
 public:
     explicit entry_process(job_entry_settings settings)
         : m_settings(std::move(settings))
-        , m_loop([this] { m_stop.begin(); })
+        , m_loop([this] { m_shutdown.begin(); })
         , m_log("entry", m_settings.id)
         , m_caller(m_loop)
         , m_store(
-                  m_loop, m_caller, m_settings.store,
-                  [this] { return m_directory.others(suspendAwareNow()); }, m_metrics, m_log)
-        , m_life(m_loop, m_store, m_settings, [this](const auto &mine) { begin(mine); })
+                  m_loop, m_caller, m_settings.storeAddress,
+                  [this] { return m_directory.liveInternalAddresses(suspendAwareNow()); },
+                  m_metrics, m_log)
+        , m_registration(m_loop, m_store, m_settings,
+                         [this](const auto &ownRow) { beginIncarnation(ownRow); })
         , m_configuration(m_loop, m_store, m_log)
-        , m_entriesTable(m_loop, m_store, m_log, {EntriesTable},
-                         [this](const auto &rows) { takeEntries(rows); })
-        , m_jobsTable(
-                  m_loop, m_store, m_log, {JobsTable, jobParts(), JobsFeedPause},
-                  [this](const auto &rows) { takeJobs(rows); }, [this] { allJobsRead(); })
+        , m_entriesFollower(m_loop, m_store, m_log, {EntriesTable},
+                            [this](const auto &rows) { updateEntries(rows); })
+        , m_jobsFollower(
+                  m_loop, m_store, m_log, {JobsTable, jobParts(), JobsBatchDelay},
+                  [this](const auto &rows) { applyJobRows(rows); }, [this] { handleAllJobsRead(); })
         , m_startedAt(suspendAwareNow())
         , m_directory(m_settings.id, m_startedAt)
         , m_pings(m_settings.id, {m_caller, m_configuration, m_directory, m_log},
                   [this] { return isLeaving(); })
-        , m_takeover({m_store, m_directory, m_view, m_book, m_metrics}, [this] { pumpSoon(); })
-        , m_orders({m_settings, m_caller, m_pool, m_book, m_metrics, m_log}, [this] { pumpSoon(); })
-        , m_leases(m_loop, m_store, m_metrics, m_log, m_settings.id,
-                   [this](const auto &worker, auto epoch) { takeEpoch(worker, epoch); })
-        , m_stop(m_loop, StopPauses, {}, stopHooks())
-        , m_requests(m_settings.id, requestParts(),
-                     {[this] { return m_jobsKnown; }, [this](const auto &rows) { takeJobs(rows); },
-                      [this] { pumpSoon(); }})
-        , m_internal(m_loop, m_settings.internal, internalLimits(),
-                     [this](http_request request, responder respond) {
-                         serveInternal(request, std::move(respond));
-                     })
-        , m_ready(m_loop, m_settings.ready, {},
-                  [this](const http_request & /*request*/, const responder &respond) {
-                      respond({isReady() ? 200 : 503, {}, ""});
-                  })
-        , m_callers(m_loop, m_settings.callers, {},
-                    [this](http_request request, responder respond) {
-                        m_requests.serve(std::move(request), std::move(respond));
-                    })
+        , m_takeover({m_store, m_directory, m_view, m_book, m_metrics}, [this] { schedulePlan(); })
+        , m_orderSender({m_settings, m_caller, m_pool, m_book, m_metrics, m_log},
+                        [this] { schedulePlan(); })
+        , m_leaseWatcher(m_loop, m_store, m_metrics, m_log, m_settings.id,
+                         [this](const auto &worker, auto epoch) { applyEpoch(worker, epoch); })
+        , m_shutdown(m_loop, ShutdownIntervals, {}, shutdownHooks())
+        , m_requests(m_settings.id, requestDependencies(),
+                     {[this] { return m_areJobsKnown; },
+                      [this](const auto &rows) { applyJobRows(rows); }, [this] { schedulePlan(); }})
+        , m_internalListener(m_loop, m_settings.internalAddress, internalLimits(),
+                             [this](http_request request, responder respond) {
+                                 serveInternal(request, std::move(respond));
+                             })
+        , m_readinessListener(m_loop, m_settings.readinessAddress, {},
+                              [this](const http_request & /*request*/, const responder &respond) {
+                                  respond({isReady() ? 200 : 503, {}, ""});
+                              })
+        , m_callerListener(m_loop, m_settings.callersAddress, {},
+                           [this](http_request request, responder respond) {
+                               m_requests.serve(std::move(request), std::move(respond));
+                           })
     { }
 
     void run()
     {
-        m_log.noteAlways("started", {{"internal", toText(m_settings.internal)}});
-        m_loop.every(LogFlushEvery, [this] { m_log.flush(); });
-        m_life.enter();
+        m_log.noteAlways("started", {{"internal", toText(m_settings.internalAddress)}});
+        m_loop.every(LogFlushInterval, [this] { m_log.flush(); });
+        m_registration.registerEntry();
         m_configuration.start();
         m_loop.run([this](const std::exception &problem) {
             m_metrics.count("callbacks_failed_total", "exception");
             m_log.note("callback_failed", {{"why", problem.what()}});
         });
-        noteStopped();
+        logStopped();
         m_log.flush();
     }
 
@@ -107,39 +110,39 @@
         return limits;
     }
 
-    job_requests_parts requestParts()
+    job_requests_dependencies requestDependencies()
     {
-        return {m_loop, m_caller, m_store,       m_configuration, m_directory, m_view,
-                m_book, m_waits,  m_stop.plan(), m_metrics,       m_log};
+        return {m_loop, m_caller,         m_store,           m_configuration, m_directory, m_view,
+                m_book, m_writeCallbacks, m_shutdown.plan(), m_metrics,       m_log};
     }
 
     // --- Start: a new incarnation, the other entries, all jobs.
 
-    void begin(const entry_row &mine)
+    void beginIncarnation(const entry_row &ownRow)
     {
-        m_self = {m_settings.id, mine.incarnation};
-        m_pings.begin(mine);
+        m_self = {m_settings.id, ownRow.incarnation};
+        m_pings.setOwnRow(ownRow);
         m_book.emplace(m_self, m_pool);
-        m_log.note("incarnation", {{"incarnation", mine.incarnation}});
-        m_entriesTable.start();
-        m_jobsTable.start();
-        m_loop.every(PingEvery, [this] { m_pings.pingAll(); });
-        m_loop.every(PlanEvery, [this] { pump(); });
-        m_loop.every(TakeoverEvery, [this] { takeOver(); });
-        m_loop.every(WatchEvery, [this] { watchSilentWorkers(); });
+        m_log.note("incarnation", {{"incarnation", ownRow.incarnation}});
+        m_entriesFollower.start();
+        m_jobsFollower.start();
+        m_loop.every(PingInterval, [this] { m_pings.pingAll(); });
+        m_loop.every(PlanInterval, [this] { planAndExecute(); });
+        m_loop.every(TakeoverInterval, [this] { takeOver(); });
+        m_loop.every(LeaseWatchInterval, [this] { watchSilentWorkers(); });
     }
 
     // --- What the store tells: entries, jobs.
 
-    void takeEntries(const std::vector<row> &rows)
+    void updateEntries(const std::vector<row> &rows)
     {
         for (const auto &one : rows) {
             if (one.removed) {
-                m_directory.gone(one.name.key);
+                m_directory.removeEntry(one.name.key);
                 continue;
             }
             try {
-                m_directory.seen(one.name.key, entryRowFrom(one.value));
+                m_directory.updateRow(one.name.key, entryRowFrom(one.value));
             } catch (const error &problem) {
                 m_log.note("entry_row_unreadable",
                            {{"entry", one.name.key}, {"why", problem.what()}});
@@ -148,87 +151,88 @@
         m_pings.pingAll();
     }
 
-    void allJobsRead()
+    void handleAllJobsRead()
     {
-        if (!m_jobsKnown)
+        if (!m_areJobsKnown)
             m_log.note("jobs_read", {{"jobs", m_view.jobs().size()}});
-        m_jobsKnown = true;
+        m_areJobsKnown = true;
         takeOver();
     }
 
-    void takeJobs(const std::vector<row> &rows)
+    void applyJobRows(const std::vector<row> &rows)
     {
         const auto now = suspendAwareNow();
         for (const auto &one : rows) {
             if (one.removed) {
-                m_view.removed(one.name.key);
+                m_view.removeJob(one.name.key);
                 m_book->rowRemoved(one.name.key);
                 continue;
             }
             try {
-                m_view.seen(one.name.key, one.value, one.version, now);
+                m_view.applyRow(one.name.key, one.value, one.version, now);
                 if (m_book->owns(one.name.key))
                     m_book->rowChanged(one.name.key, recordFrom(one.value), one.version);
             } catch (const error &problem) {
                 m_log.note("job_row_unreadable", {{"job", one.name.key}, {"why", problem.what()}});
             }
         }
-        pumpSoon();
+        schedulePlan();
     }
 
     void takeOver()
     {
-        if (m_jobsKnown && !isLeaving())
-            m_takeover.look(m_self);
+        if (m_areJobsKnown && !isLeaving())
+            m_takeover.scan(m_self);
     }
 
     // --- Decisions of the book are carried out.
 
-    void pumpSoon()
+    void schedulePlan()
     {
-        if (std::exchange(m_pumping, true))
+        if (std::exchange(m_isPlanScheduled, true))
             return;
-        m_loop.post([this] { pump(); });
+        m_loop.post([this] { planAndExecute(); });
     }
 
-    void pump()
+    void planAndExecute()
     {
-        m_pumping = false;
+        m_isPlanScheduled = false;
         if (!m_book)
             return;
-        m_pool.setEvacuatedZones(m_configuration.evacuated().zones());
-        m_book->plan(suspendAwareNow(), wallMs());
+        m_pool.setEvacuatedZones(m_configuration.evacuatedZones().zones());
+        m_book->plan(suspendAwareNow(), wallClockMs());
         std::map<std::string, std::vector<run_order>> orders;
         for (auto &action : m_book->takeActions()) {
-            std::visit([&](auto &one) { carryOut(one, orders); }, action);
+            std::visit([&](auto &one) { execute(one, orders); }, action);
         }
         for (auto &[worker, batch] : orders)
-            m_orders.sendOrders(worker, std::move(batch));
+            m_orderSender.sendOrders(worker, std::move(batch));
     }
 
     using orders_by_worker = std::map<std::string, std::vector<run_order>>;
 
-    void carryOut(write_row &write, orders_by_worker & /*orders*/)
+    void execute(write_row &write, orders_by_worker & /*orders*/)
     {
-        const auto name = jobRow(write.job);
+        const auto name = jobRowName(write.job);
         row_transaction transaction;
         transaction.expected.push_back({name, write.expectedVersion});
         transaction.set.push_back({name, std::move(write.content), 0, false});
         if (write.payload)
-            transaction.set.push_back({payloadRow(write.job), std::move(*write.payload), 0, false});
+            transaction.set.push_back(
+                    {payloadRowName(write.job), std::move(*write.payload), 0, false});
         if (write.writesCancelRow)
-            transaction.set.push_back(cancelNotice(write.job));
+            transaction.set.push_back(newCancelRow(write.job));
         m_store.commit(std::move(transaction),
-                       [this, id = write.job](const row_store::outcome &outcome) {
-                           rowOutcome(id, outcome);
+                       [this, id = write.job](const store_client::commit_outcome &outcome) {
+                           handleCommitOutcome(id, outcome);
                        });
     }
 
-    void rowOutcome(const std::string &id, const row_store::outcome &outcome)
+    void handleCommitOutcome(const std::string &id, const store_client::commit_outcome &outcome)
     {
         if (const auto *done = std::get_if<committed>(&outcome)) {
             m_book->rowWritten(id, done->version);
-            return pumpSoon();
+            return schedulePlan();
         }
         const auto &rows = std::get<conflicting>(outcome).rows;
         m_metrics.count("job_write_conflicts_total", "row_changed");
@@ -240,24 +244,24 @@
         } catch (const error &problem) {
             m_log.note("job_row_unreadable", {{"job", id}, {"why", problem.what()}});
         }
-        pumpSoon();
+        schedulePlan();
     }
 
-    void carryOut(send_order &order, orders_by_worker &orders)
+    void execute(send_order &order, orders_by_worker &orders)
     {
         orders[order.worker].push_back(std::move(order.order));
     }
 
-    void carryOut(change_stored &action, orders_by_worker & /*orders*/)
+    void execute(change_stored &action, orders_by_worker & /*orders*/)
     {
-        m_waits.resolve(action.token, true);
+        m_writeCallbacks.resolve(action.token, true);
     }
-    void carryOut(ownership_lost &action, orders_by_worker & /*orders*/)
+    void execute(ownership_lost &action, orders_by_worker & /*orders*/)
     {
-        m_waits.resolve(action.token, false);
+        m_writeCallbacks.resolve(action.token, false);
     }
 
-    void carryOut(log_event &action, orders_by_worker & /*orders*/)
+    void execute(log_event &action, orders_by_worker & /*orders*/)
     {
         m_metrics.count("job_events_total", action.event);
         m_log.note(action.event, {{"job", action.job}, {"detail", action.detail}});
@@ -267,23 +271,23 @@
 
     void watchSilentWorkers()
     {
-        if (!m_jobsKnown)
+        if (!m_areJobsKnown)
             return;
         const auto now = suspendAwareNow();
-        std::map<std::string, time_point> silent;
+        std::map<std::string, time_point> silentSince;
         for (const auto &worker : m_book->workersWithPlacements()) {
-            const auto *view = m_pool.find(worker);
-            const auto heardAt = view == nullptr ? m_startedAt : view->lastReportAt;
-            if (now - heardAt >= SilentWorker)
-                silent.emplace(worker, heardAt);
+            const auto *workerView = m_pool.find(worker);
+            const auto lastHeardAt = workerView == nullptr ? m_startedAt : workerView->lastReportAt;
+            if (now - lastHeardAt >= WorkerReportTimeout)
+                silentSince.emplace(worker, lastHeardAt);
         }
-        m_leases.watch(silent);
+        m_leaseWatcher.watch(silentSince);
     }
 
-    void takeEpoch(const std::string &worker, std::int64_t epoch)
+    void applyEpoch(const std::string &worker, std::int64_t epoch)
     {
         m_book->epochSeen(worker, epoch);
-        pumpSoon();
+        schedulePlan();
     }
 
     // --- Calls of other processes of the system.
@@ -293,93 +297,93 @@
         const auto path = request.path();
         if (path == "/metrics")
             return respond({200, {{"Content-Type", "text/plain"}}, m_metrics.text()});
-        if (m_stop.step() != stop_step::HandOver)
-            return respond(refusal(503, "leaving"));
+        if (m_shutdown.step() != shutdown_step::HandOver)
+            return respond(makeRefusal(503, "leaving"));
         if (path.starts_with(StoreRelayPath))
             return m_store.relay(std::move(request), std::move(respond));
         if (!m_book)
-            return respond(refusal(503, "starting"));
+            return respond(makeRefusal(503, "starting"));
         try {
             if (path == "/v1/ping")
-                return respond({200, {}, m_pings.take(request.body)});
+                return respond({200, {}, m_pings.handlePing(request.body)});
             if (path == "/v1/report")
-                return takeReport(reportFrom(request.body), std::move(respond));
+                return handleReport(reportFrom(request.body), std::move(respond));
             if (path.starts_with("/v1/jobs/"))
-                return m_requests.serveOwned(request, path.substr(std::string("/v1/jobs/").size()),
-                                             std::move(respond));
+                return m_requests.serveOwnedJob(
+                        request, path.substr(std::string("/v1/jobs/").size()), std::move(respond));
         } catch (const error &problem) {
             m_log.note("call_unreadable", {{"path", path}, {"why", problem.what()}});
-            return respond(refusal(400, "bad_request"));
+            return respond(makeRefusal(400, "bad_request"));
         }
-        respond(refusal(404, "unknown_path"));
+        respond(makeRefusal(404, "unknown_path"));
     }
 
-    struct open_report
+    struct pending_report
     {
         responder respond;
         report_answer answer;
-        std::size_t open = 0;
-        bool answered = false;
+        std::size_t pendingEnds = 0;
+        bool isAnswered = false;
     };
 
-    void takeReport(const worker_report &report, responder respond)
+    void handleReport(const worker_report &report, responder respond)
     {
         const auto now = suspendAwareNow();
-        const auto *before = m_pool.find(report.worker);
-        if (before == nullptr || before->lastReport.epoch != report.epoch) {
+        const auto *previous = m_pool.find(report.worker);
+        if (previous == nullptr || previous->lastReport.epoch != report.epoch) {
             m_log.note("worker_seen", {{"worker", report.worker},
                                        {"epoch", report.epoch},
                                        {"accepting", report.isAccepting ? "yes" : "no"}});
         }
-        const bool livesAnew = m_pool.update(report, now) && report.epoch > 0;
+        const bool isNewIncarnation = m_pool.update(report, now) && report.epoch > 0;
         for (const auto &progress : report.progress)
             m_book->checkpointReported(report.worker, progress);
         for (const auto &run : report.started)
             m_book->runStarted(run, now);
-        auto state = std::make_shared<open_report>();
+        auto state = std::make_shared<pending_report>();
         state->respond = std::move(respond);
-        state->open = report.ends.size();
+        state->pendingEnds = report.ends.size();
         for (const auto &sample : report.samples)
             m_pool.interferenceEstimator().learn(sample);
         // From an old reading it would go on after the zone is taken back.
-        state->answer.zoneEvacuated =
-                m_configuration.isConfirmed() && m_configuration.evacuated().contains(report.zone);
+        state->answer.zoneEvacuated = m_configuration.isConfirmed()
+                                      && m_configuration.evacuatedZones().contains(report.zone);
         if (report.wantsInterferenceTable)
             state->answer.interference = m_pool.interferenceEstimator().table();
         for (const auto &end : report.ends)
-            takeEnd(report.worker, end, state);
+            handleEnd(report.worker, end, state);
         // After the ends: those of the epoch before end their own placements.
-        if (livesAnew)
+        if (isNewIncarnation)
             m_book->workerRestarted(report.worker, report.epoch, now);
         if (m_pool.find(report.worker)->lastReport.agentIncarnation == report.agentIncarnation)
             m_book->workerReported(report.worker, now);
-        if (state->open == 0)
+        if (state->pendingEnds == 0)
             answerReport(*state);
         else
-            m_loop.after(ReportWithin, [state] { answerReport(*state); });
-        pumpSoon();
+            m_loop.after(ReportAnswerTimeout, [state] { answerReport(*state); });
+        schedulePlan();
     }
 
-    void takeEnd(const std::string &worker, const run_end &end,
-                 const std::shared_ptr<open_report> &state)
+    void handleEnd(const std::string &worker, const run_end &end,
+                   const std::shared_ptr<pending_report> &state)
     {
-        const auto token = m_waits.add([state, end](bool isStored) {
+        const auto token = m_writeCallbacks.add([state, end](bool isStored) {
             auto &answer = state->answer;
             auto &ends = isStored ? answer.acknowledged : answer.notOwned;
             ends.push_back({end.task, end.run, end.endKind});
-            if (--state->open == 0)
+            if (--state->pendingEnds == 0)
                 answerReport(*state);
         });
         if (m_book->runEnded(worker, end, suspendAwareNow(), token))
             return;
         // Not owned here. A job that is over may still wait for the end of what is being stopped.
         const auto *known = m_view.find(end.task.job);
-        m_waits.resolve(token, known != nullptr && !known->needsOwner);
+        m_writeCallbacks.resolve(token, known != nullptr && !known->needsOwner);
     }
 
-    static void answerReport(open_report &state)
+    static void answerReport(pending_report &state)
     {
-        if (std::exchange(state.answered, true))
+        if (std::exchange(state.isAnswered, true))
             return;
         state.respond({200, {}, toText(state.answer)});
     }
@@ -389,26 +393,26 @@
     bool isReady()
     {
         return m_configuration.queues() != nullptr
-               && m_configuration.standing() != configuration_freshness::Outdated
-               && m_configuration.isConfirmed() && m_jobsKnown && !isLeaving()
-               && suspendAwareNow() - m_store.lastAnswerAt() < StoreSilentAtMost;
+               && m_configuration.freshness() != configuration_freshness::Outdated
+               && m_configuration.isConfirmed() && m_areJobsKnown && !isLeaving()
+               && suspendAwareNow() - m_store.lastAnswerAt() < MaxStoreSilence;
     }
 
     // --- Planned stop.
 
-    stop_walk::hooks stopHooks()
+    shutdown_driver::hooks shutdownHooks()
     {
-        return {[this] { leave(); }, [this] { return stopNeeds(); },
-                [this](stop_step step) { carryOut(step); }};
+        return {[this] { beginShutdown(); }, [this] { return remainingWork(); },
+                [this](shutdown_step step) { execute(step); }};
     }
 
-    bool isLeaving() const { return m_stop.isLeaving(); }
+    bool isLeaving() const { return m_shutdown.isLeaving(); }
 
     // What the end of the process cuts off, and how far behind it was.
-    void noteStopped()
+    void logStopped()
     {
-        const auto callers = m_callers.activity();
-        const auto internal = m_internal.activity();
+        const auto callers = m_callerListener.activity();
+        const auto internal = m_internalListener.activity();
         m_log.noteAlways("stopped", {{"callers_unread", callers.unread},
                                      {"callers_reading", callers.reading},
                                      {"callers_answering", callers.answering},
@@ -418,26 +422,26 @@
                                      {"late_ms", millisecondsIn(m_loop.lateness())}});
     }
 
-    void leave()
+    void beginShutdown()
     {
         m_log.noteAlways("drain_started", {{"owned", m_book ? m_book->unfinishedJobCount() : 0},
                                            {"late_ms", millisecondsIn(m_loop.lateness())}});
-        m_callers.announceClose();
-        m_internal.announceClose();
+        m_callerListener.announceClose();
+        m_internalListener.announceClose();
         if (m_book)
             m_pings.pingAll(); // the others take the jobs over at once
     }
 
-    stop_needs stopNeeds() const
+    remaining_work remainingWork() const
     {
-        const bool heirs = m_book && !m_directory.entries().empty();
-        return {heirs && m_book->unfinishedJobCount() > 0, m_callers.inFlight() > 0,
-                !m_callers.drained() || !m_internal.drained()};
+        const bool hasSuccessors = m_book && !m_directory.entries().empty();
+        return {hasSuccessors && m_book->unfinishedJobCount() > 0, m_callerListener.inFlight() > 0,
+                !m_callerListener.drained() || !m_internalListener.drained()};
     }
 
-    void carryOut(stop_step step)
+    void execute(shutdown_step step)
     {
-        const auto callers = m_callers.activity();
+        const auto callers = m_callerListener.activity();
         m_log.noteAlways("stop_step", {{"step", nameOf(step)},
                                        {"owned", m_book ? m_book->unfinishedJobCount() : 0},
                                        {"callers_idle", callers.idle},
@@ -446,17 +450,17 @@
                                        {"callers_writing", callers.writing},
                                        {"late_ms", millisecondsIn(m_loop.lateness())}});
         switch (step) {
-        case stop_step::Finish:
-            m_callers.drain();
+        case shutdown_step::Finish:
+            m_callerListener.drain();
             // Other processes repeat what they asked for; callers would wait for it to end.
-            m_internal.drain();
-            m_internal.answerAll(refusal(502, "leaving"));
+            m_internalListener.drain();
+            m_internalListener.answerAll(makeRefusal(502, "leaving"));
             break;
-        case stop_step::GiveUp:
-            m_callers.answerAll(m_requests.counted(504, "outcome_unknown"));
+        case shutdown_step::GiveUp:
+            m_callerListener.answerAll(m_requests.countedRefusal(504, "outcome_unknown"));
             break;
-        case stop_step::HandOver:
-        case stop_step::End:
+        case shutdown_step::HandOver:
+        case shutdown_step::End:
             break;
         }
     }
@@ -466,11 +470,11 @@
     event_log m_log;
     metrics m_metrics;
     net::http_caller m_caller;
-    row_store m_store;
-    entry_life m_life;
+    store_client m_store;
+    entry_registration m_registration;
     configuration_follower m_configuration;
-    table_follower m_entriesTable;
-    table_follower m_jobsTable;
+    table_follower m_entriesFollower;
+    table_follower m_jobsFollower;
     time_point m_startedAt;
     entry_directory m_directory;
     entry_pings m_pings;
@@ -479,16 +483,16 @@
     worker_pool m_pool;
     std::optional<job_controller> m_book;
     job_takeover m_takeover;
-    order_sender m_orders;
-    lease_watcher m_leases;
-    write_waits m_waits;
-    bool m_jobsKnown = false;
-    bool m_pumping = false;
-    stop_walk m_stop;
+    order_sender m_orderSender;
+    lease_watcher m_leaseWatcher;
+    write_callbacks m_writeCallbacks;
+    bool m_areJobsKnown = false;
+    bool m_isPlanScheduled = false;
+    shutdown_driver m_shutdown;
     job_requests m_requests;
-    net::http_listener m_internal;
-    net::http_listener m_ready;
-    net::http_listener m_callers;
+    net::http_listener m_internalListener;
+    net::http_listener m_readinessListener;
+    net::http_listener m_callerListener;
 };
 
 } // namespace
--- a/app/job_requests.cpp
+++ b/app/job_requests.cpp
@@ -19,24 +19,24 @@
 namespace {
 
 constexpr milliseconds PeerTimeout{350};
-constexpr const char *PassedOnHeader = "Zb-Passed-On"; // by which entry
-constexpr std::size_t PassOnTries = 3;                 // beyond, the others are in the same state
-constexpr milliseconds AnswerWithin{2600};             // below the callers' usual patience of 3 s
+constexpr const char *ForwardedHeader = "Zb-Passed-On"; // by which entry
+constexpr std::size_t MaxForwardAttempts = 3;           // beyond, the others are in the same state
+constexpr milliseconds AnswerTimeout{2600};             // below the callers' usual patience of 3 s
 
 // Nothing was sent, or the other one says so.
-bool wasNotRun(const call_result &result)
+bool wasNotExecuted(const call_result &result)
 {
     if (const auto *answer = std::get_if<http_response>(&result))
         return answer->status == 503;
     return !mayHaveArrived(std::get<call_failure>(result));
 }
 
-double millisecondsSince(time_point at)
+double millisecondsSince(time_point submittedAt)
 {
-    return std::chrono::duration<double, std::milli>(suspendAwareNow() - at).count();
+    return std::chrono::duration<double, std::milli>(suspendAwareNow() - submittedAt).count();
 }
 
-bool wasWritten(const row_store::outcome &outcome, const std::string &write)
+bool wasWritten(const store_client::commit_outcome &outcome, const std::string &write)
 {
     if (std::holds_alternative<committed>(outcome))
         return true;
@@ -46,90 +46,91 @@
 
 } // namespace
 
-std::int64_t wallMs()
+std::int64_t wallClockMs()
 {
     return std::chrono::duration_cast<milliseconds>(
                    std::chrono::system_clock::now().time_since_epoch())
             .count();
 }
 
-http_response refusal(int status, const char *reason, seconds comeBack)
+http_response makeRefusal(int status, const char *reason, seconds retryAfter)
 {
     http_response answer{status, {}, std::string(R"({"error":")") + reason + "\"}"};
     if (status == 429 || status == 503)
-        answer.headers["Retry-After"] = std::to_string(comeBack.count());
+        answer.headers["Retry-After"] = std::to_string(retryAfter.count());
     return answer;
 }
 
-job_requests::job_requests(std::string self, const job_requests_parts &parts, hooks callbacks)
+job_requests::job_requests(std::string self, const job_requests_dependencies &dependencies,
+                           hooks callbacks)
     : m_self(std::move(self))
-    , m_loop(parts.loop)
-    , m_caller(parts.caller)
-    , m_store(parts.store)
-    , m_configuration(parts.configuration)
-    , m_directory(parts.directory)
-    , m_view(parts.view)
-    , m_book(parts.book)
-    , m_waits(parts.waits)
-    , m_stop(parts.stop)
-    , m_metrics(parts.numbers)
-    , m_log(parts.log)
+    , m_loop(dependencies.loop)
+    , m_caller(dependencies.caller)
+    , m_store(dependencies.store)
+    , m_configuration(dependencies.configuration)
+    , m_directory(dependencies.directory)
+    , m_view(dependencies.view)
+    , m_book(dependencies.book)
+    , m_writeCallbacks(dependencies.writeCallbacks)
+    , m_shutdown(dependencies.shutdown)
+    , m_metrics(dependencies.counters)
+    , m_log(dependencies.log)
     , m_hooks(std::move(callbacks))
 { }
 
 bool job_requests::isLeaving() const
 {
-    return m_stop.has_value();
+    return m_shutdown.has_value();
 }
 
 bool job_requests::hasGivenUp() const
 {
-    return m_stop && m_stop->hasGivenUp();
+    return m_shutdown && m_shutdown->hasGivenUp();
 }
 
 void job_requests::serve(http_request request, responder respond)
 {
     const auto *queues = m_configuration.queues();
     if (queues == nullptr)
-        return respond(counted(503, "no_configuration"));
-    const auto known = m_configuration.standing();
+        return respond(countedRefusal(503, "no_configuration"));
+    const auto known = m_configuration.freshness();
     if (known == configuration_freshness::Outdated)
-        return respond(counted(503, "configuration_outdated"));
+        return respond(countedRefusal(503, "configuration_outdated"));
     const auto target = queues->find(request.header("Host"), request.path());
     if (!target && known == configuration_freshness::PossiblyOutdated)
-        return respond(counted(503, "queue_perhaps_newer"));
+        return respond(countedRefusal(503, "queue_perhaps_newer"));
     if (!target)
-        return respond(counted(404, "unknown_queue"));
-    if (!m_book || !m_hooks.jobsKnown())
-        return respond(counted(503, "starting"));
+        return respond(countedRefusal(404, "unknown_queue"));
+    if (!m_book || !m_hooks.areJobsKnown())
+        return respond(countedRefusal(503, "starting"));
     if (hasGivenUp())
-        return answerAtOnce(request, target->job, respond);
+        return answerImmediately(request, target->job, respond);
     const auto &policy = target->route->policy;
     if (target->job.empty() && request.method == "GET") {
-        const auto waiting = m_view.waitingIn(policy.queue);
+        const auto waiting = m_view.countWaiting(policy.queue);
         return respond({200, {}, platform_wire::waitingBody(waiting)});
     }
     if (target->job.empty())
-        return respond(counted(400, "no_job_id"));
+        return respond(countedRefusal(400, "no_job_id"));
     if (request.method == "POST")
         return submit(target->job, policy, std::move(request), std::move(respond));
     if (request.method == "GET")
-        return showState(target->job, std::move(respond));
+        return answerState(target->job, std::move(respond));
     if (request.method == "DELETE")
         return cancel(target->job, std::move(respond));
-    respond(counted(405, "unknown_method"));
+    respond(countedRefusal(405, "unknown_method"));
 }
 
-http_response job_requests::counted(int status, const char *reason, seconds comeBack)
+http_response job_requests::countedRefusal(int status, const char *reason, seconds retryAfter)
 {
     m_metrics.count("refusals_total", reason);
-    return refusal(status, reason, comeBack);
+    return makeRefusal(status, reason, retryAfter);
 }
 
-http_response job_requests::storeUnreachable()
+http_response job_requests::storeUnreachableRefusal()
 {
-    return counted(503, "store_unreachable",
-                   suggestedRetryDelay(suspendAwareNow() - m_store.lastAnswerAt()));
+    return countedRefusal(503, "store_unreachable",
+                          suggestedRetryDelay(suspendAwareNow() - m_store.lastAnswerAt()));
 }
 
 void job_requests::submit(const std::string &id, const queue_policy &policy, http_request request,
@@ -142,16 +143,16 @@
     if (m_book->owns(id))
         return accept(id, {}, policy, std::move(respond));
     if (isLeaving())
-        return passOn(std::move(request), std::move(respond));
+        return forwardToOtherEntry(std::move(request), std::move(respond));
     // Nothing can be stored now: said at once, before anything was tried.
-    if (!m_store.reachable())
-        return respond(logged(id, storeUnreachable()));
+    if (!m_store.isReachable())
+        return respond(logRefusal(id, storeUnreachableRefusal()));
     job_spec spec;
     try {
         spec = platform_wire::jobFrom(request.body);
     } catch (const error &problem) {
         m_log.note("job_refused", {{"job", id}, {"why", problem.what()}});
-        return respond(counted(400, "bad_request"));
+        return respond(countedRefusal(400, "bad_request"));
     }
     const auto placer = m_directory.placerOf(policy.service, suspendAwareNow());
     if (spec.hasLongRunningStep() && placer != m_self)
@@ -162,19 +163,20 @@
 void job_requests::accept(const std::string &id, const job_spec &spec, const queue_policy &policy,
                           responder respond)
 {
-    auto answer = onceWithin(AnswerWithin, std::move(respond));
-    const auto token = m_waits.add([this, answer, at = suspendAwareNow()](bool /*isStored*/) {
+    auto answer = withTimeout(AnswerTimeout, std::move(respond));
+    const auto token = m_writeCallbacks.add([this, answer,
+                                             submittedAt = suspendAwareNow()](bool /*isStored*/) {
         // Not stored by this entry means that another one has the job already.
-        m_metrics.observeMilliseconds("acceptance_milliseconds", millisecondsSince(at));
+        m_metrics.observeMilliseconds("acceptance_milliseconds", millisecondsSince(submittedAt));
         answer({200, {}, ""});
     });
     if (m_book->owns(id))
         m_book->notifyWhenStored(id, token);
     else {
         m_log.note("job_submitted", {{"job", id}, {"queue", policy.queue}});
-        m_book->submit(id, spec, policy, wallMs(), suspendAwareNow(), token);
+        m_book->submit(id, spec, policy, wallClockMs(), suspendAwareNow(), token);
     }
-    m_hooks.changed();
+    m_hooks.bookChanged();
 }
 
 // Tasks that last are placed by one entry, which sees them all: several that place at the same
@@ -185,15 +187,15 @@
     http_request request;
     request.method = "POST";
     request.target = "/v1/jobs/" + id;
-    request.body = toText(forwarded_job{newRecord(spec, policy, wallMs()), spec.payload});
-    m_caller.call(m_directory.find(placer)->row.internal, std::move(request), PeerTimeout,
+    request.body = toText(forwarded_job{newRecord(spec, policy, wallClockMs()), spec.payload});
+    m_caller.call(m_directory.find(placer)->row.internalAddress, std::move(request), PeerTimeout,
                   [this, placer, id, spec, policy,
                    respond = std::move(respond)](const call_result &result) {
                       const auto *answer = std::get_if<http_response>(&result);
-                      const bool taken = answer != nullptr && answer->status == 200;
+                      const bool isTaken = answer != nullptr && answer->status == 200;
                       m_log.note("job_handed_over",
-                                 {{"job", id}, {"to", placer}, {"taken", taken ? "yes" : "no"}});
-                      if (taken)
+                                 {{"job", id}, {"to", placer}, {"taken", isTaken ? "yes" : "no"}});
+                      if (isTaken)
                           return respond({200, {}, ""});
                       // Also when it may have been taken there: the row of a job is written
                       // once, and whoever comes second learns that it is there.
@@ -202,72 +204,74 @@
                   });
 }
 
-void job_requests::takeHandedOver(const std::string &id, const std::string &body, responder respond)
+void job_requests::acceptHandedOver(const std::string &id, const std::string &body,
+                                    responder respond)
 {
     if (m_view.find(id) != nullptr)
         return respond({200, {}, ""});
-    if (!m_hooks.jobsKnown() || isLeaving() || !m_store.reachable())
-        return respond(refusal(503, "not_now"));
+    if (!m_hooks.areJobsKnown() || isLeaving() || !m_store.isReachable())
+        return respond(makeRefusal(503, "not_now"));
     const auto job = forwardedJobFrom(body);
     accept(id, specOf(job), job.record.policy, std::move(respond));
 }
 
-http_response job_requests::logged(const std::string &id, http_response answer)
+http_response job_requests::logRefusal(const std::string &id, http_response answer)
 {
     m_log.note("job_refused", {{"job", id}, {"status", answer.status}, {"why", answer.body}});
     return answer;
 }
 
 // Whoever answers first; at the end of `within` the outcome is unknown, and 504 says so.
-responder job_requests::onceWithin(milliseconds within, responder respond)
+responder job_requests::withTimeout(milliseconds timeout, responder respond)
 {
-    auto open = std::make_shared<responder>(std::move(respond));
-    const auto answer = [open](http_response response) {
-        if (*open)
-            std::exchange(*open, nullptr)(std::move(response));
+    auto pendingResponder = std::make_shared<responder>(std::move(respond));
+    const auto answer = [pendingResponder](http_response response) {
+        if (*pendingResponder)
+            std::exchange(*pendingResponder, nullptr)(std::move(response));
     };
-    m_loop.after(within, [this, answer, open] {
-        if (*open)
-            answer(counted(504, "outcome_unknown"));
+    m_loop.after(timeout, [this, answer, pendingResponder] {
+        if (*pendingResponder)
+            answer(countedRefusal(504, "outcome_unknown"));
     });
     return answer;
 }
 
 // A leaving entry accepts nothing: an entry that stays gets the request as it is.
-void job_requests::passOn(http_request request, responder respond)
+void job_requests::forwardToOtherEntry(http_request request, responder respond)
 {
     // Two that leave and have not heard of each other would pass it to and fro.
-    if (!request.header(PassedOnHeader).empty())
-        return refuseLeaving(request, respond);
-    request.headers[PassedOnHeader] = m_self;
-    auto others = m_directory.livingFor(request.path(), suspendAwareNow());
-    if (others.size() > PassOnTries)
-        others.resize(PassOnTries);
-    passOnTo(std::move(others), std::move(request), std::move(respond));
+    if (!request.header(ForwardedHeader).empty())
+        return refuseAsLeaving(request, respond);
+    request.headers[ForwardedHeader] = m_self;
+    auto candidates = m_directory.liveEntriesFor(request.path(), suspendAwareNow());
+    if (candidates.size() > MaxForwardAttempts)
+        candidates.resize(MaxForwardAttempts);
+    tryForward(std::move(candidates), std::move(request), std::move(respond));
 }
 
 // To the first of them that takes it; the others have not run it then.
-void job_requests::passOnTo(std::vector<std::string> others, http_request request,
-                            responder respond)
+void job_requests::tryForward(std::vector<std::string> candidates, http_request request,
+                              responder respond)
 {
-    const auto within = std::min<duration>(AnswerWithin, m_stop->answersBy() - suspendAwareNow());
-    const auto *next = others.empty() ? nullptr : m_directory.find(others.front());
+    const auto timeout =
+            std::min<duration>(AnswerTimeout, m_shutdown->answerDeadline() - suspendAwareNow());
+    const auto *next = candidates.empty() ? nullptr : m_directory.find(candidates.front());
     // Without an other, or without the time to hear what became of it.
-    if (next == nullptr || within < PeerTimeout)
-        return refuseLeaving(request, respond);
+    if (next == nullptr || timeout < PeerTimeout)
+        return refuseAsLeaving(request, respond);
     m_metrics.count("requests_passed_on_total", "leaving");
-    m_log.note("request_passed_on", {{"path", request.path()}, {"to", others.front()}});
-    others.erase(others.begin());
+    m_log.note("request_passed_on", {{"path", request.path()}, {"to", candidates.front()}});
+    candidates.erase(candidates.begin());
     auto copy = request;
-    m_caller.call(next->row.callers, std::move(copy), within,
-                  [this, others = std::move(others), request = std::move(request),
+    m_caller.call(next->row.callerAddress, std::move(copy), timeout,
+                  [this, candidates = std::move(candidates), request = std::move(request),
                    respond = std::move(respond)](call_result result) mutable {
-                      if (wasNotRun(result))
-                          return passOnTo(std::move(others), std::move(request),
-                                          std::move(respond));
+                      if (wasNotExecuted(result))
+                          return tryForward(std::move(candidates), std::move(request),
+                                            std::move(respond));
                       auto *answer = std::get_if<http_response>(&result);
                       if (answer == nullptr)
-                          return respond(counted(504, "outcome_unknown"));
+                          return respond(countedRefusal(504, "outcome_unknown"));
                       answer->headers.erase("Connection");
                       answer->headers.erase("Content-Length");
                       respond(std::move(*answer));
@@ -275,24 +279,24 @@
 }
 
 // With what is known here, for the time in which a leaving entry can wait for nothing any more.
-void job_requests::answerAtOnce(const http_request &request, const std::string &id,
-                                const responder &respond)
+void job_requests::answerImmediately(const http_request &request, const std::string &id,
+                                     const responder &respond)
 {
     const auto *known = m_view.find(id);
     if (known != nullptr && request.method != "DELETE")
         return respond({200, {}, platform_wire::stateBody(known->state)});
     if (m_book->owns(id))
-        return respond(counted(504, "outcome_unknown"));
-    refuseLeaving(request, respond);
+        return respond(countedRefusal(504, "outcome_unknown"));
+    refuseAsLeaving(request, respond);
 }
 
-void job_requests::refuseLeaving(const http_request &request, const responder &respond)
+void job_requests::refuseAsLeaving(const http_request &request, const responder &respond)
 {
     m_log.note("request_refused", {{"path", request.path()}, {"why", "leaving"}});
-    respond(counted(503, "leaving"));
+    respond(countedRefusal(503, "leaving"));
 }
 
-void job_requests::showState(const std::string &id, responder respond)
+void job_requests::answerState(const std::string &id, responder respond)
 {
     if (m_book->owns(id))
         return respond({200, {}, platform_wire::stateBody(m_book->storedState(id))});
@@ -300,20 +304,20 @@
     if (known != nullptr && isFinal(known->state))
         return respond({200, {}, platform_wire::stateBody(known->state)});
     const auto *owner = known == nullptr ? nullptr : m_directory.find(known->owner.entry);
-    if (owner == nullptr || !m_directory.lives(known->owner.entry, suspendAwareNow()))
-        return showStoredState(id, std::move(respond));
+    if (owner == nullptr || !m_directory.isAlive(known->owner.entry, suspendAwareNow()))
+        return answerStoredState(id, std::move(respond));
     http_request request;
     request.target = "/v1/jobs/" + id;
-    m_caller.call(owner->row.internal, std::move(request), PeerTimeout,
+    m_caller.call(owner->row.internalAddress, std::move(request), PeerTimeout,
                   [this, id, respond](call_result result) {
                       auto *answer = std::get_if<http_response>(&result);
                       if (answer != nullptr && answer->status == 200)
                           return respond({200, {}, std::move(answer->body)});
-                      showStoredState(id, respond);
+                      answerStoredState(id, respond);
                   });
 }
 
-void job_requests::showStoredState(const std::string &id, responder respond)
+void job_requests::answerStoredState(const std::string &id, responder respond)
 {
     readJob(id, [this, id, respond](const std::optional<row_page> &page) {
         if (page && page->rows.empty() && !m_book->owns(id))
@@ -322,33 +326,33 @@
         if (known != nullptr)
             return respond({200, {}, platform_wire::stateBody(known->state)});
         // It may exist: no answer says otherwise.
-        respond(storeUnreachable());
+        respond(storeUnreachableRefusal());
     });
 }
 
-void job_requests::readJob(const std::string &id, row_store::read_done done)
+void job_requests::readJob(const std::string &id, store_client::read_callback done)
 {
-    m_store.read(JobsTable, partOf(id), id, id + "\x01",
+    m_store.read(JobsTable, partOfJob(id), id, id + "\x01",
                  [this, done = std::move(done)](const std::optional<row_page> &page) {
                      if (page)
-                         m_hooks.rowsRead(page->rows);
+                         m_hooks.handleRows(page->rows);
                      done(page);
                  });
 }
 
 void job_requests::cancel(const std::string &id, responder respond)
 {
-    auto answer = onceWithin(AnswerWithin, std::move(respond));
+    auto answer = withTimeout(AnswerTimeout, std::move(respond));
     if (m_book->owns(id))
         return cancelOwned(id, answer);
     const auto *known = m_view.find(id);
     const auto *owner = known == nullptr ? nullptr : m_directory.find(known->owner.entry);
-    if (owner == nullptr || !m_directory.lives(known->owner.entry, suspendAwareNow()))
+    if (owner == nullptr || !m_directory.isAlive(known->owner.entry, suspendAwareNow()))
         return cancelInStore(id, answer);
     http_request request;
     request.method = "DELETE";
     request.target = "/v1/jobs/" + id;
-    m_caller.call(owner->row.internal, std::move(request), PeerTimeout,
+    m_caller.call(owner->row.internalAddress, std::move(request), PeerTimeout,
                   [this, id, answer](const call_result &result) {
                       const auto *response = std::get_if<http_response>(&result);
                       if (response != nullptr && response->status == 200)
@@ -359,13 +363,13 @@
 
 void job_requests::cancelOwned(const std::string &id, const responder &respond)
 {
-    const auto token = m_waits.add([this, id, respond](bool isStored) {
+    const auto token = m_writeCallbacks.add([this, id, respond](bool isStored) {
         if (isStored)
             return respond({200, {}, ""});
         cancelInStore(id, respond);
     });
     m_book->cancel(id, token);
-    m_hooks.changed();
+    m_hooks.bookChanged();
 }
 
 // The owner can't be asked: the row itself says that the job is cancelled, and the owner, or
@@ -374,7 +378,7 @@
 {
     readJob(id, [this, id, respond](const std::optional<row_page> &page) {
         if (!page)
-            return respond(storeUnreachable());
+            return respond(storeUnreachableRefusal());
         if (page->rows.empty())
             return respond({410, {}, R"({"error":"unknown_job"})"});
         const auto &one = page->rows.front();
@@ -383,24 +387,25 @@
             return respond({200, {}, ""});
         record.cancelled = true;
         record.writeId = m_self + ":cancel:" + std::to_string(m_nextCancel++);
-        m_store.commit(
-                {{{one.name, one.version}},
-                 {{one.name, toText(record), 0, false}, cancelNotice(id)},
-                 {}},
-                [this, id, respond, write = record.writeId](const row_store::outcome &outcome) {
-                    if (wasWritten(outcome, write))
-                        return respond({200, {}, ""});
-                    cancelInStore(id, respond);
-                });
+        m_store.commit({{{one.name, one.version}},
+                        {{one.name, toText(record), 0, false}, newCancelRow(id)},
+                        {}},
+                       [this, id, respond,
+                        write = record.writeId](const store_client::commit_outcome &outcome) {
+                           if (wasWritten(outcome, write))
+                               return respond({200, {}, ""});
+                           cancelInStore(id, respond);
+                       });
     });
 }
 
-void job_requests::serveOwned(const http_request &request, const std::string &id, responder respond)
+void job_requests::serveOwnedJob(const http_request &request, const std::string &id,
+                                 responder respond)
 {
     if (request.method == "POST")
-        return takeHandedOver(id, request.body, std::move(respond));
+        return acceptHandedOver(id, request.body, std::move(respond));
     if (!m_book->owns(id))
-        return respond(refusal(404, "not_owned"));
+        return respond(makeRefusal(404, "not_owned"));
     if (request.method == "DELETE")
         return cancelOwned(id, respond);
     respond({200, {}, platform_wire::stateBody(m_book->storedState(id))});
--- a/app/job_requests.h
+++ b/app/job_requests.h
@@ -22,26 +22,26 @@
 
 namespace zinniabarrow {
 
-constexpr seconds ComeBackSoon{1}; // an entry has read all jobs by then
+constexpr seconds RetrySoon{1}; // an entry has read all jobs by then
 
-std::int64_t wallMs(); // since 1970
+std::int64_t wallClockMs(); // since 1970
 
 // A refusal with its reason; 429 and 503 say when to come back.
-http_response refusal(int status, const char *reason, seconds comeBack = ComeBackSoon);
+http_response makeRefusal(int status, const char *reason, seconds retryAfter = RetrySoon);
 
 // What an entry consists of, as far as its requests need it; all of it outlives them.
-struct job_requests_parts
+struct job_requests_dependencies
 {
     net::event_loop &loop;
     net::http_caller &caller;
-    row_store &store;
+    store_client &store;
     configuration_follower &configuration;
     entry_directory &directory;
     job_view &view;
     std::optional<jobs::job_controller> &book; // none before this life of the entry has begun
-    write_waits &waits;
-    const std::optional<planned_stop> &stop; // none before the signal
-    metrics &numbers;
+    write_callbacks &writeCallbacks;
+    const std::optional<shutdown_plan> &shutdown; // none before the signal
+    metrics &counters;
     event_log &log;
 };
 
@@ -50,40 +50,41 @@
 public:
     struct hooks
     {
-        std::function<bool()> jobsKnown;                              // all were read
-        std::function<void(const std::vector<jobs::row> &)> rowsRead; // of jobs, from the store
-        std::function<void()> changed;                                // the book has decisions
+        std::function<bool()> areJobsKnown;                             // all were read
+        std::function<void(const std::vector<jobs::row> &)> handleRows; // of jobs, from the store
+        std::function<void()> bookChanged;                              // the book has decisions
     };
 
-    job_requests(std::string self, const job_requests_parts &parts, hooks callbacks);
+    job_requests(std::string self, const job_requests_dependencies &dependencies, hooks callbacks);
 
     void serve(http_request request, net::responder respond); // of a caller
     // Of another entry: asks for a job that this one owns, or hands one over.
-    void serveOwned(const http_request &request, const std::string &id, net::responder respond);
+    void serveOwnedJob(const http_request &request, const std::string &id, net::responder respond);
 
-    http_response counted(int status, const char *reason, seconds comeBack = ComeBackSoon);
+    http_response countedRefusal(int status, const char *reason, seconds retryAfter = RetrySoon);
 
 private:
     bool isLeaving() const;
     bool hasGivenUp() const;
-    http_response storeUnreachable();
+    http_response storeUnreachableRefusal();
     void submit(const std::string &id, const jobs::queue_policy &policy, http_request request,
                 net::responder respond);
     void accept(const std::string &id, const jobs::job_spec &spec, const jobs::queue_policy &policy,
                 net::responder respond);
     void handOver(const std::string &placer, const std::string &id, const jobs::job_spec &spec,
                   const jobs::queue_policy &policy, net::responder respond);
-    void takeHandedOver(const std::string &id, const std::string &body, net::responder respond);
-    http_response logged(const std::string &id, http_response answer);
-    net::responder onceWithin(milliseconds within, net::responder respond);
-    void passOn(http_request request, net::responder respond);
-    void passOnTo(std::vector<std::string> others, http_request request, net::responder respond);
-    void answerAtOnce(const http_request &request, const std::string &id,
-                      const net::responder &respond);
-    void refuseLeaving(const http_request &request, const net::responder &respond);
-    void showState(const std::string &id, net::responder respond);
-    void showStoredState(const std::string &id, net::responder respond);
-    void readJob(const std::string &id, row_store::read_done done);
+    void acceptHandedOver(const std::string &id, const std::string &body, net::responder respond);
+    http_response logRefusal(const std::string &id, http_response answer);
+    net::responder withTimeout(milliseconds timeout, net::responder respond);
+    void forwardToOtherEntry(http_request request, net::responder respond);
+    void tryForward(std::vector<std::string> candidates, http_request request,
+                    net::responder respond);
+    void answerImmediately(const http_request &request, const std::string &id,
+                           const net::responder &respond);
+    void refuseAsLeaving(const http_request &request, const net::responder &respond);
+    void answerState(const std::string &id, net::responder respond);
+    void answerStoredState(const std::string &id, net::responder respond);
+    void readJob(const std::string &id, store_client::read_callback done);
     void cancel(const std::string &id, net::responder respond);
     void cancelOwned(const std::string &id, const net::responder &respond);
     void cancelInStore(const std::string &id, const net::responder &respond);
@@ -91,13 +92,13 @@
     std::string m_self;
     net::event_loop &m_loop;
     net::http_caller &m_caller;
-    row_store &m_store;
+    store_client &m_store;
     configuration_follower &m_configuration;
     entry_directory &m_directory;
     job_view &m_view;
     std::optional<jobs::job_controller> &m_book;
-    write_waits &m_waits;
-    const std::optional<planned_stop> &m_stop;
+    write_callbacks &m_writeCallbacks;
+    const std::optional<shutdown_plan> &m_shutdown;
     metrics &m_metrics;
     event_log &m_log;
     hooks m_hooks;
--- a/app/job_settings.cpp
+++ b/app/job_settings.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 template <typename Read>
-auto checked(const std::string &file, const std::string &text, Read readSettings)
+auto parseSettings(const std::string &file, const std::string &text, Read readSettings)
 {
     try {
         return readSettings(parseJsonObject(text));
@@ -18,7 +18,7 @@
     }
 }
 
-std::string needed(const Json::Value &object, const char *name)
+std::string requiredString(const Json::Value &object, const char *name)
 {
     auto text = stringMember(object, name);
     if (text.empty())
@@ -28,37 +28,37 @@
 
 std::string addressMember(const Json::Value &object, const char *name)
 {
-    return toText(parseAddress(needed(object, name)));
+    return toText(parseAddress(requiredString(object, name)));
 }
 
 } // namespace
 
 job_entry_settings jobEntrySettingsFrom(const std::string &file, const std::string &text)
 {
-    return checked(file, text, [](const Json::Value &value) {
+    return parseSettings(file, text, [](const Json::Value &value) {
         job_entry_settings settings;
-        settings.id = needed(value, "id");
-        settings.zone = needed(value, "zone");
-        settings.callers = parseAddress(needed(value, "callers"));
-        settings.ready = parseAddress(needed(value, "ready"));
-        settings.internal = parseAddress(needed(value, "internal"));
-        settings.store = addressMember(value, "store");
+        settings.id = requiredString(value, "id");
+        settings.zone = requiredString(value, "zone");
+        settings.callersAddress = parseAddress(requiredString(value, "callers"));
+        settings.readinessAddress = parseAddress(requiredString(value, "ready"));
+        settings.internalAddress = parseAddress(requiredString(value, "internal"));
+        settings.storeAddress = addressMember(value, "store");
         return settings;
     });
 }
 
 job_agent_settings jobAgentSettingsFrom(const std::string &file, const std::string &text)
 {
-    return checked(file, text, [](const Json::Value &value) {
+    return parseSettings(file, text, [](const Json::Value &value) {
         job_agent_settings settings;
-        settings.id = needed(value, "id");
-        settings.zone = needed(value, "zone");
-        settings.workers = parseAddress(needed(value, "workers"));
-        settings.internal = parseAddress(needed(value, "internal"));
-        settings.worker = addressMember(value, "worker");
-        settings.service = needed(value, "service");
-        settings.stopWithin = milliseconds(integerMember(value, "stop_within_ms"));
-        settings.store = addressMember(value, "store");
+        settings.id = requiredString(value, "id");
+        settings.zone = requiredString(value, "zone");
+        settings.announcementsAddress = parseAddress(requiredString(value, "workers"));
+        settings.internalAddress = parseAddress(requiredString(value, "internal"));
+        settings.workerAddress = addressMember(value, "worker");
+        settings.service = requiredString(value, "service");
+        settings.stopTimeout = milliseconds(integerMember(value, "stop_within_ms"));
+        settings.storeAddress = addressMember(value, "store");
         return settings;
     });
 }
--- a/app/job_tables.h
+++ b/app/job_tables.h
@@ -20,7 +20,7 @@
 constexpr const char *LeasesTable = "leases";   // one row for each worker
 
 // A part carries 200 transactions a second one after another; 16 carry all that the store takes.
-constexpr unsigned JobParts = 16;
+constexpr unsigned JobPartCount = 16;
 
 inline std::string partName(unsigned number)
 {
@@ -30,43 +30,43 @@
 inline std::vector<std::string> jobParts()
 {
     std::vector<std::string> names;
-    for (unsigned number = 0; number < JobParts; ++number)
+    for (unsigned number = 0; number < JobPartCount; ++number)
         names.push_back(partName(number));
     return names;
 }
 
-inline std::string partOf(const std::string &job)
+inline std::string partOfJob(const std::string &job)
 {
-    return partName(static_cast<unsigned>(stableHash(job) % JobParts));
+    return partName(static_cast<unsigned>(stableHash(job) % JobPartCount));
 }
 
-inline jobs::row_name jobRow(const std::string &job)
+inline jobs::row_name jobRowName(const std::string &job)
 {
-    return {JobsTable, partOf(job), job};
+    return {JobsTable, partOfJob(job), job};
 }
 
-inline jobs::row_name payloadRow(const std::string &job)
+inline jobs::row_name payloadRowName(const std::string &job)
 {
-    return {PayloadsTable, partOf(job), job};
+    return {PayloadsTable, partOfJob(job), job};
 }
 
-inline jobs::row_name cancelRow(const std::string &job)
+inline jobs::row_name cancelRowName(const std::string &job)
 {
-    return {CancelsTable, partOf(job), job};
+    return {CancelsTable, partOfJob(job), job};
 }
 
 // Tells agents that the job is cancelled; its key says all.
-inline jobs::row cancelNotice(const std::string &job)
+inline jobs::row newCancelRow(const std::string &job)
 {
-    return {cancelRow(job), "{}", 0, false};
+    return {cancelRowName(job), "{}", 0, false};
 }
 
-inline jobs::row_name leaseRow(const std::string &worker)
+inline jobs::row_name leaseRowName(const std::string &worker)
 {
     return {LeasesTable, worker, worker};
 }
 
-inline jobs::row_name entryRow(const std::string &entry)
+inline jobs::row_name entryRowName(const std::string &entry)
 {
     return {EntriesTable, "", entry};
 }
--- a/app/job_takeover.cpp
+++ b/app/job_takeover.cpp
@@ -13,27 +13,28 @@
 
 namespace {
 
-constexpr milliseconds KeepFinal{180'000}; // callers may ask for 120 s
+constexpr milliseconds FinalRowRetention{180'000}; // callers may ask for 120 s
 
 } // namespace
 
-job_takeover::job_takeover(const job_takeover_parts &parts, std::function<void()> changed)
-    : m_store(parts.store)
-    , m_directory(parts.directory)
-    , m_view(parts.view)
-    , m_book(parts.book)
-    , m_metrics(parts.numbers)
-    , m_changed(std::move(changed))
+job_takeover::job_takeover(const job_takeover_dependencies &dependencies,
+                           std::function<void()> bookChanged)
+    : m_store(dependencies.store)
+    , m_directory(dependencies.directory)
+    , m_view(dependencies.view)
+    , m_book(dependencies.book)
+    , m_metrics(dependencies.counters)
+    , m_bookChanged(std::move(bookChanged))
 { }
 
-void job_takeover::look(const owner_id &self)
+void job_takeover::scan(const owner_id &self)
 {
     const auto now = suspendAwareNow();
     for (const auto &[id, known] : m_view.jobs()) {
-        if (!known.needsOwner || m_book->owns(id) || m_adopting.contains(id))
+        if (!known.needsOwner || m_book->owns(id) || m_adoptionsInProgress.contains(id))
             continue;
-        const auto heir = m_directory.heirOf(id, known.owner, self, now);
-        if (heir && *heir == self.entry)
+        const auto successor = m_directory.successorOf(id, known.owner, self, now);
+        if (successor && *successor == self.entry)
             adopt(id);
     }
     removeOldRows(self.entry, now);
@@ -41,34 +42,34 @@
 
 void job_takeover::adopt(const std::string &id)
 {
-    m_adopting.insert(id);
-    m_store.read(PayloadsTable, partOf(id), id, id + "\x01",
+    m_adoptionsInProgress.insert(id);
+    m_store.read(PayloadsTable, partOfJob(id), id, id + "\x01",
                  [this, id](const std::optional<row_page> &page) {
-                     m_adopting.erase(id);
+                     m_adoptionsInProgress.erase(id);
                      const auto *known = m_view.find(id);
                      if (!page || page->rows.empty() || known == nullptr || !known->needsOwner)
                          return; // the next look at all jobs tries again
                      m_book->adopt(id, recordFrom(known->content), known->version,
                                    page->rows.front().value);
                      m_metrics.count("jobs_adopted_total", "owner_gone");
-                     m_changed();
+                     m_bookChanged();
                  });
 }
 
 // Rows of jobs that ended long ago, each by the entry that owned it last.
 void job_takeover::removeOldRows(const std::string &self, time_point now)
 {
-    std::vector<std::string> old;
+    std::vector<std::string> expired;
     for (const auto &[id, known] : m_view.jobs()) {
-        if (known.finalAt != time_point{} && now - known.finalAt > KeepFinal
+        if (known.endedAt != time_point{} && now - known.endedAt > FinalRowRetention
             && known.owner.entry == self)
-            old.push_back(id);
+            expired.push_back(id);
     }
-    for (const auto &id : old) {
+    for (const auto &id : expired) {
         m_book->rowRemoved(id);
-        m_view.removed(id);
-        m_store.commit({{}, {}, {jobRow(id), payloadRow(id), cancelRow(id)}},
-                       [](const row_store::outcome & /*outcome*/) {
+        m_view.removeJob(id);
+        m_store.commit({{}, {}, {jobRowName(id), payloadRowName(id), cancelRowName(id)}},
+                       [](const store_client::commit_outcome & /*outcome*/) {
                            // The rows are gone, or will be found by the next life.
                        });
     }
--- a/app/job_takeover.h
+++ b/app/job_takeover.h
@@ -16,35 +16,35 @@
 namespace zinniabarrow {
 
 // What an entry consists of, as far as this duty needs it; all of it outlives the duty.
-struct job_takeover_parts
+struct job_takeover_dependencies
 {
-    row_store &store;
+    store_client &store;
     entry_directory &directory;
     job_view &view;
     std::optional<jobs::job_controller> &book; // there is one before the first look
-    metrics &numbers;
+    metrics &counters;
 };
 
 class job_takeover
 {
 public:
     // `changed`: the book has decisions.
-    job_takeover(const job_takeover_parts &parts, std::function<void()> changed);
+    job_takeover(const job_takeover_dependencies &dependencies, std::function<void()> bookChanged);
 
     // At all jobs, by this life of the entry, once all were read.
-    void look(const jobs::owner_id &self);
+    void scan(const jobs::owner_id &self);
 
 private:
     void adopt(const std::string &id);
     void removeOldRows(const std::string &self, time_point now);
 
-    row_store &m_store;
+    store_client &m_store;
     entry_directory &m_directory;
     job_view &m_view;
     std::optional<jobs::job_controller> &m_book;
     metrics &m_metrics;
-    std::function<void()> m_changed;
-    std::set<std::string> m_adopting;
+    std::function<void()> m_bookChanged;
+    std::set<std::string> m_adoptionsInProgress;
 };
 
 } // namespace zinniabarrow
--- a/app/job_view.cpp
+++ b/app/job_view.cpp
@@ -4,8 +4,8 @@
 
 namespace zinniabarrow {
 
-const known_job *job_view::seen(const std::string &job, const std::string &content,
-                                std::int64_t version, time_point now)
+const known_job *job_view::applyRow(const std::string &job, const std::string &content,
+                                    std::int64_t version, time_point now)
 {
     auto &known = m_jobs[job];
     if (version <= known.version)
@@ -17,13 +17,13 @@
     known.state = record.state();
     known.needsOwner = record.needsOwner();
     known.content = known.needsOwner ? content : std::string();
-    known.begun = known.begun || record.hasStarted || record.hasEndedRuns();
-    if (!known.needsOwner && known.finalAt == time_point{})
-        known.finalAt = now;
+    known.hasBegun = known.hasBegun || record.hasStarted || record.hasEndedRuns();
+    if (!known.needsOwner && known.endedAt == time_point{})
+        known.endedAt = now;
     return &known;
 }
 
-void job_view::removed(const std::string &job)
+void job_view::removeJob(const std::string &job)
 {
     m_jobs.erase(job);
 }
@@ -34,12 +34,12 @@
     return found == m_jobs.end() ? nullptr : &found->second;
 }
 
-std::size_t job_view::waitingIn(const std::string &queue) const
+std::size_t job_view::countWaiting(const std::string &queue) const
 {
     return static_cast<std::size_t>(
             std::count_if(m_jobs.begin(), m_jobs.end(), [&](const auto &entry) {
                 const auto &job = entry.second;
-                return job.queue == queue && !jobs::isFinal(job.state) && !job.begun;
+                return job.queue == queue && !jobs::isFinal(job.state) && !job.hasBegun;
             }));
 }
 
--- a/app/job_view.h
+++ b/app/job_view.h
@@ -23,23 +23,23 @@
     std::string queue;
     bool needsOwner = true;
     std::string content; // of the row, while the job needs an owner
-    time_point finalAt{};
-    bool begun = false; // a worker has begun a task of it
+    time_point endedAt{};
+    bool hasBegun = false; // a worker has begun a task of it
 };
 
 class job_view
 {
 public:
     // Rows of older versions than the known one are ignored: readings overtake each other.
-    const known_job *seen(const std::string &job, const std::string &content, std::int64_t version,
-                          time_point now);
-    void removed(const std::string &job);
+    const known_job *applyRow(const std::string &job, const std::string &content,
+                              std::int64_t version, time_point now);
+    void removeJob(const std::string &job);
     void clear() { m_jobs.clear(); }
 
     const known_job *find(const std::string &job) const;
     const std::map<std::string, known_job> &jobs() const { return m_jobs; }
     // Accepted jobs none of whose tasks has begun, as far as their owners know.
-    std::size_t waitingIn(const std::string &queue) const;
+    std::size_t countWaiting(const std::string &queue) const;
 
 private:
     std::map<std::string, known_job> m_jobs;
--- a/app/lanes.cpp
+++ b/app/lanes.cpp
@@ -81,7 +81,7 @@
     while (auto message = takeOrRest(thread)) {
         const bool answered = send(*message);
         const std::lock_guard lock(m_mutex);
-        m_queue.settled(message->target, answered);
+        m_queue.completeCall(message->target, answered);
     }
 }
 
@@ -99,7 +99,7 @@
 
 void rpc_sender::wakeOne()
 {
-    if (m_stopped || m_resting.empty() || !m_queue.mayTake())
+    if (m_stopped || m_resting.empty() || !m_queue.canTake())
         return;
     const auto thread = m_resting.back();
     m_resting.pop_back();
--- a/app/lease_keeper.cpp
+++ b/app/lease_keeper.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr milliseconds ReadRetry{150};
+constexpr milliseconds ReadRetryDelay{150};
 
 // None: the row is somebody else's.
-std::optional<std::int64_t> writtenVersion(const row_store::outcome &outcome,
+std::optional<std::int64_t> writtenVersion(const store_client::commit_outcome &outcome,
                                            const std::string &write)
 {
     if (const auto *done = std::get_if<committed>(&outcome))
@@ -35,62 +35,62 @@
 
 } // namespace
 
-lease_keeper::lease_keeper(net::event_loop &loop, row_store &store, event_log &log,
-                           std::string agent, listeners hear)
+lease_keeper::lease_keeper(net::event_loop &loop, store_client &store, event_log &log,
+                           std::string agent, callbacks handlers)
     : m_loop(loop)
     , m_store(store)
     , m_log(log)
     , m_agent(std::move(agent))
-    , m_hear(std::move(hear))
+    , m_callbacks(std::move(handlers))
     , m_lease(m_agent)
 { }
 
-void lease_keeper::seek(const char *why)
+void lease_keeper::acquire(const char *reason)
 {
-    m_log.note("lease_sought", {{"why", why}});
-    m_hear.unsettled();
+    m_log.note("lease_sought", {{"why", reason}});
+    m_callbacks.epochLost();
     m_lease.acquireFence();
-    carryOut();
+    execute();
 }
 
 void lease_keeper::renew(std::optional<time_point> heldUntil)
 {
     m_lease.renew(suspendAwareNow(), heldUntil);
-    carryOut();
+    execute();
 }
 
-bool lease_keeper::seen(const std::string &life, std::size_t running)
+bool lease_keeper::observeWorker(const std::string &incarnation, std::size_t runningCount)
 {
-    const bool allStop = m_lease.reconcile(life, running, suspendAwareNow());
-    carryOut();
-    return allStop;
+    const bool shouldStopAll = m_lease.reconcile(incarnation, runningCount, suspendAwareNow());
+    execute();
+    return shouldStopAll;
 }
 
-void lease_keeper::allEnded(const std::string &nextLife)
+void lease_keeper::noteAllRunsEnded(const std::string &nextIncarnation)
 {
-    m_hear.unsettled();
-    m_lease.endEpoch(nextLife, suspendAwareNow());
-    carryOut();
+    m_callbacks.epochLost();
+    m_lease.endEpoch(nextIncarnation, suspendAwareNow());
+    execute();
 }
 
-void lease_keeper::carryOut()
+void lease_keeper::execute()
 {
     for (const auto &action : m_lease.takeActions())
-        std::visit([this](const auto &one) { carryOut(one); }, action);
+        std::visit([this](const auto &one) { execute(one); }, action);
 }
 
-void lease_keeper::carryOut(const read_lease & /*action*/)
+void lease_keeper::execute(const read_lease & /*action*/)
 {
     m_store.read(LeasesTable, m_agent, "", "",
                  [this, sentAt = suspendAwareNow()](const std::optional<row_page> &page) {
                      if (!page)
-                         return m_loop.after(ReadRetry, [this] { carryOut(read_lease{}); });
+                         return m_loop.after(ReadRetryDelay, [this] { execute(read_lease{}); });
                      m_lease.noteStoreClock(page->storeClockMs, sentAt, suspendAwareNow());
-                     rowRead(*page);
+                     handleRowRead(*page);
                  });
 }
 
-void lease_keeper::rowRead(const row_page &page)
+void lease_keeper::handleRowRead(const row_page &page)
 {
     const auto now = suspendAwareNow();
     if (page.rows.empty()) {
@@ -99,41 +99,42 @@
         const auto &one = page.rows.front();
         m_lease.rowRead(leaseFrom(one.value), one.version, now);
     }
-    carryOut();
+    execute();
 }
 
-void lease_keeper::carryOut(const write_lease &action)
+void lease_keeper::execute(const write_lease &action)
 {
-    const auto name = leaseRow(m_agent);
+    const auto name = leaseRowName(m_agent);
     m_store.commit({{{name, action.expectedVersion}}, {{name, toText(action.row), 0, false}}, {}},
                    [this, write = action.row.writeId,
-                    sentAt = suspendAwareNow()](const row_store::outcome &outcome) {
+                    sentAt = suspendAwareNow()](const store_client::commit_outcome &outcome) {
                        if (const auto *done = std::get_if<committed>(&outcome))
                            m_lease.noteStoreClock(done->storeClockMs, sentAt, suspendAwareNow());
-                       rowWritten(write, outcome);
+                       handleRowWritten(write, outcome);
                    });
 }
 
-void lease_keeper::rowWritten(const std::string &write, const row_store::outcome &outcome)
+void lease_keeper::handleRowWritten(const std::string &write,
+                                    const store_client::commit_outcome &outcome)
 {
-    const bool heldBefore = m_lease.holdsFence();
+    const bool hadFence = m_lease.holdsFence();
     if (const auto version = writtenVersion(outcome, write)) {
         m_lease.rowWritten(*version, suspendAwareNow());
     } else {
         m_log.note("lease_sought", {{"why", "lease_taken"}});
-        m_hear.unsettled();
+        m_callbacks.epochLost();
         m_lease.rowConflict();
     }
-    carryOut();
-    if (m_lease.holdsFence() && !heldBefore)
-        m_hear.fenceTaken();
+    execute();
+    if (m_lease.holdsFence() && !hadFence)
+        m_callbacks.fenceAcquired();
 }
 
-void lease_keeper::carryOut(const epoch_settled &action)
+void lease_keeper::execute(const epoch_settled &action)
 {
     m_log.note(action.isNew ? "epoch_begun" : "epoch_resumed",
                {{"epoch", action.epoch}, {"life", m_lease.workerIncarnation()}});
-    m_hear.settled(action);
+    m_callbacks.epochSettled(action);
 }
 
 } // namespace zinniabarrow
--- a/app/lease_keeper.h
+++ b/app/lease_keeper.h
@@ -16,38 +16,38 @@
 class lease_keeper
 {
 public:
-    struct listeners
+    struct callbacks
     {
-        std::function<void()> unsettled; // tasks may not start until an epoch is settled again
-        std::function<void(const jobs::epoch_settled &)> settled;
-        std::function<void()> fenceTaken; // calls to the worker carry it from now on
+        std::function<void()> epochLost; // tasks may not start until an epoch is settled again
+        std::function<void(const jobs::epoch_settled &)> epochSettled;
+        std::function<void()> fenceAcquired; // calls to the worker carry it from now on
     };
 
-    lease_keeper(net::event_loop &loop, row_store &store, event_log &log, std::string agent,
-                 listeners hear);
+    lease_keeper(net::event_loop &loop, store_client &store, event_log &log, std::string agent,
+                 callbacks handlers);
 
     const jobs::worker_lease &lease() const { return m_lease; }
     // Takes a new fence, which voids the orders of before. The epoch follows once it is known what
     // of an earlier one still runs.
-    void seek(const char *why);
+    void acquire(const char *reason);
     void renew(std::optional<time_point> heldUntil = std::nullopt);
     // See jobs::worker_lease.
-    bool seen(const std::string &life, std::size_t running);
-    void allEnded(const std::string &nextLife);
+    bool observeWorker(const std::string &incarnation, std::size_t runningCount);
+    void noteAllRunsEnded(const std::string &nextIncarnation);
 
 private:
-    void carryOut();
-    void carryOut(const jobs::read_lease &action);
-    void carryOut(const jobs::write_lease &action);
-    void carryOut(const jobs::epoch_settled &action);
-    void rowRead(const jobs::row_page &page);
-    void rowWritten(const std::string &write, const row_store::outcome &outcome);
+    void execute();
+    void execute(const jobs::read_lease &action);
+    void execute(const jobs::write_lease &action);
+    void execute(const jobs::epoch_settled &action);
+    void handleRowRead(const jobs::row_page &page);
+    void handleRowWritten(const std::string &write, const store_client::commit_outcome &outcome);
 
     net::event_loop &m_loop;
-    row_store &m_store;
+    store_client &m_store;
     event_log &m_log;
     std::string m_agent;
-    listeners m_hear;
+    callbacks m_callbacks;
     jobs::worker_lease m_lease;
 };
 
--- a/app/order_outcomes.cpp
+++ b/app/order_outcomes.cpp
@@ -15,21 +15,21 @@
 }
 
 // Empty where the result holds no readable answer; `why` says what it holds instead.
-std::vector<jobs::order_answer> readAnswers(const call_result &result, std::string &why)
+std::vector<jobs::order_answer> readAnswers(const call_result &result, std::string &reason)
 {
     if (const auto *failure = std::get_if<call_failure>(&result)) {
-        why = nameOf(*failure);
+        reason = nameOf(*failure);
         return {};
     }
     const auto &response = std::get<http_response>(result);
     if (response.status != 200) {
-        why = "refused";
+        reason = "refused";
         return {};
     }
     try {
         return jobs::orderAnswersFrom(response.body);
     } catch (const error & /*says where in the text, which nobody needs*/) {
-        why = "unreadable";
+        reason = "unreadable";
         return {};
     }
 }
@@ -39,7 +39,7 @@
 order_outcomes outcomesOf(std::vector<jobs::run_order> batch, const call_result &result)
 {
     order_outcomes outcomes;
-    const auto answers = readAnswers(result, outcomes.why);
+    const auto answers = readAnswers(result, outcomes.reason);
     for (auto &order : batch) {
         const auto answer = std::find_if(answers.begin(), answers.end(), [&order](const auto &one) {
             return isAnswerTo(one, order);
@@ -49,8 +49,8 @@
         else
             outcomes.unanswered.push_back(std::move(order));
     }
-    if (!outcomes.unanswered.empty() && outcomes.why.empty())
-        outcomes.why = "left_out";
+    if (!outcomes.unanswered.empty() && outcomes.reason.empty())
+        outcomes.reason = "left_out";
     return outcomes;
 }
 
--- a/app/order_outcomes.h
+++ b/app/order_outcomes.h
@@ -13,7 +13,7 @@
 {
     std::vector<jobs::order_answer> answered; // of orders in the batch only, each order once
     std::vector<jobs::run_order> unanswered;  // nothing is known of them: they are given again
-    std::string why;                          // there are unanswered ones; empty: none
+    std::string reason;                       // there are unanswered ones; empty: none
 };
 
 // Each order of `batch` is in one of the two lists, whatever the result holds.
--- a/app/order_sender.h
+++ b/app/order_sender.h
@@ -18,13 +18,13 @@
 namespace zinniabarrow {
 
 // What an entry consists of, as far as its orders need it; all of it outlives them.
-struct order_sender_parts
+struct order_sender_dependencies
 {
     const job_entry_settings &settings;
     net::http_caller &caller;
     jobs::worker_pool &pool;
     std::optional<jobs::job_controller> &book; // that the orders are of
-    metrics &numbers;
+    metrics &counters;
     event_log &log;
 };
 
@@ -32,14 +32,14 @@
 {
 public:
     // `changed`: the book has decisions.
-    order_sender(const order_sender_parts &parts, std::function<void()> changed);
+    order_sender(const order_sender_dependencies &dependencies, std::function<void()> bookChanged);
 
     void sendOrders(const std::string &worker, std::vector<jobs::run_order> orders);
 
 private:
-    void ordersAnswered(const std::string &worker, const order_outcomes &outcomes,
-                        std::int64_t agentLife);
-    void ordersUnanswered(const std::string &worker, const std::vector<jobs::run_order> &orders);
+    void handleAnswers(const std::string &worker, const order_outcomes &outcomes,
+                       std::int64_t agentIncarnation);
+    void handleUnanswered(const std::string &worker, const std::vector<jobs::run_order> &orders);
 
     const job_entry_settings &m_settings;
     net::http_caller &m_caller;
@@ -47,7 +47,7 @@
     std::optional<jobs::job_controller> &m_book;
     metrics &m_metrics;
     event_log &m_log;
-    std::function<void()> m_changed;
+    std::function<void()> m_bookChanged;
 };
 
 } // namespace zinniabarrow
--- a/app/report_targets.cpp
+++ b/app/report_targets.cpp
@@ -4,77 +4,78 @@
 
 namespace zinniabarrow {
 
-void entry_links::seen(const std::string &entry, const std::string &address)
+void report_targets::setAddress(const std::string &entry, const std::string &address)
 {
     m_entries[entry].address = address;
 }
 
-void entry_links::gone(const std::string &entry)
+void report_targets::removeEntry(const std::string &entry)
 {
     m_entries.erase(entry);
 }
 
-std::vector<std::string> entry_links::names() const
+std::vector<std::string> report_targets::names() const
 {
     std::vector<std::string> names;
-    for (const auto &[name, link] : m_entries)
+    for (const auto &[name, target] : m_entries)
         names.push_back(name);
     return names;
 }
 
-std::vector<std::string> entry_links::addresses() const
+std::vector<std::string> report_targets::addresses() const
 {
     std::vector<std::string> addresses;
-    for (const auto &[name, link] : m_entries)
-        addresses.push_back(link.address);
+    for (const auto &[name, target] : m_entries)
+        addresses.push_back(target.address);
     return addresses;
 }
 
-const std::string &entry_links::addressOf(const std::string &entry) const
+const std::string &report_targets::addressOf(const std::string &entry) const
 {
     return m_entries.at(entry).address;
 }
 
-bool entry_links::begin(const std::string &entry)
+bool report_targets::tryBeginReport(const std::string &entry)
 {
     const auto found = m_entries.find(entry);
     if (found == m_entries.end())
         return false;
-    auto &link = found->second;
-    if (link.out) {
-        link.again = true;
+    auto &target = found->second;
+    if (target.isReportInFlight) {
+        target.needsAnother = true;
         return false;
     }
-    link.out = true;
-    link.again = false;
+    target.isReportInFlight = true;
+    target.needsAnother = false;
     return true;
 }
 
-bool entry_links::ended(const std::string &entry)
+bool report_targets::endReport(const std::string &entry)
 {
     const auto found = m_entries.find(entry);
     if (found == m_entries.end())
         return false;
-    found->second.out = false;
+    found->second.isReportInFlight = false;
     return true;
 }
 
-void entry_links::told(const std::string &entry, std::int64_t epoch)
+void report_targets::acknowledgeEpoch(const std::string &entry, std::int64_t epoch)
 {
-    auto &link = m_entries.at(entry);
-    link.toldEpoch = std::max(link.toldEpoch, epoch);
+    auto &target = m_entries.at(entry);
+    target.acknowledgedEpoch = std::max(target.acknowledgedEpoch, epoch);
 }
 
-bool entry_links::wantsAnother(const std::string &entry) const
+bool report_targets::needsAnotherReport(const std::string &entry) const
 {
     const auto found = m_entries.find(entry);
-    return found != m_entries.end() && found->second.again;
+    return found != m_entries.end() && found->second.needsAnother;
 }
 
-bool entry_links::waitFor(std::int64_t epoch) const
+bool report_targets::isEpochUnacknowledged(std::int64_t epoch) const
 {
-    return std::any_of(m_entries.begin(), m_entries.end(),
-                       [epoch](const auto &entry) { return entry.second.toldEpoch < epoch; });
+    return std::any_of(m_entries.begin(), m_entries.end(), [epoch](const auto &entry) {
+        return entry.second.acknowledgedEpoch < epoch;
+    });
 }
 
 } // namespace zinniabarrow
--- a/app/request_duty.cpp
+++ b/app/request_duty.cpp
@@ -221,7 +221,7 @@
 
 Json::Value request_duty::announce(const Json::Value &parameters)
 {
-    return askDuty([&](const reply_promise &reply) {
+    return postAndAwaitReply([&](const reply_promise &reply) {
         return m_duty->post(announced{parameters, reply});
     });
 }
@@ -229,14 +229,15 @@
 Json::Value request_duty::digest(const Json::Value &parameters)
 {
     const auto message = request::digestFromJson(arrayMember(parameters, "digest"));
-    return askDuty([&](const reply_promise &reply) {
+    return postAndAwaitReply([&](const reply_promise &reply) {
         return m_duty->post(digest_heard{message, reply});
     });
 }
 
 Json::Value request_duty::status()
 {
-    return askDuty([&](const reply_promise &reply) { return m_duty->post(status_asked{reply}); });
+    return postAndAwaitReply(
+            [&](const reply_promise &reply) { return m_duty->post(status_asked{reply}); });
 }
 
 void request_duty::drain()
--- a/app/schedule_duty.cpp
+++ b/app/schedule_duty.cpp
@@ -97,27 +97,28 @@
     const auto message = work::agentReportFromJson(objectMember(parameters, "report"));
     const worker_place place{placement::workerInfoFromJson(objectMember(parameters, "worker")),
                              stringMember(parameters, "agent"), boolMember(parameters, "serving")};
-    return askDuty([&](const reply_promise &reply) {
+    return postAndAwaitReply([&](const reply_promise &reply) {
         return m_duty->post(report_heard{message, place, reply});
     });
 }
 
 Json::Value schedule_duty::usage(const Json::Value &parameters)
 {
-    return askDuty([&](const reply_promise &reply) {
+    return postAndAwaitReply([&](const reply_promise &reply) {
         return m_duty->post(usage_heard{parameters, reply});
     });
 }
 
 Json::Value schedule_duty::status()
 {
-    return askDuty([&](const reply_promise &reply) { return m_duty->post(status_asked{reply}); });
+    return postAndAwaitReply(
+            [&](const reply_promise &reply) { return m_duty->post(status_asked{reply}); });
 }
 
 Json::Value schedule_duty::explain(const Json::Value &parameters)
 {
     const auto task = work::taskIdFromText(stringMember(parameters, "task"));
-    return askDuty([&](const reply_promise &reply) {
+    return postAndAwaitReply([&](const reply_promise &reply) {
         return m_duty->post(explain_asked{task, reply});
     });
 }
--- a/app/send_queue.cpp
+++ b/app/send_queue.cpp
@@ -7,55 +7,57 @@
 
 bool send_queue::push(rpc_call call)
 {
-    if (m_waiting >= m_limits.waitingForAll)
+    if (m_waitingCount >= m_limits.maxWaiting)
         return false;
     auto &state = m_targets[call.target];
-    if (state.waiting.size() >= m_limits.waitingForOne)
+    if (state.waiting.size() >= m_limits.maxWaitingPerTarget)
         return false;
-    const auto number = ++m_lastNumber;
-    if (state.waiting.empty() && !state.inFlight)
-        readyAs(state)[number] = call.target;
-    state.waiting.push_back({number, std::move(call)});
-    ++m_waiting;
+    const auto sequence = ++m_lastSequence;
+    if (state.waiting.empty() && !state.isInFlight)
+        readyTargetsLike(state)[sequence] = call.target;
+    state.waiting.push_back({sequence, std::move(call)});
+    ++m_waitingCount;
     return true;
 }
 
 // The target whose call has waited longest, of those that may have a thread; null: none.
-const std::string *send_queue::next() const
+const std::string *send_queue::nextTarget() const
 {
-    const auto forSilent = std::max<std::size_t>(m_limits.threads, 2) - 1;
-    const bool silentToo = !m_silent.empty() && m_silentInFlight < forSilent;
+    const auto maxUnresponsive = std::max<std::size_t>(m_limits.threads, 2) - 1;
+    const bool canTakeUnresponsive =
+            !m_unresponsive.empty() && m_unresponsiveInFlight < maxUnresponsive;
     if (m_ready.empty())
-        return silentToo ? &m_silent.begin()->second : nullptr;
-    const bool silentFirst = silentToo && m_silent.begin()->first < m_ready.begin()->first;
-    return silentFirst ? &m_silent.begin()->second : &m_ready.begin()->second;
+        return canTakeUnresponsive ? &m_unresponsive.begin()->second : nullptr;
+    const bool isUnresponsiveOldest =
+            canTakeUnresponsive && m_unresponsive.begin()->first < m_ready.begin()->first;
+    return isUnresponsiveOldest ? &m_unresponsive.begin()->second : &m_ready.begin()->second;
 }
 
 std::optional<rpc_call> send_queue::take()
 {
-    const auto *target = next();
+    const auto *target = nextTarget();
     if (target == nullptr)
         return std::nullopt;
     auto &state = m_targets.at(*target);
     auto first = std::move(state.waiting.front());
     state.waiting.pop_front();
-    --m_waiting;
-    readyAs(state).erase(first.number);
-    state.inFlight = true;
-    m_silentInFlight += state.silent ? 1 : 0;
+    --m_waitingCount;
+    readyTargetsLike(state).erase(first.sequence);
+    state.isInFlight = true;
+    m_unresponsiveInFlight += state.isUnresponsive ? 1 : 0;
     return std::move(first.call);
 }
 
-void send_queue::settled(const std::string &target, bool answered)
+void send_queue::completeCall(const std::string &target, bool isAnswered)
 {
     const auto found = m_targets.find(target);
     auto &state = found->second;
-    m_silentInFlight -= state.silent ? 1 : 0;
-    state.inFlight = false;
-    state.silent = !answered;
+    m_unresponsiveInFlight -= state.isUnresponsive ? 1 : 0;
+    state.isInFlight = false;
+    state.isUnresponsive = !isAnswered;
     if (!state.waiting.empty())
-        readyAs(state)[state.waiting.front().number] = target;
-    else if (answered)
+        readyTargetsLike(state)[state.waiting.front().sequence] = target;
+    else if (isAnswered)
         m_targets.erase(found);
 }
 
--- a/app/send_queue.h
+++ b/app/send_queue.h
@@ -28,9 +28,9 @@
 
 struct send_queue_limits
 {
-    std::size_t threads = 4;            // that take calls
-    std::size_t waitingForOne = 1024;   // calls to one target
-    std::size_t waitingForAll = 16'384; //
+    std::size_t threads = 4;                // that take calls
+    std::size_t maxWaitingPerTarget = 1024; // calls to one target
+    std::size_t maxWaiting = 16'384;        //
 };
 
 class send_queue
@@ -44,34 +44,37 @@
     bool push(rpc_call call);
     // None while no waiting call may go out. Each one that is taken has to be settled.
     std::optional<rpc_call> take();
-    bool mayTake() const { return next() != nullptr; }
-    void settled(const std::string &target, bool answered);
+    bool canTake() const { return nextTarget() != nullptr; }
+    void completeCall(const std::string &target, bool isAnswered);
 
 private:
     struct waiting_call
     {
-        std::uint64_t number = 0;
+        std::uint64_t sequence = 0;
         rpc_call call;
     };
     struct target_state
     {
         std::deque<waiting_call> waiting;
-        bool inFlight = false;
-        bool silent = false; // did not answer last time
+        bool isInFlight = false;
+        bool isUnresponsive = false; // did not answer last time
     };
     // Targets with no call in flight, by the number of their first waiting call.
     using ready_targets = std::map<std::uint64_t, std::string>;
 
-    ready_targets &readyAs(const target_state &state) { return state.silent ? m_silent : m_ready; }
-    const std::string *next() const;
+    ready_targets &readyTargetsLike(const target_state &state)
+    {
+        return state.isUnresponsive ? m_unresponsive : m_ready;
+    }
+    const std::string *nextTarget() const;
 
     send_queue_limits m_limits;
     std::map<std::string, target_state> m_targets;
     ready_targets m_ready;
-    ready_targets m_silent;
-    std::size_t m_waiting = 0;
-    std::size_t m_silentInFlight = 0;
-    std::uint64_t m_lastNumber = 0;
+    ready_targets m_unresponsive;
+    std::size_t m_waitingCount = 0;
+    std::size_t m_unresponsiveInFlight = 0;
+    std::uint64_t m_lastSequence = 0;
 };
 
 } // namespace zinniabarrow
--- a/app/shutdown_driver.cpp
+++ b/app/shutdown_driver.cpp
@@ -6,31 +6,31 @@
 
 using net::suspendAwareNow;
 
-stop_walk::stop_walk(net::event_loop &loop, const stop_pauses &pauses, const stop_times &times,
-                     hooks callbacks)
+shutdown_driver::shutdown_driver(net::event_loop &loop, const shutdown_poll_intervals &intervals,
+                                 const shutdown_limits &limits, hooks callbacks)
     : m_loop(loop)
-    , m_pauses(pauses)
-    , m_times(times)
+    , m_intervals(intervals)
+    , m_limits(limits)
     , m_hooks(std::move(callbacks))
 { }
 
-void stop_walk::begin()
+void shutdown_driver::begin()
 {
-    m_stop.emplace(suspendAwareNow(), m_loop.overdue(), m_times);
-    m_hooks.begun();
-    look();
+    m_plan.emplace(suspendAwareNow(), m_loop.overdue(), m_limits);
+    m_hooks.onBegin();
+    poll();
 }
 
-void stop_walk::look()
+void shutdown_driver::poll()
 {
-    const auto needs = m_hooks.needs();
-    const auto step = m_stop->look(needs, m_loop.lateness(), suspendAwareNow());
+    const auto remainingWork = m_hooks.remainingWork();
+    const auto step = m_plan->advance(remainingWork, m_loop.lateness(), suspendAwareNow());
     if (std::exchange(m_step, step) != step)
-        m_hooks.carryOut(step);
-    if (step == stop_step::End)
+        m_hooks.executeStep(step);
+    if (step == shutdown_step::End)
         return m_loop.stop();
-    m_loop.after(step == stop_step::HandOver ? m_pauses.handingOver : m_pauses.finishing,
-                 [this] { look(); });
+    m_loop.after(step == shutdown_step::HandOver ? m_intervals.handOver : m_intervals.afterHandOver,
+                 [this] { poll(); });
 }
 
 } // namespace zinniabarrow
--- a/app/shutdown_driver.h
+++ b/app/shutdown_driver.h
@@ -10,42 +10,42 @@
 namespace zinniabarrow {
 
 // From one look to the next.
-struct stop_pauses
+struct shutdown_poll_intervals
 {
-    milliseconds handingOver;
-    milliseconds finishing; // in all later steps
+    milliseconds handOver;
+    milliseconds afterHandOver; // in all later steps
 };
 
-class stop_walk
+class shutdown_driver
 {
 public:
     struct hooks
     {
-        std::function<void()> begun;             // the process leaves from here on
-        std::function<stop_needs()> needs;       // asked at each look
-        std::function<void(stop_step)> carryOut; // once for each step after the first
+        std::function<void()> onBegin;                  // the process leaves from here on
+        std::function<remaining_work()> remainingWork;  // asked at each look
+        std::function<void(shutdown_step)> executeStep; // once for each step after the first
     };
 
-    stop_walk(net::event_loop &loop, const stop_pauses &pauses, const stop_times &times,
-              hooks callbacks);
+    shutdown_driver(net::event_loop &loop, const shutdown_poll_intervals &intervals,
+                    const shutdown_limits &limits, hooks callbacks);
 
     // After the last step the loop stops.
     void begin();
 
-    bool isLeaving() const { return m_stop.has_value(); }
-    bool hasGivenUp() const { return m_stop && m_stop->hasGivenUp(); }
-    stop_step step() const { return m_step; }                          // that was carried out
-    const std::optional<planned_stop> &plan() const { return m_stop; } // none before the signal
+    bool isLeaving() const { return m_plan.has_value(); }
+    bool hasGivenUp() const { return m_plan && m_plan->hasGivenUp(); }
+    shutdown_step step() const { return m_step; }                       // that was carried out
+    const std::optional<shutdown_plan> &plan() const { return m_plan; } // none before the signal
 
 private:
-    void look();
+    void poll();
 
     net::event_loop &m_loop;
-    stop_pauses m_pauses;
-    stop_times m_times;
+    shutdown_poll_intervals m_intervals;
+    shutdown_limits m_limits;
     hooks m_hooks;
-    std::optional<planned_stop> m_stop;
-    stop_step m_step = stop_step::HandOver;
+    std::optional<shutdown_plan> m_plan;
+    shutdown_step m_step = shutdown_step::HandOver;
 };
 
 } // namespace zinniabarrow
--- a/app/shutdown_plan.cpp
+++ b/app/shutdown_plan.cpp
@@ -8,51 +8,54 @@
 
 namespace {
 
-constexpr name_table<stop_step, 4> StepNames{{
-        {stop_step::HandOver, "hand_over"},
-        {stop_step::Finish, "finish"},
-        {stop_step::GiveUp, "give_up"},
-        {stop_step::End, "end"},
+constexpr name_table<shutdown_step, 4> StepNames{{
+        {shutdown_step::HandOver, "hand_over"},
+        {shutdown_step::Finish, "finish"},
+        {shutdown_step::GiveUp, "give_up"},
+        {shutdown_step::End, "end"},
 }};
 
 } // namespace
 
-std::string_view nameOf(stop_step step)
+std::string_view nameOf(shutdown_step step)
 {
     return nameOf(StepNames, step);
 }
 
-planned_stop::planned_stop(time_point heardAt, duration overdue, const stop_times &times)
-    : m_times(times)
+shutdown_plan::shutdown_plan(time_point signalHandledAt, duration signalDelay,
+                             const shutdown_limits &limits)
+    : m_limits(limits)
 {
-    const auto begunAt = heardAt - std::min<duration>(overdue, LatestSignal);
-    m_handOverBy = begunAt + times.handOverWithin;
-    m_giveUpAt = begunAt + times.giveUpAfter;
-    m_endBy = begunAt + times.endWithin;
+    const auto signaledAt = signalHandledAt - std::min<duration>(signalDelay, MaxSignalDelay);
+    m_handOverDeadline = signaledAt + limits.handOverLimit;
+    m_giveUpDeadline = signaledAt + limits.giveUpLimit;
+    m_endDeadline = signaledAt + limits.endLimit;
 }
 
-stop_step planned_stop::look(const stop_needs &needs, duration lateness, time_point now)
+shutdown_step shutdown_plan::advance(const remaining_work &remaining, duration lateness,
+                                     time_point now)
 {
-    const auto nextLook = now + std::min<duration>(lateness, LatestLook);
+    const auto nextPollAt = now + std::min<duration>(lateness, MaxPollLateness);
     switch (m_step) {
-    case stop_step::HandOver:
+    case shutdown_step::HandOver:
         // New callers are refused from the next step on: not while others are answered anyway.
-        if ((!needs.owns && !needs.requestsOpen) || nextLook >= m_handOverBy) {
-            m_step = stop_step::Finish;
-            m_giveUpAt = std::min<time_point>(m_giveUpAt, now + m_times.finishWithin);
+        if ((!remaining.hasOwnedWork && !remaining.hasOpenRequests)
+            || nextPollAt >= m_handOverDeadline) {
+            m_step = shutdown_step::Finish;
+            m_giveUpDeadline = std::min<time_point>(m_giveUpDeadline, now + m_limits.finishLimit);
         }
         break;
-    case stop_step::Finish:
-        if (!needs.connectionsOpen)
-            m_step = stop_step::End;
-        else if (nextLook >= m_giveUpAt)
-            m_step = stop_step::GiveUp;
+    case shutdown_step::Finish:
+        if (!remaining.hasOpenConnections)
+            m_step = shutdown_step::End;
+        else if (nextPollAt >= m_giveUpDeadline)
+            m_step = shutdown_step::GiveUp;
         break;
-    case stop_step::GiveUp:
-        if (!needs.connectionsOpen || now >= m_endBy)
-            m_step = stop_step::End;
+    case shutdown_step::GiveUp:
+        if (!remaining.hasOpenConnections || now >= m_endDeadline)
+            m_step = shutdown_step::End;
         break;
-    case stop_step::End:
+    case shutdown_step::End:
         break;
     }
     return m_step;
--- a/app/shutdown_plan.h
+++ b/app/shutdown_plan.h
@@ -7,58 +7,59 @@
 
 namespace zinniabarrow {
 
-enum class stop_step {
+enum class shutdown_step {
     HandOver, // others take over what this process owns, and requests are taken as they come
     Finish,   // no new connections; what has come on the open ones is answered
     GiveUp,   // what has no answer yet is told that its outcome is unknown
     End,      // the process ends, whatever is open
 };
 
-std::string_view nameOf(stop_step step);
+std::string_view nameOf(shutdown_step step);
 
 // What there is still to do.
-struct stop_needs
+struct remaining_work
 {
-    bool owns = false;            // something that others should take over
-    bool requestsOpen = false;    // of callers, without an answer
-    bool connectionsOpen = false; // on which requests may stand, also unread
+    bool hasOwnedWork = false;       // something that others should take over
+    bool hasOpenRequests = false;    // of callers, without an answer
+    bool hasOpenConnections = false; // on which requests may stand, also unread
 };
 
 // A killed process cuts off everything: all steps are over 6 s after the signal.
-struct stop_times
+struct shutdown_limits
 {
-    milliseconds handOverWithin{4000};
-    milliseconds finishWithin{5200}; // counted from the end of the handing over
-    milliseconds giveUpAfter{5200};  // however long that lasted
-    milliseconds endWithin{5700};
+    milliseconds handOverLimit{4000};
+    milliseconds finishLimit{5200}; // counted from the end of the handing over
+    milliseconds giveUpLimit{5200}; // however long that lasted
+    milliseconds endLimit{5700};
 };
 
-class planned_stop
+class shutdown_plan
 {
 public:
     // A loop that was held up once is not behind by that much again.
-    static constexpr milliseconds LatestLook{500};
+    static constexpr milliseconds MaxPollLateness{500};
 
     // A loop that stood still for longer than this has no time for any step.
-    static constexpr milliseconds LatestSignal{2000};
+    static constexpr milliseconds MaxSignalDelay{2000};
 
     // `overdue`: how long the signal may have waited for the loop.
-    planned_stop(time_point heardAt, duration overdue, const stop_times &times = {});
+    shutdown_plan(time_point signalHandledAt, duration signalDelay,
+                  const shutdown_limits &limits = {});
 
     // One step further at most. `lateness`: of the next look, if it is as late as the ones before;
     // a step that can't wait for it is taken now, but for the last one.
-    stop_step look(const stop_needs &needs, duration lateness, time_point now);
+    shutdown_step advance(const remaining_work &remaining, duration lateness, time_point now);
 
     // What is asked of others for a caller is not waited for any longer.
-    time_point answersBy() const { return m_giveUpAt; }
-    bool hasGivenUp() const { return m_step >= stop_step::GiveUp; }
+    time_point answerDeadline() const { return m_giveUpDeadline; }
+    bool hasGivenUp() const { return m_step >= shutdown_step::GiveUp; }
 
 private:
-    stop_step m_step = stop_step::HandOver;
-    stop_times m_times;
-    time_point m_handOverBy;
-    time_point m_giveUpAt;
-    time_point m_endBy;
+    shutdown_step m_step = shutdown_step::HandOver;
+    shutdown_limits m_limits;
+    time_point m_handOverDeadline;
+    time_point m_giveUpDeadline;
+    time_point m_endDeadline;
 };
 
 } // namespace zinniabarrow
--- a/app/store_client.cpp
+++ b/app/store_client.cpp
@@ -13,31 +13,31 @@
 
 // An answer is late when it takes this many times the usual: answers vary by a factor of two at
 // rest, and a slow store raises the usual time with each late answer.
-constexpr double LateFactor = 8;
-constexpr milliseconds ShortestTimeout{150};
-constexpr milliseconds LongestTimeout{1500};
+constexpr double TimeoutFactor = 8;
+constexpr milliseconds MinTimeout{150};
+constexpr milliseconds MaxTimeout{1500};
 // After a failure the store itself is left alone for this long where another way exists.
-constexpr milliseconds AvoidDirect{400};
-constexpr milliseconds FirstPause{40}; // before a write is repeated; doubles
-constexpr milliseconds LongestPause{500};
-constexpr milliseconds RelayExtra{150}; // for the hop
+constexpr milliseconds DirectBackoff{400};
+constexpr milliseconds InitialBackoff{40}; // before a write is repeated; doubles
+constexpr milliseconds MaxBackoff{500};
+constexpr milliseconds RelayAllowance{150}; // for the hop
 // Between two parts of an answer; a link that is lost for longer has lost the answer.
-constexpr milliseconds LongestStall{1500};
+constexpr milliseconds MaxStall{1500};
 // For the rest of an answer once it has begun. What takes longer has left the store's history.
-constexpr milliseconds WholeAnswer{20'000};
+constexpr milliseconds MaxTransferTime{20'000};
 // One row of 60,000 routes, or the changes of some 20 s on the largest fleet.
-constexpr std::size_t LargestAnswer = 16 * 1024 * 1024;
+constexpr std::size_t MaxAnswerBytes = 16 * 1024 * 1024;
 
-void nobodyAsks(std::uint64_t /*bytes*/) { }
+void ignoreAnswerBegun(std::uint64_t /*bytes*/) { }
 
-bool turnedAway(const call_result &result)
+bool isStoreFailure(const call_result &result)
 {
     const auto *answer = std::get_if<http_response>(&result);
     return answer == nullptr || answer->status == 503 || answer->status == 429
            || answer->status == 502;
 }
 
-std::string_view wordFor(const call_result &result)
+std::string_view failureName(const call_result &result)
 {
     if (const auto *answer = std::get_if<http_response>(&result))
         return answer->status == 429 ? "turned_away_429" : "turned_away_503";
@@ -46,153 +46,158 @@
 
 } // namespace
 
-row_store::row_store(net::event_loop &loop, net::http_caller &caller, std::string address,
-                     relay_list relays, metrics &numbers, event_log &log)
+store_client::store_client(net::event_loop &loop, net::http_caller &caller, std::string address,
+                           relay_provider relays, metrics &counters, event_log &log)
     : m_loop(loop)
     , m_caller(caller)
     , m_address(std::move(address))
     , m_relays(std::move(relays))
-    , m_metrics(numbers)
+    , m_metrics(counters)
     , m_log(log)
     , m_lastAnswerAt(net::suspendAwareNow())
 { }
 
-duration row_store::timeout() const
+duration store_client::timeout() const
 {
-    const auto late = std::chrono::duration_cast<milliseconds>(
-            std::chrono::duration<double, std::milli>(m_usualMs * LateFactor));
-    return std::clamp(late, ShortestTimeout, LongestTimeout);
+    const auto adaptiveTimeout = std::chrono::duration_cast<milliseconds>(
+            std::chrono::duration<double, std::milli>(m_averageAnswerMs * TimeoutFactor));
+    return std::clamp(adaptiveTimeout, MinTimeout, MaxTimeout);
 }
 
-void row_store::noteAnswer(bool direct, const call_result &result, duration took)
+void store_client::recordAnswer(bool isDirect, const call_result &result, duration answerTime)
 {
-    const bool failed = turnedAway(result);
-    if (failed)
-        m_metrics.count("store_failures_total", wordFor(result));
+    const bool hasFailed = isStoreFailure(result);
+    if (hasFailed)
+        m_metrics.count("store_failures_total", failureName(result));
     const auto now = net::suspendAwareNow();
-    if (direct && failed)
-        m_directFrom = now + AvoidDirect;
-    if (failed) {
+    if (isDirect && hasFailed)
+        m_avoidDirectUntil = now + DirectBackoff;
+    if (hasFailed) {
         // A store that is slow rather than silent is given more time with each late answer.
-        m_usualMs =
-                std::min(m_usualMs * 1.5, static_cast<double>(LongestTimeout.count()) / LateFactor);
-        if (m_reachable && now - m_lastAnswerAt > milliseconds(500)) {
-            m_reachable = false;
-            m_log.note("store_lost", {{"reason", wordFor(result)}});
+        m_averageAnswerMs = std::min(m_averageAnswerMs * 1.5,
+                                     static_cast<double>(MaxTimeout.count()) / TimeoutFactor);
+        if (m_isReachable && now - m_lastAnswerAt > milliseconds(500)) {
+            m_isReachable = false;
+            m_log.note("store_lost", {{"reason", failureName(result)}});
         }
         return;
     }
-    const auto tookMs = std::chrono::duration<double, std::milli>(took).count();
-    m_usualMs += 0.1 * (tookMs - m_usualMs);
+    const auto answerMs = std::chrono::duration<double, std::milli>(answerTime).count();
+    m_averageAnswerMs += 0.1 * (answerMs - m_averageAnswerMs);
     m_lastAnswerAt = now;
-    if (!m_reachable) {
-        m_reachable = true;
-        m_log.note("store_regained", {{"way", direct ? "direct" : "relayed"}});
+    if (!m_isReachable) {
+        m_isReachable = true;
+        m_log.note("store_regained", {{"way", isDirect ? "direct" : "relayed"}});
     }
 }
 
-void row_store::sendTo(const std::string &peer, bool direct, http_request request, duration within,
-                       answer_begun begun, net::http_caller::call_done done)
+void store_client::sendTo(const std::string &peer, bool isDirect, http_request request,
+                          duration callTimeout, answer_begun_callback onAnswerBegun,
+                          net::http_caller::call_done done)
 {
     const auto sentAt = net::suspendAwareNow();
-    const bool waits = within > timeout() + RelayExtra; // a feed's answer time says nothing
+    const bool isLongPoll =
+            callTimeout > timeout() + RelayAllowance; // a feed's answer time says nothing
     // Until the answer begins: how long the rest takes is a matter of its size and of the link.
-    auto took = std::make_shared<duration>(milliseconds(5));
-    net::large_call how{{within, LongestStall, within + WholeAnswer}, LargestAnswer};
-    how.begun = [sentAt, waits, took, begun = std::move(begun)](std::uint64_t bytes) {
-        if (!waits)
-            *took = net::suspendAwareNow() - sentAt;
-        begun(bytes);
+    auto answerTime = std::make_shared<duration>(milliseconds(5));
+    net::large_call limits{{callTimeout, MaxStall, callTimeout + MaxTransferTime}, MaxAnswerBytes};
+    limits.begun = [sentAt, isLongPoll, answerTime,
+                    onAnswerBegun = std::move(onAnswerBegun)](std::uint64_t bytes) {
+        if (!isLongPoll)
+            *answerTime = net::suspendAwareNow() - sentAt;
+        onAnswerBegun(bytes);
     };
-    m_caller.call(peer, std::move(request), std::move(how),
-                  [this, direct, took, done = std::move(done)](call_result result) {
-                      noteAnswer(direct, result, *took);
+    m_caller.call(peer, std::move(request), std::move(limits),
+                  [this, isDirect, answerTime, done = std::move(done)](call_result result) {
+                      recordAnswer(isDirect, result, *answerTime);
                       done(std::move(result));
                   });
 }
 
 // One try, by the way that seems to work.
-void row_store::send(http_request request, duration extra, answer_begun begun,
-                     net::http_caller::call_done done)
+void store_client::send(http_request request, duration extraTimeout,
+                        answer_begun_callback onAnswerBegun, net::http_caller::call_done done)
 {
     const auto relays = m_relays();
-    const bool direct = relays.empty() || net::suspendAwareNow() >= m_directFrom;
-    if (direct)
-        return sendTo(m_address, true, std::move(request), timeout() + extra, std::move(begun),
-                      std::move(done));
+    const bool isDirect = relays.empty() || net::suspendAwareNow() >= m_avoidDirectUntil;
+    if (isDirect)
+        return sendTo(m_address, true, std::move(request), timeout() + extraTimeout,
+                      std::move(onAnswerBegun), std::move(done));
     const auto &peer = relays[m_nextRelay++ % relays.size()];
     m_metrics.count("store_calls_relayed_total", "sent");
     request.target = StoreRelayPath + request.target;
-    sendTo(peer, false, std::move(request), timeout() + extra + RelayExtra, std::move(begun),
-           std::move(done));
+    sendTo(peer, false, std::move(request), timeout() + extraTimeout + RelayAllowance,
+           std::move(onAnswerBegun), std::move(done));
 }
 
-void row_store::commit(row_transaction transaction, commit_done done)
+void store_client::commit(row_transaction transaction, commit_callback done)
 {
-    tryCommit(std::make_shared<row_transaction>(std::move(transaction)), FirstPause,
+    tryCommit(std::make_shared<row_transaction>(std::move(transaction)), InitialBackoff,
               std::move(done));
 }
 
-void row_store::tryCommit(std::shared_ptr<row_transaction> transaction, duration pause,
-                          commit_done done)
+void store_client::tryCommit(std::shared_ptr<row_transaction> transaction, duration backoff,
+                             commit_callback done)
 {
-    send(platform_wire::commitRequest(*transaction), {}, nobodyAsks,
-         [this, transaction, pause, done = std::move(done)](const call_result &result) mutable {
-             const auto written = platform_wire::commitResult(result);
-             if (const auto *yes = std::get_if<committed>(&written))
-                 return done(*yes);
-             if (const auto *no = std::get_if<conflicting>(&written))
-                 return done(*no);
-             m_metrics.count("store_writes_repeated_total", wordFor(result));
-             const auto next = std::min<duration>(pause * 2, LongestPause);
-             m_loop.after(pause, [this, transaction, next, done = std::move(done)]() mutable {
-                 tryCommit(transaction, next, std::move(done));
-             });
+    send(platform_wire::commitRequest(*transaction), {}, ignoreAnswerBegun,
+         [this, transaction, backoff, done = std::move(done)](const call_result &result) mutable {
+             const auto parsed = platform_wire::commitResult(result);
+             if (const auto *success = std::get_if<committed>(&parsed))
+                 return done(*success);
+             if (const auto *conflict = std::get_if<conflicting>(&parsed))
+                 return done(*conflict);
+             m_metrics.count("store_writes_repeated_total", failureName(result));
+             const auto nextBackoff = std::min<duration>(backoff * 2, MaxBackoff);
+             m_loop.after(backoff,
+                          [this, transaction, nextBackoff, done = std::move(done)]() mutable {
+                              tryCommit(transaction, nextBackoff, std::move(done));
+                          });
          });
 }
 
-void row_store::read(const std::string &table, const std::string &part, const std::string &from,
-                     const std::string &to, read_done done)
+void store_client::read(const std::string &table, const std::string &part, const std::string &from,
+                        const std::string &to, read_callback done)
 {
     const auto request = platform_wire::rowsRequest(table, part, from, to);
-    send(request, {}, nobodyAsks,
+    send(request, {}, ignoreAnswerBegun,
          [this, request, done = std::move(done)](const call_result &result) {
              if (auto page = platform_wire::rowsResult(result))
                  return done(std::move(page));
              // Once more, by the other way where there is one.
-             send(request, {}, nobodyAsks,
-                  [done](const call_result &second) { done(platform_wire::rowsResult(second)); });
+             send(request, {}, ignoreAnswerBegun, [done](const call_result &retryResult) {
+                 done(platform_wire::rowsResult(retryResult));
+             });
          });
 }
 
-void row_store::readAll(const std::string &table, const std::string &part, read_done done)
+void store_client::readAll(const std::string &table, const std::string &part, read_callback done)
 {
-    readPages(table, part, "", std::make_shared<row_page>(), std::move(done));
+    readNextPage(table, part, "", std::make_shared<row_page>(), std::move(done));
 }
 
-void row_store::readPages(std::string table, std::string part, std::string from,
-                          std::shared_ptr<row_page> sofar, read_done done)
+void store_client::readNextPage(std::string table, std::string part, std::string from,
+                                std::shared_ptr<row_page> collected, read_callback done)
 {
     read(table, part, from, "",
-         [this, table, part, sofar, done = std::move(done)](std::optional<row_page> page) {
+         [this, table, part, collected, done = std::move(done)](std::optional<row_page> page) {
              if (!page)
                  return done(std::nullopt);
-             if (sofar->version == 0)
-                 sofar->version = page->version;
+             if (collected->version == 0)
+                 collected->version = page->version;
              for (auto &one : page->rows)
-                 sofar->rows.push_back(std::move(one));
-             if (!page->hasMore || sofar->rows.empty())
-                 return done(std::move(*sofar));
+                 collected->rows.push_back(std::move(one));
+             if (!page->hasMore || collected->rows.empty())
+                 return done(std::move(*collected));
              // The first key after the last one that was read.
-             readPages(table, part, sofar->rows.back().name.key + std::string(1, '\x01'), sofar,
-                       done);
+             readNextPage(table, part, collected->rows.back().name.key + std::string(1, '\x01'),
+                          collected, done);
          });
 }
 
-void row_store::feed(const std::string &table, std::int64_t after, milliseconds wait,
-                     answer_begun begun, feed_done done)
+void store_client::pollFeed(const std::string &table, std::int64_t after, milliseconds wait,
+                            answer_begun_callback onAnswerBegun, feed_callback done)
 {
-    send(platform_wire::feedRequest(table, after, wait.count()), wait, std::move(begun),
+    send(platform_wire::feedRequest(table, after, wait.count()), wait, std::move(onAnswerBegun),
          [done = std::move(done)](const call_result &result) {
              const auto *failure = std::get_if<call_failure>(&result);
              if (failure != nullptr && *failure == call_failure::TooLarge)
@@ -201,21 +206,21 @@
          });
 }
 
-void row_store::relay(http_request request, std::function<void(http_response)> respond)
+void store_client::relay(http_request request, std::function<void(http_response)> respond)
 {
     request.target = request.target.substr(std::string(StoreRelayPath).size());
     request.headers.clear();
     m_metrics.count("store_calls_relayed_total", "carried");
     // As long as any caller waits: a feed holds its answer for up to a second.
-    sendTo(m_address, true, std::move(request), LongestTimeout + milliseconds(1000), nobodyAsks,
+    sendTo(m_address, true, std::move(request), MaxTimeout + milliseconds(1000), ignoreAnswerBegun,
            [respond = std::move(respond)](call_result result) {
                if (auto *answer = std::get_if<http_response>(&result)) {
                    answer->headers.clear();
                    return respond(std::move(*answer));
                }
                // 503 says that nothing was done, 502 that it may have been.
-               const bool sent = mayHaveArrived(std::get<call_failure>(result));
-               respond({sent ? 502 : 503, {}, ""});
+               const bool mayHaveExecuted = mayHaveArrived(std::get<call_failure>(result));
+               respond({mayHaveExecuted ? 502 : 503, {}, ""});
            });
 }
 
--- a/app/table_follower.cpp
+++ b/app/table_follower.cpp
@@ -7,77 +7,78 @@
 
 namespace {
 
-constexpr milliseconds FeedWait{1000}; // a feed that went silent is noticed soon after
-constexpr milliseconds Retry{200};     // a store that was slow for a moment answers by then
+constexpr milliseconds FeedPollWait{1000}; // a feed that went silent is noticed soon after
+constexpr milliseconds RetryDelay{200};    // a store that was slow for a moment answers by then
 
 } // namespace
 
-table_follower::table_follower(net::event_loop &loop, row_store &store, event_log &log,
-                               followed_table what, take_rows take, all_read complete,
-                               heed_progress progress)
+table_follower::table_follower(net::event_loop &loop, store_client &store, event_log &log,
+                               followed_table followed, rows_callback onRows,
+                               complete_callback onComplete, progress_callback onProgress)
     : m_loop(loop)
     , m_store(store)
     , m_log(log)
-    , m_what(std::move(what))
-    , m_take(std::move(take))
-    , m_complete(std::move(complete))
-    , m_progress(std::move(progress))
+    , m_followed(std::move(followed))
+    , m_onRows(std::move(onRows))
+    , m_onComplete(std::move(onComplete))
+    , m_onProgress(std::move(onProgress))
 { }
 
 // All parts at once; changes since the first reading come with the feed.
 void table_follower::start()
 {
-    auto all = std::make_shared<reading>();
-    all->left = m_what.parts.size();
-    all->askedAt = net::suspendAwareNow();
-    for (const auto &part : m_what.parts) {
-        m_store.readAll(m_what.table, part, [this, all](const std::optional<jobs::row_page> &page) {
-            partRead(*all, page);
-        });
+    auto readState = std::make_shared<full_read>();
+    readState->pendingParts = m_followed.parts.size();
+    readState->requestedAt = net::suspendAwareNow();
+    for (const auto &part : m_followed.parts) {
+        m_store.readAll(m_followed.table, part,
+                        [this, readState](const std::optional<jobs::row_page> &page) {
+                            handlePart(*readState, page);
+                        });
     }
 }
 
-void table_follower::partRead(reading &all, const std::optional<jobs::row_page> &page)
+void table_follower::handlePart(full_read &readState, const std::optional<jobs::row_page> &page)
 {
     if (page) {
-        m_take(page->rows);
-        if (all.from == 0 || page->version < all.from)
-            all.from = page->version;
+        m_onRows(page->rows);
+        if (readState.oldestVersion == 0 || page->version < readState.oldestVersion)
+            readState.oldestVersion = page->version;
     }
-    all.failed = all.failed || !page;
-    if (--all.left > 0)
+    readState.hasFailed = readState.hasFailed || !page;
+    if (--readState.pendingParts > 0)
         return;
-    if (all.failed)
-        return m_loop.after(Retry, [this] { start(); });
-    m_complete();
-    m_progress(all_changes_taken{all.askedAt});
-    feed(all.from);
+    if (readState.hasFailed)
+        return m_loop.after(RetryDelay, [this] { start(); });
+    m_onComplete();
+    m_onProgress(all_changes_applied{readState.requestedAt});
+    pollFeed(readState.oldestVersion);
 }
 
-void table_follower::feed(std::int64_t after)
+void table_follower::pollFeed(std::int64_t after)
 {
-    m_store.feed(
-            m_what.table, after, FeedWait,
-            [this](std::uint64_t bytes) { m_progress(feed_answer_begun{bytes}); },
+    m_store.pollFeed(
+            m_followed.table, after, FeedPollWait,
+            [this](std::uint64_t bytes) { m_onProgress(feed_answer_begun{bytes}); },
             [this, after,
-             askedAt = net::suspendAwareNow()](const std::optional<jobs::feed_page> &page) {
+             requestedAt = net::suspendAwareNow()](const std::optional<jobs::feed_page> &page) {
                 if (!page)
-                    return m_loop.after(Retry, [this, after] { feed(after); });
-                takeFeed(*page, askedAt);
+                    return m_loop.after(RetryDelay, [this, after] { pollFeed(after); });
+                handleFeedPage(*page, requestedAt);
             });
 }
 
-void table_follower::takeFeed(const jobs::feed_page &page, time_point askedAt)
+void table_follower::handleFeedPage(const jobs::feed_page &page, time_point requestedAt)
 {
     if (page.historyExpired) {
-        m_log.note("history_gone", {{"table", m_what.table}});
+        m_log.note("history_gone", {{"table", m_followed.table}});
         return start();
     }
-    m_take(page.rows);
-    m_progress(all_changes_taken{askedAt});
-    if (m_what.pause == milliseconds(0))
-        return feed(page.version);
-    m_loop.after(m_what.pause, [this, next = page.version] { feed(next); });
+    m_onRows(page.rows);
+    m_onProgress(all_changes_applied{requestedAt});
+    if (m_followed.batchDelay == milliseconds(0))
+        return pollFeed(page.version);
+    m_loop.after(m_followed.batchDelay, [this, next = page.version] { pollFeed(next); });
 }
 
 } // namespace zinniabarrow
--- a/app/table_follower.h
+++ b/app/table_follower.h
@@ -21,7 +21,7 @@
 {
     std::string table;
     std::vector<std::string> parts{""};
-    milliseconds pause{0}; // after each answer with changes: joins many into the next one
+    milliseconds batchDelay{0}; // after each answer with changes: joins many into the next one
 };
 
 // How the following goes on, for those who have to know whether they are behind.
@@ -29,49 +29,49 @@
 {
     std::uint64_t bytes = 0;
 };
-struct all_changes_taken // all that had changed before it was asked for is known
+struct all_changes_applied // all that had changed before it was asked for is known
 {
-    time_point askedAt{};
+    time_point requestedAt{};
 };
-using follow_progress = std::variant<feed_answer_begun, all_changes_taken>;
+using follow_progress = std::variant<feed_answer_begun, all_changes_applied>;
 
 class table_follower
 {
 public:
-    using heed_progress = std::function<void(const follow_progress &)>;
-    using take_rows = std::function<void(const std::vector<jobs::row> &)>;
-    using all_read = std::function<void()>;
+    using progress_callback = std::function<void(const follow_progress &)>;
+    using rows_callback = std::function<void(const std::vector<jobs::row> &)>;
+    using complete_callback = std::function<void()>;
 
     // `take` gets rows as they are read and changed, in no particular order between readings:
     // versions tell. `complete` is called after each reading of the whole table.
     table_follower(
-            net::event_loop &loop, row_store &store, event_log &log, followed_table what,
-            take_rows take, all_read complete = [] {},
-            heed_progress progress = [](const follow_progress &) {});
+            net::event_loop &loop, store_client &store, event_log &log, followed_table followed,
+            rows_callback onRows, complete_callback onComplete = [] {},
+            progress_callback onProgress = [](const follow_progress &) {});
 
     void start();
 
 private:
     // One reading of all parts.
-    struct reading
+    struct full_read
     {
-        std::size_t left = 0;  // parts without an answer
-        std::int64_t from = 0; // the oldest version that a part was read at
-        time_point askedAt{};
-        bool failed = false;
+        std::size_t pendingParts = 0;   // parts without an answer
+        std::int64_t oldestVersion = 0; // the oldest version that a part was read at
+        time_point requestedAt{};
+        bool hasFailed = false;
     };
 
-    void partRead(reading &all, const std::optional<jobs::row_page> &page);
-    void feed(std::int64_t after);
-    void takeFeed(const jobs::feed_page &page, time_point askedAt);
+    void handlePart(full_read &readState, const std::optional<jobs::row_page> &page);
+    void pollFeed(std::int64_t after);
+    void handleFeedPage(const jobs::feed_page &page, time_point requestedAt);
 
     net::event_loop &m_loop;
-    row_store &m_store;
+    store_client &m_store;
     event_log &m_log;
-    followed_table m_what;
-    take_rows m_take;
-    all_read m_complete;
-    heed_progress m_progress;
+    followed_table m_followed;
+    rows_callback m_onRows;
+    complete_callback m_onComplete;
+    progress_callback m_onProgress;
 };
 
 } // namespace zinniabarrow
--- a/app/worker_calls.cpp
+++ b/app/worker_calls.cpp
@@ -14,26 +14,26 @@
 namespace {
 
 constexpr milliseconds CallTimeout{1000};
-constexpr milliseconds StartTakes{200};  // a worker starts a task within a few ms
-constexpr milliseconds SampleEvery{500}; // what the worker tells covers half a second
+constexpr milliseconds StartAllowance{200}; // a worker starts a task within a few ms
+constexpr milliseconds SampleInterval{500}; // what the worker tells covers half a second
 
 } // namespace
 
-worker_calls::worker_calls(const worker_calls_parts &parts, hooks callbacks)
-    : m_address(parts.address)
-    , m_caller(parts.caller)
-    , m_keeper(parts.keeper)
-    , m_worker(parts.worker)
-    , m_clock(parts.clock)
-    , m_silence(parts.silence)
-    , m_table(parts.table)
-    , m_pacer(parts.pacer)
-    , m_metrics(parts.numbers)
-    , m_log(parts.log)
+worker_calls::worker_calls(const worker_calls_dependencies &dependencies, hooks callbacks)
+    : m_address(dependencies.address)
+    , m_caller(dependencies.caller)
+    , m_leaseKeeper(dependencies.leaseKeeper)
+    , m_worker(dependencies.worker)
+    , m_clock(dependencies.clock)
+    , m_silence(dependencies.silence)
+    , m_runTable(dependencies.runTable)
+    , m_pacer(dependencies.pacer)
+    , m_metrics(dependencies.counters)
+    , m_log(dependencies.log)
     , m_hooks(std::move(callbacks))
 { }
 
-void worker_calls::carryOut(const start_run &start)
+void worker_calls::execute(const start_run &start)
 {
     // Read here and not before: a process that was frozen since would start on a lease that
     // has run out, while the task runs elsewhere. Frozen after this line, the call's own
@@ -41,18 +41,19 @@
     const auto now = suspendAwareNow();
     if (now >= std::min(lease().validUntil(), start.callDeadline))
         return;
-    const auto until = std::min<time_point>(lease().validUntil(), start.callDeadline + StartTakes);
-    const auto deadline = m_clock.at(until);
+    const auto until =
+            std::min<time_point>(lease().validUntil(), start.callDeadline + StartAllowance);
+    const auto deadline = m_clock.millisecondsAt(until);
     m_silence.noteHold(until);
-    m_table.startCalled(start.task, start.run, deadline);
+    m_runTable.startCalled(start.task, start.run, deadline);
     m_caller.call(
             m_address, platform_wire::startRequest(m_worker.id(), start, deadline, lease().fence()),
             CallTimeout, [this, task = start.task, run = start.run](const call_result &result) {
-                started(task, run, result);
+                handleStartResult(task, run, result);
             });
 }
 
-void worker_calls::started(const task_id &task, int run, const call_result &result)
+void worker_calls::handleStartResult(const task_id &task, int run, const call_result &result)
 {
     const auto answer = platform_wire::startResult(result);
     if (answer != start_answer::Started) {
@@ -64,11 +65,11 @@
                                            {"status", response ? response->status : 0},
                                            {"answer", response ? response->body : "none"}});
     }
-    m_table.startAnswered(task, run, answer, suspendAwareNow());
-    m_hooks.changed();
+    m_runTable.startAnswered(task, run, answer, suspendAwareNow());
+    m_hooks.tableChanged();
 }
 
-void worker_calls::carryOut(const stop_run &stop)
+void worker_calls::execute(const stop_run &stop)
 {
     m_caller.call(m_address, platform_wire::stopRequest(m_worker.id(), stop, lease().fence()),
                   CallTimeout, [this](const call_result &result) {
@@ -77,13 +78,13 @@
                   });
 }
 
-void worker_calls::pace(time_point now)
+void worker_calls::adjustSpeeds(time_point now)
 {
-    const auto serving = m_table.servingSamples();
-    const auto filling = m_table.bestEffortRuns();
-    if (now >= m_sampleFrom) {
-        m_sampleFrom = now + SampleEvery;
-        m_hooks.measured(m_pacer.takeSamples(serving, filling));
+    const auto serving = m_runTable.servingSamples();
+    const auto filling = m_runTable.bestEffortRuns();
+    if (now >= m_nextSampleAt) {
+        m_nextSampleAt = now + SampleInterval;
+        m_hooks.samplesTaken(m_pacer.takeSamples(serving, filling));
     }
     const auto changes = m_pacer.decide(serving, filling, now);
     for (const auto &change : changes) {
--- a/app/worker_calls.h
+++ b/app/worker_calls.h
@@ -19,17 +19,17 @@
 namespace zinniabarrow {
 
 // What an agent consists of, as far as these calls need it; all of it outlives them.
-struct worker_calls_parts
+struct worker_calls_dependencies
 {
     const std::string &address; // of the worker, "ip:port"
     net::http_caller &caller;
-    const lease_keeper &keeper;
+    const lease_keeper &leaseKeeper;
     const worker_presence &worker;
     const worker_clock &clock;
     jobs::worker_liveness &silence;
-    jobs::run_table &table;
+    jobs::run_table &runTable;
     jobs::throttle_controller &pacer;
-    metrics &numbers;
+    metrics &counters;
     event_log &log;
 };
 
@@ -38,33 +38,33 @@
 public:
     struct hooks
     {
-        std::function<void()> changed; // the table may have actions that are due
-        std::function<void(std::vector<jobs::interference_sample>)> measured;
+        std::function<void()> tableChanged; // the table may have actions that are due
+        std::function<void(std::vector<jobs::interference_sample>)> samplesTaken;
     };
 
-    worker_calls(const worker_calls_parts &parts, hooks callbacks);
+    worker_calls(const worker_calls_dependencies &dependencies, hooks callbacks);
 
-    void carryOut(const jobs::start_run &start);
-    void carryOut(const jobs::stop_run &stop);
-    void pace(time_point now); // after each look at the worker
+    void execute(const jobs::start_run &start);
+    void execute(const jobs::stop_run &stop);
+    void adjustSpeeds(time_point now); // after each look at the worker
 
 private:
-    void started(const jobs::task_id &task, int run, const call_result &result);
+    void handleStartResult(const jobs::task_id &task, int run, const call_result &result);
 
-    const jobs::worker_lease &lease() const { return m_keeper.lease(); }
+    const jobs::worker_lease &lease() const { return m_leaseKeeper.lease(); }
 
     const std::string &m_address;
     net::http_caller &m_caller;
-    const lease_keeper &m_keeper;
+    const lease_keeper &m_leaseKeeper;
     const worker_presence &m_worker;
     const worker_clock &m_clock;
     jobs::worker_liveness &m_silence;
-    jobs::run_table &m_table;
+    jobs::run_table &m_runTable;
     jobs::throttle_controller &m_pacer;
     metrics &m_metrics;
     event_log &m_log;
     hooks m_hooks;
-    time_point m_sampleFrom{};
+    time_point m_nextSampleAt{};
 };
 
 } // namespace zinniabarrow
--- a/app/worker_clock.h
+++ b/app/worker_clock.h
@@ -10,16 +10,19 @@
 class worker_clock
 {
 public:
-    void read(std::int64_t clockMs, time_point at)
+    void setReading(std::int64_t clockMs, time_point readAt)
     {
         m_clockMs = clockMs;
-        m_readAt = at;
+        m_readAt = readAt;
     }
-    void forget() { m_clockMs = 0; }
+    void reset() { m_clockMs = 0; }
 
     bool isKnown() const { return m_clockMs > 0; }
     // What it shows then, in ms; means something only while it is known.
-    std::int64_t at(time_point time) const { return m_clockMs + millisecondsIn(time - m_readAt); }
+    std::int64_t millisecondsAt(time_point time) const
+    {
+        return m_clockMs + millisecondsIn(time - m_readAt);
+    }
 
 private:
     std::int64_t m_clockMs = 0;
--- a/tests/entry_directory_test.cpp
+++ b/tests/entry_directory_test.cpp
@@ -17,8 +17,8 @@
 {
     entry_directory directory("entry-self", Now);
     for (const std::string name : {"entry-a", "entry-b", "entry-c", "entry-d"}) {
-        directory.seen(name, {1, name + ":1", name + ":2"});
-        directory.heard(name, 1, false, Now);
+        directory.updateRow(name, {1, name + ":1", name + ":2"});
+        directory.recordHeartbeat(name, 1, false, Now);
     }
     return directory;
 }
@@ -33,18 +33,18 @@
     section("each request has its own order, and each entry is first for some", [&] {
         std::set<std::string> first;
         for (int number = 0; number < 40; ++number) {
-            const auto order = directory.livingFor("/holds/" + std::to_string(number), Now);
+            const auto order = directory.liveEntriesFor("/holds/" + std::to_string(number), Now);
             check(order.size() == 4);
             first.insert(order.front());
         }
         check(first.size() == 4);
     });
     section("one that leaves, or is silent, is none of them", [&] {
-        directory.heard("entry-a", 1, true, Now);
-        const auto later = Now + entry_directory::SilentAfter;
-        directory.heard("entry-b", 1, false, later);
-        check(directory.livingFor("/holds/1", Now).size() == 3);
-        check(directory.livingFor("/holds/1", later) == std::vector<std::string>{"entry-b"});
+        directory.recordHeartbeat("entry-a", 1, true, Now);
+        const auto later = Now + entry_directory::HeartbeatTimeout;
+        directory.recordHeartbeat("entry-b", 1, false, later);
+        check(directory.liveEntriesFor("/holds/1", Now).size() == 3);
+        check(directory.liveEntriesFor("/holds/1", later) == std::vector<std::string>{"entry-b"});
     });
     section("this entry is none of them, but may place what one entry places", [&] {
         std::set<std::string> placers;
--- a/tests/job_platform_test.cpp
+++ b/tests/job_platform_test.cpp
@@ -198,12 +198,12 @@
 Test(job_platform, a_worker_and_its_agent_are_gone)
 {
     constexpr std::int64_t RenewedMs = 5'000'000; // store's clock
-    constexpr milliseconds NoticedAtMost{3700};   // three reports missed, then the next turn
-    constexpr milliseconds StartsWithin{300};     // a write, a placement and its order
+    constexpr milliseconds MaxNoticeTime{3700};   // three reports missed, then the next turn
+    constexpr milliseconds MaxStartTime{300};     // a write, a placement and its order
     const time_point renewed{std::chrono::hours(1)};
     const lease_row row{4, 7, 12, "17", false, "w:7:12", RenewedMs + LeaseDuration.count()};
     lease_expiry_detector watch;
-    auto now = renewed + NoticedAtMost;
+    auto now = renewed + MaxNoticeTime;
     int looks = 0;
     for (;; ++looks) {
         const auto storeMs = RenewedMs + (now - renewed) / milliseconds(1);
@@ -213,7 +213,7 @@
         require(verdict.checkAgainAt > now);
         now = verdict.checkAgainAt;
     }
-    check(now + StartsWithin < renewed + TaskLostAfter);
+    check(now + MaxStartTime < renewed + TaskLostAfter);
     check(looks <= 5);
 }
 
@@ -256,22 +256,23 @@
     entry_directory atA("a", start);
     entry_directory atB("b", start);
     const owner_id dead{"c", 1};
-    atA.seen("b", {1, "10.0.0.2:1", "10.0.0.2:2"});
-    atB.seen("a", {1, "10.0.0.1:1", "10.0.0.1:2"});
-    check(!atA.heirOf("j", dead, {"a", 1}, start + milliseconds(500)));
+    atA.updateRow("b", {1, "10.0.0.2:1", "10.0.0.2:2"});
+    atB.updateRow("a", {1, "10.0.0.1:1", "10.0.0.1:2"});
+    check(!atA.successorOf("j", dead, {"a", 1}, start + milliseconds(500)));
     const auto now = start + milliseconds(3000);
-    atA.heard("b", 1, false, now);
-    atB.heard("a", 1, false, now);
+    atA.recordHeartbeat("b", 1, false, now);
+    atB.recordHeartbeat("a", 1, false, now);
     for (const std::string job : {"j1", "j2", "j3", "j4"})
-        check(atA.heirOf(job, dead, {"a", 1}, now) == atB.heirOf(job, dead, {"b", 1}, now));
+        check(atA.successorOf(job, dead, {"a", 1}, now)
+              == atB.successorOf(job, dead, {"b", 1}, now));
     section("an entry takes back what its earlier life owned", [&] {
-        check(atA.heirOf("j", {"a", 1}, {"a", 2}, now) == "a");
-        check(!atA.heirOf("j", {"a", 2}, {"a", 2}, now));
+        check(atA.successorOf("j", {"a", 1}, {"a", 2}, now) == "a");
+        check(!atA.successorOf("j", {"a", 2}, {"a", 2}, now));
     });
     section("what a leaving entry owns goes to others at once", [&] {
-        check(!atA.heirOf("j", {"b", 1}, {"a", 1}, now));
-        atA.heard("b", 1, true, now);
-        check(atA.heirOf("j", {"b", 1}, {"a", 1}, now) == "a");
+        check(!atA.successorOf("j", {"b", 1}, {"a", 1}, now));
+        atA.recordHeartbeat("b", 1, true, now);
+        check(atA.successorOf("j", {"b", 1}, {"a", 1}, now) == "a");
     });
 }
 
@@ -281,14 +282,14 @@
     const time_point now{std::chrono::hours(1)};
     entry_directory atA("a", now);
     entry_directory atB("b", now);
-    atA.seen("b", {1, "10.0.0.2:1", "10.0.0.2:2"});
-    atB.seen("a", {1, "10.0.0.1:1", "10.0.0.1:2"});
+    atA.updateRow("b", {1, "10.0.0.2:1", "10.0.0.2:2"});
+    atB.updateRow("a", {1, "10.0.0.1:1", "10.0.0.1:2"});
     check(atA.placerOf("tickets", now) == "a"); // nothing was heard of b yet
-    atA.heard("b", 1, false, now);
-    atB.heard("a", 1, false, now);
+    atA.recordHeartbeat("b", 1, false, now);
+    atB.recordHeartbeat("a", 1, false, now);
     const auto placer = atA.placerOf("tickets", now);
     check(placer == atB.placerOf("tickets", now));
-    const auto later = now + entry_directory::SilentAfter;
+    const auto later = now + entry_directory::HeartbeatTimeout;
     check((placer == "a" ? atB : atA).placerOf("tickets", later) != placer);
 }
 
@@ -349,14 +350,14 @@
 {
     net::event_loop loop;
     std::string heard;
-    bool wentOn = false;
+    bool hasContinued = false;
     loop.post([] { throw error(error_kind::BadRequest, "unforeseen"); });
     loop.post([&] {
-        wentOn = true;
+        hasContinued = true;
         loop.stop();
     });
     loop.run([&](const std::exception &problem) { heard = problem.what(); });
-    check(wentOn);
+    check(hasContinued);
     check(heard.find("unforeseen") != std::string::npos);
 }
 
--- a/tests/job_system.h
+++ b/tests/job_system.h
@@ -23,7 +23,7 @@
 using standins::job_site;
 using standins::waitUntil;
 
-inline constexpr milliseconds SoonEnough{
+inline constexpr milliseconds WaitLimit{
         45'000}; // a bound on waits for conditions, not a measurement
 inline constexpr int InternalPort = 7720;
 inline constexpr int CallersPort = 8161;
@@ -31,17 +31,17 @@
 inline constexpr int WorkersPort = 8166;
 
 // Addresses of the loopback network of this test process alone, so that fixed ports are free.
-inline std::string address(int number)
+inline std::string hostAddress(int number)
 {
     const int pid = getpid();
     return fmt::format("127.{}.{}.{}", 64 + (pid >> 14) % 64, (pid >> 7) % 128,
                        (pid % 128) + 128 * (number % 2));
 }
 
-inline std::string at(int process, int port)
+inline std::string processAddress(int process, int port)
 {
     // Two hosts, and a range of ports for each process on them.
-    return fmt::format("{}:{}", address(process), port + 20 * (process / 2));
+    return fmt::format("{}:{}", hostAddress(process), port + 20 * (process / 2));
 }
 
 class system_under_test
@@ -49,9 +49,10 @@
 public:
     system_under_test()
         : m_scratch(std::filesystem::temp_directory_path() / fmt::format("zb-jobs-{}", getpid()))
-        , m_site({parseAddress(at(0, 9000)),
-                  {parseAddress(at(0, 9001)), parseAddress(at(0, 9002))},
-                  {parseAddress(at(4, WorkersPort)), parseAddress(at(5, WorkersPort))}})
+        , m_site({parseAddress(processAddress(0, 9000)),
+                  {parseAddress(processAddress(0, 9001)), parseAddress(processAddress(0, 9002))},
+                  {parseAddress(processAddress(4, WorkersPort)),
+                   parseAddress(processAddress(5, WorkersPort))}})
     {
         std::filesystem::create_directories(m_scratch);
         putConfiguration(7);
@@ -60,7 +61,7 @@
             startAgent(index);
         }
         for (int index = 0; index < 2; ++index)
-            require(waitUntil([&] { return isReady(index); }, SoonEnough));
+            require(waitUntil([&] { return isReady(index); }, WaitLimit));
     }
 
     ~system_under_test()
@@ -79,8 +80,9 @@
         start(fmt::format("entry-{}", index), "job-entry",
               fmt::format(R"({{"id":"entry-{}","zone":"z","callers":"{}","ready":"{}",)"
                           R"("internal":"{}","store":"{}"}})",
-                          index, at(process, CallersPort), at(process, ReadyPort),
-                          at(process, InternalPort), at(0, 9000)));
+                          index, processAddress(process, CallersPort),
+                          processAddress(process, ReadyPort), processAddress(process, InternalPort),
+                          processAddress(0, 9000)));
     }
 
     void startAgent(int index)
@@ -90,14 +92,24 @@
               fmt::format(R"({{"id":"agent-{}","zone":"z","workers":"{}","internal":"{}",)"
                           R"("worker":"{}","service":"tickets","stop_within_ms":100,)"
                           R"("store":"{}"}})",
-                          index, at(process, WorkersPort), at(process, InternalPort),
-                          at(0, 9001 + index), at(0, 9000)));
+                          index, processAddress(process, WorkersPort),
+                          processAddress(process, InternalPort), processAddress(0, 9001 + index),
+                          processAddress(0, 9000)));
     }
 
-    std::string callersAddress(int entry) const { return at(2 + entry, CallersPort); }
-    std::string entryInternalAddress(int entry) const { return at(2 + entry, InternalPort); }
-    std::string agentInternalAddress(int agent) const { return at(4 + agent, InternalPort); }
-    std::string agentWorkersAddress(int agent) const { return at(4 + agent, WorkersPort); }
+    std::string callersAddress(int entry) const { return processAddress(2 + entry, CallersPort); }
+    std::string entryInternalAddress(int entry) const
+    {
+        return processAddress(2 + entry, InternalPort);
+    }
+    std::string agentInternalAddress(int agent) const
+    {
+        return processAddress(4 + agent, InternalPort);
+    }
+    std::string agentWorkersAddress(int agent) const
+    {
+        return processAddress(4 + agent, WorkersPort);
+    }
 
     std::optional<http_response> call(int entry, const std::string &method, const std::string &job,
                                       const std::string &body = "")
@@ -106,14 +118,14 @@
         request.method = method;
         request.target = "/holds/" + job;
         request.body = body;
-        http_pool pool(parseAddress(at(2 + entry, CallersPort)));
+        http_pool pool(parseAddress(processAddress(2 + entry, CallersPort)));
         const auto result = pool.call(request, monotonic_clock::now() + seconds(4));
         const auto *answer = std::get_if<http_response>(&result);
         return answer == nullptr ? std::nullopt : std::optional(*answer);
     }
 
     // Hands the job in until it is accepted, as a caller does.
-    bool handIn(int entry, const std::string &job)
+    bool submit(int entry, const std::string &job)
     {
         const std::string body =
                 R"({"spec":"seat","steps":[{"count":4,"cpu":1000,"mem-mb":100,"estimate-ms":300},)"
@@ -123,11 +135,11 @@
                     const auto answer = call(entry, "POST", job, body);
                     return answer && answer->status == 200;
                 },
-                SoonEnough);
+                WaitLimit);
     }
 
     // A service: tasks that run until their job is cancelled, and run again however they end.
-    bool handInService(int entry, const std::string &job)
+    bool submitService(int entry, const std::string &job)
     {
         const auto answer = call(entry, "POST", job,
                                  R"({"spec":"","steps":[{"count":2,"cpu":1000,"mem-mb":100,)"
@@ -136,51 +148,54 @@
     }
 
     // The worker where a service's two tasks run, or most of them.
-    struct serving_worker
+    struct service_placement
     {
         int worker = 0;
-        int runs = 0;           // that run there
+        int runCount = 0;       // that run there
         std::int64_t epoch = 0; // of its lease
         std::string lease;
     };
-    serving_worker serve(const std::string &job)
+    service_placement startService(const std::string &job)
     {
         site().workLasts(milliseconds(600'000));
-        require(handInService(0, job));
-        require(waitUntil([&] { return site().starts() == 2; }, SoonEnough));
+        require(submitService(0, job));
+        require(waitUntil([&] { return site().starts() == 2; }, WaitLimit));
         const auto worker = site().busiestWorker();
         const auto lease = fmt::format("agent-{}", worker);
         return {static_cast<int>(worker), site().runsOn(worker), site().leaseEpoch(lease), lease};
     }
 
     // It leaves at the moment at which its lease is renewed.
-    serving_worker leaveDuringRenewal(const std::string &job)
+    service_placement departDuringRenewal(const std::string &job)
     {
-        const auto left = serve(job);
-        site().departAtRenewal(static_cast<std::size_t>(left.worker), left.lease);
-        return left;
+        const auto placement = startService(job);
+        site().departAtRenewal(static_cast<std::size_t>(placement.worker), placement.lease);
+        return placement;
     }
 
-    bool agentSaid(int index, const std::string &event) { return said("agent", index, event); }
+    bool hasAgentLogged(int index, const std::string &event)
+    {
+        return hasLogged("agent", index, event);
+    }
 
-    bool said(const std::string &role, int index, const std::string &event)
+    bool hasLogged(const std::string &role, int index, const std::string &event)
     {
-        return wrote(role, index, fmt::format(R"("event":"{}")", event));
+        return logContains(role, index, fmt::format(R"("event":"{}")", event));
     }
 
     // The order of events that the tests of a departure are about did come about.
-    bool agentFoundItGoneDuringAWrite(int index)
+    bool hasAgentLoggedDepartureDuringWrite(int index)
     {
-        return wrote("agent", index, R"("lease_write_out":"yes","lease":)");
+        return logContains("agent", index, R"("lease_write_out":"yes","lease":)");
     }
 
-    bool wrote(const std::string &role, int index, const std::string &words)
+    bool logContains(const std::string &role, int index, const std::string &fragment)
     {
-        return written(role, index).find(words) != std::string::npos;
+        return logText(role, index).find(fragment) != std::string::npos;
     }
 
     // All that its lives have written, from a place on.
-    std::string written(const std::string &role, int index, std::size_t from = 0)
+    std::string logText(const std::string &role, int index, std::size_t from = 0)
     {
         std::ifstream lines(m_processes.at(fmt::format("{}-{}", role, index))->outFile());
         lines.seekg(static_cast<std::streamoff>(from));
@@ -190,7 +205,7 @@
     const std::filesystem::path &scratch() const { return m_scratch; }
 
     // It has passed a call of the store on.
-    bool agentRelays(int agent)
+    bool hasAgentRelayed(int agent)
     {
         http_request request;
         request.target = "/metrics";
@@ -200,40 +215,40 @@
         return answer != nullptr && answer->body.find(R"("carried")") != std::string::npos;
     }
 
-    bool reaches(int entry, const std::string &job, const std::string &state)
+    bool reachesState(int entry, const std::string &job, const std::string &state)
     {
         return waitUntil(
                 [&] {
                     const auto answer = call(entry, "GET", job);
                     return answer && answer->body.find(state) != std::string::npos;
                 },
-                SoonEnough);
+                WaitLimit);
     }
 
     bool isReady(int entry)
     {
         http_request request;
         request.target = "/-/ready";
-        http_pool pool(parseAddress(at(2 + entry, ReadyPort)));
+        http_pool pool(parseAddress(processAddress(2 + entry, ReadyPort)));
         const auto result = pool.call(request, monotonic_clock::now() + seconds(1));
         const auto *answer = std::get_if<http_response>(&result);
         return answer != nullptr && answer->status == 200;
     }
 
     // Entry 1 tells entry 0 by which version it works.
-    void tellOfConfiguration(int version)
+    void announceConfiguration(int version)
     {
-        Json::Value told(Json::objectValue);
-        told["entry"] = "entry-1";
-        told["row"] = fmt::format(R"({{"incarnation":1,"internal":"{}","callers":"{}"}})",
-                                  at(3, InternalPort), at(3, CallersPort));
-        told["leaving"] = false;
-        told["configuration"] = version;
+        Json::Value ping(Json::objectValue);
+        ping["entry"] = "entry-1";
+        ping["row"] = fmt::format(R"({{"incarnation":1,"internal":"{}","callers":"{}"}})",
+                                  processAddress(3, InternalPort), processAddress(3, CallersPort));
+        ping["leaving"] = false;
+        ping["configuration"] = version;
         http_request request;
         request.method = "POST";
         request.target = "/v1/ping";
-        request.body = compactJson(told);
-        http_pool pool(parseAddress(at(2, InternalPort)));
+        request.body = compactJson(ping);
+        http_pool pool(parseAddress(processAddress(2, InternalPort)));
         pool.call(request, monotonic_clock::now() + seconds(5));
     }
 
@@ -244,27 +259,27 @@
         for (const int process : {2, 3}) {
             routes += fmt::format(R"({}{{"name":"r{}","host":"{}","prefix":"/holds/",)"
                                   R"("service":"tickets","max-attempts":2,"stretch":1.5}})",
-                                  routes.empty() ? "" : ",", process, address(process));
+                                  routes.empty() ? "" : ",", process, hostAddress(process));
         }
         const auto text = fmt::format(R"({{"version":{},"routes":[{}]}})", version, routes);
-        auto row = operatorsRow("config");
+        auto row = operatorRow("config");
         row["value"] = base64(text);
         writeAsOperator("set-keys", row);
     }
 
-    void emptyZone(const std::string &zone)
+    void evacuateZone(const std::string &zone)
     {
-        auto row = operatorsRow("evacuate/" + zone);
+        auto row = operatorRow("evacuate/" + zone);
         row["value"] = base64("{}");
         writeAsOperator("set-keys", row);
     }
-    void takeZoneBack(const std::string &zone)
+    void restoreZone(const std::string &zone)
     {
-        writeAsOperator("remove", operatorsRow("evacuate/" + zone));
+        writeAsOperator("remove", operatorRow("evacuate/" + zone));
     }
 
 private:
-    static Json::Value operatorsRow(const std::string &key)
+    static Json::Value operatorRow(const std::string &key)
     {
         Json::Value row(Json::objectValue);
         row["table"] = "op";
@@ -273,15 +288,15 @@
         return row;
     }
 
-    static void writeAsOperator(const char *how, const Json::Value &row)
+    static void writeAsOperator(const char *operation, const Json::Value &row)
     {
         http_request request;
         request.method = "POST";
         request.target = "/-/rows-tx";
         Json::Value body(Json::objectValue);
-        body[how].append(row);
+        body[operation].append(row);
         request.body = compactJson(body);
-        http_pool pool(parseAddress(at(0, 9000)));
+        http_pool pool(parseAddress(processAddress(0, 9000)));
         pool.call(request, monotonic_clock::now() + seconds(5));
     }
 
@@ -319,7 +334,7 @@
     std::map<std::string, std::unique_ptr<child_process>> m_processes;
 };
 
-inline void checkNothingWrong(const system_under_test &, const job_site &site)
+inline void checkNoViolations(const system_under_test &, const job_site &site)
 {
     for (const auto &violation : site.violations())
         cr_expect_fail("%s", violation.c_str());
--- a/tests/job_view_test.cpp
+++ b/tests/job_view_test.cpp
@@ -24,17 +24,23 @@
         m_record.owner = {"entry", 1};
     }
 
-    task_state &task(int index) { return m_record.tasks[0][0][static_cast<std::size_t>(index)]; }
-    void order(int index, int run)
+    task_state &taskState(int index)
     {
-        task(index).lastRun = run;
-        task(index).placements = {{"worker", 1, run}};
+        return m_record.tasks[0][0][static_cast<std::size_t>(index)];
     }
-    void refuse(int index) { task(index).placements.clear(); }
-    void begin() { m_record.hasStarted = true; }
+    void placeTask(int index, int run)
+    {
+        taskState(index).lastRun = run;
+        taskState(index).placements = {{"worker", 1, run}};
+    }
+    void refuseTask(int index) { taskState(index).placements.clear(); }
+    void markBegun() { m_record.hasStarted = true; }
     // Its row is read.
-    void seen(milliseconds at) { m_view.seen("job", toText(m_record), ++m_version, Start + at); }
-    std::size_t waiting() const { return m_view.waitingIn("queue"); }
+    void applyRow(milliseconds atMs)
+    {
+        m_view.applyRow("job", toText(m_record), ++m_version, Start + atMs);
+    }
+    std::size_t waitingCount() const { return m_view.countWaiting("queue"); }
 
 private:
     job_view m_view;
@@ -51,48 +57,48 @@
 {
     section("one that was accepted waits", [] {
         one_job job;
-        job.seen(milliseconds(0));
-        check(job.waiting() == 1);
+        job.applyRow(milliseconds(0));
+        check(job.waitingCount() == 1);
     });
     section("so does one whose orders are refused and given again, for however long", [] {
         one_job job;
         for (int run = 1; run < 60; ++run) {
-            job.order(0, run);
-            job.seen(milliseconds(run * 200));
-            check(job.waiting() == 1);
-            job.refuse(0);
-            job.seen(milliseconds(run * 200 + 100));
-            check(job.waiting() == 1);
+            job.placeTask(0, run);
+            job.applyRow(milliseconds(run * 200));
+            check(job.waitingCount() == 1);
+            job.refuseTask(0);
+            job.applyRow(milliseconds(run * 200 + 100));
+            check(job.waitingCount() == 1);
         }
     });
     section("so does one whose order stands, until a worker has begun it", [] {
         one_job job;
-        for (int at = 0; at < 9000; at += 1000) {
-            job.order(0, 1);
-            job.seen(milliseconds(at));
-            check(job.waiting() == 1);
+        for (int atMs = 0; atMs < 9000; atMs += 1000) {
+            job.placeTask(0, 1);
+            job.applyRow(milliseconds(atMs));
+            check(job.waitingCount() == 1);
         }
-        job.begin();
-        job.seen(milliseconds(9000));
-        check(job.waiting() == 0);
+        job.markBegun();
+        job.applyRow(milliseconds(9000));
+        check(job.waitingCount() == 0);
     });
     section("one that has begun waits no more beside orders that are refused", [] {
         one_job job;
-        job.order(0, 1);
-        job.begin();
+        job.placeTask(0, 1);
+        job.markBegun();
         for (int run = 1; run < 20; ++run) {
-            job.order(1, run);
-            job.seen(milliseconds(run * 200));
-            check(job.waiting() == 0);
+            job.placeTask(1, run);
+            job.applyRow(milliseconds(run * 200));
+            check(job.waitingCount() == 0);
         }
     });
     section("a task that has ended has started, and it stays so", [] {
         one_job job;
-        job.task(0).done = true;
-        job.seen(milliseconds(0));
-        check(job.waiting() == 0);
-        job.task(0).done = false;
-        job.seen(milliseconds(20));
-        check(job.waiting() == 0);
+        job.taskState(0).done = true;
+        job.applyRow(milliseconds(0));
+        check(job.waitingCount() == 0);
+        job.taskState(0).done = false;
+        job.applyRow(milliseconds(20));
+        check(job.waitingCount() == 0);
     });
 }
--- a/tests/large_rows_test.cpp
+++ b/tests/large_rows_test.cpp
@@ -28,18 +28,18 @@
 // How the store's stand-in sends the answer of a feed.
 struct slow_link
 {
-    milliseconds quiet{0}; // from the request to the first byte
-    int parts = 1;         // of the answer, of the same size
+    milliseconds initialDelay{0}; // from the request to the first byte
+    int partCount = 1;            // of the answer, of the same size
     milliseconds betweenParts{0};
     std::size_t valueBytes = 0; // of the row, in base64
 };
 
 // A store with one row, which is told by each feed that asks for changes. Serves one connection
 // after another, as the follower opens them.
-class store_behind_a_link
+class slow_store
 {
 public:
-    explicit store_behind_a_link(const slow_link &link)
+    explicit slow_store(const slow_link &link)
         : m_link(link)
         , m_listener(::socket(AF_INET, SOCK_STREAM, 0))
     {
@@ -54,18 +54,18 @@
         m_thread = std::thread([this] { serveAll(); });
     }
 
-    ~store_behind_a_link()
+    ~slow_store()
     {
         ::shutdown(m_listener, SHUT_RDWR);
         m_thread.join();
         ::close(m_listener);
     }
 
-    store_behind_a_link(const store_behind_a_link &) = delete;
-    store_behind_a_link &operator=(const store_behind_a_link &) = delete;
+    slow_store(const slow_store &) = delete;
+    slow_store &operator=(const slow_store &) = delete;
 
     std::string address() const { return fmt::format("127.0.0.1:{}", m_port); }
-    int feedsAnswered() const { return m_feeds; }
+    int answeredFeeds() const { return m_feeds; }
 
 private:
     void serveAll()
@@ -92,7 +92,7 @@
         if (!request.starts_with("GET /-/rows-feed"))
             return send(connection, head(EmptyTable.size()) + EmptyTable);
         ++m_feeds;
-        std::this_thread::sleep_for(m_link.quiet);
+        std::this_thread::sleep_for(m_link.initialDelay);
         return sendSlowly(connection, feedBody());
     }
 
@@ -105,7 +105,7 @@
     bool sendSlowly(int connection, const std::string &body) const
     {
         const auto answer = head(body.size()) + body;
-        const auto size = answer.size() / static_cast<std::size_t>(m_link.parts) + 1;
+        const auto size = answer.size() / static_cast<std::size_t>(m_link.partCount) + 1;
         for (std::size_t from = 0; from < answer.size(); from += size) {
             if (from > 0)
                 std::this_thread::sleep_for(m_link.betweenParts);
@@ -141,38 +141,39 @@
     std::thread m_thread;
 };
 
-struct followed
+struct follow_result
 {
     std::size_t bytes = 0; // of the row, as it was taken; 0: it never was
     int feeds = 0;         // that the store began to answer until then
 };
 
 // Follows the table until its row was taken, or until the store has answered `mostFeeds`.
-followed follow(const slow_link &link, int mostFeeds)
+follow_result follow(const slow_link &link, int maxFeeds)
 {
-    store_behind_a_link store(link);
+    slow_store store(link);
     net::event_loop loop;
     net::http_caller caller(loop);
-    metrics numbers;
+    metrics counters;
     event_log log("entry", "e");
-    row_store client(
-            loop, caller, store.address(), [] { return std::vector<std::string>{}; }, numbers, log);
-    followed result;
+    store_client client(
+            loop, caller, store.address(), [] { return std::vector<std::string>{}; }, counters,
+            log);
+    follow_result result;
     table_follower follower(loop, client, log, {"op"}, [&](const std::vector<jobs::row> &rows) {
         if (rows.empty())
             return;
         result.bytes = rows.back().value.size();
-        result.feeds = store.feedsAnswered();
+        result.feeds = store.answeredFeeds();
         loop.stop();
     });
     follower.start();
     loop.every(milliseconds(10), [&] {
-        if (store.feedsAnswered() > mostFeeds)
+        if (store.answeredFeeds() > maxFeeds)
             loop.stop();
     });
     loop.run([](const std::exception &) {});
     if (result.bytes == 0) // the follower asks on at once when it has taken the row
-        result.feeds = store.feedsAnswered();
+        result.feeds = store.answeredFeeds();
     return result;
 }
 
--- a/tests/order_outcomes_test.cpp
+++ b/tests/order_outcomes_test.cpp
@@ -12,11 +12,11 @@
 
 run_order orderOf(int index, order_kind kind = order_kind::Start)
 {
-    run_order made;
-    made.task = {"job", 0, 0, index};
-    made.run = 1;
-    made.kind = kind;
-    return made;
+    run_order result;
+    result.task = {"job", 0, 0, index};
+    result.run = 1;
+    result.kind = kind;
+    return result;
 }
 
 order_answer answerTo(const run_order &order)
@@ -41,23 +41,23 @@
                 batch, answered({answerTo(batch[2]), answerTo(batch[0]), answerTo(batch[1])}));
         check(outcomes.answered.size() == 3);
         check(outcomes.unanswered.empty());
-        check(outcomes.why.empty());
+        check(outcomes.reason.empty());
     });
     section("no answer, or a refusal of the whole, settles none", [&] {
         const auto late = outcomesOf(batch, call_failure::Late);
         check(late.answered.empty());
         check(late.unanswered.size() == 3);
-        check(late.why == "late");
+        check(late.reason == "late");
         const auto refused = outcomesOf(batch, http_response{503, {}, "{}"});
         check(refused.unanswered.size() == 3);
-        check(refused.why == "refused");
+        check(refused.reason == "refused");
     });
     section("so does an answer that can't be read", [&] {
         for (const std::string body : {"", "{", "{}", R"({"answers":[{"task":7}]})"}) {
             const auto outcomes = outcomesOf(batch, http_response{200, {}, body});
             check(outcomes.answered.empty());
             check(outcomes.unanswered.size() == 3);
-            check(outcomes.why == "unreadable");
+            check(outcomes.reason == "unreadable");
         }
     });
     section("an order that the answer leaves out is given again, the others are settled", [&] {
@@ -67,7 +67,7 @@
         check(outcomes.answered[0].kind == order_kind::Start);
         require(outcomes.unanswered.size() == 2);
         check(outcomes.unanswered[1].kind == order_kind::Stop);
-        check(outcomes.why == "left_out");
+        check(outcomes.reason == "left_out");
     });
     section("an answer to what was not asked settles nothing", [&] {
         const auto outcomes = outcomesOf(
