--- a/tests/process_jobs_test.cpp
+++ b/tests/process_jobs_test.cpp
@@ -30,12 +30,12 @@
         for (int each = 0; each < count; ++each)
             m_callers.push_back(std::make_unique<kept_caller>(m_server));
     }
-    int open() const
+    int openCount() const
     {
         return static_cast<int>(std::count_if(m_callers.begin(), m_callers.end(),
                                               [](const auto &each) { return each->isOpen(); }));
     }
-    void forgetClosed()
+    void removeClosed()
     {
         std::erase_if(m_callers, [](const auto &each) { return !each->isOpen(); });
     }
@@ -44,7 +44,7 @@
         for (const auto &each : m_callers)
             require(each->send(method, path, body));
     }
-    int cutOff() const
+    int cutOffCount() const
     {
         return static_cast<int>(
                 std::count_if(m_callers.begin(), m_callers.end(), [](const auto &each) {
@@ -59,46 +59,46 @@
 
 bool accepts(const std::string &server)
 {
-    return waitUntil([&] { return kept_caller(server).isOpen(); }, SoonEnough);
+    return waitUntil([&] { return kept_caller(server).isOpen(); }, WaitLimit);
 }
 
-constexpr int TasksOfAJob = 6;
+constexpr int TasksPerJob = 6;
 
 } // namespace
 
 Test(process_jobs, the_whole_path)
 {
-    system_under_test on;
+    system_under_test system;
     section("a job is accepted, runs step by step, and is shown as completed at any entry", [&] {
-        require(on.handIn(0, "aaaa000000000001"));
-        check(on.reaches(0, "aaaa000000000001", "completed"));
-        check(on.reaches(1, "aaaa000000000001", "completed"));
-        check(on.site().done() == TasksOfAJob);
-        check(on.site().starts() == TasksOfAJob);
+        require(system.submit(0, "aaaa000000000001"));
+        check(system.reachesState(0, "aaaa000000000001", "completed"));
+        check(system.reachesState(1, "aaaa000000000001", "completed"));
+        check(system.site().done() == TasksPerJob);
+        check(system.site().starts() == TasksPerJob);
     });
     section("the same id again is the same job", [&] {
-        require(on.handIn(1, "aaaa000000000001"));
-        check(on.site().starts() == TasksOfAJob);
+        require(system.submit(1, "aaaa000000000001"));
+        check(system.site().starts() == TasksPerJob);
     });
     section("bad input gets a clear answer", [&] {
-        check(on.call(0, "POST", "aaaa000000000002", "{")->status == 400);
-        check(on.call(0, "GET", "aaaa000000000003")->status == 410);
-        check(on.call(0, "GET", "")->body == R"({"waiting":0})");
+        check(system.call(0, "POST", "aaaa000000000002", "{")->status == 400);
+        check(system.call(0, "GET", "aaaa000000000003")->status == 410);
+        check(system.call(0, "GET", "")->body == R"({"waiting":0})");
     });
     section("a cancelled job stops", [&] {
-        on.site().workLasts(milliseconds(60'000));
-        require(on.handIn(0, "aaaa000000000004"));
-        check(on.call(1, "DELETE", "aaaa000000000004")->status == 200);
-        check(on.reaches(1, "aaaa000000000004", "cancelled"));
+        system.site().workLasts(milliseconds(60'000));
+        require(system.submit(0, "aaaa000000000004"));
+        check(system.call(1, "DELETE", "aaaa000000000004")->status == 200);
+        check(system.reachesState(1, "aaaa000000000004", "cancelled"));
     });
     // An owner that dies right after the answer has told no agent: they read it in the store.
     section("agents can read of a cancel as soon as it is acknowledged, by whomever", [&] {
-        check(on.site().agentsReadCancelOf("aaaa000000000004"));
-        require(on.handIn(0, "aaaa000000000005"));
-        check(on.call(0, "DELETE", "aaaa000000000005")->status == 200);
-        check(on.site().agentsReadCancelOf("aaaa000000000005"));
+        check(system.site().agentsReadCancelOf("aaaa000000000004"));
+        require(system.submit(0, "aaaa000000000005"));
+        check(system.call(0, "DELETE", "aaaa000000000005")->status == 200);
+        check(system.site().agentsReadCancelOf("aaaa000000000005"));
     });
-    checkNothingWrong(on, on.site());
+    checkNoViolations(system, system.site());
 }
 
 // A new version is acknowledged, and one entry, on a slow link, reads it for seconds. Callers there
@@ -106,21 +106,21 @@
 // hears from the others that they work by a newer version, and says so.
 Test(process_jobs, an_entry_that_is_behind)
 {
-    system_under_test on;
-    check(on.call(0, "GET", "")->status == 200);
-    on.tellOfConfiguration(9);
+    system_under_test system;
+    check(system.call(0, "GET", "")->status == 200);
+    system.announceConfiguration(9);
     section("callers are refused, and none is told that a queue does not exist", [&] {
-        require(waitUntil([&] { return on.call(0, "GET", "")->status == 503; }, SoonEnough));
-        check(on.call(0, "GET", "")->header("Retry-After") == "1");
-        check(!on.isReady(0));
-        check(on.isReady(1));
+        require(waitUntil([&] { return system.call(0, "GET", "")->status == 503; }, WaitLimit));
+        check(system.call(0, "GET", "")->header("Retry-After") == "1");
+        check(!system.isReady(0));
+        check(system.isReady(1));
     });
     section("until it has the version", [&] {
-        on.putConfiguration(9);
-        require(waitUntil([&] { return on.isReady(0); }, SoonEnough));
-        check(on.call(0, "GET", "")->status == 200);
+        system.putConfiguration(9);
+        require(waitUntil([&] { return system.isReady(0); }, WaitLimit));
+        check(system.call(0, "GET", "")->status == 200);
     });
-    checkNothingWrong(on, on.site());
+    checkNoViolations(system, system.site());
 }
 
 // A service handed in at any entry runs, also when the entry that places all services is frozen:
@@ -128,21 +128,21 @@
 // entries are frozen in turn, so that one of the two is the placer.
 Test(process_jobs, a_service_whose_placer_is_frozen)
 {
-    system_under_test on;
-    on.site().workLasts(milliseconds(600'000));
+    system_under_test system;
+    system.site().workLasts(milliseconds(600'000));
     int running = 0;
     for (const int frozen : {0, 1}) {
         section(fmt::format("entry {} is frozen", frozen), [&] {
             const auto job = fmt::format("abcd00000000000{}", frozen);
-            on.entry(frozen).signal(SIGSTOP);
-            check(on.handInService(1 - frozen, job));
-            on.entry(frozen).signal(SIGCONT);
+            system.entry(frozen).signal(SIGSTOP);
+            check(system.submitService(1 - frozen, job));
+            system.entry(frozen).signal(SIGCONT);
             running += 2;
-            check(waitUntil([&] { return on.site().starts() == running; }, SoonEnough));
-            check(on.reaches(frozen, job, "running"));
+            check(waitUntil([&] { return system.site().starts() == running; }, WaitLimit));
+            check(system.reachesState(frozen, job, "running"));
         });
     }
-    checkNothingWrong(on, on.site());
+    checkNoViolations(system, system.site());
 }
 
 // Callers see their jobs completed, each task run once. The owner of the jobs is killed while their
@@ -150,55 +150,55 @@
 // and gives the same orders again, which start nothing anew.
 Test(process_jobs, owner_killed)
 {
-    system_under_test on;
-    on.site().workLasts(milliseconds(1500));
+    system_under_test system;
+    system.site().workLasts(milliseconds(1500));
     for (const std::string job : {"bbbb000000000001", "bbbb000000000002"})
-        require(on.handIn(0, job));
-    on.entry(0).signal(SIGKILL);
+        require(system.submit(0, job));
+    system.entry(0).signal(SIGKILL);
     for (const std::string job : {"bbbb000000000001", "bbbb000000000002"})
-        check(on.reaches(1, job, "completed"));
-    check(on.site().starts() == 2 * TasksOfAJob);
-    checkNothingWrong(on, on.site());
+        check(system.reachesState(1, job, "completed"));
+    check(system.site().starts() == 2 * TasksPerJob);
+    checkNoViolations(system, system.site());
 }
 
 // The caller sees its job completed, each task run once. An agent is killed while it runs tasks,
 // and a new one starts: it reads what runs from its worker before it starts anything.
 Test(process_jobs, agent_killed)
 {
-    system_under_test on;
-    on.site().workLasts(milliseconds(2500));
-    require(on.handIn(0, "cccc000000000001"));
-    require(waitUntil([&] { return on.site().starts() == 4; }, SoonEnough));
-    on.agent(0).signal(SIGKILL);
-    on.startAgent(0);
-    check(on.reaches(0, "cccc000000000001", "completed"));
-    check(on.site().starts() == TasksOfAJob);
-    checkNothingWrong(on, on.site());
+    system_under_test system;
+    system.site().workLasts(milliseconds(2500));
+    require(system.submit(0, "cccc000000000001"));
+    require(waitUntil([&] { return system.site().starts() == 4; }, WaitLimit));
+    system.agent(0).signal(SIGKILL);
+    system.startAgent(0);
+    check(system.reachesState(0, "cccc000000000001", "completed"));
+    check(system.site().starts() == TasksPerJob);
+    checkNoViolations(system, system.site());
 }
 
 // A task that is done runs again: an agent that was frozen starts what it was told long before.
 Test(process_jobs, orders_that_an_agent_reads_late)
 {
-    system_under_test on;
-    on.site().workLasts(milliseconds(200));
-    require(on.handIn(0, "cdcd000000000001"));
-    require(on.reaches(0, "cdcd000000000001", "completed")); // workers are known
+    system_under_test system;
+    system.site().workLasts(milliseconds(200));
+    require(system.submit(0, "cdcd000000000001"));
+    require(system.reachesState(0, "cdcd000000000001", "completed")); // workers are known
     for (int index = 0; index < 2; ++index)
-        on.agent(index).signal(SIGSTOP);
-    require(on.handIn(0, "cdcd000000000002"));
+        system.agent(index).signal(SIGSTOP);
+    require(system.submit(0, "cdcd000000000002"));
     std::this_thread::sleep_for(milliseconds(1500)); // longer than an order holds
     for (int index = 0; index < 2; ++index)
-        on.agent(index).signal(SIGCONT);
+        system.agent(index).signal(SIGCONT);
     section("they start nothing", [&] {
         const auto isOverdue = [&](int index) {
-            return on.wrote("agent", index, R"("outcome":"overdue")");
+            return system.logContains("agent", index, R"("outcome":"overdue")");
         };
-        check(waitUntil([&] { return isOverdue(0) || isOverdue(1); }, SoonEnough));
+        check(waitUntil([&] { return isOverdue(0) || isOverdue(1); }, WaitLimit));
     });
     section("and are given again", [&] {
-        check(on.reaches(0, "cdcd000000000002", "completed"));
-        check(on.site().starts() == 2 * TasksOfAJob);
-        checkNothingWrong(on, on.site());
+        check(system.reachesState(0, "cdcd000000000002", "completed"));
+        check(system.site().starts() == 2 * TasksPerJob);
+        checkNoViolations(system, system.site());
     });
 }
 
@@ -207,14 +207,14 @@
 // ended for certain. Only then do they start on the other worker.
 Test(process_jobs, worker_silent)
 {
-    system_under_test on;
-    on.site().workLasts(milliseconds(60'000));
-    require(on.handIn(0, "abab000000000001"));
-    require(waitUntil([&] { return on.site().starts() == 4; }, SoonEnough));
-    on.site().silence(on.site().busiestWorker());
+    system_under_test system;
+    system.site().workLasts(milliseconds(60'000));
+    require(system.submit(0, "abab000000000001"));
+    require(waitUntil([&] { return system.site().starts() == 4; }, WaitLimit));
+    system.site().silence(system.site().busiestWorker());
     // As many as were placed there, which is two at least.
-    check(waitUntil([&] { return on.site().starts() >= 6; }, SoonEnough));
-    checkNothingWrong(on, on.site());
+    check(waitUntil([&] { return system.site().starts() >= 6; }, WaitLimit));
+    checkNoViolations(system, system.site());
 }
 
 // The caller sees two tasks that last stand still for seconds, with room for them on another
@@ -225,15 +225,15 @@
 // worker_silent.
 Test(process_jobs, worker_leaves_while_its_lease_is_renewed)
 {
-    system_under_test on;
-    const auto left = on.leaveDuringRenewal("acac000000000001");
-    check(waitUntil([&] { return on.site().starts() == 2 + left.runs; }, SoonEnough));
+    system_under_test system;
+    const auto departed = system.departDuringRenewal("acac000000000001");
+    check(waitUntil([&] { return system.site().starts() == 2 + departed.runCount; }, WaitLimit));
     // That it left was known: nobody waited for the end of a lease.
-    on.agent(left.worker).signal(SIGTERM); // its last lines are written by then
-    check(on.agent(left.worker).waitForExit(SoonEnough) == 0);
-    check(!on.agentSaid(left.worker, "worker_silent"));
-    check(on.agentFoundItGoneDuringAWrite(left.worker));
-    checkNothingWrong(on, on.site());
+    system.agent(departed.worker).signal(SIGTERM); // its last lines are written by then
+    check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
+    check(!system.hasAgentLogged(departed.worker, "worker_silent"));
+    check(system.hasAgentLoggedDepartureDuringWrite(departed.worker));
+    checkNoViolations(system, system.site());
 }
 
 // The caller sees the same for 12 s: the agent is stopped as planned right after its worker left,
@@ -242,15 +242,16 @@
 // stopped with a write out, and the row's epoch was as before.
 Test(process_jobs, agent_stops_after_its_worker_left)
 {
-    system_under_test on;
-    const auto left = on.leaveDuringRenewal("acac000000000002");
-    require(waitUntil([&] { return on.agentSaid(left.worker, "worker_gone"); }, SoonEnough));
-    on.agent(left.worker).signal(SIGTERM);
-    check(on.agent(left.worker).waitForExit(SoonEnough) == 0);
-    check(on.site().leaseEpoch(left.lease) > left.epoch);
-    check(on.agentFoundItGoneDuringAWrite(left.worker));
-    check(waitUntil([&] { return on.site().starts() == 2 + left.runs; }, SoonEnough));
-    checkNothingWrong(on, on.site());
+    system_under_test system;
+    const auto departed = system.departDuringRenewal("acac000000000002");
+    require(waitUntil([&] { return system.hasAgentLogged(departed.worker, "worker_gone"); },
+                      WaitLimit));
+    system.agent(departed.worker).signal(SIGTERM);
+    check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
+    check(system.site().leaseEpoch(departed.lease) > departed.epoch);
+    check(system.hasAgentLoggedDepartureDuringWrite(departed.worker));
+    check(waitUntil([&] { return system.site().starts() == 2 + departed.runCount; }, WaitLimit));
+    checkNoViolations(system, system.site());
 }
 
 // The caller's two tasks run again on the other worker. Their worker is lost with its agent, and
@@ -258,19 +259,21 @@
 // the row tells the end to their next lives.
 Test(process_jobs, worker_agent_and_entries_lost)
 {
-    system_under_test on;
-    const auto lost = on.serve("acac000000000003");
-    on.agent(lost.worker).signal(SIGKILL);
-    on.site().depart(static_cast<std::size_t>(lost.worker));
-    const auto watched = [&](int entry) { return on.said("entry", entry, "worker_lease_read"); };
-    require(waitUntil([&] { return watched(0) || watched(1); }, SoonEnough));
+    system_under_test system;
+    const auto lost = system.startService("acac000000000003");
+    system.agent(lost.worker).signal(SIGKILL);
+    system.site().depart(static_cast<std::size_t>(lost.worker));
+    const auto isWatched = [&](int entry) {
+        return system.hasLogged("entry", entry, "worker_lease_read");
+    };
+    require(waitUntil([&] { return isWatched(0) || isWatched(1); }, WaitLimit));
     for (const int entry : {0, 1})
-        on.entry(entry).signal(SIGKILL);
+        system.entry(entry).signal(SIGKILL);
     for (const int entry : {0, 1})
-        on.startEntry(entry);
-    check(waitUntil([&] { return on.site().starts() == 2 + lost.runs; }, SoonEnough));
-    check(on.site().leaseEpoch(lost.lease) == lost.epoch + 1);
-    checkNothingWrong(on, on.site());
+        system.startEntry(entry);
+    check(waitUntil([&] { return system.site().starts() == 2 + lost.runCount; }, WaitLimit));
+    check(system.site().leaseEpoch(lost.lease) == lost.epoch + 1);
+    checkNoViolations(system, system.site());
 }
 
 // The caller sees its job wait for ever, with a worker that runs nothing. The worker had left as
@@ -278,17 +281,17 @@
 // announcements tell no birth. Nothing but a look tells its agent that it lives anew.
 Test(process_jobs, worker_is_back_under_its_name)
 {
-    system_under_test on;
-    require(on.handIn(0, "abab000000000001"));
-    require(on.reaches(0, "abab000000000001", "completed"));
-    const auto epoch = on.site().leaseEpoch("agent-0");
-    on.site().depart(0);
-    on.site().depart(1);
-    require(waitUntil([&] { return on.site().leaseEpoch("agent-0") > epoch; }, SoonEnough));
-    on.site().comeBack(0);
-    require(on.handIn(0, "abab000000000002"));
-    check(on.reaches(0, "abab000000000002", "completed"));
-    checkNothingWrong(on, on.site());
+    system_under_test system;
+    require(system.submit(0, "abab000000000001"));
+    require(system.reachesState(0, "abab000000000001", "completed"));
+    const auto epoch = system.site().leaseEpoch("agent-0");
+    system.site().depart(0);
+    system.site().depart(1);
+    require(waitUntil([&] { return system.site().leaseEpoch("agent-0") > epoch; }, WaitLimit));
+    system.site().comeBack(0);
+    require(system.submit(0, "abab000000000002"));
+    check(system.reachesState(0, "abab000000000002", "completed"));
+    checkNoViolations(system, system.site());
 }
 
 // Callers see tasks that last stand still for 7 s. Their worker has left and said so; its last
@@ -296,36 +299,37 @@
 // only an answer of the worker itself says that it goes on.
 Test(process_jobs, last_announcement_after_the_departure)
 {
-    system_under_test on;
-    const auto left = on.serve("adad000000000002");
-    on.site().departOvertaken(static_cast<std::size_t>(left.worker));
-    check(waitUntil([&] { return on.site().starts() == 2 + left.runs; }, SoonEnough));
-    on.agent(left.worker).signal(SIGTERM);
-    check(on.agent(left.worker).waitForExit(SoonEnough) == 0);
-    check(!on.agentSaid(left.worker, "worker_silent"));
-    checkNothingWrong(on, on.site());
+    system_under_test system;
+    const auto departed = system.startService("adad000000000002");
+    system.site().departOvertaken(static_cast<std::size_t>(departed.worker));
+    check(waitUntil([&] { return system.site().starts() == 2 + departed.runCount; }, WaitLimit));
+    system.agent(departed.worker).signal(SIGTERM);
+    check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
+    check(!system.hasAgentLogged(departed.worker, "worker_silent"));
+    checkNoViolations(system, system.site());
 }
 
 // Operators empty a zone, and tasks go on being started there. Every worker is in it: a job that
 // comes meanwhile waits, and runs once the zone is taken back.
 Test(process_jobs, a_zone_that_is_emptied)
 {
-    system_under_test on;
-    on.emptyZone("kartli-a");
+    system_under_test system;
+    system.evacuateZone("kartli-a");
     section("agents hear of it through the entries", [&] {
         for (const int agent : {0, 1})
-            check(waitUntil([&] { return on.agentSaid(agent, "zone_evacuated"); }, SoonEnough));
+            check(waitUntil([&] { return system.hasAgentLogged(agent, "zone_evacuated"); },
+                            WaitLimit));
     });
-    require(on.handIn(0, "abab000000000003"));
+    require(system.submit(0, "abab000000000003"));
     section("a job waits, and its owner says for which reason", [&] {
-        check(waitUntil([&] { return on.wrote("entry", 0, "2 evacuated"); }, SoonEnough));
-        check(on.site().starts() == 0);
+        check(waitUntil([&] { return system.logContains("entry", 0, "2 evacuated"); }, WaitLimit));
+        check(system.site().starts() == 0);
     });
     section("it runs once the zone is taken back", [&] {
-        on.takeZoneBack("kartli-a");
-        check(on.reaches(0, "abab000000000003", "completed"));
+        system.restoreZone("kartli-a");
+        check(system.reachesState(0, "abab000000000003", "completed"));
     });
-    checkNothingWrong(on, on.site());
+    checkNoViolations(system, system.site());
 }
 
 // A caller cancels its job and is told that it is cancelled, and then no entry lives any more that
@@ -334,45 +338,45 @@
 // agents learn of cancels from the store, where each is written before it is acknowledged.
 Test(process_jobs, no_entry_is_left_after_a_cancel)
 {
-    system_under_test on;
-    on.site().workLasts(milliseconds(600'000));
-    require(on.handIn(0, "adad000000000001"));
-    require(waitUntil([&] { return on.site().starts() == 4; }, SoonEnough));
-    on.entry(0).signal(SIGSTOP);
-    require(on.call(1, "DELETE", "adad000000000001")->status == 200);
-    on.entry(1).signal(SIGKILL);
+    system_under_test system;
+    system.site().workLasts(milliseconds(600'000));
+    require(system.submit(0, "adad000000000001"));
+    require(waitUntil([&] { return system.site().starts() == 4; }, WaitLimit));
+    system.entry(0).signal(SIGSTOP);
+    require(system.call(1, "DELETE", "adad000000000001")->status == 200);
+    system.entry(1).signal(SIGKILL);
     section("its tasks are stopped nevertheless", [&] {
-        check(waitUntil([&] { return on.site().runsOn(0) + on.site().runsOn(1) == 0; },
-                        SoonEnough));
+        check(waitUntil([&] { return system.site().runsOn(0) + system.site().runsOn(1) == 0; },
+                        WaitLimit));
     });
     section("the owner wakes and starts none of them again", [&] {
-        on.entry(0).signal(SIGCONT);
-        check(on.reaches(0, "adad000000000001", "cancelled"));
-        check(on.site().starts() == 4);
+        system.entry(0).signal(SIGCONT);
+        check(system.reachesState(0, "adad000000000001", "cancelled"));
+        check(system.site().starts() == 4);
     });
-    checkNothingWrong(on, on.site());
+    checkNoViolations(system, system.site());
 }
 
 // The caller sees its job accepted and completed. The answers to writes are lost after they took
 // effect; the entry repeats the very same write, finds its own row and goes on.
 Test(process_jobs, answers_of_the_store_lost)
 {
-    system_under_test on;
-    on.site().loseAnswers(3);
-    require(on.handIn(0, "dddd000000000001"));
-    on.site().loseAnswers(2);
-    check(on.reaches(1, "dddd000000000001", "completed"));
-    check(on.site().starts() == TasksOfAJob);
-    checkNothingWrong(on, on.site());
+    system_under_test system;
+    system.site().loseAnswers(3);
+    require(system.submit(0, "dddd000000000001"));
+    system.site().loseAnswers(2);
+    check(system.reachesState(1, "dddd000000000001", "completed"));
+    check(system.site().starts() == TasksPerJob);
+    checkNoViolations(system, system.site());
 }
 
 // A caller that comes while the store is away is refused, at once, and its job never runs; what was
 // accepted before goes on once it is back.
 Test(process_jobs, store_away)
 {
-    system_under_test on;
-    require(on.handIn(0, "eeee000000000001"));
-    on.site().turnAway(true);
+    system_under_test system;
+    require(system.submit(0, "eeee000000000001"));
+    system.site().turnAway(true);
     // Until the entry knows that the store is away, it takes jobs whose outcome is unknown then.
     std::string refused;
     int number = 0;
@@ -380,30 +384,30 @@
             [&] {
                 refused = fmt::format("eeee{:012}", 100 + number++);
                 // As large as the stand-in takes every task to be.
-                const auto answer = on.call(0, "POST", refused,
-                                            R"({"spec":"","steps":[{"count":1,"cpu":1000}]})");
+                const auto answer = system.call(0, "POST", refused,
+                                                R"({"spec":"","steps":[{"count":1,"cpu":1000}]})");
                 return answer && answer->status == 503 && !answer->header("Retry-After").empty();
             },
-            SoonEnough));
-    on.site().turnAway(false);
-    check(on.reaches(0, "eeee000000000001", "completed"));
+            WaitLimit));
+    system.site().turnAway(false);
+    check(system.reachesState(0, "eeee000000000001", "completed"));
     for (const int entry : {0, 1})
-        check(on.call(entry, "GET", refused)->status == 410);
-    checkNothingWrong(on, on.site());
+        check(system.call(entry, "GET", refused)->status == 410);
+    checkNoViolations(system, system.site());
 }
 
 // An entry is stopped as planned while it owns a job: the other one takes the job over at once, and
 // the process ends by itself.
 Test(process_jobs, planned_stop)
 {
-    system_under_test on;
-    on.site().workLasts(milliseconds(1500));
-    require(on.handIn(0, "ffff000000000001"));
-    on.entry(0).signal(SIGTERM);
-    check(on.entry(0).waitForExit(SoonEnough) == 0);
-    check(on.reaches(1, "ffff000000000001", "completed"));
-    check(on.site().starts() == TasksOfAJob);
-    checkNothingWrong(on, on.site());
+    system_under_test system;
+    system.site().workLasts(milliseconds(1500));
+    require(system.submit(0, "ffff000000000001"));
+    system.entry(0).signal(SIGTERM);
+    check(system.entry(0).waitForExit(WaitLimit) == 0);
+    check(system.reachesState(1, "ffff000000000001", "completed"));
+    check(system.site().starts() == TasksPerJob);
+    checkNoViolations(system, system.site());
 }
 
 // A caller's request to an entry that is stopped as planned is cut off without an answer, so it
@@ -411,18 +415,18 @@
 // two seconds into the stop waits for its write, and the process ends before that wait does.
 Test(process_jobs, planned_stop_answers_what_is_open)
 {
-    system_under_test on;
-    on.site().workLasts(milliseconds(60'000));
-    require(on.handIn(0, "ffff000000000002"));
-    on.site().turnAway(true);
-    on.entry(0).signal(SIGTERM);
+    system_under_test system;
+    system.site().workLasts(milliseconds(60'000));
+    require(system.submit(0, "ffff000000000002"));
+    system.site().turnAway(true);
+    system.entry(0).signal(SIGTERM);
     std::this_thread::sleep_for(milliseconds(2500));
-    const auto answer = on.call(0, "DELETE", "ffff000000000002");
+    const auto answer = system.call(0, "DELETE", "ffff000000000002");
     check(answer.has_value());
     check(answer && answer->status == 504); // the cancel may take effect yet
-    on.site().turnAway(false);
-    check(on.entry(0).waitForExit(SoonEnough) == 0);
-    checkNothingWrong(on, on.site());
+    system.site().turnAway(false);
+    check(system.entry(0).waitForExit(WaitLimit) == 0);
+    checkNoViolations(system, system.site());
 }
 
 // A caller sends a request to an entry that has been leaving for seconds, and its connection is
@@ -430,13 +434,13 @@
 // was open: what had arrived stood in its sockets, or was read and not worked through.
 Test(process_jobs, requests_that_reach_a_leaving_entry_which_is_behind)
 {
-    system_under_test on;
-    on.site().workLasts(milliseconds(600'000));
-    require(on.handIn(0, "ffff000000000003"));
+    system_under_test system;
+    system.site().workLasts(milliseconds(600'000));
+    require(system.submit(0, "ffff000000000003"));
     std::vector<std::unique_ptr<kept_caller>> callers;
     const auto connectMore = [&](int count) {
         for (int each = 0; each < count; ++each) {
-            callers.push_back(std::make_unique<kept_caller>(on.callersAddress(0)));
+            callers.push_back(std::make_unique<kept_caller>(system.callersAddress(0)));
             require(callers.back()->isOpen());
         }
     };
@@ -445,11 +449,11 @@
         require(caller->send("GET", "/holds/"));
         require(caller->readAnswer() == 200);
     }
-    on.site().turnAway(true); // nobody can take its jobs over: the stop lasts its whole time
-    on.entry(0).signal(SIGTERM);
+    system.site().turnAway(true); // nobody can take its jobs over: the stop lasts its whole time
+    system.entry(0).signal(SIGTERM);
     std::this_thread::sleep_for(milliseconds(2500));
     section("it stands still until its jobs need not be waited for any more", [&] {
-        on.entry(0).signal(SIGSTOP);
+        system.entry(0).signal(SIGSTOP);
         connectMore(4); // these wait to be accepted
         int number = 0;
         for (const auto &caller : callers) {
@@ -458,17 +462,17 @@
                                  R"({"spec":"","steps":[{"count":1,"cpu":1000}]})"));
         }
         std::this_thread::sleep_for(milliseconds(2200));
-        on.entry(0).signal(SIGCONT);
+        system.entry(0).signal(SIGCONT);
     });
     section("each request is answered all the same", [&] {
-        int cutOff = 0;
+        int cutOffCount = 0;
         for (const auto &caller : callers)
-            cutOff += caller->fate() == request_fate::CutOff ? 1 : 0;
-        check(cutOff == 0);
+            cutOffCount += caller->fate() == request_fate::CutOff ? 1 : 0;
+        check(cutOffCount == 0);
     });
-    check(on.entry(0).waitForExit(SoonEnough) == 0);
-    on.site().turnAway(false);
-    checkNothingWrong(on, on.site());
+    check(system.entry(0).waitForExit(WaitLimit) == 0);
+    system.site().turnAway(false);
+    checkNoViolations(system, system.site());
 }
 
 // A caller is told that its job never runs, and it runs. The store went away while the job was
@@ -476,24 +480,24 @@
 // the store can't be reached, though the first write may yet take effect.
 Test(process_jobs, a_job_whose_write_is_out_is_not_refused)
 {
-    system_under_test on;
+    system_under_test system;
     const std::string body = R"({"spec":"","steps":[{"count":1,"cpu":1000}]})";
     std::string job;
     std::optional<http_response> first;
     // The store has to go away while it still counts as reachable.
     for (int number = 1; number < 6 && !(first && first->status == 504); ++number) {
-        on.site().turnAway(false);
-        require(on.handIn(0, fmt::format("efef00000000000{}", number)));
+        system.site().turnAway(false);
+        require(system.submit(0, fmt::format("efef00000000000{}", number)));
         job = fmt::format("eeee10000000000{}", number);
-        on.site().turnAway(true);
-        first = on.call(0, "POST", job, body);
+        system.site().turnAway(true);
+        first = system.call(0, "POST", job, body);
     }
     require(first && first->status == 504);
-    const auto second = on.call(0, "POST", job, body);
+    const auto second = system.call(0, "POST", job, body);
     check(second && second->status == 504);
-    on.site().turnAway(false);
-    check(on.reaches(0, job, "completed"));
-    checkNothingWrong(on, on.site());
+    system.site().turnAway(false);
+    check(system.reachesState(0, job, "completed"));
+    checkNoViolations(system, system.site());
 }
 
 // An entry's order, or an announcement of the worker, ends without an answer. Its agent was told to
@@ -501,7 +505,7 @@
 // connections that wait to be accepted.
 Test(process_jobs, requests_that_reach_a_leaving_agent_which_is_behind)
 {
-    system_under_test on;
+    system_under_test system;
     constexpr int Callers = 8; // of each kind
     const auto connectTo = [&](waiting_callers &orders, waiting_callers &announcements) {
         orders.connect(Callers);
@@ -509,46 +513,46 @@
     };
     // On those connections that the agent has not closed by then.
     const auto send = [](waiting_callers &orders, waiting_callers &announcements) {
-        orders.forgetClosed();
+        orders.removeClosed();
         orders.send("POST", "/v1/orders", "{}");
-        announcements.forgetClosed();
+        announcements.removeClosed();
         announcements.send("POST", "/-/instances/i-9/heartbeat", "{}");
     };
     for (const int agent : {0, 1}) {
-        require(accepts(on.agentInternalAddress(agent)));
-        require(accepts(on.agentWorkersAddress(agent)));
+        require(accepts(system.agentInternalAddress(agent)));
+        require(accepts(system.agentWorkersAddress(agent)));
     }
     section("it stands still as it is told to stop", [&] {
-        waiting_callers orders(on.agentInternalAddress(0));
-        waiting_callers announcements(on.agentWorkersAddress(0));
+        waiting_callers orders(system.agentInternalAddress(0));
+        waiting_callers announcements(system.agentWorkersAddress(0));
         connectTo(orders, announcements);
-        on.agent(0).signal(SIGSTOP);
+        system.agent(0).signal(SIGSTOP);
         connectTo(orders, announcements);
-        require(orders.open() + announcements.open() == 4 * Callers);
+        require(orders.openCount() + announcements.openCount() == 4 * Callers);
         send(orders, announcements);
-        on.agent(0).signal(SIGTERM);
-        on.agent(0).signal(SIGCONT);
-        check(orders.cutOff() + announcements.cutOff() == 0);
-        check(on.agent(0).waitForExit(SoonEnough) == 0);
+        system.agent(0).signal(SIGTERM);
+        system.agent(0).signal(SIGCONT);
+        check(orders.cutOffCount() + announcements.cutOffCount() == 0);
+        check(system.agent(0).waitForExit(WaitLimit) == 0);
     });
     section("it stands still until the last write of its lease is not waited for any more", [&] {
-        waiting_callers orders(on.agentInternalAddress(1));
-        waiting_callers announcements(on.agentWorkersAddress(1));
+        waiting_callers orders(system.agentInternalAddress(1));
+        waiting_callers announcements(system.agentWorkersAddress(1));
         connectTo(orders, announcements);
-        on.site().turnAway(true);
+        system.site().turnAway(true);
         std::this_thread::sleep_for(milliseconds(2000)); // a renewal is out, and stays so
-        on.agent(1).signal(SIGTERM);
+        system.agent(1).signal(SIGTERM);
         std::this_thread::sleep_for(milliseconds(100));
-        on.agent(1).signal(SIGSTOP);
+        system.agent(1).signal(SIGSTOP);
         connectTo(orders, announcements);
         send(orders, announcements);
         std::this_thread::sleep_for(milliseconds(1000));
-        on.agent(1).signal(SIGCONT);
-        check(orders.cutOff() + announcements.cutOff() == 0);
-        check(on.agent(1).waitForExit(SoonEnough) == 0);
+        system.agent(1).signal(SIGCONT);
+        check(orders.cutOffCount() + announcements.cutOffCount() == 0);
+        check(system.agent(1).waitForExit(WaitLimit) == 0);
     });
-    on.site().turnAway(false);
-    checkNothingWrong(on, on.site());
+    system.site().turnAway(false);
+    checkNoViolations(system, system.site());
 }
 
 // An entry that can't reach the store writes by way of an agent, and the connection ends without an
@@ -556,139 +560,139 @@
 // carried out, and the entry repeats the very same write by another way.
 Test(process_jobs, a_leaving_agent_has_relayed_a_call)
 {
-    system_under_test on;
-    require(accepts(on.agentInternalAddress(0)));
-    kept_caller caller(on.agentInternalAddress(0));
+    system_under_test system;
+    require(accepts(system.agentInternalAddress(0)));
+    kept_caller caller(system.agentInternalAddress(0));
     constexpr const char *Feed = "/v1/store/-/rows-feed?table=op&after=1000000&wait-ms=1000";
     require(caller.send("GET", Feed)); // is held for a second
-    require(waitUntil([&] { return on.agentRelays(0); }, SoonEnough));
-    on.agent(0).signal(SIGTERM);
+    require(waitUntil([&] { return system.hasAgentRelayed(0); }, WaitLimit));
+    system.agent(0).signal(SIGTERM);
     check(caller.readAnswer() == 502);
-    check(on.agent(0).waitForExit(SoonEnough) == 0);
-    checkNothingWrong(on, on.site());
+    check(system.agent(0).waitForExit(WaitLimit) == 0);
+    checkNoViolations(system, system.site());
 }
 
 // A caller's connection is closed without an answer. Its entry was told to stop as it had only
 // begun: it has no incarnation or configuration yet, knows no jobs, or is not yet in its loop.
 Test(process_jobs, an_entry_that_has_only_begun_is_stopped)
 {
-    system_under_test on;
+    system_under_test system;
     const auto stopWithRequests = [&] {
-        waiting_callers callers(on.callersAddress(0));
+        waiting_callers callers(system.callersAddress(0));
         callers.connect(4);
-        on.entry(0).signal(SIGSTOP);
+        system.entry(0).signal(SIGSTOP);
         callers.connect(4);
         callers.send("GET", "/holds/");
-        on.entry(0).signal(SIGTERM);
-        on.entry(0).signal(SIGCONT);
-        check(callers.cutOff() == 0);
-        check(on.entry(0).waitForExit(SoonEnough) == 0);
+        system.entry(0).signal(SIGTERM);
+        system.entry(0).signal(SIGCONT);
+        check(callers.cutOffCount() == 0);
+        check(system.entry(0).waitForExit(WaitLimit) == 0);
     };
     section("as soon as it accepts connections", [&] {
-        on.startEntry(0);
-        require(accepts(on.callersAddress(0)));
+        system.startEntry(0);
+        require(accepts(system.callersAddress(0)));
         stopWithRequests();
     });
-    for (const int ms : {10, 40, 100, 250}) {
-        section(fmt::format("{} ms later", ms), [&] {
-            on.startEntry(0);
-            require(accepts(on.callersAddress(0)));
-            std::this_thread::sleep_for(milliseconds(ms));
+    for (const int delayMs : {10, 40, 100, 250}) {
+        section(fmt::format("{} ms later", delayMs), [&] {
+            system.startEntry(0);
+            require(accepts(system.callersAddress(0)));
+            std::this_thread::sleep_for(milliseconds(delayMs));
             stopWithRequests();
         });
     }
     section("while the store is away, before its incarnation", [&] {
-        on.site().turnAway(true);
-        on.startEntry(0);
-        require(accepts(on.callersAddress(0)));
+        system.site().turnAway(true);
+        system.startEntry(0);
+        require(accepts(system.callersAddress(0)));
         std::this_thread::sleep_for(milliseconds(300));
         stopWithRequests();
-        on.site().turnAway(false);
+        system.site().turnAway(false);
     });
-    checkNothingWrong(on, on.site());
+    checkNoViolations(system, system.site());
 }
 
 // The process dies of its signal, and whoever had connected is cut off: it listened before it heard
 // of signals.
 Test(process_jobs, a_stop_in_the_first_moment)
 {
-    system_under_test on;
+    system_under_test system;
     // Looks without a pause: the moment is short.
     const auto awaitListening = [](const std::string &address) {
-        const auto giveUpAt = monotonic_clock::now() + SoonEnough;
+        const auto giveUpAt = monotonic_clock::now() + WaitLimit;
         while (!kept_caller(address).isOpen())
             require(monotonic_clock::now() < giveUpAt);
     };
-    constexpr int Lives = 10;
-    for (int life = 0; life < Lives; ++life) {
+    constexpr int Restarts = 10;
+    for (int life = 0; life < Restarts; ++life) {
         section("of an entry", [&] {
-            on.startEntry(0);
-            awaitListening(on.entryInternalAddress(0));
-            on.entry(0).signal(SIGTERM);
-            check(on.entry(0).waitForExit(SoonEnough) == 0);
+            system.startEntry(0);
+            awaitListening(system.entryInternalAddress(0));
+            system.entry(0).signal(SIGTERM);
+            check(system.entry(0).waitForExit(WaitLimit) == 0);
         });
         section("of an agent", [&] {
-            on.startAgent(0);
-            awaitListening(on.agentInternalAddress(0));
-            on.agent(0).signal(SIGTERM);
-            check(on.agent(0).waitForExit(SoonEnough) == 0);
+            system.startAgent(0);
+            awaitListening(system.agentInternalAddress(0));
+            system.agent(0).signal(SIGTERM);
+            check(system.agent(0).waitForExit(WaitLimit) == 0);
         });
     }
-    checkNothingWrong(on, on.site());
+    checkNoViolations(system, system.site());
 }
 
 // A caller's connection is closed without an answer because of something that comes beside the
 // first signal: a second one, a hang-up, writes whose answers do not come.
 Test(process_jobs, stops_with_other_trouble)
 {
-    system_under_test on;
+    system_under_test system;
     constexpr const char *Job = R"({"spec":"","steps":[{"count":1,"cpu":1000}]})";
     section("more signals come, and the process is behind", [&] {
-        waiting_callers callers(on.callersAddress(0));
+        waiting_callers callers(system.callersAddress(0));
         callers.connect(4);
-        on.entry(0).signal(SIGSTOP);
+        system.entry(0).signal(SIGSTOP);
         callers.connect(4);
         callers.send("GET", "/holds/");
-        on.entry(0).signal(SIGTERM);
-        on.entry(0).signal(SIGHUP);
-        on.entry(0).signal(SIGTERM);
-        on.entry(0).signal(SIGCONT);
-        on.entry(0).signal(SIGTERM);
-        on.entry(0).signal(SIGHUP);
-        check(callers.cutOff() == 0);
-        check(on.entry(0).waitForExit(SoonEnough) == 0);
+        system.entry(0).signal(SIGTERM);
+        system.entry(0).signal(SIGHUP);
+        system.entry(0).signal(SIGTERM);
+        system.entry(0).signal(SIGCONT);
+        system.entry(0).signal(SIGTERM);
+        system.entry(0).signal(SIGHUP);
+        check(callers.cutOffCount() == 0);
+        check(system.entry(0).waitForExit(WaitLimit) == 0);
     });
     section("answers of the store are lost", [&] {
-        on.startEntry(0);
-        require(waitUntil([&] { return on.isReady(0); }, SoonEnough));
-        waiting_callers callers(on.callersAddress(0));
+        system.startEntry(0);
+        require(waitUntil([&] { return system.isReady(0); }, WaitLimit));
+        waiting_callers callers(system.callersAddress(0));
         callers.connect(8);
-        on.site().loseAnswers(40);
+        system.site().loseAnswers(40);
         callers.send("POST", "/holds/fffd000000000001", Job);
-        on.entry(0).signal(SIGTERM);
-        check(callers.cutOff() == 0);
-        check(on.entry(0).waitForExit(SoonEnough) == 0);
-        on.site().loseAnswers(0);
+        system.entry(0).signal(SIGTERM);
+        check(callers.cutOffCount() == 0);
+        check(system.entry(0).waitForExit(WaitLimit) == 0);
+        system.site().loseAnswers(0);
     });
-    checkNothingWrong(on, on.site());
+    checkNoViolations(system, system.site());
 }
 
 // Connections beyond what an entry holds are closed as they come; those that it holds are answered
 // all the same when it is told to stop amid them.
 Test(process_jobs, planned_stop_amid_more_connections_than_it_holds)
 {
-    constexpr int Held = 1500;
-    system_under_test on;
-    waiting_callers callers(on.callersAddress(0));
-    callers.connect(Held + 100);
-    require(waitUntil([&] { return callers.open() <= Held; }, SoonEnough));
-    check(callers.open() == Held);
-    callers.forgetClosed();
-    on.entry(0).signal(SIGSTOP);
+    constexpr int MaxConnections = 1500;
+    system_under_test system;
+    waiting_callers callers(system.callersAddress(0));
+    callers.connect(MaxConnections + 100);
+    require(waitUntil([&] { return callers.openCount() <= MaxConnections; }, WaitLimit));
+    check(callers.openCount() == MaxConnections);
+    callers.removeClosed();
+    system.entry(0).signal(SIGSTOP);
     callers.send("GET", "/holds/");
-    on.entry(0).signal(SIGTERM);
-    on.entry(0).signal(SIGCONT);
-    check(callers.cutOff() == 0);
-    check(on.entry(0).waitForExit(SoonEnough) == 0);
-    checkNothingWrong(on, on.site());
+    system.entry(0).signal(SIGTERM);
+    system.entry(0).signal(SIGCONT);
+    check(callers.cutOffCount() == 0);
+    check(system.entry(0).waitForExit(WaitLimit) == 0);
+    checkNoViolations(system, system.site());
 }
--- a/tests/process_stops_test.cpp
+++ b/tests/process_stops_test.cpp
@@ -27,32 +27,36 @@
         9, // a connection of which only the request line was read was taken for idle
 };
 
-constexpr int Stops = 10;
-constexpr int CallersOfAnEntry = 8;
-constexpr std::size_t JobsAtMost = 500;
-constexpr milliseconds KilledAfter{6000}; // as the users' platform does
-constexpr milliseconds RaceAtMost{200};   // between a request and the end of an idle connection
-constexpr milliseconds ArrivesWithin{20}; // what was sent to a socket on this machine
-constexpr milliseconds Tick{5};           // of what is done to the processes
-constexpr milliseconds LookAtLines{50};   // for a line that is waited for
-constexpr milliseconds TaskLasts{100};
-
-class lot
+constexpr int ShutdownCount = 10;
+constexpr int CallersPerEntry = 8;
+constexpr std::size_t MaxJobs = 500;
+constexpr milliseconds KillTimeout{6000};   // as the users' platform does
+constexpr milliseconds MaxRaceTime{200};    // between a request and the end of an idle connection
+constexpr milliseconds MaxArrivalTime{20};  // what was sent to a socket on this machine
+constexpr milliseconds Tick{5};             // of what is done to the processes
+constexpr milliseconds LogPollInterval{50}; // for a line that is waited for
+constexpr milliseconds TaskDuration{100};
+
+class random_source
 {
 public:
-    explicit lot(unsigned seed)
-        : m_numbers(seed)
+    explicit random_source(unsigned seed)
+        : m_generator(seed)
     { }
-    int between(int least, int most)
+    int between(int minimum, int maximum)
     {
-        return least + static_cast<int>(m_numbers() % static_cast<unsigned>(most - least + 1));
+        return minimum
+               + static_cast<int>(m_generator() % static_cast<unsigned>(maximum - minimum + 1));
+    }
+    std::size_t below(std::size_t bound) { return m_generator() % bound; }
+    milliseconds time(int minimumMs, int maximumMs)
+    {
+        return milliseconds(between(minimumMs, maximumMs));
     }
-    std::size_t below(std::size_t bound) { return m_numbers() % bound; }
-    milliseconds time(int leastMs, int mostMs) { return milliseconds(between(leastMs, mostMs)); }
     bool oneIn(int count) { return between(1, count) == 1; }
 
 private:
-    std::mt19937 m_numbers;
+    std::mt19937 m_generator;
 };
 
 // What all callers were told.
@@ -62,10 +66,10 @@
     std::vector<std::string> accepted; // jobs
     std::set<std::string> cancelled;   // jobs for which a cancel was sent
     std::vector<std::string> faults;
-    int answered = 0;
-    int raced = 0;     // with the end of their connection
-    int brokenOff = 0; // their connection ended before they were whole
-    std::size_t jobs = 0;
+    int answeredCount = 0;
+    int racedCount = 0;     // with the end of their connection
+    int brokenOffCount = 0; // their connection ended before they were whole
+    std::size_t jobCount = 0;
 };
 
 struct caller_request
@@ -80,39 +84,39 @@
 {
 public:
     soak_caller(std::string server, unsigned seed, callers_record &record,
-                const std::atomic<bool> &burst)
+                const std::atomic<bool> &isBurst)
         : m_server(std::move(server))
-        , m_draws(seed)
+        , m_random(seed)
         , m_record(record)
-        , m_burst(burst)
+        , m_isBurst(isBurst)
     { }
 
-    void run(const std::stop_token &over)
+    void run(const std::stop_token &stopToken)
     {
-        while (!over.stop_requested()) {
+        while (!stopToken.stop_requested()) {
             kept_caller connection(m_server);
             if (!connection.isOpen())
                 std::this_thread::sleep_for(milliseconds(10));
-            int left = m_draws.between(1, 15);
-            while (left-- > 0 && connection.isOpen() && !over.stop_requested())
-                exchange(connection);
+            int left = m_random.between(1, 15);
+            while (left-- > 0 && connection.isOpen() && !stopToken.stop_requested())
+                exchangeRequest(connection);
         }
     }
 
 private:
-    void exchange(kept_caller &connection)
+    void exchangeRequest(kept_caller &connection)
     {
-        std::this_thread::sleep_for(m_draws.time(0, m_burst ? 40 : 300));
-        if (m_draws.oneIn(12))
-            std::this_thread::sleep_for(m_draws.time(0, 2500)); // an idle connection
+        std::this_thread::sleep_for(m_random.time(0, m_isBurst ? 40 : 300));
+        if (m_random.oneIn(12))
+            std::this_thread::sleep_for(m_random.time(0, 2500)); // an idle connection
         if (!connection.isOpen())
             return;
-        const auto request = draw();
+        const auto request = drawRequest();
         const auto path = "/holds/" + request.job;
         const auto text = connection.requestText(request.method, path, request.body);
         std::size_t first = 0;
-        if (m_draws.oneIn(4)) {
-            first = m_draws.oneIn(4) ? text.find("\r\n") + 2 : 1 + m_draws.below(text.size() - 1);
+        if (m_random.oneIn(4)) {
+            first = m_random.oneIn(4) ? text.find("\r\n") + 2 : 1 + m_random.below(text.size() - 1);
             if (!sendInPart(connection, request, text.substr(0, first)))
                 return;
         }
@@ -122,12 +126,12 @@
         const auto open = connection.seenOpenAt() - sentAt;
         const std::lock_guard lock(m_record.mutex);
         if (status)
-            return answered(request, *status);
-        if (open <= RaceAtMost && connection.answerText().empty())
-            ++m_record.raced;
+            return recordAnswer(request, *status);
+        if (open <= MaxRaceTime && connection.answerText().empty())
+            ++m_record.racedCount;
         else
-            fault(request, fmt::format("got no answer but \"{}\", open {} ms after it",
-                                       connection.answerText(), millisecondsIn(open)));
+            recordFault(request, fmt::format("got no answer but \"{}\", open {} ms after it",
+                                             connection.answerText(), millisecondsIn(open)));
     }
 
     // False when its connection ended before the rest could be sent.
@@ -135,124 +139,125 @@
     {
         connection.sendText(part);
         const auto sentAt = monotonic_clock::now();
-        if (connection.staysOpenFor(m_draws.time(0, 300)))
+        if (connection.staysOpenFor(m_random.time(0, 300)))
             return true;
         const std::lock_guard lock(m_record.mutex);
         const bool wasRead = connection.isEndedInOrder();
-        if (!wasRead || connection.seenOpenAt() - sentAt <= ArrivesWithin)
-            ++m_record.brokenOff;
+        if (!wasRead || connection.seenOpenAt() - sentAt <= MaxArrivalTime)
+            ++m_record.brokenOffCount;
         else
-            fault(request, fmt::format("was read in part ({} bytes) and given up", part.size()));
+            recordFault(request,
+                        fmt::format("was read in part ({} bytes) and given up", part.size()));
         return false;
     }
 
-    void fault(const caller_request &request, const std::string &what)
+    void recordFault(const caller_request &request, const std::string &what)
     {
         m_record.faults.push_back(fmt::format("{}: {} /holds/{} {}; at {}", m_server,
                                               request.method, request.job, what,
                                               std::time(nullptr)));
     }
 
-    caller_request draw()
+    caller_request drawRequest()
     {
         const std::lock_guard lock(m_record.mutex);
         const auto &known = m_record.accepted;
-        const auto kind = m_draws.between(0, 99);
-        if (kind < 25 && m_record.jobs < JobsAtMost) {
-            const auto some = m_draws.between(0, 0x7ffffffe);
-            return {"POST", fmt::format("{:08x}{:08x}", some, ++m_record.jobs),
+        const auto kind = m_random.between(0, 99);
+        if (kind < 25 && m_record.jobCount < MaxJobs) {
+            const auto randomValue = m_random.between(0, 0x7ffffffe);
+            return {"POST", fmt::format("{:08x}{:08x}", randomValue, ++m_record.jobCount),
                     R"({"spec":"","steps":[{"count":1,"cpu":1000,"mem-mb":100}]})"};
         }
         if (kind < 50 || known.empty())
             return {"GET", "", ""};
         const auto last = static_cast<int>(known.size()) - 1;
         if (kind < 90)
-            return {"GET", known[static_cast<std::size_t>(m_draws.between(0, last))], ""};
+            return {"GET", known[static_cast<std::size_t>(m_random.between(0, last))], ""};
         const auto job =
-                known[static_cast<std::size_t>(m_draws.between(std::max(0, last - 9), last))];
+                known[static_cast<std::size_t>(m_random.between(std::max(0, last - 9), last))];
         m_record.cancelled.insert(job);
         return {"DELETE", job, ""};
     }
 
-    void answered(const caller_request &request, int status)
+    void recordAnswer(const caller_request &request, int status)
     {
-        ++m_record.answered;
+        ++m_record.answeredCount;
         if (request.method == "POST" && status / 100 == 2)
             m_record.accepted.push_back(request.job);
         if (status == 410)
-            fault(request, "of a job that was accepted got 410");
+            recordFault(request, "of a job that was accepted got 410");
     }
 
     std::string m_server;
-    lot m_draws;
+    random_source m_random;
     callers_record &m_record;
-    const std::atomic<bool> &m_burst;
+    const std::atomic<bool> &m_isBurst;
 };
 
 // Lends a process a share of a core, by letting it stand still for `pause` in each cycle.
-class lent_time
+class cpu_share
 {
 public:
-    lent_time() = default; // all of it
-    lent_time(milliseconds pause, int percent)
+    cpu_share() = default; // all of it
+    cpu_share(milliseconds pause, int percent)
         : m_pause(pause)
-        , m_run(pause * percent / (100 - percent))
+        , m_runTime(pause * percent / (100 - percent))
     { }
 
     void tick(const child_process &process, time_point now)
     {
-        if (now < m_nextAt || m_pause == milliseconds(0))
+        if (now < m_nextChangeAt || m_pause == milliseconds(0))
             return;
-        m_stoodStill += m_still ? now - m_since : duration(0);
-        m_still = !m_still;
-        m_since = now;
-        m_nextAt = now + (m_still ? m_pause : m_run);
-        process.signal(m_still ? SIGSTOP : SIGCONT);
+        m_stoppedTime += m_isStopped ? now - m_stoppedSince : duration(0);
+        m_isStopped = !m_isStopped;
+        m_stoppedSince = now;
+        m_nextChangeAt = now + (m_isStopped ? m_pause : m_runTime);
+        process.signal(m_isStopped ? SIGSTOP : SIGCONT);
     }
 
-    duration stoodStill(time_point now) const
+    duration stoppedTime(time_point now) const
     {
-        return m_stoodStill + (m_still ? now - m_since : duration(0));
+        return m_stoppedTime + (m_isStopped ? now - m_stoppedSince : duration(0));
     }
 
 private:
     milliseconds m_pause{0};
-    milliseconds m_run{0}; // between two pauses
-    bool m_still = false;
-    time_point m_since{};  // it stands still
-    time_point m_nextAt{}; // it is stopped or continued
-    duration m_stoodStill{0};
+    milliseconds m_runTime{0}; // between two pauses
+    bool m_isStopped = false;
+    time_point m_stoppedSince{}; // it stands still
+    time_point m_nextChangeAt{}; // it is stopped or continued
+    duration m_stoppedTime{0};
 };
 
-class stops_soak
+class shutdown_soak
 {
 public:
-    explicit stops_soak(unsigned seed)
+    explicit shutdown_soak(unsigned seed)
         : m_seed(seed)
-        , m_draws(seed)
+        , m_random(seed)
     {
-        m_on.site().workLasts(TaskLasts);
+        m_system.site().workLasts(TaskDuration);
     }
 
     void run()
     {
         startCallers();
-        int index = m_draws.between(0, 1);
-        for (int stop = 0; stop < Stops; ++stop) {
-            drawSurroundings();
-            pass(m_draws.time(0, 800));
-            stopAndStart(index);
-            index = m_draws.oneIn(4) ? index : 1 - index;
+        int index = m_random.between(0, 1);
+        for (int stop = 0; stop < ShutdownCount; ++stop) {
+            drawConditions();
+            tickFor(m_random.time(0, 800));
+            restartEntry(index);
+            index = m_random.oneIn(4) ? index : 1 - index;
         }
         for (const int entry : {0, 1})
-            lend(entry, {});
-        m_on.site().turnAway(false);
+            setShare(entry, {});
+        m_system.site().turnAway(false);
         for (auto &caller : m_callers)
             caller.request_stop();
         m_callers.clear();
-        checkAccepted();
-        for (const auto &violation : m_on.site().violations())
-            fault(violation);
+        checkAcceptedJobs();
+        for (const auto &violation : m_system.site().violations())
+            recordFault(violation);
     }
 
     const std::vector<std::string> &faults() const { return m_record.faults; }
@@ -261,113 +266,117 @@
     {
         return fmt::format("seed {}: {} answered, {} raced with the end of their "
                            "connection, {} broken off in part; {} jobs; longest stop {} ms",
-                           m_seed, m_record.answered, m_record.raced, m_record.brokenOff,
-                           m_record.accepted.size(), millisecondsIn(m_longestStop));
+                           m_seed, m_record.answeredCount, m_record.racedCount,
+                           m_record.brokenOffCount, m_record.accepted.size(),
+                           millisecondsIn(m_longestShutdown));
     }
 
-    void keepLines(const std::string &folder) const
+    void keepLogs(const std::string &folder) const
     {
-        std::filesystem::copy(m_on.scratch(), fmt::format("{}/seed-{}", folder, m_seed),
+        std::filesystem::copy(m_system.scratch(), fmt::format("{}/seed-{}", folder, m_seed),
                               std::filesystem::copy_options::recursive);
     }
 
 private:
     void startCallers()
     {
-        for (int each = 0; each < 2 * CallersOfAnEntry; ++each) {
+        for (int each = 0; each < 2 * CallersPerEntry; ++each) {
             const auto seed = m_seed * 100 + static_cast<unsigned>(each);
-            m_callers.emplace_back([this, each, seed](const std::stop_token &over) {
-                soak_caller(m_on.callersAddress(each % 2), seed, m_record, m_burst).run(over);
+            m_callers.emplace_back([this, each, seed](const std::stop_token &stopToken) {
+                soak_caller(m_system.callersAddress(each % 2), seed, m_record, m_isBurst)
+                        .run(stopToken);
             });
         }
     }
 
-    void drawSurroundings()
+    void drawConditions()
     {
         for (const int entry : {0, 1}) {
-            const lent_time part(m_draws.time(20, 400), m_draws.between(12, 99));
-            m_drawn[entry] = m_draws.oneIn(4) ? lent_time() : part;
-            lend(entry, m_drawn[entry]);
+            const cpu_share reducedShare(m_random.time(20, 400), m_random.between(12, 99));
+            m_shares[entry] = m_random.oneIn(4) ? cpu_share() : reducedShare;
+            setShare(entry, m_shares[entry]);
         }
-        m_burst = m_draws.oneIn(2);
-        m_storeAwayAt = monotonic_clock::now() + m_draws.time(0, 3000);
-        const auto lasts = m_draws.time(100, 4500);
-        m_storeBackAt = m_storeAwayAt + (m_draws.oneIn(3) ? lasts : milliseconds(0));
+        m_isBurst = m_random.oneIn(2);
+        m_storeOutageFrom = monotonic_clock::now() + m_random.time(0, 3000);
+        const auto lasts = m_random.time(100, 4500);
+        m_storeOutageUntil = m_storeOutageFrom + (m_random.oneIn(3) ? lasts : milliseconds(0));
     }
 
-    void lend(int entry, lent_time lent)
+    void setShare(int entry, cpu_share share)
     {
-        m_on.entry(entry).signal(SIGCONT);
-        m_lent[entry] = lent;
+        m_system.entry(entry).signal(SIGCONT);
+        m_currentShares[entry] = share;
     }
 
     // What is done to all processes, at one moment.
     void tick(time_point now)
     {
         for (const int entry : {0, 1})
-            m_lent[entry].tick(m_on.entry(entry), now);
-        m_on.site().turnAway(now >= m_storeAwayAt && now < m_storeBackAt);
+            m_currentShares[entry].tick(m_system.entry(entry), now);
+        m_system.site().turnAway(now >= m_storeOutageFrom && now < m_storeOutageUntil);
         std::this_thread::sleep_for(Tick);
     }
 
-    void pass(milliseconds span)
+    void tickFor(milliseconds span)
     {
         const auto end = monotonic_clock::now() + span;
         for (auto now = monotonic_clock::now(); now < end; now = monotonic_clock::now())
             tick(now);
     }
 
-    void stopAndStart(int index)
+    void restartEntry(int index)
     {
-        auto &entry = m_on.entry(index);
+        auto &entry = m_system.entry(index);
         const auto at = monotonic_clock::now();
-        const auto lentBefore = m_lent[index].stoodStill(at);
+        const auto suspendedBefore = m_currentShares[index].stoppedTime(at);
         entry.signal(SIGTERM);
         // Both as of a moment at which it had not ended.
         duration span{};
-        duration lent{};
-        for (auto now = at; entry.running() && span - lent < KilledAfter;
+        duration suspended{};
+        for (auto now = at; entry.running() && span - suspended < KillTimeout;
              now = monotonic_clock::now()) {
             span = now - at;
-            lent = m_lent[index].stoodStill(now) - lentBefore;
+            suspended = m_currentShares[index].stoppedTime(now) - suspendedBefore;
             tick(now);
         }
-        m_longestStop = std::max(m_longestStop, span);
-        checkEnd(index, span);
-        startAgain(index);
+        m_longestShutdown = std::max(m_longestShutdown, span);
+        checkExit(index, span);
+        startNextIncarnation(index);
     }
 
-    void checkEnd(int index, duration span)
+    void checkExit(int index, duration span)
     {
-        const auto code = m_on.entry(index).waitForExit(milliseconds(0));
+        const auto code = m_system.entry(index).waitForExit(milliseconds(0));
         if (code != 0)
-            fault(fmt::format("entry-{} ended with {} (-1: not) {} ms after it was told to stop",
-                              index, code, millisecondsIn(span)));
-        const auto text = m_on.written("entry", index, m_lifeFrom[index]);
+            recordFault(
+                    fmt::format("entry-{} ended with {} (-1: not) {} ms after it was told to stop",
+                                index, code, millisecondsIn(span)));
+        const auto text = m_system.logText("entry", index, m_incarnationLogFrom[index]);
         const auto stopped = text.rfind(R"("event":"stopped")");
         const auto last = stopped == std::string::npos ? "" : text.substr(stopped);
         for (const char *const field : {"callers_answering", "callers_writing"}) {
             if (last.find(fmt::format(R"("{}":0)", field)) == std::string::npos)
-                fault(fmt::format("entry-{} cut off {}: {}", index, field, last));
+                recordFault(fmt::format("entry-{} cut off {}: {}", index, field, last));
         }
     }
 
     // Some are stopped again right after their start, others once they know all jobs.
-    void startAgain(int index)
+    void startNextIncarnation(int index)
     {
-        m_lifeFrom[index] = m_on.written("entry", index).size();
-        m_on.startEntry(index);
-        m_lent[index] = m_drawn[index];
-        const auto *event = m_draws.oneIn(4) ? R"("event":"started")" : R"("event":"jobs_read")";
-        const auto giveUpAt = monotonic_clock::now() + SoonEnough;
-        while (m_on.written("entry", index, m_lifeFrom[index]).find(event) == std::string::npos) {
+        m_incarnationLogFrom[index] = m_system.logText("entry", index).size();
+        m_system.startEntry(index);
+        m_currentShares[index] = m_shares[index];
+        const auto *event = m_random.oneIn(4) ? R"("event":"started")" : R"("event":"jobs_read")";
+        const auto giveUpAt = monotonic_clock::now() + WaitLimit;
+        while (m_system.logText("entry", index, m_incarnationLogFrom[index]).find(event)
+               == std::string::npos) {
             if (monotonic_clock::now() > giveUpAt)
-                return fault(fmt::format("entry-{} did not say {}", index, event));
-            pass(LookAtLines);
+                return recordFault(fmt::format("entry-{} did not say {}", index, event));
+            tickFor(LogPollInterval);
         }
     }
 
-    void checkAccepted()
+    void checkAcceptedJobs()
     {
         for (const auto &job : m_record.accepted) {
             http_response last;
@@ -375,46 +384,46 @@
                 return last.body.find(as) != std::string::npos;
             };
             const auto isKnown = [&] {
-                last = m_on.call(0, "GET", job).value_or(http_response{});
+                last = m_system.call(0, "GET", job).value_or(http_response{});
                 return last.status == 410 || ended("completed")
                        || (m_record.cancelled.contains(job) && ended("cancelled"));
             };
-            if (!waitUntil(isKnown, SoonEnough) || last.status == 410)
-                return fault(fmt::format("job {} was accepted; last answer: {} {}", job,
-                                         last.status, last.body));
+            if (!waitUntil(isKnown, WaitLimit) || last.status == 410)
+                return recordFault(fmt::format("job {} was accepted; last answer: {} {}", job,
+                                               last.status, last.body));
         }
     }
 
-    void fault(std::string text)
+    void recordFault(std::string text)
     {
         const std::lock_guard lock(m_record.mutex);
         m_record.faults.push_back(std::move(text));
     }
 
     unsigned m_seed;
-    lot m_draws;
-    system_under_test m_on;
+    random_source m_random;
+    system_under_test m_system;
     callers_record m_record;
-    std::atomic<bool> m_burst = false;
-    std::array<lent_time, 2> m_drawn; // as lent to each life of an entry
-    std::array<lent_time, 2> m_lent;
-    std::array<std::size_t, 2> m_lifeFrom{}; // of its lines
-    time_point m_storeAwayAt{};
-    time_point m_storeBackAt{};
-    duration m_longestStop{};
+    std::atomic<bool> m_isBurst = false;
+    std::array<cpu_share, 2> m_shares; // as lent to each life of an entry
+    std::array<cpu_share, 2> m_currentShares;
+    std::array<std::size_t, 2> m_incarnationLogFrom{}; // of its lines
+    time_point m_storeOutageFrom{};
+    time_point m_storeOutageUntil{};
+    duration m_longestShutdown{};
     std::vector<std::jthread> m_callers;
 };
 
-void play(unsigned seed)
+void runSeed(unsigned seed)
 {
-    stops_soak soak(seed);
+    shutdown_soak soak(seed);
     soak.run();
     fmt::print("{}\n", soak.summary());
     for (const auto &fault : soak.faults())
         cr_expect_fail("seed %u: %s", seed, fault.c_str());
     const char *folder = std::getenv("ZB_SOAK_LOGS");
     if (folder != nullptr && !soak.faults().empty())
-        soak.keepLines(folder);
+        soak.keepLogs(folder);
 }
 
 } // namespace
@@ -425,7 +434,7 @@
 {
     const char *one = std::getenv("ZB_SOAK_SEED");
     if (one != nullptr)
-        return play(static_cast<unsigned>(std::stoul(one)));
+        return runSeed(static_cast<unsigned>(std::stoul(one)));
     for (const auto seed : Seeds)
-        play(seed);
+        runSeed(seed);
 }
--- a/tests/send_queue_test.cpp
+++ b/tests/send_queue_test.cpp
@@ -31,8 +31,8 @@
     queue.push(callTo("other"));
     check(taken(queue) == "owner first");
     check(taken(queue) == "other beat");
-    check(!queue.mayTake());
-    queue.settled("owner", true);
+    check(!queue.canTake());
+    queue.completeCall("owner", true);
     check(taken(queue) == "owner second");
 }
 
@@ -42,28 +42,28 @@
 Test(send_queue, silent_targets_leave_a_thread)
 {
     send_queue queue({3, 8, 64});
-    const std::vector<std::string> silent = {"a", "b", "c"};
+    const std::vector<std::string> unresponsive = {"a", "b", "c"};
     section("not yet known as silent: each may hold a thread once", [&] {
-        for (const auto &target : silent)
+        for (const auto &target : unresponsive)
             queue.push(callTo(target));
         check(taken(queue) == "a beat");
         check(taken(queue) == "b beat");
         check(taken(queue) == "c beat");
-        for (const auto &target : silent)
-            queue.settled(target, false);
+        for (const auto &target : unresponsive)
+            queue.completeCall(target, false);
     });
     section("from then on one thread is left", [&] {
-        for (const auto &target : silent)
+        for (const auto &target : unresponsive)
             queue.push(callTo(target));
         queue.push(callTo("owner"));
         check(taken(queue) == "a beat");
         check(taken(queue) == "b beat");
         check(taken(queue) == "owner beat");
-        queue.settled("owner", true);
-        check(!queue.mayTake());
+        queue.completeCall("owner", true);
+        check(!queue.canTake());
     });
     section("one that answers counts as the others again", [&] {
-        queue.settled("a", true);
+        queue.completeCall("a", true);
         check(taken(queue) == "c beat");
         queue.push(callTo("a"));
         check(taken(queue) == "a beat");
@@ -77,7 +77,7 @@
     send_queue queue({3, 8, 64});
     queue.push(callTo("silent"));
     check(taken(queue) == "silent beat");
-    queue.settled("silent", false);
+    queue.completeCall("silent", false);
     queue.push(callTo("first"));
     queue.push(callTo("silent"));
     queue.push(callTo("last"));
@@ -107,9 +107,9 @@
     send_queue queue({2, 8, 16});
     queue.push(callTo(""));
     queue.push(callTo("owner"));
-    check(queue.mayTake());
+    check(queue.canTake());
     check(taken(queue) == " beat");
-    queue.settled("", false);
+    queue.completeCall("", false);
     check(taken(queue) == "owner beat");
     queue.push(callTo(""));
     check(taken(queue) == " beat");
--- a/tests/worker_clock_test.cpp
+++ b/tests/worker_clock_test.cpp
@@ -13,18 +13,18 @@
     constexpr time_point ReadAt{seconds(1000)};
     worker_clock clock;
     section("it is not known before it was read", [&] { check(!clock.isKnown()); });
-    clock.read(5000, ReadAt);
+    clock.setReading(5000, ReadAt);
     section("it goes on", [&] {
         check(clock.isKnown());
-        check(clock.at(ReadAt) == 5000);
-        check(clock.at(ReadAt + milliseconds(250)) == 5250);
+        check(clock.millisecondsAt(ReadAt) == 5000);
+        check(clock.millisecondsAt(ReadAt + milliseconds(250)) == 5250);
     });
     section("a reading replaces the one before", [&] {
-        clock.read(5240, ReadAt + milliseconds(250));
-        check(clock.at(ReadAt + milliseconds(300)) == 5290);
+        clock.setReading(5240, ReadAt + milliseconds(250));
+        check(clock.millisecondsAt(ReadAt + milliseconds(300)) == 5290);
     });
     section("a worker that is gone has none", [&] {
-        clock.forget();
+        clock.reset();
         check(!clock.isKnown());
     });
 }
--- a/tests/worker_presence_test.cpp
+++ b/tests/worker_presence_test.cpp
@@ -10,29 +10,29 @@
 
 namespace {
 
-using news = worker_presence::news;
-using look = worker_presence::look;
+using news = worker_presence::change;
+using look = worker_presence::poll_result;
 
-constexpr std::int64_t Born = 1000;
+constexpr std::int64_t BornMs = 1000;
 
-worker_announcement saying(std::int64_t sequence, std::int64_t bornMs = Born)
+worker_announcement announcementWith(std::int64_t sequence, std::int64_t bornMs = BornMs)
 {
-    worker_announcement told;
-    told.id = "worker";
-    told.bornMs = bornMs;
-    told.sequence = sequence;
-    return told;
+    worker_announcement announcement;
+    announcement.id = "worker";
+    announcement.bornMs = bornMs;
+    announcement.sequence = sequence;
+    return announcement;
 }
 
-struct scene
+struct running_worker
 {
     worker_presence worker;
     time_point now{std::chrono::hours(1)};
 
-    scene()
+    running_worker()
     {
-        worker.announced(saying(1));
-        worker.answered(Born, now);
+        worker.handleAnnouncement(announcementWith(1));
+        worker.handleAnswer(BornMs, now);
     }
 };
 
@@ -40,24 +40,25 @@
 
 Test(worker_presence, announcements)
 {
-    scene on;
-    check(on.worker.isPresent());
+    running_worker current;
+    check(current.worker.isPresent());
     section("a first word changes what may be given to it, a second one does not", [&] {
         worker_presence fresh;
-        check(fresh.announced(saying(1)) == news::Readiness);
-        check(fresh.announced(saying(2)) == news::None);
+        check(fresh.handleAnnouncement(announcementWith(1)) == news::ReadinessChanged);
+        check(fresh.handleAnnouncement(announcementWith(2)) == news::None);
     });
     section("one that is overtaken is no news", [&] {
-        auto leaving = saying(3);
+        auto leaving = announcementWith(3);
         leaving.leaving = true;
-        check(on.worker.announced(leaving) == news::Readiness);
-        check(on.worker.announced(saying(2)) == news::None);
-        check(on.worker.isLeaving());
+        check(current.worker.handleAnnouncement(leaving) == news::ReadinessChanged);
+        check(current.worker.handleAnnouncement(announcementWith(2)) == news::None);
+        check(current.worker.isLeaving());
     });
     section("a later life is told, an earlier one is not believed", [&] {
-        check(on.worker.announced(saying(1, Born + 1)) == news::OtherLife);
-        check(on.worker.announced(saying(9, Born)) == news::None);
-        check(on.worker.lifeName() == std::to_string(Born + 1));
+        check(current.worker.handleAnnouncement(announcementWith(1, BornMs + 1))
+              == news::NewIncarnation);
+        check(current.worker.handleAnnouncement(announcementWith(9, BornMs)) == news::None);
+        check(current.worker.incarnationName() == std::to_string(BornMs + 1));
     });
 }
 
@@ -65,47 +66,49 @@
 // one, which no connection reached in time, was taken for gone with all that it ran.
 Test(worker_presence, only_a_refused_connection_confirms_a_departure)
 {
-    scene on;
-    require(on.worker.departed("worker", on.now));
+    running_worker current;
+    require(current.worker.handleDeparture("worker", current.now));
     section("a connect or an answer that is late tells nothing of the worker", [&] {
         for (const auto failure : {call_failure::NotConnected, call_failure::Late,
                                    call_failure::Cut, call_failure::TooLarge})
-            check(!on.worker.isGoneBy(failure));
-        check(on.worker.goesAway());
+            check(!current.worker.confirmsDeparture(failure));
+        check(current.worker.isGoingAway());
     });
     section("nobody listens there any more: it is gone, once", [&] {
-        check(on.worker.isGoneBy(call_failure::Refused));
-        check(!on.worker.isGoneBy(call_failure::Refused));
+        check(current.worker.confirmsDeparture(call_failure::Refused));
+        check(!current.worker.confirmsDeparture(call_failure::Refused));
     });
     section("one that has not said that it ends may be back in a moment", [&] {
-        scene other;
-        check(!other.worker.isGoneBy(call_failure::Refused));
+        running_worker other;
+        check(!other.worker.confirmsDeparture(call_failure::Refused));
     });
 }
 
 Test(worker_presence, a_departure_of_an_earlier_life)
 {
-    scene on;
-    require(on.worker.departed("worker", on.now));
+    running_worker current;
+    require(current.worker.handleDeparture("worker", current.now));
     section("another worker's is not its own", [&] {
-        scene other;
-        check(!other.worker.departed("another", other.now));
+        running_worker other;
+        check(!other.worker.handleDeparture("another", other.now));
         check(other.worker.isPresent());
     });
     section("its announcements are not believed meanwhile", [&] {
-        check(on.worker.announced(saying(2)) == news::None);
-        check(!on.worker.isPresent());
+        check(current.worker.handleAnnouncement(announcementWith(2)) == news::None);
+        check(!current.worker.isPresent());
     });
     section("an answer of just after is not either, one of later says that it stays", [&] {
-        check(on.worker.answered(Born, on.now + milliseconds(499)) == look::SameLife);
-        check(!on.worker.isPresent());
-        check(on.worker.answered(Born, on.now + milliseconds(500)) == look::Stayed);
-        check(on.worker.isPresent());
-        check(!on.worker.goesAway());
+        check(current.worker.handleAnswer(BornMs, current.now + milliseconds(499))
+              == look::SameIncarnation);
+        check(!current.worker.isPresent());
+        check(current.worker.handleAnswer(BornMs, current.now + milliseconds(500))
+              == look::DepartureRefuted);
+        check(current.worker.isPresent());
+        check(!current.worker.isGoingAway());
     });
     section("the answer of another life is told as that", [&] {
-        check(on.worker.answered(Born + 5, on.now) == look::OtherLife);
-        check(on.worker.answered(Born + 5, on.now) == look::SameLife);
+        check(current.worker.handleAnswer(BornMs + 5, current.now) == look::NewIncarnation);
+        check(current.worker.handleAnswer(BornMs + 5, current.now) == look::SameIncarnation);
     });
 }
 
@@ -113,36 +116,38 @@
 // saw the new life first, and its announcements were taken for overtaken ones of the old.
 Test(worker_presence, a_next_life_that_a_look_sees_first)
 {
-    scene on;
-    auto draining = saying(40);
+    running_worker current;
+    auto draining = announcementWith(40);
     draining.leaving = true;
     section("that it drains is heard", [] {
-        scene crashed;
-        check(crashed.worker.announced(saying(40)) == news::None);
-        check(crashed.worker.answered(Born + 5, crashed.now) == look::OtherLife);
-        auto next = saying(12, Born + 5);
-        next.leaving = true;
-        check(crashed.worker.announced(next) == news::Readiness);
+        running_worker crashed;
+        check(crashed.worker.handleAnnouncement(announcementWith(40)) == news::None);
+        check(crashed.worker.handleAnswer(BornMs + 5, crashed.now) == look::NewIncarnation);
+        auto nextAnnouncement = announcementWith(12, BornMs + 5);
+        nextAnnouncement.leaving = true;
+        check(crashed.worker.handleAnnouncement(nextAnnouncement) == news::ReadinessChanged);
         check(crashed.worker.isLeaving());
     });
     section("drained, gone and back, it is there again", [&] {
-        auto worker = on.worker;
-        worker.announced(draining);
-        require(worker.departed("worker", on.now));
-        require(worker.isGoneBy(call_failure::Refused));
-        check(worker.answered(Born + 5, on.now + milliseconds(2000)) == look::OtherLife);
-        worker.announced(saying(1, Born + 5));
+        auto worker = current.worker;
+        worker.handleAnnouncement(draining);
+        require(worker.handleDeparture("worker", current.now));
+        require(worker.confirmsDeparture(call_failure::Refused));
+        check(worker.handleAnswer(BornMs + 5, current.now + milliseconds(2000))
+              == look::NewIncarnation);
+        worker.handleAnnouncement(announcementWith(1, BornMs + 5));
         check(worker.isPresent());
         check(!worker.isLeaving());
     });
     section("so it is when it was back before a look had failed", [&] {
-        auto worker = on.worker;
-        worker.announced(draining);
-        require(worker.departed("worker", on.now));
-        check(worker.answered(Born + 5, on.now + milliseconds(100)) == look::OtherLife);
-        worker.announced(saying(1, Born + 5));
-        worker.answered(Born + 5, on.now + milliseconds(600));
-        worker.announced(saying(2, Born + 5));
+        auto worker = current.worker;
+        worker.handleAnnouncement(draining);
+        require(worker.handleDeparture("worker", current.now));
+        check(worker.handleAnswer(BornMs + 5, current.now + milliseconds(100))
+              == look::NewIncarnation);
+        worker.handleAnnouncement(announcementWith(1, BornMs + 5));
+        worker.handleAnswer(BornMs + 5, current.now + milliseconds(600));
+        worker.handleAnnouncement(announcementWith(2, BornMs + 5));
         check(worker.isPresent());
         check(!worker.isLeaving());
     });
