--- a/app/owned_shard.cpp
+++ b/app/owned_shard.cpp
@@ -39,10 +39,10 @@
            || state == work::task_state::Evicting || state == work::task_state::Cancelling;
 }
 
-placement::entry_state stateOf(work::task_state state)
+placement::reservation_state stateOf(work::task_state state)
 {
     const bool ends = state == work::task_state::Evicting || state == work::task_state::Cancelling;
-    return ends ? placement::entry_state::Stopping : placement::entry_state::Running;
+    return ends ? placement::reservation_state::Stopping : placement::reservation_state::Running;
 }
 
 // What the worker is told of a task.
@@ -134,7 +134,7 @@
     switch (change.change) {
     case work::task_change::Placed:
         logTask("task_placed", change);
-        m_placer.taskSettled(ref, change.worker, placement::placement_outcome::Applied, now);
+        m_placer.placementSettled(ref, change.worker, placement::placement_outcome::Applied, now);
         break;
     case work::task_change::Started:
         m_placer.taskRunning(ref, change.worker, now);
@@ -168,8 +168,8 @@
     case work::task_change::Reverted:
         // A pending task names no worker: only the placer knows whose room it had.
         if (change.state == work::task_state::Pending)
-            m_placer.taskSettled(ref, m_placer.workerOf(ref),
-                                 placement::placement_outcome::NotApplied, now);
+            m_placer.placementSettled(ref, m_placer.workerOf(ref),
+                                      placement::placement_outcome::NotApplied, now);
         break;
     }
 }
@@ -373,13 +373,14 @@
         return;
     std::map<std::string, work::team_demand> demands;
     for (const auto &[team, limit] : m_teamLimits) {
-        const auto use = m_placer.useOf(team);
-        demands[team] = {limit, use.held, use.held + use.waiting, use.largest};
+        const auto use = m_placer.usageOf(team);
+        demands[team] = {limit, use.reservedSum, use.reservedSum + use.pendingSum,
+                         use.largestPending};
     }
     for (auto &action : m_quotas.update(demands, now))
         std::visit([&](auto &one) { actions.emplace_back(std::move(one)); }, action);
     for (const auto &[team, limit] : m_teamLimits)
-        m_placer.setTeamPart(team, m_quotas.usable(team));
+        m_placer.setLocalTeamLimit(team, m_quotas.usable(team));
 }
 
 // Whether an earlier owner let a task of a backlog start is not written. Until it is known the task
@@ -399,7 +400,7 @@
         if (fits)
             feed(work::start_ahead_decided{task}, actions, now);
         if (waits)
-            m_placer.taskWaitsAhead(refOf(task), record.worker, now);
+            m_placer.taskInBacklog(refOf(task), record.worker, now);
         next = !open || fits || waits ? m_adoptedAhead.erase(next) : std::next(next);
     }
 }
@@ -422,26 +423,26 @@
                                  aboveDeclared(action.task, action.reserved)},
              actions, now);
     } else {
-        m_placer.taskSettled(action.task, action.worker, placement::placement_outcome::NotApplied,
-                             now);
+        m_placer.placementSettled(action.task, action.worker,
+                                  placement::placement_outcome::NotApplied, now);
     }
 }
 
 void owned_shard::decideBacklog(std::vector<work::table_action> &actions, time_point now)
 {
     const auto backlog = m_placer.planBacklog(now, m_backlogPerWorker);
-    for (const auto &action : backlog.takenBack) {
+    for (const auto &action : backlog.withdrawn) {
         m_metrics.count("backlog_total", "taken_back");
         feed(work::evict_decided{idOf(action.task)}, actions, now);
     }
-    for (const auto &action : backlog.placedAhead) {
+    for (const auto &action : backlog.assigned) {
         const auto task = idOf(action.task);
         if (m_table.placeable(task) && m_table.mayPlaceOn(action.worker)) {
             m_metrics.count("backlog_total", "placed");
             feed(work::place_decided{task, action.worker, true, {}}, actions, now);
         } else {
-            m_placer.taskSettled(action.task, action.worker,
-                                 placement::placement_outcome::NotApplied, now);
+            m_placer.placementSettled(action.task, action.worker,
+                                      placement::placement_outcome::NotApplied, now);
         }
     }
 }
@@ -502,7 +503,7 @@
     json["shard"] = m_owner.shard;
     json["epoch"] = Json::UInt64(m_owner.epoch);
     json["table_down"] = m_table.tableDown(now);
-    json["pending"] = Json::UInt64(m_placer.pendingTasks());
+    json["pending"] = Json::UInt64(m_placer.pendingTaskCount());
     json["jobs"] = Json::Value(Json::objectValue);
     for (const auto &id : m_table.jobs()) {
         const auto *job = m_table.job(id);
@@ -523,8 +524,8 @@
         worker["id"] = id;
         worker["size"] = placement::toJson(book->size());
         worker["reserved"] = placement::toJson(book->reserved());
-        worker["tasks"] = Json::UInt64(book->entries().size());
-        worker["backlog"] = Json::UInt64(m_placer.backlogOf(id));
+        worker["tasks"] = Json::UInt64(book->reservations().size());
+        worker["backlog"] = Json::UInt64(m_placer.backlogLengthOf(id));
         json["workers"].append(worker);
     }
     json["refused"] = Json::Value(Json::objectValue);
--- a/app/schedule_duty.cpp
+++ b/app/schedule_duty.cpp
@@ -36,12 +36,12 @@
     out.weights.tailLatency = settings.weights.tailLatency;
     out.weights.throughput = settings.weights.throughput;
     out.weights.evictions = settings.weights.evictions;
-    out.quarantine.jobWorkers = settings.placement.quarantineWorkers;
-    out.quarantine.workerJobs = settings.placement.setAsideJobs;
+    out.quarantine.jobWorkerLimit = settings.placement.quarantineWorkers;
+    out.quarantine.workerJobLimit = settings.placement.setAsideJobs;
     out.relief.evictionsPerMinute = static_cast<double>(settings.placement.evictionsPerMinute);
     // Agents count what their worker was told, the declared size: with smaller reservations of
     // processors here, they would refuse starts. Memory is only ever reserved above it.
-    out.sizes.processorFloor = 1.0;
+    out.sizes.minProcessorShare = 1.0;
     return out;
 }
 
--- a/bench/load_signal_bench.cpp
+++ b/bench/load_signal_bench.cpp
@@ -198,7 +198,8 @@
     const auto average = tuneAverage(training);
     const auto recency = tuneRecency(training);
     fmt::print("moving average: {} slices, rises above {}, falls below {}\n",
-               average.settings.slices, average.settings.riseAbove, average.settings.fallBelow);
+               average.settings.windowSamples, average.settings.riseAbove,
+               average.settings.fallBelow);
     fmt::print("recency-weighted: {} slices, rises above {}, falls below {}, margin {}\n",
                recency.slices, recency.rise, recency.fall, recency.margin);
     fmt::print("{:18} {:>5} {:>7} {:>7} {:>7} {:>9} {:>7} {:>7} {:>8}\n", "signal", "seed", "wrong",
--- a/bench/placement_model.cpp
+++ b/bench/placement_model.cpp
@@ -234,13 +234,13 @@
     task.ran = 0;
     task.stopIn = -1;
     task.running = false;
-    m_placer.taskSettled(action.task, action.worker, placement_outcome::Applied, m_now);
+    m_placer.placementSettled(action.task, action.worker, placement_outcome::Applied, m_now);
 }
 
 void placement_model::operator()(const preempt_action &action)
 {
     auto &task = m_tasks.at(action.victim);
-    const double allowed = std::chrono::duration<double>(action.checkpointBefore - m_now).count();
+    const double allowed = std::chrono::duration<double>(action.checkpointDeadline - m_now).count();
     if (allowed >= CheckpointTakes)
         task.checkpoint = task.done;
     task.stopIn = std::min(allowed, CheckpointTakes);
@@ -470,7 +470,7 @@
 std::vector<named_policy> comparedPolicies()
 {
     named_policy declared{"first fit, declared sizes", {}};
-    declared.settings.order = placement_order::FirstFit;
+    declared.settings.algorithm = placement_algorithm::FirstFit;
     declared.settings.avoidInterference = false;
     declared.settings.relieveServices = false;
     declared.settings.sizes.learn = false;
--- a/bench/placement_slope_bench.cpp
+++ b/bench/placement_slope_bench.cpp
@@ -133,7 +133,7 @@
     void runAll()
     {
         for (const auto &place : placed) {
-            subject.taskSettled(place.task, place.worker, placement_outcome::Applied, now);
+            subject.placementSettled(place.task, place.worker, placement_outcome::Applied, now);
             subject.taskRunning(place.task, place.worker, now);
         }
     }
--- a/libs/placement/actions.h
+++ b/libs/placement/actions.h
@@ -39,8 +39,8 @@
     task_ref victim;
     std::string worker;
     preempt_reason reason = preempt_reason::UrgentTask;
-    task_ref beneficiary;        // the task for which it makes room; unset for MemoryPressure
-    time_point checkpointBefore; // after it, stop with the last checkpoint that there is
+    task_ref beneficiary;          // the task for which it makes room; unset for MemoryPressure
+    time_point checkpointDeadline; // after it, stop with the last checkpoint that there is
 };
 
 // Tell the worker (and the agent's ledger) that the task may use more from now on.
@@ -77,8 +77,8 @@
 // the same worker once there is room. One that is taken back follows with taskReleased.
 struct backlog_plan
 {
-    std::vector<place_action> placedAhead;
-    std::vector<place_action> takenBack;
+    std::vector<place_action> assigned;
+    std::vector<place_action> withdrawn;
 };
 
 using placement_action =
@@ -113,7 +113,7 @@
 struct pool_info
 {
     std::string name;
-    resources workerSize; // of its largest workers, as configured
+    resources largestWorkerSize; // of its largest workers, as configured
 };
 
 struct team_quota
@@ -121,15 +121,16 @@
     std::string team;
     double weight = 1; // share when teams compete
     resources limit;   // reserved at the same time, at most; 0 in a dimension: no limit there
-    std::optional<resources> part = {}; // of the limit, for this placer; unset: all of it
+    std::optional<resources> localLimit = {}; // of the limit, for this placer; unset: all of it
 };
 
 // What a team holds here, and asks for.
-struct team_use
+struct team_usage
 {
-    resources held;
-    resources waiting; // sum over its waiting tasks, as far as all workers together could take it
-    resources largest; // of them; 0: none that could be taken
+    resources reservedSum;
+    resources
+            pendingSum; // sum over its waiting tasks, as far as all workers together could take it
+    resources largestPending; // of them; 0: none that could be taken
 };
 
 std::string_view nameOf(preempt_reason reason);
--- a/libs/placement/backlog.cpp
+++ b/libs/placement/backlog.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-constexpr std::size_t MostAtOnce = 64; // tasks placed ahead by one plan
-constexpr seconds HoldForTakenBack{5}; // room elsewhere, until its stop is confirmed and written
+constexpr std::size_t MaxAssignedPerPlan = 64; // tasks placed ahead by one plan
+constexpr seconds WithdrawalHoldTime{5}; // room elsewhere, until its stop is confirmed and written
 
 // Class Proof would be bound to a worker that falls silent, for as long as that is not back.
-bool mayWaitAhead(const job_record &job)
+bool canJoinBacklog(const job_record &job)
 {
     return job.spec.kind == task_kind::Batch && job.spec.priority != task_priority::Urgent
            && job.spec.failover == failover_class::Lease;
@@ -26,51 +26,51 @@
 
 } // namespace
 
-std::size_t placer::backlogOf(const std::string &worker) const
+std::size_t placer::backlogLengthOf(const std::string &worker) const
 {
     const int slot = m_workers.slotOf(worker);
-    return slot == worker_table::NoSlot ? 0 : m_workers.at(slot).aheadTasks;
+    return slot == worker_table::NoSlot ? 0 : m_workers.at(slot).backlogLength;
 }
 
 // Tasks of this rank, each on its own worker alone.
-void placer::startAhead(plan_run &run, int rank)
+void placer::startFromBacklogs(planning_pass &pass, int rank)
 {
-    const std::vector<task_ref> tasks(m_ahead.begin(), m_ahead.end());
+    const std::vector<task_ref> tasks(m_backlogTasks.begin(), m_backlogTasks.end());
     for (const auto &task : tasks) {
-        if (run.isFull())
+        if (pass.isFull())
             return;
-        const auto [job, record] = find(task);
-        const bool leaves = record->nominated != NoWorker;
-        if (job->rank != rank || !record->aheadSettled || leaves
-            || !m_quarantine.jobMayStart(task.jobId, run.now))
+        const auto [job, record] = findTask(task);
+        const bool isBeingWithdrawn = record->holdSlot != NoWorker;
+        if (job->rank != rank || !record->isBacklogStored || isBeingWithdrawn
+            || !m_quarantine.canStartJob(task.jobId, pass.now))
             continue;
-        const int slot = record->ahead;
+        const int slot = record->backlogSlot;
         const auto demand = demandOf(*job);
-        if (!demand.fitsIn(m_workers.room(slot)) || !m_quotas.allows(job->team, demand))
+        if (!demand.fitsIn(m_workers.freeCapacity(slot)) || !m_quotas.canReserve(job->team, demand))
             continue;
-        auto request = requestFor(*job, *record, demand, run.now);
-        request.only = slot;
+        auto request = requestFor(*job, *record, demand, pass.now);
+        request.requiredSlot = slot;
         if (m_chooser.choose(request).outcome != choice_outcome::Found)
             continue;
-        leaveBacklog(task, *record);
-        place(run, *job, task.taskIndex, slot, demand);
+        removeFromBacklog(task, *record);
+        place(pass, *job, task.taskIndex, slot, demand);
     }
 }
 
 backlog_plan placer::planBacklog(time_point now, std::size_t perWorker)
 {
     backlog_plan plan;
-    takeBack(plan, now);
+    withdrawFromBacklogs(plan, now);
     if (perWorker == 0)
         return plan;
     // A team at its quota comes last: its tasks would keep others out of the backlogs.
-    for (const auto reason : {wait_reason::NoRoom, wait_reason::TeamLimit}) {
-        for (int rank = 0; rank < Ranks; ++rank) {
-            for (auto &[team, jobs] : m_queue.rank(rank)) {
-                const auto waiting = jobs; // a job leaves the queue with its last waiting task
-                for (const auto &[sequence, job] : waiting) {
-                    if (job->wait == reason && mayWaitAhead(*job))
-                        placeAhead(plan, *job, perWorker, now);
+    for (const auto reason : {wait_reason::NoCapacity, wait_reason::TeamAtQuota}) {
+        for (int rank = 0; rank < RankCount; ++rank) {
+            for (auto &[team, jobs] : m_queue.teamsAtRank(rank)) {
+                const auto pendingCopy = jobs; // a job leaves the queue with its last waiting task
+                for (const auto &[sequence, job] : pendingCopy) {
+                    if (job->waitReason == reason && canJoinBacklog(*job))
+                        assignToBacklog(plan, *job, perWorker, now);
                 }
             }
         }
@@ -78,33 +78,34 @@
     return plan;
 }
 
-void placer::placeAhead(backlog_plan &plan, job_record &job, std::size_t perWorker, time_point now)
+void placer::assignToBacklog(backlog_plan &plan, job_record &job, std::size_t perWorker,
+                             time_point now)
 {
     const auto demand = demandOf(job);
-    const std::vector<std::int32_t> waiting(job.pending.begin(), job.pending.end());
-    for (const auto index : waiting) {
-        const bool full = plan.placedAhead.size() >= MostAtOnce;
-        const int slot = full ? NoWorker : slotForAhead(job, demand, perWorker);
+    const std::vector<std::int32_t> pendingCopy(job.pending.begin(), job.pending.end());
+    for (const auto index : pendingCopy) {
+        const bool isPlanFull = plan.assigned.size() >= MaxAssignedPerPlan;
+        const int slot = isPlanFull ? NoWorker : chooseBacklogSlot(job, demand, perWorker);
         if (slot == NoWorker)
             return;
         auto &record = job.tasks.at(index);
-        if (record.nominated != NoWorker || now < record.avoidUntil)
+        if (record.holdSlot != NoWorker || now < record.avoidUntil)
             continue;
         const task_ref task{job.spec.jobId, index};
         dequeue(job, index);
-        enterBacklog(task, record, slot, now);
-        ++m_stats.placedAhead;
-        plan.placedAhead.push_back({task, m_workers.at(slot).info.id, demand});
+        addToBacklog(task, record, slot, now);
+        ++m_stats.backlogAssigned;
+        plan.assigned.push_back({task, m_workers.at(slot).info.id, demand});
     }
 }
 
-void placer::enterBacklog(const task_ref &task, task_record &record, int slot, time_point now)
+void placer::addToBacklog(const task_ref &task, task_record &record, int slot, time_point now)
 {
-    record.ahead = slot;
-    record.aheadSettled = false;
-    record.aheadUntil = now + m_settings.aheadPatience;
-    ++m_workers.at(slot).aheadTasks;
-    m_ahead.insert(task);
+    record.backlogSlot = slot;
+    record.isBacklogStored = false;
+    record.backlogUntil = now + m_settings.minBacklogTime;
+    ++m_workers.at(slot).backlogLength;
+    m_backlogTasks.insert(task);
 }
 
 bool placer::isWithinLimits(const task_ref &task) const
@@ -113,107 +114,107 @@
     if (!job || !job->tasks.contains(task.taskIndex))
         return false;
     const auto &record = job->tasks.at(task.taskIndex);
-    return record.worker != NoWorker
-           && resources{}.fitsIn(m_workers.at(record.worker).book.available())
-           && m_quotas.allows(record.team, resources{});
+    return record.workerSlot != NoWorker
+           && resources{}.fitsIn(m_workers.at(record.workerSlot).ledger.available())
+           && m_quotas.canReserve(record.team, resources{});
 }
 
-void placer::taskWaitsAhead(const task_ref &task, const std::string &worker, time_point now)
+void placer::taskInBacklog(const task_ref &task, const std::string &worker, time_point now)
 {
-    const auto found = placedOn(task, worker);
+    const auto found = findOnWorker(task, worker);
     if (!found || found.task->cancelled)
         return;
-    const int slot = found.task->worker;
-    enterBacklog(task, *found.task, slot, now); // first: the slot must not close
-    found.task->aheadSettled = true;
-    vacate(task, *found.task, now);
+    const int slot = found.task->workerSlot;
+    addToBacklog(task, *found.task, slot, now); // first: the slot must not close
+    found.task->isBacklogStored = true;
+    removeFromWorker(task, *found.task, now);
 }
 
 // The worker of the job's pool with the shortest backlog.
-int placer::slotForAhead(const job_record &job, const resources &demand,
-                         std::size_t perWorker) const
+int placer::chooseBacklogSlot(const job_record &job, const resources &demand,
+                              std::size_t perWorker) const
 {
-    int best = NoWorker;
-    std::size_t fewest = perWorker;
+    int bestSlot = NoWorker;
+    std::size_t shortestLength = perWorker;
     for (const int slot : m_workers.pool(job.pool).slots) {
         const auto &worker = m_workers.at(slot);
-        const bool possible = !worker.setAside && demand.fitsIn(worker.info.size);
-        if (!possible || worker.aheadTasks >= fewest)
+        const bool canTake = !worker.isQuarantined && demand.fitsIn(worker.info.size);
+        if (!canTake || worker.backlogLength >= shortestLength)
             continue;
-        fewest = worker.aheadTasks;
-        best = slot;
+        shortestLength = worker.backlogLength;
+        bestSlot = slot;
     }
-    return best;
+    return bestSlot;
 }
 
 // Without it, the last tasks of a job would wait behind one worker while others idle.
-void placer::takeBack(backlog_plan &plan, time_point now)
+void placer::withdrawFromBacklogs(backlog_plan &plan, time_point now)
 {
-    const std::vector<task_ref> tasks(m_ahead.begin(), m_ahead.end());
+    const std::vector<task_ref> tasks(m_backlogTasks.begin(), m_backlogTasks.end());
     for (const auto &task : tasks) {
-        const auto [job, record] = find(task);
-        if (!record->aheadSettled || !hasToLeave(*job, *record, now))
+        const auto [job, record] = findTask(task);
+        if (!record->isBacklogStored || !shouldWithdraw(*job, *record, now))
             continue;
-        ++m_stats.takenBack;
-        plan.takenBack.push_back({task, m_workers.at(record->ahead).info.id, demandOf(*job)});
+        ++m_stats.backlogWithdrawn;
+        plan.withdrawn.push_back({task, m_workers.at(record->backlogSlot).info.id, demandOf(*job)});
     }
 }
 
 // Its worker takes no more, or another one has room that plan() found nobody for; that is held for
 // the task, so that the same room does not call for several.
-bool placer::hasToLeave(const job_record &job, task_record &record, time_point now)
+bool placer::shouldWithdraw(const job_record &job, task_record &record, time_point now)
 {
-    if (record.nominated != NoWorker && now < record.nominatedUntil)
+    if (record.holdSlot != NoWorker && now < record.holdUntil)
         return false; // on its way
-    dropHold(record);
-    const auto &worker = m_workers.at(record.ahead);
-    const bool takes = worker.inService && !worker.setAside;
-    if (takes && now < record.aheadUntil)
+    releaseHold(record);
+    const auto &worker = m_workers.at(record.backlogSlot);
+    const bool acceptsTasks = worker.inService && !worker.isQuarantined;
+    if (acceptsTasks && now < record.backlogUntil)
         return false;
     auto request = requestFor(job, record, demandOf(job), now);
-    request.avoid = record.ahead;
+    request.excludedSlot = record.backlogSlot;
     const auto choice = m_chooser.choose(request);
-    const bool found =
-            choice.outcome == choice_outcome::Found && m_quotas.allows(job.team, request.demand);
-    if (!found && takes)
+    const bool found = choice.outcome == choice_outcome::Found
+                       && m_quotas.canReserve(job.team, request.demand);
+    if (!found && acceptsTasks)
         return false;
-    record.nominated = found ? choice.slot : record.ahead;
-    record.heldRoom = found ? request.demand : resources{};
-    record.nomination = ++m_nominations;
-    record.nominatedUntil = now + HoldForTakenBack;
-    m_workers.at(record.nominated).held += record.heldRoom;
-    m_workers.roomChanged(record.nominated);
+    record.holdSlot = found ? choice.slot : record.backlogSlot;
+    record.holdAmount = found ? request.demand : resources{};
+    record.holdNumber = ++m_lastHoldNumber;
+    record.holdUntil = now + WithdrawalHoldTime;
+    m_workers.at(record.holdSlot).heldCapacity += record.holdAmount;
+    m_workers.updateFreeCapacity(record.holdSlot);
     return true;
 }
 
-placer::found_task placer::aheadOn(const task_ref &task, const std::string &worker)
+placer::found_task placer::findInBacklog(const task_ref &task, const std::string &worker)
 {
-    const auto found = find(task);
-    const bool there = found && found.task->ahead != NoWorker
-                       && m_workers.at(found.task->ahead).info.id == worker;
-    return there ? found : found_task();
+    const auto found = findTask(task);
+    const bool isOnWorker = found && found.task->backlogSlot != NoWorker
+                            && m_workers.at(found.task->backlogSlot).info.id == worker;
+    return isOnWorker ? found : found_task();
 }
 
-void placer::leaveBacklog(const task_ref &task, task_record &record)
+void placer::removeFromBacklog(const task_ref &task, task_record &record)
 {
-    if (record.ahead == NoWorker)
+    if (record.backlogSlot == NoWorker)
         return;
-    const int slot = std::exchange(record.ahead, NoWorker);
-    record.aheadSettled = false;
-    --m_workers.at(slot).aheadTasks;
-    m_ahead.erase(task);
-    m_workers.closeIfUnused(slot);
+    const int slot = std::exchange(record.backlogSlot, NoWorker);
+    record.isBacklogStored = false;
+    --m_workers.at(slot).backlogLength;
+    m_backlogTasks.erase(task);
+    m_workers.removeIfUnused(slot);
 }
 
-bool placer::releaseAhead(const task_ref &task, const std::string &worker, time_point now)
+bool placer::releaseFromBacklog(const task_ref &task, const std::string &worker, time_point now)
 {
-    const auto found = aheadOn(task, worker);
+    const auto found = findInBacklog(task, worker);
     if (!found)
         return false;
-    leaveBacklog(task, *found.task);
+    removeFromBacklog(task, *found.task);
     // Room that is held for it elsewhere is found again by the next plan.
-    if (found.task->nominated != NoWorker)
-        m_holds.insert(task);
+    if (found.task->holdSlot != NoWorker)
+        m_heldTasks.insert(task);
     enqueue(*found.job, task.taskIndex, now);
     return true;
 }
--- a/libs/placement/load_signal.cpp
+++ b/libs/placement/load_signal.cpp
@@ -6,15 +6,15 @@
 
 void load_signal::add(double excess, const load_signal_settings &settings)
 {
-    const auto slices = std::clamp<std::size_t>(settings.slices, 1, MostSlices);
-    if (m_count >= slices) {
+    const auto windowSamples = std::clamp<std::size_t>(settings.windowSamples, 1, MaxSamples);
+    if (m_count >= windowSamples) {
         std::shift_left(m_window.begin(), m_window.begin() + static_cast<std::ptrdiff_t>(m_count),
                         1);
-        m_count = slices - 1;
+        m_count = windowSamples - 1;
     }
     m_window.at(m_count) = static_cast<float>(excess);
     ++m_count;
-    if (m_count < slices)
+    if (m_count < windowSamples)
         return;
     if (mean() > settings.riseAbove)
         m_raised = true;
--- a/libs/placement/load_signal.h
+++ b/libs/placement/load_signal.h
@@ -12,26 +12,29 @@
 
 struct load_signal_settings
 {
-    std::size_t slices = 3;  // samples averaged, at most load_signal::MostSlices
-    double riseAbove = 0;    // mean excess (log of p99 over target) that raises the signal
-    double fallBelow = -0.2; // mean that lowers it
+    std::size_t windowSamples = 3; // samples averaged, at most load_signal::MostSlices
+    double riseAbove = 0;          // mean excess (log of p99 over target) that raises the signal
+    double fallBelow = -0.2;       // mean that lowers it
 };
 
 class load_signal
 {
 public:
-    static constexpr std::size_t MostSlices = 16;
+    static constexpr std::size_t MaxSamples = 16;
 
     void add(double excess, const load_signal_settings &settings);
     // Samples from before an action say nothing about its effect.
-    void restart() { m_count = 0; }
+    void clearSamples() { m_count = 0; }
 
     double mean() const;
-    bool isFull(const load_signal_settings &settings) const { return m_count >= settings.slices; }
+    bool isFull(const load_signal_settings &settings) const
+    {
+        return m_count >= settings.windowSamples;
+    }
     bool isRaised() const { return m_raised; }
 
 private:
-    std::array<float, MostSlices> m_window{}; // newest last
+    std::array<float, MaxSamples> m_window{}; // newest last
     std::size_t m_count = 0;
     bool m_raised = false;
 };
--- a/libs/placement/preemption_planner.cpp
+++ b/libs/placement/preemption_planner.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr std::size_t Examined = 8; // workers whose victims are chosen, of all that could make room
+constexpr std::size_t MaxExaminedWorkers =
+        8; // workers whose victims are chosen, of all that could make room
 
 resources positivePart(const resources &amount)
 {
@@ -17,8 +18,8 @@
 
 } // namespace
 
-room_maker::room_maker(const worker_table &workers, const task_table &tasks,
-                       const worker_chooser &chooser)
+preemption_planner::preemption_planner(const worker_table &workers, const task_table &tasks,
+                                       const worker_chooser &chooser)
     : m_workers(workers)
     , m_tasks(tasks)
     , m_chooser(chooser)
@@ -27,9 +28,11 @@
 // Only batch work is evicted, never urgent work, and never a task whose end has to be proven: a
 // lease watcher must finish without being restarted. An ambiguous placement may not have started,
 // so stopping it would free nothing that is certain.
-bool room_maker::mayEvict(const task_ref &task, const ledger_entry &entry, int rank) const
+bool preemption_planner::canEvict(const task_ref &task, const task_reservation &reservation,
+                                  int rank) const
 {
-    if (entry.state != entry_state::Running && entry.state != entry_state::Placed)
+    if (reservation.state != reservation_state::Running
+        && reservation.state != reservation_state::Placed)
         return false;
     const auto *job = m_tasks.findJob(task.jobId);
     if (!job || job->spec.pool.empty() || job->spec.kind != task_kind::Batch
@@ -39,138 +42,141 @@
 }
 
 // A stop that may take a long checkpoint is no room for urgent work.
-bool room_maker::stopsSoon(const task_ref &task, const ledger_entry &entry) const
+bool preemption_planner::stopsSoon(const task_ref &task, const task_reservation &reservation) const
 {
-    if (entry.state != entry_state::Stopping)
+    if (reservation.state != reservation_state::Stopping)
         return false;
     const auto *job = m_tasks.findJob(task.jobId);
     return job && job->tasks.at(task.taskIndex).stopsSoon;
 }
 
-const room_maker::evictable_sums &room_maker::sumsOf(int slot)
+const preemption_planner::evictable_sums &preemption_planner::evictableOn(int slot)
 {
-    if (m_sums.size() <= static_cast<std::size_t>(slot))
-        m_sums.resize(static_cast<std::size_t>(m_workers.slots()));
-    auto &sums = m_sums[static_cast<std::size_t>(slot)];
+    if (m_evictable.size() <= static_cast<std::size_t>(slot))
+        m_evictable.resize(static_cast<std::size_t>(m_workers.slotCount()));
+    auto &sums = m_evictable[static_cast<std::size_t>(slot)];
     const auto &worker = m_workers.at(slot);
-    if (sums.changes == worker.changes)
+    if (sums.workerRevision == worker.revision)
         return sums;
     sums = {};
-    sums.changes = worker.changes;
-    for (const auto &[task, entry] : worker.book.entries()) {
-        if (stopsSoon(task, entry))
-            sums.stoppingSoon += entry.reserved;
-        for (int rank = 0; rank < Ranks && mayEvict(task, entry, rank); ++rank)
-            sums.byRank.at(static_cast<std::size_t>(rank)) += entry.reserved;
+    sums.workerRevision = worker.revision;
+    for (const auto &[task, reservation] : worker.ledger.reservations()) {
+        if (stopsSoon(task, reservation))
+            sums.stoppingSoon += reservation.reserved;
+        for (int rank = 0; rank < RankCount && canEvict(task, reservation, rank); ++rank)
+            sums.evictableByRank.at(static_cast<std::size_t>(rank)) += reservation.reserved;
     }
     return sums;
 }
 
-resources room_maker::comingFree(int slot) const
+resources preemption_planner::stoppingReservations(int slot) const
 {
     resources sum;
-    for (const auto &[task, entry] : m_workers.at(slot).book.entries()) {
-        if (entry.state == entry_state::Stopping)
-            sum += entry.reserved;
+    for (const auto &[task, reservation] : m_workers.at(slot).ledger.reservations()) {
+        if (reservation.state == reservation_state::Stopping)
+            sum += reservation.reserved;
     }
     return sum;
 }
 
-resources room_maker::missingOn(int slot, const place_request &request)
+resources preemption_planner::shortfallOn(int slot, const placement_request &request)
 {
-    const auto room = m_workers.room(slot) + sumsOf(slot).stoppingSoon;
-    return positivePart(request.demand - room);
+    const auto available = m_workers.freeCapacity(slot) + evictableOn(slot).stoppingSoon;
+    return positivePart(request.demand - available);
 }
 
-std::optional<room_plan> room_maker::makeRoom(const place_request &request, int rank)
+std::optional<preemption_plan> preemption_planner::planPreemption(const placement_request &request,
+                                                                  int rank)
 {
-    std::vector<std::pair<double, int>> able;
+    std::vector<std::pair<double, int>> candidates;
     for (const int slot : m_workers.pool(request.pool).slots) {
         const auto &worker = m_workers.at(slot);
-        if (worker.setAside || slot == request.avoid)
+        if (worker.isQuarantined || slot == request.excludedSlot)
             continue;
-        const auto missing = missingOn(slot, request);
-        if (!missing.fitsIn(sumsOf(slot).byRank.at(static_cast<std::size_t>(rank))))
+        const auto shortfall = shortfallOn(slot, request);
+        if (!shortfall.fitsIn(evictableOn(slot).evictableByRank.at(static_cast<std::size_t>(rank))))
             continue;
-        const double cost = dominantShare(missing, worker.info.size)
-                            + m_chooser.spreadCost(request, slot) + (worker.suspect ? 1 : 0);
-        able.emplace_back(cost, slot);
+        const double cost = dominantShare(shortfall, worker.info.size)
+                            + m_chooser.spreadCost(request, slot) + (worker.isSuspected ? 1 : 0);
+        candidates.emplace_back(cost, slot);
     }
-    const auto examined = std::min(Examined, able.size());
-    std::partial_sort(able.begin(), able.begin() + static_cast<std::ptrdiff_t>(examined),
-                      able.end());
-    cheapest_room best;
-    for (std::size_t index = 0; index < examined; ++index) {
-        const int slot = able[index].second;
-        consider(best, request, slot, chooseVictims(slot, missingOn(slot, request), rank));
+    const auto examinedCount = std::min(MaxExaminedWorkers, candidates.size());
+    std::partial_sort(candidates.begin(),
+                      candidates.begin() + static_cast<std::ptrdiff_t>(examinedCount),
+                      candidates.end());
+    cheapest_plan best;
+    for (std::size_t index = 0; index < examinedCount; ++index) {
+        const int slot = candidates[index].second;
+        keepIfCheaper(best, request, slot, chooseVictims(slot, shortfallOn(slot, request), rank));
     }
     return best.plan;
 }
 
 // Each victim costs one, and so does leaving the spread of a service's replicas.
-void room_maker::consider(cheapest_room &best, const place_request &request, int slot,
-                          std::optional<std::vector<task_ref>> victims) const
+void preemption_planner::keepIfCheaper(cheapest_plan &best, const placement_request &request,
+                                       int slot, std::optional<std::vector<task_ref>> victims) const
 {
     if (!victims)
         return;
     const double cost = static_cast<double>(victims->size()) + m_chooser.spreadCost(request, slot);
     if (!best.plan || cost < best.cost)
-        best = {cost, room_plan{slot, std::move(*victims)}};
+        best = {cost, preemption_plan{slot, std::move(*victims)}};
 }
 
-std::optional<room_plan> room_maker::makeOwnRoom(const place_request &request, int rank,
-                                                 std::uint16_t team, const resources &quota)
+std::optional<preemption_plan>
+preemption_planner::planTeamPreemption(const placement_request &request, int rank,
+                                       std::uint16_t team, const resources &quotaShortfall)
 {
-    cheapest_room best;
+    cheapest_plan best;
     for (const int slot : m_workers.pool(request.pool).slots) {
-        if (m_workers.at(slot).setAside || slot == request.avoid)
+        if (m_workers.at(slot).isQuarantined || slot == request.excludedSlot)
             continue;
-        const auto missing = largest(missingOn(slot, request), quota);
-        consider(best, request, slot, chooseVictims(slot, missing, rank, team));
+        const auto shortfall = largest(shortfallOn(slot, request), quotaShortfall);
+        keepIfCheaper(best, request, slot, chooseVictims(slot, shortfall, rank, team));
     }
     return best.plan;
 }
 
-std::vector<room_maker::victim> room_maker::victimsOn(int slot, int rank,
-                                                      std::optional<std::uint16_t> team) const
+std::vector<preemption_planner::victim>
+preemption_planner::victimsOn(int slot, int rank, std::optional<std::uint16_t> team) const
 {
     std::vector<victim> victims;
-    for (const auto &[task, entry] : m_workers.at(slot).book.entries()) {
-        if (!mayEvict(task, entry, rank))
+    for (const auto &[task, reservation] : m_workers.at(slot).ledger.reservations()) {
+        if (!canEvict(task, reservation, rank))
             continue;
         const auto *job = m_tasks.findJob(task.jobId);
         if (team && job->team != *team)
             continue;
         const auto record = job->tasks.find(task.taskIndex);
-        victims.push_back({job->rank, entry.wanted != entry.reserved, record->second.startedAt,
-                           task, entry.reserved});
+        victims.push_back({job->rank, reservation.wanted != reservation.reserved,
+                           record->second.startedAt, task, reservation.reserved});
     }
     // Lowest priority first; then what uses more than it was given; then the youngest, which loses
     // the least work.
     std::sort(victims.begin(), victims.end(), [](const victim &left, const victim &right) {
-        return std::tie(right.rank, right.overReservation, right.startedAt, right.task)
-               < std::tie(left.rank, left.overReservation, left.startedAt, left.task);
+        return std::tie(right.rank, right.usesMoreThanReserved, right.startedAt, right.task)
+               < std::tie(left.rank, left.usesMoreThanReserved, left.startedAt, left.task);
     });
     return victims;
 }
 
 std::optional<std::vector<task_ref>>
-room_maker::chooseVictims(int slot, const resources &missing, int rank,
-                          std::optional<std::uint16_t> team) const
+preemption_planner::chooseVictims(int slot, const resources &shortfall, int rank,
+                                  std::optional<std::uint16_t> team) const
 {
     auto victims = victimsOn(slot, rank, team);
     resources freed;
-    std::size_t used = 0;
-    while (used < victims.size() && !missing.fitsIn(freed))
-        freed += victims[used++].amount;
-    if (!missing.fitsIn(freed))
+    std::size_t victimCount = 0;
+    while (victimCount < victims.size() && !shortfall.fitsIn(freed))
+        freed += victims[victimCount++].reservedAmount;
+    if (!shortfall.fitsIn(freed))
         return std::nullopt;
-    victims.resize(used);
+    victims.resize(victimCount);
     // A later, larger victim may make an earlier one needless.
     std::vector<task_ref> chosen;
     for (const auto &candidate : victims) {
-        if (missing.fitsIn(freed - candidate.amount))
-            freed -= candidate.amount;
+        if (shortfall.fitsIn(freed - candidate.reservedAmount))
+            freed -= candidate.reservedAmount;
         else
             chosen.push_back(candidate.task);
     }
--- a/libs/placement/quarantine.cpp
+++ b/libs/placement/quarantine.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t LongestReason = 200; // characters kept of a failure's reason
+constexpr std::size_t MaxReasonLength = 200; // characters kept of a failure's reason
 
 } // namespace
 
@@ -15,96 +15,99 @@
     : m_settings(settings)
 { }
 
-void quarantine::failed(const std::string &job, const std::string &worker, const std::string &pool,
-                        std::size_t poolSize, const std::string &reason, time_point now)
+void quarantine::recordFailure(const std::string &job, const std::string &worker,
+                               const std::string &pool, std::size_t poolSize,
+                               const std::string &reason, time_point now)
 {
     if (!m_settings.enabled)
         return;
     // One side is already known to be bad: the failure says nothing new about the other. Without
     // this, one broken worker would quarantine every job that probes it, and one bad job would have
     // every worker set aside.
-    if (isTripped(m_workers, worker)) {
-        trip(m_workers.at(worker), now);
+    if (isQuarantined(m_workers, worker)) {
+        startOrExtend(m_workers.at(worker), now);
         return;
     }
-    if (isTripped(m_jobs, job)) {
-        trip(m_jobs.at(job), now);
+    if (isQuarantined(m_jobs, job)) {
+        startOrExtend(m_jobs.at(job), now);
         return;
     }
     prune(m_jobs, now);
     prune(m_workers, now);
     auto &jobRecord = m_jobs[job];
-    jobRecord.reason = reason.substr(0, LongestReason);
-    note(jobRecord, worker, now);
+    jobRecord.reason = reason.substr(0, MaxReasonLength);
+    addFailure(jobRecord, worker, now);
     auto &workerRecord = m_workers[worker];
     workerRecord.pool = pool;
-    note(workerRecord, job, now);
-    if (workerRecord.failures.size() >= m_settings.workerJobs && maySetAside(pool, poolSize)) {
-        trip(workerRecord, now);
+    addFailure(workerRecord, job, now);
+    if (workerRecord.failures.size() >= m_settings.workerJobLimit
+        && canQuarantineWorker(pool, poolSize)) {
+        startOrExtend(workerRecord, now);
         dropCounterpart(m_jobs, worker);
         return;
     }
-    if (mustQuarantine(jobRecord, poolSize)) {
-        trip(jobRecord, now);
+    if (shouldQuarantineJob(jobRecord, poolSize)) {
+        startOrExtend(jobRecord, now);
         dropCounterpart(m_workers, job);
     }
 }
 
-void quarantine::succeeded(const std::string &job, const std::string &worker, time_point startedAt)
+void quarantine::recordSuccess(const std::string &job, const std::string &worker,
+                               time_point startedAt)
 {
     // A task that started before the first failure proves nothing: a worker whose old tasks go on
     // while each new one fails must not look healthy.
-    const auto clears = [startedAt](const record &entry) {
-        return entry.failures.empty() || startedAt >= entry.failures.front().at;
+    const auto clearsRecord = [startedAt](const failure_record &record) {
+        return record.failures.empty() || startedAt >= record.failures.front().at;
     };
-    const auto jobFound = m_jobs.find(job);
-    if (jobFound != m_jobs.end() && clears(jobFound->second))
-        m_jobs.erase(jobFound);
-    const auto workerFound = m_workers.find(worker);
-    if (workerFound != m_workers.end() && clears(workerFound->second))
-        m_workers.erase(workerFound);
+    const auto jobIterator = m_jobs.find(job);
+    if (jobIterator != m_jobs.end() && clearsRecord(jobIterator->second))
+        m_jobs.erase(jobIterator);
+    const auto workerIterator = m_workers.find(worker);
+    if (workerIterator != m_workers.end() && clearsRecord(workerIterator->second))
+        m_workers.erase(workerIterator);
 }
 
-bool quarantine::jobMayStart(const std::string &job, time_point now) const
+bool quarantine::canStartJob(const std::string &job, time_point now) const
 {
-    return mayTry(m_jobs, job, now);
+    return canTry(m_jobs, job, now);
 }
 
-bool quarantine::workerMayTake(const std::string &worker, time_point now) const
+bool quarantine::canUseWorker(const std::string &worker, time_point now) const
 {
-    return mayTry(m_workers, worker, now);
+    return canTry(m_workers, worker, now);
 }
 
-void quarantine::started(const std::string &job, const std::string &worker, time_point now)
+void quarantine::recordStart(const std::string &job, const std::string &worker, time_point now)
 {
-    if (isTripped(m_jobs, job))
-        m_jobs.at(job).probeUntil = now + m_settings.probeFor;
-    if (isTripped(m_workers, worker))
-        m_workers.at(worker).probeUntil = now + m_settings.probeFor;
+    if (isQuarantined(m_jobs, job))
+        m_jobs.at(job).probeUntil = now + m_settings.probeTimeout;
+    if (isQuarantined(m_workers, worker))
+        m_workers.at(worker).probeUntil = now + m_settings.probeTimeout;
 }
 
-bool quarantine::isSetAside(const std::string &worker) const
+bool quarantine::isWorkerQuarantined(const std::string &worker) const
 {
-    return isTripped(m_workers, worker);
+    return isQuarantined(m_workers, worker);
 }
 
-bool quarantine::isQuarantined(const std::string &job) const
+bool quarantine::isJobQuarantined(const std::string &job) const
 {
-    return isTripped(m_jobs, job);
+    return isQuarantined(m_jobs, job);
 }
 
 bool quarantine::isSuspect(const std::string &worker) const
 {
     const auto found = m_workers.find(worker);
-    return found != m_workers.end() && !found->second.tripped
-           && found->second.failures.size() >= m_settings.workerJobs;
+    return found != m_workers.end() && !found->second.quarantined
+           && found->second.failures.size() >= m_settings.workerJobLimit;
 }
 
-std::vector<std::string> quarantine::setAsideWorkers() const
+std::vector<std::string> quarantine::quarantinedWorkers() const
 {
     std::vector<std::string> workers;
-    for (const auto &[worker, entry] : m_workers) {
-        if (entry.tripped)
+    for (const auto &[worker, record] : m_workers) {
+        if (record.quarantined)
             workers.push_back(worker);
     }
     return workers;
@@ -113,102 +116,103 @@
 std::string quarantine::reasonFor(const std::string &job, time_point now) const
 {
     const auto found = m_jobs.find(job);
-    if (found == m_jobs.end() || !found->second.tripped)
+    if (found == m_jobs.end() || !found->second.quarantined)
         return "";
-    const auto &entry = found->second;
-    const auto wait = millisecondsUntil(entry.until, now) / 1000;
-    return "job " + job + " failed on " + std::to_string(entry.failures.size())
-           + " distinct workers (limit " + std::to_string(m_settings.jobWorkers)
-           + "), the last time with: " + entry.reason + "; one task tries again in "
-           + std::to_string(wait) + " s";
+    const auto &record = found->second;
+    const auto waitSeconds = millisecondsUntil(record.coolDownUntil, now) / 1000;
+    return "job " + job + " failed on " + std::to_string(record.failures.size())
+           + " distinct workers (limit " + std::to_string(m_settings.jobWorkerLimit)
+           + "), the last time with: " + record.reason + "; one task tries again in "
+           + std::to_string(waitSeconds) + " s";
 }
 
 // Packing may send the tasks of a bad job back and forth between two workers, or the pool may have
 // no more than two: it would never reach the number of distinct workers, and fail for ever.
-bool quarantine::mustQuarantine(const record &entry, std::size_t poolSize) const
+bool quarantine::shouldQuarantineJob(const failure_record &record, std::size_t poolSize) const
 {
-    const auto distinct = entry.failures.size();
-    return distinct >= m_settings.jobWorkers
-           || (entry.count >= m_settings.jobFailures
-               && distinct >= std::min<std::size_t>(poolSize, 2));
+    const auto distinctWorkers = record.failures.size();
+    return distinctWorkers >= m_settings.jobWorkerLimit
+           || (record.failureCount >= m_settings.jobFailureLimit
+               && distinctWorkers >= std::min<std::size_t>(poolSize, 2));
 }
 
 // Keeps distinct counterparts in the order of their last failure, within the window.
-void quarantine::note(record &entry, const std::string &counterpart, time_point now) const
+void quarantine::addFailure(failure_record &record, const std::string &counterpart,
+                            time_point now) const
 {
-    std::erase_if(entry.failures, [&](const failure &old) {
+    std::erase_if(record.failures, [&](const failure_event &old) {
         return old.counterpart == counterpart || old.at + m_settings.window < now;
     });
-    entry.count = entry.failures.empty() ? 0 : entry.count;
-    ++entry.count;
-    entry.failures.push_back({counterpart, now});
-    const auto kept = std::max(m_settings.jobWorkers, m_settings.workerJobs);
-    if (entry.failures.size() > kept)
-        entry.failures.erase(entry.failures.begin());
+    record.failureCount = record.failures.empty() ? 0 : record.failureCount;
+    ++record.failureCount;
+    record.failures.push_back({counterpart, now});
+    const auto maxKept = std::max(m_settings.jobWorkerLimit, m_settings.workerJobLimit);
+    if (record.failures.size() > maxKept)
+        record.failures.erase(record.failures.begin());
 }
 
-void quarantine::trip(record &entry, time_point now) const
+void quarantine::startOrExtend(failure_record &record, time_point now) const
 {
     // Tasks that started before the stay may fail one after the other: only a probe's failure,
     // which comes after the cool-down, makes the next one longer.
-    if (entry.tripped && now < entry.until)
+    if (record.quarantined && now < record.coolDownUntil)
         return;
-    entry.coolDown = entry.tripped ? std::min(entry.coolDown * 2, m_settings.longestCoolDown)
-                                   : m_settings.coolDown;
-    entry.tripped = true;
-    entry.until = now + entry.coolDown;
-    entry.probeUntil = time_point{};
+    record.coolDown = record.quarantined ? std::min(record.coolDown * 2, m_settings.maxCoolDown)
+                                         : m_settings.coolDown;
+    record.quarantined = true;
+    record.coolDownUntil = now + record.coolDown;
+    record.probeUntil = time_point{};
 }
 
-bool quarantine::mayTry(const record_map &records, const std::string &name, time_point now)
+bool quarantine::canTry(const failure_record_map &records, const std::string &name, time_point now)
 {
     const auto found = records.find(name);
-    if (found == records.end() || !found->second.tripped)
+    if (found == records.end() || !found->second.quarantined)
         return true;
-    return now >= found->second.until && now >= found->second.probeUntil;
+    return now >= found->second.coolDownUntil && now >= found->second.probeUntil;
 }
 
-bool quarantine::isTripped(const record_map &records, const std::string &name)
+bool quarantine::isQuarantined(const failure_record_map &records, const std::string &name)
 {
     const auto found = records.find(name);
-    return found != records.end() && found->second.tripped;
+    return found != records.end() && found->second.quarantined;
 }
 
-void quarantine::dropCounterpart(record_map &records, const std::string &counterpart)
+void quarantine::dropCounterpart(failure_record_map &records, const std::string &counterpart)
 {
-    for (auto &[name, entry] : records) {
-        if (entry.tripped)
+    for (auto &[name, record] : records) {
+        if (record.quarantined)
             continue;
-        std::erase_if(entry.failures,
-                      [&](const failure &old) { return old.counterpart == counterpart; });
+        std::erase_if(record.failures,
+                      [&](const failure_event &old) { return old.counterpart == counterpart; });
     }
 }
 
 // A wave of bad jobs makes every worker look broken. Without a cap the pool would be empty and good
 // work would wait; with it, at most this part is lost until the bad jobs are quarantined.
-bool quarantine::maySetAside(const std::string &pool, std::size_t poolSize) const
+bool quarantine::canQuarantineWorker(const std::string &pool, std::size_t poolSize) const
 {
-    std::size_t setAside = 0;
-    for (const auto &[worker, entry] : m_workers)
-        setAside += entry.tripped && entry.pool == pool ? 1 : 0;
+    std::size_t quarantinedCount = 0;
+    for (const auto &[worker, record] : m_workers)
+        quarantinedCount += record.quarantined && record.pool == pool ? 1 : 0;
     const auto cap = static_cast<std::size_t>(
-            std::floor(static_cast<double>(poolSize) * m_settings.largestSetAside));
-    return setAside < std::max<std::size_t>(cap, 1) && poolSize > 1;
+            std::floor(static_cast<double>(poolSize) * m_settings.maxQuarantinedShare));
+    return quarantinedCount < std::max<std::size_t>(cap, 1) && poolSize > 1;
 }
 
 // Bounded memory: beyond the limit, first what is out of the window goes, then all that is clear.
-void quarantine::prune(record_map &records, time_point now) const
+void quarantine::prune(failure_record_map &records, time_point now) const
 {
     if (records.size() < m_settings.maxRecords)
         return;
     std::erase_if(records, [&](const auto &item) {
-        const auto &entry = item.second;
-        return !entry.tripped
-               && (entry.failures.empty() || entry.failures.back().at + m_settings.window < now);
+        const auto &record = item.second;
+        return !record.quarantined
+               && (record.failures.empty() || record.failures.back().at + m_settings.window < now);
     });
     if (records.size() < m_settings.maxRecords)
         return;
-    std::erase_if(records, [](const auto &item) { return !item.second.tripped; });
+    std::erase_if(records, [](const auto &item) { return !item.second.quarantined; });
     if (records.size() >= m_settings.maxRecords)
         records.clear();
 }
--- a/libs/placement/quota_table.cpp
+++ b/libs/placement/quota_table.cpp
@@ -8,33 +8,33 @@
 
 constexpr double SmallestWeight = 1e-6; // a weight of zero must not divide by zero
 
-bool above(std::int64_t amount, std::int64_t limit)
+bool exceeds(std::int64_t amount, std::int64_t limit)
 {
     return limit > 0 && amount > limit;
 }
 
 // A part of nothing is none, and not the absence of a limit.
-std::int64_t excessOf(std::int64_t amount, std::int64_t limit, std::int64_t part)
+std::int64_t excessOf(std::int64_t amount, std::int64_t limit, std::int64_t localLimit)
 {
-    return limit > 0 ? std::max<std::int64_t>(amount - part, 0) : 0;
+    return limit > 0 ? std::max<std::int64_t>(amount - localLimit, 0) : 0;
 }
 
-std::optional<std::string> dimensionAbove(const resources &amount, const resources &limit)
+std::optional<std::string> firstExceeded(const resources &amount, const resources &limit)
 {
-    if (above(amount.millicores, limit.millicores))
+    if (exceeds(amount.millicores, limit.millicores))
         return "millicores";
-    if (above(amount.bytes, limit.bytes))
+    if (exceeds(amount.bytes, limit.bytes))
         return "bytes";
-    if (above(amount.accelerators, limit.accelerators))
+    if (exceeds(amount.accelerators, limit.accelerators))
         return "accelerators";
     return std::nullopt;
 }
 
 } // namespace
 
-std::size_t quota_book::teamNumber(const std::string &team)
+std::size_t quota_table::teamNumber(const std::string &team)
 {
-    const auto [found, added] = m_numbers.try_emplace(team, m_teams.size());
+    const auto [found, added] = m_teamNumbers.try_emplace(team, m_teams.size());
     if (added) {
         m_teams.emplace_back();
         m_teams.back().quota.team = team;
@@ -42,51 +42,51 @@
     return found->second;
 }
 
-void quota_book::setQuota(const team_quota &quota)
+void quota_table::setQuota(const team_quota &quota)
 {
     auto &known = m_teams.at(teamNumber(quota.team)).quota;
-    const auto part = known.part;
+    const auto localLimit = known.localLimit;
     known = quota;
-    if (!known.part)
-        known.part = part; // goes on from one configuration to the next
+    if (!known.localLimit)
+        known.localLimit = localLimit; // goes on from one configuration to the next
 }
 
-void quota_book::charge(std::size_t team, const resources &amount)
+void quota_table::charge(std::size_t team, const resources &amount)
 {
-    m_teams.at(team).held += amount;
+    m_teams.at(team).reserved += amount;
 }
 
-void quota_book::refund(std::size_t team, const resources &amount)
+void quota_table::refund(std::size_t team, const resources &amount)
 {
-    m_teams.at(team).held -= amount;
+    m_teams.at(team).reserved -= amount;
 }
 
-bool quota_book::allows(std::size_t team, const resources &amount) const
+bool quota_table::canReserve(std::size_t team, const resources &amount) const
 {
     return excess(team, amount) == resources{};
 }
 
-resources quota_book::excess(std::size_t team, const resources &amount) const
+resources quota_table::excess(std::size_t team, const resources &amount) const
 {
     const auto &state = m_teams.at(team);
-    const auto all = state.held + amount;
+    const auto requested = state.reserved + amount;
     const auto &limit = state.quota.limit;
-    const auto part = state.quota.part.value_or(limit);
-    return {excessOf(all.millicores, limit.millicores, part.millicores),
-            excessOf(all.bytes, limit.bytes, part.bytes),
-            excessOf(all.accelerators, limit.accelerators, part.accelerators)};
+    const auto localLimit = state.quota.localLimit.value_or(limit);
+    return {excessOf(requested.millicores, limit.millicores, localLimit.millicores),
+            excessOf(requested.bytes, limit.bytes, localLimit.bytes),
+            excessOf(requested.accelerators, limit.accelerators, localLimit.accelerators)};
 }
 
-std::optional<std::string> quota_book::impossibleDimension(std::size_t team,
-                                                           const resources &amount) const
+std::optional<std::string> quota_table::exceededDimension(std::size_t team,
+                                                          const resources &amount) const
 {
-    return dimensionAbove(amount, m_teams.at(team).quota.limit);
+    return firstExceeded(amount, m_teams.at(team).quota.limit);
 }
 
-double quota_book::weightedShare(std::size_t team) const
+double quota_table::weightedShare(std::size_t team) const
 {
     const auto &state = m_teams.at(team);
-    return dominantShare(state.held, m_total) / std::max(state.quota.weight, SmallestWeight);
+    return dominantShare(state.reserved, m_total) / std::max(state.quota.weight, SmallestWeight);
 }
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/relief.cpp
+++ b/libs/placement/relief.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 // What the service gains when the task loses `processors`: no more than its excess.
-double benefitOf(const relief_candidate &candidate, double processors, double excess,
-                 const policy_weights &weights)
+double latencyBenefit(const relief_candidate &candidate, double processors, double excess,
+                      const policy_weights &weights)
 {
-    return weights.tailLatency * std::min(excess, candidate.effect * processors);
+    return weights.tailLatency * std::min(excess, candidate.effectPerProcessor * processors);
 }
 
 double throughputCost(double processors, double workerProcessors, const policy_weights &weights)
@@ -21,14 +21,14 @@
 
 struct scored_step
 {
-    double profit = 0; // only a profit above zero is worth an action
+    double netBenefit = 0; // only a profit above zero is worth an action
     std::optional<relief_step> step;
 };
 
-void consider(scored_step &best, double profit, relief_step step)
+void keepIfBetter(scored_step &best, double netBenefit, relief_step step)
 {
-    if (profit > best.profit)
-        best = {profit, step};
+    if (netBenefit > best.netBenefit)
+        best = {netBenefit, step};
 }
 
 } // namespace
@@ -36,12 +36,13 @@
 void eviction_budget::refill(const relief_settings &settings, std::size_t workers, time_point now)
 {
     using hours = std::chrono::duration<double, std::ratio<3600>>;
-    const double passed = m_refilledAt ? hours(now - *m_refilledAt).count() : 0;
+    const double elapsedHours = m_refilledAt ? hours(now - *m_refilledAt).count() : 0;
     constexpr double MinutesPerHour = 60;
-    const double rate = std::min(settings.evictionsPerWorkerHour * static_cast<double>(workers),
-                                 settings.evictionsPerMinute * MinutesPerHour);
-    const double most = std::min(settings.evictionBurst, settings.evictionsPerMinute);
-    m_tokens = std::min(most, m_tokens + passed * rate);
+    const double tokensPerHour =
+            std::min(settings.evictionsPerWorkerHour * static_cast<double>(workers),
+                     settings.evictionsPerMinute * MinutesPerHour);
+    const double maxTokens = std::min(settings.evictionBurst, settings.evictionsPerMinute);
+    m_tokens = std::min(maxTokens, m_tokens + elapsedHours * tokensPerHour);
     m_refilledAt = now;
 }
 
@@ -52,45 +53,48 @@
 {
     scored_step best;
     for (const auto &candidate : candidates) {
-        const double floor = candidate.reservation * settings.throttleFloor;
-        const double limit = std::max(floor, candidate.limit * settings.throttleStep);
-        const double lost = candidate.limit - limit;
-        if (lost <= 0)
+        const double minLimit = candidate.reservedProcessors * settings.minThrottleShare;
+        const double newLimit =
+                std::max(minLimit, candidate.limitProcessors * settings.throttleFactor);
+        const double lostProcessors = candidate.limitProcessors - newLimit;
+        if (lostProcessors <= 0)
             continue;
-        const double profit = benefitOf(candidate, lost, excess, weights)
-                              - throughputCost(lost, workerProcessors, weights);
-        consider(best, profit, throttle_relief{candidate.index, limit});
+        const double netBenefit = latencyBenefit(candidate, lostProcessors, excess, weights)
+                                  - throughputCost(lostProcessors, workerProcessors, weights);
+        keepIfBetter(best, netBenefit, throttle_relief{candidate.index, newLimit});
     }
     // Throttling loses no work, so an eviction is weighed only when no throttling is worth it.
     if (best.step)
         return best.step;
     for (const auto &candidate : candidates) {
-        if (!candidate.mayEvict)
+        if (!candidate.canEvict)
             continue;
-        const double profit = benefitOf(candidate, candidate.limit, excess, weights)
-                              - throughputCost(candidate.limit, workerProcessors, weights)
-                              - weights.evictions * settings.evictionCost;
-        consider(best, profit, evict_relief{candidate.index});
+        const double netBenefit =
+                latencyBenefit(candidate, candidate.limitProcessors, excess, weights)
+                - throughputCost(candidate.limitProcessors, workerProcessors, weights)
+                - weights.evictions * settings.evictionCost;
+        keepIfBetter(best, netBenefit, evict_relief{candidate.index});
     }
     return best.step;
 }
 
-std::optional<throttle_relief> chooseRecovery(double room,
-                                              std::span<const relief_candidate> candidates,
-                                              const relief_settings &settings)
+std::optional<throttle_relief> chooseThrottleLift(double headroom,
+                                                  std::span<const relief_candidate> candidates,
+                                                  const relief_settings &settings)
 {
     std::optional<throttle_relief> best;
-    double smallestEffect = 0;
+    double smallestSlowdown = 0;
     for (const auto &candidate : candidates) {
-        if (candidate.limit >= candidate.reservation)
+        if (candidate.limitProcessors >= candidate.reservedProcessors)
             continue;
-        const double limit =
-                std::min(candidate.reservation, candidate.limit / settings.throttleStep);
-        const double effect = candidate.effect * (limit - candidate.limit);
-        if (effect > room || (best && effect >= smallestEffect))
+        const double newLimit = std::min(candidate.reservedProcessors,
+                                         candidate.limitProcessors / settings.throttleFactor);
+        const double addedSlowdown =
+                candidate.effectPerProcessor * (newLimit - candidate.limitProcessors);
+        if (addedSlowdown > headroom || (best && addedSlowdown >= smallestSlowdown))
             continue;
-        best = throttle_relief{candidate.index, limit};
-        smallestEffect = effect;
+        best = throttle_relief{candidate.index, newLimit};
+        smallestSlowdown = addedSlowdown;
     }
     return best;
 }
--- a/libs/placement/relief.h
+++ b/libs/placement/relief.h
@@ -29,11 +29,12 @@
 
 struct relief_settings
 {
-    double evictionCost = 0.3;   // of one eviction, in the unit of the weighted parts
-    double throttleStep = 0.5;   // each step leaves this part of the limit
-    double throttleFloor = 0.25; // of the reservation: never throttled below it
+    double evictionCost = 0.3;      // of one eviction, in the unit of the weighted parts
+    double throttleFactor = 0.5;    // each step leaves this part of the limit
+    double minThrottleShare = 0.25; // of the reservation: never throttled below it
     duration coolDown = std::chrono::seconds(20); // after an action on a worker, before the next
-    duration recoverAfter = std::chrono::seconds(120); // calm time before a limit is lifted a step
+    duration liftThrottleAfter =
+            std::chrono::seconds(120);    // calm time before a limit is lifted a step
     double evictionsPerWorkerHour = 0.25; // refill of the budget, for each worker of the pool
     double evictionBurst = 3;             // most evictions at once
     double evictionsPerMinute = 6;        // at most, however many workers; 0: none
@@ -47,7 +48,7 @@
     { }
 
     void refill(const relief_settings &settings, std::size_t workers, time_point now);
-    bool mayTake() const { return m_tokens >= 1; }
+    bool canTake() const { return m_tokens >= 1; }
     void take() { m_tokens -= 1; }
 
 private:
@@ -58,17 +59,17 @@
 // A batch task beside the disturbed service.
 struct relief_candidate
 {
-    std::size_t index = 0;  // the caller's own
-    double effect = 0;      // log slowdown of the service for each processor of this task
-    double limit = 0;       // processors that it may use now
-    double reservation = 0; // processors without throttling
-    bool mayEvict = true;   // false: of failover class proof, or already stopping
+    std::size_t index = 0;         // the caller's own
+    double effectPerProcessor = 0; // log slowdown of the service for each processor of this task
+    double limitProcessors = 0;    // processors that it may use now
+    double reservedProcessors = 0; // processors without throttling
+    bool canEvict = true;          // false: of failover class proof, or already stopping
 };
 
 struct throttle_relief
 {
     std::size_t index = 0;
-    double limit = 0; // processors
+    double limitProcessors = 0; // processors
 };
 
 struct evict_relief
@@ -85,8 +86,8 @@
                                         const relief_settings &settings);
 
 // `room`: how far below its target the service is, in log units.
-std::optional<throttle_relief> chooseRecovery(double room,
-                                              std::span<const relief_candidate> candidates,
-                                              const relief_settings &settings);
+std::optional<throttle_relief> chooseThrottleLift(double headroom,
+                                                  std::span<const relief_candidate> candidates,
+                                                  const relief_settings &settings);
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/reservation_ledger.cpp
+++ b/libs/placement/reservation_ledger.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-constexpr name_table<entry_state, 4> StateNames{{
-        {entry_state::Placed, "placed"},
-        {entry_state::Running, "running"},
-        {entry_state::Stopping, "stopping"},
-        {entry_state::Ambiguous, "ambiguous"},
+constexpr name_table<reservation_state, 4> StateNames{{
+        {reservation_state::Placed, "placed"},
+        {reservation_state::Running, "running"},
+        {reservation_state::Stopping, "stopping"},
+        {reservation_state::Ambiguous, "ambiguous"},
 }};
 
 } // namespace
 
-std::string_view nameOf(entry_state state)
+std::string_view nameOf(reservation_state state)
 {
     return nameOf(StateNames, state);
 }
 
-ledger::ledger(const resources &size)
+reservation_ledger::reservation_ledger(const resources &size)
     : m_size(size)
 { }
 
-bool ledger::tryReserve(const task_ref &task, const resources &amount)
+bool reservation_ledger::tryReserve(const task_ref &task, const resources &amount)
 {
     if (amount.isNegative())
         return false;
@@ -34,69 +34,70 @@
         return existing->reserved == amount;
     if (!fits(amount))
         return false;
-    adopt(task, amount, entry_state::Placed);
+    forceReserve(task, amount, reservation_state::Placed);
     return true;
 }
 
-void ledger::adopt(const task_ref &task, const resources &amount, entry_state state)
+void reservation_ledger::forceReserve(const task_ref &task, const resources &amount,
+                                      reservation_state state)
 {
     release(task);
-    m_entries[task] = {state, amount, amount};
+    m_reservations[task] = {state, amount, amount};
     m_reserved += amount;
 }
 
-bool ledger::setState(const task_ref &task, entry_state state)
+bool reservation_ledger::setState(const task_ref &task, reservation_state state)
 {
-    const auto found = m_entries.find(task);
-    if (found == m_entries.end())
+    const auto found = m_reservations.find(task);
+    if (found == m_reservations.end())
         return false;
     found->second.state = state;
     return true;
 }
 
-bool ledger::raise(const task_ref &task, const resources &wanted)
+bool reservation_ledger::tryRaise(const task_ref &task, const resources &wanted)
 {
-    const auto found = m_entries.find(task);
-    if (found == m_entries.end())
+    const auto found = m_reservations.find(task);
+    if (found == m_reservations.end())
         return false;
-    auto &entry = found->second;
-    m_owed -= entry.wanted - entry.reserved;
-    entry.wanted = largest(entry.reserved, wanted);
-    m_owed += entry.wanted - entry.reserved;
-    grantOwed();
-    return entry.wanted == entry.reserved;
+    auto &reservation = found->second;
+    m_deferred -= reservation.wanted - reservation.reserved;
+    reservation.wanted = largest(reservation.reserved, wanted);
+    m_deferred += reservation.wanted - reservation.reserved;
+    grantDeferred();
+    return reservation.wanted == reservation.reserved;
 }
 
-bool ledger::release(const task_ref &task)
+bool reservation_ledger::release(const task_ref &task)
 {
-    const auto found = m_entries.find(task);
-    if (found == m_entries.end())
+    const auto found = m_reservations.find(task);
+    if (found == m_reservations.end())
         return false;
     m_reserved -= found->second.reserved;
-    m_owed -= found->second.wanted - found->second.reserved;
-    m_entries.erase(found);
-    grantOwed();
+    m_deferred -= found->second.wanted - found->second.reserved;
+    m_reservations.erase(found);
+    grantDeferred();
     return true;
 }
 
-void ledger::grantOwed()
+void reservation_ledger::grantDeferred()
 {
-    if (m_owed == resources{})
+    if (m_deferred == resources{})
         return;
-    for (auto &[task, entry] : m_entries) {
-        const auto missing = entry.wanted - entry.reserved;
+    for (auto &[task, reservation] : m_reservations) {
+        const auto missing = reservation.wanted - reservation.reserved;
         if (missing == resources{} || !missing.fitsIn(m_size - m_reserved))
             continue;
-        entry.reserved = entry.wanted;
+        reservation.reserved = reservation.wanted;
         m_reserved += missing;
-        m_owed -= missing;
+        m_deferred -= missing;
     }
 }
 
-const ledger_entry *ledger::find(const task_ref &task) const
+const task_reservation *reservation_ledger::find(const task_ref &task) const
 {
-    const auto found = m_entries.find(task);
-    return found == m_entries.end() ? nullptr : &found->second;
+    const auto found = m_reservations.find(task);
+    return found == m_reservations.end() ? nullptr : &found->second;
 }
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/resources.cpp
+++ b/libs/placement/resources.cpp
@@ -21,7 +21,7 @@
         {task_priority::Low, "low"},
 }};
 
-[[noreturn]] void refuseMember(const char *member, const char *expected)
+[[noreturn]] void throwInvalidMember(const char *member, const char *expected)
 {
     throw error(error_kind::BadRequest,
                 std::string("member \"") + member + "\" must be " + expected);
@@ -30,47 +30,47 @@
 const Json::Value &memberOf(const Json::Value &value, const char *member)
 {
     if (!value.isObject())
-        refuseMember(member, "inside an object");
+        throwInvalidMember(member, "inside an object");
     return value[member];
 }
 
 // An amount above this is a mistake, and sums of thousands of amounts below it cannot overflow.
-constexpr std::int64_t LargestAmount = std::numeric_limits<std::int64_t>::max() / 1'000'000;
+constexpr std::int64_t MaxAmount = std::numeric_limits<std::int64_t>::max() / 1'000'000;
 
-std::int64_t amountMember(const Json::Value &value, const char *member)
+std::int64_t readAmount(const Json::Value &value, const char *member)
 {
     const auto &found = memberOf(value, member);
-    if (!found.isInt64() || found.asInt64() < 0 || found.asInt64() > LargestAmount)
-        refuseMember(member, "a whole number, zero or above, within range");
+    if (!found.isInt64() || found.asInt64() < 0 || found.asInt64() > MaxAmount)
+        throwInvalidMember(member, "a whole number, zero or above, within range");
     return found.asInt64();
 }
 
-std::int32_t indexMember(const Json::Value &value, const char *member)
+std::int32_t readIndex(const Json::Value &value, const char *member)
 {
     const auto &found = memberOf(value, member);
     if (!found.isInt() || found.asInt() < 0)
-        refuseMember(member, "a whole number, zero or above");
+        throwInvalidMember(member, "a whole number, zero or above");
     return found.asInt();
 }
 
-std::string textMember(const Json::Value &value, const char *member)
+std::string readText(const Json::Value &value, const char *member)
 {
     const auto &found = memberOf(value, member);
     if (!found.isString() || found.asString().empty())
-        refuseMember(member, "a text that is not empty");
+        throwInvalidMember(member, "a text that is not empty");
     return found.asString();
 }
 
 template <typename Enum, std::size_t Size>
-Enum enumMember(const Json::Value &value, const char *member, const name_table<Enum, Size> &names)
+Enum readEnum(const Json::Value &value, const char *member, const name_table<Enum, Size> &names)
 {
-    const auto found = valueOf(names, textMember(value, member));
+    const auto found = valueOf(names, readText(value, member));
     if (!found)
-        refuseMember(member, "one of the known names");
+        throwInvalidMember(member, "one of the known names");
     return *found;
 }
 
-double shareOf(std::int64_t part, std::int64_t whole)
+double ratioOf(std::int64_t part, std::int64_t whole)
 {
     if (part <= 0)
         return 0;
@@ -89,8 +89,8 @@
 
 double dominantShare(const resources &part, const resources &whole)
 {
-    return std::max({shareOf(part.millicores, whole.millicores), shareOf(part.bytes, whole.bytes),
-                     shareOf(part.accelerators, whole.accelerators)});
+    return std::max({ratioOf(part.millicores, whole.millicores), ratioOf(part.bytes, whole.bytes),
+                     ratioOf(part.accelerators, whole.accelerators)});
 }
 
 std::string_view nameOf(task_kind kind)
@@ -158,13 +158,13 @@
 
 resources resourcesFromJson(const Json::Value &value)
 {
-    return {amountMember(value, "millicores"), amountMember(value, "bytes"),
-            amountMember(value, "accelerators")};
+    return {readAmount(value, "millicores"), readAmount(value, "bytes"),
+            readAmount(value, "accelerators")};
 }
 
 task_ref taskRefFromJson(const Json::Value &value)
 {
-    return {textMember(value, "jobId"), indexMember(value, "taskIndex")};
+    return {readText(value, "jobId"), readIndex(value, "taskIndex")};
 }
 
 task_spec taskSpecFromJson(const Json::Value &value)
@@ -173,21 +173,21 @@
     task_spec task;
     task.jobId = ref.jobId;
     task.taskIndex = ref.taskIndex;
-    task.kind = enumMember(value, "kind", KindNames);
-    task.jobClass = textMember(value, "jobClass");
-    task.team = textMember(value, "team");
-    task.priority = enumMember(value, "priority", PriorityNames);
-    task.pool = textMember(value, "pool");
+    task.kind = readEnum(value, "kind", KindNames);
+    task.jobClass = readText(value, "jobClass");
+    task.team = readText(value, "team");
+    task.priority = readEnum(value, "priority", PriorityNames);
+    task.pool = readText(value, "pool");
     task.declared = resourcesFromJson(memberOf(value, "declared"));
-    task.replicas = indexMember(value, "replicas");
-    task.failover = failoverClassFromName(textMember(value, "failover"));
+    task.replicas = readIndex(value, "replicas");
+    task.failover = failoverClassFromName(readText(value, "failover"));
     return task;
 }
 
 worker_info workerInfoFromJson(const Json::Value &value)
 {
-    return {textMember(value, "id"), textMember(value, "zone"), textMember(value, "rack"),
-            textMember(value, "pool"), resourcesFromJson(memberOf(value, "size"))};
+    return {readText(value, "id"), readText(value, "zone"), readText(value, "rack"),
+            readText(value, "pool"), resourcesFromJson(memberOf(value, "size"))};
 }
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/resources.h
+++ b/libs/placement/resources.h
@@ -49,9 +49,9 @@
 {
     std::size_t operator()(const task_ref &task) const noexcept
     {
-        constexpr std::size_t Spread = 0x9e3779b97f4a7c15ULL;
+        constexpr std::size_t HashMultiplier = 0x9e3779b97f4a7c15ULL;
         return std::hash<std::string>()(task.jobId)
-               + Spread * static_cast<std::size_t>(task.taskIndex + 1);
+               + HashMultiplier * static_cast<std::size_t>(task.taskIndex + 1);
     }
 };
 
--- a/libs/placement/scheduler.cpp
+++ b/libs/placement/scheduler.cpp
@@ -19,9 +19,9 @@
 }};
 
 // Classes beyond it share the last number: they are placed all the same, only not told apart.
-constexpr class_number MostClasses = 4095;
+constexpr class_number MaxClasses = 4095;
 
-placer_settings withQuantile(placer_settings settings)
+placer_settings withDerivedQuantile(placer_settings settings)
 {
     if (settings.quantileFromWeights)
         settings.sizes.memoryQuantile = memoryQuantileFor(settings.weights);
@@ -29,12 +29,12 @@
 }
 
 // A task is not its own neighbour; others of its class are.
-std::vector<class_millicores> without(std::vector<class_millicores> amounts,
-                                      const class_millicores &itself)
+std::vector<class_millicores> withoutOwn(std::vector<class_millicores> amounts,
+                                         const class_millicores &ownAmount)
 {
     for (auto &amount : amounts) {
-        if (amount.jobClass == itself.jobClass)
-            amount.millicores = std::max<std::int64_t>(0, amount.millicores - itself.millicores);
+        if (amount.jobClass == ownAmount.jobClass)
+            amount.millicores = std::max<std::int64_t>(0, amount.millicores - ownAmount.millicores);
     }
     return amounts;
 }
@@ -47,13 +47,13 @@
 }
 
 placer::placer(const placer_settings &settings)
-    : m_settings(withQuantile(settings))
-    , m_sizes(m_settings.sizes)
+    : m_settings(withDerivedQuantile(settings))
+    , m_sizeLearner(m_settings.sizes)
     , m_quarantine(m_settings.quarantine)
     , m_interference(m_settings.interference)
     , m_chooser(m_settings, m_workers, m_interference)
-    , m_roomMaker(m_workers, m_tasks, m_chooser)
-    , m_evictions(m_settings.relief.evictionBurst)
+    , m_preemptionPlanner(m_workers, m_tasks, m_chooser)
+    , m_evictionBudget(m_settings.relief.evictionBurst)
 { }
 
 // --- Configuration and workers -------------------------------------------------------------------
@@ -61,11 +61,11 @@
 void placer::setPool(const pool_info &pool, time_point)
 {
     auto &state = m_workers.pool(m_workers.poolNumber(pool.name));
-    state.largest = pool.workerSize;
+    state.largestWorker = pool.largestWorkerSize;
     state.configured = true;
     for (const int slot : state.slots)
-        state.largest = largest(state.largest, m_workers.at(slot).info.size);
-    ++state.generation;
+        state.largestWorker = largest(state.largestWorker, m_workers.at(slot).info.size);
+    ++state.capacityRevision;
 }
 
 void placer::setTeam(const team_quota &quota)
@@ -73,50 +73,50 @@
     m_quotas.setQuota(quota);
 }
 
-void placer::setTeamPart(const std::string &team, const resources &part)
+void placer::setLocalTeamLimit(const std::string &team, const resources &localLimit)
 {
-    m_quotas.setPart(m_quotas.teamNumber(team), part);
+    m_quotas.setLocalLimit(m_quotas.teamNumber(team), localLimit);
 }
 
-team_use placer::useOf(const std::string &team)
+team_usage placer::usageOf(const std::string &team)
 {
     const auto number = m_quotas.teamNumber(team);
-    team_use use;
-    use.held = m_quotas.heldBy(number);
+    team_usage teamUsage;
+    teamUsage.reservedSum = m_quotas.reservedBy(number);
     const auto add = [&](const job_record &job, std::size_t tasks) {
         const auto demand = demandOf(job);
         const auto count = static_cast<std::int64_t>(tasks);
-        use.waiting +=
+        teamUsage.pendingSum +=
                 {demand.millicores * count, demand.bytes * count, demand.accelerators * count};
-        use.largest = largest(use.largest, demand);
+        teamUsage.largestPending = largest(teamUsage.largestPending, demand);
     };
-    for (int rank = 0; rank < Ranks; ++rank) {
-        const auto &teams = m_queue.rank(rank);
+    for (int rank = 0; rank < RankCount; ++rank) {
+        const auto &teams = m_queue.teamsAtRank(rank);
         const auto jobs = teams.find(static_cast<std::uint16_t>(number));
         if (jobs == teams.end())
             continue;
         for (const auto &[sequence, job] : jobs->second)
             add(*job, job->pending.size());
     }
-    for (const auto &task : m_ahead) {
-        const auto found = find(task);
+    for (const auto &task : m_backlogTasks) {
+        const auto found = findTask(task);
         if (found.job->team == number)
             add(*found.job, 1);
     }
     // What the workers here cannot take would be kept from placers whose workers can.
-    const auto room = largest(m_workers.total() - use.held, resources{});
-    use.waiting = smallest(use.waiting, room);
-    if (!use.largest.fitsIn(room))
-        use.largest = {};
-    return use;
+    const auto freeCapacity = largest(m_workers.total() - teamUsage.reservedSum, resources{});
+    teamUsage.pendingSum = smallest(teamUsage.pendingSum, freeCapacity);
+    if (!teamUsage.largestPending.fitsIn(freeCapacity))
+        teamUsage.largestPending = {};
+    return teamUsage;
 }
 
 void placer::addWorker(const worker_info &worker, time_point now)
 {
-    const int slot = m_workers.open(worker.id);
-    const auto before = m_workers.at(slot).info.size.millicores;
+    const int slot = m_workers.findOrAdd(worker.id);
+    const auto oldMillicores = m_workers.at(slot).info.size.millicores;
     m_workers.setInfo(slot, worker, now);
-    carryLevels(slot, before);
+    rescaleLatencyLevels(slot, oldMillicores);
     m_quotas.setTotal(m_workers.total());
 }
 
@@ -125,9 +125,9 @@
     const int slot = m_workers.slotOf(worker);
     if (slot == worker_table::NoSlot)
         return;
-    const auto before = m_workers.at(slot).info.size.millicores;
+    const auto oldMillicores = m_workers.at(slot).info.size.millicores;
     m_workers.resize(slot, size);
-    carryLevels(slot, before);
+    rescaleLatencyLevels(slot, oldMillicores);
     m_quotas.setTotal(m_workers.total());
 }
 
@@ -139,22 +139,22 @@
     m_workers.setInService(slot, false);
     m_quarantine.forgetWorker(worker); // a worker that is gone must not use up the cap
     m_quotas.setTotal(m_workers.total());
-    m_workers.closeIfUnused(slot);
+    m_workers.removeIfUnused(slot);
 }
 
 class_number placer::classNumber(const std::string &jobClass)
 {
-    const auto next = std::min<std::size_t>(m_classNumbers.size(), MostClasses);
-    if (next == MostClasses) {
+    const auto next = std::min<std::size_t>(m_classNumbers.size(), MaxClasses);
+    if (next == MaxClasses) {
         const auto found = m_classNumbers.find(jobClass);
-        return found == m_classNumbers.end() ? MostClasses : found->second;
+        return found == m_classNumbers.end() ? MaxClasses : found->second;
     }
     return m_classNumbers.try_emplace(jobClass, static_cast<class_number>(next)).first->second;
 }
 
 // --- Records -------------------------------------------------------------------------------------
 
-job_record &placer::jobFor(const task_spec &spec)
+job_record &placer::updateJob(const task_spec &spec)
 {
     auto &job = m_tasks.addJob(spec.jobId);
     // The queue is ordered by rank and team: take the job out before either changes.
@@ -164,13 +164,13 @@
     job.team = static_cast<std::uint16_t>(m_quotas.teamNumber(spec.team));
     job.jobClass = classNumber(spec.jobClass);
     job.pool = m_workers.poolNumber(spec.pool);
-    job.blockedAt = 0;
+    job.blockedRevision = 0;
     if (!job.pending.empty())
         m_queue.insert(job);
     return job;
 }
 
-placer::found_task placer::find(const task_ref &task)
+placer::found_task placer::findTask(const task_ref &task)
 {
     auto *job = m_tasks.findJob(task.jobId);
     if (!job)
@@ -183,11 +183,11 @@
 
 // Messages come twice and out of order. An event for a worker on which the task is not placed is
 // about the past: acting on it would free room that is in use.
-placer::found_task placer::placedOn(const task_ref &task, const std::string &worker)
+placer::found_task placer::findOnWorker(const task_ref &task, const std::string &worker)
 {
-    const auto found = find(task);
-    if (found && found.task->worker != NoWorker
-        && m_workers.at(found.task->worker).info.id == worker)
+    const auto found = findTask(task);
+    if (found && found.task->workerSlot != NoWorker
+        && m_workers.at(found.task->workerSlot).info.id == worker)
         return found;
     ++m_stats.staleEvents;
     return {};
@@ -199,7 +199,7 @@
         return;
     ++m_pendingTasks;
     job.tasks[index].pendingSince = now;
-    job.blockedAt = 0;
+    job.blockedRevision = 0;
     m_queue.insert(job);
 }
 
@@ -212,101 +212,104 @@
         m_queue.erase(job);
 }
 
-void placer::charge(task_record &record, const resources &amount)
+void placer::chargeQuota(task_record &record, const resources &amount)
 {
-    m_quotas.refund(record.team, record.charged);
+    m_quotas.refund(record.team, record.chargedQuota);
     m_quotas.charge(record.team, amount);
-    record.charged = amount;
+    record.chargedQuota = amount;
 }
 
-void placer::dropHold(task_record &record)
+void placer::releaseHold(task_record &record)
 {
-    if (record.nominated == NoWorker)
+    if (record.holdSlot == NoWorker)
         return;
-    m_workers.at(record.nominated).held -= record.heldRoom;
-    m_workers.roomChanged(record.nominated);
-    m_workers.closeIfUnused(record.nominated);
-    record.nominated = NoWorker;
-    record.heldRoom = {};
+    m_workers.at(record.holdSlot).heldCapacity -= record.holdAmount;
+    m_workers.updateFreeCapacity(record.holdSlot);
+    m_workers.removeIfUnused(record.holdSlot);
+    record.holdSlot = NoWorker;
+    record.holdAmount = {};
 }
 
-void placer::neighbourChanged(int slot, class_number jobClass, std::int64_t millicores,
-                              time_point now)
+void placer::recordNeighbourChange(int slot, class_number jobClass, std::int64_t millicores,
+                                   time_point now)
 {
     auto &worker = m_workers.at(slot);
-    worker.history.change(jobClass, millicores, now);
+    worker.history.addChange(jobClass, millicores, now);
     const std::vector<class_millicores> change{{jobClass, millicores}};
     // Samples are late: until one shows the change, its expected effect is carried forward.
-    for (const auto &part : partsOf(change, worker.info.size.millicores)) {
+    for (const auto &share : sharesOf(change, worker.info.size.millicores)) {
         for (auto &service : worker.services)
-            service.level += m_interference.effect(service.jobClass, jobClass).mean * part.part;
+            service.estimatedLogRatio +=
+                    m_interference.effect(service.jobClass, jobClass).mean * share.share;
     }
 }
 
 // A new owner learns from the table what runs on a worker, and its size when its agent reports. The
 // levels rest on the parts of the worker that the neighbours hold: left as they were counted
 // before, batch would wait beside services that nothing slows.
-void placer::carryLevels(int slot, std::int64_t millicoresBefore)
+void placer::rescaleLatencyLevels(int slot, std::int64_t millicoresBefore)
 {
     auto &worker = m_workers.at(slot);
-    const auto whole = worker.info.size.millicores;
+    const auto workerMillicores = worker.info.size.millicores;
     for (auto &service : worker.services) {
-        const class_millicores itself{service.jobClass, find(service.task).task->limitMillicores};
-        const auto others = without(worker.history.current(), itself);
-        service.level +=
-                m_interference.expected(service.jobClass, partsOf(others, whole))
-                - m_interference.expected(service.jobClass, partsOf(others, millicoresBefore));
+        const class_millicores ownAmount{service.jobClass,
+                                         findTask(service.task).task->limitMillicores};
+        const auto others = withoutOwn(worker.history.current(), ownAmount);
+        service.estimatedLogRatio += m_interference.expectedLogRatio(
+                                             service.jobClass, sharesOf(others, workerMillicores))
+                                     - m_interference.expectedLogRatio(
+                                             service.jobClass, sharesOf(others, millicoresBefore));
     }
 }
 
 // The ledger entry exists already; everything else that follows from a task being on a worker.
-void placer::occupy(const job_record &job, const task_ref &task, task_record &record, int slot,
-                    time_point now)
+void placer::assignToWorker(const job_record &job, const task_ref &task, task_record &record,
+                            int slot, time_point now)
 {
     auto &worker = m_workers.at(slot);
-    record.worker = slot;
+    record.workerSlot = slot;
     record.jobClass = job.jobClass;
     record.team = job.team;
-    record.told = worker.book.find(task)->reserved;
-    record.limitMillicores = record.told.millicores;
+    record.sentReservation = worker.ledger.find(task)->reserved;
+    record.limitMillicores = record.sentReservation.millicores;
     record.peakBytes = 0;
     record.stopsSoon = false;
     record.startedAt = now;
-    charge(record, record.told);
-    const auto whole = worker.info.size.millicores;
-    const double expected =
-            m_interference.expected(job.jobClass, partsOf(worker.history.current(), whole));
-    neighbourChanged(slot, record.jobClass, record.limitMillicores, now);
+    chargeQuota(record, record.sentReservation);
+    const auto workerMillicores = worker.info.size.millicores;
+    const double expected = m_interference.expectedLogRatio(
+            job.jobClass, sharesOf(worker.history.current(), workerMillicores));
+    recordNeighbourChange(slot, record.jobClass, record.limitMillicores, now);
     if (job.spec.kind == task_kind::Service)
         worker.services.push_back({task, job.jobClass, {}, {}, expected});
-    m_workers.roomChanged(slot);
+    m_workers.updateFreeCapacity(slot);
 }
 
-void placer::vacate(const task_ref &task, task_record &record, time_point now)
+void placer::removeFromWorker(const task_ref &task, task_record &record, time_point now)
 {
-    const int slot = record.worker;
+    const int slot = record.workerSlot;
     auto &worker = m_workers.at(slot);
-    std::erase_if(worker.services, [&](const auto &watch) { return watch.task == task; });
-    neighbourChanged(slot, record.jobClass, -record.limitMillicores, now);
-    if (record.limitMillicores < record.told.millicores)
+    std::erase_if(worker.services, [&](const auto &latency) { return latency.task == task; });
+    recordNeighbourChange(slot, record.jobClass, -record.limitMillicores, now);
+    if (record.limitMillicores < record.sentReservation.millicores)
         --worker.throttledTasks;
-    charge(record, {});
-    const bool owing = worker.book.owed() != resources{};
-    worker.book.release(task);
-    if (owing)
+    chargeQuota(record, {});
+    const bool hadDeferred = worker.ledger.deferred() != resources{};
+    worker.ledger.release(task);
+    if (hadDeferred)
         queueRaises(slot);
-    record.worker = NoWorker;
-    m_workers.roomChanged(slot);
-    m_workers.closeIfUnused(slot);
+    record.workerSlot = NoWorker;
+    m_workers.updateFreeCapacity(slot);
+    m_workers.removeIfUnused(slot);
 }
 
-void placer::erase(job_record &job, std::int32_t index)
+void placer::eraseTask(job_record &job, std::int32_t index)
 {
     const auto jobId = job.spec.jobId;
     const auto found = job.tasks.find(index);
     if (found != job.tasks.end()) {
-        dropHold(found->second);
-        leaveBacklog({jobId, index}, found->second);
+        releaseHold(found->second);
+        removeFromBacklog({jobId, index}, found->second);
     }
     dequeue(job, index);
     job.tasks.erase(index);
@@ -318,7 +321,7 @@
 {
     if (!m_cancelled.contains(task))
         return false;
-    ++m_stats.lateCancelled;
+    ++m_stats.pendingAfterCancel;
     return true;
 }
 
@@ -328,30 +331,30 @@
 {
     if (isCancelled(task.ref()))
         return;
-    auto &job = jobFor(task);
+    auto &job = updateJob(task);
     if (job.tasks.try_emplace(task.taskIndex).second)
         enqueue(job, task.taskIndex, now);
 }
 
 void placer::taskPlaced(const task_spec &task, const std::string &worker, const resources &reserved,
-                        entry_state state, time_point now)
+                        reservation_state state, time_point now)
 {
     const auto ref = task.ref();
-    auto &job = jobFor(task);
-    if (aheadOn(ref, worker))
+    auto &job = updateJob(task);
+    if (findInBacklog(ref, worker))
         return; // it does not run there yet
     dequeue(job, task.taskIndex);
     auto &record = job.tasks[task.taskIndex];
-    dropHold(record);
-    leaveBacklog(ref, record);
-    if (record.worker != NoWorker)
-        vacate(ref, record, now);
+    releaseHold(record);
+    removeFromBacklog(ref, record);
+    if (record.workerSlot != NoWorker)
+        removeFromWorker(ref, record, now);
     record.cancelled = m_cancelled.contains(ref);
-    const int slot = m_workers.open(worker);
+    const int slot = m_workers.findOrAdd(worker);
     if (!m_workers.at(slot).inService)
         m_workers.at(slot).pool = job.pool;
-    m_workers.at(slot).book.adopt(ref, reserved, state);
-    occupy(job, ref, record, slot, now);
+    m_workers.at(slot).ledger.forceReserve(ref, reserved, state);
+    assignToWorker(job, ref, record, slot, now);
 }
 
 void placer::reopenJob(const std::string &jobId)
@@ -359,106 +362,106 @@
     m_cancelled.forgetJob(jobId);
 }
 
-void placer::setState(const task_ref &task, int slot, entry_state state)
+void placer::setState(const task_ref &task, int slot, reservation_state state)
 {
-    m_workers.at(slot).book.setState(task, state);
-    m_workers.roomChanged(slot);
+    m_workers.at(slot).ledger.setState(task, state);
+    m_workers.updateFreeCapacity(slot);
 }
 
-void placer::taskSettled(const task_ref &task, const std::string &worker, placement_outcome outcome,
-                         time_point now)
+void placer::placementSettled(const task_ref &task, const std::string &worker,
+                              placement_outcome outcome, time_point now)
 {
-    if (const auto waits = aheadOn(task, worker)) {
-        waits.task->aheadSettled |= outcome == placement_outcome::Applied;
+    if (const auto inBacklog = findInBacklog(task, worker)) {
+        inBacklog.task->isBacklogStored |= outcome == placement_outcome::Applied;
         if (outcome == placement_outcome::NotApplied)
-            releaseAhead(task, worker, now);
+            releaseFromBacklog(task, worker, now);
         return;
     }
-    const auto found = placedOn(task, worker);
+    const auto found = findOnWorker(task, worker);
     if (!found)
         return;
     if (outcome == placement_outcome::NotApplied) {
-        makeWaiting(task, worker, now);
+        returnToPending(task, worker, now);
         return;
     }
     // A lost answer may stand for a write that took effect: freeing the room would give it twice,
     // so the entry stays counted, and the task is not placed elsewhere, until the rows were read
     // back.
-    const auto state = m_workers.at(found.task->worker).book.find(task)->state;
-    if (outcome == placement_outcome::Unknown && state == entry_state::Placed)
-        setState(task, found.task->worker, entry_state::Ambiguous);
-    if (outcome == placement_outcome::Applied && state == entry_state::Ambiguous)
-        setState(task, found.task->worker, entry_state::Placed);
+    const auto state = m_workers.at(found.task->workerSlot).ledger.find(task)->state;
+    if (outcome == placement_outcome::Unknown && state == reservation_state::Placed)
+        setState(task, found.task->workerSlot, reservation_state::Ambiguous);
+    if (outcome == placement_outcome::Applied && state == reservation_state::Ambiguous)
+        setState(task, found.task->workerSlot, reservation_state::Placed);
 }
 
 void placer::taskRunning(const task_ref &task, const std::string &worker, time_point now)
 {
-    const auto found = placedOn(task, worker);
+    const auto found = findOnWorker(task, worker);
     if (!found)
         return;
-    const auto state = m_workers.at(found.task->worker).book.find(task)->state;
+    const auto state = m_workers.at(found.task->workerSlot).ledger.find(task)->state;
     // A stop that was asked for is not taken back by a report that was sent before it.
-    if (state != entry_state::Placed && state != entry_state::Ambiguous)
+    if (state != reservation_state::Placed && state != reservation_state::Ambiguous)
         return;
     found.task->startedAt = now;
-    setState(task, found.task->worker, entry_state::Running);
+    setState(task, found.task->workerSlot, reservation_state::Running);
 }
 
 void placer::taskStopping(const task_ref &task, const std::string &worker, time_point)
 {
-    const auto found = placedOn(task, worker);
+    const auto found = findOnWorker(task, worker);
     if (found)
-        setState(task, found.task->worker, entry_state::Stopping);
+        setState(task, found.task->workerSlot, reservation_state::Stopping);
 }
 
-void placer::makeWaiting(const task_ref &task, const std::string &worker, time_point now)
+void placer::returnToPending(const task_ref &task, const std::string &worker, time_point now)
 {
-    const auto found = placedOn(task, worker);
+    const auto found = findOnWorker(task, worker);
     if (!found)
         return;
-    vacate(task, *found.task, now);
+    removeFromWorker(task, *found.task, now);
     if (found.task->cancelled)
-        erase(*found.job, task.taskIndex);
+        eraseTask(*found.job, task.taskIndex);
     else
         enqueue(*found.job, task.taskIndex, now);
 }
 
 void placer::taskReleased(const task_ref &task, const std::string &worker, time_point now)
 {
-    if (releaseAhead(task, worker, now))
+    if (releaseFromBacklog(task, worker, now))
         return;
-    makeWaiting(task, worker, now);
+    returnToPending(task, worker, now);
 }
 
 void placer::taskEnded(const task_ref &task, const std::string &worker, time_point now)
 {
-    const auto found = placedOn(task, worker);
+    const auto found = findOnWorker(task, worker);
     if (!found)
         return;
     if (!found.task->cancelled) {
-        m_quarantine.succeeded(task.jobId, worker, found.task->startedAt);
+        m_quarantine.recordSuccess(task.jobId, worker, found.task->startedAt);
         found.job->usage.finishedTasks += found.task->peakBytes > 0 ? 1 : 0;
-        refreshProbing(found.task->worker, now);
+        refreshQuarantine(found.task->workerSlot, now);
     }
-    vacate(task, *found.task, now);
-    erase(*found.job, task.taskIndex);
+    removeFromWorker(task, *found.task, now);
+    eraseTask(*found.job, task.taskIndex);
 }
 
 void placer::taskFailed(const task_ref &task, const std::string &worker, const std::string &reason,
                         time_point now)
 {
-    const auto found = placedOn(task, worker);
+    const auto found = findOnWorker(task, worker);
     if (!found)
         return;
-    const auto &pool = m_workers.pool(m_workers.at(found.task->worker).pool);
-    m_quarantine.failed(task.jobId, worker, pool.name, pool.slots.size(), reason, now);
-    if (m_quarantine.isSetAside(worker))
-        m_setAside.insert(found.task->worker);
-    refreshProbing(found.task->worker, now);
+    const auto &pool = m_workers.pool(m_workers.at(found.task->workerSlot).pool);
+    m_quarantine.recordFailure(task.jobId, worker, pool.name, pool.slots.size(), reason, now);
+    if (m_quarantine.isWorkerQuarantined(worker))
+        m_quarantinedSlots.insert(found.task->workerSlot);
+    refreshQuarantine(found.task->workerSlot, now);
     // Packing would put it back on the same worker, where it fails again and proves nothing new.
-    found.task->avoid = found.task->worker;
-    found.task->avoidUntil = now + m_settings.avoidFor;
-    makeWaiting(task, worker, now);
+    found.task->avoidedSlot = found.task->workerSlot;
+    found.task->avoidUntil = now + m_settings.avoidWorkerFor;
+    returnToPending(task, worker, now);
 }
 
 std::vector<task_ref> placer::cancelTasks(std::span<const task_ref> tasks, time_point)
@@ -466,17 +469,17 @@
     std::vector<task_ref> toStop;
     for (const auto &task : tasks) {
         m_cancelled.add(task);
-        const auto found = find(task);
+        const auto found = findTask(task);
         if (!found)
             continue;
-        if (found.task->worker == NoWorker) {
-            erase(*found.job, task.taskIndex);
+        if (found.task->workerSlot == NoWorker) {
+            eraseTask(*found.job, task.taskIndex);
             continue;
         }
         // It may run until its end is confirmed: counted until then.
         found.task->cancelled = true;
         found.task->stopsSoon = true;
-        setState(task, found.task->worker, entry_state::Stopping);
+        setState(task, found.task->workerSlot, reservation_state::Stopping);
         toStop.push_back(task);
     }
     return toStop;
@@ -484,7 +487,7 @@
 
 std::vector<task_ref> placer::cancelJob(const std::string &jobId, time_point now)
 {
-    m_cancelled.add(cancel_memory::wholeJob(jobId));
+    m_cancelled.add(cancelled_task_set::wholeJob(jobId));
     const auto *job = m_tasks.findJob(jobId);
     if (!job)
         return {};
@@ -499,24 +502,24 @@
 
 void placer::usageSampled(const usage_sample &sample, time_point now)
 {
-    const auto found = placedOn(sample.task, sample.worker);
+    const auto found = findOnWorker(sample.task, sample.worker);
     if (!found)
         return;
     // Late: it may be of an earlier attempt that ran on the same worker. That one's peak is still
     // what the job was seen to use, but not what this attempt uses.
-    const bool earlier = sample.measuredAt < found.task->startedAt;
-    if (earlier)
+    const bool fromEarlierAttempt = sample.measuredAt < found.task->startedAt;
+    if (fromEarlierAttempt)
         found.job->usage.peakBytes = std::max(found.job->usage.peakBytes, sample.used.bytes);
-    if (earlier || sample.measuredAt <= found.task->sampledAt) {
+    if (fromEarlierAttempt || sample.measuredAt <= found.task->sampledAt) {
         ++m_stats.droppedSamples;
         return;
     }
     found.task->sampledAt = sample.measuredAt;
-    m_sizes.observe(found.job->spec.jobClass, found.task->peakBytes, sample.used, now);
+    m_sizeLearner.observe(found.job->spec.jobClass, found.task->peakBytes, sample.used, now);
     found.task->peakBytes = std::max(found.task->peakBytes, sample.used.bytes);
     found.job->usage.peakBytes = std::max(found.job->usage.peakBytes, sample.used.bytes);
-    if (now - found.task->startedAt >= m_settings.provenAfter)
-        m_quarantine.succeeded(sample.task.jobId, sample.worker, found.task->startedAt);
+    if (now - found.task->startedAt >= m_settings.healthyAfter)
+        m_quarantine.recordSuccess(sample.task.jobId, sample.worker, found.task->startedAt);
     raiseReservation(sample.task, *found.task, sample.used);
 }
 
@@ -527,58 +530,60 @@
 {
     if (!m_settings.sizes.learn)
         return;
-    const int slot = record.worker;
-    auto &book = m_workers.at(slot).book;
-    const auto wanted = m_sizes.raisedFor(book.find(task)->reserved, used);
+    const int slot = record.workerSlot;
+    auto &book = m_workers.at(slot).ledger;
+    const auto wanted = m_sizeLearner.raisedReservation(book.find(task)->reserved, used);
     if (wanted == book.find(task)->wanted)
         return;
-    if (!book.raise(task, wanted))
-        m_owing.insert(slot);
-    charge(record, book.find(task)->wanted);
+    if (!book.tryRaise(task, wanted))
+        m_deferredRaiseSlots.insert(slot);
+    chargeQuota(record, book.find(task)->wanted);
     queueRaises(slot);
-    m_workers.roomChanged(slot);
+    m_workers.updateFreeCapacity(slot);
 }
 
 void placer::queueRaises(int slot)
 {
-    for (const auto &[task, entry] : m_workers.at(slot).book.entries()) {
-        const auto found = find(task);
-        if (found && found.task->told != entry.reserved)
-            m_raises.push_back(task);
+    for (const auto &[task, entry] : m_workers.at(slot).ledger.reservations()) {
+        const auto found = findTask(task);
+        if (found && found.task->sentReservation != entry.reserved)
+            m_raisesToSend.push_back(task);
     }
 }
 
 void placer::latencySampled(const latency_sample &sample, time_point now)
 {
-    const auto found = placedOn(sample.task, sample.worker);
+    const auto found = findOnWorker(sample.task, sample.worker);
     if (!found)
         return;
-    const int slot = found.task->worker;
+    const int slot = found.task->workerSlot;
     auto &worker = m_workers.at(slot);
-    auto *watch = worker.watchOf(sample.task);
+    auto *latency = worker.latencyOf(sample.task);
     auto neighbours = worker.history.at(sample.measuredAt);
     // Of a worker of unknown size it cannot be said how much its neighbours press.
-    const bool sized = worker.info.size.millicores > 0;
-    if (!watch || !neighbours || !sized || sample.measuredAt <= watch->measuredAt
+    const bool hasKnownSize = worker.info.size.millicores > 0;
+    if (!latency || !neighbours || !hasKnownSize || sample.measuredAt <= latency->measuredAt
         || sample.target.count() <= 0) {
         ++m_stats.droppedSamples;
         return;
     }
-    watch->measuredAt = sample.measuredAt;
+    latency->measuredAt = sample.measuredAt;
     const double p99 = static_cast<double>(std::max<std::int64_t>(sample.p99.count(), 1));
-    const double ratio = std::log(p99 / static_cast<double>(sample.target.count()));
-    const class_millicores itself{found.task->jobClass, found.task->limitMillicores};
-    const auto whole = worker.info.size.millicores;
-    const auto then = partsOf(without(*neighbours, itself), whole);
-    const auto today = partsOf(without(worker.history.current(), itself), whole);
-    m_interference.learn(watch->jobClass, then, ratio, sample.measuredAt);
-    watch->level = ratio + m_interference.expected(watch->jobClass, today)
-                   - m_interference.expected(watch->jobClass, then);
-    if (sample.measuredAt > worker.actedAt)
-        watch->signal.add(ratio, m_settings.signal);
-    if (watch->signal.isRaised()) {
-        worker.raisedAt = now;
-        m_disturbed.insert(slot);
+    const double logRatio = std::log(p99 / static_cast<double>(sample.target.count()));
+    const class_millicores ownAmount{found.task->jobClass, found.task->limitMillicores};
+    const auto workerMillicores = worker.info.size.millicores;
+    const auto sharesAtSample = sharesOf(withoutOwn(*neighbours, ownAmount), workerMillicores);
+    const auto sharesNow =
+            sharesOf(withoutOwn(worker.history.current(), ownAmount), workerMillicores);
+    m_interference.learn(latency->jobClass, sharesAtSample, logRatio, sample.measuredAt);
+    latency->estimatedLogRatio =
+            logRatio + m_interference.expectedLogRatio(latency->jobClass, sharesNow)
+            - m_interference.expectedLogRatio(latency->jobClass, sharesAtSample);
+    if (sample.measuredAt > worker.lastReliefAt)
+        latency->signal.add(logRatio, m_settings.signal);
+    if (latency->signal.isRaised()) {
+        worker.signalRaisedAt = now;
+        m_disturbedSlots.insert(slot);
     }
 }
 
@@ -591,26 +596,26 @@
     if (!job || !job->tasks.contains(task.taskIndex))
         return name + " is not known here";
     const auto &record = job->tasks.at(task.taskIndex);
-    if (record.ahead != NoWorker)
-        return name + " waits in the backlog of " + m_workers.at(record.ahead).info.id;
-    if (record.worker != NoWorker) {
-        const auto &worker = m_workers.at(record.worker);
+    if (record.backlogSlot != NoWorker)
+        return name + " waits in the backlog of " + m_workers.at(record.backlogSlot).info.id;
+    if (record.workerSlot != NoWorker) {
+        const auto &worker = m_workers.at(record.workerSlot);
         return name + " is on " + worker.info.id + ", "
-               + std::string(nameOf(worker.book.find(task)->state));
+               + std::string(nameOf(worker.ledger.find(task)->state));
     }
-    switch (job->wait) {
+    switch (job->waitReason) {
     case wait_reason::NotTried:
         return name + " waits for the next decision";
     case wait_reason::NoWorkers:
         return name + " waits: pool " + job->spec.pool + " has no workers";
-    case wait_reason::NoRoom:
+    case wait_reason::NoCapacity:
         return name + " waits for room in pool " + job->spec.pool + ": it needs "
                + toText(demandOf(*job));
-    case wait_reason::TeamLimit:
+    case wait_reason::TeamAtQuota:
         return name + " waits: team " + job->spec.team + " has reached its quota";
     case wait_reason::JobQuarantined:
         return name + " waits: " + m_quarantine.reasonFor(task.jobId, now);
-    case wait_reason::MakingRoom:
+    case wait_reason::Preempting:
         return name + " waits while batch tasks are stopped for it";
     case wait_reason::WouldSlowService:
         return name + " waits: everywhere in pool " + job->spec.pool
@@ -625,14 +630,14 @@
     if (!job || !job->tasks.contains(task.taskIndex))
         return {};
     const auto &record = job->tasks.at(task.taskIndex);
-    const int slot = record.worker != NoWorker ? record.worker : record.ahead;
+    const int slot = record.workerSlot != NoWorker ? record.workerSlot : record.backlogSlot;
     return slot == NoWorker ? std::string() : m_workers.at(slot).info.id;
 }
 
-const ledger *placer::ledgerOf(const std::string &worker) const
+const reservation_ledger *placer::ledgerOf(const std::string &worker) const
 {
     const int slot = m_workers.slotOf(worker);
-    return slot == worker_table::NoSlot ? nullptr : &m_workers.at(slot).book;
+    return slot == worker_table::NoSlot ? nullptr : &m_workers.at(slot).ledger;
 }
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/scheduler.h
+++ b/libs/placement/scheduler.h
@@ -51,8 +51,8 @@
     void setPool(const pool_info &pool, time_point now);
     void setTeam(const team_quota &quota);
     // Of the team's limit, when several placers share it.
-    void setTeamPart(const std::string &team, const resources &part);
-    team_use useOf(const std::string &team);
+    void setLocalTeamLimit(const std::string &team, const resources &localLimit);
+    team_usage usageOf(const std::string &team);
 
     // Also for a worker that is known: brings it back, or changes its size.
     void addWorker(const worker_info &worker, time_point now);
@@ -67,9 +67,9 @@
     // configuration is known leave the pool empty, and call it again when it is: until then the
     // task is never evicted or throttled, and a service is not watched.
     void taskPlaced(const task_spec &task, const std::string &worker, const resources &reserved,
-                    entry_state state, time_point now);
-    void taskSettled(const task_ref &task, const std::string &worker, placement_outcome outcome,
-                     time_point now);
+                    reservation_state state, time_point now);
+    void placementSettled(const task_ref &task, const std::string &worker,
+                          placement_outcome outcome, time_point now);
     void taskRunning(const task_ref &task, const std::string &worker, time_point now);
     // A stop was asked for; it counts until taskReleased or taskEnded.
     void taskStopping(const task_ref &task, const std::string &worker, time_point now);
@@ -97,35 +97,35 @@
     // for each worker, and a backlog gives back what other workers have room for now.
     backlog_plan planBacklog(time_point now, std::size_t perWorker);
     // A task that was taken in as placed turns out to wait in the worker's backlog.
-    void taskWaitsAhead(const task_ref &task, const std::string &worker, time_point now);
+    void taskInBacklog(const task_ref &task, const std::string &worker, time_point now);
     // Neither its worker nor its team holds more than it may, this task counted.
     bool isWithinLimits(const task_ref &task) const;
-    std::size_t backlogOf(const std::string &worker) const;
+    std::size_t backlogLengthOf(const std::string &worker) const;
     // Where the task is placed, or placed ahead; empty when it waits or is not known.
     std::string workerOf(const task_ref &task) const;
 
     // Why the task waits, or where it is, in one sentence for operators.
     std::string explain(const task_ref &task, time_point now) const;
     const placer_stats &stats() const { return m_stats; }
-    const ledger *ledgerOf(const std::string &worker) const; // null: not known
-    std::size_t pendingTasks() const { return m_pendingTasks; }
+    const reservation_ledger *ledgerOf(const std::string &worker) const; // null: not known
+    std::size_t pendingTaskCount() const { return m_pendingTasks; }
     const interference_model &interference() const { return m_interference; }
     // The number under which the interference model knows the class.
     class_number classNumber(const std::string &jobClass);
 
 private:
     // One plan() call.
-    struct plan_run
+    struct planning_pass
     {
         time_point now;
         plan_scope scope = plan_scope::All;
-        std::size_t most = 0;
+        std::size_t maxActions = 0;
         std::vector<placement_action> actions;
         // Demands that found no room in this run: while tasks are placed room only shrinks, so what
         // asks for at least as much is not tried.
-        std::vector<std::pair<std::size_t, resources>> noRoom; // pool and demand
+        std::vector<std::pair<std::size_t, resources>> failedDemands; // pool and demand
 
-        bool isFull() const { return actions.size() >= most; }
+        bool isFull() const { return actions.size() >= maxActions; }
     };
     // Where the run stands among the waiting jobs of one team.
     struct team_cursor
@@ -133,7 +133,7 @@
         std::uint16_t team = 0;
         pending_queue::team_jobs *jobs = nullptr;
         std::uint64_t sequence = 0; // of the job
-        std::int32_t fromIndex = 0; // of its waiting tasks
+        std::int32_t nextIndex = 0; // of its waiting tasks
     };
     enum class try_result { Placed, TaskWaits, JobWaits };
     struct found_task
@@ -144,105 +144,111 @@
     };
 
     // Records (scheduler.cpp).
-    job_record &jobFor(const task_spec &spec);
-    found_task find(const task_ref &task);
-    found_task placedOn(const task_ref &task, const std::string &worker);
+    job_record &updateJob(const task_spec &spec);
+    found_task findTask(const task_ref &task);
+    found_task findOnWorker(const task_ref &task, const std::string &worker);
     void enqueue(job_record &job, std::int32_t index, time_point now);
     void dequeue(job_record &job, std::int32_t index);
-    void occupy(const job_record &job, const task_ref &task, task_record &record, int slot,
-                time_point now);
-    void vacate(const task_ref &task, task_record &record, time_point now);
-    void erase(job_record &job, std::int32_t index);
-    void makeWaiting(const task_ref &task, const std::string &worker, time_point now);
-    void setState(const task_ref &task, int slot, entry_state state);
-    void charge(task_record &record, const resources &amount);
-    void dropHold(task_record &record);
+    void assignToWorker(const job_record &job, const task_ref &task, task_record &record, int slot,
+                        time_point now);
+    void removeFromWorker(const task_ref &task, task_record &record, time_point now);
+    void eraseTask(job_record &job, std::int32_t index);
+    void returnToPending(const task_ref &task, const std::string &worker, time_point now);
+    void setState(const task_ref &task, int slot, reservation_state state);
+    void chargeQuota(task_record &record, const resources &amount);
+    void releaseHold(task_record &record);
     bool isCancelled(const task_ref &task);
 
     // Measurements (scheduler.cpp).
     void raiseReservation(const task_ref &task, task_record &record, const resources &used);
     void queueRaises(int slot);
-    void neighbourChanged(int slot, class_number jobClass, std::int64_t millicores, time_point now);
-    void carryLevels(int slot, std::int64_t millicoresBefore);
+    void recordNeighbourChange(int slot, class_number jobClass, std::int64_t millicores,
+                               time_point now);
+    void rescaleLatencyLevels(int slot, std::int64_t millicoresBefore);
 
     // Decisions (plan.cpp).
-    void refreshSetAside(time_point now);
-    void refreshProbing(int slot, time_point now);
-    void sendRaises(plan_run &run);
-    void relieveMemory(plan_run &run);
+    void refreshQuarantinedWorkers(time_point now);
+    void refreshQuarantine(int slot, time_point now);
+    void sendRaises(planning_pass &pass);
+    void evictForMemory(planning_pass &pass);
     std::int64_t expectedBytes(int slot);
-    void placeWaiting(plan_run &run);
-    void placeRank(plan_run &run, pending_queue::rank_teams &teams);
-    bool advance(plan_run &run, team_cursor &cursor);
-    try_result tryNext(plan_run &run, job_record &job, std::int32_t &fromIndex);
-    bool refuseWhole(plan_run &run, job_record &job);
-    void refuseAll(plan_run &run, job_record &job, error_kind kind, const std::string &reason);
-    bool mustWait(plan_run &run, job_record &job);
-    try_result tryTask(plan_run &run, job_record &job, std::int32_t index);
-    static bool foundNoRoom(const plan_run &run, std::size_t pool, const resources &demand);
-    static void rememberNoRoom(plan_run &run, std::size_t pool, const resources &demand);
-    void place(plan_run &run, job_record &job, std::int32_t index, int slot,
+    void placePending(planning_pass &pass);
+    void placeRank(planning_pass &pass, pending_queue::rank_teams &teams);
+    bool placeOneTask(planning_pass &pass, team_cursor &cursor);
+    try_result tryNextTask(planning_pass &pass, job_record &job, std::int32_t &nextIndex);
+    bool refuseJob(planning_pass &pass, job_record &job);
+    void refuseTasks(planning_pass &pass, job_record &job, error_kind kind,
+                     const std::string &reason);
+    bool shouldWait(planning_pass &pass, job_record &job);
+    try_result tryTask(planning_pass &pass, job_record &job, std::int32_t index);
+    static bool hasFailedDemand(const planning_pass &pass, std::size_t pool,
+                                const resources &demand);
+    static void addFailedDemand(planning_pass &pass, std::size_t pool, const resources &demand);
+    void place(planning_pass &pass, job_record &job, std::int32_t index, int slot,
                const resources &demand);
-    bool placeOnHeldRoom(plan_run &run, job_record &job, std::int32_t index,
-                         const resources &demand);
-    resources heldBefore(const task_record &record);
-    void giveUpHold(task_record &record, time_point now);
-    void expireHolds(plan_run &run);
-    bool holdRoom(plan_run &run, job_record &job, std::int32_t index, const place_request &request);
-    void holdRoom(plan_run &run, job_record &job, std::int32_t index, const place_request &request,
-                  const room_plan &plan);
-    void makeQuota(plan_run &run, job_record &job);
-    resources comingToTeam(std::uint16_t team);
+    bool placeOnHold(planning_pass &pass, job_record &job, std::int32_t index,
+                     const resources &demand);
+    resources earlierHolds(const task_record &record);
+    void abandonHold(task_record &record, time_point now);
+    void expireHolds(planning_pass &pass);
+    bool holdCapacity(planning_pass &pass, job_record &job, std::int32_t index,
+                      const placement_request &request);
+    void holdCapacity(planning_pass &pass, job_record &job, std::int32_t index,
+                      const placement_request &request, const preemption_plan &plan);
+    void preemptForQuota(planning_pass &pass, job_record &job);
+    resources pendingTeamChange(std::uint16_t team);
     bool isStopping(const task_ref &task);
-    place_request requestFor(const job_record &job, const task_record &record,
-                             const resources &demand, time_point now) const;
+    placement_request requestFor(const job_record &job, const task_record &record,
+                                 const resources &demand, time_point now) const;
     resources demandOf(const job_record &job) const;
-    void preempt(plan_run &run, int slot, const task_ref &victim, preempt_reason reason,
-                 const task_ref &beneficiary, time_point checkpointBefore);
+    void preempt(planning_pass &pass, int slot, const task_ref &victim, preempt_reason reason,
+                 const task_ref &beneficiary, time_point checkpointDeadline);
 
     // Backlogs (backlog.cpp).
-    void startAhead(plan_run &run, int rank);
-    void placeAhead(backlog_plan &plan, job_record &job, std::size_t perWorker, time_point now);
-    int slotForAhead(const job_record &job, const resources &demand, std::size_t perWorker) const;
-    void takeBack(backlog_plan &plan, time_point now);
-    bool hasToLeave(const job_record &job, task_record &record, time_point now);
-    found_task aheadOn(const task_ref &task, const std::string &worker);
-    void enterBacklog(const task_ref &task, task_record &record, int slot, time_point now);
-    void leaveBacklog(const task_ref &task, task_record &record);
-    bool releaseAhead(const task_ref &task, const std::string &worker, time_point now);
+    void startFromBacklogs(planning_pass &pass, int rank);
+    void assignToBacklog(backlog_plan &plan, job_record &job, std::size_t perWorker,
+                         time_point now);
+    int chooseBacklogSlot(const job_record &job, const resources &demand,
+                          std::size_t perWorker) const;
+    void withdrawFromBacklogs(backlog_plan &plan, time_point now);
+    bool shouldWithdraw(const job_record &job, task_record &record, time_point now);
+    found_task findInBacklog(const task_ref &task, const std::string &worker);
+    void addToBacklog(const task_ref &task, task_record &record, int slot, time_point now);
+    void removeFromBacklog(const task_ref &task, task_record &record);
+    bool releaseFromBacklog(const task_ref &task, const std::string &worker, time_point now);
 
     // Relief of services (relieve.cpp).
-    void relieveServices(plan_run &run);
-    void relieve(plan_run &run, int slot, const service_watch &service);
-    void recover(plan_run &run, int slot);
-    std::vector<relief_candidate> candidatesOn(int slot, class_number service,
-                                               std::vector<task_ref> &tasks) const;
-    void throttle(plan_run &run, int slot, const task_ref &task, double processors);
-    void acted(int slot, time_point now);
+    void relieveServices(planning_pass &pass);
+    void relieveService(planning_pass &pass, int slot, const service_latency &service);
+    void liftThrottle(planning_pass &pass, int slot);
+    std::vector<relief_candidate> reliefCandidatesOn(int slot, class_number service,
+                                                     std::vector<task_ref> &tasks) const;
+    void throttle(planning_pass &pass, int slot, const task_ref &task, double processors);
+    void startReliefCoolDown(int slot, time_point now);
 
     placer_settings m_settings;
     placer_stats m_stats;
     task_table m_tasks;
     pending_queue m_queue;
-    cancel_memory m_cancelled;
+    cancelled_task_set m_cancelled;
     std::size_t m_pendingTasks = 0;
     worker_table m_workers;
     std::unordered_map<std::string, class_number> m_classNumbers;
-    quota_book m_quotas;
-    size_learner m_sizes;
+    quota_table m_quotas;
+    size_learner m_sizeLearner;
     quarantine m_quarantine;
     interference_model m_interference;
     worker_chooser m_chooser;
-    room_maker m_roomMaker;
-    eviction_budget m_evictions;
-    std::vector<task_ref> m_raises; // reservations that the worker has to be told
-    std::uint64_t m_nominations = 0;
-    std::set<task_ref> m_ahead;           // tasks in backlogs
-    std::set<task_ref> m_holds;           // tasks for which room is being made
+    preemption_planner m_preemptionPlanner;
+    eviction_budget m_evictionBudget;
+    std::vector<task_ref> m_raisesToSend; // reservations that the worker has to be told
+    std::uint64_t m_lastHoldNumber = 0;
+    std::set<task_ref> m_backlogTasks;    // tasks in backlogs
+    std::set<task_ref> m_heldTasks;       // tasks for which room is being made
     std::vector<task_ref> m_quotaVictims; // of a team at its quota, for its own urgent work
-    std::set<int> m_owing;                // slots with a raise that does not fit
-    std::set<int> m_disturbed;            // slots with a raised signal or throttled tasks
-    std::set<int> m_setAside;             // slots that quarantine has set aside
+    std::set<int> m_deferredRaiseSlots;   // slots with a raise that does not fit
+    std::set<int> m_disturbedSlots;       // slots with a raised signal or throttled tasks
+    std::set<int> m_quarantinedSlots;     // slots that quarantine has set aside
 };
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/service_relief.cpp
+++ b/libs/placement/service_relief.cpp
@@ -17,137 +17,140 @@
 }
 
 // The service that is disturbed most, among those with enough samples since the last action.
-const service_watch *worstOn(const worker_slot &worker, const load_signal_settings &settings)
+const service_latency *mostDisturbed(const worker_slot &worker,
+                                     const load_signal_settings &settings)
 {
-    const service_watch *worst = nullptr;
+    const service_latency *mostDisturbedService = nullptr;
     for (const auto &service : worker.services) {
         if (!service.signal.isRaised() || !service.signal.isFull(settings))
             continue;
-        if (!worst || service.signal.mean() > worst->signal.mean())
-            worst = &service;
+        if (!mostDisturbedService || service.signal.mean() > mostDisturbedService->signal.mean())
+            mostDisturbedService = &service;
     }
-    return worst;
+    return mostDisturbedService;
 }
 
 } // namespace
 
-void placer::relieveServices(plan_run &run)
+void placer::relieveServices(planning_pass &pass)
 {
-    const std::vector<int> slots(m_disturbed.begin(), m_disturbed.end());
+    const std::vector<int> slots(m_disturbedSlots.begin(), m_disturbedSlots.end());
     for (const int slot : slots) {
-        if (run.isFull())
+        if (pass.isFull())
             return;
         const auto &worker = m_workers.at(slot);
-        const bool raised = std::any_of(worker.services.begin(), worker.services.end(),
-                                        [](const auto &each) { return each.signal.isRaised(); });
-        if (!raised && worker.throttledTasks == 0) {
-            m_disturbed.erase(slot);
+        const bool anyRaised = std::any_of(worker.services.begin(), worker.services.end(),
+                                           [](const auto &each) { return each.signal.isRaised(); });
+        if (!anyRaised && worker.throttledTasks == 0) {
+            m_disturbedSlots.erase(slot);
             continue;
         }
         // Cool-down: samples that still show the time before the last action would call for the
         // next one, and the worker would be emptied before the first has shown its effect.
-        if (run.now < worker.quietUntil)
+        if (pass.now < worker.reliefPausedUntil)
             continue;
-        if (const auto *worst = worstOn(worker, m_settings.signal))
-            relieve(run, slot, *worst);
-        else if (!raised)
-            recover(run, slot);
+        if (const auto *mostDisturbedService = mostDisturbed(worker, m_settings.signal))
+            relieveService(pass, slot, *mostDisturbedService);
+        else if (!anyRaised)
+            liftThrottle(pass, slot);
     }
 }
 
-std::vector<relief_candidate> placer::candidatesOn(int slot, class_number service,
-                                                   std::vector<task_ref> &tasks) const
+std::vector<relief_candidate> placer::reliefCandidatesOn(int slot, class_number service,
+                                                         std::vector<task_ref> &tasks) const
 {
     const auto &worker = m_workers.at(slot);
-    const auto &entries = worker.book.entries();
+    const auto &entries = worker.ledger.reservations();
     const double processors = std::max(processorsOf(worker.info.size.millicores), 1.0);
-    for (const auto &[task, entry] : entries) {
+    for (const auto &[task, reservation] : entries) {
         const auto *job = m_tasks.findJob(task.jobId);
-        const bool batch =
+        const bool isBatch =
                 job->spec.kind == task_kind::Batch && job->spec.priority != task_priority::Urgent;
-        if (batch && entry.state == entry_state::Running)
+        if (isBatch && reservation.state == reservation_state::Running)
             tasks.push_back(task);
     }
     std::sort(tasks.begin(), tasks.end());
     std::vector<relief_candidate> candidates;
     for (std::size_t index = 0; index < tasks.size(); ++index) {
         const auto &record = m_tasks.findJob(tasks[index].jobId)->tasks.at(tasks[index].taskIndex);
-        const auto &entry = entries.at(tasks[index]);
+        const auto &reservation = entries.at(tasks[index]);
         candidates.push_back(
                 {index, m_interference.effect(service, record.jobClass).mean / processors,
-                 processorsOf(record.limitMillicores), processorsOf(record.told.millicores),
-                 m_roomMaker.mayEvict(tasks[index], entry, BeforeBatch)});
+                 processorsOf(record.limitMillicores),
+                 processorsOf(record.sentReservation.millicores),
+                 m_preemptionPlanner.canEvict(tasks[index], reservation, BeforeBatch)});
     }
     return candidates;
 }
 
-void placer::relieve(plan_run &run, int slot, const service_watch &service)
+void placer::relieveService(planning_pass &pass, int slot, const service_latency &service)
 {
     std::vector<task_ref> tasks;
-    const auto candidates = candidatesOn(slot, service.jobClass, tasks);
+    const auto candidates = reliefCandidatesOn(slot, service.jobClass, tasks);
     const double size = processorsOf(m_workers.at(slot).info.size.millicores);
     const auto step = chooseRelief(service.signal.mean(), size, candidates, m_settings.weights,
                                    m_settings.relief);
     if (!step)
         return;
     if (const auto *limit = std::get_if<throttle_relief>(&*step)) {
-        throttle(run, slot, tasks[limit->index], limit->limit);
+        throttle(pass, slot, tasks[limit->index], limit->limitProcessors);
         return;
     }
     // The budget keeps a wave of noisy tasks from becoming a wave of evictions.
-    if (!m_evictions.mayTake()) {
-        ++m_stats.budgetSpent;
+    if (!m_evictionBudget.canTake()) {
+        ++m_stats.evictionsOverBudget;
         return;
     }
-    m_evictions.take();
+    m_evictionBudget.take();
     const auto &victim = tasks[std::get<evict_relief>(*step).index];
-    preempt(run, slot, victim, preempt_reason::Interference, service.task,
-            run.now + m_settings.checkpointFor);
-    acted(slot, run.now);
+    preempt(pass, slot, victim, preempt_reason::Interference, service.task,
+            pass.now + m_settings.checkpointTime);
+    startReliefCoolDown(slot, pass.now);
 }
 
-void placer::recover(plan_run &run, int slot)
+void placer::liftThrottle(planning_pass &pass, int slot)
 {
     const auto &worker = m_workers.at(slot);
-    double room = std::numeric_limits<double>::max();
-    class_number nearest = 0;
+    double headroom = std::numeric_limits<double>::max();
+    class_number nearestService = 0;
     for (const auto &service : worker.services) {
         if (!service.signal.isFull(m_settings.signal)
-            || run.now - worker.raisedAt < m_settings.relief.recoverAfter)
+            || pass.now - worker.signalRaisedAt < m_settings.relief.liftThrottleAfter)
             return;
-        if (-service.signal.mean() < room) {
-            room = -service.signal.mean();
-            nearest = service.jobClass;
+        if (-service.signal.mean() < headroom) {
+            headroom = -service.signal.mean();
+            nearestService = service.jobClass;
         }
     }
     std::vector<task_ref> tasks;
-    const auto candidates = candidatesOn(slot, nearest, tasks);
-    const auto step = chooseRecovery(room, candidates, m_settings.relief);
+    const auto candidates = reliefCandidatesOn(slot, nearestService, tasks);
+    const auto step = chooseThrottleLift(headroom, candidates, m_settings.relief);
     if (step)
-        throttle(run, slot, tasks[step->index], step->limit);
+        throttle(pass, slot, tasks[step->index], step->limitProcessors);
 }
 
-void placer::throttle(plan_run &run, int slot, const task_ref &task, double processors)
+void placer::throttle(planning_pass &pass, int slot, const task_ref &task, double processors)
 {
     auto &worker = m_workers.at(slot);
-    auto &record = *find(task).task;
-    const auto full = record.told.millicores;
-    const auto limit = std::min(full, static_cast<std::int64_t>(processors * 1000));
-    worker.throttledTasks += (limit < full ? 1 : 0) - (record.limitMillicores < full ? 1 : 0);
-    neighbourChanged(slot, record.jobClass, limit - record.limitMillicores, run.now);
+    auto &record = *findTask(task).task;
+    const auto reservedMillicores = record.sentReservation.millicores;
+    const auto limit = std::min(reservedMillicores, static_cast<std::int64_t>(processors * 1000));
+    worker.throttledTasks += (limit < reservedMillicores ? 1 : 0)
+                             - (record.limitMillicores < reservedMillicores ? 1 : 0);
+    recordNeighbourChange(slot, record.jobClass, limit - record.limitMillicores, pass.now);
     record.limitMillicores = limit;
-    run.actions.emplace_back(throttle_action{task, worker.info.id, limit});
+    pass.actions.emplace_back(throttle_action{task, worker.info.id, limit});
     ++m_stats.throttled;
-    acted(slot, run.now);
+    startReliefCoolDown(slot, pass.now);
 }
 
-void placer::acted(int slot, time_point now)
+void placer::startReliefCoolDown(int slot, time_point now)
 {
     auto &worker = m_workers.at(slot);
-    worker.actedAt = now;
-    worker.quietUntil = now + m_settings.relief.coolDown;
+    worker.lastReliefAt = now;
+    worker.reliefPausedUntil = now + m_settings.relief.coolDown;
     for (auto &service : worker.services)
-        service.signal.restart();
+        service.signal.clearSamples();
 }
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/size_learner.h
+++ b/libs/placement/size_learner.h
@@ -21,30 +21,30 @@
 {
 public:
     // Values below 2^smallestPower share the lowest bucket.
-    explicit quantile_sketch(int smallestPower)
-        : m_smallestPower(smallestPower)
+    explicit quantile_sketch(int minExponent)
+        : m_minExponent(minExponent)
     { }
 
     void add(std::int64_t value);
     // A task's peak rose: its one count moves along.
     void move(std::int64_t from, std::int64_t to);
     // Upper edge of the bucket that holds the quantile; 0 while empty.
-    std::int64_t quantile(double portion) const;
+    std::int64_t quantile(double fraction) const;
     double count() const { return m_count; }
     // Raised by every change.
-    std::uint64_t changes() const { return m_changes; }
+    std::uint64_t revision() const { return m_revision; }
 
 private:
     static constexpr int BucketsPerDoubling = 8;
-    static constexpr int Buckets = 24 * BucketsPerDoubling;
-    static constexpr double HalveAt = 4096; // counts
+    static constexpr int BucketCount = 24 * BucketsPerDoubling;
+    static constexpr double HalveAtCount = 4096; // counts
 
     std::size_t bucketOf(std::int64_t value) const;
 
-    int m_smallestPower;
+    int m_minExponent;
     double m_count = 0;
-    std::uint64_t m_changes = 0;
-    std::array<float, Buckets> m_buckets{};
+    std::uint64_t m_revision = 0;
+    std::array<float, BucketCount> m_buckets{};
 };
 
 // What was seen of one job's own tasks: nearer to the truth than its class.
@@ -61,8 +61,8 @@
     double memoryHeadroom = 1.2;     // factor above the peak of the job's own tasks
     double processorQuantile = 0.9;  // of the samples
     double processorHeadroom = 1.25; // above 1, so that a limited task can show that it needs more
-    double processorFloor = 0.25;    // of the declared size: never reclaimed below it
-    double raiseAt = 0.9;            // usage over reservation that raises the reservation
+    double minProcessorShare = 0.25; // of the declared size: never reclaimed below it
+    double raiseThreshold = 0.9;     // usage over reservation that raises the reservation
     double raiseHeadroom = 1.2;      // the raised reservation over the usage
     double minPeaks = 5;             // tasks seen before memory counts as learned
     double minSamples = 20;          // samples seen before processor time counts as learned
@@ -83,8 +83,8 @@
     resources reservationFor(const task_spec &task, const job_usage &usage = {}) const;
 
     // The reservation that `used` asks for; equal to `reserved` while there is enough headroom.
-    resources raisedFor(const resources &reserved, const resources &used) const;
-    std::size_t classes() const { return m_classes.size(); }
+    resources raisedReservation(const resources &reserved, const resources &used) const;
+    std::size_t classCount() const { return m_classes.size(); }
 
 private:
     // A quantile is read for each decision, and the sketch changes with each sample: it is looked
@@ -92,20 +92,21 @@
     struct cached_quantile
     {
         std::int64_t value = 0;
-        std::uint64_t changes = 0; // of the sketch when it was read
+        std::uint64_t revision = 0; // of the sketch when it was read
     };
     struct class_sizes
     {
-        quantile_sketch peaks{20};      // bytes, from 1 MiB
-        quantile_sketch samples{0};     // millicores
-        time_point seenAt;              //
-        mutable cached_quantile peak;   //
-        mutable cached_quantile sample; //
+        quantile_sketch memoryPeaks{20};      // bytes, from 1 MiB
+        quantile_sketch processorSamples{0};  // millicores
+        time_point lastSeenAt;                //
+        mutable cached_quantile cachedPeak;   //
+        mutable cached_quantile cachedSample; //
     };
 
-    void forgetOldest();
-    std::int64_t bytesFor(const class_sizes *sizes, const job_usage &usage) const;
-    static std::int64_t read(const quantile_sketch &sketch, double portion, cached_quantile &cache);
+    void forgetLeastRecentClass();
+    std::int64_t memoryFor(const class_sizes *sizes, const job_usage &usage) const;
+    static std::int64_t readQuantile(const quantile_sketch &sketch, double fraction,
+                                     cached_quantile &cache);
 
     size_learner_settings m_settings;
     std::unordered_map<std::string, class_sizes> m_classes;
--- a/libs/placement/task_table.cpp
+++ b/libs/placement/task_table.cpp
@@ -30,35 +30,35 @@
 
 void pending_queue::erase(const job_record &job)
 {
-    auto &teams = m_ranks.at(indexOf(job));
+    auto &teams = m_ranks.at(rankIndex(job));
     const auto team = teams.find(job.team);
     if (team != teams.end())
         team->second.erase(job.sequence);
 }
 
-void cancel_memory::add(const task_ref &task)
+void cancelled_task_set::add(const task_ref &task)
 {
-    if (!m_known.try_emplace(task, m_added + 1).second)
+    if (!m_numberByTask.try_emplace(task, m_lastNumber + 1).second)
         return;
-    m_order.emplace_back(++m_added, task);
-    if (m_order.size() <= MostKept)
+    m_oldestFirst.emplace_back(++m_lastNumber, task);
+    if (m_oldestFirst.size() <= MaxKept)
         return;
-    const auto oldest = m_known.find(m_order.front().second);
-    if (oldest != m_known.end() && oldest->second == m_order.front().first)
-        m_known.erase(oldest);
-    m_order.pop_front();
+    const auto oldest = m_numberByTask.find(m_oldestFirst.front().second);
+    if (oldest != m_numberByTask.end() && oldest->second == m_oldestFirst.front().first)
+        m_numberByTask.erase(oldest);
+    m_oldestFirst.pop_front();
 }
 
-void cancel_memory::forgetJob(const std::string &jobId)
+void cancelled_task_set::forgetJob(const std::string &jobId)
 {
-    auto next = m_known.lower_bound(wholeJob(jobId));
-    while (next != m_known.end() && next->first.jobId == jobId)
-        next = m_known.erase(next);
+    auto next = m_numberByTask.lower_bound(wholeJob(jobId));
+    while (next != m_numberByTask.end() && next->first.jobId == jobId)
+        next = m_numberByTask.erase(next);
 }
 
-bool cancel_memory::contains(const task_ref &task) const
+bool cancelled_task_set::contains(const task_ref &task) const
 {
-    return m_known.contains(task) || m_known.contains(wholeJob(task.jobId));
+    return m_numberByTask.contains(task) || m_numberByTask.contains(wholeJob(task.jobId));
 }
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/worker_chooser.cpp
+++ b/libs/placement/worker_chooser.cpp
@@ -19,10 +19,11 @@
         0.4; // of a worker that has no service yet: batch runs there freely
 constexpr double PackingWeight = 0.2; // of room left over, for batch
 constexpr double SuspectCost = 4;
-constexpr double AcceleratorCost = 1; // of taking a worker with accelerators without need
-constexpr double HeadroomUse = 0.05;  // part of an effect that counts below the target already
-constexpr std::size_t Tightest = 16;  // candidates that are scored in full
-constexpr std::size_t Sampled = 16;   // and others, so that a calm worker with much room is seen
+constexpr double AcceleratorCost = 1;      // of taking a worker with accelerators without need
+constexpr double BelowTargetWeight = 0.05; // part of an effect that counts below the target already
+constexpr std::size_t TightestCandidates = 16; // candidates that are scored in full
+constexpr std::size_t SampledCandidates =
+        16; // and others, so that a calm worker with much room is seen
 
 std::string rackKey(const worker_info &info)
 {
@@ -52,20 +53,22 @@
     , m_interference(interference)
 { }
 
-worker_choice worker_chooser::choose(const place_request &request)
+worker_choice worker_chooser::choose(const placement_request &request)
 {
-    if (m_settings.order == placement_order::FirstFit)
+    if (m_settings.algorithm == placement_algorithm::FirstFit)
         return firstFit(request);
-    return request.kind == task_kind::Service ? forService(request) : forBatch(request);
+    return request.kind == task_kind::Service ? chooseForService(request) : chooseForBatch(request);
 }
 
-bool worker_chooser::fits(const place_request &request, int slot) const
+bool worker_chooser::fits(const placement_request &request, int slot) const
 {
-    const bool asked = request.only == worker_table::NoSlot || slot == request.only;
-    return asked && request.demand.fitsIn(m_workers.room(slot)) && slot != request.avoid;
+    const bool isAllowed =
+            request.requiredSlot == worker_table::NoSlot || slot == request.requiredSlot;
+    return isAllowed && request.demand.fitsIn(m_workers.freeCapacity(slot))
+           && slot != request.excludedSlot;
 }
 
-worker_choice worker_chooser::firstFit(const place_request &request) const
+worker_choice worker_chooser::firstFit(const placement_request &request) const
 {
     for (const int slot : m_workers.pool(request.pool).slots) {
         if (fits(request, slot))
@@ -74,7 +77,7 @@
     return {};
 }
 
-double worker_chooser::spreadCost(const place_request &request, int slot) const
+double worker_chooser::spreadCost(const placement_request &request, int slot) const
 {
     if (request.kind != task_kind::Service)
         return 0;
@@ -84,134 +87,141 @@
            + SameRackCost * countIn(request.replicas.racks, rackKey(info));
 }
 
-worker_choice worker_chooser::forService(const place_request &request) const
+worker_choice worker_chooser::chooseForService(const placement_request &request) const
 {
     worker_choice best;
-    double lowest = std::numeric_limits<double>::max();
+    double lowestCost = std::numeric_limits<double>::max();
     for (const int slot : m_workers.pool(request.pool).slots) {
         if (!fits(request, slot))
             continue;
         const auto &worker = m_workers.at(slot);
-        const auto used = worker.info.size - m_workers.room(slot) + request.demand;
+        const auto used = worker.info.size - m_workers.freeCapacity(slot) + request.demand;
         double cost = spreadCost(request, slot) + LoadCost * dominantShare(used, worker.info.size);
-        cost += worker.suspect ? SuspectCost : 0;
+        cost += worker.isSuspected ? SuspectCost : 0;
         if (m_settings.avoidInterference && worker.services.empty())
             cost += FirstServiceCost;
-        if (m_settings.avoidInterference && cost < lowest) {
+        if (m_settings.avoidInterference && cost < lowestCost) {
             cost += m_settings.weights.tailLatency
-                    * (harmFrom(worker, request.jobClass) + harmTo(worker, request));
+                    * (costFromNeighbours(worker, request.jobClass)
+                       + costToServices(worker, request));
         }
-        if (cost < lowest) {
-            lowest = cost;
+        if (cost < lowestCost) {
+            lowestCost = cost;
             best = {choice_outcome::Found, slot};
         }
     }
     return best;
 }
 
-worker_choice worker_chooser::forBatch(const place_request &request)
+worker_choice worker_chooser::chooseForBatch(const placement_request &request)
 {
     worker_choice best;
-    double lowest = std::numeric_limits<double>::max();
-    bool refusedForHarm = false;
+    double lowestCost = std::numeric_limits<double>::max();
+    bool wouldSlowService = false;
     for (const int slot : batchCandidates(request)) {
         const auto &worker = m_workers.at(slot);
         double cost = m_settings.weights.throughput * PackingWeight * packingCost(request, slot);
-        cost += worker.suspect ? SuspectCost : 0;
+        cost += worker.isSuspected ? SuspectCost : 0;
         if (m_settings.avoidInterference) {
-            const double harm = harmTo(worker, request);
-            if (!request.mustStart && !worthStarting(request, worker, harm)) {
-                refusedForHarm = true;
+            const double slowdownCost = costToServices(worker, request);
+            if (!request.isUrgent && !isWorthStarting(request, worker, slowdownCost)) {
+                wouldSlowService = true;
                 continue;
             }
-            cost += m_settings.weights.tailLatency * harm;
+            cost += m_settings.weights.tailLatency * slowdownCost;
         }
-        if (cost < lowest) {
-            lowest = cost;
+        if (cost < lowestCost) {
+            lowestCost = cost;
             best = {choice_outcome::Found, slot};
         }
     }
-    if (best.outcome != choice_outcome::Found && refusedForHarm)
+    if (best.outcome != choice_outcome::Found && wouldSlowService)
         best.outcome = choice_outcome::WouldSlowService;
     return best;
 }
 
 // The tightest fits, and a rotating sample of the others: scoring interference for every worker
 // would cost more than it gains.
-std::vector<int> worker_chooser::batchCandidates(const place_request &request)
+std::vector<int> worker_chooser::batchCandidates(const placement_request &request)
 {
-    std::vector<std::pair<double, int>> fitting;
+    std::vector<std::pair<double, int>> fittingSlots;
     for (const int slot : m_workers.pool(request.pool).slots) {
         if (fits(request, slot))
-            fitting.emplace_back(packingCost(request, slot), slot);
+            fittingSlots.emplace_back(packingCost(request, slot), slot);
     }
-    const auto tight = std::min(Tightest, fitting.size());
-    const auto middle = fitting.begin() + static_cast<std::ptrdiff_t>(tight);
-    std::partial_sort(fitting.begin(), middle, fitting.end());
+    const auto tightCount = std::min(TightestCandidates, fittingSlots.size());
+    const auto tightEnd = fittingSlots.begin() + static_cast<std::ptrdiff_t>(tightCount);
+    std::partial_sort(fittingSlots.begin(), tightEnd, fittingSlots.end());
     std::vector<int> candidates;
-    for (std::size_t index = 0; index < tight; ++index)
-        candidates.push_back(fitting[index].second);
-    const auto others = fitting.size() - tight;
-    for (std::size_t index = 0; index < std::min(Sampled, others); ++index)
-        candidates.push_back(fitting[tight + (m_rotation + index) % others].second);
-    m_rotation += Sampled;
+    for (std::size_t index = 0; index < tightCount; ++index)
+        candidates.push_back(fittingSlots[index].second);
+    const auto otherCount = fittingSlots.size() - tightCount;
+    for (std::size_t index = 0; index < std::min(SampledCandidates, otherCount); ++index)
+        candidates.push_back(
+                fittingSlots[tightCount + (m_sampleOffset + index) % otherCount].second);
+    m_sampleOffset += SampledCandidates;
     return candidates;
 }
 
-double worker_chooser::packingCost(const place_request &request, int slot) const
+double worker_chooser::packingCost(const placement_request &request, int slot) const
 {
     const auto &size = m_workers.at(slot).info.size;
-    const auto left = m_workers.room(slot) - request.demand;
-    double cost = static_cast<double>(left.millicores)
+    const auto remaining = m_workers.freeCapacity(slot) - request.demand;
+    double cost = static_cast<double>(remaining.millicores)
                   / static_cast<double>(std::max<std::int64_t>(size.millicores, 1));
-    cost += static_cast<double>(left.bytes)
+    cost += static_cast<double>(remaining.bytes)
             / static_cast<double>(std::max<std::int64_t>(size.bytes, 1));
     if (size.accelerators > 0 && request.demand.accelerators == 0)
         cost += AcceleratorCost;
     return cost;
 }
 
-double worker_chooser::pessimistic(class_number service, class_number neighbour) const
+double worker_chooser::pessimisticEffect(class_number service, class_number neighbour) const
 {
     const auto effect = m_interference.effect(service, neighbour);
-    return effect.mean + m_settings.doubt * effect.deviation;
+    return effect.mean + m_settings.uncertaintyWeight * effect.deviation;
 }
 
 // What the services there would lose: all of what lies above their targets, little of the rest.
-double worker_chooser::harmTo(const worker_slot &worker, const place_request &request) const
+double worker_chooser::costToServices(const worker_slot &worker,
+                                      const placement_request &request) const
 {
-    const auto whole = static_cast<double>(std::max<std::int64_t>(worker.info.size.millicores, 1));
-    const double part = static_cast<double>(request.demand.millicores) / whole;
-    double harm = 0;
+    const auto workerMillicores =
+            static_cast<double>(std::max<std::int64_t>(worker.info.size.millicores, 1));
+    const double taskShare = static_cast<double>(request.demand.millicores) / workerMillicores;
+    double slowdownCost = 0;
     for (const auto &service : worker.services) {
-        const double added = pessimistic(service.jobClass, request.jobClass) * part;
+        const double addedSlowdown =
+                pessimisticEffect(service.jobClass, request.jobClass) * taskShare;
         // A service that has answered nobody here has nobody to slow: its level is a mere guess. On
         // a shard with one worker batch would wait beside idle replicas.
         if (service.measuredAt != time_point{})
-            harm += std::max(0.0, service.level + added) - std::max(0.0, service.level);
-        harm += HeadroomUse * added;
+            slowdownCost += std::max(0.0, service.estimatedLogRatio + addedSlowdown)
+                            - std::max(0.0, service.estimatedLogRatio);
+        slowdownCost += BelowTargetWeight * addedSlowdown;
     }
-    return harm;
+    return slowdownCost;
 }
 
-double worker_chooser::harmFrom(const worker_slot &worker, class_number service) const
+double worker_chooser::costFromNeighbours(const worker_slot &worker, class_number service) const
 {
     double sum = 0;
-    for (const auto &neighbour : partsOf(worker.history.current(), worker.info.size.millicores))
-        sum += pessimistic(service, neighbour.jobClass) * neighbour.part;
-    return std::max(0.0, m_interference.baseline(service) + sum) + HeadroomUse * sum;
+    for (const auto &neighbour : sharesOf(worker.history.current(), worker.info.size.millicores))
+        sum += pessimisticEffect(service, neighbour.jobClass) * neighbour.share;
+    return std::max(0.0, m_interference.baseline(service) + sum) + BelowTargetWeight * sum;
 }
 
 // Starting batch work is worth its part of the worker, and more the longer it has waited, so that a
 // task that would slow any service a little still starts in the end.
-bool worker_chooser::worthStarting(const place_request &request, const worker_slot &worker,
-                                   double harm) const
+bool worker_chooser::isWorthStarting(const placement_request &request, const worker_slot &worker,
+                                     double slowdownCost) const
 {
-    const double patience = static_cast<double>(m_settings.batchPatience.count());
-    const double waited = static_cast<double>(request.waited.count()) / std::max(patience, 1.0);
+    const double doublingTime = static_cast<double>(m_settings.batchValueDoublingTime.count());
+    const double waitedRatio =
+            static_cast<double>(request.waited.count()) / std::max(doublingTime, 1.0);
     const double worth =
-            dominantShare(request.demand, worker.info.size) * (1 + std::log2(1 + waited));
-    return m_settings.weights.tailLatency * harm <= m_settings.weights.throughput * worth;
+            dominantShare(request.demand, worker.info.size) * (1 + std::log2(1 + waitedRatio));
+    return m_settings.weights.tailLatency * slowdownCost <= m_settings.weights.throughput * worth;
 }
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/worker_chooser.h
+++ b/libs/placement/worker_chooser.h
@@ -27,24 +27,24 @@
     void add(const worker_slot &worker, int slot);
 };
 
-struct place_request
+struct placement_request
 {
-    task_kind kind = task_kind::Batch; //
-    class_number jobClass = 0;         //
-    std::size_t pool = 0;              //
-    resources demand;                  //
-    int avoid = worker_table::NoSlot;  // not this one
-    int only = worker_table::NoSlot;   // no other one
-    duration waited{0};                //
-    bool mustStart = false;            // urgent: harm orders the workers, but refuses none
-    replica_counts replicas;           // of a service
+    task_kind kind = task_kind::Batch;       //
+    class_number jobClass = 0;               //
+    std::size_t pool = 0;                    //
+    resources demand;                        //
+    int excludedSlot = worker_table::NoSlot; // not this one
+    int requiredSlot = worker_table::NoSlot; // no other one
+    duration waited{0};                      //
+    bool isUrgent = false;                   // urgent: harm orders the workers, but refuses none
+    replica_counts replicas;                 // of a service
 };
 
-enum class choice_outcome { Found, NoRoom, WouldSlowService };
+enum class choice_outcome { Found, NoCapacity, WouldSlowService };
 
 struct worker_choice
 {
-    choice_outcome outcome = choice_outcome::NoRoom;
+    choice_outcome outcome = choice_outcome::NoCapacity;
     int slot = worker_table::NoSlot;
 };
 
@@ -54,26 +54,27 @@
     worker_chooser(const placer_settings &settings, const worker_table &workers,
                    const interference_model &interference);
 
-    worker_choice choose(const place_request &request);
+    worker_choice choose(const placement_request &request);
     // Of a place on that worker, in the unit of the weighted parts: lower spreads better.
-    double spreadCost(const place_request &request, int slot) const;
+    double spreadCost(const placement_request &request, int slot) const;
 
 private:
-    worker_choice firstFit(const place_request &request) const;
-    worker_choice forService(const place_request &request) const;
-    worker_choice forBatch(const place_request &request);
-    bool fits(const place_request &request, int slot) const;
-    std::vector<int> batchCandidates(const place_request &request);
-    double packingCost(const place_request &request, int slot) const;
-    double harmTo(const worker_slot &worker, const place_request &request) const;
-    double harmFrom(const worker_slot &worker, class_number service) const;
-    double pessimistic(class_number service, class_number neighbour) const;
-    bool worthStarting(const place_request &request, const worker_slot &worker, double harm) const;
+    worker_choice firstFit(const placement_request &request) const;
+    worker_choice chooseForService(const placement_request &request) const;
+    worker_choice chooseForBatch(const placement_request &request);
+    bool fits(const placement_request &request, int slot) const;
+    std::vector<int> batchCandidates(const placement_request &request);
+    double packingCost(const placement_request &request, int slot) const;
+    double costToServices(const worker_slot &worker, const placement_request &request) const;
+    double costFromNeighbours(const worker_slot &worker, class_number service) const;
+    double pessimisticEffect(class_number service, class_number neighbour) const;
+    bool isWorthStarting(const placement_request &request, const worker_slot &worker,
+                         double slowdownCost) const;
 
     const placer_settings &m_settings;
     const worker_table &m_workers;
     const interference_model &m_interference;
-    std::size_t m_rotation = 0; // where the sampled candidates start
+    std::size_t m_sampleOffset = 0; // where the sampled candidates start
 };
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/worker_table.cpp
+++ b/libs/placement/worker_table.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr resources TakesNone{-1, -1, -1};
+constexpr resources NoCapacity{-1, -1, -1};
 
 } // namespace
 
-service_watch *worker_slot::watchOf(const task_ref &task)
+service_latency *worker_slot::latencyOf(const task_ref &task)
 {
     const auto found = std::find_if(services.begin(), services.end(),
                                     [&](const auto &watch) { return watch.task == task; });
@@ -29,25 +29,25 @@
 
 int worker_table::slotOf(const std::string &worker) const
 {
-    const auto found = m_numbers.find(worker);
-    return found == m_numbers.end() ? NoSlot : found->second;
+    const auto found = m_slotsByWorker.find(worker);
+    return found == m_slotsByWorker.end() ? NoSlot : found->second;
 }
 
-int worker_table::open(const std::string &worker)
+int worker_table::findOrAdd(const std::string &worker)
 {
-    const int known = slotOf(worker);
-    if (known != NoSlot)
-        return known;
+    const int knownSlot = slotOf(worker);
+    if (knownSlot != NoSlot)
+        return knownSlot;
     int slot = static_cast<int>(m_slots.size());
-    if (m_unused.empty()) {
+    if (m_unusedSlots.empty()) {
         m_slots.emplace_back();
-        m_room.push_back(TakesNone);
+        m_freeCapacity.push_back(NoCapacity);
     } else {
-        slot = m_unused.back();
-        m_unused.pop_back();
+        slot = m_unusedSlots.back();
+        m_unusedSlots.pop_back();
     }
     at(slot).info.id = worker;
-    m_numbers[worker] = slot;
+    m_slotsByWorker[worker] = slot;
     return slot;
 }
 
@@ -56,11 +56,11 @@
     setInService(slot, false);
     auto &worker = at(slot);
     worker.info = info;
-    worker.book.resize(info.size);
+    worker.ledger.resize(info.size);
     worker.pool = poolNumber(info.pool);
-    auto &home = pool(worker.pool);
-    home.firstWorkerAt = std::min(home.firstWorkerAt, now);
-    home.largest = largest(home.largest, info.size);
+    auto &workerPool = pool(worker.pool);
+    workerPool.firstWorkerAt = std::min(workerPool.firstWorkerAt, now);
+    workerPool.largestWorker = largest(workerPool.largestWorker, info.size);
     setInService(slot, true);
 }
 
@@ -70,9 +70,9 @@
     if (worker.inService)
         m_total += size - worker.info.size;
     worker.info.size = size;
-    worker.book.resize(size);
-    pool(worker.pool).largest = largest(pool(worker.pool).largest, size);
-    roomChanged(slot);
+    worker.ledger.resize(size);
+    pool(worker.pool).largestWorker = largest(pool(worker.pool).largestWorker, size);
+    updateFreeCapacity(slot);
 }
 
 void worker_table::setInService(int slot, bool inService)
@@ -84,40 +84,40 @@
     auto &slots = pool(worker.pool).slots;
     if (inService) {
         m_total += worker.info.size;
-        ++m_inService;
+        ++m_inServiceCount;
         slots.insert(std::lower_bound(slots.begin(), slots.end(), slot), slot);
     } else {
         m_total -= worker.info.size;
-        --m_inService;
+        --m_inServiceCount;
         std::erase(slots, slot);
     }
-    roomChanged(slot);
+    updateFreeCapacity(slot);
 }
 
-void worker_table::closeIfUnused(int slot)
+void worker_table::removeIfUnused(int slot)
 {
     auto &worker = at(slot);
-    if (worker.inService || !worker.book.entries().empty() || worker.held != resources{}
-        || worker.aheadTasks > 0)
+    if (worker.inService || !worker.ledger.reservations().empty()
+        || worker.heldCapacity != resources{} || worker.backlogLength > 0)
         return;
-    m_numbers.erase(worker.info.id);
-    const auto changes = worker.changes + 1; // goes on rising: what was counted of it is void
+    m_slotsByWorker.erase(worker.info.id);
+    const auto changes = worker.revision + 1; // goes on rising: what was counted of it is void
     worker = worker_slot();
-    worker.changes = changes;
-    m_room[static_cast<std::size_t>(slot)] = TakesNone;
-    m_unused.push_back(slot);
+    worker.revision = changes;
+    m_freeCapacity[static_cast<std::size_t>(slot)] = NoCapacity;
+    m_unusedSlots.push_back(slot);
 }
 
-void worker_table::roomChanged(int slot)
+void worker_table::updateFreeCapacity(int slot)
 {
     auto &worker = at(slot);
-    ++worker.changes;
-    auto &room = m_room[static_cast<std::size_t>(slot)];
-    const auto before = room;
-    const bool takes = worker.inService && !worker.setAside;
-    room = takes ? worker.book.available() - worker.held : TakesNone;
-    if (!room.fitsIn(before))
-        ++pool(worker.pool).generation;
+    ++worker.revision;
+    auto &freeCapacity = m_freeCapacity[static_cast<std::size_t>(slot)];
+    const auto capacityBefore = freeCapacity;
+    const bool acceptsTasks = worker.inService && !worker.isQuarantined;
+    freeCapacity = acceptsTasks ? worker.ledger.available() - worker.heldCapacity : NoCapacity;
+    if (!freeCapacity.fitsIn(capacityBefore))
+        ++pool(worker.pool).capacityRevision;
 }
 
 } // namespace zinniabarrow::placement
--- a/tests/placement_property_test.cpp
+++ b/tests/placement_property_test.cpp
@@ -18,26 +18,26 @@
 
 constexpr std::int64_t Gigabyte = 1'000'000'000;
 
-struct shadow_task
+struct expected_task
 {
     std::string worker; // empty: waits
-    resources given;
+    resources reservation;
     bool cancelled = false;
     bool stopping = false;
 };
 
 // What an observer who sees only events and actions knows.
-struct shadow
+struct expected_state
 {
-    std::map<std::string, resources> sizes; // of workers that take tasks
-    std::map<task_ref, shadow_task> tasks;  // neither ended nor refused
+    std::map<std::string, resources> sizes;  // of workers that take tasks
+    std::map<task_ref, expected_task> tasks; // neither ended nor refused
     std::vector<std::string> violations;
 
-    resources givenOn(const std::string &worker) const
+    resources reservedOn(const std::string &worker) const
     {
         resources sum;
         for (const auto &[task, state] : tasks)
-            sum += state.worker == worker ? state.given : resources{};
+            sum += state.worker == worker ? state.reservation : resources{};
         return sum;
     }
 
@@ -55,16 +55,16 @@
         expect(!task.cancelled, "placed after its cancellation: " + toText(action.task));
         expect(sizes.contains(action.worker), "placed on a worker that is gone");
         task = {action.worker, action.reserved, false, false};
-        expect(givenOn(action.worker).fitsIn(sizes[action.worker]), "over " + action.worker);
+        expect(reservedOn(action.worker).fitsIn(sizes[action.worker]), "over " + action.worker);
     }
 
     void operator()(const raise_action &action)
     {
         auto &task = tasks[action.task];
         expect(task.worker == action.worker, "raised where it is not");
-        task.given = action.reserved;
+        task.reservation = action.reserved;
         expect(!sizes.contains(action.worker)
-                       || givenOn(action.worker).fitsIn(sizes[action.worker]),
+                       || reservedOn(action.worker).fitsIn(sizes[action.worker]),
                "raised over " + action.worker);
     }
 
@@ -78,7 +78,8 @@
     void operator()(const throttle_action &action)
     {
         expect(tasks[action.task].worker == action.worker, "throttled where it is not");
-        expect(action.millicores <= tasks[action.task].given.millicores, "limit above the gift");
+        expect(action.millicores <= tasks[action.task].reservation.millicores,
+               "limit above the gift");
     }
 
     void operator()(const refuse_action &action)
@@ -92,7 +93,7 @@
 {
     random_generator random;
     placer subject;
-    shadow seen;
+    expected_state expected;
     time_point now{std::chrono::hours(1)};
     int nextJob = 0;
 
@@ -104,82 +105,84 @@
         subject.setTeam({"team-0", 2, {40'000, 0, 0}});
     }
 
-    int below(int bound)
+    int randomBelow(int bound)
     {
         return static_cast<int>(pickIndex(random, static_cast<std::size_t>(bound)));
     }
 
     // A random task that waits or is placed, or nothing.
-    std::map<task_ref, shadow_task>::iterator pick(bool placed)
+    std::map<task_ref, expected_task>::iterator pickTask(bool placed)
     {
-        std::vector<std::map<task_ref, shadow_task>::iterator> fitting;
-        for (auto task = seen.tasks.begin(); task != seen.tasks.end(); ++task) {
+        std::vector<std::map<task_ref, expected_task>::iterator> fitting;
+        for (auto task = expected.tasks.begin(); task != expected.tasks.end(); ++task) {
             if (task->second.worker.empty() != placed)
                 fitting.push_back(task);
         }
-        return fitting.empty() ? seen.tasks.end() : fitting[pickIndex(random, fitting.size())];
+        return fitting.empty() ? expected.tasks.end() : fitting[pickIndex(random, fitting.size())];
     }
 
     void plan()
     {
-        for (const auto &action : subject.plan(now, 1 + below(50)))
-            std::visit(seen, action);
+        for (const auto &action : subject.plan(now, 1 + randomBelow(50)))
+            std::visit(expected, action);
     }
 
     void changeWorker()
     {
-        const auto id = "w" + std::to_string(below(8));
-        if (below(3) == 0) {
+        const auto id = "w" + std::to_string(randomBelow(8));
+        if (randomBelow(3) == 0) {
             subject.removeWorker(id, now);
-            seen.sizes.erase(id);
+            expected.sizes.erase(id);
             return;
         }
         // A size below what was given already is no fault of the placer; a raise counts as given
         // before the worker is told.
-        const resources size{8'000 + 1'000 * below(8), (30 + below(30)) * Gigabyte, below(3)};
+        const resources size{8'000 + 1'000 * randomBelow(8), (30 + randomBelow(30)) * Gigabyte,
+                             randomBelow(3)};
         const auto *book = subject.ledgerOf(id);
         if (book && !book->reserved().fitsIn(size))
             return;
-        seen.sizes[id] = size;
-        subject.addWorker({id, "zone-" + std::to_string(below(3)), "r1", "main", size}, now);
+        expected.sizes[id] = size;
+        subject.addWorker({id, "zone-" + std::to_string(randomBelow(3)), "r1", "main", size}, now);
     }
 
     void submit()
     {
         task_spec task;
         task.jobId = "job-" + std::to_string(nextJob++);
-        task.jobClass = "class-" + std::to_string(below(6));
-        task.team = "team-" + std::to_string(below(3));
+        task.jobClass = "class-" + std::to_string(randomBelow(6));
+        task.team = "team-" + std::to_string(randomBelow(3));
         task.pool = "main";
-        task.kind = below(4) == 0 ? task_kind::Service : task_kind::Batch;
-        task.priority = static_cast<task_priority>(below(3));
-        task.failover = below(5) == 0 ? failover_class::Proof : failover_class::Lease;
-        task.declared = {500 + 500 * below(20), (1 + below(20)) * Gigabyte, below(12) == 0 ? 1 : 0};
-        const int count = 1 + below(6);
+        task.kind = randomBelow(4) == 0 ? task_kind::Service : task_kind::Batch;
+        task.priority = static_cast<task_priority>(randomBelow(3));
+        task.failover = randomBelow(5) == 0 ? failover_class::Proof : failover_class::Lease;
+        task.declared = {500 + 500 * randomBelow(20), (1 + randomBelow(20)) * Gigabyte,
+                         randomBelow(12) == 0 ? 1 : 0};
+        const int count = 1 + randomBelow(6);
         for (task.taskIndex = 0; task.taskIndex < count; ++task.taskIndex) {
-            seen.tasks.try_emplace(task.ref());
+            expected.tasks.try_emplace(task.ref());
             subject.taskPending(task, now);
         }
     }
 
     // The task leaves its worker: back to waiting, or gone for good.
-    void leave(std::map<task_ref, shadow_task>::iterator task, bool ended)
+    void markReleased(std::map<task_ref, expected_task>::iterator task, bool ended)
     {
         if (ended || task->second.cancelled)
-            seen.tasks.erase(task);
+            expected.tasks.erase(task);
         else
             task->second = {};
     }
 
     void taskEvent()
     {
-        const auto task = pick(true);
-        if (task == seen.tasks.end())
+        const auto task = pickTask(true);
+        if (task == expected.tasks.end())
             return;
         const auto [ref, worker] = std::pair(task->first, task->second.worker);
-        const int event = below(8);
+        const int event = randomBelow(8);
         if (event == 0) {
-            subject.taskSettled(ref, worker, placement_outcome::Unknown, now);
+            subject.placementSettled(ref, worker, placement_outcome::Unknown, now);
         } else if (event == 1) {
             subject.taskRunning(ref, worker, now);
         } else if (event == 2) {
@@ -187,51 +190,52 @@
             task->second.stopping = true;
         } else if (event == 3) {
             subject.taskReleased(ref, worker, now);
-            leave(task, false);
+            markReleased(task, false);
         } else if (event == 4) {
             subject.taskEnded(ref, worker, now);
-            leave(task, true);
+            markReleased(task, true);
         } else if (event == 5) {
             subject.taskFailed(ref, worker, "exit 1", now);
-            leave(task, false);
+            markReleased(task, false);
         } else if (event == 6) {
-            subject.usageSampled({ref, worker, {below(9'000), below(30) * Gigabyte, 0}, now}, now);
+            subject.usageSampled(
+                    {ref, worker, {randomBelow(9'000), randomBelow(30) * Gigabyte, 0}, now}, now);
         } else {
-            const microseconds p99{1 + below(30'000)};
+            const microseconds p99{1 + randomBelow(30'000)};
             subject.latencySampled(
-                    {ref, worker, p99, microseconds(10'000), now - seconds(below(20))}, now);
+                    {ref, worker, p99, microseconds(10'000), now - seconds(randomBelow(20))}, now);
         }
-        if (below(3) == 0) // late and doubled messages, about a worker where it is no longer
+        if (randomBelow(3) == 0) // late and doubled messages, about a worker where it is no longer
             subject.taskReleased(ref, worker + "-old", now);
     }
 
     void cancelSome()
     {
         std::vector<task_ref> tasks;
-        for (int index = below(10); index > 0; --index) {
-            const auto task = pick(below(2) == 0);
-            if (task != seen.tasks.end())
+        for (int index = randomBelow(10); index > 0; --index) {
+            const auto task = pickTask(randomBelow(2) == 0);
+            if (task != expected.tasks.end())
                 tasks.push_back(task->first);
         }
         const auto toStop = subject.cancelTasks(tasks, now);
         for (const auto &ref : tasks) {
-            const auto task = seen.tasks.find(ref);
-            if (task == seen.tasks.end())
+            const auto task = expected.tasks.find(ref);
+            if (task == expected.tasks.end())
                 continue;
             task->second.cancelled = true;
             task->second.stopping = true;
             const bool placed = !task->second.worker.empty();
-            seen.expect(placed == (std::count(toStop.begin(), toStop.end(), ref) > 0),
-                        "a cancelled task on a worker must be stopped");
+            expected.expect(placed == (std::count(toStop.begin(), toStop.end(), ref) > 0),
+                            "a cancelled task on a worker must be stopped");
             if (!placed)
-                seen.tasks.erase(task);
+                expected.tasks.erase(task);
         }
     }
 
     void step()
     {
-        now += milliseconds(below(3'000));
-        const int kind = below(20);
+        now += milliseconds(randomBelow(3'000));
+        const int kind = randomBelow(20);
         if (kind == 0)
             changeWorker();
         else if (kind < 3)
@@ -243,9 +247,10 @@
         else
             taskEvent();
         const auto waiting =
-                std::count_if(seen.tasks.begin(), seen.tasks.end(),
+                std::count_if(expected.tasks.begin(), expected.tasks.end(),
                               [](const auto &task) { return task.second.worker.empty(); });
-        seen.expect(subject.pendingTasks() == static_cast<std::size_t>(waiting), "a task is lost");
+        expected.expect(subject.pendingTaskCount() == static_cast<std::size_t>(waiting),
+                        "a task is lost");
     }
 
     // Everything that runs ends, so everything that waits must run in the end.
@@ -255,21 +260,21 @@
         for (int index = 0; index < 8; ++index) {
             const auto id = "w" + std::to_string(index);
             subject.addWorker({id, "zone-0", "r1", "main", size}, now);
-            seen.sizes[id] = size;
+            expected.sizes[id] = size;
         }
-        for (int round = 0; round < 400 && !seen.tasks.empty(); ++round) {
+        for (int round = 0; round < 400 && !expected.tasks.empty(); ++round) {
             now += std::chrono::minutes(2);
             plan();
-            for (auto task = pick(true); task != seen.tasks.end(); task = pick(true)) {
+            for (auto task = pickTask(true); task != expected.tasks.end(); task = pickTask(true)) {
                 subject.taskEnded(task->first, task->second.worker, now);
-                seen.tasks.erase(task);
+                expected.tasks.erase(task);
             }
         }
-        seen.expect(seen.tasks.empty(),
-                    "a task waits for ever: "
-                            + (seen.tasks.empty()
-                                       ? ""
-                                       : subject.explain(seen.tasks.begin()->first, now)));
+        expected.expect(expected.tasks.empty(),
+                        "a task waits for ever: "
+                                + (expected.tasks.empty()
+                                           ? ""
+                                           : subject.explain(expected.tasks.begin()->first, now)));
     }
 };
 
@@ -285,7 +290,7 @@
             run.step();
         run.drain();
         section("seed " + std::to_string(seed), [&] {
-            for (const auto &violation : run.seen.violations)
+            for (const auto &violation : run.expected.violations)
                 cr_expect(false, "%s: %s", tests::sectionName().c_str(), violation.c_str());
         });
         placed += run.subject.stats().placed;
