--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -24,7 +24,7 @@
 
 // Whether the call throws error BadRequest whose text names `member`.
 template <typename Call>
-bool refusesMember(const std::string &member, Call &&call)
+bool namesInvalidMember(const std::string &member, Call &&call)
 {
     try {
         call();
@@ -42,41 +42,41 @@
 // and has to go on counting what may still run.
 Test(placement, ledger)
 {
-    ledger book({16'000, 60 * Gigabyte, 1});
+    reservation_ledger table({16'000, 60 * Gigabyte, 1});
     const resources half{8'000, 30 * Gigabyte, 0};
     const task_ref first{"tickets", 0};
     const task_ref second{"season", 0};
     const task_ref third{"season", 1};
 
     section("gives what fits and no more", [&] {
-        check(book.tryReserve(first, half));
-        check(book.tryReserve(second, half));
-        check(!book.tryReserve(third, {1, 1, 0}));
-        check(book.tryReserve(first, half)); // a repeated message is not counted twice
-        check(book.reserved() == half + half);
+        check(table.tryReserve(first, half));
+        check(table.tryReserve(second, half));
+        check(!table.tryReserve(third, {1, 1, 0}));
+        check(table.tryReserve(first, half)); // a repeated message is not counted twice
+        check(table.reserved() == half + half);
     });
     section("counts an unconfirmed stop and an ambiguous placement", [&] {
-        check(book.setState(first, entry_state::Stopping));
-        check(book.setState(second, entry_state::Ambiguous));
-        check(!book.tryReserve(third, {1, 1, 0}));
-        check(book.release(first));
-        check(!book.release(first));
-        check(book.tryReserve(third, {1'000, 10 * Gigabyte, 0}));
+        check(table.setState(first, reservation_state::Stopping));
+        check(table.setState(second, reservation_state::Ambiguous));
+        check(!table.tryReserve(third, {1, 1, 0}));
+        check(table.release(first));
+        check(!table.release(first));
+        check(table.tryReserve(third, {1'000, 10 * Gigabyte, 0}));
     });
     section("raises a reservation when there is room, else owes it", [&] {
-        check(book.raise(third, {0, 20 * Gigabyte, 0}));
-        check(!book.raise(third, {0, 40 * Gigabyte, 0}));
-        check(book.owed().bytes == 20 * Gigabyte);
-        check(!book.fits({0, 1, 0})); // the rest of the memory is kept for the raise
-        check(book.release(second));
-        check(book.owed().bytes == 0);
-        check(book.find(third)->reserved.bytes == 40 * Gigabyte);
+        check(table.tryRaise(third, {0, 20 * Gigabyte, 0}));
+        check(!table.tryRaise(third, {0, 40 * Gigabyte, 0}));
+        check(table.deferred().bytes == 20 * Gigabyte);
+        check(!table.fits({0, 1, 0})); // the rest of the memory is kept for the raise
+        check(table.release(second));
+        check(table.deferred().bytes == 0);
+        check(table.find(third)->reserved.bytes == 40 * Gigabyte);
     });
     section("a smaller worker takes nothing new until it fits again", [&] {
-        book.resize({16'000, 30 * Gigabyte, 1});
-        check(!book.tryReserve(first, {1, 0, 0}));
-        check(book.release(third));
-        check(book.tryReserve(first, half));
+        table.resize({16'000, 30 * Gigabyte, 1});
+        check(!table.tryReserve(first, {1, 0, 0}));
+        check(table.release(third));
+        check(table.tryReserve(first, half));
     });
 }
 
@@ -95,11 +95,11 @@
     section("a wrong member is named", [&] {
         auto value = toJson(task);
         value["declared"]["bytes"] = -1;
-        check(refusesMember("bytes", [&] { taskSpecFromJson(value); }));
+        check(namesInvalidMember("bytes", [&] { taskSpecFromJson(value); }));
         value = toJson(task);
         value["kind"] = "daemon";
-        check(refusesMember("kind", [&] { taskSpecFromJson(value); }));
-        check(refusesMember("id", [&] { workerInfoFromJson(Json::Value(3)); }));
+        check(namesInvalidMember("kind", [&] { taskSpecFromJson(value); }));
+        check(namesInvalidMember("id", [&] { workerInfoFromJson(Json::Value(3)); }));
     });
 }
 
@@ -132,15 +132,15 @@
     });
     section("a reservation is raised before it is used up", [&] {
         const resources reserved{1'000, Gigabyte, 0};
-        check(learner.raisedFor(reserved, {4'000, Gigabyte / 2, 0}) == reserved);
-        check(learner.raisedFor(reserved, {0, 95 * Gigabyte / 100, 0}).bytes
+        check(learner.raisedReservation(reserved, {4'000, Gigabyte / 2, 0}) == reserved);
+        check(learner.raisedReservation(reserved, {0, 95 * Gigabyte / 100, 0}).bytes
               == 114 * Gigabyte / 100);
     });
     section("memory is bounded: the class unseen for longest is forgotten", [&] {
         for (int index = 0; index < 2'000; ++index)
             learner.observe("class-" + std::to_string(index), 0, {1, 1, 0},
                             Start + seconds(index + 1));
-        check(learner.classes() == 512);
+        check(learner.classCount() == 512);
     });
 }
 
@@ -151,43 +151,43 @@
     quarantine subject{quarantine_settings{}};
     time_point now = Start;
     const auto fail = [&](int job, const std::string &worker) {
-        subject.failed("job-" + std::to_string(job), worker, "main", 10, "exit 1", now);
+        subject.recordFailure("job-" + std::to_string(job), worker, "main", 10, "exit 1", now);
     };
     section("three distinct jobs fail on it, one alone does not set it aside", [&] {
         for (int repeat = 0; repeat < 5; ++repeat)
             fail(1, "w1");
         fail(2, "w1");
-        check(subject.workerMayTake("w1", now));
+        check(subject.canUseWorker("w1", now));
         fail(3, "w1");
-        check(!subject.workerMayTake("w1", now));
-        check(subject.jobMayStart("job-1", now));
+        check(!subject.canUseWorker("w1", now));
+        check(subject.canStartJob("job-1", now));
     });
     section("what failed there does not count against the jobs", [&] {
         fail(1, "w2");
         fail(1, "w3");
-        check(subject.jobMayStart("job-1", now));
+        check(subject.canStartJob("job-1", now));
     });
     section("tasks that fail while it is set aside do not prolong the stay", [&] {
         now += seconds(30);
         for (int job = 4; job < 20; ++job)
             fail(job, "w1");
-        check(subject.workerMayTake("w1", Start + seconds(120)));
+        check(subject.canUseWorker("w1", Start + seconds(120)));
     });
     section("one probe at a time; its failure doubles the cool-down", [&] {
         now = Start + seconds(120);
-        subject.started("job-30", "w1", now);
-        check(!subject.workerMayTake("w1", now));
+        subject.recordStart("job-30", "w1", now);
+        check(!subject.canUseWorker("w1", now));
         now += seconds(5);
         fail(30, "w1");
-        check(!subject.workerMayTake("w1", now + seconds(239)));
-        check(subject.workerMayTake("w1", now + seconds(240)));
-        check(subject.jobMayStart("job-30", now));
+        check(!subject.canUseWorker("w1", now + seconds(239)));
+        check(subject.canUseWorker("w1", now + seconds(240)));
+        check(subject.canStartJob("job-30", now));
     });
     section("an old task that goes on proves nothing; a new one that succeeds does", [&] {
-        subject.succeeded("job-0", "w1", Start - seconds(1));
-        check(subject.isSetAside("w1"));
-        subject.succeeded("job-0", "w1", now + seconds(240));
-        check(!subject.isSetAside("w1"));
+        subject.recordSuccess("job-0", "w1", Start - seconds(1));
+        check(subject.isWorkerQuarantined("w1"));
+        subject.recordSuccess("job-0", "w1", now + seconds(240));
+        check(!subject.isWorkerQuarantined("w1"));
     });
 }
 
@@ -198,15 +198,15 @@
     quarantine subject{quarantine_settings{}};
     time_point now = Start;
     int failures = 0;
-    for (; failures < 100 && subject.jobMayStart("bad", now); ++failures) {
+    for (; failures < 100 && subject.canStartJob("bad", now); ++failures) {
         now += seconds(3);
-        subject.failed("bad", failures % 2 == 0 ? "w1" : "w2", "main", 20, "exit 1", now);
+        subject.recordFailure("bad", failures % 2 == 0 ? "w1" : "w2", "main", 20, "exit 1", now);
     }
     section("ten failures are enough", [&] { check(failures == 10); });
     section("many on a single worker are not: the worker may be at fault", [&] {
         for (int repeat = 0; repeat < 50; ++repeat)
-            subject.failed("other", "w3", "main", 20, "exit 1", now);
-        check(subject.jobMayStart("other", now));
+            subject.recordFailure("other", "w3", "main", 20, "exit 1", now);
+        check(subject.canStartJob("other", now));
     });
 }
 
@@ -216,32 +216,33 @@
 {
     quarantine subject{quarantine_settings{}};
     time_point now = Start;
-    std::size_t most = 0;
+    std::size_t mostQuarantined = 0;
     for (int round = 0; round < 6; ++round) {
         for (int job = 0; job < 100; ++job) {
             const auto name = "bad-" + std::to_string(job);
             const auto worker = "w" + std::to_string((job + round * 7) % 20);
-            if (subject.jobMayStart(name, now) && subject.workerMayTake(worker, now))
-                subject.failed(name, worker, "main", 20, "missing file", now);
-            most = std::max(most, subject.setAsideWorkers().size());
+            if (subject.canStartJob(name, now) && subject.canUseWorker(worker, now))
+                subject.recordFailure(name, worker, "main", 20, "missing file", now);
+            mostQuarantined = std::max(mostQuarantined, subject.quarantinedWorkers().size());
         }
         now += seconds(1);
     }
-    section("never more than a tenth of the pool is set aside", [&] { check(most == 2); });
+    section("never more than a tenth of the pool is set aside",
+            [&] { check(mostQuarantined == 2); });
     section("the bad jobs are quarantined, with their reason", [&] {
         int quarantined = 0;
         for (int job = 0; job < 100; ++job)
-            quarantined += subject.isQuarantined("bad-" + std::to_string(job)) ? 1 : 0;
+            quarantined += subject.isJobQuarantined("bad-" + std::to_string(job)) ? 1 : 0;
         check(quarantined == 100);
         check(subject.reasonFor("bad-7", now).find("missing file") != std::string::npos);
     });
     section("they return: one task tries again after the cool-down", [&] {
         now += seconds(120);
-        check(subject.jobMayStart("bad-7", now));
-        subject.started("bad-7", "w3", now);
-        check(!subject.jobMayStart("bad-7", now));
-        subject.succeeded("bad-7", "w3", now);
-        check(subject.jobMayStart("bad-7", now));
+        check(subject.canStartJob("bad-7", now));
+        subject.recordStart("bad-7", "w3", now);
+        check(!subject.canStartJob("bad-7", now));
+        subject.recordSuccess("bad-7", "w3", now);
+        check(subject.canStartJob("bad-7", now));
     });
 }
 
@@ -253,49 +254,49 @@
     quarantine subject{quarantine_settings{}};
     time_point now = Start;
     const auto fail = [&](int job, const std::string &worker) {
-        subject.failed("bad-" + std::to_string(job), worker, "main", 20, "exit 1", now);
+        subject.recordFailure("bad-" + std::to_string(job), worker, "main", 20, "exit 1", now);
     };
     for (int job = 0; job < 3; ++job) {
         for (int worker = 0; worker < 3; ++worker)
             fail(job, "w" + std::to_string(job * 3 + worker));
-        require(subject.isQuarantined("bad-" + std::to_string(job)));
+        require(subject.isJobQuarantined("bad-" + std::to_string(job)));
     }
     now += quarantine_settings{}.window + seconds(1);
     for (int job = 0; job < 3; ++job) {
         const auto name = "bad-" + std::to_string(job);
-        require(subject.jobMayStart(name, now));
-        subject.started(name, "good", now);
+        require(subject.canStartJob(name, now));
+        subject.recordStart(name, "good", now);
         fail(job, "good");
     }
     section("the worker goes on taking tasks", [&] {
-        check(!subject.isSetAside("good"));
-        check(subject.workerMayTake("good", now));
+        check(!subject.isWorkerQuarantined("good"));
+        check(subject.canUseWorker("good", now));
     });
     section("each job waits twice as long as before", [&] {
-        check(!subject.jobMayStart("bad-0", now + quarantine_settings{}.coolDown));
-        check(subject.jobMayStart("bad-0", now + 2 * quarantine_settings{}.coolDown));
+        check(!subject.canStartJob("bad-0", now + quarantine_settings{}.coolDown));
+        check(subject.canStartJob("bad-0", now + 2 * quarantine_settings{}.coolDown));
     });
 }
 
 Test(placement, quotas)
 {
-    quota_book book;
-    book.setTotal({100'000, 100 * Gigabyte, 10});
-    book.setQuota({"rink", 1, {}});
-    book.setQuota({"clubs", 2, {20'000, 0, 0}});
-    const auto rink = book.teamNumber("rink");
-    const auto clubs = book.teamNumber("clubs");
+    quota_table table;
+    table.setTotal({100'000, 100 * Gigabyte, 10});
+    table.setQuota({"rink", 1, {}});
+    table.setQuota({"clubs", 2, {20'000, 0, 0}});
+    const auto rink = table.teamNumber("rink");
+    const auto clubs = table.teamNumber("clubs");
     section("the share is the largest over all dimensions, divided by the weight", [&] {
-        book.charge(rink, {10'000, 30 * Gigabyte, 0});
-        book.charge(clubs, {10'000, 0, 4});
-        check(book.weightedShare(rink) == 0.3);
-        check(book.weightedShare(clubs) == 0.2);
+        table.charge(rink, {10'000, 30 * Gigabyte, 0});
+        table.charge(clubs, {10'000, 0, 4});
+        check(table.weightedShare(rink) == 0.3);
+        check(table.weightedShare(clubs) == 0.2);
     });
     section("a limit holds in the dimension where it is set", [&] {
-        check(book.allows(clubs, {10'000, 90 * Gigabyte, 0}));
-        check(!book.allows(clubs, {10'001, 0, 0}));
-        check(book.impossibleDimension(clubs, {20'001, 0, 0}) == "millicores");
-        check(!book.impossibleDimension(clubs, {20'000, 0, 0}));
+        check(table.canReserve(clubs, {10'000, 90 * Gigabyte, 0}));
+        check(!table.canReserve(clubs, {10'001, 0, 0}));
+        check(table.exceededDimension(clubs, {20'001, 0, 0}) == "millicores");
+        check(!table.exceededDimension(clubs, {20'000, 0, 0}));
     });
 }
 
@@ -306,20 +307,20 @@
 {
     interference_model model{interference_settings{}};
     time_point now = Start;
-    const std::vector<class_part> noisy{{1, 0.5}};
+    const std::vector<class_share> noisy{{1, 0.5}};
     for (int sample = 0; sample < 200; ++sample)
         model.learn(0, noisy, 2.1, now += seconds(10));
-    const double believed = model.effect(0, 1).mean;
+    const double effectBefore = model.effect(0, 1).mean;
     for (int sample = 0; sample < 5; ++sample)
         model.learn(0, {}, -0.3, now += seconds(10));
     section("the noise is blamed and the service is not", [&] {
-        check(believed < 3);
+        check(effectBefore < 3);
         check(std::abs(model.effect(0, 1).mean - 4.8) < 0.5);
         check(std::abs(model.baseline(0) + 0.3) < 0.1);
     });
     section("memory is bounded: the neighbour unseen for longest gives its place", [&] {
         for (class_number other = 2; other < 40; ++other)
-            model.learn(0, std::vector<class_part>{{other, 0.1}}, -0.3, now += seconds(10));
+            model.learn(0, std::vector<class_share>{{other, 0.1}}, -0.3, now += seconds(10));
         check(model.effect(0, 1).deviation == interference_settings{}.priorDeviation);
         check(model.effect(0, 39).deviation < interference_settings{}.priorDeviation);
     });
@@ -336,14 +337,14 @@
     neighbour_history history;
     time_point now = Start;
     for (int round = 0; round < 40; ++round) {
-        history.change(Noisy, 4'000, now);
-        history.change(Noisy, -4'000, now + seconds(10));
-        history.change(Quiet, 4'000, now + seconds(10));
-        const auto measured = now + seconds(5); // beside the noisy task, and it arrives at 15 s
-        model.learn(Service, partsOf(*history.at(measured), 16'000), 0.4, measured);
-        const auto calm = now + seconds(12);
-        model.learn(Service, partsOf(*history.at(calm), 16'000), -0.4, calm);
-        history.change(Quiet, -4'000, now + seconds(20));
+        history.addChange(Noisy, 4'000, now);
+        history.addChange(Noisy, -4'000, now + seconds(10));
+        history.addChange(Quiet, 4'000, now + seconds(10));
+        const auto noisyMoment = now + seconds(5); // beside the noisy task, and it arrives at 15 s
+        model.learn(Service, sharesOf(*history.at(noisyMoment), 16'000), 0.4, noisyMoment);
+        const auto quietMoment = now + seconds(12);
+        model.learn(Service, sharesOf(*history.at(quietMoment), 16'000), -0.4, quietMoment);
+        history.addChange(Quiet, -4'000, now + seconds(20));
         model.learn(Service, {}, -0.5, now + seconds(21)); // alone
         now += seconds(24);
     }
@@ -356,7 +357,7 @@
         check(model.effect(Service, 9).deviation == interference_settings{}.priorDeviation);
     });
     section("an unknown pair borrows from the means of its classes", [&] {
-        model.learn(5, std::vector<class_part>{{Noisy, 0.25}}, 0.5, now);
+        model.learn(5, std::vector<class_share>{{Noisy, 0.25}}, 0.5, now);
         const double other = model.effect(6, Noisy).mean;
         check(other > model.effect(6, Quiet).mean);
         check(other > 0.5);
@@ -369,39 +370,39 @@
 
 Test(placement, relief)
 {
-    const policy_weights tail{0.7, 0.2, 0.1};
-    const policy_weights work{0.2, 0.4, 0.4};
+    const policy_weights latencyWeights{0.7, 0.2, 0.1};
+    const policy_weights throughputWeights{0.2, 0.4, 0.4};
     const relief_settings settings;
     std::vector<relief_candidate> tasks{{0, 0.01, 4, 4, true}, {1, 0.2, 4, 4, true}};
     section("the one that disturbs most is throttled first", [&] {
-        const auto step = chooseRelief(0.5, 16, tasks, tail, settings);
+        const auto step = chooseRelief(0.5, 16, tasks, latencyWeights, settings);
         check(step && std::get<throttle_relief>(*step).index == 1);
-        check(step && std::get<throttle_relief>(*step).limit == 2);
+        check(step && std::get<throttle_relief>(*step).limitProcessors == 2);
     });
     section("evicted only when throttling has come to its floor", [&] {
-        tasks[0].effect = 0;
-        tasks[1].limit = 1;
-        const auto step = chooseRelief(0.5, 16, tasks, tail, settings);
+        tasks[0].effectPerProcessor = 0;
+        tasks[1].limitProcessors = 1;
+        const auto step = chooseRelief(0.5, 16, tasks, latencyWeights, settings);
         check(step && std::get<evict_relief>(*step).index == 1);
     });
     section("a deployment that weighs evictions more does not evict for as little",
-            [&] { check(!chooseRelief(0.5, 16, tasks, work, settings)); });
+            [&] { check(!chooseRelief(0.5, 16, tasks, throughputWeights, settings)); });
     section("a small excess is worth no action at all",
-            [&] { check(!chooseRelief(0.01, 16, tasks, tail, settings)); });
+            [&] { check(!chooseRelief(0.01, 16, tasks, latencyWeights, settings)); });
     section("processors come back where they disturb least, and only if there is room", [&] {
         tasks = {{0, 0.3, 1, 4, true}, {1, 0.05, 1, 4, true}};
-        const auto step = chooseRecovery(0.2, tasks, settings);
-        check(step && step->index == 1 && step->limit == 2);
-        check(!chooseRecovery(0.01, tasks, settings));
+        const auto step = chooseThrottleLift(0.2, tasks, settings);
+        check(step && step->index == 1 && step->limitProcessors == 2);
+        check(!chooseThrottleLift(0.01, tasks, settings));
     });
     section("the budget refills with time and the number of workers", [&] {
         eviction_budget budget(2);
         budget.refill(settings, 8, Start);
         budget.take();
         budget.take();
-        check(!budget.mayTake());
+        check(!budget.canTake());
         budget.refill(settings, 8, Start + std::chrono::minutes(31));
-        check(budget.mayTake());
+        check(budget.canTake());
     });
     section("the operators' limit holds however many workers there are", [&] {
         relief_settings limited;
@@ -409,13 +410,13 @@
         eviction_budget budget(limited.evictionBurst);
         for (int minute = 0; minute < 3; ++minute) {
             budget.refill(limited, 10'000, Start + std::chrono::minutes(minute));
-            check(budget.mayTake());
+            check(budget.canTake());
             budget.take();
-            check(!budget.mayTake());
+            check(!budget.canTake());
         }
         limited.evictionsPerMinute = 0;
         budget.refill(limited, 10'000, Start + std::chrono::hours(24));
-        check(!budget.mayTake());
+        check(!budget.canTake());
     });
 }
 
--- a/tests/placer_test.cpp
+++ b/tests/placer_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::int64_t Gigabyte = 1'000'000'000;
 constexpr resources WorkerSize{16'000, 60 * Gigabyte, 0};
-constexpr int Many = 10'000;
+constexpr int MaxDecisions = 10'000;
 
 task_spec batchTask(const std::string &job, int index, const resources &declared)
 {
@@ -39,13 +39,13 @@
 }
 
 // Workers w0, w1, …: three availability zones, three workers to a rack.
-struct scene
+struct placer_fixture
 {
     placer subject;
     time_point now{std::chrono::hours(1)};
     std::vector<placement_action> actions; // of the last plan
 
-    explicit scene(int workers, const placer_settings &settings = {})
+    explicit placer_fixture(int workers, const placer_settings &settings = {})
         : subject(settings)
     {
         subject.setPool({"main", WorkerSize}, now);
@@ -60,7 +60,7 @@
                 "r" + std::to_string(index / 9), "main", WorkerSize};
     }
 
-    void pending(const task_spec &task, int count = 1)
+    void submit(const task_spec &task, int count = 1)
     {
         auto next = task;
         for (int index = 0; index < count; ++index) {
@@ -69,10 +69,10 @@
         }
     }
 
-    void plan(int most = Many) { actions = subject.plan(now, most); }
+    void plan(int most = MaxDecisions) { actions = subject.plan(now, most); }
 
     template <typename Action>
-    std::vector<Action> taken() const
+    std::vector<Action> actionsOf() const
     {
         std::vector<Action> found;
         for (const auto &action : actions) {
@@ -83,25 +83,25 @@
     }
 
     // Plans, and everything that is placed runs.
-    std::vector<place_action> start()
+    std::vector<place_action> planAndRun()
     {
         plan();
-        auto placed = taken<place_action>();
+        auto placed = actionsOf<place_action>();
         for (const auto &each : placed)
-            run(each);
+            markRunning(each);
         return placed;
     }
 
-    void run(const place_action &placed)
+    void markRunning(const place_action &placed)
     {
-        subject.taskSettled(placed.task, placed.worker, placement_outcome::Applied, now);
+        subject.placementSettled(placed.task, placed.worker, placement_outcome::Applied, now);
         subject.taskRunning(placed.task, placed.worker, now);
     }
 
-    void latency(const place_action &service, double ofTarget, duration age = seconds(0))
+    void reportLatency(const place_action &service, double timesTarget, duration age = seconds(0))
     {
         const microseconds target{10'000};
-        const microseconds p99{static_cast<std::int64_t>(ofTarget * 10'000)};
+        const microseconds p99{static_cast<std::int64_t>(timesTarget * 10'000)};
         subject.latencySampled({service.task, service.worker, p99, target, now - age}, now);
     }
 };
@@ -112,22 +112,24 @@
 // so its room must not be given away and it must not be placed again; then the row is read back.
 Test(placer, ambiguousStaysCounted)
 {
-    scene world(1);
+    placer_fixture fixture(1);
     const auto whole = batchTask("season", 0, WorkerSize);
-    world.pending(whole);
-    world.plan();
-    world.subject.taskSettled(whole.ref(), "w0", placement_outcome::Unknown, world.now);
+    fixture.submit(whole);
+    fixture.plan();
+    fixture.subject.placementSettled(whole.ref(), "w0", placement_outcome::Unknown, fixture.now);
     section("neither it nor another task gets the room", [&] {
-        world.pending(batchTask("other", 0, {1'000, 0, 0}));
-        world.now += std::chrono::hours(2);
-        world.plan();
-        check(world.actions.empty());
-        check(world.subject.explain(whole.ref(), world.now).find("ambiguous") != std::string::npos);
+        fixture.submit(batchTask("other", 0, {1'000, 0, 0}));
+        fixture.now += std::chrono::hours(2);
+        fixture.plan();
+        check(fixture.actions.empty());
+        check(fixture.subject.explain(whole.ref(), fixture.now).find("ambiguous")
+              != std::string::npos);
     });
     section("read back as not written, both are placeable again", [&] {
-        world.subject.taskSettled(whole.ref(), "w0", placement_outcome::NotApplied, world.now);
-        world.plan();
-        check(world.taken<place_action>().size() == 1);
+        fixture.subject.placementSettled(whole.ref(), "w0", placement_outcome::NotApplied,
+                                         fixture.now);
+        fixture.plan();
+        check(fixture.actionsOf<place_action>().size() == 1);
     });
 }
 
@@ -135,52 +137,52 @@
 // hold more than it has if its room were given away. Late and doubled messages change nothing.
 Test(placer, unconfirmedStopStaysCounted)
 {
-    scene world(2);
+    placer_fixture fixture(2);
     const auto task = batchTask("season", 0, WorkerSize);
-    world.pending(task);
-    const auto placed = world.start();
-    world.subject.removeWorker(placed[0].worker == "w0" ? "w1" : "w0", world.now);
-    world.subject.taskStopping(task.ref(), placed[0].worker, world.now);
-    world.subject.taskRunning(task.ref(), placed[0].worker, world.now); // sent before the stop
-    world.pending(batchTask("other", 0, {1, 1, 0}));
+    fixture.submit(task);
+    const auto placed = fixture.planAndRun();
+    fixture.subject.removeWorker(placed[0].worker == "w0" ? "w1" : "w0", fixture.now);
+    fixture.subject.taskStopping(task.ref(), placed[0].worker, fixture.now);
+    fixture.subject.taskRunning(task.ref(), placed[0].worker, fixture.now); // sent before the stop
+    fixture.submit(batchTask("other", 0, {1, 1, 0}));
     section("its room is not given away", [&] {
-        world.now += std::chrono::hours(2);
-        world.plan();
-        check(world.actions.empty());
-        check(world.subject.ledgerOf(placed[0].worker)->find(task.ref())->state
-              == entry_state::Stopping);
+        fixture.now += std::chrono::hours(2);
+        fixture.plan();
+        check(fixture.actions.empty());
+        check(fixture.subject.ledgerOf(placed[0].worker)->find(task.ref())->state
+              == reservation_state::Stopping);
     });
     section("a report of another worker does not free it", [&] {
-        world.subject.taskReleased(task.ref(), "w9", world.now);
-        world.plan();
-        check(world.actions.empty());
-        check(world.subject.stats().staleEvents == 1);
+        fixture.subject.taskReleased(task.ref(), "w9", fixture.now);
+        fixture.plan();
+        check(fixture.actions.empty());
+        check(fixture.subject.stats().staleEvents == 1);
     });
     section("its confirmation does, once", [&] {
-        world.subject.taskReleased(task.ref(), placed[0].worker, world.now);
-        world.subject.taskReleased(task.ref(), placed[0].worker, world.now);
-        check(world.subject.pendingTasks() == 2);
+        fixture.subject.taskReleased(task.ref(), placed[0].worker, fixture.now);
+        fixture.subject.taskReleased(task.ref(), placed[0].worker, fixture.now);
+        check(fixture.subject.pendingTaskCount() == 2);
     });
 }
 
 Test(placer, spreadAndPack)
 {
-    scene world(12);
+    placer_fixture fixture(12);
     section("replicas spread over availability zones and racks", [&] {
-        world.pending(serviceTask("tickets", 0, {2'000, Gigabyte, 0}), 6);
+        fixture.submit(serviceTask("tickets", 0, {2'000, Gigabyte, 0}), 6);
         std::set<std::string> workers;
         std::map<std::string, int> zones;
-        for (const auto &placed : world.start()) {
+        for (const auto &placed : fixture.planAndRun()) {
             workers.insert(placed.worker);
-            ++zones[scene::workerInfo(std::stoi(placed.worker.substr(1))).zone];
+            ++zones[placer_fixture::workerInfo(std::stoi(placed.worker.substr(1))).zone];
         }
         check(workers.size() == 6);
         check(zones.size() == 3 && zones["kartli-a"] == 2 && zones["kartli-b"] == 2);
     });
     section("batch is packed on few workers", [&] {
-        world.pending(batchTask("season", 0, {2'000, 7 * Gigabyte, 0}), 14);
+        fixture.submit(batchTask("season", 0, {2'000, 7 * Gigabyte, 0}), 14);
         std::set<std::string> workers;
-        for (const auto &placed : world.start())
+        for (const auto &placed : fixture.planAndRun())
             workers.insert(placed.worker);
         check(workers.size() <= 3);
     });
@@ -188,36 +190,37 @@
 
 Test(placer, refusals)
 {
-    scene world(2);
-    world.subject.setTeam({"clubs", 1, {8'000, 0, 0}});
+    placer_fixture fixture(2);
+    fixture.subject.setTeam({"clubs", 1, {8'000, 0, 0}});
     section("what can never fit is refused at once, by name of the limit", [&] {
-        world.pending(batchTask("huge", 0, {1'000, 61 * Gigabyte, 0}), 2);
-        world.plan();
-        const auto refused = world.taken<refuse_action>();
+        fixture.submit(batchTask("huge", 0, {1'000, 61 * Gigabyte, 0}), 2);
+        fixture.plan();
+        const auto refused = fixture.actionsOf<refuse_action>();
         require(refused.size() == 2);
         check(refused[0].kind == error_kind::NeverFits);
         check(refused[0].reason.find("bytes: 61000000000 declared, 60000000000")
               != std::string::npos);
-        check(world.subject.pendingTasks() == 0);
+        check(fixture.subject.pendingTaskCount() == 0);
     });
     section("a task above its team's quota too", [&] {
-        world.pending(batchTask("wide", 0, {9'000, 0, 0}));
-        world.plan();
-        require(world.taken<refuse_action>().size() == 1);
-        check(world.taken<refuse_action>()[0].kind == error_kind::QuotaExceeded);
+        fixture.submit(batchTask("wide", 0, {9'000, 0, 0}));
+        fixture.plan();
+        require(fixture.actionsOf<refuse_action>().size() == 1);
+        check(fixture.actionsOf<refuse_action>()[0].kind == error_kind::QuotaExceeded);
     });
     section("a team at its quota waits, and is told why", [&] {
-        world.pending(batchTask("season", 0, {3'000, 0, 0}), 3);
-        check(world.start().size() == 2);
-        check(world.subject.explain({"season", 2}, world.now).find("quota") != std::string::npos);
+        fixture.submit(batchTask("season", 0, {3'000, 0, 0}), 3);
+        check(fixture.planAndRun().size() == 2);
+        check(fixture.subject.explain({"season", 2}, fixture.now).find("quota")
+              != std::string::npos);
     });
     section("before the pool's size is known nothing is refused", [&] {
-        placer young{placer_settings{}};
-        young.taskPending(batchTask("huge", 0, {1'000, 61 * Gigabyte, 0}), world.now);
-        check(young.plan(world.now, Many).empty());
-        young.addWorker(scene::workerInfo(0), world.now);
-        check(young.plan(world.now + seconds(9), Many).empty());
-        check(young.plan(world.now + seconds(10), Many).size() == 1);
+        placer newPlacer{placer_settings{}};
+        newPlacer.taskPending(batchTask("huge", 0, {1'000, 61 * Gigabyte, 0}), fixture.now);
+        check(newPlacer.plan(fixture.now, MaxDecisions).empty());
+        newPlacer.addWorker(placer_fixture::workerInfo(0), fixture.now);
+        check(newPlacer.plan(fixture.now + seconds(9), MaxDecisions).empty());
+        check(newPlacer.plan(fixture.now + seconds(10), MaxDecisions).size() == 1);
     });
 }
 
@@ -225,15 +228,15 @@
 // the room if the queue were served in the order of arrival.
 Test(placer, teamsShareByWeight)
 {
-    scene world(2);
-    world.subject.setTeam({"clubs", 1, {}});
-    world.subject.setTeam({"families", 3, {}});
-    world.pending(batchTask("season", 0, {1'000, 0, 0}), 100);
+    placer_fixture fixture(2);
+    fixture.subject.setTeam({"clubs", 1, {}});
+    fixture.subject.setTeam({"families", 3, {}});
+    fixture.submit(batchTask("season", 0, {1'000, 0, 0}), 100);
     auto other = batchTask("holds", 0, {1'000, 0, 0});
     other.team = "families";
-    world.pending(other, 100);
+    fixture.submit(other, 100);
     int ofClubs = 0;
-    const auto placed = world.start();
+    const auto placed = fixture.planAndRun();
     for (const auto &each : placed)
         ofClubs += each.task.jobId == "season" ? 1 : 0;
     section("a quarter and three quarters", [&] {
@@ -247,70 +250,70 @@
 // instead.
 Test(placer, urgentPreemptsBatch)
 {
-    scene world(3);
+    placer_fixture fixture(3);
     auto watcher = batchTask("watcher", 0, {16'000, Gigabyte, 0});
     watcher.failover = failover_class::Proof;
-    world.pending(watcher);
-    world.pending(batchTask("season", 0, {8'000, Gigabyte, 0}), 4);
-    check(world.start().size() == 5);
+    fixture.submit(watcher);
+    fixture.submit(batchTask("season", 0, {8'000, Gigabyte, 0}), 4);
+    check(fixture.planAndRun().size() == 5);
     auto urgent = batchTask("gate", 0, {8'000, Gigabyte, 0});
     urgent.priority = task_priority::Urgent;
-    const auto arrived = world.now;
-    world.pending(urgent);
-    world.plan();
-    const auto first = world.taken<preempt_action>();
+    const auto arrived = fixture.now;
+    fixture.submit(urgent);
+    fixture.plan();
+    const auto first = fixture.actionsOf<preempt_action>();
     section("one victim, not the lease watcher, and it must be gone in time", [&] {
         require(first.size() == 1);
         check(first[0].victim.jobId == "season");
-        check(first[0].checkpointBefore <= arrived + milliseconds(1'500));
-        world.plan();
-        check(world.actions.empty()); // asked once
+        check(first[0].checkpointDeadline <= arrived + milliseconds(1'500));
+        fixture.plan();
+        check(fixture.actions.empty()); // asked once
     });
     section("the worker does not confirm: another one makes room", [&] {
-        world.now = first[0].checkpointBefore + milliseconds(300);
-        world.plan();
-        const auto second = world.taken<preempt_action>();
+        fixture.now = first[0].checkpointDeadline + milliseconds(300);
+        fixture.plan();
+        const auto second = fixture.actionsOf<preempt_action>();
         require(second.size() == 1);
         check(second[0].worker != first[0].worker);
-        world.now += milliseconds(200);
-        world.subject.taskReleased(second[0].victim, second[0].worker, world.now);
+        fixture.now += milliseconds(200);
+        fixture.subject.taskReleased(second[0].victim, second[0].worker, fixture.now);
     });
     section("it starts within 2.4 s, and the victim does not take the room back", [&] {
-        world.plan();
-        const auto placed = world.taken<place_action>();
+        fixture.plan();
+        const auto placed = fixture.actionsOf<place_action>();
         require(placed.size() == 1);
         check(placed[0].task == urgent.ref());
-        check(world.now - arrived <= milliseconds(2'400));
+        check(fixture.now - arrived <= milliseconds(2'400));
     });
     section("half of the room it needs is not given to others while the rest is on its way", [&] {
         auto wide = urgent;
         wide.jobId = "gate-wide";
         wide.declared.millicores = 16'000;
-        world.pending(wide);
-        world.plan();
-        const auto victims = world.taken<preempt_action>();
+        fixture.submit(wide);
+        fixture.plan();
+        const auto victims = fixture.actionsOf<preempt_action>();
         require(victims.size() == 1); // the other half is the stop that is still unconfirmed
         check(victims[0].worker == first[0].worker);
-        world.subject.taskReleased(first[0].victim, first[0].worker, world.now);
-        check(world.start().empty());
-        world.subject.taskReleased(victims[0].victim, victims[0].worker, world.now);
-        const auto placed = world.start();
+        fixture.subject.taskReleased(first[0].victim, first[0].worker, fixture.now);
+        check(fixture.planAndRun().empty());
+        fixture.subject.taskReleased(victims[0].victim, victims[0].worker, fixture.now);
+        const auto placed = fixture.planAndRun();
         require(placed.size() == 1);
         check(placed[0].task == wide.ref());
-        world.subject.taskEnded(wide.ref(), placed[0].worker, world.now);
-        check(world.start().size() == 2);
+        fixture.subject.taskEnded(wide.ref(), placed[0].worker, fixture.now);
+        check(fixture.planAndRun().size() == 2);
     });
     section("room held for it goes back when it is cancelled", [&] {
         auto next = urgent;
         next.jobId = "gate-2";
-        world.pending(next);
-        world.plan();
-        const auto victims = world.taken<preempt_action>();
+        fixture.submit(next);
+        fixture.plan();
+        const auto victims = fixture.actionsOf<preempt_action>();
         require(victims.size() == 1);
         const std::vector<task_ref> cancelled{next.ref()};
-        check(world.subject.cancelTasks(cancelled, world.now).empty());
-        world.subject.taskReleased(victims[0].victim, victims[0].worker, world.now);
-        check(world.start().size() == 1);
+        check(fixture.subject.cancelTasks(cancelled, fixture.now).empty());
+        fixture.subject.taskReleased(victims[0].victim, victims[0].worker, fixture.now);
+        check(fixture.planAndRun().size() == 1);
     });
 }
 
@@ -319,43 +322,43 @@
 // asks for, and nobody else's.
 Test(placer, urgentWorkOfATeamAtItsQuota)
 {
-    scene world(2);
-    world.subject.setTeam({"clubs", 1, {16'000, 0, 0}});
-    world.pending(batchTask("season", 0, {4'000, Gigabyte, 0}), 6);
+    placer_fixture fixture(2);
+    fixture.subject.setTeam({"clubs", 1, {16'000, 0, 0}});
+    fixture.submit(batchTask("season", 0, {4'000, Gigabyte, 0}), 6);
     auto other = batchTask("matches", 0, {4'000, Gigabyte, 0});
     other.team = "families";
-    world.pending(other, 2);
-    require(world.start().size() == 6); // four of the season, both matches
+    fixture.submit(other, 2);
+    require(fixture.planAndRun().size() == 6); // four of the season, both matches
     auto urgent = batchTask("gate", 0, {4'000, Gigabyte, 0});
     urgent.priority = task_priority::Urgent;
-    const auto arrived = world.now;
-    world.pending(urgent, 2);
-    world.plan();
-    const auto stopped = world.taken<preempt_action>();
+    const auto arrived = fixture.now;
+    fixture.submit(urgent, 2);
+    fixture.plan();
+    const auto stopped = fixture.actionsOf<preempt_action>();
     section("one of its own tasks stops for each, in time", [&] {
         require(stopped.size() == 2);
         for (const auto &each : stopped) {
             check(each.victim.jobId == "season");
-            check(each.checkpointBefore <= arrived + milliseconds(1'500));
+            check(each.checkpointDeadline <= arrived + milliseconds(1'500));
         }
     });
     section("no more are asked while these stop, and nothing starts above the quota", [&] {
-        world.now += milliseconds(200);
-        check(world.start().empty());
-        check(world.taken<preempt_action>().empty());
+        fixture.now += milliseconds(200);
+        check(fixture.planAndRun().empty());
+        check(fixture.actionsOf<preempt_action>().empty());
     });
     section("the urgent tasks take their places within 2.4 s", [&] {
         for (const auto &each : stopped)
-            world.subject.taskReleased(each.victim, each.worker, world.now);
-        const auto placed = world.start();
+            fixture.subject.taskReleased(each.victim, each.worker, fixture.now);
+        const auto placed = fixture.planAndRun();
         require(placed.size() == 2);
         check(placed[0].task.jobId == "gate" && placed[1].task.jobId == "gate");
-        check(world.now - arrived <= milliseconds(2'400));
+        check(fixture.now - arrived <= milliseconds(2'400));
     });
     section("batch of a team at its quota stops nothing", [&] {
-        world.pending(batchTask("second", 0, {4'000, Gigabyte, 0}));
-        world.plan();
-        check(world.actions.empty());
+        fixture.submit(batchTask("second", 0, {4'000, Gigabyte, 0}));
+        fixture.plan();
+        check(fixture.actions.empty());
     });
 }
 
@@ -363,29 +366,29 @@
 // in time; the second one's still runs, and must not keep the first from starting.
 Test(placer, urgentTasksDoNotBlockEachOther)
 {
-    scene world(1);
-    world.pending(batchTask("season", 0, {8'000, Gigabyte, 0}), 2);
-    world.start();
+    placer_fixture fixture(1);
+    fixture.submit(batchTask("season", 0, {8'000, Gigabyte, 0}), 2);
+    fixture.planAndRun();
     auto urgent = batchTask("gate", 0, {8'000, Gigabyte, 0});
     urgent.priority = task_priority::Urgent;
-    world.pending(urgent);
-    world.plan();
-    const auto first = world.taken<preempt_action>();
-    world.now += milliseconds(500);
+    fixture.submit(urgent);
+    fixture.plan();
+    const auto first = fixture.actionsOf<preempt_action>();
+    fixture.now += milliseconds(500);
     urgent.jobId = "earlier-name";
-    world.pending(urgent);
-    world.plan();
-    const auto second = world.taken<preempt_action>();
+    fixture.submit(urgent);
+    fixture.plan();
+    const auto second = fixture.actionsOf<preempt_action>();
     require(first.size() == 1 && second.size() == 1);
     section("the room of the first victim goes to the first task", [&] {
-        world.subject.taskReleased(first[0].victim, "w0", world.now);
-        const auto placed = world.start();
+        fixture.subject.taskReleased(first[0].victim, "w0", fixture.now);
+        const auto placed = fixture.planAndRun();
         require(placed.size() == 1);
         check(placed[0].task.jobId == "gate");
     });
     section("and that of the second to the second", [&] {
-        world.subject.taskReleased(second[0].victim, "w0", world.now);
-        const auto placed = world.start();
+        fixture.subject.taskReleased(second[0].victim, "w0", fixture.now);
+        const auto placed = fixture.planAndRun();
         require(placed.size() == 1);
         check(placed[0].task.jobId == "earlier-name");
     });
@@ -395,30 +398,31 @@
 // tried any more, and the room it holds would stay empty for ever.
 Test(placer, heldRoomExpires)
 {
-    scene world(1);
-    world.subject.setTeam({"gates", 1, {8'000, 0, 0}});
-    world.pending(batchTask("season", 0, {8'000, Gigabyte, 0}), 2);
-    world.start();
+    placer_fixture fixture(1);
+    fixture.subject.setTeam({"gates", 1, {8'000, 0, 0}});
+    fixture.submit(batchTask("season", 0, {8'000, Gigabyte, 0}), 2);
+    fixture.planAndRun();
     auto urgent = batchTask("gate", 0, {8'000, Gigabyte, 0});
     urgent.priority = task_priority::Urgent;
     urgent.team = "gates";
-    world.pending(urgent);
-    world.plan();
-    const auto victims = world.taken<preempt_action>();
+    fixture.submit(urgent);
+    fixture.plan();
+    const auto victims = fixture.actionsOf<preempt_action>();
     require(victims.size() == 1);
     urgent.jobId = "elsewhere"; // found in the table, on a worker of another scheduler
-    world.subject.taskPlaced(urgent, "w9", urgent.declared, entry_state::Running, world.now);
-    world.subject.taskReleased(victims[0].victim, "w0", world.now);
-    section("at first the room is kept", [&] { check(world.start().empty()); });
+    fixture.subject.taskPlaced(urgent, "w9", urgent.declared, reservation_state::Running,
+                               fixture.now);
+    fixture.subject.taskReleased(victims[0].victim, "w0", fixture.now);
+    section("at first the room is kept", [&] { check(fixture.planAndRun().empty()); });
     section("then others get it", [&] {
-        world.now += seconds(3);
-        world.plan();
-        const auto placed = world.start();
+        fixture.now += seconds(3);
+        fixture.plan();
+        const auto placed = fixture.planAndRun();
         require(placed.size() == 1);
         check(placed[0].task == victims[0].victim);
     });
     section("and the urgent task goes on waiting, with its reason", [&] {
-        check(world.subject.explain({"gate", 0}, world.now).find("quota") != std::string::npos);
+        check(fixture.subject.explain({"gate", 0}, fixture.now).find("quota") != std::string::npos);
     });
 }
 
@@ -426,41 +430,43 @@
 // then looks like any task of batch; evicting it for urgent work would restart it.
 Test(placer, takenInTasksAreNotEvicted)
 {
-    scene world(1);
+    placer_fixture fixture(1);
     auto watcher = batchTask("watcher", 0, WorkerSize);
-    auto bare = watcher;
-    bare.pool.clear();
-    world.subject.taskPlaced(bare, "w0", WorkerSize, entry_state::Running, world.now);
+    auto unconfigured = watcher;
+    unconfigured.pool.clear();
+    fixture.subject.taskPlaced(unconfigured, "w0", WorkerSize, reservation_state::Running,
+                               fixture.now);
     auto urgent = batchTask("gate", 0, {1'000, 0, 0});
     urgent.priority = task_priority::Urgent;
-    world.pending(urgent);
+    fixture.submit(urgent);
     section("left alone while its job is not known", [&] {
-        world.plan();
-        check(world.actions.empty());
+        fixture.plan();
+        check(fixture.actions.empty());
     });
     section("evicted once it is known to be plain batch", [&] {
-        world.subject.taskPlaced(watcher, "w0", WorkerSize, entry_state::Running, world.now);
-        world.now += seconds(1);
-        world.plan();
-        check(world.taken<preempt_action>().size() == 1);
+        fixture.subject.taskPlaced(watcher, "w0", WorkerSize, reservation_state::Running,
+                                   fixture.now);
+        fixture.now += seconds(1);
+        fixture.plan();
+        check(fixture.actionsOf<preempt_action>().size() == 1);
     });
 }
 
 // A service of low priority is no reason to stop batch work of normal priority.
 Test(placer, preemptionFollowsPriority)
 {
-    scene world(1);
-    world.pending(batchTask("season", 0, WorkerSize));
-    world.start();
+    placer_fixture fixture(1);
+    fixture.submit(batchTask("season", 0, WorkerSize));
+    fixture.planAndRun();
     auto service = serviceTask("reports", 0, {1'000, 0, 0});
     service.priority = task_priority::Low;
-    world.pending(service);
-    world.plan();
-    section("a low service waits", [&] { check(world.actions.empty()); });
+    fixture.submit(service);
+    fixture.plan();
+    section("a low service waits", [&] { check(fixture.actions.empty()); });
     section("a normal one does not", [&] {
-        world.pending(serviceTask("tickets", 0, {1'000, 0, 0}));
-        world.plan();
-        check(world.taken<preempt_action>().size() == 1);
+        fixture.submit(serviceTask("tickets", 0, {1'000, 0, 0}));
+        fixture.plan();
+        check(fixture.actionsOf<preempt_action>().size() == 1);
     });
 }
 
@@ -471,38 +477,38 @@
     placer_settings settings;
     settings.weights = {0.7, 0.2, 0.1};
     settings.relieveServices = false;
-    scene world(1, settings);
-    world.pending(serviceTask("tickets", 0, {4'000, Gigabyte, 0}));
-    const auto service = world.start().at(0);
+    placer_fixture fixture(1, settings);
+    fixture.submit(serviceTask("tickets", 0, {4'000, Gigabyte, 0}));
+    const auto service = fixture.planAndRun().at(0);
     for (int round = 0; round < 20; ++round) {
-        world.now += seconds(10);
-        world.pending(batchTask("noisy", round, {2'000, Gigabyte, 0}));
-        const auto noisy = world.start();
-        world.now += seconds(10);
-        world.latency(service, noisy.empty() ? 0.9 : 2.0);
+        fixture.now += seconds(10);
+        fixture.submit(batchTask("noisy", round, {2'000, Gigabyte, 0}));
+        const auto noisy = fixture.planAndRun();
+        fixture.now += seconds(10);
+        fixture.reportLatency(service, noisy.empty() ? 0.9 : 2.0);
         for (const auto &placed : noisy)
-            world.subject.taskEnded(placed.task, placed.worker, world.now);
-        world.now += seconds(10);
-        world.latency(service, 0.9);
+            fixture.subject.taskEnded(placed.task, placed.worker, fixture.now);
+        fixture.now += seconds(10);
+        fixture.reportLatency(service, 0.9);
     }
-    const auto first = world.now;
-    world.subject.cancelJob("noisy", world.now);
+    const auto first = fixture.now;
+    fixture.subject.cancelJob("noisy", fixture.now);
     auto more = batchTask("more", 0, {2'000, Gigabyte, 0});
     more.jobClass = "noisy";
-    world.pending(more);
-    world.plan();
+    fixture.submit(more);
+    fixture.plan();
     section("it waits, and says why", [&] {
-        check(world.taken<place_action>().empty());
-        check(world.subject.explain(more.ref(), world.now).find("slow") != std::string::npos);
+        check(fixture.actionsOf<place_action>().empty());
+        check(fixture.subject.explain(more.ref(), fixture.now).find("slow") != std::string::npos);
     });
     section("another class does not wait", [&] {
-        world.pending(batchTask("quiet", 0, {500, Gigabyte, 0}));
-        check(world.start().size() == 1);
+        fixture.submit(batchTask("quiet", 0, {500, Gigabyte, 0}));
+        check(fixture.planAndRun().size() == 1);
     });
     section("its worth grows while it waits", [&] {
-        while (world.start().empty() && world.now - first < std::chrono::hours(2))
-            world.now += seconds(30);
-        check(world.now - first >= seconds(30) && world.now - first < std::chrono::hours(2));
+        while (fixture.planAndRun().empty() && fixture.now - first < std::chrono::hours(2))
+            fixture.now += seconds(30);
+        check(fixture.now - first >= seconds(30) && fixture.now - first < std::chrono::hours(2));
     });
 }
 
@@ -513,21 +519,21 @@
     placer_settings settings;
     settings.weights = {1, 0.5, 0.5};
     settings.relieveServices = false;
-    scene world(1, settings);
-    world.pending(serviceTask("tickets", 0, {4'000, Gigabyte, 0}), 2);
-    const auto services = world.start();
+    placer_fixture fixture(1, settings);
+    fixture.submit(serviceTask("tickets", 0, {4'000, Gigabyte, 0}), 2);
+    const auto services = fixture.planAndRun();
     require(services.size() == 2);
     section("idle: it starts", [&] {
-        world.pending(batchTask("season", 0, {2'000, Gigabyte, 0}));
-        check(world.start().size() == 1);
+        fixture.submit(batchTask("season", 0, {2'000, Gigabyte, 0}));
+        check(fixture.planAndRun().size() == 1);
     });
     section("answering above their target: it waits", [&] {
-        world.now += seconds(10);
+        fixture.now += seconds(10);
         for (const auto &service : services)
-            world.latency(service, 3.0);
-        world.pending(batchTask("season", 1, {2'000, Gigabyte, 0}));
-        world.plan();
-        check(world.taken<place_action>().empty());
+            fixture.reportLatency(service, 3.0);
+        fixture.submit(batchTask("season", 1, {2'000, Gigabyte, 0}));
+        fixture.plan();
+        check(fixture.actionsOf<place_action>().empty());
     });
 }
 
@@ -541,45 +547,46 @@
     settings.weights = {0.7, 0.2, 0.1};
     settings.relieveServices = false;
     const auto noisy = batchTask("noisy", 0, {4'000, Gigabyte, 0});
-    const auto takenOver = [&](scene &world, int replicas) {
+    const auto takeOver = [&](placer_fixture &fixture, int replicas) {
         for (int index = 0; index < replicas; ++index) {
             const auto service = serviceTask("tickets", index, {4'000, Gigabyte, 0});
-            world.subject.taskPlaced(service, "w0", service.declared, entry_state::Running,
-                                     world.now);
+            fixture.subject.taskPlaced(service, "w0", service.declared, reservation_state::Running,
+                                       fixture.now);
         }
-        world.subject.taskPlaced(noisy, "w0", noisy.declared, entry_state::Running, world.now);
-        world.now += seconds(2);
+        fixture.subject.taskPlaced(noisy, "w0", noisy.declared, reservation_state::Running,
+                                   fixture.now);
+        fixture.now += seconds(2);
     };
     const place_action service{{"tickets", 0}, "w0", {}};
     section("beside replicas that answer nobody batch starts at once", [&] {
-        scene world(0, settings);
-        takenOver(world, 2);
-        world.subject.addWorker(scene::workerInfo(0), world.now);
-        world.pending(batchTask("season", 0, {1'000, Gigabyte, 0}));
-        check(world.start().size() == 1);
+        placer_fixture fixture(0, settings);
+        takeOver(fixture, 2);
+        fixture.subject.addWorker(placer_fixture::workerInfo(0), fixture.now);
+        fixture.submit(batchTask("season", 0, {1'000, Gigabyte, 0}));
+        check(fixture.planAndRun().size() == 1);
     });
     section("a sample before the worker is known teaches nothing", [&] {
-        scene world(0, settings);
-        takenOver(world, 1);
-        world.latency(service, 2.0);
-        check(world.subject.stats().droppedSamples == 1);
-        world.subject.addWorker(scene::workerInfo(0), world.now);
-        const auto tickets = world.subject.classNumber("tickets");
-        const auto effect =
-                world.subject.interference().effect(tickets, world.subject.classNumber("noisy"));
+        placer_fixture fixture(0, settings);
+        takeOver(fixture, 1);
+        fixture.reportLatency(service, 2.0);
+        check(fixture.subject.stats().droppedSamples == 1);
+        fixture.subject.addWorker(placer_fixture::workerInfo(0), fixture.now);
+        const auto tickets = fixture.subject.classNumber("tickets");
+        const auto effect = fixture.subject.interference().effect(
+                tickets, fixture.subject.classNumber("noisy"));
         check(effect.mean == settings.interference.priorEffect);
         check(effect.deviation == settings.interference.priorDeviation);
     });
     section("batch waits where the next sample shows a service late", [&] {
-        scene world(0, settings);
-        takenOver(world, 1);
-        world.latency(service, 2.0);
-        world.subject.addWorker(scene::workerInfo(0), world.now);
-        world.now += seconds(2);
-        world.latency(service, 2.0);
-        world.pending(batchTask("noisy", 1, {4'000, Gigabyte, 0}));
-        world.plan();
-        check(world.taken<place_action>().empty());
+        placer_fixture fixture(0, settings);
+        takeOver(fixture, 1);
+        fixture.reportLatency(service, 2.0);
+        fixture.subject.addWorker(placer_fixture::workerInfo(0), fixture.now);
+        fixture.now += seconds(2);
+        fixture.reportLatency(service, 2.0);
+        fixture.submit(batchTask("noisy", 1, {4'000, Gigabyte, 0}));
+        fixture.plan();
+        check(fixture.actionsOf<place_action>().empty());
     });
 }
 
@@ -587,30 +594,30 @@
 // messages about them arrive late. None may start afterwards.
 Test(placer, cancellationWave)
 {
-    scene world(4);
-    world.pending(batchTask("season", 0, {1'000, Gigabyte, 0}), 5'000);
-    const auto placed = world.start();
-    const auto toStop = world.subject.cancelJob("season", world.now);
+    placer_fixture fixture(4);
+    fixture.submit(batchTask("season", 0, {1'000, Gigabyte, 0}), 5'000);
+    const auto placed = fixture.planAndRun();
+    const auto toStop = fixture.subject.cancelJob("season", fixture.now);
     section("those on a worker are to be stopped, and count until they are", [&] {
         check(placed.size() == 64 && toStop.size() == 64);
-        world.pending(batchTask("other", 0, {1'000, 0, 0}));
-        world.plan();
-        check(world.actions.empty());
+        fixture.submit(batchTask("other", 0, {1'000, 0, 0}));
+        fixture.plan();
+        check(fixture.actions.empty());
     });
     section("no late message brings one back", [&] {
-        world.subject.taskReleased(placed[0].task, placed[0].worker, world.now);
-        world.subject.taskFailed(placed[1].task, placed[1].worker, "killed", world.now);
-        world.subject.taskSettled(placed[2].task, placed[2].worker, placement_outcome::NotApplied,
-                                  world.now);
-        world.pending(batchTask("season", 0, {1'000, Gigabyte, 0}), 5'000);
-        const auto next = world.start();
+        fixture.subject.taskReleased(placed[0].task, placed[0].worker, fixture.now);
+        fixture.subject.taskFailed(placed[1].task, placed[1].worker, "killed", fixture.now);
+        fixture.subject.placementSettled(placed[2].task, placed[2].worker,
+                                         placement_outcome::NotApplied, fixture.now);
+        fixture.submit(batchTask("season", 0, {1'000, Gigabyte, 0}), 5'000);
+        const auto next = fixture.planAndRun();
         check(next.size() == 1 && next[0].task.jobId == "other");
-        check(world.subject.pendingTasks() == 0);
+        check(fixture.subject.pendingTaskCount() == 0);
     });
     section("the same name, submitted anew, runs", [&] {
-        world.subject.reopenJob("season");
-        world.pending(batchTask("season", 9'000, {1'000, Gigabyte, 0}));
-        check(world.start().size() == 1);
+        fixture.subject.reopenJob("season");
+        fixture.submit(batchTask("season", 9'000, {1'000, Gigabyte, 0}));
+        check(fixture.planAndRun().size() == 1);
     });
 }
 
@@ -619,45 +626,45 @@
 // instead of a random one by the kernel.
 Test(placer, memoryGrowth)
 {
-    scene world(1);
+    placer_fixture fixture(1);
     auto low = batchTask("low", 0, {1'000, 8 * Gigabyte, 0});
     low.priority = task_priority::Low;
-    world.pending(low, 3);
-    world.pending(serviceTask("tickets", 0, {1'000, 25 * Gigabyte, 0}));
-    check(world.start().size() == 4);
+    fixture.submit(low, 3);
+    fixture.submit(serviceTask("tickets", 0, {1'000, 25 * Gigabyte, 0}));
+    check(fixture.planAndRun().size() == 4);
     const auto grows = [&](std::int64_t gigabytes) {
-        world.now += seconds(10);
-        world.subject.usageSampled(
-                {{"tickets", 0}, "w0", {500, gigabytes * Gigabyte, 0}, world.now}, world.now);
-        world.plan();
+        fixture.now += seconds(10);
+        fixture.subject.usageSampled(
+                {{"tickets", 0}, "w0", {500, gigabytes * Gigabyte, 0}, fixture.now}, fixture.now);
+        fixture.plan();
     };
     section("the raise is told to the worker", [&] {
         grows(24);
-        require(world.taken<raise_action>().size() == 1);
-        check(world.taken<raise_action>()[0].reserved.bytes == 288 * Gigabyte / 10);
+        require(fixture.actionsOf<raise_action>().size() == 1);
+        check(fixture.actionsOf<raise_action>()[0].reserved.bytes == 288 * Gigabyte / 10);
     });
     section("without room one low task is evicted, once", [&] {
         grows(33);
-        const auto victims = world.taken<preempt_action>();
+        const auto victims = fixture.actionsOf<preempt_action>();
         require(victims.size() == 1);
         low.taskIndex = victims[0].victim.taskIndex;
         check(victims[0].victim == low.ref());
         check(victims[0].reason == preempt_reason::MemoryPressure);
-        world.plan();
-        check(world.actions.empty());
+        fixture.plan();
+        check(fixture.actions.empty());
     });
     section("the raise follows when it is gone", [&] {
-        world.subject.taskReleased(low.ref(), "w0", world.now);
-        world.plan();
-        check(world.taken<raise_action>().size() == 1);
-        check(world.subject.ledgerOf("w0")->reserved().bytes == 556 * Gigabyte / 10);
+        fixture.subject.taskReleased(low.ref(), "w0", fixture.now);
+        fixture.plan();
+        check(fixture.actionsOf<raise_action>().size() == 1);
+        check(fixture.subject.ledgerOf("w0")->reserved().bytes == 556 * Gigabyte / 10);
     });
     section("it does not come back to the worker that evicted it, for a while", [&] {
-        world.subject.taskEnded({"low", (low.taskIndex + 1) % 3}, "w0", world.now);
-        world.plan();
-        check(world.actions.empty());
-        world.now += std::chrono::minutes(2);
-        check(world.start().size() == 1);
+        fixture.subject.taskEnded({"low", (low.taskIndex + 1) % 3}, "w0", fixture.now);
+        fixture.plan();
+        check(fixture.actions.empty());
+        fixture.now += std::chrono::minutes(2);
+        check(fixture.planAndRun().size() == 1);
     });
 }
 
@@ -666,51 +673,51 @@
 // worker's size or the team's quota; a backlog must not keep a task from room elsewhere.
 Test(placer, backlog)
 {
-    scene world(1);
-    const auto placeAhead = [&](std::size_t perWorker) {
-        auto plan = world.subject.planBacklog(world.now, perWorker);
-        for (const auto &each : plan.placedAhead)
-            world.subject.taskSettled(each.task, each.worker, placement_outcome::Applied,
-                                      world.now);
+    placer_fixture fixture(1);
+    const auto fillBacklog = [&](std::size_t perWorker) {
+        auto plan = fixture.subject.planBacklog(fixture.now, perWorker);
+        for (const auto &each : plan.assigned)
+            fixture.subject.placementSettled(each.task, each.worker, placement_outcome::Applied,
+                                             fixture.now);
         return plan;
     };
     const auto startedInOutage = [&] {
-        world.actions = world.subject.plan(world.now, Many, plan_scope::BacklogOnly);
-        return world.taken<place_action>().size();
+        fixture.actions = fixture.subject.plan(fixture.now, MaxDecisions, plan_scope::BacklogOnly);
+        return fixture.actionsOf<place_action>().size();
     };
     const auto end = [&](int index, const std::string &worker) {
-        world.subject.taskEnded({"season", index}, worker, world.now);
+        fixture.subject.taskEnded({"season", index}, worker, fixture.now);
     };
     const resources quarter{4'000, 8 * Gigabyte, 0};
-    world.pending(batchTask("season", 0, quarter), 8);
-    check(world.start().size() == 4);
-    check(placeAhead(2).placedAhead.size() == 2);
-    check(placeAhead(2).placedAhead.empty());
+    fixture.submit(batchTask("season", 0, quarter), 8);
+    check(fixture.planAndRun().size() == 4);
+    check(fillBacklog(2).assigned.size() == 2);
+    check(fillBacklog(2).assigned.empty());
     section("one end lets one of them start, no more", [&] {
         check(startedInOutage() == 0);
         end(0, "w0");
         check(startedInOutage() == 1);
         check(startedInOutage() == 0);
-        check(world.subject.ledgerOf("w0")->reserved().millicores == WorkerSize.millicores);
+        check(fixture.subject.ledgerOf("w0")->reserved().millicores == WorkerSize.millicores);
     });
     section("the team's quota holds for the other one", [&] {
-        world.subject.setTeam({"clubs", 1, {12'000, 0, 0}});
+        fixture.subject.setTeam({"clubs", 1, {12'000, 0, 0}});
         end(1, "w0");
         check(startedInOutage() == 0);
-        world.subject.setTeam({"clubs", 1, {}});
+        fixture.subject.setTeam({"clubs", 1, {}});
         check(startedInOutage() == 1);
     });
     section("a worker that appears gets what waited behind another one", [&] {
-        check(placeAhead(2).placedAhead.size() == 2);
-        world.subject.addWorker(scene::workerInfo(1), world.now);
-        check(placeAhead(2).takenBack.empty());
-        world.now += seconds(3);
-        const auto back = placeAhead(2).takenBack;
+        check(fillBacklog(2).assigned.size() == 2);
+        fixture.subject.addWorker(placer_fixture::workerInfo(1), fixture.now);
+        check(fillBacklog(2).withdrawn.empty());
+        fixture.now += seconds(3);
+        const auto back = fillBacklog(2).withdrawn;
         check(back.size() == 2);
         check(startedInOutage() == 0); // on their way back
         for (const auto &each : back)
-            world.subject.taskReleased(each.task, each.worker, world.now);
-        const auto placed = world.start();
+            fixture.subject.taskReleased(each.task, each.worker, fixture.now);
+        const auto placed = fixture.planAndRun();
         check(placed.size() == 2 && placed.front().worker == "w1");
     });
 }
@@ -720,19 +727,19 @@
 // one that turns out to wait gives its room back.
 Test(placer, backlogOfAnEarlierOwner)
 {
-    scene world(1);
+    placer_fixture fixture(1);
     const resources third{5'000, 8 * Gigabyte, 0};
     for (int index = 0; index < 4; ++index)
-        world.subject.taskPlaced(batchTask("season", index, third), "w0", third,
-                                 entry_state::Running, world.now);
-    check(!world.subject.isWithinLimits({"season", 3}));
-    world.subject.taskWaitsAhead({"season", 3}, "w0", world.now);
-    check(world.subject.backlogOf("w0") == 1);
-    check(world.subject.isWithinLimits({"season", 2}));
-    check(world.start().empty());
-    world.subject.taskEnded({"season", 0}, "w0", world.now);
-    check(world.start().size() == 1);
-    check(world.subject.backlogOf("w0") == 0);
+        fixture.subject.taskPlaced(batchTask("season", index, third), "w0", third,
+                                   reservation_state::Running, fixture.now);
+    check(!fixture.subject.isWithinLimits({"season", 3}));
+    fixture.subject.taskInBacklog({"season", 3}, "w0", fixture.now);
+    check(fixture.subject.backlogLengthOf("w0") == 1);
+    check(fixture.subject.isWithinLimits({"season", 2}));
+    check(fixture.planAndRun().empty());
+    fixture.subject.taskEnded({"season", 0}, "w0", fixture.now);
+    check(fixture.planAndRun().size() == 1);
+    check(fixture.subject.backlogLengthOf("w0") == 0);
 }
 
 // One task outgrows its size on a worker whose others reserved far more than they use. Operators
@@ -741,65 +748,66 @@
 // worker's memory does one task go, before the kernel picks one.
 Test(placer, evictsForMemoryInUse)
 {
-    scene world(1);
-    world.pending(batchTask("season", 0, {1'000, 25 * Gigabyte, 0}), 2);
-    world.pending(batchTask("grows", 0, {1'000, 8 * Gigabyte, 0}));
-    check(world.start().size() == 3);
+    placer_fixture fixture(1);
+    fixture.submit(batchTask("season", 0, {1'000, 25 * Gigabyte, 0}), 2);
+    fixture.submit(batchTask("grows", 0, {1'000, 8 * Gigabyte, 0}));
+    check(fixture.planAndRun().size() == 3);
     const auto uses = [&](const task_ref &task, std::int64_t gigabytes) {
-        world.now += seconds(10);
-        world.subject.usageSampled({task, "w0", {500, gigabytes * Gigabyte, 0}, world.now},
-                                   world.now);
-        world.plan();
+        fixture.now += seconds(10);
+        fixture.subject.usageSampled({task, "w0", {500, gigabytes * Gigabyte, 0}, fixture.now},
+                                     fixture.now);
+        fixture.plan();
     };
     uses({"season", 0}, 5);
     uses({"season", 1}, 5);
     uses({"grows", 0}, 12);
     section("the raise is owed, nothing is evicted, and no new task gets the room", [&] {
-        check(world.subject.ledgerOf("w0")->owed().bytes > 0);
-        check(world.subject.stats().preemptedForMemory == 0);
-        world.pending(batchTask("other", 0, {1'000, 2 * Gigabyte, 0}));
-        world.plan();
-        check(world.taken<place_action>().empty());
+        check(fixture.subject.ledgerOf("w0")->deferred().bytes > 0);
+        check(fixture.subject.stats().preemptedForMemory == 0);
+        fixture.submit(batchTask("other", 0, {1'000, 2 * Gigabyte, 0}));
+        fixture.plan();
+        check(fixture.actionsOf<place_action>().empty());
     });
     section("memory in use comes near the worker's size: one task goes", [&] {
         uses({"season", 0}, 22);
         uses({"season", 1}, 22);
-        check(world.subject.stats().preemptedForMemory == 1);
-        world.plan();
-        check(world.subject.stats().preemptedForMemory == 1);
+        check(fixture.subject.stats().preemptedForMemory == 1);
+        fixture.plan();
+        check(fixture.subject.stats().preemptedForMemory == 1);
     });
 }
 
 // Samples come twice, and a class learns to need more than any worker has.
 Test(placer, samples)
 {
-    scene world(1);
-    world.pending(batchTask("season", 0, {1'000, 30 * Gigabyte, 0}));
-    const auto placed = world.start();
+    placer_fixture fixture(1);
+    fixture.submit(batchTask("season", 0, {1'000, 30 * Gigabyte, 0}));
+    const auto placed = fixture.planAndRun();
     const auto sample = [&](int index, std::int64_t gigabytes) {
-        world.subject.usageSampled(
-                {{"season", index}, "w0", {1, gigabytes * Gigabyte, 0}, world.now}, world.now);
+        fixture.subject.usageSampled(
+                {{"season", index}, "w0", {1, gigabytes * Gigabyte, 0}, fixture.now}, fixture.now);
     };
     section("a doubled sample counts once", [&] {
         sample(0, 20);
         sample(0, 20);
-        check(world.subject.stats().droppedSamples == 1);
+        check(fixture.subject.stats().droppedSamples == 1);
     });
     section("one that an earlier attempt left behind says nothing of this one", [&] {
-        world.subject.taskReleased({"season", 0}, "w0", world.now);
-        world.now += seconds(10);
-        require(world.start().size() == 1);
-        world.subject.usageSampled(
-                {{"season", 0}, "w0", {1, 50 * Gigabyte, 0}, world.now - seconds(5)}, world.now);
-        check(world.subject.stats().droppedSamples == 2);
-        world.plan();
-        check(world.taken<raise_action>().empty());
+        fixture.subject.taskReleased({"season", 0}, "w0", fixture.now);
+        fixture.now += seconds(10);
+        require(fixture.planAndRun().size() == 1);
+        fixture.subject.usageSampled(
+                {{"season", 0}, "w0", {1, 50 * Gigabyte, 0}, fixture.now - seconds(5)},
+                fixture.now);
+        check(fixture.subject.stats().droppedSamples == 2);
+        fixture.plan();
+        check(fixture.actionsOf<raise_action>().empty());
     });
     section("learning never makes impossible what may run as declared", [&] {
         for (int index = 1; index < 10; ++index) {
-            world.subject.taskEnded({"season", index - 1}, "w0", world.now);
-            world.pending(batchTask("season", index, {1'000, 30 * Gigabyte, 0}));
-            const auto next = world.start();
+            fixture.subject.taskEnded({"season", index - 1}, "w0", fixture.now);
+            fixture.submit(batchTask("season", index, {1'000, 30 * Gigabyte, 0}));
+            const auto next = fixture.planAndRun();
             require(next.size() == 1);
             check(next[0].reserved.bytes <= WorkerSize.bytes);
             sample(index, 58);
@@ -813,28 +821,28 @@
 {
     placer_settings settings;
     settings.avoidInterference = false;
-    scene world(1, settings);
-    world.pending(serviceTask("tickets", 0, {4'000, Gigabyte, 0}));
-    const auto service = world.start().at(0);
-    world.pending(batchTask("noisy", 0, {8'000, Gigabyte, 0}));
-    world.start();
-    world.now += seconds(60);
+    placer_fixture fixture(1, settings);
+    fixture.submit(serviceTask("tickets", 0, {4'000, Gigabyte, 0}));
+    const auto service = fixture.planAndRun().at(0);
+    fixture.submit(batchTask("noisy", 0, {8'000, Gigabyte, 0}));
+    fixture.planAndRun();
+    fixture.now += seconds(60);
     int actions = 0;
-    int passed = 0;
+    int elapsedSeconds = 0;
     time_point changed = Never;
-    for (; passed < 60 && actions < 2; ++passed) {
-        world.now += seconds(1);
-        const bool loud = world.now - seconds(40) <= changed;
-        world.latency(service, loud ? 8.0 : 2.5, seconds(40));
-        world.latency(service, loud ? 8.0 : 2.5, seconds(40)); // and twice
-        world.plan();
-        actions += static_cast<int>(world.actions.size());
-        changed = actions == 1 ? std::min(changed, world.now) : changed;
+    for (; elapsedSeconds < 60 && actions < 2; ++elapsedSeconds) {
+        fixture.now += seconds(1);
+        const bool isNoisy = fixture.now - seconds(40) <= changed;
+        fixture.reportLatency(service, isNoisy ? 8.0 : 2.5, seconds(40));
+        fixture.reportLatency(service, isNoisy ? 8.0 : 2.5, seconds(40)); // and twice
+        fixture.plan();
+        actions += static_cast<int>(fixture.actions.size());
+        changed = actions == 1 ? std::min(changed, fixture.now) : changed;
     }
     section("the second action waits for samples from after the first", [&] {
         check(actions == 2);
-        check(passed >= 40 + 2 * static_cast<int>(settings.signal.slices));
-        check(world.subject.stats().droppedSamples == static_cast<std::uint64_t>(passed));
+        check(elapsedSeconds >= 40 + 2 * static_cast<int>(settings.signal.windowSamples));
+        check(fixture.subject.stats().droppedSamples == static_cast<std::uint64_t>(elapsedSeconds));
     });
 }
 
@@ -846,12 +854,12 @@
     placer_settings settings;
     settings.weights = {0.7, 0.2, 0.1};
     settings.avoidInterference = false; // the wave is there already
-    scene world(12, settings);
-    world.pending(serviceTask("tickets", 0, {4'000, Gigabyte, 0}), 12);
-    const auto services = world.start();
-    world.pending(batchTask("noisy", 0, {4'000, Gigabyte, 0}), 36);
+    placer_fixture fixture(12, settings);
+    fixture.submit(serviceTask("tickets", 0, {4'000, Gigabyte, 0}), 12);
+    const auto services = fixture.planAndRun();
+    fixture.submit(batchTask("noisy", 0, {4'000, Gigabyte, 0}), 36);
     std::map<task_ref, std::pair<std::string, double>> noisy; // worker and processors
-    for (const auto &placed : world.start())
+    for (const auto &placed : fixture.planAndRun())
         noisy[placed.task] = {placed.worker, 4.0};
     double noise = 0.3; // log slowdown for each processor
     int throttled = 0;
@@ -859,25 +867,25 @@
     std::map<std::string, time_point> lastAction;
     duration shortestPause = std::chrono::hours(1);
     const auto step = [&] {
-        world.now += seconds(2);
+        fixture.now += seconds(2);
         for (const auto &service : services) {
             double load = 0;
             for (const auto &[task, where] : noisy)
                 load += where.first == service.worker ? where.second : 0;
-            world.latency(service, std::exp(noise * load - 0.3), seconds(1));
+            fixture.reportLatency(service, std::exp(noise * load - 0.3), seconds(1));
         }
-        world.plan();
-        for (const auto &action : world.taken<throttle_action>()) {
+        fixture.plan();
+        for (const auto &action : fixture.actionsOf<throttle_action>()) {
             ++throttled;
             noisy[action.task].second = static_cast<double>(action.millicores) / 1000;
             if (lastAction.contains(action.worker))
-                shortestPause = std::min(shortestPause, world.now - lastAction[action.worker]);
-            lastAction[action.worker] = world.now;
+                shortestPause = std::min(shortestPause, fixture.now - lastAction[action.worker]);
+            lastAction[action.worker] = fixture.now;
         }
-        for (const auto &action : world.taken<preempt_action>()) {
+        for (const auto &action : fixture.actionsOf<preempt_action>()) {
             ++evicted;
             noisy.erase(action.victim);
-            world.subject.taskEnded(action.victim, action.worker, world.now);
+            fixture.subject.taskEnded(action.victim, action.worker, fixture.now);
         }
     };
     const auto minutes = [&](int count) {
@@ -893,7 +901,7 @@
     section("then no more are evicted than the budget allows", [&] {
         minutes(20);
         check(evicted >= 3 && evicted <= 4);
-        check(world.subject.stats().budgetSpent > 0);
+        check(fixture.subject.stats().evictionsOverBudget > 0);
     });
     section("calm gives the processors back, step by step", [&] {
         noise = 0;
@@ -909,58 +917,58 @@
 // room and attracts the next tasks.
 Test(placer, workerThatFailsEverything)
 {
-    scene world(12);
+    placer_fixture fixture(12);
     for (int job = 0; job < 30; ++job)
-        world.pending(batchTask("job-" + std::to_string(job), 0, {4'000, 4 * Gigabyte, 0}));
-    std::string bad;
+        fixture.submit(batchTask("job-" + std::to_string(job), 0, {4'000, 4 * Gigabyte, 0}));
+    std::string failingWorker;
     int failures = 0;
     for (int second = 0; second < 600; ++second) {
-        world.now += seconds(1);
-        for (const auto &placed : world.start()) {
-            bad = bad.empty() ? placed.worker : bad;
-            if (placed.worker != bad)
+        fixture.now += seconds(1);
+        for (const auto &placed : fixture.planAndRun()) {
+            failingWorker = failingWorker.empty() ? placed.worker : failingWorker;
+            if (placed.worker != failingWorker)
                 continue;
             ++failures;
-            world.subject.taskFailed(placed.task, placed.worker, "disk error", world.now);
+            fixture.subject.taskFailed(placed.task, placed.worker, "disk error", fixture.now);
         }
     }
     section("it costs a few failures and single probes, and no job is quarantined", [&] {
         check(failures >= 3 && failures <= 8);
-        check(world.subject.stats().refusedQuarantined == 0);
-        check(world.subject.pendingTasks() == 0);
+        check(fixture.subject.stats().refusedQuarantined == 0);
+        check(fixture.subject.pendingTaskCount() == 0);
     });
     section("it is taken again when a probe succeeds", [&] {
-        world.pending(batchTask("fill", 0, {4'000, 4 * Gigabyte, 0}), 100);
+        fixture.submit(batchTask("fill", 0, {4'000, 4 * Gigabyte, 0}), 100);
         for (int minute = 0; minute < 120; ++minute) {
-            world.now += std::chrono::minutes(1);
-            for (const auto &placed : world.start()) {
-                if (placed.worker == bad)
-                    world.subject.taskEnded(placed.task, placed.worker, world.now);
+            fixture.now += std::chrono::minutes(1);
+            for (const auto &placed : fixture.planAndRun()) {
+                if (placed.worker == failingWorker)
+                    fixture.subject.taskEnded(placed.task, placed.worker, fixture.now);
             }
         }
-        check(world.subject.pendingTasks() <= 75);
+        check(fixture.subject.pendingTaskCount() <= 75);
     });
 }
 
 Test(placer, badJob)
 {
-    scene world(6);
-    world.pending(batchTask("broken", 0, {1'000, Gigabyte, 0}), 50);
+    placer_fixture fixture(6);
+    fixture.submit(batchTask("broken", 0, {1'000, Gigabyte, 0}), 50);
     int failures = 0;
-    int told = 0;
+    int reportedRefusals = 0;
     for (int second = 0; second < 100; ++second) {
-        world.now += seconds(1);
-        for (const auto &placed : world.start()) {
+        fixture.now += seconds(1);
+        for (const auto &placed : fixture.planAndRun()) {
             ++failures;
-            world.subject.taskFailed(placed.task, placed.worker, "no such file", world.now);
+            fixture.subject.taskFailed(placed.task, placed.worker, "no such file", fixture.now);
         }
-        told += static_cast<int>(world.taken<refuse_action>().size());
+        reportedRefusals += static_cast<int>(fixture.actionsOf<refuse_action>().size());
     }
     section("it is quarantined once it failed on three workers, and says so once", [&] {
-        check(told == 1);
+        check(reportedRefusals == 1);
         check(failures <= 200);
-        check(world.subject.pendingTasks() == 50); // none is lost
-        check(world.subject.explain({"broken", 0}, world.now).find("no such file")
+        check(fixture.subject.pendingTaskCount() == 50); // none is lost
+        check(fixture.subject.explain({"broken", 0}, fixture.now).find("no such file")
               != std::string::npos);
     });
 }
--- a/tests/shard_world.h
+++ b/tests/shard_world.h
@@ -165,7 +165,7 @@
     static placement::placer_settings settings()
     {
         placement::placer_settings out;
-        out.sizes.processorFloor = 1.0;
+        out.sizes.minProcessorShare = 1.0;
         out.weights = {0.7, 0.2, 0.1}; // Mtkvari's
         return out;
     }
