--- a/app/keeper_duty.cpp
+++ b/app/keeper_duty.cpp
@@ -15,14 +15,14 @@
 constexpr milliseconds UsageEvery{2000};
 constexpr int ConflictStatus = 409;
 
-work::keeper_settings keeperSettings(const config::agent_settings &settings)
+work::supervisor_settings keeperSettings(const config::agent_settings &settings)
 {
-    work::keeper_settings out;
+    work::supervisor_settings out;
     out.leases.taskLease = settings.lease.taskLease;
-    out.leases.margin = settings.lease.clockMargin;
-    out.reportEvery = std::max(settings.lease.report, settings.lease.renew);
-    out.repeatEvery = settings.lease.renew;
-    out.listEvery = settings.lease.renew;
+    out.leases.safetyMargin = settings.lease.clockMargin;
+    out.reportInterval = std::max(settings.lease.report, settings.lease.renew);
+    out.repeatInterval = settings.lease.renew;
+    out.listInterval = settings.lease.renew;
     return out;
 }
 
@@ -69,8 +69,8 @@
 
 Json::Value keeper_duty::grant(const Json::Value &parameters)
 {
-    if (!m_duty->post(
-                work::keeper_event{work::grant_received{work::workerGrantFromJson(parameters)}}))
+    if (!m_duty->post(work::supervisor_event{
+                work::grant_received{work::workerGrantFromJson(parameters)}}))
         m_metrics.count("ring_full_total", "grant");
     return Json::Value(Json::objectValue);
 }
@@ -86,7 +86,7 @@
 
 void keeper_duty::handle(event &what)
 {
-    if (const auto *input = std::get_if<work::keeper_event>(&what))
+    if (const auto *input = std::get_if<work::supervisor_event>(&what))
         feed(*input);
     else if (const auto *answer = std::get_if<report_answered>(&what))
         answered(*answer);
@@ -95,18 +95,18 @@
     else if (const auto *measured = std::get_if<usage_measured>(&what))
         sendUsage(*measured);
     else
-        m_usage.startAgain();
+        m_usage.requestFullReport();
 }
 
 void keeper_duty::throttle(const throttle_asked &what)
 {
-    for (const auto &running : m_keeper.occupying()) {
+    for (const auto &running : m_keeper.occupyingTasks()) {
         if (running.attempt.task == what.task)
             limitWorker(running.attempt, what.millicores);
     }
 }
 
-void keeper_duty::perform(const work::worker_limit &action)
+void keeper_duty::perform(const work::worker_cpu_limit &action)
 {
     limitWorker(action.attempt, action.millicores);
 }
@@ -114,28 +114,28 @@
 void keeper_duty::limitWorker(const work::task_attempt &attempt, std::int64_t millicores)
 {
     constexpr std::int64_t Percent = 100;
-    for (const auto &running : m_keeper.occupying()) {
+    for (const auto &running : m_keeper.occupyingTasks()) {
         if (running.attempt != attempt)
             continue;
-        const auto whole = std::max<std::int64_t>(work::declaredIn(running.spec).millicores, 1);
+        const auto whole = std::max<std::int64_t>(work::declaredSize(running.spec).millicores, 1);
         const auto part = std::min(millicores * Percent / whole, Percent);
         auto body = attemptJson(attempt);
         body["percent"] = Json::Int64(millicores == 0 ? Percent : part);
         callWorker("/throttle", body, [this, attempt] {
-            m_duty->post(work::keeper_event{work::limit_unsettled{attempt}});
+            m_duty->post(work::supervisor_event{work::cpu_limit_unconfirmed{attempt}});
         });
     }
 }
 
 void keeper_duty::tick()
 {
-    feed(work::keeper_tick{});
+    feed(work::supervisor_tick{});
     const auto now = monotonic_clock::now();
     if (now >= m_usageAt)
         askUsage(now);
 }
 
-void keeper_duty::feed(const work::keeper_event &what)
+void keeper_duty::feed(const work::supervisor_event &what)
 {
     for (const auto &action : m_keeper.handle(what, monotonic_clock::now()))
         std::visit([this](const auto &each) { perform(each); }, action);
@@ -177,7 +177,7 @@
         }
         try {
             const auto listing = work::workerListingFromJson(parseJson(response->body));
-            m_duty->post(work::keeper_event{work::listing_received{listing}});
+            m_duty->post(work::supervisor_event{work::listing_received{listing}});
         } catch (const error &) {
             m_metrics.count("worker_calls_failed_total", "bad_listing");
         }
@@ -208,7 +208,7 @@
             return;
         try {
             const auto listing = countMember(parseJson(response->body), "listing");
-            m_duty->post(work::keeper_event{work::start_refused{attempt, listing}});
+            m_duty->post(work::supervisor_event{work::start_refused{attempt, listing}});
         } catch (const error &) {
             m_metrics.count("worker_calls_failed_total", "bad_refusal");
         }
@@ -302,7 +302,7 @@
     }
 }
 
-void keeper_duty::perform(const work::count_keeper &action)
+void keeper_duty::perform(const work::increment_counter &action)
 {
     m_metrics.count("tasks_kept_total", nameOf(action.reason));
 }
@@ -310,7 +310,7 @@
 void keeper_duty::askUsage(time_point now)
 {
     m_usageAt = now + UsageEvery;
-    if (m_keeper.occupying().empty())
+    if (m_keeper.occupyingTasks().empty())
         return;
     m_workerLane->post([this] {
         const auto askedAt = monotonic_clock::now();
@@ -333,10 +333,10 @@
         const auto now = monotonic_clock::now();
         const auto measured = work::usageReportFromJson(what.answer);
         if (m_usageOwner != m_owner)
-            m_usage.startAgain();
+            m_usage.requestFullReport();
         m_usageOwner = m_owner;
         Json::Value parameters(Json::objectValue);
-        addToJson(parameters, m_usage.next(measured.tasks, now));
+        addToJson(parameters, m_usage.nextReport(measured.tasks, now));
         const auto age = milliseconds(integerMember(what.answer, "age_ms"))
                          + std::chrono::duration_cast<milliseconds>(now - what.askedAt);
         parameters["age_ms"] = Json::Int64(age.count());
@@ -363,7 +363,7 @@
 bool keeper_duty::fits(const work::task_id &task, const resources &amount) const
 {
     const auto &size = m_settings.worker.size;
-    return (m_keeper.occupiedBeside(task) + amount)
+    return (m_keeper.occupiedByOthers(task) + amount)
             .fitsIn({size.millicores, size.bytes, size.accelerators});
 }
 
--- a/app/keeper_duty.h
+++ b/app/keeper_duty.h
@@ -56,21 +56,21 @@
     };
     struct usage_unanswered // by the owner
     { };
-    using event = std::variant<work::keeper_event, report_answered, throttle_asked, usage_measured,
-                               usage_unanswered>;
+    using event = std::variant<work::supervisor_event, report_answered, throttle_asked,
+                               usage_measured, usage_unanswered>;
 
     void handle(event &what);
     void tick();
-    void feed(const work::keeper_event &what);
+    void feed(const work::supervisor_event &what);
     void perform(const work::worker_list &action);
     void perform(const work::worker_start &action);
     void perform(const work::worker_renew &action);
     void perform(const work::worker_stop &action);
     void perform(const work::worker_checkpoint &action);
-    void perform(const work::worker_limit &action);
+    void perform(const work::worker_cpu_limit &action);
     void perform(const work::worker_forget &action);
     void perform(const work::send_report &action);
-    void perform(const work::count_keeper &action);
+    void perform(const work::increment_counter &action);
     void answered(const report_answered &what);
     void sendReport(std::size_t entry, const Json::Value &parameters);
     void throttle(const throttle_asked &what);
@@ -91,7 +91,7 @@
     http_pool m_worker;
 
     // Touched by the duty's thread alone.
-    work::task_keeper m_keeper;
+    work::task_supervisor m_keeper;
     std::size_t m_owner = 0;                    // index of the entry that answered as owner
     time_point m_askOwnerUntil{};               // then every entry is asked
     std::vector<work::worker_renew> m_renewals; // of the event being handled
--- a/app/owned_shard.cpp
+++ b/app/owned_shard.cpp
@@ -72,38 +72,39 @@
 
 } // namespace
 
-owned_shard::owned_shard(const work::table_owner &owner, const std::string &operationPrefix,
-                         const work::table_settings &tableSettings,
+owned_shard::owned_shard(const work::shard_tenure &owner, const std::string &operationPrefix,
+                         const work::coordinator_settings &tableSettings,
                          const placement::placer_settings &placerSettings, std::size_t shards,
                          metrics &counters, const logger &log)
     : m_owner(owner)
     , m_table(owner, operationPrefix, tableSettings)
     , m_quotas(owner.shard, owner.shardVersion, operationPrefix, work::quota_settings{shards})
     , m_leases(tableSettings.leases)
-    , m_backlogPerWorker(tableSettings.aheadTasks)
+    , m_backlogPerWorker(tableSettings.maxBacklogPerWorker)
     , m_placer(placerSettings)
     , m_shards(shards)
     , m_metrics(counters)
     , m_log(log)
 { }
 
-std::vector<work::table_action> owned_shard::handle(const work::table_event &event, time_point now)
+std::vector<work::coordinator_action> owned_shard::handle(const work::coordinator_event &event,
+                                                          time_point now)
 {
     auto actions = m_table.handle(event, now);
-    if (const auto *write = std::get_if<work::write_settled>(&event)) {
+    if (const auto *write = std::get_if<work::write_answered>(&event)) {
         for (auto &action : m_quotas.handle(*write, now))
             std::visit([&](auto &one) { actions.emplace_back(std::move(one)); }, action);
     }
     if (const auto *rows = std::get_if<work::rows_read>(&event))
         m_quotas.handle(*rows);
-    if (m_table.ready() && !m_adopted)
+    if (m_table.isReady() && !m_adopted)
         adopt(now);
     for (const auto &action : actions) {
-        if (const auto *change = std::get_if<work::task_settled>(&action))
+        if (const auto *change = std::get_if<work::task_changed>(&action))
             settled(*change, now);
-        else if (const auto *reason = std::get_if<work::table_count>(&action))
+        else if (const auto *reason = std::get_if<work::coordinator_counter>(&action))
             m_metrics.count("work_total", nameOf(*reason));
-        else if (const auto *store = std::get_if<work::store_count>(&action))
+        else if (const auto *store = std::get_if<work::store_counter>(&action))
             m_metrics.count("work_table_total", nameOf(*store));
     }
     return actions;
@@ -113,22 +114,22 @@
 void owned_shard::adopt(time_point now)
 {
     m_adopted = true;
-    for (const auto &[task, record] : m_table.occupying()) {
+    for (const auto &[task, record] : m_table.occupyingTasks()) {
         const auto *job = m_table.job(task.job);
         placement::task_spec spec;
         spec.jobId = task.job;
         spec.taskIndex = static_cast<std::int32_t>(task.index);
         if (job != nullptr) {
-            spec.declared = work::declaredIn(job->spec.spec);
+            spec.declared = work::declaredSize(job->spec.taskSpec);
         }
         m_bySizeAlone.insert(task);
         m_placer.taskPlaced(spec, record.worker, spec.declared, stateOf(record.state), now);
-        if (record.ahead)
+        if (record.isBacklogged)
             m_adoptedAhead[task] = now + 2 * work::safeWait(m_leases.grantLease, m_leases);
     }
 }
 
-void owned_shard::settled(const work::task_settled &change, time_point now)
+void owned_shard::settled(const work::task_changed &change, time_point now)
 {
     const auto ref = refOf(change.task);
     switch (change.change) {
@@ -139,12 +140,12 @@
     case work::task_change::Started:
         m_placer.taskRunning(ref, change.worker, now);
         break;
-    case work::task_change::Vacated:
+    case work::task_change::EndReported:
         // While the table is down nothing else would make room for the backlog.
         if (change.state == work::task_state::Done)
             m_placer.taskEnded(ref, change.worker, now);
         break; // other room is given away once the table holds the end
-    case work::task_change::Freed: {
+    case work::task_change::Requeued: {
         logTask("task_freed", change);
         const auto failures = m_table.find(change.task).failures;
         auto &seen = m_failures[change.task];
@@ -174,7 +175,7 @@
     }
 }
 
-void owned_shard::logTask(std::string_view event, const work::task_settled &change) const
+void owned_shard::logTask(std::string_view event, const work::task_changed &change) const
 {
     Json::Value fields(Json::objectValue);
     fields["task"] = work::textOf(change.task);
@@ -185,23 +186,23 @@
     m_log.info(event, fields);
 }
 
-std::vector<work::table_action>
+std::vector<work::coordinator_action>
 owned_shard::follow(const adopted_configuration &adopted,
                     const std::map<std::string, worker_place> &workers, time_point now)
 {
-    std::vector<work::table_action> actions;
-    if (!m_table.ready())
+    std::vector<work::coordinator_action> actions;
+    if (!m_table.isReady())
         return actions;
     followWorkers(workers, now);
     if (!adopted.whole || adopted.generation <= m_generation)
         return actions;
     // Taken over before this entry has heard of the newest generation: it comes within seconds.
-    if (adopted.generation < m_table.followed()) {
-        m_metrics.count("work_total", nameOf(work::table_count::StaleGeneration));
+    if (adopted.generation < m_table.appliedGeneration()) {
+        m_metrics.count("work_total", nameOf(work::coordinator_counter::StaleGeneration));
         return actions;
     }
     m_generation = adopted.generation;
-    feed(work::generation_followed{adopted.generation}, actions, now);
+    feed(work::generation_applied{adopted.generation}, actions, now);
     m_teamLimits.clear();
     for (const auto &[name, team] : adopted.whole->teams) {
         m_placer.setTeam({name, team.weight, team.quota, {}});
@@ -215,9 +216,9 @@
         work::job_spec job;
         job.id = jobIdFor(name, adopted.generation);
         job.generation = adopted.generation;
-        job.tasks = static_cast<std::uint32_t>(service.replicas);
-        job.service = true;
-        job.spec = workerSpec(service.size, milliseconds(0));
+        job.taskCount = static_cast<std::uint32_t>(service.replicas);
+        job.isService = true;
+        job.taskSpec = workerSpec(service.size, milliseconds(0));
         auto pattern = patternOf(name, service);
         pattern.kind = placement::task_kind::Service;
         pattern.replicas = static_cast<std::int32_t>(service.replicas);
@@ -229,8 +230,8 @@
         work::job_spec job;
         job.id = jobIdFor(name, adopted.generation);
         job.generation = adopted.generation;
-        job.tasks = static_cast<std::uint32_t>(batch.tasks);
-        job.spec = workerSpec(batch.size, batch.runTimeEstimate);
+        job.taskCount = static_cast<std::uint32_t>(batch.tasks);
+        job.taskSpec = workerSpec(batch.size, batch.runTimeEstimate);
         auto pattern = patternOf(name, batch);
         pattern.replicas = static_cast<std::int32_t>(batch.tasks);
         wanted.insert(job.id);
@@ -247,7 +248,7 @@
     const auto prefix = name + GenerationMark;
     for (const auto &id : m_table.jobs()) {
         const auto *job = m_table.job(id);
-        if (id.compare(0, prefix.size(), prefix) == 0 && job != nullptr && !job->cancelled)
+        if (id.compare(0, prefix.size(), prefix) == 0 && job != nullptr && !job->isCancelled)
             return id;
     }
     return prefix + std::to_string(generation);
@@ -258,32 +259,32 @@
 work::job_spec owned_shard::sliceOf(work::job_spec job) const
 {
     const auto shards = static_cast<std::uint32_t>(m_shards);
-    job.firstTask = static_cast<std::uint32_t>(m_owner.shard);
-    job.stride = shards;
-    job.tasks = (job.tasks + shards - 1 - job.firstTask) / shards;
+    job.firstTaskIndex = static_cast<std::uint32_t>(m_owner.shard);
+    job.indexStride = shards;
+    job.taskCount = (job.taskCount + shards - 1 - job.firstTaskIndex) / shards;
     return job;
 }
 
 void owned_shard::acceptJob(const work::job_spec &whole, const placement::task_spec &pattern,
-                            std::vector<work::table_action> &actions, time_point now)
+                            std::vector<work::coordinator_action> &actions, time_point now)
 {
     auto job = sliceOf(whole);
     job.failover = pattern.failover;
-    if (job.tasks == 0 && m_table.job(job.id) == nullptr)
+    if (job.taskCount == 0 && m_table.job(job.id) == nullptr)
         return; // none of it here; a known job may just have shrunk
     auto spec = pattern;
     spec.jobId = job.id;
     Json::Value fields(Json::objectValue);
     fields["job"] = job.id;
-    fields["first_task"] = job.firstTask;
-    fields["stride"] = job.stride;
-    fields["tasks"] = job.tasks;
-    fields["service"] = job.service;
+    fields["first_task"] = job.firstTaskIndex;
+    fields["stride"] = job.indexStride;
+    fields["tasks"] = job.taskCount;
+    fields["service"] = job.isService;
     fields["failover"] = std::string(nameOf(job.failover));
     fields["at_us"] = Json::Int64(now.time_since_epoch().count());
     m_log.info("job_accepted", fields);
     feed(work::job_accepted{job}, actions, now);
-    for (std::uint32_t position = 0; position < job.tasks; ++position) {
+    for (std::uint32_t position = 0; position < job.taskCount; ++position) {
         const auto index = work::taskIndexAt(job, position);
         const auto record = m_table.find({job.id, index});
         spec.taskIndex = static_cast<std::int32_t>(index);
@@ -309,11 +310,11 @@
 }
 
 void owned_shard::cancelMissing(const std::set<std::string> &wanted,
-                                std::vector<work::table_action> &actions, time_point now)
+                                std::vector<work::coordinator_action> &actions, time_point now)
 {
     for (const auto &id : m_table.jobs()) {
         const auto *job = m_table.job(id);
-        if (wanted.count(id) > 0 || job == nullptr || job->cancelled)
+        if (wanted.count(id) > 0 || job == nullptr || job->isCancelled)
             continue;
         m_placer.cancelJob(id, now);
         Json::Value fields(Json::objectValue);
@@ -327,7 +328,7 @@
 void owned_shard::followWorkers(const std::map<std::string, worker_place> &workers, time_point now)
 {
     for (const auto &[id, place] : workers) {
-        const bool usable = m_table.mayPlaceOn(id) && place.serving;
+        const bool usable = m_table.canPlaceOn(id) && place.serving;
         if (usable && m_workers.insert(id).second)
             m_placer.addWorker(place.worker, now);
         else if (!usable && m_workers.erase(id) > 0)
@@ -335,14 +336,14 @@
     }
 }
 
-std::vector<work::table_action> owned_shard::plan(time_point now)
+std::vector<work::coordinator_action> owned_shard::plan(time_point now)
 {
-    std::vector<work::table_action> actions;
+    std::vector<work::coordinator_action> actions;
     if (!m_adopted)
         return actions;
     shareQuotas(actions, now);
     decideAdopted(actions, now);
-    const bool down = m_table.tableDown(now);
+    const bool down = m_table.isTableDown(now);
     const auto scope = down ? placement::plan_scope::BacklogOnly : placement::plan_scope::All;
     for (const auto &decision : m_placer.plan(now, MostDecisions, scope)) {
         if (const auto *place = std::get_if<placement::place_action>(&decision)) {
@@ -353,7 +354,7 @@
         } else if (const auto *preempt = std::get_if<placement::preempt_action>(&decision)) {
             m_metrics.count("evictions_total", nameOf(preempt->reason));
             m_placer.taskStopping(preempt->victim, preempt->worker, now);
-            feed(work::evict_decided{idOf(preempt->victim)}, actions, now);
+            feed(work::eviction_decided{idOf(preempt->victim)}, actions, now);
         } else if (const auto *throttled = std::get_if<placement::throttle_action>(&decision)) {
             feed(limitFor(*throttled), actions, now);
         } else if (const auto *refused = std::get_if<placement::refuse_action>(&decision)) {
@@ -367,7 +368,7 @@
 }
 
 // Before each planning: what is held now decides which part may be yielded.
-void owned_shard::shareQuotas(std::vector<work::table_action> &actions, time_point now)
+void owned_shard::shareQuotas(std::vector<work::coordinator_action> &actions, time_point now)
 {
     if (m_shards < 2)
         return;
@@ -380,25 +381,25 @@
     for (auto &action : m_quotas.update(demands, now))
         std::visit([&](auto &one) { actions.emplace_back(std::move(one)); }, action);
     for (const auto &[team, limit] : m_teamLimits)
-        m_placer.setLocalTeamLimit(team, m_quotas.usable(team));
+        m_placer.setLocalTeamLimit(team, m_quotas.usableQuota(team));
 }
 
 // Whether an earlier owner let a task of a backlog start is not written. Until it is known the task
 // counts as placed, or the room and the quota that it uses would be given twice. An agent says so
 // of each task that runs in the first report after a grant has named it. One that was not named and
 // answered for within two leases has lapsed, so what nothing was heard of by then waits.
-void owned_shard::decideAdopted(std::vector<work::table_action> &actions, time_point now)
+void owned_shard::decideAdopted(std::vector<work::coordinator_action> &actions, time_point now)
 {
     for (auto next = m_adoptedAhead.begin(); next != m_adoptedAhead.end();) {
         auto &[task, waitsFrom] = *next;
         const auto record = m_table.find(task);
-        const bool open = record.ahead && record.state == work::task_state::Placed;
-        if (open && !m_table.mayPlaceOn(record.worker))
+        const bool open = record.isBacklogged && record.state == work::task_state::Placed;
+        if (open && !m_table.canPlaceOn(record.worker))
             waitsFrom = now + 2 * work::safeWait(m_leases.grantLease, m_leases);
         const bool fits = open && m_placer.isWithinLimits(refOf(task));
         const bool waits = open && !fits && now >= waitsFrom;
         if (fits)
-            feed(work::start_ahead_decided{task}, actions, now);
+            feed(work::backlog_start_decided{task}, actions, now);
         if (waits)
             m_placer.taskInBacklog(refOf(task), record.worker, now);
         next = !open || fits || waits ? m_adoptedAhead.erase(next) : std::next(next);
@@ -406,21 +407,21 @@
 }
 
 void owned_shard::decide(const placement::place_action &action,
-                         std::vector<work::table_action> &actions, time_point now)
+                         std::vector<work::coordinator_action> &actions, time_point now)
 {
     const auto task = idOf(action.task);
     const auto record = m_table.find(task);
     // The table may know better: a write on its way, or a worker that fell silent.
-    if (record.ahead && record.state == work::task_state::Placed
+    if (record.isBacklogged && record.state == work::task_state::Placed
         && record.worker == action.worker) {
         m_metrics.count("backlog_total", "started");
-        feed(work::start_ahead_decided{task}, actions, now);
+        feed(work::backlog_start_decided{task}, actions, now);
         const auto above = aboveDeclared(action.task, action.reserved);
         if (above != resources{})
             feed(work::reservation_raised{task, above}, actions, now);
-    } else if (m_table.placeable(task) && m_table.mayPlaceOn(action.worker)) {
-        feed(work::place_decided{task, action.worker, false,
-                                 aboveDeclared(action.task, action.reserved)},
+    } else if (m_table.isPlaceable(task) && m_table.canPlaceOn(action.worker)) {
+        feed(work::placement_decided{task, action.worker, false,
+                                     aboveDeclared(action.task, action.reserved)},
              actions, now);
     } else {
         m_placer.placementSettled(action.task, action.worker,
@@ -428,18 +429,18 @@
     }
 }
 
-void owned_shard::decideBacklog(std::vector<work::table_action> &actions, time_point now)
+void owned_shard::decideBacklog(std::vector<work::coordinator_action> &actions, time_point now)
 {
     const auto backlog = m_placer.planBacklog(now, m_backlogPerWorker);
     for (const auto &action : backlog.withdrawn) {
         m_metrics.count("backlog_total", "taken_back");
-        feed(work::evict_decided{idOf(action.task)}, actions, now);
+        feed(work::eviction_decided{idOf(action.task)}, actions, now);
     }
     for (const auto &action : backlog.assigned) {
         const auto task = idOf(action.task);
-        if (m_table.placeable(task) && m_table.mayPlaceOn(action.worker)) {
+        if (m_table.isPlaceable(task) && m_table.canPlaceOn(action.worker)) {
             m_metrics.count("backlog_total", "placed");
-            feed(work::place_decided{task, action.worker, true, {}}, actions, now);
+            feed(work::placement_decided{task, action.worker, true, {}}, actions, now);
         } else {
             m_placer.placementSettled(action.task, action.worker,
                                       placement::placement_outcome::NotApplied, now);
@@ -447,14 +448,14 @@
     }
 }
 
-void owned_shard::feed(const work::table_event &event, std::vector<work::table_action> &actions,
-                       time_point now)
+void owned_shard::feed(const work::coordinator_event &event,
+                       std::vector<work::coordinator_action> &actions, time_point now)
 {
     for (auto &action : handle(event, now))
         actions.push_back(std::move(action));
 }
 
-work::limit_decided owned_shard::limitFor(const placement::throttle_action &action)
+work::cpu_limit_decided owned_shard::limitFor(const placement::throttle_action &action)
 {
     const auto *book = m_placer.ledgerOf(action.worker);
     const auto *entry = book == nullptr ? nullptr : book->find(action.task);
@@ -473,7 +474,7 @@
                                      const resources &reserved) const
 {
     const auto *job = m_table.job(task.jobId);
-    const bool declared = job != nullptr && reserved.fitsIn(work::declaredIn(job->spec.spec));
+    const bool declared = job != nullptr && reserved.fitsIn(work::declaredSize(job->spec.taskSpec));
     return declared ? resources{} : reserved;
 }
 
@@ -488,7 +489,7 @@
     if (p99.count() <= 0)
         return; // no answers: that is no measurement, least of all of a very quick service
     const auto prefix = service + GenerationMark;
-    for (const auto &[task, record] : m_table.occupying()) {
+    for (const auto &[task, record] : m_table.occupyingTasks()) {
         const auto target = m_latencyTargets.find(task.job);
         if (record.worker != worker || target == m_latencyTargets.end()
             || task.job.compare(0, prefix.size(), prefix) != 0)
@@ -502,13 +503,13 @@
     Json::Value json(Json::objectValue);
     json["shard"] = m_owner.shard;
     json["epoch"] = Json::UInt64(m_owner.epoch);
-    json["table_down"] = m_table.tableDown(now);
+    json["table_down"] = m_table.isTableDown(now);
     json["pending"] = Json::UInt64(m_placer.pendingTaskCount());
     json["jobs"] = Json::Value(Json::objectValue);
     for (const auto &id : m_table.jobs()) {
         const auto *job = m_table.job(id);
         Json::Value states(Json::objectValue);
-        for (std::uint32_t position = 0; position < job->spec.tasks; ++position) {
+        for (std::uint32_t position = 0; position < job->spec.taskCount; ++position) {
             const work::task_id task{id, work::taskIndexAt(job->spec, position)};
             auto &count = states[std::string(nameOf(m_table.find(task).state))];
             count = count.asUInt() + 1;
@@ -536,7 +537,7 @@
 
 bool owned_shard::knows(const work::task_id &task) const
 {
-    return m_table.knows(task);
+    return m_table.hasTask(task);
 }
 
 std::string owned_shard::explain(const work::task_id &task, time_point now) const
--- a/app/owned_shard.h
+++ b/app/owned_shard.h
@@ -28,8 +28,8 @@
 class owned_shard
 {
 public:
-    owned_shard(const work::table_owner &owner, const std::string &operationPrefix,
-                const work::table_settings &tableSettings,
+    owned_shard(const work::shard_tenure &owner, const std::string &operationPrefix,
+                const work::coordinator_settings &tableSettings,
                 const placement::placer_settings &placerSettings, std::size_t shards,
                 metrics &counters, const logger &log);
 
@@ -37,47 +37,51 @@
     std::uint64_t epoch() const { return m_owner.epoch; }
 
     // Each returns what the daemon must do at the table and at the agents.
-    std::vector<work::table_action> handle(const work::table_event &event, time_point now);
+    std::vector<work::coordinator_action> handle(const work::coordinator_event &event,
+                                                 time_point now);
     // Brings jobs, teams, pools and workers up to date.
-    std::vector<work::table_action> follow(const adopted_configuration &adopted,
-                                           const std::map<std::string, worker_place> &workers,
-                                           time_point now);
+    std::vector<work::coordinator_action> follow(const adopted_configuration &adopted,
+                                                 const std::map<std::string, worker_place> &workers,
+                                                 time_point now);
     // Decides placements, evictions and throttles.
-    std::vector<work::table_action> plan(time_point now);
+    std::vector<work::coordinator_action> plan(time_point now);
 
     void usageSampled(const placement::usage_sample &sample, time_point now);
     void latencySampled(const std::string &worker, const std::string &service, microseconds p99,
                         time_point measuredAt, time_point now);
 
-    work::quiet_workers quietWorkers(time_point now) const { return m_table.quietWorkers(now); }
+    work::unresponsive_workers quietWorkers(time_point now) const
+    {
+        return m_table.unresponsiveWorkers(now);
+    }
     Json::Value status(time_point now) const;
     std::string explain(const work::task_id &task, time_point now) const;
     bool knows(const work::task_id &task) const;
 
 private:
-    void decide(const placement::place_action &action, std::vector<work::table_action> &actions,
-                time_point now);
-    void shareQuotas(std::vector<work::table_action> &actions, time_point now);
-    void decideAdopted(std::vector<work::table_action> &actions, time_point now);
-    void decideBacklog(std::vector<work::table_action> &actions, time_point now);
-    void feed(const work::table_event &event, std::vector<work::table_action> &actions,
+    void decide(const placement::place_action &action,
+                std::vector<work::coordinator_action> &actions, time_point now);
+    void shareQuotas(std::vector<work::coordinator_action> &actions, time_point now);
+    void decideAdopted(std::vector<work::coordinator_action> &actions, time_point now);
+    void decideBacklog(std::vector<work::coordinator_action> &actions, time_point now);
+    void feed(const work::coordinator_event &event, std::vector<work::coordinator_action> &actions,
               time_point now);
-    void settled(const work::task_settled &change, time_point now);
+    void settled(const work::task_changed &change, time_point now);
     void adopt(time_point now);
     void acceptJob(const work::job_spec &job, const placement::task_spec &pattern,
-                   std::vector<work::table_action> &actions, time_point now);
+                   std::vector<work::coordinator_action> &actions, time_point now);
     resources reservedFor(const placement::task_spec &task, const std::string &worker) const;
     void cancelMissing(const std::set<std::string> &wanted,
-                       std::vector<work::table_action> &actions, time_point now);
+                       std::vector<work::coordinator_action> &actions, time_point now);
     void followWorkers(const std::map<std::string, worker_place> &workers, time_point now);
     std::string jobIdFor(const std::string &name, std::uint64_t generation) const;
     work::job_spec sliceOf(work::job_spec job) const;
-    work::limit_decided limitFor(const placement::throttle_action &action);
+    work::cpu_limit_decided limitFor(const placement::throttle_action &action);
     resources aboveDeclared(const placement::task_ref &task, const resources &reserved) const;
-    void logTask(std::string_view event, const work::task_settled &change) const;
+    void logTask(std::string_view event, const work::task_changed &change) const;
 
-    work::table_owner m_owner;
-    work::task_table m_table;
+    work::shard_tenure m_owner;
+    work::task_coordinator m_table;
     work::quota_parts m_quotas;
     std::map<std::string, resources> m_teamLimits; // by team that has one
     work::lease_settings m_leases;                 //
--- a/app/schedule_duty.cpp
+++ b/app/schedule_duty.cpp
@@ -17,9 +17,9 @@
 work::lease_settings leaseSettings(const config::entry_settings &settings)
 {
     work::lease_settings leases;
-    leases.horizon = settings.lease;
+    leases.grantPeriod = settings.lease;
     leases.grantLease = settings.agentLease;
-    leases.margin = settings.clockMargin;
+    leases.safetyMargin = settings.clockMargin;
     return leases;
 }
 
@@ -154,7 +154,7 @@
     feedOwner(what);
 }
 
-void schedule_duty::on(work::shard_write_settled &what)
+void schedule_duty::on(work::shard_write_answered &what)
 {
     feedOwner(what);
 }
@@ -194,8 +194,8 @@
         const auto report = work::usageReportFromJson(what.parameters);
         auto *shard = shardOf(worker);
         if (shard == nullptr)
-            m_usage.forget(worker);
-        else if (const auto usage = m_usage.take(worker, report)) {
+            m_usage.forgetWorker(worker);
+        else if (const auto usage = m_usage.applyReport(worker, report)) {
             for (const auto &[task, used] : *usage) {
                 placement::usage_sample sample;
                 sample.task = {task.job, static_cast<std::int32_t>(task.index)};
@@ -244,7 +244,7 @@
 void schedule_duty::on(work::release_shards &what)
 {
     m_releasing = true;
-    what.quiet = quietWorkers();
+    what.unresponsive = quietWorkers();
     feedOwner(what);
 }
 
@@ -256,19 +256,19 @@
     if (isPlanDue)
         m_planAt = now + m_settings.placement.tick;
     feedOwner(work::ownership_tick{quietWorkers()});
-    m_drained = m_releasing && m_owner.released();
+    m_drained = m_releasing && m_owner.isReleased();
     // `handle` may discard a shard: walk over the numbers, not over the map.
     std::vector<int> numbers;
     for (const auto &[number, shard] : m_shards)
         numbers.push_back(number);
     for (const auto number : numbers) {
-        const auto feed = [&](const work::table_event &input) {
+        const auto feed = [&](const work::coordinator_event &input) {
             const auto found = m_shards.find(number);
             if (found != m_shards.end())
                 performAll(*found->second, found->second->handle(input, monotonic_clock::now()));
         };
-        feed(work::horizon_moved{m_owner.mayGrantUntil(number)});
-        feed(work::table_tick{});
+        feed(work::grant_deadline_changed{m_owner.mayGrantUntil(number)});
+        feed(work::coordinator_tick{});
         const auto found = m_shards.find(number);
         if (found == m_shards.end() || m_releasing)
             continue;
@@ -279,9 +279,9 @@
     }
 }
 
-std::map<int, work::quiet_workers> schedule_duty::quietWorkers() const
+std::map<int, work::unresponsive_workers> schedule_duty::quietWorkers() const
 {
-    std::map<int, work::quiet_workers> quiet;
+    std::map<int, work::unresponsive_workers> quiet;
     for (const auto &[number, shard] : m_shards)
         quiet[number] = shard->quietWorkers(monotonic_clock::now());
     return quiet;
@@ -297,10 +297,10 @@
 {
     const bool queued = m_platform.run([this, action](platform_client &platform) {
         const auto result = platform.commit(action.transaction);
-        m_duty->post(work::shard_write_settled{action.transaction.operationId, result});
+        m_duty->post(work::shard_write_answered{action.transaction.operationId, result});
     });
     if (!queued)
-        m_duty->post(work::shard_write_settled{action.transaction.operationId, NotSent});
+        m_duty->post(work::shard_write_answered{action.transaction.operationId, NotSent});
 }
 
 void schedule_duty::perform(const work::scan_shards & /*action*/)
@@ -318,14 +318,14 @@
     fields["shard"] = action.shard;
     fields["epoch"] = Json::UInt64(action.epoch);
     m_log.info("shard_owned", fields);
-    work::table_settings settings;
+    work::coordinator_settings settings;
     settings.leases = leaseSettings(m_settings);
-    settings.store.groupRows = m_settings.placement.maxTasksPerCommit;
-    settings.store.chunkTasks *= static_cast<std::uint32_t>(m_settings.shards);
-    settings.aheadTasks = m_settings.placement.backlogPerWorker;
-    settings.startAheadWhenDown = false; // the placer counts each start
-    const work::table_owner owner{action.shard, action.epoch, action.shardVersion,
-                                  action.waitForSilentUntil, action.quiet};
+    settings.store.maxRowsPerCommit = m_settings.placement.maxTasksPerCommit;
+    settings.store.tasksPerChunk *= static_cast<std::uint32_t>(m_settings.shards);
+    settings.maxBacklogPerWorker = m_settings.placement.backlogPerWorker;
+    settings.startsBacklogWhenDown = false; // the placer counts each start
+    const work::shard_tenure owner{action.shard, action.epoch, action.shardVersion,
+                                   action.earlierLeasesEndAt, action.unresponsive};
     const auto prefix = m_self.unique() + "/work-" + std::to_string(action.shard) + "-"
                         + std::to_string(action.epoch);
     m_shards[action.shard] =
@@ -341,7 +341,8 @@
     m_shards.erase(action.shard);
 }
 
-void schedule_duty::performAll(owned_shard &shard, const std::vector<work::table_action> &actions)
+void schedule_duty::performAll(owned_shard &shard,
+                               const std::vector<work::coordinator_action> &actions)
 {
     for (const auto &action : actions) {
         if (const auto *commit = std::get_if<work::commit_rows>(&action))
@@ -365,7 +366,7 @@
                     static_cast<double>(action.transaction.writes.size()));
     const auto answer = [this, id = action.transaction.operationId, number,
                          epoch](const write_result &result) {
-        m_duty->post(table_answer{number, epoch, work::write_settled{id, result}});
+        m_duty->post(table_answer{number, epoch, work::write_answered{id, result}});
     };
     const bool queued = m_platform.run([action, answer](platform_client &platform) {
         answer(platform.commit(action.transaction));
--- a/app/schedule_duty.h
+++ b/app/schedule_duty.h
@@ -69,17 +69,17 @@
     {
         int shard = 0;
         std::uint64_t epoch = 0;
-        work::table_event answer;
+        work::coordinator_event answer;
     };
     using event = std::variant<members_snapshot, adopted_configuration, work::shard_rows_read,
-                               work::shard_write_settled, table_answer, report_heard, usage_heard,
+                               work::shard_write_answered, table_answer, report_heard, usage_heard,
                                status_asked, explain_asked, work::release_shards>;
 
     void handle(event &what);
     void on(members_snapshot &what);
     void on(adopted_configuration &what);
     void on(work::shard_rows_read &what);
-    void on(work::shard_write_settled &what);
+    void on(work::shard_write_answered &what);
     void on(table_answer &what);
     void on(report_heard &what);
     void on(usage_heard &what);
@@ -88,13 +88,13 @@
     void on(work::release_shards &what);
     void tick();
 
-    std::map<int, work::quiet_workers> quietWorkers() const;
+    std::map<int, work::unresponsive_workers> quietWorkers() const;
     void feedOwner(const work::ownership_event &what);
     void perform(const work::commit_shard &action);
     void perform(const work::scan_shards &action);
     void perform(const work::became_owner &action);
     void perform(const work::lost_shard &action);
-    void performAll(owned_shard &shard, const std::vector<work::table_action> &actions);
+    void performAll(owned_shard &shard, const std::vector<work::coordinator_action> &actions);
     void commitRows(const owned_shard &shard, const work::commit_rows &action);
     void readRows(const owned_shard &shard, std::vector<std::string> keys, std::string prefix);
     void sendGrant(const work::worker_grant &grant);
@@ -110,10 +110,10 @@
 
     // Touched by the duty's thread alone.
     std::vector<work::shard_info> m_shardInfos;
-    work::shard_owner m_owner;
+    work::shard_ownership m_owner;
     std::map<int, std::unique_ptr<owned_shard>> m_shards;
     std::map<std::string, worker_place> m_workers; // by worker id
-    work::usage_book m_usage;                      // of the workers of the own shards
+    work::usage_tracker m_usage;                   // of the workers of the own shards
     adopted_configuration m_configuration;
     std::optional<work::worker_grant> m_replyGrant; // to the report being handled
     std::optional<work::agent_report> m_handling;   // the report being handled
--- a/libs/work/messages.cpp
+++ b/libs/work/messages.cpp
@@ -103,14 +103,14 @@
              static_cast<std::int64_t>(countMember(value, "accelerators"))}};
 }
 
-Json::Value toJson(const task_limit &limit)
+Json::Value toJson(const cpu_limit &limit)
 {
     Json::Value value = work::toJson(limit.attempt);
     value["millicores"] = Json::Int64(limit.millicores);
     return value;
 }
 
-task_limit taskLimitFromJson(const Json::Value &value)
+cpu_limit cpuLimitFromJson(const Json::Value &value)
 {
     return {taskAttemptFromJson(value),
             static_cast<std::int64_t>(countMember(value, "millicores"))};
@@ -150,8 +150,8 @@
     task_id task{std::string(text.substr(0, slash)), 0};
     const auto digits = text.substr(slash + 1);
     const char *end = digits.data() + digits.size();
-    const auto [stop, problem] = std::from_chars(digits.data(), end, task.index);
-    if (problem != std::errc() || stop != end)
+    const auto [parsedEnd, conversionError] = std::from_chars(digits.data(), end, task.index);
+    if (conversionError != std::errc() || parsedEnd != end)
         throw error(error_kind::BadRequest, "task \"" + std::string(text) + "\": bad index");
     return task;
 }
@@ -188,8 +188,8 @@
     value["sequence"] = Json::UInt64(report.sequence);
     value["epoch"] = Json::UInt64(report.epoch);
     value["events"] = listToJson(report.events);
-    if (report.reservationsTaken > 0)
-        value["reservationsTaken"] = Json::UInt64(report.reservationsTaken);
+    if (report.ackedReservation > 0)
+        value["reservationsTaken"] = Json::UInt64(report.ackedReservation);
     return value;
 }
 
@@ -203,7 +203,7 @@
     report.epoch = countMember(value, "epoch");
     report.events = listFromJson(value, "events", taskEventFromJson);
     if (value.isMember("reservationsTaken")) // agents of earlier versions take none
-        report.reservationsTaken = countMember(value, "reservationsTaken");
+        report.ackedReservation = countMember(value, "reservationsTaken");
     return report;
 }
 
@@ -217,21 +217,21 @@
     value["session"] = grant.session;
     value["replyTo"] = Json::UInt64(grant.replyTo);
     value["leaseMs"] = Json::Int64(grant.lease.count());
-    value["ackedThrough"] = Json::UInt64(grant.ackedThrough);
-    value["startAhead"] = grant.startAhead;
+    value["ackedThrough"] = Json::UInt64(grant.ackedEvent);
+    value["startAhead"] = grant.mayStartBacklog;
     value["tasks"] = listToJson(grant.tasks);
     value["backlog"] = listToJson(grant.backlog);
     value["stops"] = listToJson(grant.stops);
-    value["checkpoints"] = listToJson(grant.checkpoints);
+    value["checkpoints"] = listToJson(grant.evictions);
     value["specs"] = Json::Value(Json::objectValue);
     for (const auto &[job, spec] : grant.specs)
         value["specs"][job] = spec;
     if (!grant.reservations.empty())
         value["reservations"] = listToJson(grant.reservations);
-    if (grant.reservationsThrough > 0)
-        value["reservationsThrough"] = Json::UInt64(grant.reservationsThrough);
-    if (grant.limits)
-        value["limits"] = listToJson(*grant.limits);
+    if (grant.newestReservation > 0)
+        value["reservationsThrough"] = Json::UInt64(grant.newestReservation);
+    if (grant.cpuLimits)
+        value["limits"] = listToJson(*grant.cpuLimits);
     return value;
 }
 
@@ -245,12 +245,12 @@
     grant.session = stringMember(value, "session");
     grant.replyTo = countMember(value, "replyTo");
     grant.lease = milliseconds(countMember(value, "leaseMs"));
-    grant.ackedThrough = countMember(value, "ackedThrough");
-    grant.startAhead = boolMember(value, "startAhead");
+    grant.ackedEvent = countMember(value, "ackedThrough");
+    grant.mayStartBacklog = boolMember(value, "startAhead");
     grant.tasks = listFromJson(value, "tasks", grantedTaskFromJson);
     grant.backlog = listFromJson(value, "backlog", grantedTaskFromJson);
     grant.stops = listFromJson(value, "stops", taskAttemptFromJson);
-    grant.checkpoints = listFromJson(value, "checkpoints", taskAttemptFromJson);
+    grant.evictions = listFromJson(value, "checkpoints", taskAttemptFromJson);
     const Json::Value &specs = objectMember(value, "specs");
     for (const auto &job : specs.getMemberNames())
         grant.specs[job] = specs[job];
@@ -258,13 +258,13 @@
     if (value.isMember("reservations"))
         grant.reservations = listFromJson(value, "reservations", taskReservationFromJson);
     if (value.isMember("reservationsThrough"))
-        grant.reservationsThrough = countMember(value, "reservationsThrough");
+        grant.newestReservation = countMember(value, "reservationsThrough");
     if (value.isMember("limits"))
-        grant.limits = listFromJson(value, "limits", taskLimitFromJson);
+        grant.cpuLimits = listFromJson(value, "limits", cpuLimitFromJson);
     return grant;
 }
 
-resources declaredIn(const Json::Value &spec)
+resources declaredSize(const Json::Value &spec)
 {
     return {spec["millicores"].asInt64(), spec["bytes"].asInt64(), spec["accelerators"].asInt64()};
 }
--- a/libs/work/messages.h
+++ b/libs/work/messages.h
@@ -87,7 +87,7 @@
     std::uint64_t sequence = 0;    // rises with each report of the session
     std::uint64_t epoch = 0;       // newest epoch that the worker itself has recorded
     std::vector<task_event> events;
-    std::uint64_t reservationsTaken = 0; // newest `reservationsThrough` taken under `epoch`
+    std::uint64_t ackedReservation = 0; // newest `reservationsThrough` taken under `epoch`
 };
 
 // What the owner's ledger counts for an attempt where that is more than its declared size.
@@ -98,7 +98,7 @@
 };
 
 // Processor time that a running task may use, below its reservation: it disturbs a service.
-struct task_limit
+struct cpu_limit
 {
     task_attempt attempt;
     std::int64_t millicores = 0;
@@ -121,25 +121,25 @@
     std::uint64_t epoch = 0;
     std::string worker;
     std::uint64_t incarnation = 0;
-    std::string session;            // of the agent that is addressed
-    std::uint64_t replyTo = 0;      // report that is answered; the lease counts from its sending
-    milliseconds lease{0};          // measured by the agent from when it sent report `replyTo`
-    std::uint64_t ackedThrough = 0; // events up to here are settled in the table
-    bool startAhead = false;        // the table is down: the backlog may be started
+    std::string session;          // of the agent that is addressed
+    std::uint64_t replyTo = 0;    // report that is answered; the lease counts from its sending
+    milliseconds lease{0};        // measured by the agent from when it sent report `replyTo`
+    std::uint64_t ackedEvent = 0; // events up to here are settled in the table
+    bool mayStartBacklog = false; // the table is down: the backlog may be started
     std::vector<granted_task> tasks;
     std::vector<granted_task> backlog; // placed ahead, in order; not to be started yet
     std::vector<task_attempt> stops;
-    std::vector<task_attempt> checkpoints;        // checkpoint, then end
+    std::vector<task_attempt> evictions;          // checkpoint, then end
     std::map<std::string, Json::Value> specs;     // by job, for `tasks` and `backlog`
     std::vector<task_reservation> reservations{}; // of `tasks`, and what the agent has not taken
-    std::uint64_t reservationsThrough = 0;        // for the agent's next report
+    std::uint64_t newestReservation = 0;          // for the agent's next report
     // All there are: what is not named runs without a limit. Absent from owners of earlier
     // versions.
-    std::optional<std::vector<task_limit>> limits{};
+    std::optional<std::vector<cpu_limit>> cpuLimits{};
 };
 
 // The declared size in what a worker is told of a task.
-resources declaredIn(const Json::Value &spec);
+resources declaredSize(const Json::Value &spec);
 
 std::string_view nameOf(task_event_kind kind);
 
--- a/libs/work/ownership.h
+++ b/libs/work/ownership.h
@@ -50,7 +50,7 @@
     std::vector<table_row> rows;
     time_point readStartedAt;
 };
-struct shard_write_settled
+struct shard_write_answered
 {
     std::string operationId;
     write_result result;
@@ -63,13 +63,13 @@
 // since, a shard that is handed over would name too early an end.
 struct ownership_tick
 {
-    std::map<int, quiet_workers> quiet;
+    std::map<int, unresponsive_workers> unresponsive;
 };
 struct release_shards // planned stop: hands over everything it holds
 {
-    std::map<int, quiet_workers> quiet;
+    std::map<int, unresponsive_workers> unresponsive;
 };
-using ownership_event = std::variant<shard_rows_read, shard_write_settled, peers_changed,
+using ownership_event = std::variant<shard_rows_read, shard_write_answered, peers_changed,
                                      ownership_tick, release_shards>;
 
 // Actions.
@@ -84,8 +84,8 @@
     int shard = 0;
     std::uint64_t epoch = 0;
     std::uint64_t shardVersion = 0; // of `shard/<n>`: each write of the owner is conditional on it
-    time_point waitForSilentUntil;  // a worker that has not attached may hold a lease until then
-    quiet_workers quiet;            // but these only until then, as the last owner told
+    time_point earlierLeasesEndAt;  // a worker that has not attached may hold a lease until then
+    unresponsive_workers unresponsive; // but these only until then, as the last owner told
 };
 struct lost_shard
 {
@@ -96,18 +96,18 @@
 struct ownership_settings
 {
     lease_settings leases;
-    milliseconds scanEvery{1'000};      // between two readings of the shard rows
-    milliseconds stagger{1'000};        // each place down the preference waits this much longer
-    milliseconds handOverAfter{60'000}; // a less preferred owner hands over after this long
+    milliseconds scanInterval{1'000};    // between two readings of the shard rows
+    milliseconds takeoverStagger{1'000}; // each place down the preference waits this much longer
+    milliseconds handOverDelay{60'000};  // a less preferred owner hands over after this long
 };
 
 // The shards of one entry.
-class shard_owner
+class shard_ownership
 {
 public:
     // `operationPrefix` is unique for each process: no two processes share an operation id.
-    shard_owner(entry_info self, std::string operationPrefix, std::vector<shard_info> shards,
-                ownership_settings settings);
+    shard_ownership(entry_info self, std::string operationPrefix, std::vector<shard_info> shards,
+                    ownership_settings settings);
 
     std::vector<ownership_action> handle(const ownership_event &event, time_point now);
 
@@ -116,21 +116,21 @@
     // past when the shard is not owned.
     time_point mayGrantUntil(int shard) const;
     // True once everything was handed over after release_shards.
-    bool released() const;
+    bool isReleased() const;
 
 private:
     struct pending_write
     {
-        enum class purpose { Take, Renew, Release } kind = purpose::Take;
+        enum class purpose { Acquire, Renew, Release } kind = purpose::Acquire;
         table_transaction transaction;
-        std::uint64_t rowVersion = 0;   // takes effect on this version alone,
-        std::uint64_t leaseVersion = 0; // and on this one of the lease
-        time_point sentAt;              // decided then: before its first sending
-        time_point retryAt = Never;     // sent again then
-        time_point waitForSilentUntil;  // for Take
-        quiet_workers quiet;            // for Take
-        std::uint64_t epoch = 0;        // for Take
-        bool inDoubt = false;           // may have taken effect, or may still do so
+        std::uint64_t rowVersion = 0;      // takes effect on this version alone,
+        std::uint64_t leaseVersion = 0;    // and on this one of the lease
+        time_point sentAt;                 // decided then: before its first sending
+        time_point retryAt = Never;        // sent again then
+        time_point earlierLeasesEndAt;     // for Take
+        unresponsive_workers unresponsive; // for Take
+        std::uint64_t epoch = 0;           // for Take
+        bool isInDoubt = false;            // may have taken effect, or may still do so
     };
 
     struct shard_state
@@ -140,52 +140,52 @@
         std::uint64_t rowVersion = 0;
         std::uint64_t leaseVersion = 0;
         std::uint64_t epoch = 0;
-        bool freed = false;         // handed over by its last owner
-        milliseconds silentWait{0}; // what its last owner still had to wait, when freed
-        std::map<std::string, milliseconds> quiet; // and for these workers
-        time_point changedAt;                      // the versions were first seen then
-        time_point watchedSince; // unchanged since then, without a gap in the readings
-        std::optional<time_point> readAt;
+        bool isHandedOver = false;         // handed over by its last owner
+        milliseconds earlierLeasesLeft{0}; // what its last owner still had to wait, when freed
+        std::map<std::string, milliseconds> unresponsive; // and for these workers
+        time_point versionsSeenAt;                        // the versions were first seen then
+        time_point unchangedSince; // unchanged since then, without a gap in the readings
+        std::optional<time_point> lastReadAt;
         // While owned.
-        bool owned = false;
+        bool isOwned = false;
         time_point grantUntil;
-        time_point renewAt;
-        time_point waitForSilentUntil;
+        time_point nextRenewalAt;
+        time_point earlierLeasesEndAt;
         time_point lessPreferredSince = Never;
-        std::optional<pending_write> pending;
+        std::optional<pending_write> pendingWrite;
     };
 
     void on(const shard_rows_read &event, time_point now);
-    void on(const shard_write_settled &event, time_point now);
+    void on(const shard_write_answered &event, time_point now);
     void on(const peers_changed &event, time_point now);
     void on(const ownership_tick &event, time_point now);
     void on(const release_shards &event, time_point now);
-    void readShard(shard_state &state, const table_row *row, const table_row *lease,
-                   time_point now);
-    void settleFromRows(shard_state &state, const table_row *row, const table_row *lease,
+    void updateFromRows(shard_state &state, const table_row *row, const table_row *lease,
                         time_point now);
-    void applied(shard_state &state, std::uint64_t version, time_point now);
-    void tickOwned(shard_state &state, const quiet_workers &quiet, time_point now);
-    void tickFree(shard_state &state, time_point now);
-    void take(shard_state &state, time_point now);
+    void resolveFromRows(shard_state &state, const table_row *row, const table_row *lease,
+                         time_point now);
+    void onApplied(shard_state &state, std::uint64_t version, time_point now);
+    void tickOwned(shard_state &state, const unresponsive_workers &unresponsive, time_point now);
+    void tickUnowned(shard_state &state, time_point now);
+    void acquire(shard_state &state, time_point now);
     void renew(shard_state &state, time_point now);
-    void release(shard_state &state, const quiet_workers &quiet, time_point now);
-    static void takeHandedOver(shard_state &state, const Json::Value &row);
-    static quiet_workers quietOf(const shard_state &state);
-    void lose(shard_state &state);
-    void send(shard_state &state, pending_write write, time_point now);
-    time_point mayTakeAt(const shard_state &state) const;
-    time_point silentUntil(const shard_state &state) const;
-    std::size_t rankFor(const shard_state &state) const;
+    void release(shard_state &state, const unresponsive_workers &unresponsive, time_point now);
+    static void loadHandOver(shard_state &state, const Json::Value &row);
+    static unresponsive_workers handedOverWorkers(const shard_state &state);
+    void dropOwnership(shard_state &state);
+    void sendWrite(shard_state &state, pending_write write, time_point now);
+    time_point acquireNotBefore(const shard_state &state) const;
+    time_point earlierLeasesEnd(const shard_state &state) const;
+    std::size_t preferenceRank(const shard_state &state) const;
 
     entry_info m_self;
     std::string m_operationPrefix;
-    std::uint64_t m_operations = 0;
+    std::uint64_t m_operationCount = 0;
     ownership_settings m_settings;
     std::vector<entry_info> m_peers;
     std::map<int, shard_state> m_shards;
-    time_point m_scanAt;
-    bool m_releasing = false;
+    time_point m_nextScanAt;
+    bool m_isReleasing = false;
     std::vector<ownership_action> m_actions;
 };
 
--- a/libs/work/quota_parts.cpp
+++ b/libs/work/quota_parts.cpp
@@ -15,26 +15,27 @@
 
 // Each dimension by itself.
 template <typename Operation>
-resources combine(const resources &left, const resources &right, Operation operation)
+resources combine(const resources &remaining, const resources &right, Operation operation)
 {
-    return {operation(left.millicores, right.millicores), operation(left.bytes, right.bytes),
-            operation(left.accelerators, right.accelerators)};
+    return {operation(remaining.millicores, right.millicores),
+            operation(remaining.bytes, right.bytes),
+            operation(remaining.accelerators, right.accelerators)};
 }
 
-resources larger(const resources &left, const resources &right)
+resources larger(const resources &remaining, const resources &right)
 {
-    return combine(left, right, [](auto a, auto b) { return std::max(a, b); });
+    return combine(remaining, right, [](auto a, auto b) { return std::max(a, b); });
 }
 
-resources smaller(const resources &left, const resources &right)
+resources smaller(const resources &remaining, const resources &right)
 {
-    return combine(left, right, [](auto a, auto b) { return std::min(a, b); });
+    return combine(remaining, right, [](auto a, auto b) { return std::min(a, b); });
 }
 
 // Zero where the team has no limit, so that such dimensions call for no writes.
-resources limited(const resources &amount, const resources &limit)
+resources limitedDimensionsOf(const resources &amount, const resources &limit)
 {
-    return combine(amount, limit, [](auto a, auto most) { return most > 0 ? a : 0; });
+    return combine(amount, limit, [](auto a, auto upperBound) { return upperBound > 0 ? a : 0; });
 }
 
 Json::Value toJson(const resources &amount)
@@ -70,24 +71,25 @@
                                               time_point now)
 {
     m_actions.clear();
-    if (m_settings.shards < 2)
+    if (m_settings.shardCount < 2)
         return {};
     for (const auto &[name, demand] : demands) {
         team_state &team = m_teams[name];
         team.demand.limit = demand.limit;
-        team.demand.held = limited(demand.held, demand.limit);
-        team.demand.wanted =
-                limited(smaller(larger(demand.held, demand.wanted), demand.limit), demand.limit);
-        team.demand.unit = limited(demand.unit, demand.limit);
-        team.yields = now >= team.yieldAt && othersWait(team);
-        if (!team.operation.empty() && now >= team.answerBy)
-            doubt(name, team, now);
-        if (team.known && !team.stale && team.operation.empty() && now >= team.writeAt)
-            decide(name, team, now);
+        team.demand.inUse = limitedDimensionsOf(demand.inUse, demand.limit);
+        team.demand.demanded = limitedDimensionsOf(
+                smaller(larger(demand.inUse, demand.demanded), demand.limit), demand.limit);
+        team.demand.largestWaiting = limitedDimensionsOf(demand.largestWaiting, demand.limit);
+        team.isYielding = now >= team.nextYieldAt && hasWaitingOthers(team);
+        if (!team.inFlightOperation.empty() && now >= team.answerDeadline)
+            markInDoubt(name, team, now);
+        if (team.isLoaded && !team.isStale && team.inFlightOperation.empty()
+            && now >= team.nextWriteAt)
+            decideWrite(name, team, now);
     }
     std::erase_if(m_teams, [&](const auto &item) { return !demands.contains(item.first); });
-    if (now >= m_readAt && !m_teams.empty()) {
-        m_readAt = now + m_settings.readEvery;
+    if (now >= m_nextReadAt && !m_teams.empty()) {
+        m_nextReadAt = now + m_settings.readInterval;
         read_rows read;
         for (const auto &[name, team] : m_teams)
             read.keys.push_back(keyOf(name));
@@ -96,7 +98,7 @@
     return std::exchange(m_actions, {});
 }
 
-resources quota_parts::partOf(const team_state &team) const
+resources quota_parts::currentPart(const team_state &team) const
 {
     const auto found = team.parts.find(m_shard);
     return found == team.parts.end() ? resources{} : found->second;
@@ -104,25 +106,25 @@
 
 // A write without an answer may take effect at any moment until the row has a newer version: what
 // is given to tasks must fit the part with it and without it.
-resources quota_parts::usable(const std::string &name) const
+resources quota_parts::usableQuota(const std::string &name) const
 {
     const auto found = m_teams.find(name);
-    if (found == m_teams.end() || !found->second.known)
+    if (found == m_teams.end() || !found->second.isLoaded)
         return {};
     const team_state &team = found->second;
-    resources part = partOf(team);
-    if (!team.operation.empty())
-        part = smaller(part, team.sent);
-    if (team.doubted)
-        part = smaller(part, *team.doubted);
+    resources part = currentPart(team);
+    if (!team.inFlightOperation.empty())
+        part = smaller(part, team.inFlightPart);
+    if (team.inDoubtPart)
+        part = smaller(part, *team.inDoubtPart);
     // Yields as tasks end: what they leave is not given to others here.
-    return team.yields ? smaller(part, keptFromOthers(team)) : part;
+    return team.isYielding ? smaller(part, partToKeep(team)) : part;
 }
 
 // Among the shards that hold a part or wait for one.
 resources quota_parts::equalShare(const team_state &team) const
 {
-    std::set<int> active = team.waiting;
+    std::set<int> active = team.waitingShards;
     active.insert(m_shard);
     for (const auto &[shard, part] : team.parts) {
         if (part != resources{})
@@ -133,80 +135,84 @@
     return {limit.millicores / count, limit.bytes / count, limit.accelerators / count};
 }
 
-bool quota_parts::othersWait(const team_state &team) const
+bool quota_parts::hasWaitingOthers(const team_state &team) const
 {
-    const resources equal = limited(equalShare(team), team.demand.limit);
-    return std::any_of(team.waiting.begin(), team.waiting.end(), [&](int shard) {
+    const resources equal = limitedDimensionsOf(equalShare(team), team.demand.limit);
+    return std::any_of(team.waitingShards.begin(), team.waitingShards.end(), [&](int shard) {
         const auto part = team.parts.find(shard);
-        const bool below = part == team.parts.end() || !equal.fitsIn(part->second);
-        return shard != m_shard && below;
+        const bool hasLessThanEqualShare = part == team.parts.end() || !equal.fitsIn(part->second);
+        return shard != m_shard && hasLessThanEqualShare;
     });
 }
 
 // Two shards that each kept a rest too small for one task would both wait for ever.
-resources quota_parts::keptFromOthers(const team_state &team) const
+resources quota_parts::partToKeep(const team_state &team) const
 {
-    const auto &held = team.demand.held;
-    const resources equal = limited(equalShare(team), team.demand.limit);
-    const bool fitsOne = (held + team.demand.unit).fitsIn(equal);
-    return fitsOne ? larger(equal, held) : held;
+    const auto &resourcesInUse = team.demand.inUse;
+    const resources equal = limitedDimensionsOf(equalShare(team), team.demand.limit);
+    const bool fitsOne = (resourcesInUse + team.demand.largestWaiting).fitsIn(equal);
+    return fitsOne ? larger(equal, resourcesInUse) : resourcesInUse;
 }
 
 // Left by the other shards; below zero after the operators lowered the limit.
-resources quota_parts::freeFor(const team_state &team) const
+resources quota_parts::unallocatedQuota(const team_state &team) const
 {
-    resources left = team.demand.limit;
+    resources remaining = team.demand.limit;
     for (const auto &[shard, part] : team.parts) {
         if (shard != m_shard)
-            left -= part;
+            remaining -= part;
     }
-    return limited(left, team.demand.limit);
+    return limitedDimensionsOf(remaining, team.demand.limit);
 }
 
-resources quota_parts::targetOf(team_state &team, time_point now) const
+resources quota_parts::targetPart(team_state &team, time_point now) const
 {
     const team_demand &demand = team.demand;
-    const resources part = partOf(team);
-    const resources kept = keptFromOthers(team);
-    if (team.yields && !part.fitsIn(kept)) {
-        team.raiseAt = now + 2 * m_settings.readEvery; // others have read the row by then
-        return smaller(part, kept);
+    const resources part = currentPart(team);
+    const resources partKept = partToKeep(team);
+    if (team.isYielding && !part.fitsIn(partKept)) {
+        team.nextRaiseAt = now + 2 * m_settings.readInterval; // others have read the row by then
+        return smaller(part, partKept);
     }
-    if (part.fitsIn(demand.wanted)) // all of it is in use
-        team.keepUntil = now + m_settings.returnAfter;
-    if (demand.wanted.fitsIn(part))
-        return now < team.keepUntil ? part : demand.wanted;
-    if (now < team.raiseAt)
+    if (part.fitsIn(demand.demanded)) // all of it is in use
+        team.keepUnusedUntil = now + m_settings.unusedReturnDelay;
+    if (demand.demanded.fitsIn(part))
+        return now < team.keepUnusedUntil ? part : demand.demanded;
+    if (now < team.nextRaiseAt)
         return part;
-    const resources next = demand.held + demand.unit;
-    const resources most = othersWait(team) ? larger(equalShare(team), next) : demand.limit;
-    const resources raised = larger(part, smaller(smaller(demand.wanted, most), freeFor(team)));
-    return next.fitsIn(raised) ? raised : part;
+    const resources minimumNeeded = demand.inUse + demand.largestWaiting;
+    const resources upperBound =
+            hasWaitingOthers(team) ? larger(equalShare(team), minimumNeeded) : demand.limit;
+    const resources raised =
+            larger(part, smaller(smaller(demand.demanded, upperBound), unallocatedQuota(team)));
+    return minimumNeeded.fitsIn(raised) ? raised : part;
 }
 
-void quota_parts::decide(const std::string &name, team_state &team, time_point now)
+void quota_parts::decideWrite(const std::string &name, team_state &team, time_point now)
 {
-    const resources target = targetOf(team, now);
+    const resources target = targetPart(team, now);
     const auto &demand = team.demand;
-    const bool waits = demand.unit != resources{} && !(demand.held + demand.unit).fitsIn(target);
-    if (!target.fitsIn(partOf(team)))
-        team.yieldAt = now + m_settings.readEvery;
+    const bool isWaiting = demand.largestWaiting != resources{}
+                           && !(demand.inUse + demand.largestWaiting).fitsIn(target);
+    if (!target.fitsIn(currentPart(team)))
+        team.nextYieldAt = now + m_settings.readInterval;
     // A write in doubt is settled by another one: until the version moves, nobody knows.
-    if (team.doubted || target != partOf(team) || waits != team.waiting.contains(m_shard))
-        write(name, team, target, waits, now);
+    if (team.inDoubtPart || target != currentPart(team)
+        || isWaiting != team.waitingShards.contains(m_shard))
+        writePart(name, team, target, isWaiting, now);
 }
 
-void quota_parts::write(const std::string &name, team_state &team, const resources &part,
-                        bool waits, time_point now)
+void quota_parts::writePart(const std::string &name, team_state &team, const resources &part,
+                            bool isWaiting, time_point now)
 {
     table_transaction transaction;
-    transaction.operationId = m_operationPrefix + "/quota/" + std::to_string(++m_operations);
+    transaction.operationId = m_operationPrefix + "/quota/" + std::to_string(++m_operationCount);
     transaction.conditions = {{shardKey(m_shard), m_shardVersion}, {keyOf(name), team.version}};
     auto parts = team.parts;
     parts[m_shard] = part;
-    auto waiting = team.waiting;
+    auto waiting = team.waitingShards;
     waiting.erase(m_shard);
-    if (waits)
+    if (isWaiting)
         waiting.insert(m_shard);
     Json::Value value(Json::objectValue);
     value[OperationMember] = transaction.operationId;
@@ -217,38 +223,38 @@
     for (const int shard : waiting)
         value["waiting"].append(shard);
     transaction.writes.push_back({keyOf(name), std::move(value)});
-    team.operation = transaction.operationId;
-    team.sent = part;
-    team.writeAt = now + m_settings.retryAfter;
-    team.answerBy = now + AnswerWithin;
+    team.inFlightOperation = transaction.operationId;
+    team.inFlightPart = part;
+    team.nextWriteAt = now + m_settings.retryDelay;
+    team.answerDeadline = now + AnswerTimeout;
     m_actions.emplace_back(commit_rows{std::move(transaction)});
 }
 
-std::vector<quota_action> quota_parts::handle(const write_settled &event, time_point now)
+std::vector<quota_action> quota_parts::handle(const write_answered &event, time_point now)
 {
     m_actions.clear();
     for (auto &[name, team] : m_teams) {
-        if (team.operation.empty() || team.operation != event.operationId)
+        if (team.inFlightOperation.empty() || team.inFlightOperation != event.operationId)
             continue;
         if (event.result.outcome == write_outcome::Refused)
-            team.operation.clear();
+            team.inFlightOperation.clear();
         else if (event.result.outcome == write_outcome::Unknown)
-            doubt(name, team, now + m_settings.readEvery);
+            markInDoubt(name, team, now + m_settings.readInterval);
         else // Applied as well: there is one way in which parts become known
-            doubt(name, team, now);
+            markInDoubt(name, team, now);
         break;
     }
     return std::exchange(m_actions, {});
 }
 
 // The row is read. Until a newer version was seen, a copy of the write may still take effect.
-void quota_parts::doubt(const std::string &name, team_state &team, time_point writeAt)
+void quota_parts::markInDoubt(const std::string &name, team_state &team, time_point writeAt)
 {
-    team.operation.clear();
-    team.doubted = smaller(team.doubted.value_or(team.sent), team.sent);
-    team.writeAt = writeAt;
+    team.inFlightOperation.clear();
+    team.inDoubtPart = smaller(team.inDoubtPart.value_or(team.inFlightPart), team.inFlightPart);
+    team.nextWriteAt = writeAt;
     m_actions.emplace_back(read_rows{{keyOf(name)}});
-    team.stale = true;
+    team.isStale = true;
 }
 
 void quota_parts::handle(const rows_read &event)
@@ -272,25 +278,25 @@
 {
     if (row.version < team.version)
         return;
-    team.known = true;
-    team.stale = false;
+    team.isLoaded = true;
+    team.isStale = false;
     // Writes in doubt were conditional on the version before: they have taken effect, or never
     // will.
     if (row.version > team.version)
-        team.doubted.reset();
+        team.inDoubtPart.reset();
     team.version = row.version;
     if (row.version == 0)
         return;
     team.parts.clear();
     const auto &parts = objectMember(row.value, "parts");
     for (const auto &shard : parts.getMemberNames()) {
-        const int number = std::stoi(shard);
-        if (number < static_cast<int>(m_settings.shards)) // there may have been more once
-            team.parts[number] = resourcesFromJson(parts[shard]);
+        const int shardNumber = std::stoi(shard);
+        if (shardNumber < static_cast<int>(m_settings.shardCount)) // there may have been more once
+            team.parts[shardNumber] = resourcesFromJson(parts[shard]);
     }
-    team.waiting.clear();
+    team.waitingShards.clear();
     for (const auto &shard : arrayMember(row.value, "waiting"))
-        team.waiting.insert(shard.asInt());
+        team.waitingShards.insert(shard.asInt());
 }
 
 } // namespace zinniabarrow::work
--- a/libs/work/quota_parts.h
+++ b/libs/work/quota_parts.h
@@ -24,19 +24,20 @@
 
 struct quota_settings
 {
-    std::size_t shards = 1;          // all there are; with one, no row is needed
-    milliseconds readEvery{2'000};   // between two looks at the rows
-    milliseconds retryAfter{500};    // after a write that failed or was in doubt
-    milliseconds returnAfter{5'000}; // an unused part is kept so long, unless another shard waits
+    std::size_t shardCount = 1;       // all there are; with one, no row is needed
+    milliseconds readInterval{2'000}; // between two looks at the rows
+    milliseconds retryDelay{500};     // after a write that failed or was in doubt
+    milliseconds unusedReturnDelay{
+            5'000}; // an unused part is kept so long, unless another shard waits
 };
 
 // What this shard knows of a team; 0 in a dimension of `limit`: none there.
 struct team_demand
 {
-    resources limit;  // of the whole team
-    resources held;   // by the shard's tasks
-    resources wanted; // held, and asked for by those that wait
-    resources unit;   // the largest of those that wait; 0: none waits
+    resources limit;          // of the whole team
+    resources inUse;          // by the shard's tasks
+    resources demanded;       // held, and asked for by those that wait
+    resources largestWaiting; // the largest of those that wait; 0: none waits
 };
 
 using quota_action = std::variant<commit_rows, read_rows>;
@@ -51,52 +52,52 @@
     // Of every team that has a limit; to be called before each planning.
     std::vector<quota_action> update(const std::map<std::string, team_demand> &demands,
                                      time_point now);
-    std::vector<quota_action> handle(const write_settled &event, time_point now);
+    std::vector<quota_action> handle(const write_answered &event, time_point now);
     void handle(const rows_read &event);
 
     // What the shard may hold in the dimensions that have a limit; the rest means nothing.
-    resources usable(const std::string &team) const;
+    resources usableQuota(const std::string &team) const;
 
 private:
     struct team_state
     {
         team_demand demand;
-        bool known = false;        // the row was read
-        bool stale = false;        // and has to be read again before the next write
+        bool isLoaded = false;     // the row was read
+        bool isStale = false;      // and has to be read again before the next write
         std::uint64_t version = 0; // of the row; 0: there is none
         std::map<int, resources> parts;
-        std::set<int> waiting;            // shards that ask for more than they got
-        std::string operation;            // of the write on its way; empty: none
-        resources sent;                   // part in it
-        time_point answerBy;              // in doubt from then on
-        std::optional<resources> doubted; // lowest part in writes that may still take effect
-        time_point writeAt;               // not before
-        time_point keepUntil;             // an unused part
-        time_point raiseAt;               // not before: others come first after it yielded
-        time_point yieldAt;               // not before: what was raised is used first
-        bool yields = false;              // to another shard, as tasks end
+        std::set<int> waitingShards;          // shards that ask for more than they got
+        std::string inFlightOperation;        // of the write on its way; empty: none
+        resources inFlightPart;               // part in it
+        time_point answerDeadline;            // in doubt from then on
+        std::optional<resources> inDoubtPart; // lowest part in writes that may still take effect
+        time_point nextWriteAt;               // not before
+        time_point keepUnusedUntil;           // an unused part
+        time_point nextRaiseAt;               // not before: others come first after it yielded
+        time_point nextYieldAt;               // not before: what was raised is used first
+        bool isYielding = false;              // to another shard, as tasks end
     };
 
     static std::string keyOf(const std::string &team);
     void load(team_state &team, const table_row &row);
-    void decide(const std::string &name, team_state &team, time_point now);
-    resources targetOf(team_state &team, time_point now) const;
-    resources partOf(const team_state &team) const;
-    resources freeFor(const team_state &team) const;
+    void decideWrite(const std::string &name, team_state &team, time_point now);
+    resources targetPart(team_state &team, time_point now) const;
+    resources currentPart(const team_state &team) const;
+    resources unallocatedQuota(const team_state &team) const;
     resources equalShare(const team_state &team) const;
-    resources keptFromOthers(const team_state &team) const;
-    bool othersWait(const team_state &team) const;
-    void write(const std::string &name, team_state &team, const resources &part, bool waits,
-               time_point now);
-    void doubt(const std::string &name, team_state &team, time_point writeAt);
+    resources partToKeep(const team_state &team) const;
+    bool hasWaitingOthers(const team_state &team) const;
+    void writePart(const std::string &name, team_state &team, const resources &part, bool isWaiting,
+                   time_point now);
+    void markInDoubt(const std::string &name, team_state &team, time_point writeAt);
 
     int m_shard;
     std::uint64_t m_shardVersion;
     std::string m_operationPrefix;
     quota_settings m_settings;
-    std::uint64_t m_operations = 0;
+    std::uint64_t m_operationCount = 0;
     std::map<std::string, team_state> m_teams;
-    time_point m_readAt;
+    time_point m_nextReadAt;
     std::vector<quota_action> m_actions;
 };
 
--- a/libs/work/task_records.cpp
+++ b/libs/work/task_records.cpp
@@ -22,7 +22,7 @@
 }};
 
 // One letter for each stored state: rows hold thousands of them.
-constexpr name_table<task_state, 6> StoredNames = {{
+constexpr name_table<task_state, 6> StoredStateNames = {{
         {task_state::Pending, "p"},
         {task_state::Placed, "w"},
         {task_state::Cancelling, "c"},
@@ -34,10 +34,10 @@
 // Members of a stored record, in order; trailing defaults are left out.
 enum record_member { State, Attempt, Checkpoint, Failures, Worker, Incarnation, Ahead, Members };
 
-Json::Value memberOr(const Json::Value &list, int index, const Json::Value &absent)
+Json::Value memberOr(const Json::Value &list, int index, const Json::Value &defaultValue)
 {
     const auto at = static_cast<Json::ArrayIndex>(index);
-    return at < list.size() ? list[at] : absent;
+    return at < list.size() ? list[at] : defaultValue;
 }
 
 } // namespace
@@ -47,12 +47,12 @@
     return nameOf(StateNames, state);
 }
 
-bool occupies(const task_record &record)
+bool occupiesWorker(const task_record &record)
 {
     return record.state == task_state::Placed || record.state == task_state::Cancelling;
 }
 
-bool isOver(const task_record &record)
+bool isTerminal(const task_record &record)
 {
     return record.state == task_state::Done || record.state == task_state::Failed
            || record.state == task_state::Cancelled;
@@ -63,13 +63,13 @@
     Json::Value value(Json::objectValue);
     value["id"] = spec.id;
     value["generation"] = Json::UInt64(spec.generation);
-    value["firstTask"] = spec.firstTask;
-    value["stride"] = spec.stride;
-    value["tasks"] = spec.tasks;
+    value["firstTask"] = spec.firstTaskIndex;
+    value["stride"] = spec.indexStride;
+    value["tasks"] = spec.taskCount;
     value["failover"] = std::string(nameOf(spec.failover));
-    value["service"] = spec.service;
+    value["service"] = spec.isService;
     value["maxFailures"] = spec.maxFailures;
-    value["spec"] = spec.spec;
+    value["spec"] = spec.taskSpec;
     return value;
 }
 
@@ -78,13 +78,13 @@
     job_spec spec;
     spec.id = stringMember(value, "id");
     spec.generation = countMember(value, "generation");
-    spec.firstTask = smallCountMember(value, "firstTask");
-    spec.stride = std::max<std::uint32_t>(smallCountMember(value, "stride"), 1);
-    spec.tasks = smallCountMember(value, "tasks");
+    spec.firstTaskIndex = smallCountMember(value, "firstTask");
+    spec.indexStride = std::max<std::uint32_t>(smallCountMember(value, "stride"), 1);
+    spec.taskCount = smallCountMember(value, "tasks");
     spec.failover = failoverClassFromName(stringMember(value, "failover"));
-    spec.service = boolMember(value, "service");
+    spec.isService = boolMember(value, "service");
     spec.maxFailures = smallCountMember(value, "maxFailures");
-    spec.spec = objectMember(value, "spec");
+    spec.taskSpec = objectMember(value, "spec");
     return spec;
 }
 
@@ -93,16 +93,16 @@
     if (record == task_record())
         return 0;
     Json::Value list(Json::arrayValue);
-    list.append(std::string(nameOf(StoredNames, record.state)));
+    list.append(std::string(nameOf(StoredStateNames, record.state)));
     list.append(record.attempt);
     list.append(record.checkpoint);
     list.append(record.failures);
-    if (occupies(record)) {
+    if (occupiesWorker(record)) {
         list.append(record.worker);
         list.append(Json::UInt64(record.incarnation));
-        list.append(record.ahead ? 1 : 0);
+        list.append(record.isBacklogged ? 1 : 0);
     }
-    const task_record absent;
+    const task_record defaultValue;
     while (list.size() > 2) {
         const Json::Value &last = list[list.size() - 1];
         const bool isDefault = last.isString() ? last.asString().empty() : last.asUInt64() == 0;
@@ -120,7 +120,7 @@
         return record;
     if (!value.isArray() || value.size() < 2 || value.size() > Members || !value[0].isString())
         throw error(error_kind::BadRequest, "a task's record needs a list of 2 to 7 members");
-    const auto state = valueOf(StoredNames, value[State].asString());
+    const auto state = valueOf(StoredStateNames, value[State].asString());
     if (!state)
         throw error(error_kind::BadRequest, "unknown stored state " + value[State].asString());
     record.state = *state;
@@ -129,7 +129,7 @@
     record.failures = memberOr(value, Failures, 0).asUInt();
     record.worker = memberOr(value, Worker, "").asString();
     record.incarnation = memberOr(value, Incarnation, 0).asUInt64();
-    record.ahead = memberOr(value, Ahead, 0).asUInt() != 0;
+    record.isBacklogged = memberOr(value, Ahead, 0).asUInt() != 0;
     return record;
 }
 
--- a/libs/work/task_records.h
+++ b/libs/work/task_records.h
@@ -33,15 +33,15 @@
     std::uint64_t incarnation = 0; // of that worker
     std::string checkpoint;
     std::uint32_t failures = 0;
-    bool ahead = false; // backlog: placed before there is room
+    bool isBacklogged = false; // backlog: placed before there is room
 
     bool operator==(const task_record &) const = default;
 };
 
 // True while the task may run on `record.worker`.
-bool occupies(const task_record &record);
+bool occupiesWorker(const task_record &record);
 // True once nothing more happens to the task.
-bool isOver(const task_record &record);
+bool isTerminal(const task_record &record);
 
 struct job_spec
 {
@@ -49,20 +49,20 @@
     std::uint64_t generation = 0;
     // This shard's tasks: `tasks` of them, from `firstTask` in steps of `stride`. With the number
     // of shards as stride a task stays in its shard when the job grows or shrinks.
-    std::uint32_t firstTask = 0;
-    std::uint32_t stride = 1;
-    std::uint32_t tasks = 0;
+    std::uint32_t firstTaskIndex = 0;
+    std::uint32_t indexStride = 1;
+    std::uint32_t taskCount = 0;
     failover_class failover = failover_class::Lease;
-    bool service = false;                // a task that ends is started again
-    std::uint32_t maxFailures = 3;       // a batch task fails for good after this many
-    Json::Value spec{Json::objectValue}; // handed to the worker unread
+    bool isService = false;                  // a task that ends is started again
+    std::uint32_t maxFailures = 3;           // a batch task fails for good after this many
+    Json::Value taskSpec{Json::objectValue}; // handed to the worker unread
 
     bool operator==(const job_spec &) const = default;
 };
 // Index within the job of the shard's task number `position`.
 constexpr std::uint32_t taskIndexAt(const job_spec &spec, std::uint32_t position)
 {
-    return spec.firstTask + position * spec.stride;
+    return spec.firstTaskIndex + position * spec.indexStride;
 }
 Json::Value toJson(const job_spec &spec);
 job_spec jobSpecFromJson(const Json::Value &value); // throws error BadRequest
--- a/libs/work/task_store.cpp
+++ b/libs/work/task_store.cpp
@@ -14,16 +14,16 @@
 
 namespace {
 
-constexpr milliseconds ScanAgainAfter{2'000};
+constexpr milliseconds ScanRetryDelay{2'000};
 constexpr const char *OperationMember = "op";
-constexpr const char *FollowedKey = "followed";
+constexpr const char *AppliedGenerationKey = "followed";
 constexpr const char *GenerationMember = "generation";
 
-constexpr name_table<store_count, 4> CountNames = {{
-        {store_count::CommitRefused, "commit_refused"},
-        {store_count::CommitUnknown, "commit_unknown"},
-        {store_count::CommitConflict, "commit_conflict"},
-        {store_count::CommitResent, "commit_resent"},
+constexpr name_table<store_counter, 4> CountNames = {{
+        {store_counter::CommitRefused, "commit_refused"},
+        {store_counter::CommitUnknown, "commit_unknown"},
+        {store_counter::CommitConflict, "commit_conflict"},
+        {store_counter::CommitResent, "commit_resent"},
 }};
 
 std::string paddedChunk(std::uint32_t chunk)
@@ -40,25 +40,25 @@
 }
 
 // Tasks without a record, between two that have one: their number, and 0 for a single one.
-Json::Value skipOf(std::uint32_t tasks)
+Json::Value gapToJson(std::uint32_t tasks)
 {
     return tasks > 1 ? tasks : 0;
 }
 
 template <typename State>
-auto &newest(State &state)
+auto &newestValue(State &state)
 {
-    if (state.wanted)
-        return state.wanted;
-    return state.sent ? state.sent : state.settled;
+    if (state.staged)
+        return state.staged;
+    return state.inFlight ? state.inFlight : state.committed;
 }
 
 stored_job storedJobFromJson(const Json::Value &value)
 {
     stored_job job;
     job.spec = jobSpecFromJson(objectMember(value, "job"));
-    job.range = smallCountMember(value, "range");
-    job.cancelled = boolMember(value, "cancelled");
+    job.peakTaskCount = smallCountMember(value, "range");
+    job.isCancelled = boolMember(value, "cancelled");
     return job;
 }
 
@@ -66,14 +66,14 @@
 {
     Json::Value value(Json::objectValue);
     value["job"] = toJson(job.spec);
-    value["range"] = job.range;
-    value["cancelled"] = job.cancelled;
+    value["range"] = job.peakTaskCount;
+    value["cancelled"] = job.isCancelled;
     return value;
 }
 
 } // namespace
 
-std::string_view nameOf(store_count reason)
+std::string_view nameOf(store_counter reason)
 {
     return nameOf(CountNames, reason);
 }
@@ -86,9 +86,9 @@
     , m_settings(settings)
 { }
 
-bool task_store::down(time_point now) const
+bool task_store::isDown(time_point now) const
 {
-    return m_failures > 0 && now - m_failingSince >= m_settings.downAfter;
+    return m_consecutiveFailures > 0 && now - m_failingSince >= m_settings.outageThreshold;
 }
 
 // Keys and values of rows.
@@ -108,23 +108,23 @@
         return prefix() + "job/" + row.job;
     case row_kind::Chunk:
         return prefix() + "task/" + row.job + "/" + paddedChunk(row.chunk);
-    case row_kind::Followed:
-        return prefix() + FollowedKey;
+    case row_kind::AppliedGeneration:
+        return prefix() + AppliedGenerationKey;
     case row_kind::Silent:
         break;
     }
     return prefix() + "silent";
 }
 
-std::optional<task_store::row_id> task_store::rowOf(const std::string &key) const
+std::optional<task_store::row_id> task_store::rowIdFromKey(const std::string &key) const
 {
     if (!key.starts_with(prefix()))
         return std::nullopt;
     const std::string rest = key.substr(prefix().size());
     if (rest == "silent")
         return row_id{row_kind::Silent, {}, 0};
-    if (rest == FollowedKey)
-        return row_id{row_kind::Followed, {}, 0};
+    if (rest == AppliedGenerationKey)
+        return row_id{row_kind::AppliedGeneration, {}, 0};
     if (rest.starts_with("job/"))
         return row_id{row_kind::Job, rest.substr(4), 0};
     const auto slash = rest.rfind('/');
@@ -134,14 +134,14 @@
     return row_id{row_kind::Chunk, rest.substr(5, slash - 5), chunk};
 }
 
-task_store::row_id task_store::chunkOf(const task_id &task) const
+task_store::row_id task_store::chunkRowOf(const task_id &task) const
 {
-    return {row_kind::Chunk, task.job, task.index / m_settings.chunkTasks};
+    return {row_kind::Chunk, task.job, task.index / m_settings.tasksPerChunk};
 }
 
 const task_store::chunk_state *task_store::findChunk(const task_id &task) const
 {
-    const auto found = m_chunks.find(chunkOf(task));
+    const auto found = m_chunks.find(chunkRowOf(task));
     return found == m_chunks.end() ? nullptr : &found->second;
 }
 
@@ -150,9 +150,9 @@
     if (row.kind == row_kind::Chunk)
         return m_chunks[row].version;
     if (row.kind == row_kind::Silent)
-        return m_silent.version;
-    if (row.kind == row_kind::Followed)
-        return m_followed.version;
+        return m_silentWorkers.version;
+    if (row.kind == row_kind::AppliedGeneration)
+        return m_appliedGeneration.version;
     return m_jobs[row.job].version;
 }
 
@@ -160,27 +160,27 @@
 Json::Value task_store::valueOf(const row_id &row) const
 {
     if (row.kind == row_kind::Job)
-        return toJson(*newest(m_jobs.at(row.job)));
+        return toJson(*newestValue(m_jobs.at(row.job)));
     Json::Value value(Json::objectValue);
-    if (row.kind == row_kind::Followed) {
-        value[GenerationMember] = Json::UInt64(followed());
+    if (row.kind == row_kind::AppliedGeneration) {
+        value[GenerationMember] = Json::UInt64(appliedGeneration());
         return value;
     }
     if (row.kind == row_kind::Silent) {
         value["workers"] = Json::Value(Json::arrayValue);
-        for (const auto &worker : *newest(m_silent))
+        for (const auto &worker : *newestValue(m_silentWorkers))
             value["workers"].append(worker);
         return value;
     }
     const chunk_state &chunk = m_chunks.at(row);
-    record_map records = chunk.settled;
-    for (const auto &[index, record] : chunk.wanted)
+    record_map records = chunk.committed;
+    for (const auto &[index, record] : chunk.staged)
         records[index] = record;
     value["tasks"] = Json::Value(Json::arrayValue);
-    std::uint32_t next = row.chunk * m_settings.chunkTasks;
+    std::uint32_t next = row.chunk * m_settings.tasksPerChunk;
     for (const auto &[index, record] : records) {
         if (index > next)
-            value["tasks"].append(skipOf(index - next));
+            value["tasks"].append(gapToJson(index - next));
         value["tasks"].append(toJson(record));
         next = index + 1;
     }
@@ -191,9 +191,10 @@
 
 // --- Views: settled, in flight, wanted -----------------------------------------------------------
 
-task_record task_store::view(const task_record &record, const std::optional<stored_job> &job)
+task_record task_store::withJobCancellation(const task_record &record,
+                                            const std::optional<stored_job> &job)
 {
-    if (!job || !job->cancelled)
+    if (!job || !job->isCancelled)
         return record;
     task_record cancelled = record;
     if (record.state == task_state::Pending)
@@ -203,72 +204,76 @@
     return cancelled;
 }
 
-task_record task_store::effective(const task_id &task) const
+task_record task_store::newestRecord(const task_id &task) const
 {
     const chunk_state *chunk = findChunk(task);
     const task_record *record = nullptr;
     if (chunk != nullptr) {
-        record = findRecord(chunk->wanted, task.index);
+        record = findRecord(chunk->staged, task.index);
         if (record == nullptr)
-            record = findRecord(chunk->sent, task.index);
+            record = findRecord(chunk->inFlight, task.index);
         if (record == nullptr)
-            record = findRecord(chunk->settled, task.index);
+            record = findRecord(chunk->committed, task.index);
     }
     const auto job = m_jobs.find(task.job);
     if (job == m_jobs.end())
         return record == nullptr ? task_record() : *record;
-    return view(record == nullptr ? task_record() : *record, newest(job->second));
+    return withJobCancellation(record == nullptr ? task_record() : *record,
+                               newestValue(job->second));
 }
 
-task_record task_store::settled(const task_id &task) const
+task_record task_store::committedRecord(const task_id &task) const
 {
     const chunk_state *chunk = findChunk(task);
-    const task_record *record = chunk == nullptr ? nullptr : findRecord(chunk->settled, task.index);
+    const task_record *record =
+            chunk == nullptr ? nullptr : findRecord(chunk->committed, task.index);
     const auto job = m_jobs.find(task.job);
     if (job == m_jobs.end())
         return record == nullptr ? task_record() : *record;
-    return view(record == nullptr ? task_record() : *record, job->second.settled);
+    return withJobCancellation(record == nullptr ? task_record() : *record, job->second.committed);
 }
 
-bool task_store::inFlight(const task_id &task) const
+bool task_store::hasUncommittedChange(const task_id &task) const
 {
-    if (jobInFlight(task.job))
+    if (hasUncommittedJobChange(task.job))
         return true;
     const chunk_state *chunk = findChunk(task);
     return chunk != nullptr
-           && (chunk->sent.contains(task.index) || chunk->wanted.contains(task.index));
+           && (chunk->inFlight.contains(task.index) || chunk->staged.contains(task.index));
 }
 
-bool task_store::jobInFlight(const std::string &id) const
+bool task_store::hasUncommittedJobChange(const std::string &id) const
 {
     const auto job = m_jobs.find(id);
-    return job != m_jobs.end() && (job->second.sent || job->second.wanted);
+    return job != m_jobs.end() && (job->second.inFlight || job->second.staged);
 }
 
-bool task_store::known(const task_id &task) const
+bool task_store::isInJobRange(const task_id &task) const
 {
     const stored_job *found = job(task.job);
-    if (found == nullptr || task.index < found->spec.firstTask)
+    if (found == nullptr || task.index < found->spec.firstTaskIndex)
         return false;
-    const auto offset = task.index - found->spec.firstTask;
-    return offset % found->spec.stride == 0 && offset / found->spec.stride < found->range;
+    const auto offset = task.index - found->spec.firstTaskIndex;
+    return offset % found->spec.indexStride == 0
+           && offset / found->spec.indexStride < found->peakTaskCount;
 }
 
-void task_store::want(const task_id &task, const task_record &record, time_point now, bool lazy)
+void task_store::stageRecord(const task_id &task, const task_record &record, time_point now,
+                             bool isLazy)
 {
-    if (record == effective(task))
+    if (record == newestRecord(task))
         return;
-    const row_id row = chunkOf(task);
-    m_chunks[row].wanted[task.index] = record;
-    markDirty(row, now + (lazy ? m_settings.lazyWindow : m_settings.groupWindow));
+    const row_id row = chunkRowOf(task);
+    m_chunks[row].staged[task.index] = record;
+    markDirty(row, now + (isLazy ? m_settings.lazyCommitWindow : m_settings.commitWindow));
 }
 
 const stored_job *task_store::job(const std::string &id) const
 {
     const auto found = m_jobs.find(id);
-    if (found == m_jobs.end() || !newest(found->second))
+    if (found == m_jobs.end() || !newestValue(found->second))
         return nullptr;
-    return &*newest(found->second);
+    return &*newestValue(found->second);
 }
 
 std::vector<std::string> task_store::jobs() const
@@ -281,30 +286,31 @@
 
 // --- Wanting changes -----------------------------------------------------------------------------
 
-void task_store::wantJob(const stored_job &job, time_point now)
+void task_store::stageJob(const stored_job &job, time_point now)
 {
-    m_jobs[job.spec.id].wanted = job;
-    markDirty({row_kind::Job, job.spec.id, 0}, now + m_settings.groupWindow);
+    m_jobs[job.spec.id].staged = job;
+    markDirty({row_kind::Job, job.spec.id, 0}, now + m_settings.commitWindow);
 }
 
-std::vector<task_id> task_store::touched() const
+std::vector<task_id> task_store::everPlacedTasks() const
 {
     std::vector<task_id> tasks;
     for (const auto &id : jobs()) {
-        const auto some = touched(id);
+        const auto some = everPlacedTasks(id);
         tasks.insert(tasks.end(), some.begin(), some.end());
     }
     return tasks;
 }
 
-std::vector<task_id> task_store::touched(const std::string &job) const
+std::vector<task_id> task_store::everPlacedTasks(const std::string &job) const
 {
     std::vector<task_id> tasks;
     for (auto it = m_chunks.lower_bound({row_kind::Chunk, job, 0}); it != m_chunks.end(); ++it) {
         if (it->first.job != job)
             break;
         std::set<std::uint32_t> indexes;
-        for (const auto *records : {&it->second.settled, &it->second.sent, &it->second.wanted}) {
+        for (const auto *records :
+             {&it->second.committed, &it->second.inFlight, &it->second.staged}) {
             for (const auto &[index, record] : *records)
                 indexes.insert(index);
         }
@@ -316,117 +322,118 @@
 
 // Silent workers.
 
-bool task_store::silent(const std::string &worker) const
+bool task_store::isDeclaredSilent(const std::string &worker) const
 {
-    for (const auto *workers : {&m_silent.settled, &m_silent.sent, &m_silent.wanted}) {
+    for (const auto *workers :
+         {&m_silentWorkers.committed, &m_silentWorkers.inFlight, &m_silentWorkers.staged}) {
         if (*workers && (*workers)->contains(worker))
             return true;
     }
     return false;
 }
 
-bool task_store::silentSettled(const std::string &worker) const
+bool task_store::isCommittedSilent(const std::string &worker) const
 {
-    return m_silent.settled && m_silent.settled->contains(worker);
+    return m_silentWorkers.committed && m_silentWorkers.committed->contains(worker);
 }
 
-void task_store::wantSilent(const std::string &worker, bool silent, time_point now)
+void task_store::stageSilent(const std::string &worker, bool silent, time_point now)
 {
-    silent_set workers = newest(m_silent).value_or(silent_set());
+    silent_set workers = newestValue(m_silentWorkers).value_or(silent_set());
     const bool changed = silent ? workers.insert(worker).second : workers.erase(worker) > 0;
     if (!changed)
         return;
-    m_silent.wanted = std::move(workers);
-    markDirty({row_kind::Silent, {}, 0}, now + m_settings.groupWindow);
+    m_silentWorkers.staged = std::move(workers);
+    markDirty({row_kind::Silent, {}, 0}, now + m_settings.commitWindow);
 }
 
 // The configuration.
 
-std::uint64_t task_store::followed() const
+std::uint64_t task_store::appliedGeneration() const
 {
-    return newest(m_followed).value_or(0);
+    return newestValue(m_appliedGeneration).value_or(0);
 }
 
-void task_store::wantFollowed(std::uint64_t generation, time_point now)
+void task_store::stageAppliedGeneration(std::uint64_t generation, time_point now)
 {
-    if (generation <= followed())
+    if (generation <= appliedGeneration())
         return;
-    m_followed.wanted = generation;
-    markDirty({row_kind::Followed, {}, 0}, now + m_settings.groupWindow);
+    m_appliedGeneration.staged = generation;
+    markDirty({row_kind::AppliedGeneration, {}, 0}, now + m_settings.commitWindow);
 }
 
 // Transactions.
 
 void task_store::markDirty(const row_id &row, time_point due)
 {
-    const auto [known, added] = m_dirty.try_emplace(row, due);
+    const auto [known, added] = m_dirtyRows.try_emplace(row, due);
     if (!added && known->second <= due)
         return;
-    m_due.erase({known->second, row});
+    m_rowsByDueTime.erase({known->second, row});
     known->second = due;
-    m_due.insert({due, row});
+    m_rowsByDueTime.insert({due, row});
 }
 
 // --- Sending -------------------------------------------------------------------------------------
 
 void task_store::tick(time_point now)
 {
-    if (m_fenced)
+    if (m_isFenced)
         return;
-    if (!m_ready) {
-        if (now >= m_scanAt) {
-            m_scanAt = now + ScanAgainAfter;
+    if (!m_isReady) {
+        if (now >= m_nextScanAt) {
+            m_nextScanAt = now + ScanRetryDelay;
             m_actions.emplace_back(scan_rows{prefix()});
         }
         return;
     }
     if (!m_transaction) {
-        flush(now);
+        sendIfDue(now);
         return;
     }
-    if (now < m_transaction->nextAt)
+    if (now < m_transaction->retryAt)
         return;
-    if (m_transaction->settling) {
-        m_transaction->nextAt = now + m_settings.lastRetry;
+    if (m_transaction->isResolving) {
+        m_transaction->retryAt = now + m_settings.maxRetryDelay;
         std::vector<std::string> keys;
         for (const auto &condition : m_transaction->transaction.conditions)
             keys.push_back(condition.key);
         m_actions.emplace_back(read_rows{std::move(keys)});
     } else {
-        m_transaction->inDoubt = true;
-        m_transaction->nextAt = now + AnswerWithin;
-        m_actions.emplace_back(store_count::CommitResent);
+        m_transaction->isInDoubt = true;
+        m_transaction->retryAt = now + AnswerTimeout;
+        m_actions.emplace_back(store_counter::CommitResent);
         m_actions.emplace_back(commit_rows{m_transaction->transaction});
     }
 }
 
-void task_store::flush(time_point now)
+void task_store::sendIfDue(time_point now)
 {
-    if (!m_due.empty() && now >= m_retryAt && now >= m_due.begin()->first)
-        send(now);
+    if (!m_rowsByDueTime.empty() && now >= m_retryAt && now >= m_rowsByDueTime.begin()->first)
+        sendTransaction(now);
 }
 
-void task_store::send(time_point now)
+void task_store::sendTransaction(time_point now)
 {
     m_transaction = transaction_state{};
-    m_transaction->nextAt = now + AnswerWithin;
+    m_transaction->retryAt = now + AnswerTimeout;
     table_transaction &transaction = m_transaction->transaction;
-    transaction.operationId = m_operationPrefix + "/" + std::to_string(++m_operations);
+    transaction.operationId = m_operationPrefix + "/" + std::to_string(++m_operationCount);
     transaction.conditions.push_back({shardKey(m_shard), m_shardVersion});
     // Rows that are due within the window go along. A removal goes alone: the rows of one job, all
     // of them settled.
-    const time_point until = now + m_settings.groupWindow;
-    const bool removal = m_due.begin()->second.kind == row_kind::Removal;
-    auto next = m_due.begin();
-    while (next != m_due.end() && next->first <= until
-           && transaction.writes.size() < m_settings.groupRows) {
+    const time_point until = now + m_settings.commitWindow;
+    const bool removal = m_rowsByDueTime.begin()->second.kind == row_kind::Removal;
+    auto next = m_rowsByDueTime.begin();
+    while (next != m_rowsByDueTime.end() && next->first <= until
+           && transaction.writes.size() < m_settings.maxRowsPerCommit) {
         const row_id row = next->second;
         if ((row.kind == row_kind::Removal) != removal) {
             ++next;
             continue;
         }
-        next = m_due.erase(next);
-        m_dirty.erase(row);
+        next = m_rowsByDueTime.erase(next);
+        m_dirtyRows.erase(row);
         m_transaction->rows.push_back(row);
         if (removal) {
             addRemoval(row.job);
@@ -447,97 +454,97 @@
     value[OperationMember] = transaction.operationId;
     transaction.conditions.push_back({keyOf(row), versionOf(row)});
     transaction.writes.push_back({keyOf(row), std::move(value)});
-    moveToSent(row);
+    moveToInFlight(row);
 }
 
 // The job's row goes last, so that an owner that finds it knows that chunks may be left.
 void task_store::addRemoval(const std::string &job)
 {
-    if (!drained(job))
+    if (!canRemoveJob(job))
         return;
     table_transaction &transaction = m_transaction->transaction;
     for (auto it = m_chunks.lower_bound({row_kind::Chunk, job, 0}); it != m_chunks.end(); ++it) {
-        if (it->first.job != job || transaction.writes.size() >= m_settings.groupRows)
+        if (it->first.job != job || transaction.writes.size() >= m_settings.maxRowsPerCommit)
             break;
         if (it->second.version == 0)
             continue;
         transaction.conditions.push_back({keyOf(it->first), it->second.version});
         transaction.writes.push_back({keyOf(it->first), std::nullopt});
     }
-    if (transaction.writes.size() >= m_settings.groupRows)
+    if (transaction.writes.size() >= m_settings.maxRowsPerCommit)
         return;
     const row_id row{row_kind::Job, job, 0};
     transaction.conditions.push_back({keyOf(row), versionOf(row)});
     transaction.writes.push_back({keyOf(row), std::nullopt});
 }
 
-void task_store::moveToSent(const row_id &row)
+void task_store::moveToInFlight(const row_id &row)
 {
     if (row.kind == row_kind::Chunk) {
         chunk_state &chunk = m_chunks[row];
-        chunk.sent = std::exchange(chunk.wanted, {});
+        chunk.inFlight = std::exchange(chunk.staged, {});
     } else if (row.kind == row_kind::Silent) {
-        m_silent.sent = std::exchange(m_silent.wanted, std::nullopt);
-    } else if (row.kind == row_kind::Followed) {
-        m_followed.sent = std::exchange(m_followed.wanted, std::nullopt);
+        m_silentWorkers.inFlight = std::exchange(m_silentWorkers.staged, std::nullopt);
+    } else if (row.kind == row_kind::AppliedGeneration) {
+        m_appliedGeneration.inFlight = std::exchange(m_appliedGeneration.staged, std::nullopt);
     } else if (row.kind == row_kind::Job) {
         auto &job = m_jobs[row.job];
-        job.sent = std::exchange(job.wanted, std::nullopt);
+        job.inFlight = std::exchange(job.staged, std::nullopt);
     }
 }
 
 // What was sent is wanted again, under what was wanted since.
-void task_store::moveBack(const row_id &row)
+void task_store::moveBackToStaged(const row_id &row)
 {
     if (row.kind == row_kind::Chunk) {
         chunk_state &chunk = m_chunks[row];
-        chunk.wanted.merge(chunk.sent);
-        chunk.sent.clear();
+        chunk.staged.merge(chunk.inFlight);
+        chunk.inFlight.clear();
     } else if (row.kind == row_kind::Silent) {
-        m_silent.wanted = newest(m_silent);
-        m_silent.sent.reset();
-    } else if (row.kind == row_kind::Followed) {
-        m_followed.wanted = newest(m_followed);
-        m_followed.sent.reset();
+        m_silentWorkers.staged = newestValue(m_silentWorkers);
+        m_silentWorkers.inFlight.reset();
+    } else if (row.kind == row_kind::AppliedGeneration) {
+        m_appliedGeneration.staged = newestValue(m_appliedGeneration);
+        m_appliedGeneration.inFlight.reset();
     } else if (row.kind == row_kind::Job) {
         auto &job = m_jobs[row.job];
-        job.wanted = newest(job);
-        job.sent.reset();
+        job.staged = newestValue(job);
+        job.inFlight.reset();
     }
 }
 
 // --- Answers of the table ------------------------------------------------------------------------
 
-void task_store::handle(const write_settled &event, time_point now)
+void task_store::handle(const write_answered &event, time_point now)
 {
-    if (m_fenced || !m_transaction || m_transaction->transaction.operationId != event.operationId)
+    if (m_isFenced || !m_transaction || m_transaction->transaction.operationId != event.operationId)
         return;
     transaction_state &current = *m_transaction;
     switch (event.result.outcome) {
     case write_outcome::Applied:
-        applied(event.result.sequence, now);
+        onApplied(event.result.sequence, now);
         return;
     case write_outcome::Refused:
-        m_actions.emplace_back(store_count::CommitRefused);
-        failed(now);
+        m_actions.emplace_back(store_counter::CommitRefused);
+        recordFailure(now);
         // Refusing a repeat says nothing about the copy that was sent before.
-        if (current.inDoubt)
-            current.nextAt = now + retryDelay();
+        if (current.isInDoubt)
+            current.retryAt = now + retryDelay();
         else
-            giveBack(now);
+            restageTransaction(now);
         return;
     case write_outcome::Unknown:
-        m_actions.emplace_back(store_count::CommitUnknown);
-        failed(now);
-        current.inDoubt = true;
-        current.settling = true;
-        current.nextAt = now + retryDelay();
+        m_actions.emplace_back(store_counter::CommitUnknown);
+        recordFailure(now);
+        current.isInDoubt = true;
+        current.isResolving = true;
+        current.retryAt = now + retryDelay();
         return;
     case write_outcome::Conflict:
         // Either a copy of this very write took effect, or a row has changed: reading tells.
-        m_actions.emplace_back(store_count::CommitConflict);
-        current.settling = true;
-        current.nextAt = now;
+        m_actions.emplace_back(store_counter::CommitConflict);
+        current.isResolving = true;
+        current.retryAt = now;
         break;
     }
     tick(now);
@@ -545,21 +552,21 @@
 
 void task_store::handle(const rows_read &event, time_point now)
 {
-    if (m_fenced)
+    if (m_isFenced)
         return;
     if (event.keys.empty()) {
-        if (!m_ready)
+        if (!m_isReady)
             load(event.rows);
         return;
     }
-    if (m_transaction && m_transaction->settling)
-        settleFromRows(event, now);
+    if (m_transaction && m_transaction->isResolving)
+        resolveFromRows(event, now);
 }
 
 // A write in doubt took effect if one of its rows carries its operation id: only this process
 // writes these rows, one transaction at a time. If no row has changed, a copy may still be on its
 // way; exactly the same write goes out again, and its conditions let one copy at most take effect.
-void task_store::settleFromRows(const rows_read &event, time_point now)
+void task_store::resolveFromRows(const rows_read &event, time_point now)
 {
     transaction_state &current = *m_transaction;
     const auto &conditions = current.transaction.conditions;
@@ -574,8 +581,8 @@
     for (const auto &row : event.rows)
         rows[row.key] = &row;
     std::uint64_t version = 0;
-    if (tookEffect(rows, &version)) {
-        applied(version, now);
+    if (hasTakenEffect(rows, &version)) {
+        onApplied(version, now);
         return;
     }
     std::vector<row_condition> changed;
@@ -585,25 +592,25 @@
             changed.push_back(condition);
     }
     if (changed.empty()) {
-        current.settling = false;
-        current.nextAt = now + retryDelay();
+        current.isResolving = false;
+        current.retryAt = now + retryDelay();
         return;
     }
     if (changed.front().key == shardKey(m_shard)) {
-        m_fenced = true;
+        m_isFenced = true;
         m_actions.emplace_back(fenced{m_shard});
         return;
     }
-    giveBack(now);
+    restageTransaction(now);
     m_retryAt = now;
     for (const auto &condition : changed) {
         const auto found = rows.find(condition.key);
-        reload(*rowOf(condition.key), found == rows.end() ? nullptr : found->second);
+        reloadRow(*rowIdFromKey(condition.key), found == rows.end() ? nullptr : found->second);
     }
 }
 
-bool task_store::tookEffect(const std::map<std::string, const table_row *> &rows,
-                            std::uint64_t *version) const
+bool task_store::hasTakenEffect(const std::map<std::string, const table_row *> &rows,
+                                std::uint64_t *version) const
 {
     const table_transaction &transaction = m_transaction->transaction;
     bool onlyRemovals = true;
@@ -625,98 +632,100 @@
     return onlyRemovals && allGone;
 }
 
-void task_store::applied(std::uint64_t version, time_point now)
+void task_store::onApplied(std::uint64_t version, time_point now)
 {
     const transaction_state done = std::move(*m_transaction);
     m_transaction.reset();
-    m_failures = 0;
+    m_consecutiveFailures = 0;
     m_failingSince = Never;
     m_retryAt = time_point();
     for (const auto &row : done.rows) {
         if (row.kind == row_kind::Removal) {
             for (const auto &write : done.transaction.writes) {
-                const row_id removed = *rowOf(write.key);
+                const row_id removed = *rowIdFromKey(write.key);
                 if (removed.kind == row_kind::Job)
                     m_jobs.erase(removed.job);
                 else
                     m_chunks.erase(removed);
             }
         } else {
-            appliedRow(row, version);
+            onRowApplied(row, version);
         }
-        if (m_jobs.contains(row.job) && drained(row.job))
-            markDirty({row_kind::Removal, row.job, 0}, now + m_settings.lazyWindow);
+        if (m_jobs.contains(row.job) && canRemoveJob(row.job))
+            markDirty({row_kind::Removal, row.job, 0}, now + m_settings.lazyCommitWindow);
     }
 }
 
-void task_store::appliedRow(const row_id &row, std::uint64_t version)
+void task_store::onRowApplied(const row_id &row, std::uint64_t version)
 {
     versionOf(row) = version;
     if (row.kind == row_kind::Silent) {
-        m_silent.settled = std::exchange(m_silent.sent, std::nullopt);
+        m_silentWorkers.committed = std::exchange(m_silentWorkers.inFlight, std::nullopt);
         return;
     }
-    if (row.kind == row_kind::Followed) {
-        m_followed.settled = std::exchange(m_followed.sent, std::nullopt);
+    if (row.kind == row_kind::AppliedGeneration) {
+        m_appliedGeneration.committed = std::exchange(m_appliedGeneration.inFlight, std::nullopt);
         return;
     }
     auto &job = m_jobs[row.job];
     if (row.kind == row_kind::Job) {
-        const bool before = job.settled && job.settled->cancelled;
-        job.settled = std::exchange(job.sent, std::nullopt);
-        m_settledJobs.push_back({row.job, job.settled->cancelled && !before});
+        const bool before = job.committed && job.committed->isCancelled;
+        job.committed = std::exchange(job.inFlight, std::nullopt);
+        m_committedJobs.push_back({row.job, job.committed->isCancelled && !before});
         return;
     }
     chunk_state &chunk = m_chunks[row];
-    for (auto &[index, record] : std::exchange(chunk.sent, {})) {
-        task_record &settled = chunk.settled[index];
-        m_changes.push_back(
-                {{row.job, index}, view(settled, job.settled), view(record, job.settled), false});
+    for (auto &[index, record] : std::exchange(chunk.inFlight, {})) {
+        task_record &settled = chunk.committed[index];
+        m_changes.push_back({{row.job, index},
+                             withJobCancellation(settled, job.committed),
+                             withJobCancellation(record, job.committed),
+                             false});
         settled = std::move(record);
     }
 }
 
 // Nothing of the transaction took effect, or will: its rows are wanted again.
-void task_store::giveBack(time_point now)
+void task_store::restageTransaction(time_point now)
 {
     const auto rows = std::move(m_transaction->rows);
     m_transaction.reset();
     for (const auto &row : rows) {
-        moveBack(row);
+        moveBackToStaged(row);
         markDirty(row, now);
     }
     m_retryAt = now + retryDelay();
 }
 
-void task_store::failed(time_point now)
+void task_store::recordFailure(time_point now)
 {
-    ++m_failures;
+    ++m_consecutiveFailures;
     m_failingSince = std::min(m_failingSince, now);
 }
 
 milliseconds task_store::retryDelay() const
 {
-    constexpr int MostDoublings = 10;
-    const int doublings = std::clamp(m_failures - 1, 0, MostDoublings);
-    return std::min(m_settings.firstRetry * (1 << doublings), m_settings.lastRetry);
+    constexpr int MaxDoublings = 10;
+    const int doublings = std::clamp(m_consecutiveFailures - 1, 0, MaxDoublings);
+    return std::min(m_settings.initialRetryDelay * (1 << doublings), m_settings.maxRetryDelay);
 }
 
-bool task_store::drained(const std::string &id) const
+bool task_store::canRemoveJob(const std::string &id) const
 {
     const auto found = m_jobs.find(id);
     if (found == m_jobs.end())
         return false;
     const auto &job = found->second;
-    if (!job.settled || !job.settled->cancelled || job.sent || job.wanted)
+    if (!job.committed || !job.committed->isCancelled || job.inFlight || job.staged)
         return false;
     for (auto it = m_chunks.lower_bound({row_kind::Chunk, id, 0}); it != m_chunks.end(); ++it) {
         if (it->first.job != id)
             break;
         const chunk_state &chunk = it->second;
-        if (!chunk.sent.empty() || !chunk.wanted.empty())
+        if (!chunk.inFlight.empty() || !chunk.staged.empty())
             return false;
-        for (const auto &[index, record] : chunk.settled) {
-            if (occupies(record))
+        for (const auto &[index, record] : chunk.committed) {
+            if (occupiesWorker(record))
                 return false;
         }
     }
@@ -731,16 +740,16 @@
 {
     for (const auto &row : rows)
         loadRow(row);
-    m_ready = true;
+    m_isReady = true;
     for (const auto &[id, job] : m_jobs) {
-        if (drained(id))
+        if (canRemoveJob(id))
             markDirty({row_kind::Removal, id, 0}, time_point());
     }
 }
 
 void task_store::loadRow(const table_row &row)
 {
-    const auto id = rowOf(row.key);
+    const auto id = rowIdFromKey(row.key);
     if (!id)
         return;
     if (id->kind == row_kind::Chunk) {
@@ -749,26 +758,26 @@
     }
     versionOf(*id) = row.version;
     if (id->kind == row_kind::Job) {
-        m_jobs[id->job].settled = storedJobFromJson(row.value);
-        m_settledJobs.push_back({id->job, false});
+        m_jobs[id->job].committed = storedJobFromJson(row.value);
+        m_committedJobs.push_back({id->job, false});
         return;
     }
-    if (id->kind == row_kind::Followed) {
-        m_followed.settled = countMember(row.value, GenerationMember);
+    if (id->kind == row_kind::AppliedGeneration) {
+        m_appliedGeneration.committed = countMember(row.value, GenerationMember);
         return;
     }
-    m_silent.settled.emplace();
+    m_silentWorkers.committed.emplace();
     for (const auto &worker : arrayMember(row.value, "workers"))
-        m_silent.settled->insert(worker.asString());
+        m_silentWorkers.committed->insert(worker.asString());
 }
 
 void task_store::loadChunk(const row_id &row, const table_row *found, chunk_state &chunk)
 {
     chunk.version = found == nullptr ? 0 : found->version;
-    chunk.settled.clear();
+    chunk.committed.clear();
     if (found == nullptr)
         return;
-    std::uint32_t index = row.chunk * m_settings.chunkTasks;
+    std::uint32_t index = row.chunk * m_settings.tasksPerChunk;
     for (const auto &value : arrayMember(found->value, "tasks")) {
         if (value.isIntegral() && value.asUInt() > 1) {
             index += value.asUInt();
@@ -776,7 +785,7 @@
         }
         const task_record record = taskRecordFromJson(value);
         if (record != task_record())
-            chunk.settled[index] = record;
+            chunk.committed[index] = record;
         ++index;
     }
 }
@@ -784,28 +793,34 @@
 // A row that something else has changed: the table's content stands, and what was wanted for it is
 // dropped, so that one row cannot hold up its group for ever. Agents repeat their events, and the
 // placer decides again.
-void task_store::reload(const row_id &row, const table_row *found)
+void task_store::reloadRow(const row_id &row, const table_row *found)
 {
     if (row.kind != row_kind::Chunk) {
         versionOf(row) = found == nullptr ? 0 : found->version;
         return;
     }
     chunk_state &chunk = m_chunks[row];
-    const record_map dropped = std::exchange(chunk.wanted, {});
-    const record_map before = chunk.settled;
+    const record_map dropped = std::exchange(chunk.staged, {});
+    const record_map before = chunk.committed;
     loadChunk(row, found, chunk);
-    const auto &job = m_jobs[row.job].settled;
-    record_map after = chunk.settled;
+    const auto &job = m_jobs[row.job].committed;
+    record_map after = chunk.committed;
     for (const auto &[index, record] : before)
         after.try_emplace(index);
     for (const auto &[index, record] : dropped) {
-        m_changes.push_back({{row.job, index}, view(record, job), view(after[index], job), true});
+        m_changes.push_back({{row.job, index},
+                             withJobCancellation(record, job),
+                             withJobCancellation(after[index], job),
+                             true});
     }
     for (const auto &[index, record] : after) {
         const task_record *old = findRecord(before, index);
         const task_record was = old == nullptr ? task_record() : *old;
         if (was != record)
-            m_changes.push_back({{row.job, index}, view(was, job), view(record, job), false});
+            m_changes.push_back({{row.job, index},
+                                 withJobCancellation(was, job),
+                                 withJobCancellation(record, job),
+                                 false});
     }
 }
 
--- a/libs/work/task_store.h
+++ b/libs/work/task_store.h
@@ -27,13 +27,13 @@
 
 struct store_settings
 {
-    milliseconds groupWindow{100};  // changes are collected this long
-    milliseconds lazyWindow{1'000}; // the same for changes that nobody waits for
-    std::size_t groupRows = 50;     // most rows in one transaction
-    std::uint32_t chunkTasks = 64;  // indexes in one row: 64 for each step of the jobs' strides
-    milliseconds firstRetry{100};   // after a refused or unknown write; doubles each time
-    milliseconds lastRetry{5'000};
-    milliseconds downAfter{3'000}; // the table counts as down after failing this long
+    milliseconds commitWindow{100};       // changes are collected this long
+    milliseconds lazyCommitWindow{1'000}; // the same for changes that nobody waits for
+    std::size_t maxRowsPerCommit = 50;    // most rows in one transaction
+    std::uint32_t tasksPerChunk = 64; // indexes in one row: 64 for each step of the jobs' strides
+    milliseconds initialRetryDelay{100}; // after a refused or unknown write; doubles each time
+    milliseconds maxRetryDelay{5'000};
+    milliseconds outageThreshold{3'000}; // the table counts as down after failing this long
 };
 
 // Actions.
@@ -53,17 +53,17 @@
 {
     int shard = 0;
 };
-enum class store_count {
+enum class store_counter {
     CommitRefused,  // the table refused: nothing changed
     CommitUnknown,  // no answer: read back and settled
     CommitConflict, // a row had changed: it is read again, the rest goes on without it
     CommitResent,   // the same transaction once more
 };
-std::string_view nameOf(store_count reason);
-using store_action = std::variant<commit_rows, read_rows, scan_rows, fenced, store_count>;
+std::string_view nameOf(store_counter reason);
+using store_action = std::variant<commit_rows, read_rows, scan_rows, fenced, store_counter>;
 
 // Events of the platform.
-struct write_settled
+struct write_answered
 {
     std::string operationId;
     write_result result;
@@ -80,26 +80,26 @@
     task_id task;
     task_record before;
     task_record after;
-    bool reverted = false;
+    bool isReverted = false;
 };
 
 struct stored_job
 {
     job_spec spec;
-    std::uint32_t range = 0; // tasks ever; those past spec.tasks are cancelled
-    bool cancelled = false;
+    std::uint32_t peakTaskCount = 0; // tasks ever; those past spec.tasks are cancelled
+    bool isCancelled = false;
 
     bool operator==(const stored_job &other) const
     {
-        return spec.generation == other.spec.generation && cancelled == other.cancelled;
+        return spec.generation == other.spec.generation && isCancelled == other.isCancelled;
     }
 };
 
 // A job whose row has been written or loaded.
-struct settled_job
+struct committed_job
 {
     std::string id;
-    bool cancelledNow = false; // by this write
+    bool isNewlyCancelled = false; // by this write
 };
 
 class task_store
@@ -110,45 +110,46 @@
     task_store(int shard, std::uint64_t shardVersion, std::string operationPrefix,
                store_settings settings);
 
-    bool ready() const { return m_ready; } // rows were read
-    bool isFenced() const { return m_fenced; }
-    bool down(time_point now) const;
+    bool isReady() const { return m_isReady; } // rows were read
+    bool isFenced() const { return m_isFenced; }
+    bool isDown(time_point now) const;
 
     // A job's cancellation changes each of its tasks at once, without a write for each: Pending
     // reads as Cancelled, Placed as Cancelling.
-    task_record effective(const task_id &task) const; // newest intention
-    task_record settled(const task_id &task) const;   // as the table holds it
-    bool inFlight(const task_id &task) const;         // the two may differ
-    bool known(const task_id &task) const;            // in the range of a job
-    bool jobInFlight(const std::string &id) const;
+    task_record newestRecord(const task_id &task) const;    // newest intention
+    task_record committedRecord(const task_id &task) const; // as the table holds it
+    bool hasUncommittedChange(const task_id &task) const;   // the two may differ
+    bool isInJobRange(const task_id &task) const;           // in the range of a job
+    bool hasUncommittedJobChange(const std::string &id) const;
     // Lazy: nobody waits for this change.
-    void want(const task_id &task, const task_record &record, time_point now, bool lazy = false);
+    void stageRecord(const task_id &task, const task_record &record, time_point now,
+                     bool isLazy = false);
 
     const stored_job *job(const std::string &id) const; // newest intention
     std::vector<std::string> jobs() const;
-    void wantJob(const stored_job &job, time_point now);
+    void stageJob(const stored_job &job, time_point now);
     // Every task that was ever placed, settled or not.
-    std::vector<task_id> touched() const;
-    std::vector<task_id> touched(const std::string &job) const;
+    std::vector<task_id> everPlacedTasks() const;
+    std::vector<task_id> everPlacedTasks(const std::string &job) const;
 
-    bool silent(const std::string &worker) const;        // settled, on its way, or wanted
-    bool silentSettled(const std::string &worker) const; // as the table holds it
-    void wantSilent(const std::string &worker, bool silent, time_point now);
+    bool isDeclaredSilent(const std::string &worker) const;  // settled, on its way, or wanted
+    bool isCommittedSilent(const std::string &worker) const; // as the table holds it
+    void stageSilent(const std::string &worker, bool silent, time_point now);
 
-    std::uint64_t followed() const; // generation; newest intention
-    void wantFollowed(std::uint64_t generation, time_point now);
+    std::uint64_t appliedGeneration() const; // generation; newest intention
+    void stageAppliedGeneration(std::uint64_t generation, time_point now);
 
-    void handle(const write_settled &event, time_point now);
+    void handle(const write_answered &event, time_point now);
     void handle(const rows_read &event, time_point now);
     void tick(time_point now);
 
     std::vector<store_action> takeActions() { return std::exchange(m_actions, {}); }
     std::vector<record_change> takeChanges() { return std::exchange(m_changes, {}); }
-    std::vector<settled_job> takeSettledJobs() { return std::exchange(m_settledJobs, {}); }
+    std::vector<committed_job> takeCommittedJobs() { return std::exchange(m_committedJobs, {}); }
 
 private:
     // Followed comes first: a change of a job is never in the table without its generation.
-    enum class row_kind { Followed, Job, Chunk, Silent, Removal };
+    enum class row_kind { AppliedGeneration, Job, Chunk, Silent, Removal };
 
     struct row_id
     {
@@ -165,18 +166,18 @@
     struct chunk_state
     {
         std::uint64_t version = 0; // 0: no row yet
-        record_map settled;        // absent: never placed
-        record_map sent;           // in the transaction on its way
-        record_map wanted;         // changed since
+        record_map committed;      // absent: never placed
+        record_map inFlight;       // in the transaction on its way
+        record_map staged;         // changed since
     };
 
     template <typename Value>
     struct row_state
     {
         std::uint64_t version = 0;
-        std::optional<Value> settled;
-        std::optional<Value> sent;
-        std::optional<Value> wanted;
+        std::optional<Value> committed;
+        std::optional<Value> inFlight;
+        std::optional<Value> staged;
     };
     using silent_set = std::set<std::string>;
 
@@ -184,67 +185,68 @@
     {
         table_transaction transaction;
         std::vector<row_id> rows;
-        bool inDoubt = false;      // a copy may have taken effect, or may still do so
-        bool settling = false;     // waits for its rows to be read back
-        time_point nextAt = Never; // of the next sending or reading, if no answer comes before
+        bool isInDoubt = false;     // a copy may have taken effect, or may still do so
+        bool isResolving = false;   // waits for its rows to be read back
+        time_point retryAt = Never; // of the next sending or reading, if no answer comes before
     };
 
     // Keys and values of rows.
     std::string prefix() const;
     std::string keyOf(const row_id &row) const;
-    std::optional<row_id> rowOf(const std::string &key) const;
+    std::optional<row_id> rowIdFromKey(const std::string &key) const;
     Json::Value valueOf(const row_id &row) const;
     std::uint64_t &versionOf(const row_id &row);
-    row_id chunkOf(const task_id &task) const;
+    row_id chunkRowOf(const task_id &task) const;
     const chunk_state *findChunk(const task_id &task) const;
-    static task_record view(const task_record &record, const std::optional<stored_job> &job);
+    static task_record withJobCancellation(const task_record &record,
+                                           const std::optional<stored_job> &job);
 
     // Transactions.
     void markDirty(const row_id &row, time_point due);
-    void flush(time_point now);
-    void send(time_point now);
+    void sendIfDue(time_point now);
+    void sendTransaction(time_point now);
     void addRow(const row_id &row);
     void addRemoval(const std::string &job);
-    void moveToSent(const row_id &row);
-    void moveBack(const row_id &row);
-    void applied(std::uint64_t version, time_point now);
-    void appliedRow(const row_id &row, std::uint64_t version);
+    void moveToInFlight(const row_id &row);
+    void moveBackToStaged(const row_id &row);
+    void onApplied(std::uint64_t version, time_point now);
+    void onRowApplied(const row_id &row, std::uint64_t version);
     void removeJob(const std::string &id);
-    void giveBack(time_point now);
-    void settleFromRows(const rows_read &event, time_point now);
-    bool tookEffect(const std::map<std::string, const table_row *> &rows,
-                    std::uint64_t *version) const;
-    void failed(time_point now);
+    void restageTransaction(time_point now);
+    void resolveFromRows(const rows_read &event, time_point now);
+    bool hasTakenEffect(const std::map<std::string, const table_row *> &rows,
+                        std::uint64_t *version) const;
+    void recordFailure(time_point now);
     milliseconds retryDelay() const;
-    bool drained(const std::string &id) const;
+    bool canRemoveJob(const std::string &id) const;
 
     // Rows that were read.
     void load(const std::vector<table_row> &rows);
     void loadRow(const table_row &row);
-    void reload(const row_id &row, const table_row *found);
+    void reloadRow(const row_id &row, const table_row *found);
     void loadChunk(const row_id &row, const table_row *found, chunk_state &chunk);
 
     int m_shard;
     std::uint64_t m_shardVersion;
     std::string m_operationPrefix;
     store_settings m_settings;
-    std::uint64_t m_operations = 0;
-    bool m_ready = false;
-    bool m_fenced = false;
-    time_point m_scanAt;
+    std::uint64_t m_operationCount = 0;
+    bool m_isReady = false;
+    bool m_isFenced = false;
+    time_point m_nextScanAt;
     std::map<std::string, row_state<stored_job>> m_jobs;
     std::map<row_id, chunk_state> m_chunks;
-    row_state<silent_set> m_silent;
-    row_state<std::uint64_t> m_followed;
-    std::map<row_id, time_point> m_dirty; // when each is due to be sent
-    std::set<std::pair<time_point, row_id>> m_due;
+    row_state<silent_set> m_silentWorkers;
+    row_state<std::uint64_t> m_appliedGeneration;
+    std::map<row_id, time_point> m_dirtyRows; // when each is due to be sent
+    std::set<std::pair<time_point, row_id>> m_rowsByDueTime;
     std::optional<transaction_state> m_transaction;
-    int m_failures = 0; // of the table, in a row
+    int m_consecutiveFailures = 0; // of the table, in a row
     time_point m_failingSince = Never;
     time_point m_retryAt;
     std::vector<store_action> m_actions;
     std::vector<record_change> m_changes;
-    std::vector<settled_job> m_settledJobs;
+    std::vector<committed_job> m_committedJobs;
 };
 
 } // namespace zinniabarrow::work
--- a/libs/work/task_supervisor.cpp
+++ b/libs/work/task_supervisor.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t RememberedReports = 64;
+constexpr std::size_t MaxRememberedReports = 64;
 constexpr int ReportsPerLease = 3; // two may be lost before the agent's lease lapses
 
 constexpr name_table<task_outcome, 5> OutcomeNames = {{
@@ -25,19 +25,19 @@
         {task_outcome::Lapsed, "lapsed"},
 }};
 
-constexpr name_table<keeper_count, 9> CountNames = {{
-        {keeper_count::StaleEpoch, "stale_epoch"},
-        {keeper_count::StaleIncarnation, "stale_incarnation"},
-        {keeper_count::OtherSession, "other_session"},
-        {keeper_count::LeaseLapsed, "lease_lapsed"},
-        {keeper_count::OverCapacity, "over_capacity"},
-        {keeper_count::OldListing, "old_listing"},
-        {keeper_count::OldAttempt, "old_attempt"},
-        {keeper_count::AheadStarted, "ahead_started"},
-        {keeper_count::RaiseHeldBack, "raise_held_back"},
+constexpr name_table<supervisor_counter, 9> CountNames = {{
+        {supervisor_counter::StaleEpoch, "stale_epoch"},
+        {supervisor_counter::StaleIncarnation, "stale_incarnation"},
+        {supervisor_counter::OtherSession, "other_session"},
+        {supervisor_counter::LeaseLapsed, "lease_lapsed"},
+        {supervisor_counter::OverCapacity, "over_capacity"},
+        {supervisor_counter::StaleListing, "old_listing"},
+        {supervisor_counter::StaleAttempt, "old_attempt"},
+        {supervisor_counter::BacklogStarted, "ahead_started"},
+        {supervisor_counter::ReservationNotApplied, "raise_held_back"},
 }};
 
-task_event_kind eventOf(task_outcome outcome)
+task_event_kind eventKindOf(task_outcome outcome)
 {
     switch (outcome) {
     case task_outcome::Succeeded:
@@ -54,7 +54,7 @@
     return task_event_kind::Lost;
 }
 
-resources reservedIn(const worker_grant &grant, const task_attempt &attempt)
+resources reservedInGrant(const worker_grant &grant, const task_attempt &attempt)
 {
     for (const auto &reservation : grant.reservations) {
         if (reservation.attempt == attempt)
@@ -121,7 +121,7 @@
     return *outcome;
 }
 
-std::string_view nameOf(keeper_count reason)
+std::string_view nameOf(supervisor_counter reason)
 {
     return nameOf(CountNames, reason);
 }
@@ -154,133 +154,140 @@
     return listing;
 }
 
-task_keeper::task_keeper(std::string worker, std::string session, keeper_settings settings,
-                         capacity_check fits)
+task_supervisor::task_supervisor(std::string worker, std::string session,
+                                 supervisor_settings settings, capacity_check capacityCheck)
     : m_worker(std::move(worker))
     , m_session(std::move(session))
     , m_settings(settings)
-    , m_fits(std::move(fits))
+    , m_capacityCheck(std::move(capacityCheck))
 { }
 
 // --- Events --------------------------------------------------------------------------------------
 
-std::vector<keeper_action> task_keeper::handle(const keeper_event &event, time_point now)
+std::vector<supervisor_action> task_supervisor::handle(const supervisor_event &event,
+                                                       time_point now)
 {
     m_actions.clear();
     std::visit([&](const auto &one) { on(one, now); }, event);
     return std::move(m_actions);
 }
 
-time_point task_keeper::nextTick() const
+time_point task_supervisor::nextTick() const
 {
-    return m_incarnation == 0 ? m_listAt : std::min(m_listAt, m_reportAt);
+    return m_incarnation == 0 ? m_nextListingAt : std::min(m_nextListingAt, m_nextReportAt);
 }
 
-std::vector<running_task> task_keeper::occupying() const
+std::vector<running_task> task_supervisor::occupyingTasks() const
 {
     std::vector<running_task> tasks;
-    for (const auto &[task, kept] : m_tasks) {
-        if (kept.state == kept_state::Starting || kept.state == kept_state::Running)
-            tasks.push_back({{task, kept.attempt}, kept.checkpoint, kept.spec, kept.failover});
+    for (const auto &[task, supervised] : m_tasks) {
+        if (supervised.state == supervised_state::Starting
+            || supervised.state == supervised_state::Running)
+            tasks.push_back({{task, supervised.attempt},
+                             supervised.checkpoint,
+                             supervised.spec,
+                             supervised.failover});
     }
     return tasks;
 }
 
-resources task_keeper::occupiedBeside(const task_id &task) const
+resources task_supervisor::occupiedByOthers(const task_id &task) const
 {
     resources sum;
-    for (const auto &[other, kept] : m_tasks) {
-        const bool counts = kept.state == kept_state::Starting || kept.state == kept_state::Running;
-        if (counts && other != task)
-            sum += largest(declaredIn(kept.spec), kept.reserved);
+    for (const auto &[other, supervised] : m_tasks) {
+        const bool occupiesWorker = supervised.state == supervised_state::Starting
+                                    || supervised.state == supervised_state::Running;
+        if (occupiesWorker && other != task)
+            sum += largest(declaredSize(supervised.spec), supervised.reservedSize);
     }
     return sum;
 }
 
-void task_keeper::on(const grant_received &event, time_point now)
+void task_supervisor::on(const grant_received &event, time_point now)
 {
     const worker_grant &grant = event.grant;
     if (m_incarnation == 0 || grant.worker != m_worker)
         return;
     if (grant.session != m_session) {
-        count(keeper_count::OtherSession);
+        count(supervisor_counter::OtherSession);
         return;
     }
-    if (!accepts(grant)) {
-        count(grant.epoch < m_epoch ? keeper_count::StaleEpoch : keeper_count::StaleIncarnation);
+    if (!isCurrent(grant)) {
+        count(grant.epoch < m_epoch ? supervisor_counter::StaleEpoch
+                                    : supervisor_counter::StaleIncarnation);
         return;
     }
-    takeEpoch(grant.epoch, now);
-    const time_point grantEnds = takeLease(grant);
-    takeAcks(grant.ackedThrough);
-    takeAnswer(grant);
+    adoptEpoch(grant.epoch, now);
+    const time_point grantLeaseEnd = extendLease(grant);
+    applyAcks(grant.ackedEvent);
+    scheduleNextReport(grant);
     for (const auto &attempt : grant.stops)
-        takeStop(attempt);
-    takeReservations(grant); // before anything starts beside the tasks that have grown
+        applyStop(attempt);
+    applyReservations(grant); // before anything starts beside the tasks that have grown
     for (const auto &task : grant.tasks)
-        takeTask(grant, task, false, grantEnds, now);
+        applyGrantedTask(grant, task, false, grantLeaseEnd, now);
     for (const auto &task : grant.backlog)
-        takeTask(grant, task, true, grantEnds, now);
-    for (const auto &attempt : grant.checkpoints)
-        takeCheckpoint(attempt);
-    if (grant.limits)
-        takeLimits(*grant.limits);
+        applyGrantedTask(grant, task, true, grantLeaseEnd, now);
+    for (const auto &attempt : grant.evictions)
+        applyEviction(attempt);
+    if (grant.cpuLimits)
+        applyCpuLimits(*grant.cpuLimits);
 }
 
 // A superseded owner may still be alive and send: its tasks may by now run elsewhere.
-bool task_keeper::accepts(const worker_grant &grant) const
+bool task_supervisor::isCurrent(const worker_grant &grant) const
 {
     return grant.epoch >= m_epoch && grant.incarnation == m_incarnation;
 }
 
 // The worker records the epoch before the next report acknowledges it. An agent that is replaced
 // reads it back from the worker's listing, and so refuses the old owner as its predecessor did.
-void task_keeper::takeEpoch(std::uint64_t epoch, time_point now)
+void task_supervisor::adoptEpoch(std::uint64_t epoch, time_point now)
 {
     if (epoch <= m_epoch)
         return;
     m_epoch = epoch;
-    list(now);
+    requestListing(now);
 }
 
 // --- What a grant brings -------------------------------------------------------------------------
 
 // The end of the lease that this grant alone gives, and extends the agent's lease to it.
-time_point task_keeper::takeLease(const worker_grant &grant)
+time_point task_supervisor::extendLease(const worker_grant &grant)
 {
-    const auto sent = m_sentAt.find(grant.replyTo);
-    if (sent == m_sentAt.end())
+    const auto sentReport = m_reportSentAt.find(grant.replyTo);
+    if (sentReport == m_reportSentAt.end())
         return time_point();
-    const time_point ends = sent->second + grant.lease;
-    m_leaseUntil = std::max(m_leaseUntil, ends);
-    return ends;
+    const time_point leaseEnd = sentReport->second + grant.lease;
+    m_leaseUntil = std::max(m_leaseUntil, leaseEnd);
+    return leaseEnd;
 }
 
 // An answered report is followed by the next one late: reports are the larger part of what control
 // costs. Without an answer they go on quickly: were the longer period kept, a successor of a dead
 // owner would first be heard after the agent's lease, and the tasks of a live agent would lapse.
-void task_keeper::takeAnswer(const worker_grant &grant)
+void task_supervisor::scheduleNextReport(const worker_grant &grant)
 {
-    if (grant.replyTo != m_sequence || !m_events.empty())
+    if (grant.replyTo != m_reportSequence || !m_unackedEvents.empty())
         return;
-    const auto sent = m_sentAt.find(grant.replyTo);
-    if (sent == m_sentAt.end())
+    const auto sentReport = m_reportSentAt.find(grant.replyTo);
+    if (sentReport == m_reportSentAt.end())
         return;
-    const auto period = std::min(m_settings.reportEvery, grant.lease / ReportsPerLease);
-    m_reportAt = sent->second + std::max(m_settings.repeatEvery, period);
+    const auto period = std::min(m_settings.reportInterval, grant.lease / ReportsPerLease);
+    m_nextReportAt = sentReport->second + std::max(m_settings.repeatInterval, period);
 }
 
-void task_keeper::takeAcks(std::uint64_t through)
+void task_supervisor::applyAcks(std::uint64_t lastAcked)
 {
-    while (!m_events.empty() && m_events.front().number <= through) {
-        const task_event event = std::move(m_events.front());
-        m_events.pop_front();
+    while (!m_unackedEvents.empty() && m_unackedEvents.front().number <= lastAcked) {
+        const task_event event = std::move(m_unackedEvents.front());
+        m_unackedEvents.pop_front();
         if (!isEnd(event.kind))
             continue;
         m_actions.emplace_back(worker_forget{{event.task, event.attempt}});
-        const auto kept = m_tasks.find(event.task);
-        if (kept != m_tasks.end() && kept->second.attempt == event.attempt)
-            m_tasks.erase(kept);
+        const auto supervised = m_tasks.find(event.task);
+        if (supervised != m_tasks.end() && supervised->second.attempt == event.attempt)
+            m_tasks.erase(supervised);
     }
 }
 
@@ -289,243 +296,257 @@
 // a grant that was overtaken takes nothing back. One that does not fit, beside a task that the
 // owner has already written off, kills nothing here: it is not acknowledged, so the owner repeats
 // it, and evicts by its policy what has outgrown the worker.
-void task_keeper::takeReservations(const worker_grant &grant)
+void task_supervisor::applyReservations(const worker_grant &grant)
 {
-    bool whole = true;
+    bool allApplied = true;
     for (const auto &[attempt, reserved] : grant.reservations) {
         const auto found = m_tasks.find(attempt.task);
         if (found == m_tasks.end() || found->second.attempt != attempt.attempt
-            || found->second.state == kept_state::Ended)
+            || found->second.state == supervised_state::Ended)
             continue; // about to start (takeTask), or over
-        kept_task &kept = found->second;
-        const resources raised = largest(kept.reserved, reserved);
-        if (raised == kept.reserved)
+        supervised_task &supervised = found->second;
+        const resources raisedSize = largest(supervised.reservedSize, reserved);
+        if (raisedSize == supervised.reservedSize)
             continue;
-        if (m_fits(attempt.task, largest(declaredIn(kept.spec), raised))) {
-            kept.reserved = raised;
+        if (m_capacityCheck(attempt.task, largest(declaredSize(supervised.spec), raisedSize))) {
+            supervised.reservedSize = raisedSize;
             continue;
         }
-        whole = false;
-        count(keeper_count::RaiseHeldBack);
+        allApplied = false;
+        count(supervisor_counter::ReservationNotApplied);
     }
-    if (!whole)
+    if (!allApplied)
         return;
     if (m_reservationsEpoch != grant.epoch)
-        m_reservationsTaken = 0; // another owner numbers anew
+        m_ackedReservation = 0; // another owner numbers anew
     m_reservationsEpoch = grant.epoch;
-    m_reservationsTaken = std::max(m_reservationsTaken, grant.reservationsThrough);
+    m_ackedReservation = std::max(m_ackedReservation, grant.newestReservation);
 }
 
 // Each grant names every limit, so a lost one is repeated, an agent that was replaced learns them
 // again, and those of a former owner, which its successor does not know, are lifted. Told once, a
 // task could stay throttled for the rest of its life, or a noisy one at full speed.
-void task_keeper::takeLimits(const std::vector<task_limit> &limits)
+void task_supervisor::applyCpuLimits(const std::vector<cpu_limit> &limits)
 {
-    std::map<task_attempt, std::int64_t> wanted;
+    std::map<task_attempt, std::int64_t> limitByAttempt;
     for (const auto &limit : limits)
-        wanted[limit.attempt] = limit.millicores;
-    for (auto &[task, kept] : m_tasks) {
-        const task_attempt attempt{task, kept.attempt};
-        const auto found = wanted.find(attempt);
-        const std::int64_t limit = found == wanted.end() ? 0 : found->second;
-        if (kept.state != kept_state::Running || kept.limit == limit)
+        limitByAttempt[limit.attempt] = limit.millicores;
+    for (auto &[task, supervised] : m_tasks) {
+        const task_attempt attempt{task, supervised.attempt};
+        const auto found = limitByAttempt.find(attempt);
+        const std::int64_t limit = found == limitByAttempt.end() ? 0 : found->second;
+        if (supervised.state != supervised_state::Running || supervised.cpuLimit == limit)
             continue;
-        kept.limit = limit;
-        m_actions.emplace_back(worker_limit{attempt, limit});
+        supervised.cpuLimit = limit;
+        m_actions.emplace_back(worker_cpu_limit{attempt, limit});
     }
 }
 
-void task_keeper::on(const limit_unsettled &event, time_point)
+void task_supervisor::on(const cpu_limit_unconfirmed &event, time_point)
 {
-    const auto kept = m_tasks.find(event.attempt.task);
-    if (kept != m_tasks.end() && kept->second.attempt == event.attempt.attempt)
-        kept->second.limit = UnknownLimit; // told again with the next grant
+    const auto supervised = m_tasks.find(event.attempt.task);
+    if (supervised != m_tasks.end() && supervised->second.attempt == event.attempt.attempt)
+        supervised->second.cpuLimit = UnknownCpuLimit; // told again with the next grant
 }
 
-void task_keeper::takeTask(const worker_grant &grant, const granted_task &task, bool ahead,
-                           time_point grantEnds, time_point now)
+void task_supervisor::applyGrantedTask(const worker_grant &grant, const granted_task &task,
+                                       bool isBacklog, time_point grantLeaseEnd, time_point now)
 {
     const auto spec = grant.specs.find(task.task.job);
-    if (isKnown(task, now) || spec == grant.specs.end())
+    if (handleKnownAttempt(task, now) || spec == grant.specs.end())
         return;
-    if (ahead && !grant.startAhead)
+    if (isBacklog && !grant.mayStartBacklog)
         return;
     // This grant's own lease must hold, not only the agent's: a delayed grant may name a task that
     // was moved meanwhile, and a newer grant may have extended the agent's lease since.
-    if (now >= grantEnds) {
-        count(keeper_count::LeaseLapsed);
+    if (now >= grantLeaseEnd) {
+        count(supervisor_counter::LeaseLapsed);
         return;
     }
-    const resources reserved = reservedIn(grant, {task.task, task.attempt});
-    if (isStarting(task)) {
-        start(task, spec->second, reserved, grantEnds);
+    const resources reserved = reservedInGrant(grant, {task.task, task.attempt});
+    if (isStartRepeated(task)) {
+        startTask(task, spec->second, reserved, grantLeaseEnd);
         return;
     }
-    if (m_fits(task.task, largest(declaredIn(spec->second), reserved))) {
-        if (ahead)
-            count(keeper_count::AheadStarted);
-        start(task, spec->second, reserved, grantEnds);
+    if (m_capacityCheck(task.task, largest(declaredSize(spec->second), reserved))) {
+        if (isBacklog)
+            count(supervisor_counter::BacklogStarted);
+        startTask(task, spec->second, reserved, grantLeaseEnd);
         return;
     }
-    if (ahead)
+    if (isBacklog)
         return;
-    count(keeper_count::OverCapacity);
-    kept_task &kept = m_tasks[task.task];
-    kept = {task.attempt, kept_state::Refusing, task.failover, task.checkpoint, {}, {}, {}, 0, 0};
+    count(supervisor_counter::OverCapacity);
+    supervised_task &supervised = m_tasks[task.task];
+    supervised = {task.attempt,
+                  supervised_state::Refusing,
+                  task.failover,
+                  task.checkpoint,
+                  {},
+                  {},
+                  {},
+                  0,
+                  0};
     m_actions.emplace_back(worker_stop{{task.task, task.attempt}});
 }
 
 // True if this attempt is no longer to be started here: it was, or it is too old, or an earlier
 // attempt has to end first.
-bool task_keeper::isKnown(const granted_task &task, time_point now)
+bool task_supervisor::handleKnownAttempt(const granted_task &task, time_point now)
 {
     const auto found = m_tasks.find(task.task);
     if (found == m_tasks.end())
         return false;
-    kept_task &kept = found->second;
-    const task_attempt attempt{task.task, kept.attempt};
-    if (kept.attempt > task.attempt) {
-        count(keeper_count::OldAttempt);
+    supervised_task &supervised = found->second;
+    const task_attempt attempt{task.task, supervised.attempt};
+    if (supervised.attempt > task.attempt) {
+        count(supervisor_counter::StaleAttempt);
         return true;
     }
-    if (kept.attempt < task.attempt) {
-        if (kept.state == kept_state::Ended)
+    if (supervised.attempt < task.attempt) {
+        if (supervised.state == supervised_state::Ended)
             return false;
         m_actions.emplace_back(worker_stop{attempt});
         return true;
     }
-    if (kept.state == kept_state::Running && !hasEvent(attempt, task_event_kind::Started))
+    if (supervised.state == supervised_state::Running
+        && !hasEvent(attempt, task_event_kind::Started))
         addEvent(attempt, task_event_kind::Started, now);
-    if (kept.state == kept_state::Refusing)
+    if (supervised.state == supervised_state::Refusing)
         m_actions.emplace_back(worker_stop{attempt});
     // A start may have been lost: it is repeated, and the worker runs an attempt only once.
-    return kept.state != kept_state::Starting || kept.refusedAt != 0;
+    return supervised.state != supervised_state::Starting || supervised.refusedAtListing != 0;
 }
 
-bool task_keeper::isStarting(const granted_task &task) const
+bool task_supervisor::isStartRepeated(const granted_task &task) const
 {
-    const auto kept = m_tasks.find(task.task);
-    return kept != m_tasks.end() && kept->second.attempt == task.attempt;
+    const auto supervised = m_tasks.find(task.task);
+    return supervised != m_tasks.end() && supervised->second.attempt == task.attempt;
 }
 
-void task_keeper::start(const granted_task &task, const Json::Value &spec,
-                        const resources &reserved, time_point grantEnds)
+void task_supervisor::startTask(const granted_task &task, const Json::Value &spec,
+                                const resources &reserved, time_point grantLeaseEnd)
 {
-    kept_task &kept = m_tasks[task.task];
-    if (kept.attempt != task.attempt)
-        kept = kept_task(); // a refusal of an earlier attempt says nothing about this one
-    kept.attempt = task.attempt;
-    kept.state = kept_state::Starting;
-    kept.failover = task.failover;
-    kept.checkpoint = task.checkpoint;
-    kept.spec = spec;
-    kept.reserved = largest(kept.reserved, reserved);
-    kept.limit = 0; // the worker starts it without one
-    kept.startUntil = grantEnds;
-    const milliseconds within(millisecondsUntil(grantEnds, m_listingReceivedAt));
-    const milliseconds lease = leaseToGive(task.failover, grantEnds);
-    m_actions.emplace_back(worker_start{task, spec, lease, within, m_listing, m_incarnation});
+    supervised_task &supervised = m_tasks[task.task];
+    if (supervised.attempt != task.attempt)
+        supervised =
+                supervised_task(); // a refusal of an earlier attempt says nothing about this one
+    supervised.attempt = task.attempt;
+    supervised.state = supervised_state::Starting;
+    supervised.failover = task.failover;
+    supervised.checkpoint = task.checkpoint;
+    supervised.spec = spec;
+    supervised.reservedSize = largest(supervised.reservedSize, reserved);
+    supervised.cpuLimit = 0; // the worker starts it without one
+    supervised.startDeadline = grantLeaseEnd;
+    const milliseconds startWithin(millisecondsUntil(grantLeaseEnd, m_listingReceivedAt));
+    const milliseconds lease = taskLeaseFor(task.failover, grantLeaseEnd);
+    m_actions.emplace_back(
+            worker_start{task, spec, lease, startWithin, m_newestListing, m_incarnation});
 }
 
 // Also for an attempt that never ran here: an older agent of this worker may still hold its start.
-void task_keeper::takeStop(const task_attempt &attempt)
+void task_supervisor::applyStop(const task_attempt &attempt)
 {
-    if (!hasEnded(attempt))
+    if (!hasEndEvent(attempt))
         m_actions.emplace_back(worker_stop{attempt});
 }
 
 // An attempt that is not here has nothing to checkpoint: it is only told never to start.
-void task_keeper::takeCheckpoint(const task_attempt &attempt)
+void task_supervisor::applyEviction(const task_attempt &attempt)
 {
-    const auto kept = m_tasks.find(attempt.task);
-    if (kept == m_tasks.end() || kept->second.attempt < attempt.attempt)
-        takeStop(attempt);
-    else if (kept->second.attempt == attempt.attempt && kept->second.state == kept_state::Running)
+    const auto supervised = m_tasks.find(attempt.task);
+    if (supervised == m_tasks.end() || supervised->second.attempt < attempt.attempt)
+        applyStop(attempt);
+    else if (supervised->second.attempt == attempt.attempt
+             && supervised->second.state == supervised_state::Running)
         m_actions.emplace_back(worker_checkpoint{attempt, checkpointName(attempt)});
 }
 
-void task_keeper::on(const listing_received &event, time_point now)
+void task_supervisor::on(const listing_received &event, time_point now)
 {
     const worker_listing &listing = event.listing;
-    const bool sameLife = listing.incarnation == m_incarnation;
-    if (listing.incarnation < m_incarnation || (sameLife && listing.number <= m_listing)) {
-        count(keeper_count::OldListing);
+    const bool isSameIncarnation = listing.incarnation == m_incarnation;
+    if (listing.incarnation < m_incarnation
+        || (isSameIncarnation && listing.number <= m_newestListing)) {
+        count(supervisor_counter::StaleListing);
         return;
     }
-    if (!sameLife)
-        takeIncarnation(listing.incarnation);
-    if (!speaksForWorker(now))
-        m_reportAt = now; // the owner has heard nothing since
-    m_listing = listing.number;
+    if (!isSameIncarnation)
+        adoptIncarnation(listing.incarnation);
+    if (!shouldReport(now))
+        m_nextReportAt = now; // the owner has heard nothing since
+    m_newestListing = listing.number;
     m_listingReceivedAt = now;
     m_tasksLapseAt = now + m_settings.leases.taskLease;
     // A new owner can place on this worker and answer its leases once it is told.
     if (listing.epoch != m_workerEpoch)
-        m_reportAt = std::min(m_reportAt, now + m_settings.eventDelay);
+        m_nextReportAt = std::min(m_nextReportAt, now + m_settings.eventDelay);
     m_workerEpoch = listing.epoch;
     m_epoch = std::max(m_epoch, listing.epoch);
     for (const auto &finished : listing.finished)
-        takeFinished(finished, now);
+        applyFinished(finished, now);
     for (const auto &running : listing.running)
-        takeRunning(running, now);
-    settleMissing(listing, now);
-    renewTasks();
+        applyRunning(running, now);
+    resolveMissing(listing, now);
+    renewTaskLeases();
 }
 
 // --- What a listing brings -----------------------------------------------------------------------
 
 // What ran in the worker's earlier life is gone; unacknowledged events of it still count.
-void task_keeper::takeIncarnation(std::uint64_t incarnation)
+void task_supervisor::adoptIncarnation(std::uint64_t incarnation)
 {
     m_incarnation = incarnation;
     m_tasks.clear();
     m_leaseUntil = time_point();
-    m_sentAt.clear();
+    m_reportSentAt.clear();
     // The owner waits for it: only a newer life proves that what ran in the old one has ended.
-    m_reportAt = time_point();
+    m_nextReportAt = time_point();
 }
 
-void task_keeper::takeRunning(const running_task &running, time_point now)
+void task_supervisor::applyRunning(const running_task &running, time_point now)
 {
-    kept_task &kept = m_tasks[running.attempt.task];
-    if (kept.attempt > running.attempt.attempt) {
+    supervised_task &supervised = m_tasks[running.attempt.task];
+    if (supervised.attempt > running.attempt.attempt) {
         m_actions.emplace_back(worker_stop{running.attempt});
         return;
     }
-    const bool news = kept.attempt != running.attempt.attempt || kept.state == kept_state::Starting;
-    if (kept.attempt != running.attempt.attempt) { // what is known is of an earlier attempt
-        kept.reserved = {};
-        kept.limit = UnknownLimit;
+    const bool isNew = supervised.attempt != running.attempt.attempt
+                       || supervised.state == supervised_state::Starting;
+    if (supervised.attempt != running.attempt.attempt) { // what is known is of an earlier attempt
+        supervised.reservedSize = {};
+        supervised.cpuLimit = UnknownCpuLimit;
     }
-    kept.attempt = running.attempt.attempt;
-    kept.state = kept_state::Running;
-    kept.failover = running.failover;
-    kept.spec = running.spec;
-    if (news)
+    supervised.attempt = running.attempt.attempt;
+    supervised.state = supervised_state::Running;
+    supervised.failover = running.failover;
+    supervised.spec = running.spec;
+    if (isNew)
         addEvent(running.attempt, task_event_kind::Started, now);
-    if (!running.checkpoint.empty() && running.checkpoint != kept.checkpoint) {
-        kept.checkpoint = running.checkpoint;
+    if (!running.checkpoint.empty() && running.checkpoint != supervised.checkpoint) {
+        supervised.checkpoint = running.checkpoint;
         addEvent(running.attempt, task_event_kind::Checkpointed, now, running.checkpoint);
     }
 }
 
-void task_keeper::takeFinished(const finished_task &finished, time_point now)
+void task_supervisor::applyFinished(const finished_task &finished, time_point now)
 {
-    if (hasEnded(finished.attempt))
+    if (hasEndEvent(finished.attempt))
         return;
-    kept_task &kept = m_tasks[finished.attempt.task];
-    const bool refused =
-            kept.attempt == finished.attempt.attempt && kept.state == kept_state::Refusing;
-    if (kept.attempt <= finished.attempt.attempt) {
-        kept.attempt = finished.attempt.attempt;
-        kept.state = kept_state::Ended;
+    supervised_task &supervised = m_tasks[finished.attempt.task];
+    const bool isRefused = supervised.attempt == finished.attempt.attempt
+                           && supervised.state == supervised_state::Refusing;
+    if (supervised.attempt <= finished.attempt.attempt) {
+        supervised.attempt = finished.attempt.attempt;
+        supervised.state = supervised_state::Ended;
     }
-    const auto kind = refused ? task_event_kind::Refused : eventOf(finished.outcome);
+    const auto kind = isRefused ? task_event_kind::Refused : eventKindOf(finished.outcome);
     addEvent(finished.attempt, kind, now, finished.checkpoint, finished.detail);
 }
 
 // Attempts that the worker neither runs nor lists as finished.
-void task_keeper::settleMissing(const worker_listing &listing, time_point now)
+void task_supervisor::resolveMissing(const worker_listing &listing, time_point now)
 {
     std::set<task_attempt> listed;
     for (const auto &running : listing.running)
@@ -533,76 +554,77 @@
     for (const auto &finished : listing.finished)
         listed.insert(finished.attempt);
     for (auto it = m_tasks.begin(); it != m_tasks.end();) {
-        kept_task &kept = it->second;
-        const task_attempt attempt{it->first, kept.attempt};
-        const bool missing = !listed.contains(attempt);
-        const bool starting = missing && kept.state == kept_state::Starting;
-        const bool refused = starting && kept.refusedAt != 0 && listing.number > kept.refusedAt;
+        supervised_task &supervised = it->second;
+        const task_attempt attempt{it->first, supervised.attempt};
+        const bool isMissing = !listed.contains(attempt);
+        const bool isStartMissing = isMissing && supervised.state == supervised_state::Starting;
+        const bool isRefused = isStartMissing && supervised.refusedAtListing != 0
+                               && listing.number > supervised.refusedAtListing;
         // Its start was lost and the worker would refuse it by now. The owner grants it again, or
         // has moved it.
-        if (starting && !refused && now >= kept.startUntil) {
+        if (isStartMissing && !isRefused && now >= supervised.startDeadline) {
             it = m_tasks.erase(it);
             continue;
         }
         // Another agent of this worker had its outcome settled and forgotten.
-        if (refused || (missing && kept.state == kept_state::Running)) {
-            kept.state = kept_state::Ended;
+        if (isRefused || (isMissing && supervised.state == supervised_state::Running)) {
+            supervised.state = supervised_state::Ended;
             addEvent(attempt, task_event_kind::Lost, now);
         }
         ++it;
     }
 }
 
-void task_keeper::on(const start_refused &event, time_point)
+void task_supervisor::on(const start_refused &event, time_point)
 {
-    const auto kept = m_tasks.find(event.attempt.task);
-    if (kept == m_tasks.end() || kept->second.attempt != event.attempt.attempt)
+    const auto supervised = m_tasks.find(event.attempt.task);
+    if (supervised == m_tasks.end() || supervised->second.attempt != event.attempt.attempt)
         return;
-    kept->second.refusedAt = std::max<std::uint64_t>(event.listing, 1);
+    supervised->second.refusedAtListing = std::max<std::uint64_t>(event.listing, 1);
 }
 
-void task_keeper::on(const keeper_tick &, time_point now)
+void task_supervisor::on(const supervisor_tick &, time_point now)
 {
-    if (now >= m_listAt)
-        list(now);
-    if (m_incarnation == 0 || now < m_reportAt)
+    if (now >= m_nextListingAt)
+        requestListing(now);
+    if (m_incarnation == 0 || now < m_nextReportAt)
         return;
-    if (speaksForWorker(now))
-        report(now);
+    if (shouldReport(now))
+        sendReport(now);
     else
-        m_reportAt = now + m_settings.repeatEvery;
+        m_nextReportAt = now + m_settings.repeatInterval;
 }
 
 // --- Leases, listings, reports -------------------------------------------------------------------
 
 // Class Lease: only while the agent's own lease holds, and never past it. Class Proof: always,
 // since nobody starts such a task elsewhere without proof that this attempt has ended.
-void task_keeper::renewTasks()
+void task_supervisor::renewTaskLeases()
 {
-    for (const auto &[task, kept] : m_tasks) {
-        if (kept.state != kept_state::Running)
+    for (const auto &[task, supervised] : m_tasks) {
+        if (supervised.state != supervised_state::Running)
             continue;
-        const milliseconds lease = leaseToGive(kept.failover, m_leaseUntil);
+        const milliseconds lease = taskLeaseFor(supervised.failover, m_leaseUntil);
         if (lease.count() > 0)
-            m_actions.emplace_back(
-                    worker_renew{{task, kept.attempt}, lease, m_listing, m_incarnation});
+            m_actions.emplace_back(worker_renew{
+                    {task, supervised.attempt}, lease, m_newestListing, m_incarnation});
     }
 }
 
 // The worker counts from when it made the listing, which was before the listing arrived here, so
 // the task's lease ends no later than `grantEnds`. Counting from the arrival of the renewal would
 // let a paused agent extend it.
-milliseconds task_keeper::leaseToGive(failover_class failover, time_point grantEnds) const
+milliseconds task_supervisor::taskLeaseFor(failover_class failover, time_point grantLeaseEnd) const
 {
     if (failover == failover_class::Proof)
         return m_settings.leases.proofTaskLease;
-    const milliseconds remaining(millisecondsUntil(grantEnds, m_listingReceivedAt));
+    const milliseconds remaining(millisecondsUntil(grantLeaseEnd, m_listingReceivedAt));
     return std::min(m_settings.leases.taskLease, remaining);
 }
 
-void task_keeper::list(time_point now)
+void task_supervisor::requestListing(time_point now)
 {
-    m_listAt = now + m_settings.listEvery;
+    m_nextListingAt = now + m_settings.listInterval;
     m_actions.emplace_back(worker_list{m_epoch});
 }
 
@@ -610,49 +632,55 @@
 // report for a worker that is gone, the tasks there would never start elsewhere, and others would
 // join them. Once it was not listed for as long as a task's lease, what it ran of class Lease has
 // ended: silence costs nothing any more. Ends that are not acknowledged are told all the same.
-bool task_keeper::speaksForWorker(time_point now) const
+bool task_supervisor::shouldReport(time_point now) const
 {
-    return now < m_tasksLapseAt || !m_events.empty();
+    return now < m_tasksLapseAt || !m_unackedEvents.empty();
 }
 
-void task_keeper::report(time_point now)
+void task_supervisor::sendReport(time_point now)
 {
-    m_reportAt = now + m_settings.repeatEvery;
-    agent_report report{m_worker, m_incarnation, m_session, ++m_sequence, m_workerEpoch, {}};
+    m_nextReportAt = now + m_settings.repeatInterval;
+    agent_report report{m_worker, m_incarnation, m_session, ++m_reportSequence, m_workerEpoch, {}};
     if (m_reservationsEpoch == m_workerEpoch)
-        report.reservationsTaken = m_reservationsTaken;
-    const std::size_t size = std::min(m_events.size(), m_settings.reportEvents);
-    report.events.assign(m_events.begin(), m_events.begin() + static_cast<std::ptrdiff_t>(size));
-    m_sentAt[m_sequence] = now;
-    if (m_sentAt.size() > RememberedReports)
-        m_sentAt.erase(m_sentAt.begin());
+        report.ackedReservation = m_ackedReservation;
+    const std::size_t size = std::min(m_unackedEvents.size(), m_settings.maxEventsPerReport);
+    report.events.assign(m_unackedEvents.begin(),
+                         m_unackedEvents.begin() + static_cast<std::ptrdiff_t>(size));
+    m_reportSentAt[m_reportSequence] = now;
+    if (m_reportSentAt.size() > MaxRememberedReports)
+        m_reportSentAt.erase(m_reportSentAt.begin());
     m_actions.emplace_back(send_report{std::move(report)});
 }
 
-void task_keeper::addEvent(const task_attempt &attempt, task_event_kind kind, time_point now,
-                           const std::string &checkpoint, const std::string &detail)
+void task_supervisor::addEvent(const task_attempt &attempt, task_event_kind kind, time_point now,
+                               const std::string &checkpoint, const std::string &detail)
 {
-    m_events.push_back({++m_lastEvent, attempt.task, attempt.attempt, kind, checkpoint, detail});
-    m_reportAt = std::min(m_reportAt, now + m_settings.eventDelay);
+    m_unackedEvents.push_back(
+            {++m_lastEventNumber, attempt.task, attempt.attempt, kind, checkpoint, detail});
+    m_nextReportAt = std::min(m_nextReportAt, now + m_settings.eventDelay);
 }
 
-bool task_keeper::hasEvent(const task_attempt &attempt, task_event_kind kind) const
+bool task_supervisor::hasEvent(const task_attempt &attempt, task_event_kind kind) const
 {
-    return std::any_of(m_events.begin(), m_events.end(), [&](const task_event &event) {
-        return event.kind == kind && event.task == attempt.task && event.attempt == attempt.attempt;
-    });
+    return std::any_of(m_unackedEvents.begin(), m_unackedEvents.end(),
+                       [&](const task_event &event) {
+                           return event.kind == kind && event.task == attempt.task
+                                  && event.attempt == attempt.attempt;
+                       });
 }
 
-bool task_keeper::hasEnded(const task_attempt &attempt) const
+bool task_supervisor::hasEndEvent(const task_attempt &attempt) const
 {
-    return std::any_of(m_events.begin(), m_events.end(), [&](const task_event &event) {
-        return isEnd(event.kind) && event.task == attempt.task && event.attempt == attempt.attempt;
-    });
+    return std::any_of(m_unackedEvents.begin(), m_unackedEvents.end(),
+                       [&](const task_event &event) {
+                           return isEnd(event.kind) && event.task == attempt.task
+                                  && event.attempt == attempt.attempt;
+                       });
 }
 
-void task_keeper::count(keeper_count reason)
+void task_supervisor::count(supervisor_counter reason)
 {
-    m_actions.emplace_back(count_keeper{reason});
+    m_actions.emplace_back(increment_counter{reason});
 }
 
 } // namespace zinniabarrow::work
--- a/libs/work/trace_checker.cpp
+++ b/libs/work/trace_checker.cpp
@@ -12,7 +12,7 @@
 constexpr name_table<trace_violation_kind, 10> KindNames = {{
         {trace_violation_kind::BadLine, "bad_line"},
         {trace_violation_kind::OverCapacity, "over_capacity"},
-        {trace_violation_kind::TwoPlaces, "two_places"},
+        {trace_violation_kind::StartedWhileRunning, "two_places"},
         {trace_violation_kind::AttemptRepeated, "attempt_repeated"},
         {trace_violation_kind::NotPlaced, "not_placed"},
         {trace_violation_kind::WrongCheckpoint, "wrong_checkpoint"},
@@ -46,7 +46,7 @@
     return nameOf(KindNames, kind);
 }
 
-void trace_checker::add(const Json::Value &event)
+void trace_checker::addEvent(const Json::Value &event)
 {
     ++m_line;
     try {
@@ -59,8 +59,8 @@
         task_trace &task = m_tasks[name];
         if (kind == "accepted") {
             task.accepted = true;
-            task.service = boolMember(event, "service");
-            task.proof = stringMember(event, "failover") == nameOf(failover_class::Proof);
+            task.isService = boolMember(event, "service");
+            task.isProofClass = stringMember(event, "failover") == nameOf(failover_class::Proof);
         } else if (kind == "placed") {
             task.placements[smallCountMember(event, "attempt")] = stringMember(event, "worker");
         } else if (kind == "started" || kind == "resumed") {
@@ -69,20 +69,20 @@
             addStop(event, task);
         } else if (kind == "cancelled") {
             task.cancelled = true;
-            task.owedCheckpoint.clear();
+            task.expectedCheckpoint.clear();
             if (task.running)
-                violate(trace_violation_kind::StartedAfterCancel, name + " still runs");
+                addViolation(trace_violation_kind::StartedAfterCancel, name + " still runs");
         } else if (kind == "done") {
             task.done = true;
             task.succeeded = true;
         } else if (kind == "failed") {
             task.failed = true;
-            task.owedCheckpoint.clear();
+            task.expectedCheckpoint.clear();
         } else if (kind != "checkpointed") {
-            violate(trace_violation_kind::BadLine, "unknown event " + kind);
+            addViolation(trace_violation_kind::BadLine, "unknown event " + kind);
         }
     } catch (const error &problem) {
-        violate(trace_violation_kind::BadLine, problem.what());
+        addViolation(trace_violation_kind::BadLine, problem.what());
     }
 }
 
@@ -108,51 +108,51 @@
     const std::string checkpoint = stringMemberOr(event, "checkpoint", "");
     const std::string text = attemptText(event);
     if (task.running)
-        violate(trace_violation_kind::TwoPlaces, text + ", still on " + task.worker);
+        addViolation(trace_violation_kind::StartedWhileRunning, text + ", still on " + task.worker);
     if (attempt <= task.attempt)
-        violate(trace_violation_kind::AttemptRepeated, text);
+        addViolation(trace_violation_kind::AttemptRepeated, text);
     if (task.cancelled)
-        violate(trace_violation_kind::StartedAfterCancel, text);
-    if (!task.service && (task.done || (task.proof && task.succeeded)))
-        violate(trace_violation_kind::StartedAfterEnd, text);
+        addViolation(trace_violation_kind::StartedAfterCancel, text);
+    if (!task.isService && (task.done || (task.isProofClass && task.succeeded)))
+        addViolation(trace_violation_kind::StartedAfterEnd, text);
     const auto placement = task.placements.find(attempt);
     if (placement == task.placements.end() || placement->second != worker)
-        violate(trace_violation_kind::NotPlaced, text);
-    if (!task.owedCheckpoint.empty() && checkpoint != task.owedCheckpoint)
-        violate(trace_violation_kind::WrongCheckpoint, text + " from \"" + checkpoint + "\"");
+        addViolation(trace_violation_kind::NotPlaced, text);
+    if (!task.expectedCheckpoint.empty() && checkpoint != task.expectedCheckpoint)
+        addViolation(trace_violation_kind::WrongCheckpoint, text + " from \"" + checkpoint + "\"");
     if (task.running)
-        use(task.worker, task.size, -1);
-    task.owedCheckpoint.clear();
+        addUsage(task.worker, task.size, -1);
+    task.expectedCheckpoint.clear();
     task.running = true;
     task.worker = worker;
     task.attempt = attempt;
     task.size = sizeOf(event);
-    use(worker, task.size, 1);
+    addUsage(worker, task.size, 1);
     checkCapacity(worker);
     if (!task.accepted)
-        violate(trace_violation_kind::NotPlaced, name + " was never accepted");
+        addViolation(trace_violation_kind::NotPlaced, name + " was never accepted");
 }
 
 void trace_checker::addStop(const Json::Value &event, task_trace &task)
 {
     const std::string kind = stringMember(event, "event");
-    const bool current = task.running && task.worker == stringMember(event, "worker")
-                         && task.attempt == smallCountMember(event, "attempt");
-    if (!current) {
-        violate(trace_violation_kind::BadLine, attemptText(event) + " did not run");
+    const bool isCurrent = task.running && task.worker == stringMember(event, "worker")
+                           && task.attempt == smallCountMember(event, "attempt");
+    if (!isCurrent) {
+        addViolation(trace_violation_kind::BadLine, attemptText(event) + " did not run");
         return;
     }
     task.running = false;
-    use(task.worker, task.size, -1);
+    addUsage(task.worker, task.size, -1);
     if (kind == "evicted")
-        task.owedCheckpoint = stringMember(event, "checkpoint");
+        task.expectedCheckpoint = stringMember(event, "checkpoint");
     if (kind != "ended")
         return;
     if (stringMember(event, "outcome") == "succeeded")
         task.succeeded = true;
 }
 
-void trace_checker::use(const std::string &worker, const trace_size &size, int sign)
+void trace_checker::addUsage(const std::string &worker, const trace_size &size, int sign)
 {
     trace_size &used = m_workers[worker].used;
     used.millicores += sign * size.millicores;
@@ -167,29 +167,29 @@
                       && worker.used.memoryBytes <= worker.size.memoryBytes
                       && worker.used.accelerators <= worker.size.accelerators;
     if (!fits)
-        violate(trace_violation_kind::OverCapacity, name);
+        addViolation(trace_violation_kind::OverCapacity, name);
 }
 
-std::vector<trace_violation> trace_checker::finish(bool complete)
+std::vector<trace_violation> trace_checker::finish(bool isComplete)
 {
     for (const auto &[name, task] : m_tasks) {
-        if (!complete || task.cancelled || !task.accepted)
+        if (!isComplete || task.cancelled || !task.accepted)
             continue;
-        if (!task.owedCheckpoint.empty())
-            violate(trace_violation_kind::NotResumed, name);
-        const bool whole = task.service ? task.running : task.succeeded || task.failed;
-        if (!whole)
-            violate(trace_violation_kind::Lost, name);
+        if (!task.expectedCheckpoint.empty())
+            addViolation(trace_violation_kind::NotResumed, name);
+        const bool hasFinished = task.isService ? task.running : task.succeeded || task.failed;
+        if (!hasFinished)
+            addViolation(trace_violation_kind::Lost, name);
     }
     return m_violations;
 }
 
-void trace_checker::violate(trace_violation_kind kind, const std::string &detail)
+void trace_checker::addViolation(trace_violation_kind kind, const std::string &detail)
 {
     m_violations.push_back({kind, m_line, detail});
 }
 
-std::vector<trace_violation> checkTrace(std::istream &lines, bool complete)
+std::vector<trace_violation> checkTrace(std::istream &lines, bool isComplete)
 {
     trace_checker checker;
     std::string line;
@@ -200,9 +200,9 @@
         } catch (const error &) {
             event = Json::Value(); // reported as a bad line
         }
-        checker.add(event);
+        checker.addEvent(event);
     }
-    return checker.finish(complete);
+    return checker.finish(isComplete);
 }
 
 } // namespace zinniabarrow::work
--- a/libs/work/trace_checker.h
+++ b/libs/work/trace_checker.h
@@ -42,11 +42,11 @@
 enum class trace_violation_kind {
     BadLine,
     OverCapacity,
-    TwoPlaces,       // started while it still ran
-    AttemptRepeated, // started under an attempt that is not newer
-    NotPlaced,       // started without a placement of that attempt on that worker
-    WrongCheckpoint, // an evicted task did not go on from where it was
-    StartedAfterEnd, // a task that had succeeded ran again
+    StartedWhileRunning, // started while it still ran
+    AttemptRepeated,     // started under an attempt that is not newer
+    NotPlaced,           // started without a placement of that attempt on that worker
+    WrongCheckpoint,     // an evicted task did not go on from where it was
+    StartedAfterEnd,     // a task that had succeeded ran again
     StartedAfterCancel,
     NotResumed, // evicted, and nothing after
     Lost,       // accepted, and no end of any kind (a service: not running)
@@ -63,17 +63,17 @@
 class trace_checker
 {
 public:
-    void add(const Json::Value &event);
+    void addEvent(const Json::Value &event);
     // Complete: the system was given time to finish, so whatever has not happened is lost.
-    std::vector<trace_violation> finish(bool complete);
+    std::vector<trace_violation> finish(bool isComplete);
 
 private:
     struct task_trace
     {
         bool accepted = false;
-        bool service = false;
+        bool isService = false;
         bool running = false;
-        bool proof = false;
+        bool isProofClass = false;
         bool succeeded = false;
         bool done = false;
         bool failed = false;
@@ -81,7 +81,7 @@
         std::string worker;        // where it runs
         std::uint32_t attempt = 0; // newest that was started
         trace_size size;
-        std::string owedCheckpoint;                      // of an eviction that was not resumed yet
+        std::string expectedCheckpoint;                  // of an eviction that was not resumed yet
         std::map<std::uint32_t, std::string> placements; // worker by attempt
     };
     struct worker_trace
@@ -94,8 +94,8 @@
     void addStart(const Json::Value &event, task_trace &task, const std::string &name);
     void addStop(const Json::Value &event, task_trace &task);
     void checkCapacity(const std::string &name);
-    void use(const std::string &worker, const trace_size &size, int sign);
-    void violate(trace_violation_kind kind, const std::string &detail);
+    void addUsage(const std::string &worker, const trace_size &size, int sign);
+    void addViolation(trace_violation_kind kind, const std::string &detail);
 
     std::size_t m_line = 0;
     std::map<std::string, task_trace> m_tasks;
@@ -104,6 +104,6 @@
 };
 
 // Reads JSON lines to the end. A line that is no JSON object is a violation.
-std::vector<trace_violation> checkTrace(std::istream &lines, bool complete);
+std::vector<trace_violation> checkTrace(std::istream &lines, bool isComplete);
 
 } // namespace zinniabarrow::work
--- a/libs/work/usage.h
+++ b/libs/work/usage.h
@@ -31,11 +31,11 @@
 
 struct usage_report
 {
-    std::string session;        // of the agent; empty: whole, from an older agent
-    std::uint64_t sequence = 0; // rises by one with each report of the session
-    bool isWhole = true;        // else it changes the report before
-    usage_by_task tasks;        // all, or those that changed
-    std::vector<task_id> ended; // of those that the report before held
+    std::string session;             // of the agent; empty: whole, from an older agent
+    std::uint64_t sequence = 0;      // rises by one with each report of the session
+    bool isFull = true;              // else it changes the report before
+    usage_by_task tasks;             // all, or those that changed
+    std::vector<task_id> endedTasks; // of those that the report before held
 };
 
 // Into the members of a `usage` message and out of them. The reader throws error BadRequest.
@@ -44,10 +44,10 @@
 
 struct usage_settings
 {
-    double share = 0.05;                             // of the value sent last: smaller changes wait
-    std::int64_t millicores = 50;                    // and so do changes below this
-    std::int64_t bytes = std::int64_t(16) * 1 << 20; // for memory
-    milliseconds wholeEvery{30'000};
+    double relativeThreshold = 0.05;       // of the value sent last: smaller changes wait
+    std::int64_t millicoresThreshold = 50; // and so do changes below this
+    std::int64_t bytesThreshold = std::int64_t(16) * 1 << 20; // for memory
+    milliseconds fullReportInterval{30'000};
 };
 
 class usage_reporter
@@ -55,31 +55,31 @@
 public:
     usage_reporter(std::string session, usage_settings settings);
 
-    usage_report next(const usage_by_task &measured, time_point now);
+    usage_report nextReport(const usage_by_task &measured, time_point now);
     // The next one is whole: an answer was missing, or another owner is told.
-    void startAgain() { m_wholeAt = time_point(); }
+    void requestFullReport() { m_nextFullReportAt = time_point(); }
 
 private:
     bool hasChanged(const task_usage &sent, const task_usage &measured) const;
-    usage_report changes(const usage_by_task &measured);
+    usage_report changesSince(const usage_by_task &measured);
 
     std::string m_session;
     usage_settings m_settings;
     std::uint64_t m_sequence = 0;
-    time_point m_wholeAt{}; // when the next whole report is due
-    usage_by_task m_sent;   // as the owner has it
+    time_point m_nextFullReportAt{}; // when the next whole report is due
+    usage_by_task m_lastSent;        // as the owner has it
 };
 
-class usage_book
+class usage_tracker
 {
 public:
     // The usage of every task that is known by now; nothing for a doubled or late report. After a
     // gap only what the report itself names is known, until the next whole one.
-    std::optional<usage_by_task> take(const std::string &worker, const usage_report &report);
-    void forget(const std::string &worker) { m_workers.erase(worker); }
+    std::optional<usage_by_task> applyReport(const std::string &worker, const usage_report &report);
+    void forgetWorker(const std::string &worker) { m_workers.erase(worker); }
 
 private:
-    struct known_usage
+    struct worker_usage
     {
         std::string session;
         std::uint64_t sequence = 0;
@@ -87,7 +87,7 @@
         usage_by_task tasks;
     };
 
-    std::map<std::string, known_usage> m_workers;
+    std::map<std::string, worker_usage> m_workers;
 };
 
 } // namespace zinniabarrow::work
--- a/standins/batch.cpp
+++ b/standins/batch.cpp
@@ -131,7 +131,7 @@
     });
     work::trace_checker checker;
     for (const auto &line : lines)
-        checker.add(line);
+        checker.addEvent(line);
     return checker.finish(complete);
 }
 
--- a/standins/worker.cpp
+++ b/standins/worker.cpp
@@ -220,18 +220,18 @@
         request.listing = countMember(body, "listing");
         request.incarnation = countMember(body, "incarnation");
         switch (m_tasks.start(request, monotonic_clock::now())) {
-        case work::start_answer::Started:
+        case work::start_result::Started:
             run(request);
             return {200, {}, "{}"};
-        case work::start_answer::AlreadyRuns:
+        case work::start_result::AlreadyRunning:
             return {200, {}, "{}"};
-        case work::start_answer::TooLate:
+        case work::start_result::TooLate:
             return {410, {}, "{}"}; // the agent decides anew
-        case work::start_answer::Refused:
+        case work::start_result::Refused:
             break;
         }
         Json::Value answer(Json::objectValue);
-        answer["listing"] = Json::UInt64(m_tasks.listing());
+        answer["listing"] = Json::UInt64(m_tasks.newestListing());
         return {409, {}, compactJson(answer)};
     }
 
@@ -324,7 +324,7 @@
     void finish(const work::task_id &task, work::task_outcome outcome, const std::string &detail)
     {
         const auto &run = m_runs.at(task);
-        m_tasks.ended({run.attempt, outcome, run.checkpoint, detail});
+        m_tasks.recordEnd({run.attempt, outcome, run.checkpoint, detail});
         if (outcome == work::task_outcome::Evicted)
             end(task, "evicted", nullptr);
         else
@@ -354,7 +354,7 @@
 
     void endLapsed(time_point now)
     {
-        for (const auto &attempt : m_tasks.takeLapsed(now))
+        for (const auto &attempt : m_tasks.endLapsedTasks(now))
             end(attempt.task, "stopped", nullptr);
     }
 
