--- a/tests/quota_parts_test.cpp
+++ b/tests/quota_parts_test.cpp
@@ -38,28 +38,28 @@
 
 struct shard_state
 {
-    std::uint64_t version = 0;        // of its row
-    std::int64_t waiting = 0;         // tasks
-    std::deque<time_point> runsUntil; // of its tasks
+    std::uint64_t version = 0;           // of its row
+    std::int64_t waiting = 0;            // tasks
+    std::deque<time_point> taskEndTimes; // of its tasks
 };
 
-struct quota_world
+struct quota_model
 {
-    std::int64_t limit; // cores
-    std::int64_t unit;  // cores of one task
+    std::int64_t quotaCores; // cores
+    std::int64_t taskCores;  // cores of one task
     time_point now{seconds(1)};
     memory_platform platform;
-    std::vector<shard_state> shards;
+    std::vector<shard_state> shardStates;
     std::deque<tenure> tenures;
-    std::vector<std::pair<time_point, std::function<void()>>> later;
+    std::vector<std::pair<time_point, std::function<void()>>> delayedEvents;
     std::size_t commits = 0;
-    std::int64_t mostHeld = 0; // cores at once, by all shards
-    std::function<write_fault(tenure &)> faultOf = [](tenure &) { return write_fault::None; };
+    std::int64_t maxCoresInUse = 0; // cores at once, by all shards
+    std::function<write_fault(tenure &)> chooseFault = [](tenure &) { return write_fault::None; };
 
-    quota_world(std::size_t count, std::int64_t limitCores, std::int64_t unitCores)
-        : limit(limitCores)
-        , unit(unitCores)
-        , shards(count)
+    quota_model(std::size_t count, std::int64_t limitCores, std::int64_t unitCores)
+        : quotaCores(limitCores)
+        , taskCores(unitCores)
+        , shardStates(count)
     {
         for (std::size_t shard = 0; shard < count; ++shard)
             changeOwner(static_cast<int>(shard));
@@ -67,29 +67,29 @@
 
     shard_state &stateOf(const tenure &owner)
     {
-        return shards[static_cast<std::size_t>(owner.shard)];
+        return shardStates[static_cast<std::size_t>(owner.shard)];
     }
 
     void changeOwner(int shard)
     {
-        auto &state = shards[static_cast<std::size_t>(shard)];
+        auto &state = shardStates[static_cast<std::size_t>(shard)];
         Json::Value value(Json::objectValue);
         value["owner"] = Json::UInt64(tenures.size());
         const auto result = platform.commit(
                 {"own", {{shardKey(shard), state.version}}, {{shardKey(shard), value}}});
         state.version = result.sequence;
         quota_settings settings;
-        settings.shards = shards.size();
+        settings.shardCount = shardStates.size();
         tenures.push_back({shard, state.version,
                            quota_parts(shard, state.version,
                                        "tenure-" + std::to_string(tenures.size()), settings)});
     }
 
-    std::int64_t held() const
+    std::int64_t coresInUse() const
     {
         std::int64_t sum = 0;
-        for (const auto &state : shards)
-            sum += unit * static_cast<std::int64_t>(state.runsUntil.size());
+        for (const auto &state : shardStates)
+            sum += taskCores * static_cast<std::int64_t>(state.taskEndTimes.size());
         return sum;
     }
 
@@ -110,62 +110,65 @@
             if (const auto row = platform.read(key))
                 answer.rows.push_back(*row);
         }
-        later.emplace_back(now + milliseconds(100),
-                           [&owner, answer] { owner.parts.handle(answer); });
+        delayedEvents.emplace_back(now + milliseconds(100),
+                                   [&owner, answer] { owner.parts.handle(answer); });
     }
 
     void commit(tenure &owner, const table_transaction &transaction)
     {
         ++commits;
-        const auto fault = faultOf(owner);
+        const auto fault = chooseFault(owner);
         write_result result;
         if (fault == write_fault::Late)
-            later.emplace_back(now + seconds(5),
-                               [this, transaction] { platform.commit(transaction); });
+            delayedEvents.emplace_back(now + seconds(5),
+                                       [this, transaction] { platform.commit(transaction); });
         if (fault == write_fault::None || fault == write_fault::AnswerLost)
             result = platform.commit(transaction);
         if (fault == write_fault::Refused)
             result.outcome = write_outcome::Refused;
         else if (fault != write_fault::None)
             result.outcome = write_outcome::Unknown;
-        later.emplace_back(now + milliseconds(100), [this, &owner, transaction, result] {
-            perform(owner, owner.parts.handle(write_settled{transaction.operationId, result}, now));
+        delayedEvents.emplace_back(now + milliseconds(100), [this, &owner, transaction, result] {
+            perform(owner,
+                    owner.parts.handle(write_answered{transaction.operationId, result}, now));
         });
     }
 
     void decide(tenure &owner)
     {
         auto &state = stateOf(owner);
-        const auto here = unit * static_cast<std::int64_t>(state.runsUntil.size());
-        const team_demand demand{cores(limit), cores(here), cores(here + unit * state.waiting),
-                                 cores(state.waiting > 0 ? unit : 0)};
+        const auto coresHere = taskCores * static_cast<std::int64_t>(state.taskEndTimes.size());
+        const team_demand demand{cores(quotaCores), cores(coresHere),
+                                 cores(coresHere + taskCores * state.waiting),
+                                 cores(state.waiting > 0 ? taskCores : 0)};
         perform(owner, owner.parts.update({{"clubs", demand}}, now));
-        const bool owns = owner.version == state.version;
-        while (owns && state.waiting > 0) {
-            const auto then = unit * static_cast<std::int64_t>(state.runsUntil.size() + 1);
-            if (!cores(then).fitsIn(owner.parts.usable("clubs")))
+        const bool isCurrentOwner = owner.version == state.version;
+        while (isCurrentOwner && state.waiting > 0) {
+            const auto coresWithOneMore =
+                    taskCores * static_cast<std::int64_t>(state.taskEndTimes.size() + 1);
+            if (!cores(coresWithOneMore).fitsIn(owner.parts.usableQuota("clubs")))
                 break;
             --state.waiting;
-            state.runsUntil.push_back(now + seconds(3));
+            state.taskEndTimes.push_back(now + seconds(3));
         }
     }
 
     void step()
     {
         now += milliseconds(100);
-        for (auto &[at, event] : std::exchange(later, {})) {
+        for (auto &[at, event] : std::exchange(delayedEvents, {})) {
             if (at <= now)
                 event();
             else
-                later.emplace_back(at, std::move(event));
+                delayedEvents.emplace_back(at, std::move(event));
         }
-        for (auto &state : shards) {
-            while (!state.runsUntil.empty() && state.runsUntil.front() <= now)
-                state.runsUntil.pop_front();
+        for (auto &state : shardStates) {
+            while (!state.taskEndTimes.empty() && state.taskEndTimes.front() <= now)
+                state.taskEndTimes.pop_front();
         }
         for (std::size_t index = 0; index < tenures.size(); ++index)
             decide(tenures[index]);
-        mostHeld = std::max(mostHeld, held());
+        maxCoresInUse = std::max(maxCoresInUse, coresInUse());
     }
 
     void runFor(milliseconds length)
@@ -176,20 +179,20 @@
 };
 
 // Demand wanders: the first shard takes all there is, then others want theirs.
-void wander(quota_world &world)
+void runShiftingDemand(quota_model &model)
 {
-    world.shards[0].waiting = 60;
-    world.runFor(seconds(4));
-    world.shards[1].waiting = 20;
-    world.runFor(seconds(8));
-    world.shards[2].waiting = 4;
-    world.runFor(seconds(60));
+    model.shardStates[0].waiting = 60;
+    model.runFor(seconds(4));
+    model.shardStates[1].waiting = 20;
+    model.runFor(seconds(8));
+    model.shardStates[2].waiting = 4;
+    model.runFor(seconds(60));
 }
 
-void checkKept(const quota_world &world)
+void checkQuotaKept(const quota_model &model)
 {
-    check(world.mostHeld <= world.limit);
-    for (const auto &state : world.shards)
+    check(model.maxCoresInUse <= model.quotaCores);
+    for (const auto &state : model.shardStates)
         check(state.waiting == 0);
 }
 
@@ -199,25 +202,25 @@
 // it is used by whoever asks, and the one that came first yields to the others.
 Test(quota_parts, demand_wanders)
 {
-    quota_world world(3, 10, 1);
+    quota_model model(3, 10, 1);
     section("one shard alone gets the whole quota", [&] {
-        world.shards[0].waiting = 60;
-        world.runFor(seconds(2));
-        check(world.held() == 10);
+        model.shardStates[0].waiting = 60;
+        model.runFor(seconds(2));
+        check(model.coresInUse() == 10);
     });
     section("it yields to one that comes later", [&] {
-        world.shards[1].waiting = 20;
-        world.runFor(seconds(10));
-        check(world.shards[1].runsUntil.size() >= 3);
-        check(world.held() >= 8);
+        model.shardStates[1].waiting = 20;
+        model.runFor(seconds(10));
+        check(model.shardStates[1].taskEndTimes.size() >= 3);
+        check(model.coresInUse() >= 8);
     });
-    world.runFor(seconds(60));
-    checkKept(world);
+    model.runFor(seconds(60));
+    checkQuotaKept(model);
     section("no writes once nobody asks", [&] {
-        world.runFor(seconds(10));
-        const auto before = world.commits;
-        world.runFor(seconds(30));
-        check(world.commits == before);
+        model.runFor(seconds(10));
+        const auto before = model.commits;
+        model.runFor(seconds(30));
+        check(model.commits == before);
     });
 }
 
@@ -225,13 +228,13 @@
 // or both would wait for ever.
 Test(quota_parts, one_task_at_a_time)
 {
-    quota_world world(2, 2, 2);
-    world.shards[0].waiting = 30;
-    world.shards[1].waiting = 3;
-    world.runFor(seconds(60));
-    check(world.mostHeld == 2);
-    check(world.shards[1].waiting == 0);
-    check(world.shards[0].waiting < 25);
+    quota_model model(2, 2, 2);
+    model.shardStates[0].waiting = 30;
+    model.shardStates[1].waiting = 3;
+    model.runFor(seconds(60));
+    check(model.maxCoresInUse == 2);
+    check(model.shardStates[1].waiting == 0);
+    check(model.shardStates[0].waiting < 25);
 }
 
 // Every write of a part is struck by each fault, with and without a change of that shard's owner
@@ -239,30 +242,30 @@
 // gives out.
 Test(quota_parts, every_write_struck)
 {
-    quota_world calm(3, 10, 1);
-    wander(calm);
-    checkKept(calm);
-    const auto writes = calm.commits;
+    quota_model faultFree(3, 10, 1);
+    runShiftingDemand(faultFree);
+    checkQuotaKept(faultFree);
+    const auto writes = faultFree.commits;
     require(writes > 8);
-    for (std::size_t struck = 1; struck <= writes; ++struck) {
+    for (std::size_t faultyWrite = 1; faultyWrite <= writes; ++faultyWrite) {
         for (const auto fault : Faults) {
-            for (const bool change : {false, true}) {
-                quota_world world(3, 10, 1);
-                world.faultOf = [&](tenure &owner) {
-                    if (world.commits != struck)
+            for (const bool hasOwnerChange : {false, true}) {
+                quota_model model(3, 10, 1);
+                model.chooseFault = [&](tenure &owner) {
+                    if (model.commits != faultyWrite)
                         return write_fault::None;
-                    if (change) {
-                        world.later.emplace_back(world.now, [&world, shard = owner.shard] {
-                            world.changeOwner(shard);
+                    if (hasOwnerChange) {
+                        model.delayedEvents.emplace_back(model.now, [&model, shard = owner.shard] {
+                            model.changeOwner(shard);
                         });
                     }
                     return fault;
                 };
-                wander(world);
-                section("write " + std::to_string(struck) + ", fault "
+                runShiftingDemand(model);
+                section("write " + std::to_string(faultyWrite) + ", fault "
                                 + std::to_string(static_cast<int>(fault))
-                                + (change ? ", owner changed" : ""),
-                        [&] { checkKept(world); });
+                                + (hasOwnerChange ? ", owner changed" : ""),
+                        [&] { checkQuotaKept(model); });
             }
         }
     }
@@ -273,30 +276,30 @@
 // takes effect, count beside what another shard takes.
 Test(quota_parts, late_return)
 {
-    for (const bool change : {false, true}) {
-        quota_world world(2, 10, 1);
-        world.shards[0].waiting = 10;
-        world.runFor(seconds(4));
-        check(world.shards[0].runsUntil.empty());
+    for (const bool hasOwnerChange : {false, true}) {
+        quota_model model(2, 10, 1);
+        model.shardStates[0].waiting = 10;
+        model.runFor(seconds(4));
+        check(model.shardStates[0].taskEndTimes.empty());
         time_point sentAt;
-        world.faultOf = [&](tenure &owner) {
+        model.chooseFault = [&](tenure &owner) {
             if (sentAt != time_point()) // the table is down for the others meanwhile
-                return world.now < sentAt + seconds(5) ? write_fault::NeverSent : write_fault::None;
-            sentAt = world.now;
-            world.shards[0].waiting = 10;
-            if (change)
-                world.later.emplace_back(
-                        world.now, [&world, shard = owner.shard] { world.changeOwner(shard); });
+                return model.now < sentAt + seconds(5) ? write_fault::NeverSent : write_fault::None;
+            sentAt = model.now;
+            model.shardStates[0].waiting = 10;
+            if (hasOwnerChange)
+                model.delayedEvents.emplace_back(
+                        model.now, [&model, shard = owner.shard] { model.changeOwner(shard); });
             return write_fault::Late;
         };
         while (sentAt == time_point())
-            world.step();
-        world.runFor(milliseconds(4'400));
-        world.shards[0].waiting += 10;
-        world.runFor(milliseconds(800));
-        world.shards[1].waiting = 10;
-        world.runFor(seconds(60));
-        section(change ? "owner changed" : "same owner", [&] { checkKept(world); });
+            model.step();
+        model.runFor(milliseconds(4'400));
+        model.shardStates[0].waiting += 10;
+        model.runFor(milliseconds(800));
+        model.shardStates[1].waiting = 10;
+        model.runFor(seconds(60));
+        section(hasOwnerChange ? "owner changed" : "same owner", [&] { checkQuotaKept(model); });
     }
 }
 
@@ -305,18 +308,18 @@
 // wait for ever.
 Test(quota_parts, lost_return)
 {
-    quota_world world(2, 10, 1);
-    world.shards[0].waiting = 10;
-    std::size_t lost = 0;
-    world.runFor(seconds(4));
-    world.faultOf = [&](tenure &) {
-        return ++lost == 1 ? write_fault::NeverSent : write_fault::None;
+    quota_model model(2, 10, 1);
+    model.shardStates[0].waiting = 10;
+    std::size_t writeCount = 0;
+    model.runFor(seconds(4));
+    model.chooseFault = [&](tenure &) {
+        return ++writeCount == 1 ? write_fault::NeverSent : write_fault::None;
     };
-    while (lost == 0)
-        world.step();
-    world.shards[0].waiting = 10;
-    world.runFor(seconds(10));
-    checkKept(world);
+    while (writeCount == 0)
+        model.step();
+    model.shardStates[0].waiting = 10;
+    model.runFor(seconds(10));
+    checkQuotaKept(model);
 }
 
 // Faults and changes of owners all the time: the sum stays within the quota at every moment, and
@@ -325,20 +328,20 @@
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         random_generator random(seed);
-        quota_world world(4, 12, 1);
-        world.faultOf = [&](tenure &) {
+        quota_model model(4, 12, 1);
+        model.chooseFault = [&](tenure &) {
             return pickIndex(random, 3) == 0 ? Faults[pickIndex(random, std::size(Faults))]
                                              : write_fault::None;
         };
         for (int wave = 0; wave < 20; ++wave) {
-            world.shards[pickIndex(random, 4)].waiting +=
+            model.shardStates[pickIndex(random, 4)].waiting +=
                     static_cast<std::int64_t>(pickIndex(random, 8));
-            world.runFor(seconds(3));
+            model.runFor(seconds(3));
             if (pickIndex(random, 2) == 0)
-                world.changeOwner(static_cast<int>(pickIndex(random, 4)));
+                model.changeOwner(static_cast<int>(pickIndex(random, 4)));
         }
-        world.faultOf = [](tenure &) { return write_fault::None; };
-        world.runFor(seconds(90));
-        section("seed " + std::to_string(seed), [&] { checkKept(world); });
+        model.chooseFault = [](tenure &) { return write_fault::None; };
+        model.runFor(seconds(90));
+        section("seed " + std::to_string(seed), [&] { checkQuotaKept(model); });
     }
 }
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -39,7 +39,7 @@
         check(shard_world::countedByAgent(host).fitsIn(host.size));
         resources declared;
         for (const auto &task : host.worker->running())
-            declared += work::declaredIn(task.spec);
+            declared += work::declaredSize(task.spec);
         check(declared.fitsIn(host.size));
     }
 }
@@ -80,7 +80,7 @@
     });
     section("a start that does not fit beside it is refused by the agent alone", [&] {
         const resources next{0, 15 * Gigabyte, 0};
-        check(!(host.keeper->occupiedBeside({}) + next).fitsIn(host.size));
+        check(!(host.keeper->occupiedByOthers({}) + next).fitsIn(host.size));
         check(host.kills == 0);
     });
 }
@@ -206,15 +206,15 @@
     check(!json.isMember("reservations") && !json.isMember("reservationsThrough"));
     check(work::workerGrantFromJson(json).reservations.empty());
     grant.reservations.push_back({{{"job", 3}, 2}, {1000, 2000, 1}});
-    grant.reservationsThrough = 7;
+    grant.newestReservation = 7;
     const auto read = work::workerGrantFromJson(toJson(grant));
     require(read.reservations.size() == 1);
     check(read.reservations[0].attempt == grant.reservations[0].attempt);
     check(read.reservations[0].reserved == grant.reservations[0].reserved);
-    check(read.reservationsThrough == 7);
+    check(read.newestReservation == 7);
     work::agent_report report{"w", 1, "s", 1, 1, {}, 0};
     check(!toJson(report).isMember("reservationsTaken"));
-    check(work::agentReportFromJson(toJson(report)).reservationsTaken == 0);
-    report.reservationsTaken = 9;
-    check(work::agentReportFromJson(toJson(report)).reservationsTaken == 9);
+    check(work::agentReportFromJson(toJson(report)).ackedReservation == 0);
+    report.ackedReservation = 9;
+    check(work::agentReportFromJson(toJson(report)).ackedReservation == 9);
 }
--- a/tests/shard_world.h
+++ b/tests/shard_world.h
@@ -25,7 +25,7 @@
 {
     std::string id;
     resources size;
-    std::unique_ptr<work::task_keeper> keeper;
+    std::unique_ptr<work::task_supervisor> keeper;
     std::unique_ptr<work::worker_tasks> worker;
     int session = 0;    // raised when the agent is replaced
     unsigned kills = 0; // running tasks that were stopped without a checkpoint
@@ -35,10 +35,10 @@
 
     void startAgent()
     {
-        keeper = std::make_unique<work::task_keeper>(
-                id, id + "#" + std::to_string(++session), work::keeper_settings(),
+        keeper = std::make_unique<work::task_supervisor>(
+                id, id + "#" + std::to_string(++session), work::supervisor_settings(),
                 [this](const work::task_id &task, const resources &amount) {
-                    return (keeper->occupiedBeside(task) + amount).fitsIn(size);
+                    return (keeper->occupiedByOthers(task) + amount).fitsIn(size);
                 });
     }
 };
@@ -82,7 +82,7 @@
             now += step;
             for (auto &[id, host] : hosts)
                 tickHost(host);
-            feed(work::table_tick{});
+            feed(work::coordinator_tick{});
             perform(owner->follow(m_adopted, m_places, now));
             perform(owner->plan(now));
         }
@@ -134,7 +134,7 @@
     }
     static resources countedByAgent(const shard_host &host)
     {
-        return host.keeper->occupiedBeside({});
+        return host.keeper->occupiedByOthers({});
     }
 
     time_point now{std::chrono::hours(1)};
@@ -154,11 +154,11 @@
         m_platform.commit({"own-" + std::to_string(epoch),
                            {},
                            {{work::shardKey(0), Json::Value(Json::objectValue)}}});
-        const work::table_owner tenure{0, epoch, row ? row->version + 1 : 1, {}};
-        owner = std::make_unique<owned_shard>(tenure, "op", work::table_settings(), settings(), 1,
-                                              counters, log);
+        const work::shard_tenure tenure{0, epoch, row ? row->version + 1 : 1, {}};
+        owner = std::make_unique<owned_shard>(tenure, "op", work::coordinator_settings(),
+                                              settings(), 1, counters, log);
         feed(work::rows_read{{}, m_platform.scan("work/0/")});
-        feed(work::horizon_moved{Never});
+        feed(work::grant_deadline_changed{Never});
     }
 
     // As the daemon sets them.
@@ -170,15 +170,15 @@
         return out;
     }
 
-    void feed(const work::table_event &event) { perform(owner->handle(event, now)); }
+    void feed(const work::coordinator_event &event) { perform(owner->handle(event, now)); }
 
-    void perform(const std::vector<work::table_action> &actions)
+    void perform(const std::vector<work::coordinator_action> &actions)
     {
         for (const auto &action : actions) {
             if (const auto *commit = std::get_if<work::commit_rows>(&action)) {
                 const auto &transaction = commit->transaction;
                 const auto result = m_platform.commit(transaction);
-                feed(work::write_settled{transaction.operationId, result});
+                feed(work::write_answered{transaction.operationId, result});
             } else if (const auto *grant = std::get_if<work::send_grant>(&action)) {
                 deliver(grant->grant);
             }
@@ -198,11 +198,11 @@
     {
         if (!host.alive)
             return;
-        host.worker->takeLapsed(now);
-        run(host, host.keeper->handle(work::keeper_tick{}, now));
+        host.worker->endLapsedTasks(now);
+        run(host, host.keeper->handle(work::supervisor_tick{}, now));
     }
 
-    void run(shard_host &host, const std::vector<work::keeper_action> &actions)
+    void run(shard_host &host, const std::vector<work::supervisor_action> &actions)
     {
         for (const auto &action : actions)
             std::visit([&](const auto &one) { act(host, one); }, action);
@@ -223,13 +223,14 @@
     }
     void act(shard_host &host, const work::worker_checkpoint &action)
     {
-        host.worker->ended({action.attempt, work::task_outcome::Evicted, action.checkpoint, {}});
+        host.worker->recordEnd(
+                {action.attempt, work::task_outcome::Evicted, action.checkpoint, {}});
     }
     void act(shard_host &host, const work::worker_forget &action) { host.worker->forget(action); }
-    void act(shard_host &host, const work::worker_limit &action)
+    void act(shard_host &host, const work::worker_cpu_limit &action)
     {
         if (host.limitsToLose > 0 && host.limitsToLose-- > 0)
-            run(host, host.keeper->handle(work::limit_unsettled{action.attempt}, now));
+            run(host, host.keeper->handle(work::cpu_limit_unconfirmed{action.attempt}, now));
         else
             host.limits[action.attempt] = action.millicores;
     }
@@ -237,7 +238,7 @@
     {
         feed(work::report_received{work::agentReportFromJson(toJson(action.report))});
     }
-    void act(shard_host &, const work::count_keeper &action)
+    void act(shard_host &, const work::increment_counter &action)
     {
         counters.count("tasks_kept_total", nameOf(action.reason));
     }
--- a/tests/usage_test.cpp
+++ b/tests/usage_test.cpp
@@ -29,14 +29,14 @@
     return compactJson(message).size();
 }
 
-usage_report overTheWire(const usage_report &report)
+usage_report serializedAndParsed(const usage_report &report)
 {
     Json::Value message(Json::objectValue);
     addToJson(message, report);
     return usageReportFromJson(parseJson(compactJson(message)));
 }
 
-bool near(const usage_by_task &left, const usage_by_task &right, const usage_settings &settings)
+bool isClose(const usage_by_task &left, const usage_by_task &right, const usage_settings &settings)
 {
     if (left.size() != right.size())
         return false;
@@ -44,9 +44,9 @@
         const auto other = right.find(task);
         if (other == right.end()
             || std::abs(usage.bytes - other->second.bytes)
-                       > std::max<std::int64_t>(settings.bytes, usage.bytes / 16)
-            || std::abs(usage.millicores - other->second.millicores)
-                       > std::max<std::int64_t>(settings.millicores, usage.millicores / 16))
+                       > std::max<std::int64_t>(settings.bytesThreshold, usage.bytes / 16)
+            || std::abs(usage.millicores - other->second.millicores) > std::max<std::int64_t>(
+                       settings.millicoresThreshold, usage.millicores / 16))
             return false;
     }
     return true;
@@ -58,18 +58,18 @@
 Test(usage, bytes_of_32_tasks)
 {
     usage_reporter reporter("agent-1#1", {});
-    std::size_t whole = 0;
+    std::size_t fullBytes = 0;
     std::size_t sum = 0;
     for (int report = 0; report < 30; ++report) {
         auto usage = tasksOf(32);
         usage[{"season@3", 0}].millicores += report % 2 * 100; // one of them does move
-        const auto bytes = bytesOf(reporter.next(usage, time_point(seconds(2 * report))));
-        whole = std::max(whole, bytes);
+        const auto bytes = bytesOf(reporter.nextReport(usage, time_point(seconds(2 * report))));
+        fullBytes = std::max(fullBytes, bytes);
         sum += bytes;
     }
-    std::fprintf(stderr, "| 32 tasks | whole %zu B | 30 reports in a minute: %.0f B/s |\n", whole,
-                 static_cast<double>(sum) / 60);
-    check(whole < 2'200);
+    std::fprintf(stderr, "| 32 tasks | whole %zu B | 30 reports in a minute: %.0f B/s |\n",
+                 fullBytes, static_cast<double>(sum) / 60);
+    check(fullBytes < 2'200);
     check(sum / 60 < 150);
 }
 
@@ -82,9 +82,9 @@
     random_generator random(7, 1);
     for (int run = 0; run < 300; ++run) {
         usage_reporter reporter("s", settings);
-        usage_book book;
+        usage_tracker tracker;
         auto measured = tasksOf(4);
-        std::vector<usage_report> onTheWay;
+        std::vector<usage_report> inFlight;
         for (int turn = 0; turn < 40; ++turn) {
             const time_point now(seconds(2 * turn));
             measured[{"season@3", static_cast<std::uint32_t>(pickIndex(random, 6))}] = {
@@ -92,30 +92,31 @@
                     static_cast<std::int64_t>(pickIndex(random, 4'000)) * Megabyte};
             if (pickIndex(random, 8) == 0)
                 measured.erase(measured.begin());
-            onTheWay.push_back(overTheWire(reporter.next(measured, now)));
-            const auto fate = pickIndex(random, 5);
-            if (fate == 0)
-                onTheWay.pop_back(); // lost
-            else if (fate == 1 && onTheWay.size() > 1)
-                std::swap(onTheWay.back(), onTheWay[onTheWay.size() - 2]);
-            if (fate == 2 || onTheWay.empty())
+            inFlight.push_back(serializedAndParsed(reporter.nextReport(measured, now)));
+            const auto fault = pickIndex(random, 5);
+            if (fault == 0)
+                inFlight.pop_back(); // lost
+            else if (fault == 1 && inFlight.size() > 1)
+                std::swap(inFlight.back(), inFlight[inFlight.size() - 2]);
+            if (fault == 2 || inFlight.empty())
                 continue; // late: arrives with the next
-            const auto doubled = onTheWay;
-            for (const auto &report : doubled) {
-                const auto known = book.take("w", report);
+            const auto delivered = inFlight;
+            for (const auto &report : delivered) {
+                const auto known = tracker.applyReport("w", report);
                 // Nothing that the owner is told is older than the report that tells it.
                 if (known && report.sequence == static_cast<std::uint64_t>(turn) + 1) {
                     for (const auto &[task, usage] : *known)
                         check(measured.contains(task)
-                              && near({{task, usage}}, {{task, measured[task]}}, settings));
+                              && isClose({{task, usage}}, {{task, measured[task]}}, settings));
                 }
-                check(!book.take("w", report));
+                check(!tracker.applyReport("w", report));
             }
-            onTheWay.clear();
+            inFlight.clear();
         }
-        reporter.startAgain();
-        const auto healed = book.take("w", reporter.next(measured, time_point(seconds(100))));
-        check(healed && near(*healed, measured, settings));
+        reporter.requestFullReport();
+        const auto recovered =
+                tracker.applyReport("w", reporter.nextReport(measured, time_point(seconds(100))));
+        check(recovered && isClose(*recovered, measured, settings));
     }
 }
 
@@ -123,27 +124,29 @@
 Test(usage, releases_side_by_side)
 {
     section("an older agent's reports are whole, however often they come", [] {
-        usage_book book;
+        usage_tracker tracker;
         const auto message = parseJson(
                 R"({"tasks":[{"task":"a/0","millicores":5,"bytes":7}],"worker":"w","age_ms":3})");
         const usage_by_task expected{{{"a", 0}, {5, 7}}};
-        check(book.take("w", usageReportFromJson(message)) == expected);
-        check(book.take("w", usageReportFromJson(message)) == expected);
+        check(tracker.applyReport("w", usageReportFromJson(message)) == expected);
+        check(tracker.applyReport("w", usageReportFromJson(message)) == expected);
     });
     section("an older owner finds what it reads in a report of changes", [] {
         usage_reporter reporter("s", {});
-        reporter.next(tasksOf(2), time_point(seconds(0)));
+        reporter.nextReport(tasksOf(2), time_point(seconds(0)));
         Json::Value message(Json::objectValue);
-        addToJson(message, reporter.next(tasksOf(3), time_point(seconds(2))));
+        addToJson(message, reporter.nextReport(tasksOf(3), time_point(seconds(2))));
         check(message["tasks"].isArray() && message["tasks"].size() == 1);
         check(message["tasks"][0]["task"].asString() == "season@3/2");
     });
     section("a replaced agent starts anew, whatever its predecessor counted", [] {
-        usage_book book;
+        usage_tracker tracker;
         usage_reporter before("s1", {});
         for (int report = 0; report < 5; ++report)
-            book.take("w", before.next(tasksOf(4), time_point(seconds(2 * report))));
+            tracker.applyReport("w",
+                                before.nextReport(tasksOf(4), time_point(seconds(2 * report))));
         usage_reporter after("s2", {});
-        check(book.take("w", after.next(tasksOf(2), time_point(seconds(20)))) == tasksOf(2));
+        check(tracker.applyReport("w", after.nextReport(tasksOf(2), time_point(seconds(20))))
+              == tasksOf(2));
     });
 }
--- a/tests/work_faults_test.cpp
+++ b/tests/work_faults_test.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr milliseconds FaultLength = seconds(100); // longer than any lease of the model
-const task_id Watcher{"watch", 1};                 // class Proof, never evicted
+constexpr milliseconds FaultDuration = seconds(100); // longer than any lease of the model
+const task_id Watcher{"watch", 1};                   // class Proof, never evicted
 
 struct fault
 {
     std::string name;
-    std::function<void(work_model &, const std::string &worker)> strike;
+    std::function<void(work_model &, const std::string &worker)> inject;
     bool mayRestartWatcher = false; // only a restarted instance is proof that it ended
 };
 
@@ -36,7 +36,7 @@
             {"table down", table(table_fault::Down)},
             {"table slow", table(table_fault::Slow)},
             {"answers lost after the effect", table(table_fault::AnswerLost)},
-            {"messages doubled", network(network_fault::Doubled)},
+            {"messages doubled", network(network_fault::Duplicated)},
             {"messages reordered", network(network_fault::Reordered)},
             {"messages dropped", network(network_fault::Dropped)},
             {"worker killed",
@@ -48,52 +48,56 @@
              [](work_model &model, const std::string &worker) {
                  model.kill(model.agents.at("agent-" + worker), seconds(5));
              }},
-            {"entry killed", [](work_model &model,
-                                const std::string &) { model.kill(ownerOf(model), FaultLength); }},
+            {"entry killed",
+             [](work_model &model, const std::string &) {
+                 model.kill(ownerOf(model), FaultDuration);
+             }},
             {"worker frozen",
              [](work_model &model, const std::string &worker) {
-                 model.freeze(model.workers.at(worker), FaultLength);
+                 model.freeze(model.workers.at(worker), FaultDuration);
              }},
             {"agent frozen",
              [](work_model &model, const std::string &worker) {
-                 model.freeze(model.agents.at("agent-" + worker), FaultLength);
+                 model.freeze(model.agents.at("agent-" + worker), FaultDuration);
              }},
             {"agent frozen while another takes its place",
              [](work_model &model, const std::string &worker) {
-                 model.doubleAgent(worker, FaultLength);
+                 model.startSecondAgent(worker, FaultDuration);
              }},
             {"entry frozen",
              [](work_model &model, const std::string &) {
-                 model.freeze(ownerOf(model), FaultLength);
+                 model.freeze(ownerOf(model), FaultDuration);
              }},
             {"agent cut off from the owner",
              [](work_model &model, const std::string &worker) {
-                 model.agents.at("agent-" + worker).cutFrom.insert(ownerOf(model).name);
+                 model.agents.at("agent-" + worker).unreachablePeers.insert(ownerOf(model).name);
              }},
             {"owner cut off from the table",
-             [](work_model &model, const std::string &) { ownerOf(model).cutFrom.insert(""); }},
+             [](work_model &model, const std::string &) {
+                 ownerOf(model).unreachablePeers.insert("");
+             }},
             {"entry killed and table down",
              [](work_model &model, const std::string &) {
-                 model.kill(ownerOf(model), FaultLength);
+                 model.kill(ownerOf(model), FaultDuration);
                  model.tableFault = table_fault::Down;
              }},
             {"entry and worker killed",
              [](work_model &model, const std::string &worker) {
-                 model.kill(ownerOf(model), FaultLength);
+                 model.kill(ownerOf(model), FaultDuration);
                  model.kill(model.workers.at(worker), seconds(30));
              },
              true},
     };
 }
 
-void heal(work_model &model)
+void clearFaults(work_model &model)
 {
     model.tableFault = table_fault::None;
     model.networkFault = network_fault::None;
     for (auto &[name, entry] : model.entries)
-        entry.cutFrom.clear();
+        entry.unreachablePeers.clear();
     for (auto &[name, agent] : model.agents)
-        agent.cutFrom.clear();
+        agent.unreachablePeers.clear();
 }
 
 void submitAll(work_model &model)
@@ -106,7 +110,7 @@
     model.submit("census", 2, failover_class::Proof, false, 900);
 }
 
-void judge(work_model &model)
+void checkNoViolations(work_model &model)
 {
     const auto violations = model.violations();
     for (const auto &violation : violations)
@@ -120,25 +124,25 @@
 void runScenario(const std::string &step, const fault &fault, milliseconds offset)
 {
     work_model model(7);
-    std::string struckWorker;
-    time_point strikeAt = Never;
+    std::string targetWorker;
+    time_point injectAt = Never;
     model.onStep = [&](const std::string &name, const std::string &worker) {
-        if (name != step || strikeAt != Never)
+        if (name != step || injectAt != Never)
             return;
-        strikeAt = model.now + offset;
-        struckWorker = worker;
+        injectAt = model.now + offset;
+        targetWorker = worker;
         if (offset.count() == 0)
-            fault.strike(model, worker);
+            fault.inject(model, worker);
     };
     submitAll(model);
     const auto advance = [&](milliseconds length) {
         const time_point end = model.now + length;
         while (model.now < end) {
-            const bool due = offset.count() > 0 && strikeAt != Never && model.now >= strikeAt;
-            if (due && model.now - strikeAt < milliseconds(100))
-                fault.strike(model, struckWorker);
-            if (strikeAt != Never && model.now >= strikeAt + FaultLength)
-                heal(model);
+            const bool isDue = offset.count() > 0 && injectAt != Never && model.now >= injectAt;
+            if (isDue && model.now - injectAt < milliseconds(100))
+                fault.inject(model, targetWorker);
+            if (injectAt != Never && model.now >= injectAt + FaultDuration)
+                clearFaults(model);
             model.runFor(milliseconds(100));
         }
     };
@@ -150,14 +154,14 @@
     model.cancel("census");
     advance(seconds(350));
 
-    require(strikeAt != Never);
-    judge(model);
+    require(injectAt != Never);
+    checkNoViolations(model);
     if (!fault.mayRestartWatcher)
-        check(model.starts(Watcher) == 1);
+        check(model.startCount(Watcher) == 1);
 }
 
 // Faults of random kind, place, time and length, several at once.
-void runStorm(std::uint64_t seed)
+void runRandomFaults(std::uint64_t seed)
 {
     random_generator random(seed);
     work_model model(seed);
@@ -167,24 +171,24 @@
     for (int round = 0; round < 20; ++round) {
         model.runFor(milliseconds(pickIndex(random, 20'000)));
         const std::string worker = "w" + std::to_string(pickIndex(random, 3));
-        const auto &one = faults[pickIndex(random, faults.size())];
-        one.strike(model, worker);
+        const auto &chosen = faults[pickIndex(random, faults.size())];
+        chosen.inject(model, worker);
         model.evict({tasks[pickIndex(random, tasks.size())], 0});
         if (round == 10)
             model.cancel("season");
         if (round == 15)
             model.cancel("census");
         if (pickIndex(random, 3) == 0)
-            heal(model);
+            clearFaults(model);
     }
-    heal(model);
+    clearFaults(model);
     model.runFor(seconds(400));
-    judge(model);
+    checkNoViolations(model);
 }
 
 // Strikes at the step itself (what was decided may not have been sent), and when its writes, its
 // messages and its effect are on their way.
-void strikeAt(const std::string &step)
+void injectAtEachOffset(const std::string &step)
 {
     for (const auto &fault : allFaults()) {
         for (const int offset : {0, 100, 200, 300, 500, 1'000, 2'000}) {
@@ -202,23 +206,23 @@
 // after.
 Test(work_faults, place)
 {
-    strikeAt("place");
+    injectAtEachOffset("place");
 }
 Test(work_faults, run)
 {
-    strikeAt("run");
+    injectAtEachOffset("run");
 }
 Test(work_faults, evict)
 {
-    strikeAt("evict");
+    injectAtEachOffset("evict");
 }
 Test(work_faults, resume)
 {
-    strikeAt("resume");
+    injectAtEachOffset("resume");
 }
 Test(work_faults, cancel)
 {
-    strikeAt("cancel");
+    injectAtEachOffset("cancel");
 }
 
 // Several faults at once, at times that nobody thought of. Seeds that once showed a fault of the
@@ -227,8 +231,8 @@
 {
     constexpr std::uint64_t Seeds = 80;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed)
-        section("seed " + std::to_string(seed), [&] { runStorm(seed); });
-    section("seed 112", [] { runStorm(112); });
+        section("seed " + std::to_string(seed), [&] { runRandomFaults(seed); });
+    section("seed 112", [] { runRandomFaults(112); });
 }
 
 } // namespace zinniabarrow::tests
--- a/tests/work_fixtures.h
+++ b/tests/work_fixtures.h
@@ -18,38 +18,38 @@
 using namespace zinniabarrow::work;
 
 template <typename Action, typename Actions>
-std::vector<Action> only(const Actions &actions)
+std::vector<Action> actionsOf(const Actions &actions)
 {
     std::vector<Action> found;
     for (const auto &action : actions) {
-        if (const auto *one = std::get_if<Action>(&action))
-            found.push_back(*one);
+        if (const auto *typed = std::get_if<Action>(&action))
+            found.push_back(*typed);
     }
     return found;
 }
 
 // A table of one shard on a platform whose answers the test gives.
-struct table_bench
+struct coordinator_fixture
 {
     memory_platform platform;
-    task_table table;
+    task_coordinator coordinator;
     time_point now{seconds(1)};
-    std::vector<table_action> actions; // of the last event
+    std::vector<coordinator_action> actions; // of the last event
 
-    explicit table_bench(std::uint64_t epoch = 1, time_point waitForSilentUntil = {})
-        : table({0, epoch, 1, waitForSilentUntil, {}}, "op", {})
+    explicit coordinator_fixture(std::uint64_t epoch = 1, time_point waitForSilentUntil = {})
+        : coordinator({0, epoch, 1, waitForSilentUntil, {}}, "op", {})
     {
         platform.commit({"take", {}, {{shardKey(0), Json::Value(Json::objectValue)}}});
         feed(rows_read{});
-        feed(horizon_moved{Never});
+        feed(grant_deadline_changed{Never});
     }
-    void feed(const table_event &event) { actions = table.handle(event, now); }
+    void feed(const coordinator_event &event) { actions = coordinator.handle(event, now); }
     void submit(const std::string &id, std::uint32_t tasks)
     {
         job_spec spec;
         spec.id = id;
         spec.generation = 1;
-        spec.tasks = tasks;
+        spec.taskCount = tasks;
         feed(job_accepted{spec});
     }
     void report(const std::string &name, std::uint64_t sequence,
@@ -60,26 +60,26 @@
     std::optional<table_transaction> nextCommit(milliseconds wait = milliseconds(200))
     {
         now += wait;
-        feed(table_tick{});
-        const auto commits = only<commit_rows>(actions);
+        feed(coordinator_tick{});
+        const auto commits = actionsOf<commit_rows>(actions);
         return commits.empty() ? std::nullopt : std::optional(commits.front().transaction);
     }
-    void settle(const table_transaction &transaction)
+    void commitAndAnswer(const table_transaction &transaction)
     {
-        feed(write_settled{transaction.operationId, platform.commit(transaction)});
+        feed(write_answered{transaction.operationId, platform.commit(transaction)});
     }
     // The answer is lost; `applied`: after the effect.
     void loseAnswer(const table_transaction &transaction, bool applied)
     {
         if (applied)
             platform.commit(transaction);
-        feed(write_settled{transaction.operationId, {write_outcome::Unknown, 0, {}}});
+        feed(write_answered{transaction.operationId, {write_outcome::Unknown, 0, {}}});
     }
-    bool readBack()
+    bool readRowsBack()
     {
         now += seconds(10);
-        feed(table_tick{});
-        const auto reads = only<read_rows>(actions);
+        feed(coordinator_tick{});
+        const auto reads = actionsOf<read_rows>(actions);
         if (reads.empty())
             return false;
         feed(rows_read{reads.front().keys, rowsOf(reads.front().keys)});
@@ -97,59 +97,60 @@
 };
 
 // An agent and its worker, with grants that the test makes.
-struct keeper_bench
+struct supervisor_fixture
 {
-    bool fits = true;
-    task_keeper keeper{"w", "s", {}, [this](const auto &, const auto &) { return fits; }};
+    bool hasRoom = true;
+    task_supervisor supervisor{
+            "w", "s", {}, [this](const auto &, const auto &) { return hasRoom; }};
     worker_tasks worker{1};
     time_point now{seconds(1)};
-    std::vector<keeper_action> actions; // of the last event
-    std::uint64_t reports = 0;          // sent so far
+    std::vector<supervisor_action> actions; // of the last event
+    std::uint64_t reportCount = 0;          // sent so far
 
-    keeper_bench() { pass(milliseconds(0)); }
-    void feed(const keeper_event &event)
+    supervisor_fixture() { advance(milliseconds(0)); }
+    void feed(const supervisor_event &event)
     {
-        actions = keeper.handle(event, now);
-        reports += only<send_report>(actions).size();
+        actions = supervisor.handle(event, now);
+        reportCount += actionsOf<send_report>(actions).size();
         for (const auto &action : actions)
-            std::visit([&](const auto &one) { act(one); }, action);
+            std::visit([&](const auto &typed) { perform(typed); }, action);
     }
     template <typename Action>
-    void act(const Action &)
+    void perform(const Action &)
     { }
-    void act(const worker_start &action) { worker.start(action, now); }
-    void act(const worker_renew &action) { worker.renew(action); }
-    void act(const worker_stop &action) { worker.stop(action); }
+    void perform(const worker_start &action) { worker.start(action, now); }
+    void perform(const worker_renew &action) { worker.renew(action); }
+    void perform(const worker_stop &action) { worker.stop(action); }
     // Time passes; the worker is listed and the agent reports at its end.
-    void pass(milliseconds length)
+    void advance(milliseconds length)
     {
         now += length;
-        worker.takeLapsed(now);
-        feed(listing_received{worker.list({keeper.epoch()}, now)});
-        feed(keeper_tick{});
+        worker.endLapsedTasks(now);
+        feed(listing_received{worker.list({supervisor.epoch()}, now)});
+        feed(supervisor_tick{});
     }
     worker_grant grant(std::uint64_t replyTo, std::uint64_t epoch = 1) const
     {
-        worker_grant made;
-        made.epoch = epoch;
-        made.worker = "w";
-        made.incarnation = 1;
-        made.session = "s";
-        made.replyTo = replyTo;
-        made.lease = lease_settings().grantLease;
-        made.specs["job"] = Json::Value(Json::objectValue);
-        return made;
+        worker_grant result;
+        result.epoch = epoch;
+        result.worker = "w";
+        result.incarnation = 1;
+        result.session = "s";
+        result.replyTo = replyTo;
+        result.lease = lease_settings().grantLease;
+        result.specs["job"] = Json::Value(Json::objectValue);
+        return result;
     }
     worker_grant grantTask(std::uint64_t replyTo, std::uint32_t attempt, std::uint64_t epoch = 1,
                            failover_class failover = failover_class::Lease) const
     {
-        worker_grant made = grant(replyTo, epoch);
-        made.tasks.push_back({Task, attempt, failover, {}, {}});
-        return made;
+        worker_grant result = grant(replyTo, epoch);
+        result.tasks.push_back({Task, attempt, failover, {}, {}});
+        return result;
     }
-    bool counted(keeper_count reason) const
+    bool hasCounted(supervisor_counter reason) const
     {
-        const auto counts = only<count_keeper>(actions);
+        const auto counts = actionsOf<increment_counter>(actions);
         return !counts.empty() && counts.front().reason == reason;
     }
 
--- a/tests/work_model.h
+++ b/tests/work_model.h
@@ -27,43 +27,43 @@
 using namespace zinniabarrow::work;
 
 enum class table_fault { None, Down, Slow, AnswerLost };
-enum class network_fault { None, Doubled, Reordered, Dropped };
+enum class network_fault { None, Duplicated, Reordered, Dropped };
 
 // Every process can be killed (its memory is lost) or frozen (its messages wait, also those that it
 // had decided to send and had not sent yet).
 struct process
 {
     std::string name;
-    bool alive = true;
-    int life = 1;
+    bool isAlive = true;
+    int startNumber = 1;
     time_point frozenUntil;
     time_point restartAt = Never;
-    std::set<std::string> cutFrom; // messages to and from these are lost
+    std::set<std::string> unreachablePeers; // messages to and from these are lost
 };
 
 struct model_worker : process
 {
     worker_tasks tasks{1};
-    std::map<task_id, time_point> doneAt;
+    std::map<task_id, time_point> finishAt;
 };
 
 struct model_agent : process
 {
     std::string worker;
-    std::unique_ptr<task_keeper> keeper;
+    std::unique_ptr<task_supervisor> supervisor;
 };
 
 struct model_entry : process
 {
-    std::unique_ptr<shard_owner> owner;
-    std::unique_ptr<task_table> table;
-    std::map<task_id, std::string> ledger;
+    std::unique_ptr<shard_ownership> shardOwnership;
+    std::unique_ptr<task_coordinator> coordinator;
+    std::map<task_id, std::string> workerByTask;
 };
 
 // What is measured besides the trace.
 struct model_counts
 {
-    std::map<std::string, int> reasons;
+    std::map<std::string, int> byReason;
     std::size_t commits = 0;
     std::size_t rows = 0;
     std::size_t rowBytes = 0;
@@ -73,12 +73,12 @@
 class work_model
 {
 public:
-    static constexpr int Slots = 6; // tasks that a worker holds
+    static constexpr int SlotsPerWorker = 6; // tasks that a worker holds
 
     explicit work_model(std::uint64_t seed, int size = 3)
         : m_random(seed)
     {
-        settings.horizon = seconds(60);
+        leaseSettings.grantPeriod = seconds(60);
         for (const auto *name : {"entry-a", "entry-b"})
             entries[name].name = name;
         for (int i = 0; i < size; ++i) {
@@ -89,9 +89,9 @@
             traceWorker(name);
         }
         for (auto &[name, entry] : entries)
-            boot(entry);
+            startProcess(entry);
         for (auto &[name, agent] : agents)
-            boot(agent);
+            startProcess(agent);
     }
 
     // Jobs as an operator gives them.
@@ -101,24 +101,24 @@
         job_spec spec;
         spec.id = job;
         spec.generation = 1;
-        spec.tasks = tasks;
+        spec.taskCount = tasks;
         spec.failover = failover;
-        spec.service = service;
-        spec.spec["runSeconds"] = runSeconds;
+        spec.isService = service;
+        spec.taskSpec["runSeconds"] = runSeconds;
         m_jobs.push_back(spec);
         for (std::uint32_t index = 0; index < tasks; ++index) {
             Json::Value event = traceEvent("accepted", {job, index});
             event["service"] = service;
             event["failover"] = std::string(nameOf(failover));
-            write(event);
+            appendToTrace(event);
         }
     }
-    void cancel(const std::string &job) { m_cancelled.insert(job); }
-    void evict(const task_id &task) { m_evict.insert(task); }
+    void cancel(const std::string &job) { m_jobsToCancel.insert(job); }
+    void evict(const task_id &task) { m_tasksToEvict.insert(task); }
 
     void kill(process &target, milliseconds restartAfter)
     {
-        target.alive = false;
+        target.isAlive = false;
         target.restartAt = now + restartAfter;
         if (auto *worker = findIn(workers, target.name)) {
             worker->tasks = worker_tasks(worker->tasks.incarnation() + 1);
@@ -127,22 +127,25 @@
     }
     void freeze(process &target, milliseconds length) { target.frozenUntil = now + length; }
 
-    void release(model_entry &entry) { feedOwner(entry, release_shards{quietWorkers(entry)}); }
+    void release(model_entry &entry)
+    {
+        feedOwnership(entry, release_shards{unresponsiveWorkers(entry)});
+    }
     // The instance and its agent reach nobody else any more.
-    void cutOff(const std::string &worker)
+    void isolateWorker(const std::string &worker)
     {
         for (const auto &[name, entry] : entries)
-            agents.at("agent-" + worker).cutFrom.insert(name);
+            agents.at("agent-" + worker).unreachablePeers.insert(name);
     }
     // A second agent for a worker whose first one is only paused, and goes on later.
-    void doubleAgent(const std::string &worker, milliseconds length)
+    void startSecondAgent(const std::string &worker, milliseconds length)
     {
         freeze(agents.at("agent-" + worker), length);
         model_agent &second = agents["second-" + worker];
         second.name = "second-" + worker;
         second.worker = worker;
-        ++second.life; // no two processes share a session
-        boot(second);
+        ++second.startNumber; // no two processes share a session
+        startProcess(second);
     }
 
     void runUntil(time_point end)
@@ -166,22 +169,22 @@
     model_entry *owner()
     {
         for (auto &[name, entry] : entries) {
-            if (entry.alive && entry.owner->owns(0) && entry.table && entry.table->ready()
-                && now >= entry.frozenUntil)
+            if (entry.isAlive && entry.shardOwnership->owns(0) && entry.coordinator
+                && entry.coordinator->isReady() && now >= entry.frozenUntil)
                 return &entry;
         }
         return nullptr;
     }
-    bool runs(const task_id &task) const { return !whereRuns(task).empty(); }
-    std::string whereRuns(const task_id &task) const
+    bool runs(const task_id &task) const { return !workerRunning(task).empty(); }
+    std::string workerRunning(const task_id &task) const
     {
         for (const auto &[name, worker] : workers) {
-            if (worker.alive && worker.tasks.runs(task))
+            if (worker.isAlive && worker.tasks.runs(task))
                 return name;
         }
         return {};
     }
-    int starts(const task_id &task) const
+    int startCount(const task_id &task) const
     {
         const auto found = m_starts.find(task);
         return found == m_starts.end() ? 0 : found->second;
@@ -195,9 +198,9 @@
     }
 
     time_point now{seconds(1)};
-    lease_settings settings;
+    lease_settings leaseSettings;
     memory_platform platform;
-    bool placeAhead = false; // a full pool gets a backlog
+    bool placeInBacklog = false; // a full pool gets a backlog
     table_fault tableFault = table_fault::None;
     network_fault networkFault = network_fault::None;
     std::map<std::string, model_entry> entries;
@@ -210,18 +213,18 @@
 
 private:
     static constexpr milliseconds Tick{100};
-    static constexpr milliseconds Hop{2};
+    static constexpr milliseconds NetworkDelay{2};
 
     struct message
     {
-        time_point at;
+        time_point deliverAt;
         std::uint64_t order;
         std::string from, to;
-        int toLife;
+        int toStartNumber;
         std::function<void()> deliver;
         bool operator<(const message &other) const
         {
-            return std::tie(other.at, other.order) < std::tie(at, order);
+            return std::tie(other.deliverAt, other.order) < std::tie(deliverAt, order);
         }
     };
 
@@ -241,42 +244,44 @@
     }
 
     // Messages.
-    void post(const std::string &from, const std::string &to, milliseconds delay,
-              std::function<void()> deliver)
+    void enqueue(const std::string &from, const std::string &to, milliseconds delay,
+                 std::function<void()> deliver)
     {
         process *target = find(to);
-        m_queue.push(
-                {now + delay, ++m_order, from, to, target ? target->life : 0, std::move(deliver)});
+        m_queue.push({now + delay, ++m_order, from, to, target ? target->startNumber : 0,
+                      std::move(deliver)});
     }
     // Between processes: subject to the faults of the network.
     void send(const std::string &from, const std::string &to, const std::function<void()> &deliver)
     {
-        milliseconds delay = Hop;
+        milliseconds delay = NetworkDelay;
         if (networkFault == network_fault::Dropped && pickIndex(m_random, 3) == 0)
             return;
         if (networkFault == network_fault::Reordered)
             delay = milliseconds(pickIndex(m_random, 3'000));
-        if (networkFault == network_fault::Doubled)
-            post(from, to, delay + milliseconds(pickIndex(m_random, 5'000)), deliver);
-        post(from, to, delay, deliver);
+        if (networkFault == network_fault::Duplicated)
+            enqueue(from, to, delay + milliseconds(pickIndex(m_random, 5'000)), deliver);
+        enqueue(from, to, delay, deliver);
     }
     void deliverUntil(time_point end)
     {
-        while (!m_queue.empty() && m_queue.top().at <= end) {
+        while (!m_queue.empty() && m_queue.top().deliverAt <= end) {
             message next = m_queue.top();
             m_queue.pop();
             const process *from = find(next.from);
             const process *to = find(next.to);
-            const time_point thaw = std::max(from ? from->frozenUntil : time_point(),
-                                             to ? to->frozenUntil : time_point());
-            if (thaw > now) {
-                next.at = thaw;
+            const time_point thawAt = std::max(from ? from->frozenUntil : time_point(),
+                                               to ? to->frozenUntil : time_point());
+            if (thawAt > now) {
+                next.deliverAt = thawAt;
                 m_queue.push(next);
                 continue;
             }
-            if (to && (!to->alive || to->life != next.toLife))
+            if (to && (!to->isAlive || to->startNumber != next.toStartNumber))
                 continue;
-            if (from && to && (from->cutFrom.contains(next.to) || to->cutFrom.contains(next.from)))
+            if (from && to
+                && (from->unreachablePeers.contains(next.to)
+                    || to->unreachablePeers.contains(next.from)))
                 continue;
             next.deliver();
         }
@@ -287,56 +292,56 @@
         for (auto &[name, worker] : workers) {
             restartIfDue(worker);
             // A frozen instance runs nothing, and ends lapsed tasks before anything else.
-            if (worker.alive)
+            if (worker.isAlive)
                 stepWorker(worker);
         }
         for (auto &[name, agent] : agents) {
             restartIfDue(agent);
-            if (agent.alive && now >= agent.frozenUntil)
-                run(agent, agent.keeper->handle(keeper_tick{}, now));
+            if (agent.isAlive && now >= agent.frozenUntil)
+                run(agent, agent.supervisor->handle(supervisor_tick{}, now));
         }
         for (auto &[name, entry] : entries) {
             restartIfDue(entry);
-            if (entry.alive && now >= entry.frozenUntil)
+            if (entry.isAlive && now >= entry.frozenUntil)
                 stepEntry(entry);
         }
     }
     template <typename Process>
     void restartIfDue(Process &target)
     {
-        if (target.alive || now < target.restartAt)
+        if (target.isAlive || now < target.restartAt)
             return;
-        target.alive = true;
-        ++target.life;
+        target.isAlive = true;
+        ++target.startNumber;
         target.restartAt = Never;
-        boot(target);
+        startProcess(target);
     }
-    void boot(model_worker &worker) { traceWorker(worker.name); }
-    void boot(model_agent &agent)
+    void startProcess(model_worker &worker) { traceWorker(worker.name); }
+    void startProcess(model_agent &agent)
     {
-        keeper_settings keeper;
-        keeper.leases = settings;
-        keeper.reportEvery = seconds(4); // as the agent's settings have it
-        agent.keeper = std::make_unique<task_keeper>(
-                agent.worker, agent.name + "#" + std::to_string(agent.life), keeper,
+        supervisor_settings keeper;
+        keeper.leases = leaseSettings;
+        keeper.reportInterval = seconds(4); // as the agent's settings have it
+        agent.supervisor = std::make_unique<task_supervisor>(
+                agent.worker, agent.name + "#" + std::to_string(agent.startNumber), keeper,
                 [&agent](const task_id &, const resources &) {
-                    return agent.keeper->occupying().size() < Slots;
+                    return agent.supervisor->occupyingTasks().size() < SlotsPerWorker;
                 });
     }
     static std::string zoneOf(const std::string &entry)
     {
         return entry == "entry-a" ? "zone-a" : "zone-b";
     }
-    void boot(model_entry &entry)
+    void startProcess(model_entry &entry)
     {
         ownership_settings ownership;
-        ownership.leases = settings;
-        entry.owner =
-                std::make_unique<shard_owner>(entry_info{entry.name, zoneOf(entry.name)},
-                                              entry.name + "#" + std::to_string(entry.life),
-                                              std::vector<shard_info>{{0, "zone-b"}}, ownership);
-        entry.table.reset();
-        entry.ledger.clear();
+        ownership.leases = leaseSettings;
+        entry.shardOwnership = std::make_unique<shard_ownership>(
+                entry_info{entry.name, zoneOf(entry.name)},
+                entry.name + "#" + std::to_string(entry.startNumber),
+                std::vector<shard_info>{{0, "zone-b"}}, ownership);
+        entry.coordinator.reset();
+        entry.workerByTask.clear();
     }
 
     // The table. Down: refused. Slow: three seconds each way. AnswerLost: it takes effect, and the
@@ -344,31 +349,31 @@
     void commit(model_entry &entry, const table_transaction &transaction,
                 const std::function<void(const write_result &)> &answer)
     {
-        const milliseconds delay = tableFault == table_fault::Slow ? seconds(3) : Hop;
-        post(entry.name, "", delay, [this, &entry, transaction, answer, delay] {
+        const milliseconds delay = tableFault == table_fault::Slow ? seconds(3) : NetworkDelay;
+        enqueue(entry.name, "", delay, [this, &entry, transaction, answer, delay] {
             write_result result{write_outcome::Refused, 0, {}};
-            milliseconds back = delay;
+            milliseconds answerDelay = delay;
             if (tableFault != table_fault::Down) {
                 result = platform.commit(transaction);
                 countCommit(transaction, result);
             }
             if (tableFault == table_fault::AnswerLost) {
                 result = {write_outcome::Unknown, 0, {}};
-                back = seconds(1);
+                answerDelay = seconds(1);
             }
-            post("", entry.name, back, [answer, result] { answer(result); });
+            enqueue("", entry.name, answerDelay, [answer, result] { answer(result); });
         });
     }
     void readTable(model_entry &entry, const std::function<std::vector<table_row>()> &read,
                    const std::function<void(const std::vector<table_row> &)> &answer)
     {
-        const milliseconds delay = tableFault == table_fault::Slow ? seconds(3) : Hop;
-        post(entry.name, "", delay, [this, &entry, read, answer, delay] {
+        const milliseconds delay = tableFault == table_fault::Slow ? seconds(3) : NetworkDelay;
+        enqueue(entry.name, "", delay, [this, &entry, read, answer, delay] {
             if (tableFault == table_fault::Down)
                 return;
             ++counts.reads;
             const auto rows = read();
-            post("", entry.name, delay, [answer, rows] { answer(rows); });
+            enqueue("", entry.name, delay, [answer, rows] { answer(rows); });
         });
     }
     void countCommit(const table_transaction &transaction, const write_result &result)
@@ -380,19 +385,19 @@
             ++counts.rows;
             counts.rowBytes += written.value ? compactJson(*written.value).size() : 0;
             if (written.value && written.key.starts_with("work/0/task/"))
-                traceRow(written.key.substr(12), *written.value);
+                traceTaskRow(written.key.substr(12), *written.value);
         }
     }
     // What the table holds is what counts, also if the entry that wrote it never learns of it.
-    void traceRow(const std::string &key, const Json::Value &row)
+    void traceTaskRow(const std::string &key, const Json::Value &row)
     {
         std::uint32_t index = 0;
         for (const auto &value : row["tasks"]) {
             const task_id task{key.substr(0, key.rfind('/')), index++};
             const task_record record = taskRecordFromJson(value);
             if (record.state == task_state::Done)
-                write(traceEvent("done", task));
-            if (!occupies(record))
+                appendToTrace(traceEvent("done", task));
+            if (!occupiesWorker(record))
                 continue;
             traceAttempt("placed", {task, record.attempt}, record.worker);
         }
@@ -403,145 +408,146 @@
     {
         peers_changed peers;
         for (const auto &[name, other] : entries) {
-            if (other.alive && now >= other.frozenUntil)
+            if (other.isAlive && now >= other.frozenUntil)
                 peers.entries.push_back({name, zoneOf(name)});
         }
-        feedOwner(entry, peers);
-        feedOwner(entry, ownership_tick{quietWorkers(entry)});
-        if (!entry.table)
+        feedOwnership(entry, peers);
+        feedOwnership(entry, ownership_tick{unresponsiveWorkers(entry)});
+        if (!entry.coordinator)
             return;
-        feed(entry, horizon_moved{entry.owner->mayGrantUntil(0)});
-        if (entry.table && entry.table->ready())
+        feedCoordinator(entry, grant_deadline_changed{entry.shardOwnership->mayGrantUntil(0)});
+        if (entry.coordinator && entry.coordinator->isReady())
             decide(entry);
-        if (entry.table)
-            feed(entry, table_tick{});
+        if (entry.coordinator)
+            feedCoordinator(entry, coordinator_tick{});
     }
     void decide(model_entry &entry)
     {
         for (const auto &spec : m_jobs) {
-            if (entry.table->job(spec.id) == nullptr && !m_cancelled.contains(spec.id))
-                feed(entry, job_accepted{spec});
+            if (entry.coordinator->job(spec.id) == nullptr && !m_jobsToCancel.contains(spec.id))
+                feedCoordinator(entry, job_accepted{spec});
         }
-        for (const auto &job : m_cancelled) {
-            const stored_job *stored = entry.table->job(job);
-            if (stored == nullptr || stored->cancelled)
+        for (const auto &job : m_jobsToCancel) {
+            const stored_job *stored = entry.coordinator->job(job);
+            if (stored == nullptr || stored->isCancelled)
                 continue;
             const std::string worker = anyWorkerOf(entry, job);
-            feed(entry, cancel_job{job});
-            step("cancel", worker);
+            feedCoordinator(entry, cancel_job{job});
+            notifyStep("cancel", worker);
         }
-        for (const auto &task : std::set<task_id>(m_evict)) {
-            const task_record record = entry.table->find(task);
+        for (const auto &task : std::set<task_id>(m_tasksToEvict)) {
+            const task_record record = entry.coordinator->find(task);
             if (record.state != task_state::Running)
                 continue;
-            feed(entry, evict_decided{task});
-            m_evict.erase(task);
-            step("evict", record.worker);
+            feedCoordinator(entry, eviction_decided{task});
+            m_tasksToEvict.erase(task);
+            notifyStep("evict", record.worker);
         }
-        for (const auto &task : std::set<task_id>(entry.table->placeableTasks())) {
-            std::string worker = roomFor(entry);
-            if (worker.empty() && placeAhead)
-                feed(entry, place_decided{task, workers.begin()->first, true});
+        for (const auto &task : std::set<task_id>(entry.coordinator->placeableTasks())) {
+            std::string worker = workerWithRoom(entry);
+            if (worker.empty() && placeInBacklog)
+                feedCoordinator(entry, placement_decided{task, workers.begin()->first, true});
             if (worker.empty())
                 continue;
-            entry.ledger[task] = worker;
-            const bool resumes = !entry.table->find(task).checkpoint.empty();
-            feed(entry, place_decided{task, worker, false});
-            step(resumes ? "resume" : "place", worker);
+            entry.workerByTask[task] = worker;
+            const bool isResuming = !entry.coordinator->find(task).checkpoint.empty();
+            feedCoordinator(entry, placement_decided{task, worker, false});
+            notifyStep(isResuming ? "resume" : "place", worker);
         }
     }
     std::string anyWorkerOf(model_entry &entry, const std::string &job)
     {
-        for (const auto &[task, record] : entry.table->occupying()) {
+        for (const auto &[task, record] : entry.coordinator->occupyingTasks()) {
             if (task.job == job)
                 return record.worker;
         }
         return "w0";
     }
-    std::string roomFor(model_entry &entry)
+    std::string workerWithRoom(model_entry &entry)
     {
         for (const auto &item : workers) {
             const std::string &name = item.first;
-            const auto used = std::count_if(entry.ledger.begin(), entry.ledger.end(),
-                                            [&](const auto &held) { return held.second == name; });
-            if (used < Slots && entry.table->mayPlaceOn(name))
+            const auto usedSlots =
+                    std::count_if(entry.workerByTask.begin(), entry.workerByTask.end(),
+                                  [&](const auto &placement) { return placement.second == name; });
+            if (usedSlots < SlotsPerWorker && entry.coordinator->canPlaceOn(name))
                 return name;
         }
         return {};
     }
-    void step(const std::string &name, const std::string &worker)
+    void notifyStep(const std::string &name, const std::string &worker)
     {
         if (onStep)
             onStep(name, worker);
     }
-    void feed(model_entry &entry, const table_event &event)
+    void feedCoordinator(model_entry &entry, const coordinator_event &event)
     {
-        if (entry.table)
-            run(entry, entry.table->handle(event, now));
+        if (entry.coordinator)
+            run(entry, entry.coordinator->handle(event, now));
     }
-    std::map<int, quiet_workers> quietWorkers(const model_entry &entry) const
+    std::map<int, unresponsive_workers> unresponsiveWorkers(const model_entry &entry) const
     {
-        if (!entry.table)
+        if (!entry.coordinator)
             return {};
-        return {{0, entry.table->quietWorkers(now)}};
+        return {{0, entry.coordinator->unresponsiveWorkers(now)}};
     }
-    void feedOwner(model_entry &entry, const ownership_event &event)
+    void feedOwnership(model_entry &entry, const ownership_event &event)
     {
-        run(entry, entry.owner->handle(event, now));
+        run(entry, entry.shardOwnership->handle(event, now));
     }
 
     void run(model_entry &entry, const std::vector<ownership_action> &actions)
     {
         for (const auto &action : actions)
-            std::visit([&](const auto &one) { act(entry, one); }, action);
+            std::visit([&](const auto &one) { perform(entry, one); }, action);
     }
-    void act(model_entry &entry, const commit_shard &action)
+    void perform(model_entry &entry, const commit_shard &action)
     {
         const std::string id = action.transaction.operationId;
         commit(entry, action.transaction, [this, &entry, id](const write_result &result) {
-            feedOwner(entry, shard_write_settled{id, result});
+            feedOwnership(entry, shard_write_answered{id, result});
         });
     }
-    void act(model_entry &entry, const scan_shards &)
+    void perform(model_entry &entry, const scan_shards &)
     {
         const time_point started = now;
         readTable(
                 entry, [this] { return platform.scan(ShardPrefix); },
                 [this, &entry, started](const auto &rows) {
-                    feedOwner(entry, shard_rows_read{rows, started});
+                    feedOwnership(entry, shard_rows_read{rows, started});
                 });
     }
-    void act(model_entry &entry, const became_owner &action)
+    void perform(model_entry &entry, const became_owner &action)
     {
-        table_settings table;
-        table.leases = settings;
-        const std::string prefix =
-                entry.name + "#" + std::to_string(entry.life) + "/" + std::to_string(action.epoch);
-        entry.table = std::make_unique<task_table>(
-                table_owner{action.shard, action.epoch, action.shardVersion,
-                            action.waitForSilentUntil, action.quiet},
+        coordinator_settings table;
+        table.leases = leaseSettings;
+        const std::string prefix = entry.name + "#" + std::to_string(entry.startNumber) + "/"
+                                   + std::to_string(action.epoch);
+        entry.coordinator = std::make_unique<task_coordinator>(
+                shard_tenure{action.shard, action.epoch, action.shardVersion,
+                             action.earlierLeasesEndAt, action.unresponsive},
                 prefix, table);
-        entry.ledger.clear();
+        entry.workerByTask.clear();
     }
-    void act(model_entry &entry, const lost_shard &)
+    void perform(model_entry &entry, const lost_shard &)
     {
-        entry.table.reset();
-        entry.ledger.clear();
+        entry.coordinator.reset();
+        entry.workerByTask.clear();
     }
 
-    void run(model_entry &entry, const std::vector<table_action> &actions)
+    void run(model_entry &entry, const std::vector<coordinator_action> &actions)
     {
         for (const auto &action : actions)
-            std::visit([&](const auto &one) { act(entry, one); }, action);
+            std::visit([&](const auto &one) { perform(entry, one); }, action);
     }
-    void act(model_entry &entry, const commit_rows &action)
+    void perform(model_entry &entry, const commit_rows &action)
     {
         const std::string id = action.transaction.operationId;
         commit(entry, action.transaction, [this, &entry, id](const write_result &result) {
-            feed(entry, write_settled{id, result});
+            feedCoordinator(entry, write_answered{id, result});
         });
     }
-    void act(model_entry &entry, const read_rows &action)
+    void perform(model_entry &entry, const read_rows &action)
     {
         const auto keys = action.keys;
         const auto read = [this, keys] {
@@ -553,22 +559,22 @@
             return rows;
         };
         readTable(entry, read, [this, &entry, keys](const auto &rows) {
-            feed(entry, rows_read{keys, rows});
+            feedCoordinator(entry, rows_read{keys, rows});
         });
     }
-    void act(model_entry &entry, const scan_rows &action)
+    void perform(model_entry &entry, const scan_rows &action)
     {
         const std::string prefix = action.prefix;
         readTable(
                 entry, [this, prefix] { return platform.scan(prefix); },
                 [this, &entry](const auto &rows) {
-                    feed(entry, rows_read{{}, rows});
-                    if (entry.table)
-                        for (const auto &[task, record] : entry.table->occupying())
-                            entry.ledger[task] = record.worker;
+                    feedCoordinator(entry, rows_read{{}, rows});
+                    if (entry.coordinator)
+                        for (const auto &[task, record] : entry.coordinator->occupyingTasks())
+                            entry.workerByTask[task] = record.worker;
                 });
     }
-    void act(model_entry &entry, const send_grant &action)
+    void perform(model_entry &entry, const send_grant &action)
     {
         // Through its text, as between processes.
         const std::string text = compactJson(toJson(action.grant));
@@ -578,88 +584,88 @@
                 continue;
             send(entry.name, name, [this, target, text] {
                 const auto grant = workerGrantFromJson(parseJson(text));
-                run(*target, target->keeper->handle(grant_received{grant}, now));
+                run(*target, target->supervisor->handle(grant_received{grant}, now));
             });
         }
     }
-    void act(model_entry &entry, const task_settled &action)
+    void perform(model_entry &entry, const task_changed &action)
     {
         if (action.change == task_change::Started)
-            step("run", action.worker);
-        if (action.change == task_change::Ended || action.change == task_change::Freed
-            || action.change == task_change::Vacated)
-            entry.ledger.erase(action.task);
+            notifyStep("run", action.worker);
+        if (action.change == task_change::Ended || action.change == task_change::Requeued
+            || action.change == task_change::EndReported)
+            entry.workerByTask.erase(action.task);
         if (action.change == task_change::Reverted) {
-            entry.ledger.erase(action.task);
+            entry.workerByTask.erase(action.task);
             if (!action.worker.empty())
-                entry.ledger[action.task] = action.worker;
+                entry.workerByTask[action.task] = action.worker;
         }
     }
-    void act(model_entry &, const fenced &) { ++counts.reasons["fenced"]; }
-    void act(model_entry &, const store_count &reason)
+    void perform(model_entry &, const fenced &) { ++counts.byReason["fenced"]; }
+    void perform(model_entry &, const store_counter &reason)
     {
-        ++counts.reasons[std::string(nameOf(reason))];
+        ++counts.byReason[std::string(nameOf(reason))];
     }
-    void act(model_entry &, const table_count &reason)
+    void perform(model_entry &, const coordinator_counter &reason)
     {
-        ++counts.reasons[std::string(nameOf(reason))];
+        ++counts.byReason[std::string(nameOf(reason))];
     }
 
     // Agents.
-    void run(model_agent &agent, const std::vector<keeper_action> &actions)
+    void run(model_agent &agent, const std::vector<supervisor_action> &actions)
     {
         model_worker &worker = workers.at(agent.worker);
         for (const auto &action : actions)
-            std::visit([&](const auto &one) { act(agent, worker, one); }, action);
+            std::visit([&](const auto &one) { perform(agent, worker, one); }, action);
     }
-    void act(model_agent &agent, model_worker &, const send_report &action)
+    void perform(model_agent &agent, model_worker &, const send_report &action)
     {
         const std::string text = compactJson(toJson(action.report));
         for (auto &[name, entry] : entries) {
             model_entry *target = &entry;
             send(agent.name, name, [this, target, text] {
-                feed(*target, report_received{agentReportFromJson(parseJson(text))});
+                feedCoordinator(*target, report_received{agentReportFromJson(parseJson(text))});
             });
         }
     }
-    void act(model_agent &, model_worker &, const count_keeper &action)
+    void perform(model_agent &, model_worker &, const increment_counter &action)
     {
-        ++counts.reasons[std::string(nameOf(action.reason))];
+        ++counts.byReason[std::string(nameOf(action.reason))];
     }
-    void act(model_agent &, model_worker &, const worker_limit &) { }
-    void act(model_agent &agent, model_worker &worker, const worker_list &action)
+    void perform(model_agent &, model_worker &, const worker_cpu_limit &) { }
+    void perform(model_agent &agent, model_worker &worker, const worker_list &action)
     {
         send(agent.name, worker.name, [this, &agent, &worker, action] {
             stepWorker(worker);
             const std::string text = compactJson(toJson(worker.tasks.list(action, now)));
             send(worker.name, agent.name, [this, &agent, text] {
                 const auto listing = workerListingFromJson(parseJson(text));
-                run(agent, agent.keeper->handle(listing_received{listing}, now));
+                run(agent, agent.supervisor->handle(listing_received{listing}, now));
             });
         });
     }
-    void act(model_agent &agent, model_worker &worker, const worker_start &action)
+    void perform(model_agent &agent, model_worker &worker, const worker_start &action)
     {
         send(agent.name, worker.name, [this, &agent, &worker, action] {
             const task_attempt attempt{action.task.task, action.task.attempt};
-            const start_answer answer = worker.tasks.start(action, now);
-            if (answer == start_answer::Started)
-                begin(worker, action);
-            if (answer != start_answer::Refused)
+            const start_result answer = worker.tasks.start(action, now);
+            if (answer == start_result::Started)
+                beginTask(worker, action);
+            if (answer != start_result::Refused)
                 return;
-            const start_refused refused{attempt, worker.tasks.listing()};
+            const start_refused refused{attempt, worker.tasks.newestListing()};
             send(worker.name, agent.name,
-                 [this, &agent, refused] { run(agent, agent.keeper->handle(refused, now)); });
+                 [this, &agent, refused] { run(agent, agent.supervisor->handle(refused, now)); });
         });
     }
-    void act(model_agent &agent, model_worker &worker, const worker_renew &action)
+    void perform(model_agent &agent, model_worker &worker, const worker_renew &action)
     {
         send(agent.name, worker.name, [this, &worker, action] {
             stepWorker(worker); // lapsed tasks end first
             worker.tasks.renew(action);
         });
     }
-    void act(model_agent &agent, model_worker &worker, const worker_stop &action)
+    void perform(model_agent &agent, model_worker &worker, const worker_stop &action)
     {
         send(agent.name, worker.name, [this, &worker, action] {
             for (const auto &running : worker.tasks.running()) {
@@ -669,17 +675,17 @@
             worker.tasks.stop(action);
         });
     }
-    void act(model_agent &agent, model_worker &worker, const worker_checkpoint &action)
+    void perform(model_agent &agent, model_worker &worker, const worker_checkpoint &action)
     {
         send(agent.name, worker.name, [this, &worker, action] {
             if (!worker.tasks.runs(action.attempt))
                 return;
             platform.putObject(action.checkpoint, "", std::nullopt);
-            worker.tasks.ended({action.attempt, task_outcome::Evicted, action.checkpoint, {}});
+            worker.tasks.recordEnd({action.attempt, task_outcome::Evicted, action.checkpoint, {}});
             traceAttempt("evicted", action.attempt, worker.name, action.checkpoint);
         });
     }
-    void act(model_agent &agent, model_worker &worker, const worker_forget &action)
+    void perform(model_agent &agent, model_worker &worker, const worker_forget &action)
     {
         send(agent.name, worker.name, [&worker, action] { worker.tasks.forget(action); });
     }
@@ -687,20 +693,20 @@
     // Workers.
     void stepWorker(model_worker &worker)
     {
-        for (const auto &attempt : worker.tasks.takeLapsed(now))
+        for (const auto &attempt : worker.tasks.endLapsedTasks(now))
             traceAttempt("stopped", attempt, worker.name);
         for (const auto &running : worker.tasks.running()) {
-            if (now < worker.doneAt[running.attempt.task] || now < worker.frozenUntil)
+            if (now < worker.finishAt[running.attempt.task] || now < worker.frozenUntil)
                 continue;
-            worker.tasks.ended({running.attempt, task_outcome::Succeeded, {}, {}});
+            worker.tasks.recordEnd({running.attempt, task_outcome::Succeeded, {}, {}});
             traceAttempt("ended", running.attempt, worker.name);
         }
     }
-    void begin(model_worker &worker, const worker_start &action)
+    void beginTask(model_worker &worker, const worker_start &action)
     {
         const task_attempt attempt{action.task.task, action.task.attempt};
         const int length = action.spec["runSeconds"].asInt();
-        worker.doneAt[attempt.task] = length == 0 ? Never : now + seconds(length);
+        worker.finishAt[attempt.task] = length == 0 ? Never : now + seconds(length);
         ++m_starts[attempt.task];
         std::string checkpoint = action.task.checkpoint;
         for (auto name = action.task.newerCheckpoints.rbegin();
@@ -736,32 +742,32 @@
         event["checkpoint"] = checkpoint;
         event["outcome"] = "succeeded";
         event["size"] = sizeJson(1);
-        write(event);
+        appendToTrace(event);
     }
     void traceWorker(const std::string &name)
     {
         Json::Value event(Json::objectValue);
         event["event"] = "worker";
         event["worker"] = name;
-        event["size"] = sizeJson(Slots);
-        write(event);
+        event["size"] = sizeJson(SlotsPerWorker);
+        appendToTrace(event);
     }
     // What the system answers about cancelled jobs: over, as their rows say or are gone.
     void traceCancelled()
     {
         model_entry *entry = owner();
         for (const auto &spec : m_jobs) {
-            if (!m_cancelled.contains(spec.id) || entry == nullptr)
+            if (!m_jobsToCancel.contains(spec.id) || entry == nullptr)
                 continue;
-            for (std::uint32_t index = 0; index < spec.tasks; ++index) {
+            for (std::uint32_t index = 0; index < spec.taskCount; ++index) {
                 const task_id task{spec.id, index};
-                const auto state = entry->table->find(task).state;
-                if (entry->table->job(spec.id) == nullptr || state == task_state::Cancelled)
-                    write(traceEvent("cancelled", task));
+                const auto state = entry->coordinator->find(task).state;
+                if (entry->coordinator->job(spec.id) == nullptr || state == task_state::Cancelled)
+                    appendToTrace(traceEvent("cancelled", task));
             }
         }
     }
-    void write(Json::Value event)
+    void appendToTrace(Json::Value event)
     {
         event["atMs"] = Json::Int64(
                 std::chrono::duration_cast<milliseconds>(now.time_since_epoch()).count());
@@ -772,8 +778,8 @@
     std::priority_queue<message> m_queue;
     std::uint64_t m_order = 0;
     std::vector<job_spec> m_jobs;
-    std::set<std::string> m_cancelled;
-    std::set<task_id> m_evict;
+    std::set<std::string> m_jobsToCancel;
+    std::set<task_id> m_tasksToEvict;
     std::map<task_id, int> m_starts;
 };
 
--- a/tests/work_session_test.cpp
+++ b/tests/work_session_test.cpp
@@ -12,21 +12,21 @@
 {
     std::ifstream file(WorkSessionFile);
     require(file.good());
-    std::vector<std::string> kept;
+    std::vector<std::string> expected;
     for (std::string line; std::getline(file, line);)
-        kept.push_back(line);
+        expected.push_back(line);
     std::vector<trace_violation> violations;
-    const auto played = recordWorkSession(&violations);
+    const auto actual = recordWorkSession(&violations);
     section("no promise is broken on the way", [&] { check(violations.empty()); });
     section("line by line", [&] {
-        require(played.size() == kept.size());
-        for (std::size_t index = 0; index < kept.size(); ++index)
-            cr_expect_str_eq(played[index].c_str(), kept[index].c_str(), "line %zu", index + 1);
+        require(actual.size() == expected.size());
+        for (std::size_t index = 0; index < expected.size(); ++index)
+            cr_expect_str_eq(actual[index].c_str(), expected[index].c_str(), "line %zu", index + 1);
     });
     section("the session shows each step", [&] {
         for (const auto *event : {"started", "evicted", "resumed", "ended", "cancelled"}) {
             const auto part = std::string("\"event\":\"") + event + "\"";
-            check(std::any_of(kept.begin(), kept.end(),
+            check(std::any_of(expected.begin(), expected.end(),
                               [&](const auto &line) { return line.find(part) != line.npos; }));
         }
     });
--- a/tests/work_takeover_test.cpp
+++ b/tests/work_takeover_test.cpp
@@ -9,54 +9,56 @@
 
 namespace {
 
-const task_id Hold{"hold", 0};   // class Lease
-const task_id Watch{"watch", 0}; // class Proof
+const task_id LeaseTask{"hold", 0};  // class Lease
+const task_id ProofTask{"watch", 0}; // class Proof
 
 // One service of each class, running, on an otherwise empty pool.
-void settle(work_model &model)
+void startServices(work_model &model)
 {
     model.submit("hold", 1, failover_class::Lease, true, 0);
     model.submit("watch", 1, failover_class::Proof, true, 0);
     model.runFor(seconds(30));
-    require(model.runs(Hold) && model.runs(Watch));
+    require(model.runs(LeaseTask) && model.runs(ProofTask));
 }
 
-std::string seconds1(milliseconds time)
+std::string formatSeconds(milliseconds time)
 {
     return fmt::format("{:.1f} s", static_cast<double>(time.count()) / 1'000);
 }
 
-struct takeover
+struct recovery_times
 {
-    milliseconds owner{0}; // until another entry decides
-    milliseconds lease{0}; // until the Lease task runs again, if it stopped
-    int holdStarts = 0;
-    int watchStarts = 0;
+    milliseconds ownerTakeover{0};    // until another entry decides
+    milliseconds leaseTaskRestart{0}; // until the Lease task runs again, if it stopped
+    int leaseTaskStarts = 0;
+    int proofTaskStarts = 0;
 };
 
 // Strikes, and measures until both have recovered, at most `length`.
-takeover measure(work_model &model, const std::function<void()> &strike, milliseconds length)
+recovery_times measureRecovery(work_model &model, const std::function<void()> &inject,
+                               milliseconds length)
 {
-    const int before = model.starts(Hold);
+    const int before = model.startCount(LeaseTask);
     const time_point start = model.now;
-    strike();
-    takeover result;
-    bool decided = false;
-    bool stopped = false;
+    inject();
+    recovery_times result;
+    bool hasOwner = false;
+    bool hasStopped = false;
     while (model.now - start < length) {
         model.runFor(milliseconds(100));
         const auto passed = std::chrono::duration_cast<milliseconds>(model.now - start);
-        if (!decided && model.owner() != nullptr) {
-            decided = true;
-            result.owner = passed;
+        if (!hasOwner && model.owner() != nullptr) {
+            hasOwner = true;
+            result.ownerTakeover = passed;
         }
-        stopped = stopped || !model.runs(Hold);
-        if (stopped && result.lease.count() == 0 && model.starts(Hold) > before && model.runs(Hold))
-            result.lease = passed;
+        hasStopped = hasStopped || !model.runs(LeaseTask);
+        if (hasStopped && result.leaseTaskRestart.count() == 0
+            && model.startCount(LeaseTask) > before && model.runs(LeaseTask))
+            result.leaseTaskRestart = passed;
     }
-    check(decided);
-    result.holdStarts = model.starts(Hold);
-    result.watchStarts = model.starts(Watch);
+    check(hasOwner);
+    result.leaseTaskStarts = model.startCount(LeaseTask);
+    result.proofTaskStarts = model.startCount(ProofTask);
     const auto violations = model.violations();
     for (const auto &violation : violations)
         fmt::print(stderr, "{} {}\n", nameOf(violation.kind), violation.detail);
@@ -64,11 +66,13 @@
     return result;
 }
 
-void print(const std::string &what, const takeover &result)
+void print(const std::string &scenario, const recovery_times &result)
 {
-    fmt::print(stderr, "| {} | {} | {} | {} | {} |\n", what, seconds1(result.owner),
-               result.holdStarts == 1 ? std::string("runs on") : seconds1(result.lease),
-               result.holdStarts, result.watchStarts);
+    fmt::print(stderr, "| {} | {} | {} | {} | {} |\n", scenario,
+               formatSeconds(result.ownerTakeover),
+               result.leaseTaskStarts == 1 ? std::string("runs on")
+                                           : formatSeconds(result.leaseTaskRestart),
+               result.leaseTaskStarts, result.proofTaskStarts);
 }
 
 } // namespace
@@ -80,59 +84,59 @@
 {
     section("the owner dies: live agents re-attach, and nothing stops", [] {
         work_model model(1);
-        settle(model);
-        const auto result = measure(
+        startServices(model);
+        const auto result = measureRecovery(
                 model, [&] { model.kill(*model.owner(), seconds(600)); }, seconds(200));
         print("owner dead", result);
-        check(result.owner <= seconds(12));
-        check(result.holdStarts == 1 && result.watchStarts == 1);
+        check(result.ownerTakeover <= seconds(12));
+        check(result.leaseTaskStarts == 1 && result.proofTaskStarts == 1);
     });
     section("a planned stop of the owner hands over within a few seconds", [] {
         work_model model(1);
-        settle(model);
-        const auto result = measure(
+        startServices(model);
+        const auto result = measureRecovery(
                 model, [&] { model.release(*model.owner()); }, seconds(200));
         print("owner stops as planned", result);
-        check(result.owner <= seconds(5));
-        check(result.holdStarts == 1 && result.watchStarts == 1);
+        check(result.ownerTakeover <= seconds(5));
+        check(result.leaseTaskStarts == 1 && result.proofTaskStarts == 1);
     });
     section("a worker and its agent fall silent: class Lease moves, class Proof waits", [] {
         work_model model(1);
-        settle(model);
-        const std::string worker = model.whereRuns(Hold);
-        require(model.whereRuns(Watch) == worker);
-        const auto result = measure(
-                model, [&] { model.cutOff(worker); }, seconds(200));
+        startServices(model);
+        const std::string worker = model.workerRunning(LeaseTask);
+        require(model.workerRunning(ProofTask) == worker);
+        const auto result = measureRecovery(
+                model, [&] { model.isolateWorker(worker); }, seconds(200));
         print("worker silent", result);
-        check(result.lease <= seconds(22));
-        check(result.holdStarts == 2 && result.watchStarts == 1);
+        check(result.leaseTaskRestart <= seconds(22));
+        check(result.leaseTaskStarts == 2 && result.proofTaskStarts == 1);
     });
     section("both: the successor waits out the horizon for the silent worker", [] {
         work_model model(1);
-        settle(model);
-        const std::string worker = model.whereRuns(Hold);
-        const auto result = measure(
+        startServices(model);
+        const std::string worker = model.workerRunning(LeaseTask);
+        const auto result = measureRecovery(
                 model,
                 [&] {
-                    model.cutOff(worker);
+                    model.isolateWorker(worker);
                     model.kill(*model.owner(), seconds(600));
                 },
                 seconds(200));
         print("owner dead and worker silent, horizon 60 s", result);
-        check(result.lease > seconds(60) && result.lease <= seconds(90));
-        check(result.holdStarts == 2 && result.watchStarts == 1);
+        check(result.leaseTaskRestart > seconds(60) && result.leaseTaskRestart <= seconds(90));
+        check(result.leaseTaskStarts == 2 && result.proofTaskStarts == 1);
     });
     section("both, but the owner had written the silence down: no second wait", [] {
         work_model model(1);
-        settle(model);
-        const std::string worker = model.whereRuns(Hold);
-        model.cutOff(worker);
+        startServices(model);
+        const std::string worker = model.workerRunning(LeaseTask);
+        model.isolateWorker(worker);
         model.runFor(seconds(17));
-        const auto result = measure(
+        const auto result = measureRecovery(
                 model, [&] { model.kill(*model.owner(), seconds(600)); }, seconds(200));
         print("worker silent, owner dead 17 s later", result);
-        check(result.lease <= seconds(22));
-        check(result.watchStarts == 1);
+        check(result.leaseTaskRestart <= seconds(22));
+        check(result.proofTaskStarts == 1);
     });
 }
 
@@ -144,14 +148,14 @@
 Test(work_takeover, a_worker_is_gone_and_its_agent_lives)
 {
     work_model model(1);
-    settle(model);
-    const std::string worker = model.whereRuns(Hold);
-    require(model.whereRuns(Watch) == worker);
-    const auto result = measure(
+    startServices(model);
+    const std::string worker = model.workerRunning(LeaseTask);
+    require(model.workerRunning(ProofTask) == worker);
+    const auto result = measureRecovery(
             model, [&] { model.kill(model.workers.at(worker), seconds(150)); }, seconds(200));
     print("worker gone for 150 s, agent alive", result);
-    check(result.lease > seconds(0) && result.lease <= seconds(50));
-    check(result.holdStarts == 2 && result.watchStarts == 2);
+    check(result.leaseTaskRestart > seconds(0) && result.leaseTaskRestart <= seconds(50));
+    check(result.leaseTaskStarts == 2 && result.proofTaskStarts == 2);
 }
 
 // A worker and its agent are gone, and the entries are replaced one after the other, as at a
@@ -170,42 +174,43 @@
     };
     section("its task waits little longer than with one owner", [&] {
         work_model model(1);
-        settle(model);
+        startServices(model);
         const time_point start = model.now;
-        model.cutOff(model.whereRuns(Hold));
+        model.isolateWorker(model.workerRunning(LeaseTask));
         milliseconds waited{0};
-        const auto pass = [&](milliseconds length) {
-            const auto moved = [&] { return model.starts(Hold) == 2; };
+        const auto advance = [&](milliseconds length) {
+            const auto hasMoved = [&] { return model.startCount(LeaseTask) == 2; };
             if (waited.count() > 0)
                 return model.runFor(length);
-            model.runUntilTrue(length, moved);
-            if (moved())
+            model.runUntilTrue(length, hasMoved);
+            if (hasMoved())
                 waited = std::chrono::duration_cast<milliseconds>(model.now - start);
         };
         for (int replaced = 0; replaced < 3; ++replaced) {
-            pass(seconds(9));
+            advance(seconds(9));
             replaceOwner(model);
         }
-        pass(seconds(60));
-        fmt::print(stderr, "| worker silent, three owners replaced | {} |\n", seconds1(waited));
+        advance(seconds(60));
+        fmt::print(stderr, "| worker silent, three owners replaced | {} |\n",
+                   formatSeconds(waited));
         check(waited > seconds(0) && waited <= seconds(22));
         check(model.violations().empty());
     });
     section("nothing runs twice, whoever was heard last by whom", [&] {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             work_model model(seed);
-            settle(model);
+            startServices(model);
             random_generator random(seed);
             for (int step = 0; step < 12; ++step) {
                 const auto worker = fmt::format("w{}", pickIndex(random, 3));
                 if (pickIndex(random, 2) == 0)
-                    model.cutOff(worker);
+                    model.isolateWorker(worker);
                 model.runFor(milliseconds(pickIndex(random, 20'000)));
                 if (pickIndex(random, 2) == 0)
                     replaceOwner(model);
                 model.runFor(milliseconds(pickIndex(random, 10'000)));
                 for (auto &[name, agent] : model.agents)
-                    agent.cutFrom.clear();
+                    agent.unreachablePeers.clear();
             }
             model.runFor(seconds(200));
             const auto violations = model.violations();
@@ -213,7 +218,7 @@
                 fmt::print(stderr, "seed {}: {} {}\n", seed, nameOf(violation.kind),
                            violation.detail);
             check(violations.empty());
-            check(model.starts(Watch) == 1);
+            check(model.startCount(ProofTask) == 1);
         }
     });
 }
@@ -224,34 +229,34 @@
 {
     section("within the horizon everything runs on", [] {
         work_model model(2);
-        settle(model);
-        const auto result = measure(
+        startServices(model);
+        const auto result = measureRecovery(
                 model, [&] { model.tableFault = table_fault::Down; }, seconds(50));
         print("platform down 50 s, horizon 60 s", result);
-        check(result.holdStarts == 1 && result.watchStarts == 1);
+        check(result.leaseTaskStarts == 1 && result.proofTaskStarts == 1);
     });
     section("twice the horizon restarts no task of class Proof", [] {
         work_model model(2);
-        settle(model);
+        startServices(model);
         model.tableFault = table_fault::Down;
-        model.runFor(model.settings.horizon * 2);
+        model.runFor(model.leaseSettings.grantPeriod * 2);
         model.tableFault = table_fault::None;
-        const auto result = measure(
+        const auto result = measureRecovery(
                 model, [] {}, seconds(200));
         print("platform down 120 s, then up", result);
-        check(result.watchStarts == 1 && result.holdStarts == 2);
+        check(result.proofTaskStarts == 1 && result.leaseTaskStarts == 2);
     });
     section("owner dead and platform down throughout", [] {
         work_model model(2);
-        settle(model);
+        startServices(model);
         model.tableFault = table_fault::Down;
         model.kill(*model.owner(), seconds(600));
-        model.runFor(model.settings.horizon * 2);
+        model.runFor(model.leaseSettings.grantPeriod * 2);
         model.tableFault = table_fault::None;
-        const auto result = measure(
+        const auto result = measureRecovery(
                 model, [] {}, seconds(200));
         print("owner dead, platform down 120 s, then up", result);
-        check(result.watchStarts == 1);
+        check(result.proofTaskStarts == 1);
     });
 }
 
@@ -261,14 +266,14 @@
 {
     work_model model(3, 1);
     model.submit("batch", 10, failover_class::Proof, false, 20);
-    model.placeAhead = true;
+    model.placeInBacklog = true;
     model.runFor(seconds(15));
     model.tableFault = table_fault::Down;
     model.runFor(seconds(40));
     const auto started = [&] {
         int tasks = 0;
         for (std::uint32_t index = 0; index < 10; ++index)
-            tasks += model.starts({"batch", index});
+            tasks += model.startCount({"batch", index});
         return tasks;
     };
     check(started() == 10); // six at once, four of the backlog
--- a/tests/work_waits_test.cpp
+++ b/tests/work_waits_test.cpp
@@ -9,31 +9,31 @@
 namespace {
 
 // The rows of one shard, and entries that read and write them when the test says so.
-struct shard_bench
+struct shard_fixture
 {
     memory_platform platform;
     time_point now{seconds(1)};
 
-    static shard_owner entry(const std::string &name)
+    static shard_ownership makeEntry(const std::string &name)
     {
         return {{name, "z2"}, name + "#1", {{0, "z1"}}, {}};
     }
-    void read(shard_owner &owner) const
+    void read(shard_ownership &owner) const
     {
         owner.handle(shard_rows_read{platform.scan(ShardPrefix), now}, now);
     }
-    std::optional<table_transaction> tick(shard_owner &owner) const
+    std::optional<table_transaction> tick(shard_ownership &owner) const
     {
-        const auto commits = only<commit_shard>(owner.handle(ownership_tick{}, now));
+        const auto commits = actionsOf<commit_shard>(owner.handle(ownership_tick{}, now));
         return commits.empty() ? std::nullopt : std::optional(commits.front().transaction);
     }
-    void write(shard_owner &owner, const table_transaction &transaction)
+    void write(shard_ownership &owner, const table_transaction &transaction)
     {
-        const shard_write_settled settled{transaction.operationId, platform.commit(transaction)};
+        const shard_write_answered settled{transaction.operationId, platform.commit(transaction)};
         owner.handle(settled, now);
     }
     // Each second the entry reads and writes what it likes.
-    void pass(shard_owner &owner, int length)
+    void advance(shard_ownership &owner, int length)
     {
         for (int passed = 0; passed < length; ++passed) {
             now += seconds(1);
@@ -51,48 +51,49 @@
 // dies before it writes again: no later reading differs from the last, and the shard is free.
 Test(work_waits, a_write_that_another_owner_has_made_void)
 {
-    constexpr int TakenAfter = 9; // the lease of an owner, the allowance for clocks, two readings
+    constexpr int AcquiredAfterSeconds =
+            9; // the lease of an owner, the allowance for clocks, two readings
     section("of an entry that wanted to take the shard", [] {
-        shard_bench bench;
-        auto late = shard_bench::entry("late");
-        auto first = shard_bench::entry("first");
-        bench.read(late);
-        bench.read(first);
-        const auto taking = bench.tick(late);
-        require(taking.has_value());
-        bench.write(first, *bench.tick(first));
+        shard_fixture fixture;
+        auto late = shard_fixture::makeEntry("late");
+        auto first = shard_fixture::makeEntry("first");
+        fixture.read(late);
+        fixture.read(first);
+        const auto acquiring = fixture.tick(late);
+        require(acquiring.has_value());
+        fixture.write(first, *fixture.tick(first));
         require(first.owns(0));
-        bench.read(late);
-        bench.write(late, *taking);
-        bench.pass(late, TakenAfter);
+        fixture.read(late);
+        fixture.write(late, *acquiring);
+        fixture.advance(late, AcquiredAfterSeconds);
         check(late.owns(0));
     });
-    const auto superseded = [](shard_bench &bench, shard_owner &owner) {
-        bench.pass(owner, 2);
+    const auto superseded = [](shard_fixture &fixture, shard_ownership &owner) {
+        fixture.advance(owner, 2);
         require(owner.owns(0));
-        auto next = shard_bench::entry("next");
-        bench.pass(next, TakenAfter); // while the owner is paused
+        auto next = shard_fixture::makeEntry("next");
+        fixture.advance(next, AcquiredAfterSeconds); // while the owner is paused
         require(next.owns(0));
-        const auto renewal = bench.tick(owner);
+        const auto renewal = fixture.tick(owner);
         require(renewal.has_value());
-        bench.read(owner);
+        fixture.read(owner);
         require(!owner.owns(0));
-        bench.write(owner, *renewal);
+        fixture.write(owner, *renewal);
     };
     section("of an owner that was paused and renews", [&] {
-        shard_bench bench;
-        auto owner = shard_bench::entry("owner");
-        superseded(bench, owner);
-        bench.pass(owner, TakenAfter);
+        shard_fixture fixture;
+        auto owner = shard_fixture::makeEntry("owner");
+        superseded(fixture, owner);
+        fixture.advance(owner, AcquiredAfterSeconds);
         check(owner.owns(0));
     });
     section("and a planned stop of it has nothing to wait for", [&] {
-        shard_bench bench;
-        auto owner = shard_bench::entry("owner");
-        superseded(bench, owner);
-        owner.handle(release_shards{}, bench.now);
-        bench.pass(owner, 2);
-        check(owner.released());
+        shard_fixture fixture;
+        auto owner = shard_fixture::makeEntry("owner");
+        superseded(fixture, owner);
+        owner.handle(release_shards{}, fixture.now);
+        fixture.advance(owner, 2);
+        check(owner.isReleased());
     });
 }
 
@@ -102,40 +103,40 @@
 // it.
 Test(work_waits, an_eviction_while_the_placement_is_written)
 {
-    table_bench bench;
-    bench.submit("job", 1);
-    bench.settle(*bench.nextCommit());
-    bench.report("w", 1);
-    bench.feed(place_decided{{"job", 0}, "w", false});
-    const auto placing = bench.nextCommit();
+    coordinator_fixture fixture;
+    fixture.submit("job", 1);
+    fixture.commitAndAnswer(*fixture.nextCommit());
+    fixture.report("w", 1);
+    fixture.feed(placement_decided{{"job", 0}, "w", false});
+    const auto placing = fixture.nextCommit();
     require(placing.has_value());
-    bench.feed(evict_decided{{"job", 0}});
-    const auto checkpointsGranted = [](const table_bench &from) {
-        const auto grants = only<send_grant>(from.actions);
-        return grants.empty() ? 0 : grants.front().grant.checkpoints.size();
+    fixture.feed(eviction_decided{{"job", 0}});
+    const auto checkpointsGranted = [](const coordinator_fixture &from) {
+        const auto grants = actionsOf<send_grant>(from.actions);
+        return grants.empty() ? 0 : grants.front().grant.evictions.size();
     };
     section("it is asked of the agent once the placement is written", [&] {
-        table_bench written = bench;
-        written.settle(*placing);
+        coordinator_fixture written = fixture;
+        written.commitAndAnswer(*placing);
         check(checkpointsGranted(written) == 1);
     });
     section("also when the answer to that write is lost", [&] {
-        table_bench lost = bench;
+        coordinator_fixture lost = fixture;
         lost.loseAnswer(*placing, true);
-        require(lost.readBack());
+        require(lost.readRowsBack());
         check(checkpointsGranted(lost) == 1);
     });
     section("but not of the next placement, if this one has no effect", [&] {
-        table_bench none = bench;
+        coordinator_fixture none = fixture;
         Json::Value foreign(Json::objectValue);
         foreign["tasks"] = Json::Value(Json::arrayValue);
         none.platform.commit({"foreign", {}, {{placing->writes.back().key, foreign}}});
-        none.settle(*placing);
-        require(none.readBack());
-        require(none.table.placeable({"job", 0}));
-        none.feed(place_decided{{"job", 0}, "w", false});
-        none.settle(*none.nextCommit());
-        check(none.table.find({"job", 0}).state == task_state::Placed);
+        none.commitAndAnswer(*placing);
+        require(none.readRowsBack());
+        require(none.coordinator.isPlaceable({"job", 0}));
+        none.feed(placement_decided{{"job", 0}, "w", false});
+        none.commitAndAnswer(*none.nextCommit());
+        check(none.coordinator.find({"job", 0}).state == task_state::Placed);
         check(checkpointsGranted(none) == 0);
     });
 }
@@ -147,42 +148,42 @@
 {
     constexpr int WithinSeconds = 15;
     section("to an entry that takes a shard", [] {
-        shard_bench bench;
-        auto owner = shard_bench::entry("owner");
-        bench.read(owner);
-        require(bench.tick(owner).has_value()); // dropped
-        bench.pass(owner, WithinSeconds);
+        shard_fixture fixture;
+        auto owner = shard_fixture::makeEntry("owner");
+        fixture.read(owner);
+        require(fixture.tick(owner).has_value()); // dropped
+        fixture.advance(owner, WithinSeconds);
         check(owner.owns(0));
     });
     section("to an owner that renews: it took effect, and is found", [] {
-        shard_bench bench;
-        auto owner = shard_bench::entry("owner");
-        bench.pass(owner, 2);
-        bench.now += seconds(2);
-        const auto renewal = bench.tick(owner);
+        shard_fixture fixture;
+        auto owner = shard_fixture::makeEntry("owner");
+        fixture.advance(owner, 2);
+        fixture.now += seconds(2);
+        const auto renewal = fixture.tick(owner);
         require(renewal.has_value());
-        bench.platform.commit(*renewal);
-        bench.pass(owner, 1);
-        check(owner.mayGrantUntil(0) > bench.now + lease_settings().horizon - seconds(2));
+        fixture.platform.commit(*renewal);
+        fixture.advance(owner, 1);
+        check(owner.mayGrantUntil(0) > fixture.now + lease_settings().grantPeriod - seconds(2));
     });
     section("to the owner's write of its tasks", [] {
-        table_bench bench;
-        bench.submit("job", 1);
-        const auto dropped = bench.nextCommit();
+        coordinator_fixture fixture;
+        fixture.submit("job", 1);
+        const auto dropped = fixture.nextCommit();
         require(dropped.has_value());
         std::optional<table_transaction> again;
         for (int passed = 0; passed < WithinSeconds && !again; ++passed) {
-            again = bench.nextCommit(seconds(1));
-            const auto reads = only<read_rows>(bench.actions);
+            again = fixture.nextCommit(seconds(1));
+            const auto reads = actionsOf<read_rows>(fixture.actions);
             if (!reads.empty())
-                bench.feed(rows_read{reads.front().keys, bench.rowsOf(reads.front().keys)});
+                fixture.feed(rows_read{reads.front().keys, fixture.rowsOf(reads.front().keys)});
         }
         check(again.has_value());
         if (!again)
             return;
         check(again->operationId == dropped->operationId);
-        bench.settle(*again);
-        check(bench.table.placeable({"job", 0}));
+        fixture.commitAndAnswer(*again);
+        check(fixture.coordinator.isPlaceable({"job", 0}));
     });
     section("to a shard that asks for its part of a quota", [] {
         memory_platform platform;
@@ -203,10 +204,10 @@
                 if (commit == nullptr || ++commits == 1)
                     continue; // the first is dropped
                 const auto result = platform.commit(commit->transaction);
-                parts.handle(write_settled{commit->transaction.operationId, result}, now);
+                parts.handle(write_answered{commit->transaction.operationId, result}, now);
             }
         }
-        check(core.fitsIn(parts.usable("team")));
+        check(core.fitsIn(parts.usableQuota("team")));
     });
 }
 
@@ -216,41 +217,41 @@
 // renews them; from then on the agent is silent for it, and the owner moves them.
 Test(work_waits, a_worker_that_is_gone_beside_its_agent)
 {
-    keeper_bench agent;
-    const auto passWithoutWorker = [&](int length) {
+    supervisor_fixture agent;
+    const auto advanceWithoutWorker = [&](int length) {
         for (int passed = 0; passed < length; ++passed) {
             agent.now += seconds(1);
-            agent.feed(keeper_tick{});
+            agent.feed(supervisor_tick{});
         }
     };
-    agent.pass(seconds(1));
+    agent.advance(seconds(1));
     const auto taskLease = std::chrono::duration_cast<seconds>(lease_settings().taskLease).count();
     section("while leases of its tasks may hold, the agent reports", [&] {
-        const auto before = agent.reports;
-        passWithoutWorker(static_cast<int>(taskLease) - 2);
-        check(agent.reports > before + 5);
+        const auto before = agent.reportCount;
+        advanceWithoutWorker(static_cast<int>(taskLease) - 2);
+        check(agent.reportCount > before + 5);
     });
     section("then no more, and is woken only to ask the worker", [&] {
-        passWithoutWorker(3);
-        const auto before = agent.reports;
-        passWithoutWorker(60);
-        check(agent.reports == before);
-        check(agent.keeper.nextTick() > agent.now);
+        advanceWithoutWorker(3);
+        const auto before = agent.reportCount;
+        advanceWithoutWorker(60);
+        check(agent.reportCount == before);
+        check(agent.supervisor.nextTick() > agent.now);
     });
     section("it answers again: the owner hears at once", [&] {
-        const auto before = agent.reports;
-        agent.pass(milliseconds(100));
-        check(agent.reports == before + 1);
+        const auto before = agent.reportCount;
+        agent.advance(milliseconds(100));
+        check(agent.reportCount == before + 1);
     });
     section("an end that the owner has not acknowledged is told all the same", [&] {
-        agent.feed(grant_received{agent.grantTask(agent.reports, 1)});
+        agent.feed(grant_received{agent.grantTask(agent.reportCount, 1)});
         require(agent.worker.runs(agent.Task));
-        agent.worker.ended({{agent.Task, 1}, task_outcome::Succeeded, {}, {}});
-        agent.pass(seconds(1));
-        require(agent.keeper.unackedEvents() > 0);
-        const auto before = agent.reports;
-        passWithoutWorker(60);
-        check(agent.reports > before + 30);
+        agent.worker.recordEnd({{agent.Task, 1}, task_outcome::Succeeded, {}, {}});
+        agent.advance(seconds(1));
+        require(agent.supervisor.unackedEventCount() > 0);
+        const auto before = agent.reportCount;
+        advanceWithoutWorker(60);
+        check(agent.reportCount > before + 30);
     });
 }
 
--- a/tests/work_writes_test.cpp
+++ b/tests/work_writes_test.cpp
@@ -22,42 +22,42 @@
 constexpr int StartsPerSecond = 210;
 constexpr milliseconds Tick{50};
 
-struct write_figures
+struct write_statistics
 {
     double seconds = 0;
     std::size_t transactions = 0;
     std::size_t rows = 0;
     std::size_t bytes = 0;
     std::size_t starts = 0;
-    std::size_t changes = 0;        // rows, if each task had one
-    std::size_t changedWorkers = 0; // rows, if each worker had one
-    std::size_t messageBytes = 0;   // of reports and grants, without their transport
+    std::size_t rowsIfPerTask = 0;   // rows, if each task had one
+    std::size_t rowsIfPerWorker = 0; // rows, if each worker had one
+    std::size_t messageBytes = 0;    // of reports and grants, without their transport
 };
 
 // One shard at its part of the peak: jobs of 500 tasks, placed in order, each running 60 to 160 s.
-class peak_shard
+class peak_load_shard
 {
 public:
-    explicit peak_shard(int shards)
+    explicit peak_load_shard(int shards)
         : m_workers(Workers / shards)
         , m_startsPerTick(static_cast<double>(StartsPerSecond) / shards * 0.05)
         , m_random(11)
-        , m_table({0, 1, 1, {}}, "op", {})
+        , m_coordinator({0, 1, 1, {}}, "op", {})
     {
         m_platform.commit({"take", {}, {{shardKey(0), Json::Value(Json::objectValue)}}});
         feed(rows_read{});
-        feed(horizon_moved{Never});
+        feed(grant_deadline_changed{Never});
     }
 
-    write_figures run()
+    write_statistics run()
     {
         while (m_now < time_point(seconds(200)))
             step();
-        m_figures = {};
+        m_statistics = {};
         while (m_now < time_point(seconds(260)))
             step();
-        m_figures.seconds = 60;
-        return m_figures;
+        m_statistics.seconds = 60;
+        return m_statistics;
     }
 
 private:
@@ -71,138 +71,139 @@
     void step()
     {
         m_now += Tick;
-        m_due += m_startsPerTick;
-        for (; m_due >= 1; m_due -= 1)
+        m_startsDue += m_startsPerTick;
+        for (; m_startsDue >= 1; m_startsDue -= 1)
             place();
-        for (auto it = m_ends.begin(); it != m_ends.end() && it->first <= m_now;) {
+        for (auto it = m_taskEnds.begin(); it != m_taskEnds.end() && it->first <= m_now;) {
             addEvent(it->second.first, it->second.second, task_event_kind::Succeeded);
-            it = m_ends.erase(it);
+            it = m_taskEnds.erase(it);
         }
         const auto tick = static_cast<int>(m_now.time_since_epoch() / Tick);
         for (int i = 0; i < m_workers; ++i) {
             if ((tick + i) % 40 == 0) // every two seconds
                 report(i);
         }
-        feed(table_tick{});
+        feed(coordinator_tick{});
     }
     void place()
     {
-        if (m_next % 500 == 0) {
+        if (m_nextTask % 500 == 0) {
             job_spec spec;
-            spec.id = "job" + std::to_string(m_next / 500);
+            spec.id = "job" + std::to_string(m_nextTask / 500);
             spec.generation = 1;
-            spec.tasks = 500;
+            spec.taskCount = 500;
             feed(job_accepted{spec});
         }
-        const task_id task{"job" + std::to_string(m_next / 500), m_next % 500};
-        ++m_next;
+        const task_id task{"job" + std::to_string(m_nextTask / 500), m_nextTask % 500};
+        ++m_nextTask;
         m_waiting.push_back(task);
-        std::vector<task_id> still;
+        std::vector<task_id> unplaced;
         for (const auto &waiting : m_waiting) {
-            if (m_table.placeable(waiting))
-                feed(place_decided{waiting, name(pickIndex(m_random, m_workers)), false});
+            if (m_coordinator.isPlaceable(waiting))
+                feed(placement_decided{waiting, name(pickIndex(m_random, m_workers)), false});
             else
-                still.push_back(waiting);
+                unplaced.push_back(waiting);
         }
-        m_waiting = still;
+        m_waiting = unplaced;
     }
     static std::string name(std::size_t index) { return fmt::format("worker-{:03}", index); }
 
     void report(int index)
     {
         const std::string id = name(index);
-        worker &one = m_states[id];
-        const agent_report report{id, 1, id + "#1", ++one.sequence, 1, one.events};
-        m_figures.messageBytes += compactJson(toJson(report)).size();
+        worker &statistics = m_workerStates[id];
+        const agent_report report{id, 1, id + "#1", ++statistics.sequence, 1, statistics.events};
+        m_statistics.messageBytes += compactJson(toJson(report)).size();
         feed(report_received{report});
     }
     void addEvent(const std::string &id, const task_attempt &attempt, task_event_kind kind)
     {
-        worker &one = m_states[id];
-        one.events.push_back({++one.lastEvent, attempt.task, attempt.attempt, kind, {}, {}});
+        worker &statistics = m_workerStates[id];
+        statistics.events.push_back(
+                {++statistics.lastEvent, attempt.task, attempt.attempt, kind, {}, {}});
     }
 
-    void feed(const table_event &event)
+    void feed(const coordinator_event &event)
     {
-        for (const auto &action : m_table.handle(event, m_now))
-            std::visit([&](const auto &one) { act(one); }, action);
+        for (const auto &action : m_coordinator.handle(event, m_now))
+            std::visit([&](const auto &statistics) { act(statistics); }, action);
     }
     template <typename Action>
     void act(const Action &)
     { }
     void act(const commit_rows &action)
     {
-        ++m_figures.transactions;
+        ++m_statistics.transactions;
         for (const auto &write : action.transaction.writes) {
-            ++m_figures.rows;
-            m_figures.bytes += compactJson(*write.value).size();
+            ++m_statistics.rows;
+            m_statistics.bytes += compactJson(*write.value).size();
         }
         const write_result result = m_platform.commit(action.transaction);
-        m_changed.clear();
-        feed(write_settled{action.transaction.operationId, result});
-        m_figures.changedWorkers += m_changed.size();
+        m_changedWorkers.clear();
+        feed(write_answered{action.transaction.operationId, result});
+        m_statistics.rowsIfPerWorker += m_changedWorkers.size();
     }
-    void act(const task_settled &action)
+    void act(const task_changed &action)
     {
-        if (action.change == task_change::Started || action.change == task_change::Vacated)
+        if (action.change == task_change::Started || action.change == task_change::EndReported)
             return;
-        ++m_figures.changes;
-        m_changed.insert(action.worker);
+        ++m_statistics.rowsIfPerTask;
+        m_changedWorkers.insert(action.worker);
         if (action.change == task_change::Placed)
-            ++m_figures.starts;
+            ++m_statistics.starts;
     }
     void act(const send_grant &action)
     {
-        worker &one = m_states[action.grant.worker];
-        m_figures.messageBytes += compactJson(toJson(action.grant)).size();
-        std::erase_if(one.events,
-                      [&](const auto &event) { return event.number <= action.grant.ackedThrough; });
+        worker &statistics = m_workerStates[action.grant.worker];
+        m_statistics.messageBytes += compactJson(toJson(action.grant)).size();
+        std::erase_if(statistics.events,
+                      [&](const auto &event) { return event.number <= action.grant.ackedEvent; });
         for (const auto &task : action.grant.tasks) {
             const task_attempt attempt{task.task, task.attempt};
             if (!m_started.insert(attempt).second)
                 continue;
             addEvent(action.grant.worker, attempt, task_event_kind::Started);
             const auto length = seconds(60 + pickIndex(m_random, 100));
-            m_ends.emplace(m_now + length, std::pair{action.grant.worker, attempt});
+            m_taskEnds.emplace(m_now + length, std::pair{action.grant.worker, attempt});
         }
     }
 
     int m_workers;
     double m_startsPerTick;
-    double m_due = 0;
+    double m_startsDue = 0;
     random_generator m_random;
     memory_platform m_platform;
-    task_table m_table;
+    task_coordinator m_coordinator;
     time_point m_now;
-    std::uint32_t m_next = 0;
+    std::uint32_t m_nextTask = 0;
     std::vector<task_id> m_waiting;
-    std::map<std::string, worker> m_states;
+    std::map<std::string, worker> m_workerStates;
     std::set<task_attempt> m_started;
-    std::multimap<time_point, std::pair<std::string, task_attempt>> m_ends;
-    std::set<std::string> m_changed;
-    write_figures m_figures;
+    std::multimap<time_point, std::pair<std::string, task_attempt>> m_taskEnds;
+    std::set<std::string> m_changedWorkers;
+    write_statistics m_statistics;
 };
 
 // Prints a line of the table, and holds the writes to `mostRows` a second.
-void measurePeak(int shards, double mostRows)
+void measurePeak(int shards, double maxRowsPerSecond)
 {
-    const write_figures one = peak_shard(shards).run();
-    const double rate = shards / one.seconds;
-    const double rows = static_cast<double>(one.rows) * rate;
-    const double starts = static_cast<double>(one.starts) * rate;
-    const double bytes = static_cast<double>(one.bytes) * rate;
+    const write_statistics statistics = peak_load_shard(shards).run();
+    const double rate = shards / statistics.seconds;
+    const double rows = static_cast<double>(statistics.rows) * rate;
+    const double starts = static_cast<double>(statistics.starts) * rate;
+    const double bytes = static_cast<double>(statistics.bytes) * rate;
     fmt::print(stderr,
                "| {} shards | {:.1f} transactions/s | {:.1f} rows/s | {:.2f} rows per start |"
                " {:.0f} bytes per row | {:.0f} kB/s | row per worker: {:.1f} rows/s |"
                " row per task: {:.1f} rows/s | {:.0f} bytes/s between an agent and its owner |\n",
-               shards, static_cast<double>(one.transactions) * rate, rows, rows / starts,
-               bytes / rows, bytes / 1'000, static_cast<double>(one.changedWorkers) * rate,
-               static_cast<double>(one.changes) * rate,
-               static_cast<double>(one.messageBytes) * rate / Workers);
+               shards, static_cast<double>(statistics.transactions) * rate, rows, rows / starts,
+               bytes / rows, bytes / 1'000, static_cast<double>(statistics.rowsIfPerWorker) * rate,
+               static_cast<double>(statistics.rowsIfPerTask) * rate,
+               static_cast<double>(statistics.messageBytes) * rate / Workers);
     check(starts > StartsPerSecond * 0.97);
-    check(rows < mostRows);
+    check(rows < maxRowsPerSecond);
     check(bytes / rows < 1'300);
-    check(static_cast<double>(one.messageBytes) * rate / Workers < 320);
+    check(static_cast<double>(statistics.messageBytes) * rate / Workers < 320);
 }
 
 } // namespace
