--- a/libs/placement/actions.h
+++ b/libs/placement/actions.h
@@ -1,8 +1,8 @@
-// What the placer asks the daemon to do, and what the daemon tells the placer.
+// Messages between the placer and the process that runs it.
 //
-//   placement_action   place, raise, preempt, throttle, refuse
-//   usage_sample, latency_sample   late measurements of the workers
-//   pool_info, team_quota          from the operators' configuration
+//   placement_action              decisions: place, raise, preempt, throttle, refuse
+//   usage_sample, latency_sample  measurements reported by workers; they arrive with a delay
+//   pool_info, team_quota         settings from the operators' configuration
 #pragma once
 
 #include <cstdint>
@@ -18,50 +18,53 @@
 
 namespace zinniabarrow::placement {
 
-// Start the task there, limited to `reserved`. The ledger already counts it; report the outcome of
-// the write with placer::taskSettled().
+// Start the task on the worker with the limits in `reserved`. The worker's ledger already counts
+// the reservation. The caller stores the placement and reports the result of that write with
+// placer::placementSettled().
 struct place_action
 {
     task_ref task;
     std::string worker;
-    resources reserved; // limits that the worker enforces
+    resources reserved; // resource limits that the worker enforces
 };
 
 enum class preempt_reason {
-    UrgentTask,     // room for an urgent task
-    MemoryPressure, // usage no longer fits the worker
-    Interference,   // it slows a service, and throttling did not help
+    UrgentTask,     // free capacity for an urgent task
+    MemoryPressure, // the memory used on the worker exceeds its size
+    Interference,   // the task slows a service, and throttling was not enough
 };
 
-// Checkpoint the victim and stop it. The ledger counts it until placer::taskReleased().
+// Checkpoint the victim and stop it. The ledger counts its reservation until
+// placer::taskReleased().
 struct preempt_action
 {
     task_ref victim;
     std::string worker;
     preempt_reason reason = preempt_reason::UrgentTask;
-    task_ref beneficiary;          // the task for which it makes room; unset for MemoryPressure
-    time_point checkpointDeadline; // after it, stop with the last checkpoint that there is
+    task_ref beneficiary; // the waiting task or the slowed service; unset for MemoryPressure
+    time_point checkpointDeadline; // afterwards, stop with the last complete checkpoint
 };
 
-// Tell the worker (and the agent's ledger) that the task may use more from now on.
+// Tell the worker and the agent's ledger that the task may use more.
 struct raise_action
 {
     task_ref task;
     std::string worker;
-    resources reserved; // the whole reservation, not the difference
+    resources reserved; // the new total reservation, not the difference
 };
 
-// Limit the processor time of a batch task; its reservation stays as it is.
+// Limit the processor time of a batch task. Its reservation does not change.
 struct throttle_action
 {
     task_ref task;
     std::string worker;
-    std::int64_t millicores = 0; // the limit; the whole reservation ends the throttling
+    std::int64_t millicores = 0; // new limit; equal to the reservation when throttling ends
 };
 
-// The task does not run; `reason` names the limit and what to do. NeverFits and QuotaExceeded drop
-// the task here: submit it again when its job has changed. Quarantined stands for the whole job,
-// once for each stay; its tasks stay pending and one of them tries again by itself.
+// The task is not placed; `reason` names the limit and the remedy. After NeverFits and
+// QuotaExceeded the placer forgets the task: submit it again when the job has changed. Quarantined
+// applies to the whole job and is reported once per quarantine; the job's tasks stay pending, and
+// one of them is retried automatically.
 struct refuse_action
 {
     task_ref task;
@@ -69,12 +72,13 @@
     std::string reason;
 };
 
-// Which decisions plan() may take. While the table is down nothing new can be written: only tasks
-// that it already holds on a worker may still be started there.
+// Which decisions plan() may take. While the table is unavailable no new placement can be stored,
+// so only tasks that the table already holds in a worker's backlog may be started.
 enum class plan_scope { All, BacklogOnly };
 
-// Changes of the workers' backlogs. A task that was placed ahead follows with a place_action on
-// the same worker once there is room. One that is taken back follows with taskReleased.
+// Changes of the workers' backlogs. For an assigned task, plan() returns a place_action on the same
+// worker once there is capacity. A withdrawn task becomes pending again with
+// placer::taskReleased().
 struct backlog_plan
 {
     std::vector<place_action> assigned;
@@ -84,53 +88,52 @@
 using placement_action =
         std::variant<place_action, raise_action, preempt_action, throttle_action, refuse_action>;
 
-// Outcome of the write that records a placement.
+// Result of the write that stores a placement.
 enum class placement_outcome {
-    Applied,    // the task may start
-    NotApplied, // certain that nothing was written: the task is pending again
-    Unknown,    // the answer was lost: counted, and not placeable, until settled again
+    Applied,    // stored: the task may start
+    NotApplied, // certainly not stored: the task is pending again
+    Unknown,    // response lost: counted and not placed again until known
 };
 
-// What a task used, seen late and perhaps twice.
+// Resource usage of a task. Samples arrive with a delay and may be duplicated.
 struct usage_sample
 {
     task_ref task;
     std::string worker;
-    resources used;        // processor over the sampling interval, memory at its peak
-    time_point measuredAt; // on this process's clock: now minus the age that the message gave
+    resources used;        // processor time averaged over the sampling interval; peak memory
+    time_point measuredAt; // on this process's clock: receipt minus the age in the message
 };
 
-// Tail latency of one instance of a service, seen late.
+// Tail latency of one instance of a service. Samples arrive with a delay.
 struct latency_sample
 {
-    task_ref task; // of the service
+    task_ref task; // the instance of the service
     std::string worker;
     microseconds p99{0};
-    microseconds target{0}; // at most this is fine
+    microseconds target{0}; // upper bound of an acceptable p99
     time_point measuredAt;
 };
 
 struct pool_info
 {
     std::string name;
-    resources largestWorkerSize; // of its largest workers, as configured
+    resources largestWorkerSize; // size of the pool's largest workers, as configured
 };
 
 struct team_quota
 {
     std::string team;
-    double weight = 1; // share when teams compete
-    resources limit;   // reserved at the same time, at most; 0 in a dimension: no limit there
-    std::optional<resources> localLimit = {}; // of the limit, for this placer; unset: all of it
+    double weight = 1; // relative share when teams compete for capacity
+    resources limit;   // maximum total reservation; 0 in a dimension means no limit
+    std::optional<resources> localLimit = {}; // of `limit`, for this placer; unset: all of it
 };
 
-// What a team holds here, and asks for.
+// What a team has reserved at this placer, and what its pending tasks need.
 struct team_usage
 {
     resources reservedSum;
-    resources
-            pendingSum; // sum over its waiting tasks, as far as all workers together could take it
-    resources largestPending; // of them; 0: none that could be taken
+    resources pendingSum;     // of its pending tasks, as far as the workers could hold it
+    resources largestPending; // largest pending task; 0 in all dimensions if none fits the workers
 };
 
 std::string_view nameOf(preempt_reason reason);
--- a/libs/placement/backlog.cpp
+++ b/libs/placement/backlog.cpp
@@ -1,8 +1,9 @@
-// The placer's backlogs: batch tasks that are bound to a worker before it has room for them, so
-// that they can start there while the table is down.
+// Backlogs: batch tasks that are assigned to a worker before it has free capacity, so that they can
+// start there while the table is unavailable.
 //
-// A task in a backlog counts neither against its worker nor against its team's quota: plan() counts
-// it when it fits both, and only then may it start. So a backlog takes room from nobody.
+// A task in a backlog counts neither against its worker nor against its team's quota. plan()
+// reserves its resources when both allow it, and only then may the task start. A backlog therefore
+// never takes capacity from other tasks.
 #include <algorithm>
 #include <limits>
 #include <string>
@@ -14,10 +15,12 @@
 
 namespace {
 
-constexpr std::size_t MaxAssignedPerPlan = 64; // tasks placed ahead by one plan
-constexpr seconds WithdrawalHoldTime{5}; // room elsewhere, until its stop is confirmed and written
+constexpr std::size_t MaxAssignedPerPlan = 64; // tasks that one planBacklog() call may assign
+// Capacity on the new worker is held this long until the withdrawal is confirmed and stored.
+constexpr seconds WithdrawalHoldTime{5};
 
-// Class Proof would be bound to a worker that falls silent, for as long as that is not back.
+// Tasks with failover_class::Proof are excluded: if the worker stopped responding, such a task
+// would stay bound to it until the worker returned.
 bool canJoinBacklog(const job_record &job)
 {
     return job.spec.kind == task_kind::Batch && job.spec.priority != task_priority::Urgent
@@ -32,7 +35,7 @@
     return slot == worker_table::NoSlot ? 0 : m_workers.at(slot).backlogLength;
 }
 
-// Tasks of this rank, each on its own worker alone.
+// Starts tasks of this rank from the backlogs, each on its assigned worker only.
 void placer::startFromBacklogs(planning_pass &pass, int rank)
 {
     const std::vector<task_ref> tasks(m_backlogTasks.begin(), m_backlogTasks.end());
@@ -63,11 +66,13 @@
     withdrawFromBacklogs(plan, now);
     if (perWorker == 0)
         return plan;
-    // A team at its quota comes last: its tasks would keep others out of the backlogs.
+    // Tasks of a team at its quota come last: otherwise they would fill the backlogs and exclude
+    // tasks that could run.
     for (const auto reason : {wait_reason::NoCapacity, wait_reason::TeamAtQuota}) {
         for (int rank = 0; rank < RankCount; ++rank) {
             for (auto &[team, jobs] : m_queue.teamsAtRank(rank)) {
-                const auto pendingCopy = jobs; // a job leaves the queue with its last waiting task
+                // A copy, because a job leaves the queue with its last pending task.
+                const auto pendingCopy = jobs;
                 for (const auto &[sequence, job] : pendingCopy) {
                     if (job->waitReason == reason && canJoinBacklog(*job))
                         assignToBacklog(plan, *job, perWorker, now);
@@ -125,12 +130,13 @@
     if (!found || found.task->cancelled)
         return;
     const int slot = found.task->workerSlot;
-    addToBacklog(task, *found.task, slot, now); // first: the slot must not close
+    // Before removeFromWorker(), so that the slot stays in use.
+    addToBacklog(task, *found.task, slot, now);
     found.task->isBacklogStored = true;
     removeFromWorker(task, *found.task, now);
 }
 
-// The worker of the job's pool with the shortest backlog.
+// Returns the slot of the worker in the job's pool with the shortest backlog.
 int placer::chooseBacklogSlot(const job_record &job, const resources &demand,
                               std::size_t perWorker) const
 {
@@ -147,7 +153,7 @@
     return bestSlot;
 }
 
-// Without it, the last tasks of a job would wait behind one worker while others idle.
+// Without withdrawals the last tasks of a job would wait for one busy worker while others are idle.
 void placer::withdrawFromBacklogs(backlog_plan &plan, time_point now)
 {
     const std::vector<task_ref> tasks(m_backlogTasks.begin(), m_backlogTasks.end());
@@ -160,12 +166,13 @@
     }
 }
 
-// Its worker takes no more, or another one has room that plan() found nobody for; that is held for
-// the task, so that the same room does not call for several.
+// True if the assigned worker no longer accepts tasks, or if another worker has free capacity that
+// plan() did not use. That capacity is then held for this task, so that it does not trigger the
+// withdrawal of several tasks.
 bool placer::shouldWithdraw(const job_record &job, task_record &record, time_point now)
 {
     if (record.holdSlot != NoWorker && now < record.holdUntil)
-        return false; // on its way
+        return false; // the withdrawal is in progress
     releaseHold(record);
     const auto &worker = m_workers.at(record.backlogSlot);
     const bool acceptsTasks = worker.inService && !worker.isQuarantined;
@@ -212,7 +219,7 @@
     if (!found)
         return false;
     removeFromBacklog(task, *found.task);
-    // Room that is held for it elsewhere is found again by the next plan.
+    // If capacity is held for the task on another worker, the next plan() places it there.
     if (found.task->holdSlot != NoWorker)
         m_heldTasks.insert(task);
     enqueue(*found.job, task.taskIndex, now);
--- a/libs/placement/interference.cpp
+++ b/libs/placement/interference.cpp
@@ -81,29 +81,29 @@
     if (!estimate)
         return;
     addDrift(*estimate, measuredAt);
-    std::vector<regressor> amounts{{0, 1}};
+    std::vector<regressor> regressors{{0, 1}};
     for (const auto &neighbour : neighbours) {
         const auto index = findOrAddIndex(*estimate, neighbour.jobClass, measuredAt);
         if (index != 0 && neighbour.share > 0)
-            amounts.push_back({index, neighbour.share});
+            regressors.push_back({index, neighbour.share});
     }
     const double residual = logRatio - expectedLogRatio(service, neighbours);
-    update(*estimate, amounts, residual);
+    update(*estimate, regressors, residual);
 }
 
-// One step of a Kalman filter whose state stands still but for the drift.
-void interference_model::update(service_estimate &estimate, const std::vector<regressor> &amounts,
-                                double residual)
+// Update step of a Kalman filter whose state is constant except for the drift.
+void interference_model::update(service_estimate &estimate,
+                                const std::vector<regressor> &regressors, double residual)
 {
     const auto size = estimate.means.size();
-    std::vector<double> crossCovariance(size, 0); // covariance times amounts
+    std::vector<double> crossCovariance(size, 0); // covariance matrix times the regressors
     for (std::size_t row = 0; row < size; ++row) {
-        for (const auto &amount : amounts)
-            crossCovariance[row] += covarianceAt(estimate, row, amount.index) * amount.coefficient;
+        for (const auto &term : regressors)
+            crossCovariance[row] += covarianceAt(estimate, row, term.index) * term.coefficient;
     }
     double residualVariance = square(m_settings.sampleDeviation);
-    for (const auto &amount : amounts)
-        residualVariance += crossCovariance[amount.index] * amount.coefficient;
+    for (const auto &term : regressors)
+        residualVariance += crossCovariance[term.index] * term.coefficient;
     for (std::size_t row = 0; row < size; ++row) {
         for (std::size_t column = 0; column < size; ++column)
             covarianceAt(estimate, row, column) -=
@@ -113,7 +113,7 @@
     for (std::size_t index = 1; index < size; ++index) {
         const double mean =
                 estimate.means[index] + crossCovariance[index] / residualVariance * residual;
-        setMean(estimate, index, std::max(mean, 0.0)); // a neighbour speeds nothing up
+        setMean(estimate, index, std::max(mean, 0.0)); // a neighbour never speeds a service up
     }
 }
 
@@ -179,7 +179,7 @@
     return &estimate;
 }
 
-// 0 when the class is not among the neighbours.
+// Returns 0 when the class is not among the neighbours.
 std::size_t interference_model::findIndex(const service_estimate &estimate, class_number neighbour)
 {
     const auto found = std::find(estimate.neighbours.begin(), estimate.neighbours.end(), neighbour);
@@ -188,8 +188,8 @@
     return static_cast<std::size_t>(found - estimate.neighbours.begin()) + 1;
 }
 
-// A class seen for the first time takes a free place, or that of the one unseen for longest. 0 when
-// all are beside the service in this very sample.
+// A new class takes a free index, or replaces the class that was seen least recently. Returns 0
+// when all known classes appear in the current sample.
 std::size_t interference_model::findOrAddIndex(service_estimate &estimate, class_number neighbour,
                                                time_point at)
 {
@@ -218,7 +218,8 @@
     return index;
 }
 
-// Gives the place to `neighbour`, with what can be borrowed and the prior's uncertainty.
+// Assigns the index to `neighbour`. The initial mean is the average over the pairs already known
+// and the prior; the uncertainty is that of the prior.
 void interference_model::assignIndex(service_estimate &estimate, std::size_t index,
                                      class_number neighbour)
 {
--- a/libs/placement/interference.h
+++ b/libs/placement/interference.h
@@ -1,12 +1,13 @@
-// Interference: how much one class of tasks slows a class of services.
+// Interference: by how much one class of tasks slows a class of services.
 //
-//   neighbour_history   who ran on a worker at a past moment
-//   interference_model  an estimate, with its uncertainty, for each pair of classes
+//   neighbour_history   the task classes that ran on a worker at a past moment
+//   interference_model  the estimated effect, with its uncertainty, for each pair of classes
 //
-// The model is log(p99 / target) = baseline(service) + sum over neighbours of effect × part of the
-// worker's processors that it was given. Parts, so that what was learned on a small worker holds on
-// a large one. A sample arrives late; it is explained by the neighbours at the time when it was
-// measured. Else the task that has just arrived would be blamed for what the one that has left did.
+// The model is log(p99 / target) = baseline(service) + sum over neighbours of effect × share of the
+// worker's processors given to that neighbour. Shares are used so that what was learned on a small
+// worker applies to a large one. Latency samples arrive with a delay and are attributed to the
+// neighbours at the time of the measurement. Otherwise a task that has just started would be blamed
+// for the effect of one that has already left.
 #pragma once
 
 #include <cstddef>
@@ -21,31 +22,32 @@
 
 namespace zinniabarrow::placement {
 
-using class_number = std::uint16_t;
+using class_number = std::uint16_t; // of a job class, see placer::classNumber()
 
 struct class_millicores
 {
     class_number jobClass = 0;
-    std::int64_t millicores = 0; // given to all tasks of the class
+    std::int64_t millicores = 0; // reserved by all tasks of the class, less what throttling takes
 };
 
 struct class_share
 {
     class_number jobClass = 0;
-    double share = 0; // of the worker's processors
+    double share = 0; // fraction of the worker's processors, 0 to 1
 };
 
-// None while the worker's size is not known.
+// Returns no shares while the worker's size is unknown.
 std::vector<class_share> sharesOf(std::span<const class_millicores> amounts,
                                   std::int64_t workerMillicores);
 
 class neighbour_history
 {
 public:
-    // `millicores` is negative when a task goes or is throttled.
+    // Adds `millicores` to the amount of the class; negative when a task leaves or is throttled.
     void addChange(class_number jobClass, std::int64_t millicores, time_point at);
     const std::vector<class_millicores> &current() const { return m_current; }
-    // Absent when the moment lies before what is kept: the sample has to be dropped.
+    // The amounts at `moment`; no value if the history does not reach back that far, in which case
+    // the caller drops the sample.
     std::optional<std::vector<class_millicores>> at(time_point moment) const;
 
 private:
@@ -59,26 +61,26 @@
 
     std::vector<class_millicores> m_current;
     std::deque<change_record> m_changes; // oldest first
-    time_point m_knownFrom;              // moments before it cannot be answered
+    time_point m_knownFrom;              // the history is incomplete before it
 };
 
 struct interference_settings
 {
-    bool learn = true;                 // false: every pair keeps the prior
-    double priorEffect = 0.3;          // log slowdown by a whole worker of a class never seen
-    double priorDeviation = 0.8;       // of the effect
-    double baselineMean = -0.5;        // log(p99 / target) when alone, before any sample
-    double baselineDeviation = 0.5;    //
-    double sampleDeviation = 0.15;     // deviation of one sample
-    double effectDriftPerHour = 0.3;   // deviation that an effect gains in an hour: effects shift
-    double baselineDriftPerHour = 0.1; // the same of a baseline: load shifts faster
-    std::size_t maxNeighbours = 32;    // classes kept for each service class
+    bool learn = true;               // false: every pair keeps the prior
+    double priorEffect = 0.3;        // log slowdown by an unknown class that uses a whole worker
+    double priorDeviation = 0.8;     // standard deviation of priorEffect
+    double baselineMean = -0.5;      // log(p99 / target) without neighbours, before any sample
+    double baselineDeviation = 0.5;  // standard deviation of baselineMean
+    double sampleDeviation = 0.15;   // standard deviation of the noise of one sample
+    double effectDriftPerHour = 0.3; // standard deviation gained per hour: effects change over time
+    double baselineDriftPerHour = 0.1; // the same for a baseline, which changes with the load
+    std::size_t maxNeighbours = 32;    // neighbour classes kept per service class
     std::size_t maxServices = 256;     // service classes kept; others keep the prior
 };
 
 struct effect_estimate
 {
-    double mean = 0;      // log slowdown by a whole worker of the neighbour
+    double mean = 0;      // log slowdown if the neighbour used a whole worker
     double deviation = 0; // standard deviation of the mean
 };
 
@@ -87,35 +89,36 @@
 public:
     explicit interference_model(const interference_settings &settings);
 
-    // `logRatio`: log(p99 / target) that was measured beside `neighbours`.
+    // Updates the estimates with one sample; `logRatio` is log(p99 / target), measured beside
+    // `neighbours`.
     void learn(class_number service, std::span<const class_share> neighbours, double logRatio,
                time_point measuredAt);
-    // A pair never seen borrows from the means of both classes.
+    // For an unknown pair, the mean is derived from the known pairs of both classes.
     effect_estimate effect(class_number service, class_number neighbour) const;
     double baseline(class_number service) const;
     // Expected log(p99 / target).
     double expectedLogRatio(class_number service, std::span<const class_share> neighbours) const;
 
 private:
-    // What is believed of one service class: its baseline and the effects of its neighbours,
-    // jointly. Each alone would not do. Beside a steady neighbour, baseline and effect cannot be
-    // told apart; when the neighbour then goes, only their covariance says that one was too high
-    // because the other was too low.
+    // Joint estimate for one service class: its baseline and the effects of its neighbours.
+    // Separate estimates are not sufficient: beside a constant neighbour, baseline and effect
+    // cannot be distinguished. When that neighbour leaves, only the covariance tells that one was
+    // too high because the other was too low.
     struct service_estimate
     {
-        std::vector<class_number> neighbours; // of index 1 and up; index 0 is the baseline
-        std::vector<time_point> lastSeenAt;   // of each neighbour
-        std::vector<double> means;            //
+        std::vector<class_number> neighbours; // element i is the class of means[i + 1]
+        std::vector<time_point> lastSeenAt;   // last sample with each neighbour
+        std::vector<double> means;            // means[0] is the baseline, the others are effects
         std::vector<double> covariance;       // rows of maxNeighbours + 1
-        time_point updatedAt;                 //
-        double effectSum = 0;                 // of the means of the neighbours
+        time_point updatedAt;
+        double effectSum = 0; // sum of the neighbours' means
     };
     struct class_mean
     {
-        double sum = 0; // of the means of its pairs
+        double sum = 0; // sum of the means of its pairs
         int pairs = 0;
     };
-    // Amounts by index of the belief.
+    // One non-zero entry of a sample's regressor vector.
     struct regressor
     {
         std::size_t index = 0;
@@ -126,7 +129,8 @@
     std::size_t findOrAddIndex(service_estimate &estimate, class_number neighbour, time_point at);
     void assignIndex(service_estimate &estimate, std::size_t index, class_number neighbour);
     void addDrift(service_estimate &estimate, time_point at) const;
-    void update(service_estimate &estimate, const std::vector<regressor> &amounts, double residual);
+    void update(service_estimate &estimate, const std::vector<regressor> &regressors,
+                double residual);
     void setMean(service_estimate &estimate, std::size_t index, double mean);
     double &covarianceAt(service_estimate &estimate, std::size_t row, std::size_t column) const
     {
--- a/libs/placement/load_signal.h
+++ b/libs/placement/load_signal.h
@@ -1,8 +1,8 @@
-// The load signal of one service instance: a moving average with hysteresis.
+// Detects that one instance of a service is disturbed: a moving average of its latency with
+// hysteresis.
 //
-// It turns a sequence of late latency samples into one bit: is the service disturbed? One bad
-// sample does not raise it, and it falls only well below the level at which it rises.
-// docs/design/PLACEMENT.md has the signal that was measured against it.
+// A single bad sample does not raise the signal, and it falls only well below the level at which it
+// rises. docs/design/PLACEMENT.md describes the alternative that it was compared with.
 #pragma once
 
 #include <array>
@@ -12,9 +12,9 @@
 
 struct load_signal_settings
 {
-    std::size_t windowSamples = 3; // samples averaged, at most load_signal::MostSlices
-    double riseAbove = 0;          // mean excess (log of p99 over target) that raises the signal
-    double fallBelow = -0.2;       // mean that lowers it
+    std::size_t windowSamples = 3; // samples averaged, at most load_signal::MaxSamples
+    double riseAbove = 0;          // mean log(p99 / target) above which the signal is raised
+    double fallBelow = -0.2;       // mean log(p99 / target) below which the signal is lowered
 };
 
 class load_signal
@@ -23,7 +23,7 @@
     static constexpr std::size_t MaxSamples = 16;
 
     void add(double excess, const load_signal_settings &settings);
-    // Samples from before an action say nothing about its effect.
+    // Drops the samples but keeps the state: samples from before an action do not show its effect.
     void clearSamples() { m_count = 0; }
 
     double mean() const;
--- a/libs/placement/plan.cpp
+++ b/libs/placement/plan.cpp
@@ -1,4 +1,4 @@
-// The placer's decisions: raises, room for memory, and the tasks that wait.
+// The placer's decisions: raises, evictions for memory, and placement of pending tasks.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -9,15 +9,14 @@
 
 namespace {
 
-constexpr std::size_t MaxFailedDemands = 64; // demands remembered in one run
-constexpr milliseconds MinStopTime{300};     // left to a victim of an urgent task, at least
-constexpr milliseconds StopGracePeriod{
-        300}; // for the report of a stop, before another worker is tried
-constexpr milliseconds UrgentRetryInterval{100}; // when not even evictions make room
-constexpr seconds AvoidSlowWorkerFor{10};        // that made no room in time
+constexpr std::size_t MaxFailedDemands = 64;     // demands remembered during one pass
+constexpr milliseconds MinStopTime{300};         // given to the victims of urgent tasks
+constexpr milliseconds StopGracePeriod{300};     // for the report; then another worker is tried
+constexpr milliseconds UrgentRetryInterval{100}; // when preemption cannot free enough capacity
+constexpr seconds AvoidSlowWorkerFor{10};        // when its victims did not stop in time
 
-// The rank that every batch task comes after: it makes room for memory, not for a task.
-constexpr int BeforeBatch = 0;
+// Ranks before every batch task: evictions for memory may choose any batch task.
+constexpr int RankBeforeBatch = 0;
 
 std::string describeExceeded(const resources &amount, const resources &limit)
 {
@@ -55,7 +54,8 @@
     return std::move(pass.actions);
 }
 
-// Set-aside workers come back when their cool-down ends, which no event tells.
+// A worker's quarantine ends with its cool-down, without an event; so the state is checked on each
+// pass.
 void placer::refreshQuarantinedWorkers(time_point now)
 {
     for (auto next = m_quarantinedSlots.begin(); next != m_quarantinedSlots.end();) {
@@ -95,30 +95,31 @@
     }
 }
 
-// A worker whose tasks use more than was reserved, with no room for the raise, would run out of
-// memory and lose whichever task the kernel picks. Evicting one batch task by policy costs less.
-// The raise alone is no reason: it is owed, so that no new task gets the room, while the neighbours
-// may use far less than they reserved. Evicting for each owed raise made a wave of growing tasks a
-// wave of evictions; what the tasks were seen to use has to come near the worker's memory first.
+// A worker whose tasks use more than they reserved, with no capacity for the raise, would run out
+// of memory, and the kernel would kill an arbitrary task. Evicting one batch task by policy costs
+// less. The deferred raise alone is no reason to evict: it keeps new tasks away, while the other
+// tasks may use far less than they reserved. Evicting for every deferred raise turned a wave of
+// growing tasks into a wave of evictions. So the measured memory use must first come near the
+// worker's memory.
 void placer::evictForMemory(planning_pass &pass)
 {
     for (auto next = m_deferredRaiseSlots.begin();
          next != m_deferredRaiseSlots.end() && !pass.isFull();) {
         const int slot = *next;
-        const auto &book = m_workers.at(slot).ledger;
-        if (book.deferred() == resources{}) {
+        const auto &workerLedger = m_workers.at(slot).ledger;
+        if (workerLedger.deferred() == resources{}) {
             next = m_deferredRaiseSlots.erase(next);
             continue;
         }
         ++next;
-        const auto freeCapacity =
-                book.size() - book.reserved() + m_preemptionPlanner.stoppingReservations(slot);
-        auto shortfall = largest(book.deferred() - freeCapacity, resources{});
-        const auto excessBytes = expectedBytes(slot) - book.size().bytes;
+        const auto freeCapacity = workerLedger.size() - workerLedger.reserved()
+                                  + m_preemptionPlanner.stoppingReservations(slot);
+        auto shortfall = largest(workerLedger.deferred() - freeCapacity, resources{});
+        const auto excessBytes = expectedBytes(slot) - workerLedger.size().bytes;
         shortfall.bytes = std::min(shortfall.bytes, std::max<std::int64_t>(excessBytes, 0));
         if (shortfall == resources{})
             continue;
-        const auto victims = m_preemptionPlanner.chooseVictims(slot, shortfall, BeforeBatch);
+        const auto victims = m_preemptionPlanner.chooseVictims(slot, shortfall, RankBeforeBatch);
         if (!victims)
             continue;
         for (const auto &victim : *victims)
@@ -127,8 +128,8 @@
     }
 }
 
-// What the tasks that stay may use soon: as far as it was seen, with a margin for samples that are
-// late; else all that is reserved.
+// Memory in bytes that the tasks that are not stopping may soon use: the measured peak plus a
+// margin for delayed samples, or the whole reservation if there is no sample yet.
 std::int64_t placer::expectedBytes(int slot)
 {
     std::int64_t sum = 0;
@@ -148,15 +149,15 @@
 void placer::placePending(planning_pass &pass)
 {
     for (int rank = 0; rank < RankCount && !pass.isFull(); ++rank) {
-        // First: these need no write any more, and go nowhere else.
+        // Backlogs first: their tasks need no further write and can start on no other worker.
         startFromBacklogs(pass, rank);
         if (pass.scope == plan_scope::All)
             placeRank(pass, m_queue.teamsAtRank(rank));
     }
 }
 
-// One task at a time for the team that holds the least of its share, so that a team with thousands
-// of waiting tasks does not take all the room that appears.
+// Places one task at a time for the team with the smallest weighted share, so that a team with
+// thousands of pending tasks does not take all free capacity.
 void placer::placeRank(planning_pass &pass, pending_queue::rank_teams &teams)
 {
     std::vector<team_cursor> cursors;
@@ -174,18 +175,19 @@
     }
 }
 
-// Goes on with the team's jobs until one task is placed. False when none is left.
+// Continues with the team's jobs until one task is placed. False when no job is left.
 bool placer::placeOneTask(planning_pass &pass, team_cursor &cursor)
 {
     while (!pass.isFull()) {
-        // By number, not by iterator: a job whose last task was placed has left the queue.
+        // Looked up by sequence, because an iterator is invalid after the job's last pending task
+        // was placed.
         const auto found = cursor.jobs->lower_bound(cursor.sequence);
         if (found == cursor.jobs->end())
             return false;
         if (found->first != cursor.sequence)
             cursor = {cursor.team, cursor.jobs, found->first, 0};
         const auto result = tryNextTask(pass, *found->second, cursor.nextIndex);
-        if (result == try_result::JobWaits)
+        if (result == try_result::JobBlocked)
             cursor = {cursor.team, cursor.jobs, cursor.sequence + 1, 0};
         if (result == try_result::Placed)
             return true;
@@ -194,21 +196,22 @@
 }
 
 placer::try_result placer::tryNextTask(planning_pass &pass, job_record &job,
-                                       std::int32_t &fromIndex)
+                                       std::int32_t &startIndex)
 {
-    const auto next = job.pending.lower_bound(fromIndex);
+    const auto next = job.pending.lower_bound(startIndex);
     if (next == job.pending.end())
-        return try_result::JobWaits;
+        return try_result::JobBlocked;
     const auto index = *next;
-    if (fromIndex == 0 && refuseJob(pass, job))
-        return try_result::JobWaits;
+    if (startIndex == 0 && refuseJob(pass, job))
+        return try_result::JobBlocked;
     if (shouldWait(pass, job))
-        return try_result::JobWaits;
-    fromIndex = index + 1;
+        return try_result::JobBlocked;
+    startIndex = index + 1;
     return tryTask(pass, job, index);
 }
 
-// Refused at once and by name of the limit: a task that can never run would only hide in the queue.
+// Refuses the job's tasks at once, naming the limit: a task that can never run would otherwise stay
+// in the queue unnoticed.
 bool placer::refuseJob(planning_pass &pass, job_record &job)
 {
     const auto &pool = m_workers.pool(job.pool);
@@ -217,15 +220,15 @@
                                  && pass.now - pool.firstWorkerAt >= m_settings.poolLearningTime);
     if (isSizeKnown && !job.spec.declared.fitsIn(pool.largestWorker)) {
         refuseTasks(pass, job, error_kind::NeverFits,
-                    "the largest worker of pool " + pool.name + " is too small in "
+                    "the largest worker of pool " + pool.name + " cannot hold it: "
                             + describeExceeded(job.spec.declared, pool.largestWorker)
-                            + " there; declare less or add larger workers");
+                            + " available; declare less or add larger workers");
         return true;
     }
     const auto dimension = m_quotas.exceededDimension(job.team, job.spec.declared);
     if (dimension) {
         refuseTasks(pass, job, error_kind::QuotaExceeded,
-                    "one task asks for " + toText(job.spec.declared) + ", and the quota of team "
+                    "one task requests " + toText(job.spec.declared) + ", and the quota of team "
                             + job.spec.team + " allows " + toText(m_quotas.quotaOf(job.team).limit)
                             + "; the limit in " + *dimension
                             + " is exceeded: declare less or raise the quota");
@@ -249,7 +252,7 @@
             return;
         pass.actions.emplace_back(refuse_action{{jobId, index}, kind, reason});
         ++counter;
-        eraseTask(job, index); // the last one ends the job's record
+        eraseTask(job, index); // erasing the last task also erases the job
     }
 }
 
@@ -289,7 +292,7 @@
 
 void placer::addFailedDemand(planning_pass &pass, std::size_t pool, const resources &demand)
 {
-    // Larger ones say nothing more.
+    // Larger demands add no information.
     std::erase_if(pass.failedDemands, [&](const auto &failed) {
         return failed.first == pool && demand.fitsIn(failed.second);
     });
@@ -297,7 +300,7 @@
         pass.failedDemands.emplace_back(pool, demand);
 }
 
-// A learned size never makes a task impossible that could run as declared.
+// A learned size must not prevent a task from running that could run with its declared size.
 resources placer::demandOf(const job_record &job) const
 {
     const auto &declared = job.spec.declared;
@@ -308,7 +311,7 @@
         maxDemand.millicores = std::min(maxDemand.millicores, limit.millicores);
     if (limit.bytes > 0)
         maxDemand.bytes = std::min(maxDemand.bytes, limit.bytes);
-    // Learning may lower the processor time, so the bound holds back only what was learned on top.
+    // Learning may reduce the processor time; the upper bound applies only to what learning added.
     resources demand = learned;
     demand.millicores =
             std::min(learned.millicores, std::max(maxDemand.millicores, declared.millicores));
@@ -347,7 +350,7 @@
     const auto request = requestFor(job, record, demand, pass.now);
     if (!canPreemptOthers && hasFailedDemand(pass, job.pool, demand)) {
         job.waitReason = wait_reason::NoCapacity;
-        return try_result::JobWaits;
+        return try_result::JobBlocked;
     }
     const auto choice = m_chooser.choose(request);
     if (choice.outcome == choice_outcome::Found) {
@@ -358,21 +361,21 @@
     if (canPreemptOthers
         && (record.holdSlot != NoWorker || holdCapacity(pass, job, index, request))) {
         job.waitReason = wait_reason::Preempting;
-        return try_result::TaskWaits;
+        return try_result::TaskBlocked;
     }
     const bool wouldSlow = choice.outcome == choice_outcome::WouldSlowService;
     job.waitReason = wouldSlow ? wait_reason::WouldSlowService : wait_reason::NoCapacity;
     if (request.excludedSlot != NoWorker)
-        return try_result::TaskWaits; // others of the job may go where this one may not
+        return try_result::TaskBlocked; // other tasks of the job may use the avoided worker
     if (!wouldSlow)
         addFailedDemand(pass, job.pool, demand);
     job.blockedRevision = m_workers.pool(job.pool).capacityRevision;
     job.retryAt = pass.now + (canPreemptOthers ? UrgentRetryInterval : m_settings.retryInterval);
-    return try_result::JobWaits;
+    return try_result::JobBlocked;
 }
 
-// Room that victims have left is used first. When they have not left in time another worker is
-// tried: one that does not stop its tasks must not keep urgent work waiting.
+// Uses capacity freed by victims first. If they have not stopped in time, another worker is tried:
+// a worker that does not stop its tasks must not delay urgent work.
 bool placer::placeOnHold(planning_pass &pass, job_record &job, std::int32_t index,
                          const resources &demand)
 {
@@ -392,8 +395,8 @@
     return false;
 }
 
-// Held on the same worker for tasks that came first. Later holds do not count: their victims may
-// still run, and would keep this task from room that its own have left.
+// Capacity held on the same worker for tasks whose hold is older. Newer holds do not count: their
+// victims may still run and would keep this task from capacity that its own victims freed.
 resources placer::earlierHolds(const task_record &record)
 {
     resources sum;
@@ -413,8 +416,8 @@
     releaseHold(record);
 }
 
-// A task that was not tried in time (its team reached its quota, its job was quarantined) must not
-// keep room from others for ever.
+// A task that was not retried in time, because its team reached its quota or its job was
+// quarantined, must not hold capacity forever.
 void placer::expireHolds(planning_pass &pass)
 {
     for (auto next = m_heldTasks.begin(); next != m_heldTasks.end();) {
@@ -430,9 +433,9 @@
     }
 }
 
-// The team's own batch fills its quota: it could keep its urgent work waiting for hours. The tasks
-// that hold room already, and the victims that have not left yet, count as if both had happened, so
-// that each waiting task stops its own victims once.
+// The team's own batch tasks fill its quota and could delay its urgent work for hours. Tasks that
+// already hold capacity count as placed, and victims that are still stopping as stopped, so that
+// each pending task preempts its own victims only once.
 void placer::preemptForQuota(planning_pass &pass, job_record &job)
 {
     std::erase_if(m_quotaVictims, [this](const task_ref &victim) { return !isStopping(victim); });
@@ -461,8 +464,7 @@
     return reservation != nullptr && reservation->state == reservation_state::Stopping;
 }
 
-// What the team's held rooms will add to what it holds, less what its stopping victims will give
-// back.
+// What the team's holds will add to its reservations, less what its stopping victims will release.
 resources placer::pendingTeamChange(std::uint16_t team)
 {
     resources sum;
@@ -513,13 +515,12 @@
     const task_ref task{job.spec.jobId, index};
     auto &worker = m_workers.at(slot);
     if (!worker.ledger.tryReserve(task, demand))
-        return; // cannot happen: the room was checked; the ledger has the last word all the same
+        return; // cannot happen, since the capacity was checked; the ledger still decides
     auto &record = job.tasks.at(index);
     dequeue(job, index);
     assignToWorker(job, task, record, slot, pass.now);
     m_quarantine.recordStart(task.jobId, worker.info.id, pass.now);
-    refreshQuarantine(slot,
-                      pass.now); // the task may be the one probe that a set-aside worker takes
+    refreshQuarantine(slot, pass.now); // the task may be a quarantined worker's only probe
     pass.actions.emplace_back(place_action{task, worker.info.id, demand});
     ++m_stats.placed;
 }
--- a/libs/placement/preemption_planner.cpp
+++ b/libs/placement/preemption_planner.cpp
@@ -8,8 +8,7 @@
 
 namespace {
 
-constexpr std::size_t MaxExaminedWorkers =
-        8; // workers whose victims are chosen, of all that could make room
+constexpr std::size_t MaxExaminedWorkers = 8; // workers for which victims are selected
 
 resources positivePart(const resources &amount)
 {
@@ -25,9 +24,9 @@
     , m_chooser(chooser)
 { }
 
-// Only batch work is evicted, never urgent work, and never a task whose end has to be proven: a
-// lease watcher must finish without being restarted. An ambiguous placement may not have started,
-// so stopping it would free nothing that is certain.
+// Only batch tasks are evicted; never urgent ones, and never tasks with failover_class::Proof,
+// which must finish without being restarted, such as a lease watcher. A task whose placement is
+// ambiguous may not have started, so stopping it might free nothing.
 bool preemption_planner::canEvict(const task_ref &task, const task_reservation &reservation,
                                   int rank) const
 {
@@ -41,7 +40,7 @@
     return job->spec.priority != task_priority::Urgent && job->rank > rank;
 }
 
-// A stop that may take a long checkpoint is no room for urgent work.
+// A stop that may wait for a long checkpoint does not free capacity in time for urgent work.
 bool preemption_planner::stopsSoon(const task_ref &task, const task_reservation &reservation) const
 {
     if (reservation.state != reservation_state::Stopping)
@@ -112,7 +111,7 @@
     return best.plan;
 }
 
-// Each victim costs one, and so does leaving the spread of a service's replicas.
+// Each victim costs 1, and so does losing the spread of a service's replicas.
 void preemption_planner::keepIfCheaper(cheapest_plan &best, const placement_request &request,
                                        int slot, std::optional<std::vector<task_ref>> victims) const
 {
@@ -151,8 +150,8 @@
         victims.push_back({job->rank, reservation.wanted != reservation.reserved,
                            record->second.startedAt, task, reservation.reserved});
     }
-    // Lowest priority first; then what uses more than it was given; then the youngest, which loses
-    // the least work.
+    // Lowest priority first; then tasks that use more than they reserved; then the most recently
+    // started, which lose the least work.
     std::sort(victims.begin(), victims.end(), [](const victim &left, const victim &right) {
         return std::tie(right.rank, right.usesMoreThanReserved, right.startedAt, right.task)
                < std::tie(left.rank, left.usesMoreThanReserved, left.startedAt, left.task);
@@ -172,7 +171,7 @@
     if (!shortfall.fitsIn(freed))
         return std::nullopt;
     victims.resize(victimCount);
-    // A later, larger victim may make an earlier one needless.
+    // A larger victim that was selected later may make an earlier one unnecessary.
     std::vector<task_ref> chosen;
     for (const auto &candidate : victims) {
         if (shortfall.fitsIn(freed - candidate.reservedAmount))
--- a/libs/placement/preemption_planner.h
+++ b/libs/placement/preemption_planner.h
@@ -1,4 +1,4 @@
-// Making room: which worker can free enough for a task, and which victims that costs.
+// Preemption: which worker can free enough capacity for a task, and which victims have to stop.
 #pragma once
 
 #include <array>
@@ -16,7 +16,7 @@
 struct preemption_plan
 {
     int slot = worker_table::NoSlot;
-    std::vector<task_ref> victims; // may be empty: what stops soon is enough
+    std::vector<task_ref> victims; // may be empty: tasks that are already stopping free enough
 };
 
 class preemption_planner
@@ -25,30 +25,30 @@
     preemption_planner(const worker_table &workers, const task_table &tasks,
                        const worker_chooser &chooser);
 
-    // The worker of the pool on which the request costs the fewest evictions of tasks that rank
-    // after `rank`.
+    // Returns the worker of the pool where the request costs the fewest evictions of tasks that
+    // rank after `rank`.
     std::optional<preemption_plan> planPreemption(const placement_request &request, int rank);
-    // The same for a task whose team lacks `quota`: only the team's own tasks are evicted, and
-    // those of one worker free both the room and the quota.
+    // The same for a task whose team exceeds its quota by `quotaShortfall`: only the team's own
+    // tasks are evicted, and the victims on one worker free both the capacity and the quota.
     std::optional<preemption_plan> planTeamPreemption(const placement_request &request, int rank,
                                                       std::uint16_t team,
                                                       const resources &quotaShortfall);
-    // The cheapest victims that free `missing` on the worker; none when they cannot. Only those of
-    // `team`, if one is given.
+    // The cheapest victims on the worker that free `shortfall`, only of `team` if given; no value
+    // when they cannot.
     std::optional<std::vector<task_ref>>
     chooseVictims(int slot, const resources &shortfall, int rank,
                   std::optional<std::uint16_t> team = std::nullopt) const;
-    // Of tasks whose stop was asked for.
+    // Sum of the reservations of tasks that were asked to stop.
     resources stoppingReservations(int slot) const;
     bool canEvict(const task_ref &task, const task_reservation &reservation, int rank) const;
 
 private:
     struct evictable_sums
     {
-        std::uint64_t workerRevision = 0; // of the worker, when it was counted
-        std::array<resources, RankCount>
-                evictableByRank; // that may be evicted for a task of that rank
-        resources stoppingSoon;  //
+        std::uint64_t workerRevision = 0; // worker_slot::revision for which the sums are valid
+        // Reservations that may be evicted for a task of that rank.
+        std::array<resources, RankCount> evictableByRank;
+        resources stoppingSoon; // of tasks that stop without a long checkpoint
     };
     struct victim
     {
--- a/libs/placement/quarantine.cpp
+++ b/libs/placement/quarantine.cpp
@@ -21,9 +21,9 @@
 {
     if (!m_settings.enabled)
         return;
-    // One side is already known to be bad: the failure says nothing new about the other. Without
-    // this, one broken worker would quarantine every job that probes it, and one bad job would have
-    // every worker set aside.
+    // The worker or the job is already known to be faulty, so the failure says nothing about the
+    // other. Otherwise one broken worker would quarantine every job that probes it, and one broken
+    // job would quarantine every worker.
     if (isQuarantined(m_workers, worker)) {
         startOrExtend(m_workers.at(worker), now);
         return;
@@ -55,8 +55,8 @@
 void quarantine::recordSuccess(const std::string &job, const std::string &worker,
                                time_point startedAt)
 {
-    // A task that started before the first failure proves nothing: a worker whose old tasks go on
-    // while each new one fails must not look healthy.
+    // A task that started before the first failure proves nothing: a worker whose old tasks
+    // continue while each new one fails must not be considered healthy.
     const auto clearsRecord = [startedAt](const failure_record &record) {
         return record.failures.empty() || startedAt >= record.failures.front().at;
     };
@@ -122,12 +122,12 @@
     const auto waitSeconds = millisecondsUntil(record.coolDownUntil, now) / 1000;
     return "job " + job + " failed on " + std::to_string(record.failures.size())
            + " distinct workers (limit " + std::to_string(m_settings.jobWorkerLimit)
-           + "), the last time with: " + record.reason + "; one task tries again in "
+           + "), most recently with: " + record.reason + "; one task is retried in "
            + std::to_string(waitSeconds) + " s";
 }
 
-// Packing may send the tasks of a bad job back and forth between two workers, or the pool may have
-// no more than two: it would never reach the number of distinct workers, and fail for ever.
+// Packing may alternate the tasks of a failing job between two workers, or the pool may have at
+// most two. The job would then never reach the limit of distinct workers and would fail forever.
 bool quarantine::shouldQuarantineJob(const failure_record &record, std::size_t poolSize) const
 {
     const auto distinctWorkers = record.failures.size();
@@ -136,7 +136,7 @@
                && distinctWorkers >= std::min<std::size_t>(poolSize, 2));
 }
 
-// Keeps distinct counterparts in the order of their last failure, within the window.
+// Keeps the distinct counterparts within the window, in the order of their last failure.
 void quarantine::addFailure(failure_record &record, const std::string &counterpart,
                             time_point now) const
 {
@@ -153,8 +153,8 @@
 
 void quarantine::startOrExtend(failure_record &record, time_point now) const
 {
-    // Tasks that started before the stay may fail one after the other: only a probe's failure,
-    // which comes after the cool-down, makes the next one longer.
+    // Tasks that started before the quarantine may still fail one after the other. Only the failure
+    // of a probe, which comes after the cool-down, doubles the next cool-down.
     if (record.quarantined && now < record.coolDownUntil)
         return;
     record.coolDown = record.quarantined ? std::min(record.coolDown * 2, m_settings.maxCoolDown)
@@ -188,8 +188,9 @@
     }
 }
 
-// A wave of bad jobs makes every worker look broken. Without a cap the pool would be empty and good
-// work would wait; with it, at most this part is lost until the bad jobs are quarantined.
+// A wave of failing jobs makes every worker look broken. Without a limit the pool would have no
+// usable worker and healthy jobs would wait; with it at most this share is lost until the failing
+// jobs are quarantined.
 bool quarantine::canQuarantineWorker(const std::string &pool, std::size_t poolSize) const
 {
     std::size_t quarantinedCount = 0;
@@ -200,7 +201,8 @@
     return quarantinedCount < std::max<std::size_t>(cap, 1) && poolSize > 1;
 }
 
-// Bounded memory: beyond the limit, first what is out of the window goes, then all that is clear.
+// Bounds the memory: beyond the limit, removes first the records without a failure in the window,
+// then all that are not quarantined, then everything.
 void quarantine::prune(failure_record_map &records, time_point now) const
 {
     if (records.size() < m_settings.maxRecords)
--- a/libs/placement/quarantine.h
+++ b/libs/placement/quarantine.h
@@ -1,9 +1,9 @@
-// Quarantine: jobs that fail wherever they run, and workers on which everything fails.
+// Quarantine of jobs that fail on every worker, and of workers on which every job fails.
 //
-// A job that failed on several distinct workers is quarantined, and so is one that failed many
-// times on two; a worker on which several distinct jobs failed, with no success of a task started
-// since, is set aside. After a cool-down one task probes: a success clears the record, a failure
-// doubles the cool-down. At most a part of each pool is set aside at the same time.
+// A job is quarantined when it failed on several distinct workers, or many times on two. A worker
+// is quarantined when several distinct jobs failed on it and no task started since has succeeded.
+// After a cool-down one task is placed as a probe: a success clears the record, a failure doubles
+// the cool-down. Only a limited share of each pool's workers is quarantined at the same time.
 #pragma once
 
 #include <cstddef>
@@ -18,17 +18,16 @@
 
 struct quarantine_settings
 {
-    bool enabled = true;                          //
-    std::size_t jobWorkerLimit = 3;               // distinct workers on which a job fails
-    std::size_t jobFailureLimit = 10;             // or so many failures, on two workers at least
-    std::size_t workerJobLimit = 3;               // distinct jobs that fail on a worker
-    duration window = std::chrono::minutes(10);   // older failures are forgotten
-    duration coolDown = std::chrono::minutes(2);  // first stay
-    duration maxCoolDown = std::chrono::hours(1); // doubling ends here
-    duration probeTimeout =
-            std::chrono::minutes(2);  // without a verdict by then another probe may go
-    double maxQuarantinedShare = 0.1; // part of a pool's workers, one worker at least
-    std::size_t maxRecords = 8192;    // records kept for jobs, and as many for workers
+    bool enabled = true;
+    std::size_t jobWorkerLimit = 3;   // distinct workers on which a job must fail
+    std::size_t jobFailureLimit = 10; // or this many failures in total, on at least two workers
+    std::size_t workerJobLimit = 3;   // distinct jobs that must fail on a worker
+    duration window = std::chrono::minutes(10);      // older failures are ignored
+    duration coolDown = std::chrono::minutes(2);     // first cool-down
+    duration maxCoolDown = std::chrono::hours(1);    // upper bound of the doubling
+    duration probeTimeout = std::chrono::minutes(2); // without a result, another probe may start
+    double maxQuarantinedShare = 0.1; // share of a pool's workers; at least one worker
+    std::size_t maxRecords = 8192;    // maximum number of records of jobs, and the same of workers
 };
 
 class quarantine
@@ -36,43 +35,46 @@
 public:
     explicit quarantine(const quarantine_settings &settings);
 
-    // `poolSize`: workers of the pool that are in service.
+    // A task of the job failed on the worker. `poolSize`: workers of the pool that are in service.
     void recordFailure(const std::string &job, const std::string &worker, const std::string &pool,
                        std::size_t poolSize, const std::string &reason, time_point now);
-    // A task started at `startedAt` finished, or ran long enough to prove both job and worker.
+    // A task started at `startedAt` finished, or ran long enough to count as a success of its job
+    // and worker.
     void recordSuccess(const std::string &job, const std::string &worker, time_point startedAt);
     void forgetWorker(const std::string &worker) { m_workers.erase(worker); }
 
-    // Clear, or the cool-down is over and no probe is out.
+    // True when not quarantined, or when the cool-down has ended and no probe is running.
     bool canStartJob(const std::string &job, time_point now) const;
     bool canUseWorker(const std::string &worker, time_point now) const;
-    // A task of the job starts on the worker; where one of them is not clear, it is the probe.
+    // A task of the job starts on the worker. It is the probe of each of the two that is
+    // quarantined.
     void recordStart(const std::string &job, const std::string &worker, time_point now);
 
     bool isWorkerQuarantined(const std::string &worker) const;
     bool isJobQuarantined(const std::string &job) const;
-    // Would be set aside, but the cap is reached: place there last.
+    // The worker would be quarantined, but the pool's limit is reached: use it last.
     bool isSuspect(const std::string &worker) const;
     std::vector<std::string> quarantinedWorkers() const;
-    // Empty when the job is clear.
+    // Why the job is quarantined, for operators; empty when it is not.
     std::string reasonFor(const std::string &job, time_point now) const;
 
 private:
     struct failure_event
     {
-        std::string counterpart; // the worker of a job's failure, the job of a worker's
+        std::string counterpart; // the worker, in a job's record; the job, in a worker's
         time_point at;
     };
     struct failure_record
     {
-        std::vector<failure_event> failures; // distinct counterparts within the window
-        std::size_t failureCount = 0;        // of failures, repeated ones too
-        bool quarantined = false;            // quarantined or set aside
-        duration coolDown{0};                // of this stay
-        time_point coolDownUntil;            // end of the cool-down
-        time_point probeUntil;               // a probe is out until then
-        std::string pool;                    // of a worker
-        std::string reason;                  // last failure
+        // Last failure of each distinct counterpart within the window.
+        std::vector<failure_event> failures;
+        std::size_t failureCount = 0; // all failures, including repeated ones
+        bool quarantined = false;
+        duration coolDown{0}; // length of the current cool-down
+        time_point coolDownUntil;
+        time_point probeUntil; // a probe is running until then
+        std::string pool;      // for a worker
+        std::string reason;    // of the last failure
     };
     using failure_record_map = std::unordered_map<std::string, failure_record>;
 
--- a/libs/placement/quota_table.cpp
+++ b/libs/placement/quota_table.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr double SmallestWeight = 1e-6; // a weight of zero must not divide by zero
+constexpr double SmallestWeight = 1e-6; // avoids division by a weight of zero
 
 bool exceeds(std::int64_t amount, std::int64_t limit)
 {
     return limit > 0 && amount > limit;
 }
 
-// A part of nothing is none, and not the absence of a limit.
+// A local limit of 0 means that nothing may be reserved, not that there is no limit.
 std::int64_t excessOf(std::int64_t amount, std::int64_t limit, std::int64_t localLimit)
 {
     return limit > 0 ? std::max<std::int64_t>(amount - localLimit, 0) : 0;
@@ -48,7 +48,8 @@
     const auto localLimit = known.localLimit;
     known = quota;
     if (!known.localLimit)
-        known.localLimit = localLimit; // goes on from one configuration to the next
+        // The local limit stays in force when the configuration changes.
+        known.localLimit = localLimit;
 }
 
 void quota_table::charge(std::size_t team, const resources &amount)
--- a/libs/placement/quota_table.h
+++ b/libs/placement/quota_table.h
@@ -1,7 +1,7 @@
-// Team quotas: who is next, and who has reached a limit.
+// Team quotas: which team comes next, and which has reached a limit.
 //
-// Teams share by weighted dominant share: the largest part that a team holds of any dimension,
-// divided by its weight. The team with the smallest goes first.
+// Capacity is divided by weighted dominant share: the largest fraction of any dimension that a team
+// has reserved, divided by its weight. The team with the smallest value comes next.
 #pragma once
 
 #include <cstddef>
@@ -18,25 +18,26 @@
 class quota_table
 {
 public:
-    // A number for the team, known or new; an unknown team has weight 1 and no limit.
+    // Returns the number of the team and adds it if unknown. A team without a quota has weight 1
+    // and no limit.
     std::size_t teamNumber(const std::string &team);
     void setQuota(const team_quota &quota);
     void setLocalLimit(std::size_t team, const resources &localLimit)
     {
         m_teams.at(team).quota.localLimit = localLimit;
     }
-    // The sum of all workers, of which shares are parts.
+    // Sum of all workers, of which the shares are fractions.
     void setTotal(const resources &total) { m_total = total; }
     const resources &total() const { return m_total; }
 
     void charge(std::size_t team, const resources &amount);
     void refund(std::size_t team, const resources &amount);
 
-    // False when the team would exceed its limit now.
+    // False if `amount` would exceed the team's limit now.
     bool canReserve(std::size_t team, const resources &amount) const;
-    // What the team would hold above its limit if it were given `amount` now.
+    // By how much the team would exceed its limit with `amount` added.
     resources excess(std::size_t team, const resources &amount) const;
-    // The name of the dimension in which `amount` alone exceeds the team's limit, if it does.
+    // Name of the dimension in which `amount` alone exceeds the team's limit; no value if none.
     std::optional<std::string> exceededDimension(std::size_t team, const resources &amount) const;
     double weightedShare(std::size_t team) const;
     const team_quota &quotaOf(std::size_t team) const { return m_teams.at(team).quota; }
@@ -46,7 +47,7 @@
     struct team_state
     {
         team_quota quota;
-        resources reserved; // reserved by its tasks
+        resources reserved; // sum over the team's tasks
     };
 
     std::unordered_map<std::string, std::size_t> m_teamNumbers;
--- a/libs/placement/relief.cpp
+++ b/libs/placement/relief.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// What the service gains when the task loses `processors`: no more than its excess.
+// Benefit for the service when the task loses `processors`: at most the service's excess.
 double latencyBenefit(const relief_candidate &candidate, double processors, double excess,
                       const policy_weights &weights)
 {
@@ -21,7 +21,7 @@
 
 struct scored_step
 {
-    double netBenefit = 0; // only a profit above zero is worth an action
+    double netBenefit = 0; // an action requires a benefit above zero
     std::optional<relief_step> step;
 };
 
@@ -63,7 +63,8 @@
                                   - throughputCost(lostProcessors, workerProcessors, weights);
         keepIfBetter(best, netBenefit, throttle_relief{candidate.index, newLimit});
     }
-    // Throttling loses no work, so an eviction is weighed only when no throttling is worth it.
+    // Throttling loses no work, so evictions are considered only when throttling brings no net
+    // benefit.
     if (best.step)
         return best.step;
     for (const auto &candidate : candidates) {
--- a/libs/placement/relief.h
+++ b/libs/placement/relief.h
@@ -1,11 +1,12 @@
-// Relief: what to do for a service that its neighbours slow, in the order of cost.
+// Relief: which action helps a service that its neighbours slow, cheapest first.
 //
-//   policy_weights    what a deployment cares for
-//   eviction_budget   how many evictions interference may cost in a time
-//   chooseRelief      throttle, then checkpoint and evict, or nothing
-//   chooseRecovery    which throttled task gets its processors back
+//   policy_weights     priorities of a deployment
+//   eviction_budget    limits the rate of evictions for interference
+//   chooseRelief       throttle, otherwise checkpoint and evict, or nothing
+//   chooseThrottleLift which throttled task gets processors back
 //
-// Pure functions over what runs on one worker; the placer keeps signals, cool-down and budget.
+// These functions have no state and consider the tasks of one worker. The placer keeps the signals,
+// the cool-down and the budget.
 #pragma once
 
 #include <cstddef>
@@ -19,27 +20,27 @@
 
 namespace zinniabarrow::placement {
 
-// Relative; only their proportions matter.
+// Only the ratios between the weights matter.
 struct policy_weights
 {
-    double tailLatency = 1; // of a service above its target, in log units
-    double throughput = 1;  // of batch work, in parts of a worker
+    double tailLatency = 1; // of a service's log(p99 / target) above 0
+    double throughput = 1;  // of batch work, as a fraction of a worker
     double evictions = 1;   // of one evicted task
 };
 
 struct relief_settings
 {
-    double evictionCost = 0.3;      // of one eviction, in the unit of the weighted parts
-    double throttleFactor = 0.5;    // each step leaves this part of the limit
-    double minThrottleShare = 0.25; // of the reservation: never throttled below it
-    duration coolDown = std::chrono::seconds(20); // after an action on a worker, before the next
-    duration liftThrottleAfter =
-            std::chrono::seconds(120);    // calm time before a limit is lifted a step
-    double evictionsPerWorkerHour = 0.25; // refill of the budget, for each worker of the pool
-    double evictionBurst = 3;             // most evictions at once
-    double evictionsPerMinute = 6;        // at most, however many workers; 0: none
+    double evictionCost = 0.3;      // of one eviction, before policy_weights::evictions is applied
+    double throttleFactor = 0.5;    // each step multiplies the limit by this factor
+    double minThrottleShare = 0.25; // lower bound of the limit, as a fraction of the reservation
+    duration coolDown = std::chrono::seconds(20); // minimum time between two actions on one worker
+    duration liftThrottleAfter = std::chrono::seconds(120); // quiet time before a limit is raised
+    double evictionsPerWorkerHour = 0.25; // refill of the budget, per worker in service
+    double evictionBurst = 3;             // maximum number of evictions at once
+    double evictionsPerMinute = 6;        // upper bound for any number of workers; 0: no evictions
 };
 
+// Token bucket that limits evictions for interference.
 class eviction_budget
 {
 public:
@@ -56,20 +57,20 @@
     std::optional<time_point> m_refilledAt;
 };
 
-// A batch task beside the disturbed service.
+// A batch task on the same worker as the disturbed service.
 struct relief_candidate
 {
-    std::size_t index = 0;         // the caller's own
-    double effectPerProcessor = 0; // log slowdown of the service for each processor of this task
-    double limitProcessors = 0;    // processors that it may use now
-    double reservedProcessors = 0; // processors without throttling
-    bool canEvict = true;          // false: of failover class proof, or already stopping
+    std::size_t index = 0;         // assigned by the caller
+    double effectPerProcessor = 0; // log slowdown of the service per processor used by this task
+    double limitProcessors = 0;    // current limit in processors
+    double reservedProcessors = 0; // limit in processors without throttling
+    bool canEvict = true;          // false: failover_class::Proof, or already stopping
 };
 
 struct throttle_relief
 {
     std::size_t index = 0;
-    double limitProcessors = 0; // processors
+    double limitProcessors = 0; // new limit in processors
 };
 
 struct evict_relief
@@ -79,13 +80,15 @@
 
 using relief_step = std::variant<throttle_relief, evict_relief>;
 
-// `excess`: log(p99 / target) of the service. `workerProcessors`: the worker's size.
+// Chooses the action with the largest net benefit, or none. `excess`: log(p99 / target) of the
+// service. `workerProcessors`: size of the worker.
 std::optional<relief_step> chooseRelief(double excess, double workerProcessors,
                                         std::span<const relief_candidate> candidates,
                                         const policy_weights &weights,
                                         const relief_settings &settings);
 
-// `room`: how far below its target the service is, in log units.
+// Raises the limit of the throttled task that slows services least, if the slowdown is at most
+// `headroom`: how far the service is below its target, in log units.
 std::optional<throttle_relief> chooseThrottleLift(double headroom,
                                                   std::span<const relief_candidate> candidates,
                                                   const relief_settings &settings);
--- a/libs/placement/reservation_ledger.h
+++ b/libs/placement/reservation_ledger.h
@@ -1,7 +1,8 @@
-// The ledger of one worker: what its tasks have been given.
+// The resource reservations of one worker's tasks.
 //
-// The scheduler keeps one for each worker before it decides, and the agent keeps one again before
-// it asks its worker, because workers start whatever they are given, whether it fits or not.
+// The scheduler keeps one ledger per worker and checks it before each decision. The agent keeps its
+// own and checks it before each start, because a worker starts every task that it is given, whether
+// it has the capacity or not.
 #pragma once
 
 #include <cstddef>
@@ -13,12 +14,12 @@
 
 namespace zinniabarrow::placement {
 
-// All of these count until the entry is released.
+// In every state the reservation counts until it is released.
 enum class reservation_state {
-    Placed,    // decided; not known to run yet
-    Running,   //
-    Stopping,  // a stop was asked for and is not confirmed: the task may still run
-    Ambiguous, // the answer of the placing write was lost: the task may start
+    Placed, // decided; not yet known to run
+    Running,
+    Stopping,  // a stop was requested and is not confirmed: the task may still run
+    Ambiguous, // the response to the write that stores the placement was lost: the task may start
 };
 
 std::string_view nameOf(reservation_state state);
@@ -26,8 +27,8 @@
 struct task_reservation
 {
     reservation_state state = reservation_state::Placed;
-    resources reserved; // given to the task
-    resources wanted;   // at least `reserved`; above it while a raise does not fit
+    resources reserved; // what the task may use
+    resources wanted;   // at least `reserved`; larger while a raise is deferred
 };
 
 class reservation_ledger
@@ -36,20 +37,23 @@
     reservation_ledger() = default;
     explicit reservation_ledger(const resources &size);
 
-    // Reserves `amount` when it fits beside everything counted; false leaves the ledger unchanged.
-    // A task that already has an entry is not counted twice: true when the amount is the same.
+    // Reserves `amount` if it fits beside all counted reservations; otherwise returns false and
+    // changes nothing. A task that already has a reservation is not counted twice: true if the
+    // amount is the same.
     bool tryReserve(const task_ref &task, const resources &amount);
-    // Counts a task that already runs, also beyond the size: hiding it would give its room away.
+    // Counts a task that already runs, even beyond the worker's size: if it were not counted, its
+    // capacity would be given to another task.
     void forceReserve(const task_ref &task, const resources &amount, reservation_state state);
-    // False when the task has no entry.
+    // False when the task has no reservation.
     bool setState(const task_ref &task, reservation_state state);
-    // Raises the reservation to `wanted` in each dimension where it is larger. True when granted.
-    // Else the difference is kept as owed: new tasks do not get that room, and a later release
+    // Raises the reservation to `wanted` in each dimension where that is larger. True when granted.
+    // Otherwise the difference is deferred: it is unavailable to new tasks, and a later release
     // grants it.
     bool tryRaise(const task_ref &task, const resources &wanted);
-    // Frees the entry and grants owed raises that fit now. False when the task has no entry.
+    // Removes the reservation and grants deferred raises that fit now. False when the task has no
+    // reservation.
     bool release(const task_ref &task);
-    // A smaller size evicts nothing by itself; nothing fits until enough was released.
+    // A smaller size evicts nothing by itself, but nothing fits until enough has been released.
     void resize(const resources &size) { m_size = size; }
 
     const resources &size() const { return m_size; }
@@ -66,9 +70,9 @@
 private:
     void grantDeferred();
 
-    resources m_size;     // of the worker
-    resources m_reserved; // sum over all entries
-    resources m_deferred; // sum of wanted - reserved over all entries
+    resources m_size;     // size of the worker
+    resources m_reserved; // sum over all reservations
+    resources m_deferred; // sum of wanted - reserved over all reservations
     std::unordered_map<task_ref, task_reservation, task_ref_hash> m_reservations;
 };
 
--- a/libs/placement/resources.cpp
+++ b/libs/placement/resources.cpp
@@ -30,18 +30,18 @@
 const Json::Value &memberOf(const Json::Value &value, const char *member)
 {
     if (!value.isObject())
-        throwInvalidMember(member, "inside an object");
+        throwInvalidMember(member, "a member of an object");
     return value[member];
 }
 
-// An amount above this is a mistake, and sums of thousands of amounts below it cannot overflow.
+// A larger amount is an error; the sum of thousands of smaller ones cannot overflow.
 constexpr std::int64_t MaxAmount = std::numeric_limits<std::int64_t>::max() / 1'000'000;
 
 std::int64_t readAmount(const Json::Value &value, const char *member)
 {
     const auto &found = memberOf(value, member);
     if (!found.isInt64() || found.asInt64() < 0 || found.asInt64() > MaxAmount)
-        throwInvalidMember(member, "a whole number, zero or above, within range");
+        throwInvalidMember(member, "a non-negative integer within range");
     return found.asInt64();
 }
 
@@ -49,7 +49,7 @@
 {
     const auto &found = memberOf(value, member);
     if (!found.isInt() || found.asInt() < 0)
-        throwInvalidMember(member, "a whole number, zero or above");
+        throwInvalidMember(member, "a non-negative integer");
     return found.asInt();
 }
 
@@ -57,7 +57,7 @@
 {
     const auto &found = memberOf(value, member);
     if (!found.isString() || found.asString().empty())
-        throwInvalidMember(member, "a text that is not empty");
+        throwInvalidMember(member, "a non-empty string");
     return found.asString();
 }
 
--- a/libs/placement/resources.h
+++ b/libs/placement/resources.h
@@ -1,10 +1,10 @@
-// What tasks ask for and workers hold.
+// Resources, tasks and workers as placement sees them.
 //
-//   resources   an amount of processor, memory and accelerators, in integers
-//   task_ref    the identity of a task
-//   task_spec   what placement has to know of a task
-//   worker_info what placement has to know of a worker
-//   toJson, …FromJson   their form in messages; a wrong member throws error BadRequest
+//   resources            processor time, memory and accelerators, as integers
+//   task_ref             identity of a task
+//   task_spec            properties of a task that matter for placement
+//   worker_info          properties of a worker that matter for placement
+//   toJson, …FromJson    conversion for messages; an invalid member throws error BadRequest
 #pragma once
 
 #include <cstddef>
@@ -23,8 +23,8 @@
 
 // The smaller of the two in each dimension.
 resources smallest(const resources &left, const resources &right);
-// The largest quotient of `part` by `whole` over all dimensions; a dimension that `whole` lacks
-// counts as full when `part` asks for it.
+// The largest quotient of `part` by `whole` over all dimensions. A dimension that is 0 in `whole`
+// counts as 1 if `part` uses it.
 double dominantShare(const resources &part, const resources &whole);
 
 enum class task_kind { Service, Batch };
@@ -55,23 +55,23 @@
     }
 };
 
-// For reasons and logs: "job/index", and the amounts with their units.
+// For messages and logs: "job/index", or the amounts with their units.
 std::string toText(const task_ref &task);
 std::string toText(const resources &amount);
 
 struct task_spec
 {
-    std::string jobId;                 // one service or batch job
-    std::int32_t taskIndex = 0;        // 0 … replicas-1
-    task_kind kind = task_kind::Batch; //
+    std::string jobId;          // a service or a batch job
+    std::int32_t taskIndex = 0; // 0 … replicas-1
+    task_kind kind = task_kind::Batch;
     std::string
-            jobClass; // tasks of a class behave alike: sizes and interference are learned for it
-    std::string team; // whose quota it counts against
-    task_priority priority = task_priority::Normal;  //
-    std::string pool;                                // which workers may run it
-    resources declared;                              // what the operator wrote, far off at times
-    std::int32_t replicas = 1;                       // tasks of the job
-    failover_class failover = failover_class::Lease; //
+            jobClass; // tasks of a class behave alike: sizes and interference are learned per class
+    std::string team; // whose quota is charged
+    task_priority priority = task_priority::Normal;
+    std::string pool;          // the workers that may run it
+    resources declared;        // by the operator; may be far from the real usage
+    std::int32_t replicas = 1; // number of tasks in the job
+    failover_class failover = failover_class::Lease;
 
     task_ref ref() const { return {jobId, taskIndex}; }
 };
@@ -80,9 +80,9 @@
 {
     std::string id;
     std::string zone; // availability zone
-    std::string rack; // unique within its availability zone
+    std::string rack; // unique within the availability zone
     std::string pool;
-    resources size; // what tasks may use in all
+    resources size; // total that tasks may use
 };
 
 Json::Value toJson(const resources &amount);
--- a/libs/placement/scheduler.cpp
+++ b/libs/placement/scheduler.cpp
@@ -1,4 +1,4 @@
-// Sections: Configuration and workers | Records | Tasks | Measurements | Watching
+// Sections: Configuration and workers | Records | Tasks | Measurements | Status
 
 #include "placement/scheduler.h"
 
@@ -18,7 +18,7 @@
         {preempt_reason::Interference, "interference"},
 }};
 
-// Classes beyond it share the last number: they are placed all the same, only not told apart.
+// Further classes share this number: they are placed as usual but not distinguished.
 constexpr class_number MaxClasses = 4095;
 
 placer_settings withDerivedQuantile(placer_settings settings)
@@ -28,7 +28,7 @@
     return settings;
 }
 
-// A task is not its own neighbour; others of its class are.
+// A task is not its own neighbour; other tasks of its class are.
 std::vector<class_millicores> withoutOwn(std::vector<class_millicores> amounts,
                                          const class_millicores &ownAmount)
 {
@@ -103,7 +103,7 @@
         if (found.job->team == number)
             add(*found.job, 1);
     }
-    // What the workers here cannot take would be kept from placers whose workers can.
+    // Demand that the workers here cannot hold would take quota from placers whose workers can.
     const auto freeCapacity = largest(m_workers.total() - teamUsage.reservedSum, resources{});
     teamUsage.pendingSum = smallest(teamUsage.pendingSum, freeCapacity);
     if (!teamUsage.largestPending.fitsIn(freeCapacity))
@@ -116,7 +116,7 @@
     const int slot = m_workers.findOrAdd(worker.id);
     const auto oldMillicores = m_workers.at(slot).info.size.millicores;
     m_workers.setInfo(slot, worker, now);
-    rescaleLatencyLevels(slot, oldMillicores);
+    rescaleLatencyEstimates(slot, oldMillicores);
     m_quotas.setTotal(m_workers.total());
 }
 
@@ -127,7 +127,7 @@
         return;
     const auto oldMillicores = m_workers.at(slot).info.size.millicores;
     m_workers.resize(slot, size);
-    rescaleLatencyLevels(slot, oldMillicores);
+    rescaleLatencyEstimates(slot, oldMillicores);
     m_quotas.setTotal(m_workers.total());
 }
 
@@ -137,7 +137,8 @@
     if (slot == worker_table::NoSlot)
         return;
     m_workers.setInService(slot, false);
-    m_quarantine.forgetWorker(worker); // a worker that is gone must not use up the cap
+    // A removed worker must not count against the limit of quarantined workers.
+    m_quarantine.forgetWorker(worker);
     m_quotas.setTotal(m_workers.total());
     m_workers.removeIfUnused(slot);
 }
@@ -157,7 +158,7 @@
 job_record &placer::updateJob(const task_spec &spec)
 {
     auto &job = m_tasks.addJob(spec.jobId);
-    // The queue is ordered by rank and team: take the job out before either changes.
+    // The queue is ordered by rank and team, so the job is removed before either changes.
     m_queue.erase(job);
     job.spec = spec;
     job.rank = rankOf(spec);
@@ -181,8 +182,8 @@
     return {job, &found->second};
 }
 
-// Messages come twice and out of order. An event for a worker on which the task is not placed is
-// about the past: acting on it would free room that is in use.
+// Events may be duplicated and out of order. An event for a worker on which the task is not placed
+// is stale: applying it would free capacity that is in use.
 placer::found_task placer::findOnWorker(const task_ref &task, const std::string &worker)
 {
     const auto found = findTask(task);
@@ -236,7 +237,7 @@
     auto &worker = m_workers.at(slot);
     worker.history.addChange(jobClass, millicores, now);
     const std::vector<class_millicores> change{{jobClass, millicores}};
-    // Samples are late: until one shows the change, its expected effect is carried forward.
+    // Samples arrive with a delay; until one reflects the change, its expected effect is added.
     for (const auto &share : sharesOf(change, worker.info.size.millicores)) {
         for (auto &service : worker.services)
             service.estimatedLogRatio +=
@@ -244,10 +245,10 @@
     }
 }
 
-// A new owner learns from the table what runs on a worker, and its size when its agent reports. The
-// levels rest on the parts of the worker that the neighbours hold: left as they were counted
-// before, batch would wait beside services that nothing slows.
-void placer::rescaleLatencyLevels(int slot, std::int64_t millicoresBefore)
+// After a takeover the new owner learns from the table which tasks run on a worker, and the
+// worker's size only when its agent reports. The estimates depend on the neighbours' shares of the
+// worker: with shares of the old size, batch would wait beside services that are not slowed.
+void placer::rescaleLatencyEstimates(int slot, std::int64_t millicoresBefore)
 {
     auto &worker = m_workers.at(slot);
     const auto workerMillicores = worker.info.size.millicores;
@@ -262,7 +263,8 @@
     }
 }
 
-// The ledger entry exists already; everything else that follows from a task being on a worker.
+// Updates everything else that depends on the task's worker; its reservation already exists in the
+// ledger.
 void placer::assignToWorker(const job_record &job, const task_ref &task, task_record &record,
                             int slot, time_point now)
 {
@@ -384,9 +386,9 @@
         returnToPending(task, worker, now);
         return;
     }
-    // A lost answer may stand for a write that took effect: freeing the room would give it twice,
-    // so the entry stays counted, and the task is not placed elsewhere, until the rows were read
-    // back.
+    // The write may have taken effect even though the response was lost. Freeing the capacity could
+    // assign it twice, so the reservation counts, and the task is not placed elsewhere, until the
+    // rows have been read again.
     const auto state = m_workers.at(found.task->workerSlot).ledger.find(task)->state;
     if (outcome == placement_outcome::Unknown && state == reservation_state::Placed)
         setState(task, found.task->workerSlot, reservation_state::Ambiguous);
@@ -400,7 +402,7 @@
     if (!found)
         return;
     const auto state = m_workers.at(found.task->workerSlot).ledger.find(task)->state;
-    // A stop that was asked for is not taken back by a report that was sent before it.
+    // A report sent before the stop was requested must not cancel the stop.
     if (state != reservation_state::Placed && state != reservation_state::Ambiguous)
         return;
     found.task->startedAt = now;
@@ -458,7 +460,7 @@
     if (m_quarantine.isWorkerQuarantined(worker))
         m_quarantinedSlots.insert(found.task->workerSlot);
     refreshQuarantine(found.task->workerSlot, now);
-    // Packing would put it back on the same worker, where it fails again and proves nothing new.
+    // Packing would choose the same worker again, where another failure proves nothing new.
     found.task->avoidedSlot = found.task->workerSlot;
     found.task->avoidUntil = now + m_settings.avoidWorkerFor;
     returnToPending(task, worker, now);
@@ -476,7 +478,7 @@
             eraseTask(*found.job, task.taskIndex);
             continue;
         }
-        // It may run until its end is confirmed: counted until then.
+        // The task may run until its end is confirmed, so it counts until then.
         found.task->cancelled = true;
         found.task->stopsSoon = true;
         setState(task, found.task->workerSlot, reservation_state::Stopping);
@@ -505,8 +507,8 @@
     const auto found = findOnWorker(sample.task, sample.worker);
     if (!found)
         return;
-    // Late: it may be of an earlier attempt that ran on the same worker. That one's peak is still
-    // what the job was seen to use, but not what this attempt uses.
+    // The sample may be of an earlier attempt on the same worker. Its peak is valid for the job but
+    // not for the current attempt.
     const bool fromEarlierAttempt = sample.measuredAt < found.task->startedAt;
     if (fromEarlierAttempt)
         found.job->usage.peakBytes = std::max(found.job->usage.peakBytes, sample.used.bytes);
@@ -523,21 +525,22 @@
     raiseReservation(sample.task, *found.task, sample.used);
 }
 
-// Without it, a task that outgrows its declared size takes memory that the ledger gives to the next
-// one, and the worker runs out. The raise comes while there is headroom left; what does not fit is
-// owed, which keeps new tasks away, and plan() evicts for it.
+// Without raises, a task that outgrows its declared size would use memory that the ledger gives to
+// other tasks, and the worker would run out. The raise is requested while there is headroom. A
+// raise that does not fit is deferred, which keeps new tasks away, and plan() evicts for it if
+// necessary.
 void placer::raiseReservation(const task_ref &task, task_record &record, const resources &used)
 {
     if (!m_settings.sizes.learn)
         return;
     const int slot = record.workerSlot;
-    auto &book = m_workers.at(slot).ledger;
-    const auto wanted = m_sizeLearner.raisedReservation(book.find(task)->reserved, used);
-    if (wanted == book.find(task)->wanted)
+    auto &workerLedger = m_workers.at(slot).ledger;
+    const auto wanted = m_sizeLearner.raisedReservation(workerLedger.find(task)->reserved, used);
+    if (wanted == workerLedger.find(task)->wanted)
         return;
-    if (!book.tryRaise(task, wanted))
+    if (!workerLedger.tryRaise(task, wanted))
         m_deferredRaiseSlots.insert(slot);
-    chargeQuota(record, book.find(task)->wanted);
+    chargeQuota(record, workerLedger.find(task)->wanted);
     queueRaises(slot);
     m_workers.updateFreeCapacity(slot);
 }
@@ -560,7 +563,7 @@
     auto &worker = m_workers.at(slot);
     auto *latency = worker.latencyOf(sample.task);
     auto neighbours = worker.history.at(sample.measuredAt);
-    // Of a worker of unknown size it cannot be said how much its neighbours press.
+    // While the worker's size is unknown, the neighbours' shares cannot be computed.
     const bool hasKnownSize = worker.info.size.millicores > 0;
     if (!latency || !neighbours || !hasKnownSize || sample.measuredAt <= latency->measuredAt
         || sample.target.count() <= 0) {
@@ -594,10 +597,10 @@
     const auto *job = m_tasks.findJob(task.jobId);
     const auto name = toText(task);
     if (!job || !job->tasks.contains(task.taskIndex))
-        return name + " is not known here";
+        return name + " is unknown to this scheduler";
     const auto &record = job->tasks.at(task.taskIndex);
     if (record.backlogSlot != NoWorker)
-        return name + " waits in the backlog of " + m_workers.at(record.backlogSlot).info.id;
+        return name + " is in the backlog of " + m_workers.at(record.backlogSlot).info.id;
     if (record.workerSlot != NoWorker) {
         const auto &worker = m_workers.at(record.workerSlot);
         return name + " is on " + worker.info.id + ", "
@@ -605,23 +608,23 @@
     }
     switch (job->waitReason) {
     case wait_reason::NotTried:
-        return name + " waits for the next decision";
+        return name + " is pending: not considered yet";
     case wait_reason::NoWorkers:
-        return name + " waits: pool " + job->spec.pool + " has no workers";
+        return name + " is pending: pool " + job->spec.pool + " has no workers";
     case wait_reason::NoCapacity:
-        return name + " waits for room in pool " + job->spec.pool + ": it needs "
-               + toText(demandOf(*job));
+        return name + " is pending: no worker has enough free capacity in pool " + job->spec.pool
+               + "; it needs " + toText(demandOf(*job));
     case wait_reason::TeamAtQuota:
-        return name + " waits: team " + job->spec.team + " has reached its quota";
+        return name + " is pending: team " + job->spec.team + " has reached its quota";
     case wait_reason::JobQuarantined:
-        return name + " waits: " + m_quarantine.reasonFor(task.jobId, now);
+        return name + " is pending: " + m_quarantine.reasonFor(task.jobId, now);
     case wait_reason::Preempting:
-        return name + " waits while batch tasks are stopped for it";
+        return name + " is pending until the batch tasks preempted for it have stopped";
     case wait_reason::WouldSlowService:
-        return name + " waits: everywhere in pool " + job->spec.pool
-               + " it would slow a service more than it is worth";
+        return name + " is pending: on every worker with enough free capacity in pool "
+               + job->spec.pool + " it would slow a service too much";
     }
-    return name + " waits";
+    return name + " is pending";
 }
 
 std::string placer::workerOf(const task_ref &task) const
--- a/libs/placement/scheduler.h
+++ b/libs/placement/scheduler.h
@@ -1,19 +1,19 @@
-// The placer: decides which task runs on which worker, and what makes room.
+// The placer decides which task runs on which worker, and which tasks are preempted.
 //
-//   configuration   setPool, setTeam
+//   configuration   setPool, setTeam, setLocalTeamLimit
 //   workers         addWorker, resizeWorker, removeWorker
 //   tasks           taskPending … taskFailed, cancelTasks, cancelJob, reopenJob
 //   measurements    usageSampled, latencySampled
-//   decisions       plan, explain
-//   watching        stats, ledgerOf, pendingTasks
+//   decisions       plan, planBacklog, explain
+//   status          stats, ledgerOf, pendingTaskCount
 //
-// It does no I/O and takes `now` with each event. One thread at a time.
+// It does no I/O and takes the current time, `now`, with each event. It is not thread-safe.
 //
-// The order of calls for one task: taskPending; plan returns a place_action; taskSettled with the
-// outcome of the write; taskRunning; then one of taskEnded, taskFailed, or taskStopping followed by
-// taskReleased. After a restart taskPlaced takes in a task that the table says is placed. Each
-// event names the worker, and an event for another worker than the one that the task is placed on
-// is ignored and counted: it is late or doubled. Filter by attempt before calling.
+// Order of calls for one task: taskPending; plan returns a place_action; placementSettled with the
+// result of the write; taskRunning; then taskEnded, taskFailed, or taskStopping followed by
+// taskReleased. After a restart taskPlaced adds a task that is placed according to the table. Each
+// event names the worker. An event for a worker on which the task is not placed is late or a
+// duplicate; it is ignored and counted. The caller must drop events of earlier attempts.
 #pragma once
 
 #include <cstddef>
@@ -44,98 +44,105 @@
 {
 public:
     explicit placer(const placer_settings &settings);
-    placer(const placer &) = delete; // its parts refer to each other
+    placer(const placer &) = delete; // members hold references to each other
     placer &operator=(const placer &) = delete;
 
-    // The largest worker that the pool is configured with: what exceeds it is refused at once.
+    // Sets the size of the pool's largest worker; a task that exceeds it is refused at once.
     void setPool(const pool_info &pool, time_point now);
     void setTeam(const team_quota &quota);
-    // Of the team's limit, when several placers share it.
+    // Sets the portion of the team's limit that this placer may use when several placers share it.
     void setLocalTeamLimit(const std::string &team, const resources &localLimit);
+    // What the team has reserved here and what its pending tasks need; for dividing its limit among
+    // several placers.
     team_usage usageOf(const std::string &team);
 
-    // Also for a worker that is known: brings it back, or changes its size.
+    // For a known worker, returns it to service and updates its properties.
     void addWorker(const worker_info &worker, time_point now);
     void resizeWorker(const std::string &worker, const resources &size, time_point now);
-    // No new tasks. Its tasks count until each is released, ended or failed.
+    // The worker gets no new tasks. Its tasks count until each is released, ended or failed.
     void removeWorker(const std::string &worker, time_point now);
 
-    // Known tasks are not queued twice; an edited specification counts for later placements.
+    // A known task is not queued twice; a changed specification applies to later placements.
     void taskPending(const task_spec &task, time_point now);
-    // Takes in a placement that the table already holds, even when it does not fit. Give the whole
-    // specification and what was reserved, not only what was declared; before the job's
-    // configuration is known leave the pool empty, and call it again when it is: until then the
-    // task is never evicted or throttled, and a service is not watched.
+    // Adds a placement that the table already holds, even if it does not fit. `reserved` is the
+    // reservation, which may differ from the declared size. While the job's configuration is
+    // unknown, leave the pool empty, and call this again once it is known: until then the task is
+    // never evicted or throttled, and a service is not monitored.
     void taskPlaced(const task_spec &task, const std::string &worker, const resources &reserved,
                     reservation_state state, time_point now);
+    // Result of the write that stores a placement or a backlog assignment. After Unknown, call it
+    // again when the rows have been read.
     void placementSettled(const task_ref &task, const std::string &worker,
                           placement_outcome outcome, time_point now);
     void taskRunning(const task_ref &task, const std::string &worker, time_point now);
-    // A stop was asked for; it counts until taskReleased or taskEnded.
+    // A stop was requested. The task counts until taskReleased or taskEnded.
     void taskStopping(const task_ref &task, const std::string &worker, time_point now);
-    // Proven to run nowhere (evicted, lease lapsed, worker gone): pending again.
+    // The task is proven to run nowhere (evicted, lease expired, worker gone): pending again.
     void taskReleased(const task_ref &task, const std::string &worker, time_point now);
-    // Finished its work, or was stopped for good.
+    // The task finished its work, or was stopped permanently.
     void taskEnded(const task_ref &task, const std::string &worker, time_point now);
-    // Ended by itself without finishing: pending again, when its job is not quarantined.
+    // The task ended without finishing its work: pending again, unless its job is quarantined.
     void taskFailed(const task_ref &task, const std::string &worker, const std::string &reason,
                     time_point now);
-    // Never placed again. Returns those that hold a worker: stop them, then call taskEnded.
+    // The tasks are never placed again. Returns those that are placed on a worker: stop them, then
+    // call taskEnded.
     std::vector<task_ref> cancelTasks(std::span<const task_ref> tasks, time_point now);
     std::vector<task_ref> cancelJob(const std::string &jobId, time_point now);
 
-    // The operators submitted a job of that name anew: its tasks may be pending again.
+    // The operators submitted a job of that name again, so its tasks may become pending again.
     void reopenJob(const std::string &jobId);
 
     void usageSampled(const usage_sample &sample, time_point now);
     void latencySampled(const latency_sample &sample, time_point now);
 
-    // The next decisions, at most `maxDecisions`. Each is already counted in the ledgers.
+    // The next decisions, at most `maxDecisions`. The ledgers already include them.
     std::vector<placement_action> plan(time_point now, int maxDecisions,
                                        plan_scope scope = plan_scope::All);
-    // To be called after plan(): batch that still waits is placed ahead, at most `perWorker` tasks
-    // for each worker, and a backlog gives back what other workers have room for now.
+    // Call after plan(). Assigns batch tasks that are still pending to backlogs, at most
+    // `perWorker` tasks per worker, and withdraws tasks for which other workers have free capacity
+    // now.
     backlog_plan planBacklog(time_point now, std::size_t perWorker);
-    // A task that was taken in as placed turns out to wait in the worker's backlog.
+    // A task that was added with taskPlaced is in the worker's backlog and does not run yet.
     void taskInBacklog(const task_ref &task, const std::string &worker, time_point now);
-    // Neither its worker nor its team holds more than it may, this task counted.
+    // True if neither the worker nor the team exceeds its limit with this task included.
     bool isWithinLimits(const task_ref &task) const;
     std::size_t backlogLengthOf(const std::string &worker) const;
-    // Where the task is placed, or placed ahead; empty when it waits or is not known.
+    // The worker on which the task is placed or in whose backlog it is; empty when it is pending or
+    // unknown.
     std::string workerOf(const task_ref &task) const;
 
-    // Why the task waits, or where it is, in one sentence for operators.
+    // Why the task is pending, or where it is, in one sentence for operators.
     std::string explain(const task_ref &task, time_point now) const;
     const placer_stats &stats() const { return m_stats; }
-    const reservation_ledger *ledgerOf(const std::string &worker) const; // null: not known
+    const reservation_ledger *ledgerOf(const std::string &worker) const; // null: unknown worker
     std::size_t pendingTaskCount() const { return m_pendingTasks; }
     const interference_model &interference() const { return m_interference; }
-    // The number under which the interference model knows the class.
+    // The number that identifies the class in the interference model.
     class_number classNumber(const std::string &jobClass);
 
 private:
-    // One plan() call.
+    // State of one plan() call.
     struct planning_pass
     {
         time_point now;
         plan_scope scope = plan_scope::All;
         std::size_t maxActions = 0;
         std::vector<placement_action> actions;
-        // Demands that found no room in this run: while tasks are placed room only shrinks, so what
-        // asks for at least as much is not tried.
+        // Demands that did not fit in this pass. Free capacity only shrinks while tasks are placed,
+        // so a demand that is at least as large is not tried.
         std::vector<std::pair<std::size_t, resources>> failedDemands; // pool and demand
 
         bool isFull() const { return actions.size() >= maxActions; }
     };
-    // Where the run stands among the waiting jobs of one team.
+    // Position of the pass among the pending jobs of one team.
     struct team_cursor
     {
         std::uint16_t team = 0;
         pending_queue::team_jobs *jobs = nullptr;
         std::uint64_t sequence = 0; // of the job
-        std::int32_t nextIndex = 0; // of its waiting tasks
+        std::int32_t nextIndex = 0; // first task index to try in that job
     };
-    enum class try_result { Placed, TaskWaits, JobWaits };
+    enum class try_result { Placed, TaskBlocked, JobBlocked };
     struct found_task
     {
         job_record *job = nullptr;
@@ -164,7 +171,7 @@
     void queueRaises(int slot);
     void recordNeighbourChange(int slot, class_number jobClass, std::int64_t millicores,
                                time_point now);
-    void rescaleLatencyLevels(int slot, std::int64_t millicoresBefore);
+    void rescaleLatencyEstimates(int slot, std::int64_t millicoresBefore);
 
     // Decisions (plan.cpp).
     void refreshQuarantinedWorkers(time_point now);
@@ -217,7 +224,7 @@
     void removeFromBacklog(const task_ref &task, task_record &record);
     bool releaseFromBacklog(const task_ref &task, const std::string &worker, time_point now);
 
-    // Relief of services (relieve.cpp).
+    // Relief of services (service_relief.cpp).
     void relieveServices(planning_pass &pass);
     void relieveService(planning_pass &pass, int slot, const service_latency &service);
     void liftThrottle(planning_pass &pass, int slot);
@@ -244,11 +251,11 @@
     std::vector<task_ref> m_raisesToSend; // reservations that the worker has to be told
     std::uint64_t m_lastHoldNumber = 0;
     std::set<task_ref> m_backlogTasks;    // tasks in backlogs
-    std::set<task_ref> m_heldTasks;       // tasks for which room is being made
-    std::vector<task_ref> m_quotaVictims; // of a team at its quota, for its own urgent work
-    std::set<int> m_deferredRaiseSlots;   // slots with a raise that does not fit
+    std::set<task_ref> m_heldTasks;       // tasks for which capacity is held
+    std::vector<task_ref> m_quotaVictims; // stopping for urgent tasks of their own team
+    std::set<int> m_deferredRaiseSlots;   // slots with a deferred raise
     std::set<int> m_disturbedSlots;       // slots with a raised signal or throttled tasks
-    std::set<int> m_quarantinedSlots;     // slots that quarantine has set aside
+    std::set<int> m_quarantinedSlots;     // slots of quarantined workers
 };
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/service_relief.cpp
+++ b/libs/placement/service_relief.cpp
@@ -1,4 +1,4 @@
-// The placer's slow loop for disturbed services: throttle, evict, and give back.
+// Relief of disturbed services: throttles and evicts batch tasks, and lifts throttling again.
 #include <algorithm>
 #include <limits>
 #include <utility>
@@ -9,14 +9,15 @@
 
 namespace {
 
-constexpr int BeforeBatch = 0; // the rank that every batch task comes after
+constexpr int RankBeforeBatch = 0; // ranks before every batch task: any batch task may be evicted
 
 double processorsOf(std::int64_t millicores)
 {
     return static_cast<double>(millicores) / 1000;
 }
 
-// The service that is disturbed most, among those with enough samples since the last action.
+// Returns the most disturbed service among those with enough samples since the last action; null if
+// none.
 const service_latency *mostDisturbed(const worker_slot &worker,
                                      const load_signal_settings &settings)
 {
@@ -45,8 +46,8 @@
             m_disturbedSlots.erase(slot);
             continue;
         }
-        // Cool-down: samples that still show the time before the last action would call for the
-        // next one, and the worker would be emptied before the first has shown its effect.
+        // Samples from before the last action would trigger the next one, and the worker would be
+        // emptied before the effect of the first action shows.
         if (pass.now < worker.reliefPausedUntil)
             continue;
         if (const auto *mostDisturbedService = mostDisturbed(worker, m_settings.signal))
@@ -60,9 +61,9 @@
                                                          std::vector<task_ref> &tasks) const
 {
     const auto &worker = m_workers.at(slot);
-    const auto &entries = worker.ledger.reservations();
+    const auto &taskReservations = worker.ledger.reservations();
     const double processors = std::max(processorsOf(worker.info.size.millicores), 1.0);
-    for (const auto &[task, reservation] : entries) {
+    for (const auto &[task, reservation] : taskReservations) {
         const auto *job = m_tasks.findJob(task.jobId);
         const bool isBatch =
                 job->spec.kind == task_kind::Batch && job->spec.priority != task_priority::Urgent;
@@ -73,12 +74,12 @@
     std::vector<relief_candidate> candidates;
     for (std::size_t index = 0; index < tasks.size(); ++index) {
         const auto &record = m_tasks.findJob(tasks[index].jobId)->tasks.at(tasks[index].taskIndex);
-        const auto &reservation = entries.at(tasks[index]);
+        const auto &reservation = taskReservations.at(tasks[index]);
         candidates.push_back(
                 {index, m_interference.effect(service, record.jobClass).mean / processors,
                  processorsOf(record.limitMillicores),
                  processorsOf(record.sentReservation.millicores),
-                 m_preemptionPlanner.canEvict(tasks[index], reservation, BeforeBatch)});
+                 m_preemptionPlanner.canEvict(tasks[index], reservation, RankBeforeBatch)});
     }
     return candidates;
 }
@@ -96,7 +97,7 @@
         throttle(pass, slot, tasks[limit->index], limit->limitProcessors);
         return;
     }
-    // The budget keeps a wave of noisy tasks from becoming a wave of evictions.
+    // The budget prevents a wave of interfering tasks from causing a wave of evictions.
     if (!m_evictionBudget.canTake()) {
         ++m_stats.evictionsOverBudget;
         return;
--- a/libs/placement/size_learner.cpp
+++ b/libs/placement/size_learner.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// A sketch of n samples is read again after n/16 changes, or after one while it is small.
+// The quantile of a sketch with n samples is recomputed after n/16 changes, and after every change
+// while n is small.
 constexpr double CountPerRead = 16;
 
 std::int64_t scaled(std::int64_t amount, double factor)
@@ -42,7 +43,7 @@
 {
     ++m_revision;
     auto &source = m_buckets.at(bucketOf(from));
-    const float moved = std::min(source, 1.0F); // a faded count may be below one
+    const float moved = std::min(source, 1.0F); // the count may be below 1 after halving
     source -= moved;
     m_buckets.at(bucketOf(to)) += moved;
 }
@@ -100,8 +101,8 @@
     return cache.value;
 }
 
-// An evicted task that comes back must not get less than it was seen to use: it would be evicted
-// for it again and again.
+// A task that is placed again after an eviction must get at least what it was seen to use, or it
+// would be evicted repeatedly.
 std::int64_t size_learner::memoryFor(const class_sizes *sizes, const job_usage &usage) const
 {
     const auto ownBytes = scaled(usage.peakBytes, m_settings.memoryHeadroom);
--- a/libs/placement/task_table.cpp
+++ b/libs/placement/task_table.cpp
@@ -40,13 +40,13 @@
 {
     if (!m_numberByTask.try_emplace(task, m_lastNumber + 1).second)
         return;
-    m_oldestFirst.emplace_back(++m_lastNumber, task);
-    if (m_oldestFirst.size() <= MaxKept)
+    m_insertionOrder.emplace_back(++m_lastNumber, task);
+    if (m_insertionOrder.size() <= MaxKept)
         return;
-    const auto oldest = m_numberByTask.find(m_oldestFirst.front().second);
-    if (oldest != m_numberByTask.end() && oldest->second == m_oldestFirst.front().first)
+    const auto oldest = m_numberByTask.find(m_insertionOrder.front().second);
+    if (oldest != m_numberByTask.end() && oldest->second == m_insertionOrder.front().first)
         m_numberByTask.erase(oldest);
-    m_oldestFirst.pop_front();
+    m_insertionOrder.pop_front();
 }
 
 void cancelled_task_set::forgetJob(const std::string &jobId)
--- a/libs/placement/task_table.h
+++ b/libs/placement/task_table.h
@@ -1,9 +1,9 @@
-// Jobs and tasks as the placer knows them, and the queue of those that wait.
+// Jobs and tasks known to the placer, and the queue of pending jobs.
 //
-//   task_record, job_record  one task; what the tasks of a job share
-//   task_table               finds them
-//   pending_queue            jobs with waiting tasks, by rank, then team, then age
-//   cancel_memory            what was cancelled, so that a late event does not bring it back
+//   task_record, job_record  state of one task; state shared by the tasks of a job
+//   task_table               finds a job by its id
+//   pending_queue            jobs with pending tasks, ordered by rank, team and age
+//   cancelled_task_set       cancelled tasks, so that a late event does not restart them
 #pragma once
 
 #include <array>
@@ -23,31 +23,31 @@
 
 namespace zinniabarrow::placement {
 
-constexpr int NoWorker = -1;
+constexpr int NoWorker = -1; // no slot, like worker_table::NoSlot
 
 struct task_record
 {
-    int workerSlot = NoWorker;        // slot of the worker; NoWorker: pending
-    bool cancelled = false;           // never placed again
-    bool stopsSoon = false;           // cancelled, or stopped for urgent work: no long checkpoint
-    class_number jobClass = 0;        // when it was placed: a job may be edited
-    std::uint16_t team = 0;           // whose quota is charged
-    resources chargedQuota;           // to the quota
-    resources sentReservation;        // reservation that the worker was told
-    std::int64_t limitMillicores = 0; // of processor time; below `told` while throttled
-    std::int64_t peakBytes = 0;       // largest memory seen on this worker
-    time_point pendingSince;          //
-    time_point startedAt;             // placed, then running
-    time_point sampledAt;             // when the newest usage sample was measured
-    int holdSlot = NoWorker;          // slot on which room is being made for it
-    resources holdAmount;             // kept free there
-    time_point holdUntil;             // another worker is tried after it
-    std::uint64_t holdNumber = 0;     // order in which room was held
-    int avoidedSlot = NoWorker;       // slot that evicted it, or made no room in time
-    time_point avoidUntil;            //
-    int backlogSlot = NoWorker;       // slot in whose backlog it is; neither pending nor placed
-    bool isBacklogStored = false;     // the table holds it there
-    time_point backlogUntil;          // from then on another worker with room may have it
+    int workerSlot = NoWorker; // slot of the worker on which it is placed; NoWorker: not placed
+    bool cancelled = false;    // never placed again
+    bool stopsSoon = false;    // no long checkpoint: cancelled, or preempted for an urgent task
+    class_number jobClass = 0; // when it was placed; the job may change later
+    std::uint16_t team = 0;    // team whose quota is charged
+    resources chargedQuota;    // amount charged to the team's quota
+    resources sentReservation; // reservation last sent to the worker
+    std::int64_t limitMillicores = 0; // processor limit; below sentReservation while throttled
+    std::int64_t peakBytes = 0;       // largest memory use measured on this worker
+    time_point pendingSince;
+    time_point startedAt;         // when it was placed; once it runs, when it started
+    time_point sampledAt;         // measuredAt of the newest usage sample
+    int holdSlot = NoWorker;      // slot on which capacity is held for it; NoWorker: none
+    resources holdAmount;         // capacity held there
+    time_point holdUntil;         // afterwards the hold expires and another worker is tried
+    std::uint64_t holdNumber = 0; // increases with each hold; older holds are served first
+    int avoidedSlot = NoWorker;   // where it was evicted or failed, or preemption was too slow
+    time_point avoidUntil;
+    int backlogSlot = NoWorker;   // in whose backlog it is; then neither pending nor placed
+    bool isBacklogStored = false; // the table holds this backlog assignment
+    time_point backlogUntil;      // from then on it may be withdrawn for another worker
 };
 
 enum class wait_reason {
@@ -62,22 +62,22 @@
 
 struct job_record
 {
-    task_spec spec;                                      // of any of its tasks; the index is unused
-    std::uint64_t sequence = 0;                          // order of arrival
-    int rank = 0;                                        // place in the order of priorities
-    std::uint16_t team = 0;                              //
-    class_number jobClass = 0;                           //
-    std::size_t pool = 0;                                //
+    task_spec spec;             // of any task of the job; taskIndex is unused
+    std::uint64_t sequence = 0; // order of arrival
+    int rank = 0;               // see rankOf()
+    std::uint16_t team = 0;
+    class_number jobClass = 0;
+    std::size_t pool = 0;
     std::unordered_map<std::int32_t, task_record> tasks; // by index
-    std::set<std::int32_t> pending;                      // indexes that wait
-    job_usage usage;                                     // of its tasks
-    wait_reason waitReason = wait_reason::NotTried;      //
-    std::uint64_t blockedRevision = 0; // generation of the pool's room that was too small
-    time_point retryAt;                // tried again then, even without new room
-    bool isQuarantineReported = false; // one refusal for each stay
+    std::set<std::int32_t> pending;                      // indexes of pending tasks
+    job_usage usage;                                     // of the job's own tasks
+    wait_reason waitReason = wait_reason::NotTried;      // why its tasks are pending
+    std::uint64_t blockedRevision = 0; // capacityRevision at which it did not fit; 0: not blocked
+    time_point retryAt;                // retried at this time even without new capacity
+    bool isQuarantineReported = false; // for the current quarantine
 };
 
-// Urgent work first, then services before batch of the same priority.
+// Order of placement: by priority, and services before batch within a priority. Lower ranks first.
 int rankOf(const task_spec &task);
 constexpr int RankCount = 6;
 
@@ -98,10 +98,10 @@
 class pending_queue
 {
 public:
-    using team_jobs = std::map<std::uint64_t, job_record *>; // by age
+    using team_jobs = std::map<std::uint64_t, job_record *>; // by sequence, oldest first
     using rank_teams = std::map<std::uint16_t, team_jobs>;
 
-    // Of a job whose rank and team do not change while it is in the queue.
+    // The rank and team of a queued job must not change.
     void insert(job_record &job) { m_ranks.at(rankIndex(job))[job.team][job.sequence] = &job; }
     void erase(const job_record &job);
     rank_teams &teamsAtRank(int rank) { return m_ranks.at(static_cast<std::size_t>(rank)); }
@@ -115,8 +115,9 @@
     std::array<rank_teams, RankCount> m_ranks;
 };
 
-// Bounded: the oldest are forgotten first. The table's row decides in the end; this only keeps a
-// message that was overtaken by its cancellation from starting work that has to be stopped again.
+// Remembers cancellations, the newest MaxKept of them. The row in the table is authoritative; this
+// only prevents an event that arrives after the cancellation from starting work that would have to
+// be stopped again.
 class cancelled_task_set
 {
 public:
@@ -129,8 +130,8 @@
     static constexpr std::int32_t WholeJob = -1;
     static constexpr std::size_t MaxKept = 65536;
 
-    std::map<task_ref, std::uint64_t> m_numberByTask;             // and when each was added last
-    std::deque<std::pair<std::uint64_t, task_ref>> m_oldestFirst; // oldest first
+    std::map<task_ref, std::uint64_t> m_numberByTask; // number under which each was added
+    std::deque<std::pair<std::uint64_t, task_ref>> m_insertionOrder; // bounds m_numberByTask
     std::uint64_t m_lastNumber = 0;
 };
 
--- a/libs/placement/worker_chooser.cpp
+++ b/libs/placement/worker_chooser.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-// Costs of one more replica at the same place. Losing an availability zone costs most, but is
-// rarest; two replicas on one worker are lost together every month.
+// Costs per replica of the same job that is already in the same place. Losing an availability zone
+// costs most but is rarest; two replicas on one worker are lost together every month.
 constexpr double SameWorkerCost = 2;
 constexpr double SameZoneCost = 1;
 constexpr double SameRackCost = 0.5;
-constexpr double LoadCost = 0.1; // of a full worker, for a service
-constexpr double FirstServiceCost =
-        0.4; // of a worker that has no service yet: batch runs there freely
-constexpr double PackingWeight = 0.2; // of room left over, for batch
+constexpr double LoadCost = 0.1; // for a service: cost of a fully reserved worker
+// For a service: cost of the first service on a worker, where batch runs without restriction.
+constexpr double FirstServiceCost = 0.4;
+constexpr double PackingWeight = 0.2; // for batch: weight of the capacity that would stay unused
 constexpr double SuspectCost = 4;
-constexpr double AcceleratorCost = 1;      // of taking a worker with accelerators without need
-constexpr double BelowTargetWeight = 0.05; // part of an effect that counts below the target already
-constexpr std::size_t TightestCandidates = 16; // candidates that are scored in full
-constexpr std::size_t SampledCandidates =
-        16; // and others, so that a calm worker with much room is seen
+constexpr double AcceleratorCost = 1;      // of accelerators that the task does not need
+constexpr double BelowTargetWeight = 0.05; // portion of a slowdown that counts below the target too
+constexpr std::size_t TightestCandidates = 16; // candidates with the tightest fit, scored in full
+// Further candidates, so that a quiet worker with much free capacity is considered.
+constexpr std::size_t SampledCandidates = 16;
 
 std::string rackKey(const worker_info &info)
 {
@@ -140,8 +140,8 @@
     return best;
 }
 
-// The tightest fits, and a rotating sample of the others: scoring interference for every worker
-// would cost more than it gains.
+// Returns the tightest fits and a rotating sample of the others. Scoring interference for every
+// worker would cost more than it gains.
 std::vector<int> worker_chooser::batchCandidates(const placement_request &request)
 {
     std::vector<std::pair<double, int>> fittingSlots;
@@ -182,7 +182,8 @@
     return effect.mean + m_settings.uncertaintyWeight * effect.deviation;
 }
 
-// What the services there would lose: all of what lies above their targets, little of the rest.
+// Expected cost for the services on the worker: the full slowdown above their targets, and
+// BelowTargetWeight of the rest.
 double worker_chooser::costToServices(const worker_slot &worker,
                                       const placement_request &request) const
 {
@@ -193,8 +194,9 @@
     for (const auto &service : worker.services) {
         const double addedSlowdown =
                 pessimisticEffect(service.jobClass, request.jobClass) * taskShare;
-        // A service that has answered nobody here has nobody to slow: its level is a mere guess. On
-        // a shard with one worker batch would wait beside idle replicas.
+        // A service without a latency sample on this worker serves no requests, so nothing can be
+        // slowed, and its estimated latency is only a guess. Counting it would make batch wait
+        // beside idle replicas on a shard with one worker.
         if (service.measuredAt != time_point{})
             slowdownCost += std::max(0.0, service.estimatedLogRatio + addedSlowdown)
                             - std::max(0.0, service.estimatedLogRatio);
@@ -211,8 +213,8 @@
     return std::max(0.0, m_interference.baseline(service) + sum) + BelowTargetWeight * sum;
 }
 
-// Starting batch work is worth its part of the worker, and more the longer it has waited, so that a
-// task that would slow any service a little still starts in the end.
+// The value of starting batch work is its share of the worker and grows with the waiting time, so
+// that a task that would slow every service slightly is eventually started.
 bool worker_chooser::isWorthStarting(const placement_request &request, const worker_slot &worker,
                                      double slowdownCost) const
 {
--- a/libs/placement/worker_chooser.h
+++ b/libs/placement/worker_chooser.h
@@ -1,7 +1,8 @@
-// Which worker takes a task.
+// Selects the worker for a task.
 //
-// Services spread over availability zones, racks and workers, where few noisy neighbours run. Batch
-// is packed where it fits most tightly, unless it would slow a service there more than it is worth.
+// Services are spread over availability zones, racks and workers, preferring those with few
+// interfering tasks. Batch tasks are packed onto the worker with the tightest fit, unless the
+// slowdown of a service there would cost more than starting the task is worth.
 #pragma once
 
 #include <cstddef>
@@ -17,11 +18,11 @@
 
 namespace zinniabarrow::placement {
 
-// How many replicas of one job each place holds already.
+// Number of replicas of one job per availability zone, rack and worker.
 struct replica_counts
 {
     std::map<std::string, int> zones;
-    std::map<std::string, int> racks; // by availability zone and rack
+    std::map<std::string, int> racks; // key: availability zone and rack
     std::map<int, int> slots;
 
     void add(const worker_slot &worker, int slot);
@@ -29,15 +30,15 @@
 
 struct placement_request
 {
-    task_kind kind = task_kind::Batch;       //
-    class_number jobClass = 0;               //
-    std::size_t pool = 0;                    //
-    resources demand;                        //
-    int excludedSlot = worker_table::NoSlot; // not this one
-    int requiredSlot = worker_table::NoSlot; // no other one
-    duration waited{0};                      //
-    bool isUrgent = false;                   // urgent: harm orders the workers, but refuses none
-    replica_counts replicas;                 // of a service
+    task_kind kind = task_kind::Batch;
+    class_number jobClass = 0;
+    std::size_t pool = 0;                    // number of the pool in worker_table
+    resources demand;                        // resources to reserve
+    int excludedSlot = worker_table::NoSlot; // slot that must not be chosen; NoSlot: none
+    int requiredSlot = worker_table::NoSlot; // the only slot that may be chosen; NoSlot: any
+    duration waited{0};                      // time since the task became pending
+    bool isUrgent = false;   // interference affects the choice but never prevents it
+    replica_counts replicas; // existing replicas of the job; for services only
 };
 
 enum class choice_outcome { Found, NoCapacity, WouldSlowService };
@@ -55,7 +56,8 @@
                    const interference_model &interference);
 
     worker_choice choose(const placement_request &request);
-    // Of a place on that worker, in the unit of the weighted parts: lower spreads better.
+    // Cost of placing another replica of a service on the worker, in the units of the weighted
+    // score; a lower value means a better spread. 0 for batch.
     double spreadCost(const placement_request &request, int slot) const;
 
 private:
@@ -74,7 +76,7 @@
     const placer_settings &m_settings;
     const worker_table &m_workers;
     const interference_model &m_interference;
-    std::size_t m_sampleOffset = 0; // where the sampled candidates start
+    std::size_t m_sampleOffset = 0; // position of the rotating sample
 };
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/worker_table.cpp
+++ b/libs/placement/worker_table.cpp
@@ -101,7 +101,9 @@
         || worker.heldCapacity != resources{} || worker.backlogLength > 0)
         return;
     m_slotsByWorker.erase(worker.info.id);
-    const auto changes = worker.revision + 1; // goes on rising: what was counted of it is void
+    const auto changes = worker.revision
+                         // Must keep rising, so that sums cached for the old worker are recomputed.
+                         + 1;
     worker = worker_slot();
     worker.revision = changes;
     m_freeCapacity[static_cast<std::size_t>(slot)] = NoCapacity;
--- a/libs/placement/worker_table.h
+++ b/libs/placement/worker_table.h
@@ -1,4 +1,7 @@
-// Workers as the placer knows them, their pools, and the room that each has for new tasks.
+// Workers known to the placer, their pools, and the free capacity of each worker.
+//
+// A slot is the index of a worker in the table. It is reused when the worker is gone and nothing
+// refers to it any more.
 #pragma once
 
 #include <cstddef>
@@ -15,33 +18,34 @@
 
 namespace zinniabarrow::placement {
 
-// One instance of a service on a worker, and how it fares.
+// Latency state of one instance of a service on a worker.
 struct service_latency
 {
     task_ref task;
-    class_number jobClass = 0;    //
-    load_signal signal;           //
-    time_point measuredAt;        // of the newest sample
-    double estimatedLogRatio = 0; // log(p99 / target), carried forward over later changes
+    class_number jobClass = 0;
+    load_signal signal;
+    time_point measuredAt; // measuredAt of the newest sample
+    // log(p99 / target), corrected for changes of the neighbours since the sample.
+    double estimatedLogRatio = 0;
 };
 
 struct worker_slot
 {
     worker_info info;
     reservation_ledger ledger;
-    std::size_t pool = 0;                  //
-    bool inService = false;                // known, and not removed
-    bool isQuarantined = false;            // by quarantine
-    bool isSuspected = false;              // would be set aside, but the cap is reached
-    resources heldCapacity;                // for tasks for which room is being made
-    std::vector<service_latency> services; //
-    neighbour_history history;             //
-    int throttledTasks = 0;                //
-    std::size_t backlogLength = 0;         // in its backlog
-    time_point reliefPausedUntil;          // no relief before it
-    time_point lastReliefAt;               // samples measured before it do not count for relief
-    time_point signalRaisedAt;             // last time that a signal was up
-    std::uint64_t revision = 0;            // raised by every change of entries or size
+    std::size_t pool = 0;
+    bool inService = false;     // known and not removed
+    bool isQuarantined = false; // takes no tasks, except for a probe when the cool-down ends
+    bool isSuspected = false;   // would be quarantined, but the pool's limit is reached
+    resources heldCapacity;     // held for tasks whose victims are still stopping
+    std::vector<service_latency> services;
+    neighbour_history history;
+    int throttledTasks = 0;
+    std::size_t backlogLength = 0; // tasks in its backlog
+    time_point reliefPausedUntil;  // no action for a service before it
+    time_point lastReliefAt;       // latency samples measured before it do not count for relief
+    time_point signalRaisedAt;     // last time that a signal was raised
+    std::uint64_t revision = 0;    // incremented by every change of reservations or size
 
     service_latency *latencyOf(const task_ref &task);
 };
@@ -49,11 +53,11 @@
 struct pool_state
 {
     std::string name;
-    resources largestWorker;            // configured, or the largest worker ever seen
-    bool configured = false;            //
-    time_point firstWorkerAt = Never;   //
-    std::vector<int> slots;             // in service
-    std::uint64_t capacityRevision = 1; // raised whenever room appears
+    resources largestWorker; // configured, or largest worker seen so far
+    bool configured = false;
+    time_point firstWorkerAt = Never;
+    std::vector<int> slots;             // workers in service, in ascending order
+    std::uint64_t capacityRevision = 1; // incremented whenever capacity is freed in any dimension
 };
 
 class worker_table
@@ -63,8 +67,8 @@
     pool_state &pool(std::size_t number) { return m_pools[number]; }
     const pool_state &pool(std::size_t number) const { return m_pools[number]; }
 
-    int slotOf(const std::string &worker) const; // NoSlot: not known
-    // The worker's slot; a new one is not in service.
+    int slotOf(const std::string &worker) const; // NoSlot: unknown worker
+    // Returns the worker's slot and adds it if unknown; a new one is not in service.
     int findOrAdd(const std::string &worker);
     void setInfo(int slot, const worker_info &info, time_point now);
     void resize(int slot, const resources &size);
@@ -73,14 +77,14 @@
     worker_slot &at(int slot) { return m_slots[static_cast<std::size_t>(slot)]; }
     const worker_slot &at(int slot) const { return m_slots[static_cast<std::size_t>(slot)]; }
     int slotCount() const { return static_cast<int>(m_slots.size()); }
-    // The sum of all workers in service.
+    // Sum of the sizes of all workers in service.
     const resources &total() const { return m_total; }
     std::size_t inServiceCount() const { return m_inServiceCount; }
 
-    // To be called after each change of a ledger, of held room, or of whether the worker takes
+    // Call after each change of a ledger, of the held capacity, or of whether the worker accepts
     // tasks.
     void updateFreeCapacity(int slot);
-    // For new tasks; below zero in all dimensions when the worker takes none.
+    // Capacity for new tasks; negative in all dimensions when the worker accepts none.
     const resources &freeCapacity(int slot) const
     {
         return m_freeCapacity[static_cast<std::size_t>(slot)];
@@ -90,14 +94,14 @@
 
 private:
     std::vector<worker_slot> m_slots;
-    std::vector<resources>
-            m_freeCapacity; // apart from the slots: the search reads nothing else of most
+    // By slot. Separate from m_slots because the search reads only this of most workers.
+    std::vector<resources> m_freeCapacity;
     std::vector<int> m_unusedSlots;
     std::unordered_map<std::string, int> m_slotsByWorker;
     std::vector<pool_state> m_pools;
     std::unordered_map<std::string, std::size_t> m_poolNumbers;
     resources m_total;
-    std::size_t m_inServiceCount = 0; // workers
+    std::size_t m_inServiceCount = 0; // number of workers
 };
 
 } // namespace zinniabarrow::placement
--- a/tests/placement_policy_test.cpp
+++ b/tests/placement_policy_test.cpp
@@ -1,6 +1,6 @@
-// Bounds on what the policies do to services and to batch work, on one seeded sequence in virtual
-// time (bench/placement_model.h). The figures repeat exactly; the bounds leave room for changes of
-// the policy that are no regression.
+// Limits for the effect of the policies on services and batch work, on one seeded sequence in
+// virtual time (bench/placement_model.h). The results are reproducible; the limits leave room for
+// policy changes that are not regressions.
 #include <map>
 
 #include <criterion/criterion.h>
@@ -11,9 +11,9 @@
 using namespace zinniabarrow::bench;
 using zinniabarrow::tests::section;
 
-// Workers are full, sizes are declared wrong, noisy jobs come in waves, one worker fails everything
-// for half an hour. The tenants see late services and lost batch work; what each policy makes of it
-// is compared with first fit on declared sizes.
+// Workers are full, declared sizes are wrong, interfering jobs arrive in waves, and one worker
+// fails every task for half an hour. The tenants see late services and lost batch work. The result
+// of each policy is compared with first fit on declared sizes.
 Test(placement_policy, comparedOnOneSequence)
 {
     model_settings settings;
@@ -25,13 +25,13 @@
     const auto &unlearned = results.at("no learning");
     const auto &mtkvari = results.at("chosen, Mtkvari's weights");
     const auto &vtav = results.at("chosen, VTAV's weights");
-    section("no policy gives a worker more than it has, and urgent work starts in time", [&] {
+    section("no policy overcommits a worker, and urgent work starts in time", [&] {
         for (const auto &[name, result] : results) {
             check(result.overCapacity == 0);
             check(result.urgentSlowest <= 2.4);
         }
     });
-    section("Mtkvari: tails are near the target, and the work done is no less", [&] {
+    section("Mtkvari: tail latency is near the target, with no less batch work done", [&] {
         check(mtkvari.servicePercentile99 <= 1.15);
         check(mtkvari.servicePercentile99 <= 0.85 * declared.servicePercentile99);
         check(mtkvari.serviceLate <= 0.05);
@@ -49,7 +49,7 @@
             check(chosen.wastedWork <= 5);
             check(chosen.failures <= 150);
         }
-        check(declared.memoryKills > 500); // what the sequence does without learned sizes
+        check(declared.memoryKills > 500); // shows that the sequence is hard without learned sizes
         check(unlearned.memoryKills > 500);
     });
 }
--- a/tests/placement_property_test.cpp
+++ b/tests/placement_property_test.cpp
@@ -1,5 +1,5 @@
-// Random, bounded sequences of events against the placer, with fixed seeds. After each step: no
-// worker is given more than it has, no cancelled task is placed, no task is lost or placed twice.
+// Random, bounded sequences of events for the placer, with fixed seeds. After each step: no worker
+// is given more than its size, no cancelled task is placed, and no task is lost or placed twice.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -20,16 +20,16 @@
 
 struct expected_task
 {
-    std::string worker; // empty: waits
+    std::string worker; // empty: pending
     resources reservation;
     bool cancelled = false;
     bool stopping = false;
 };
 
-// What an observer who sees only events and actions knows.
+// What can be derived from events and actions alone.
 struct expected_state
 {
-    std::map<std::string, resources> sizes;  // of workers that take tasks
+    std::map<std::string, resources> sizes;  // sizes of the workers that accept tasks
     std::map<task_ref, expected_task> tasks; // neither ended nor refused
     std::vector<std::string> violations;
 
@@ -55,31 +55,34 @@
         expect(!task.cancelled, "placed after its cancellation: " + toText(action.task));
         expect(sizes.contains(action.worker), "placed on a worker that is gone");
         task = {action.worker, action.reserved, false, false};
-        expect(reservedOn(action.worker).fitsIn(sizes[action.worker]), "over " + action.worker);
+        expect(reservedOn(action.worker).fitsIn(sizes[action.worker]),
+               "overcommitted " + action.worker);
     }
 
     void operator()(const raise_action &action)
     {
         auto &task = tasks[action.task];
-        expect(task.worker == action.worker, "raised where it is not");
+        expect(task.worker == action.worker, "raised on a worker on which it is not placed");
         task.reservation = action.reserved;
         expect(!sizes.contains(action.worker)
                        || reservedOn(action.worker).fitsIn(sizes[action.worker]),
-               "raised over " + action.worker);
+               "raise overcommits " + action.worker);
     }
 
     void operator()(const preempt_action &action)
     {
         auto &task = tasks[action.victim];
-        expect(task.worker == action.worker && !task.stopping, "preempted what cannot stop");
+        expect(task.worker == action.worker && !task.stopping,
+               "preempted a task that is not running there");
         task.stopping = true;
     }
 
     void operator()(const throttle_action &action)
     {
-        expect(tasks[action.task].worker == action.worker, "throttled where it is not");
+        expect(tasks[action.task].worker == action.worker,
+               "throttled on a worker on which it is not placed");
         expect(action.millicores <= tasks[action.task].reservation.millicores,
-               "limit above the gift");
+               "limit above the reservation");
     }
 
     void operator()(const refuse_action &action)
@@ -110,7 +113,7 @@
         return static_cast<int>(pickIndex(random, static_cast<std::size_t>(bound)));
     }
 
-    // A random task that waits or is placed, or nothing.
+    // A random task that is placed or pending, or end().
     std::map<task_ref, expected_task>::iterator pickTask(bool placed)
     {
         std::vector<std::map<task_ref, expected_task>::iterator> fitting;
@@ -135,12 +138,12 @@
             expected.sizes.erase(id);
             return;
         }
-        // A size below what was given already is no fault of the placer; a raise counts as given
-        // before the worker is told.
+        // Reducing a worker below what is already reserved would not be the placer's fault. A raise
+        // counts as reserved before the worker is told.
         const resources size{8'000 + 1'000 * randomBelow(8), (30 + randomBelow(30)) * Gigabyte,
                              randomBelow(3)};
-        const auto *book = subject.ledgerOf(id);
-        if (book && !book->reserved().fitsIn(size))
+        const auto *ledger = subject.ledgerOf(id);
+        if (ledger && !ledger->reserved().fitsIn(size))
             return;
         expected.sizes[id] = size;
         subject.addWorker({id, "zone-" + std::to_string(randomBelow(3)), "r1", "main", size}, now);
@@ -165,7 +168,7 @@
         }
     }
 
-    // The task leaves its worker: back to waiting, or gone for good.
+    // The task leaves its worker: pending again, or removed if it ended or was cancelled.
     void markReleased(std::map<task_ref, expected_task>::iterator task, bool ended)
     {
         if (ended || task->second.cancelled)
@@ -205,7 +208,8 @@
             subject.latencySampled(
                     {ref, worker, p99, microseconds(10'000), now - seconds(randomBelow(20))}, now);
         }
-        if (randomBelow(3) == 0) // late and doubled messages, about a worker where it is no longer
+        if (randomBelow(3)
+            == 0) // late and duplicated events, naming a worker on which the task no longer is
             subject.taskReleased(ref, worker + "-old", now);
     }
 
@@ -253,7 +257,7 @@
                         "a task is lost");
     }
 
-    // Everything that runs ends, so everything that waits must run in the end.
+    // Every running task ends, so every pending task must eventually run.
     void drain()
     {
         const resources size{16'000, 60 * Gigabyte, 2};
@@ -271,7 +275,7 @@
             }
         }
         expected.expect(expected.tasks.empty(),
-                        "a task waits for ever: "
+                        "a task is never placed: "
                                 + (expected.tasks.empty()
                                            ? ""
                                            : subject.explain(expected.tasks.begin()->first, now)));
@@ -297,7 +301,7 @@
         preempted +=
                 run.subject.stats().preemptedForUrgent + run.subject.stats().preemptedForMemory;
     }
-    section("the sequences reached what they should test", [&] {
+    section("the sequences placed and preempted enough tasks", [&] {
         check(placed > 10'000);
         check(preempted > 200);
     });
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// The parts of placement: ledger, learned sizes, quarantine, quotas, interference, relief.
+// Unit tests of placement: ledger, learned sizes, quarantine, quotas, interference and relief.
 #include <cmath>
 
 #include <criterion/criterion.h>
@@ -22,7 +22,7 @@
 constexpr std::int64_t Gigabyte = 1'000'000'000;
 constexpr time_point Start{std::chrono::hours(1)};
 
-// Whether the call throws error BadRequest whose text names `member`.
+// True if the call throws error BadRequest with `member` in its text.
 template <typename Call>
 bool namesInvalidMember(const std::string &member, Call &&call)
 {
@@ -37,46 +37,46 @@
 
 } // namespace
 
-// The agent is given more than its worker holds, because two schedulers decided at once. The worker
-// would start it all and run out of memory, so the agent's own ledger has to refuse the surplus,
-// and has to go on counting what may still run.
+// Two schedulers decide at the same time, and the agent is asked to start more than its worker can
+// hold. The worker would start it all and run out of memory, so the agent's own ledger has to
+// refuse the excess, and has to keep counting what may still run.
 Test(placement, ledger)
 {
-    reservation_ledger table({16'000, 60 * Gigabyte, 1});
+    reservation_ledger workerLedger({16'000, 60 * Gigabyte, 1});
     const resources half{8'000, 30 * Gigabyte, 0};
     const task_ref first{"tickets", 0};
     const task_ref second{"season", 0};
     const task_ref third{"season", 1};
 
-    section("gives what fits and no more", [&] {
-        check(table.tryReserve(first, half));
-        check(table.tryReserve(second, half));
-        check(!table.tryReserve(third, {1, 1, 0}));
-        check(table.tryReserve(first, half)); // a repeated message is not counted twice
-        check(table.reserved() == half + half);
+    section("reserves what fits and no more", [&] {
+        check(workerLedger.tryReserve(first, half));
+        check(workerLedger.tryReserve(second, half));
+        check(!workerLedger.tryReserve(third, {1, 1, 0}));
+        check(workerLedger.tryReserve(first, half)); // a duplicated message is not counted twice
+        check(workerLedger.reserved() == half + half);
     });
     section("counts an unconfirmed stop and an ambiguous placement", [&] {
-        check(table.setState(first, reservation_state::Stopping));
-        check(table.setState(second, reservation_state::Ambiguous));
-        check(!table.tryReserve(third, {1, 1, 0}));
-        check(table.release(first));
-        check(!table.release(first));
-        check(table.tryReserve(third, {1'000, 10 * Gigabyte, 0}));
-    });
-    section("raises a reservation when there is room, else owes it", [&] {
-        check(table.tryRaise(third, {0, 20 * Gigabyte, 0}));
-        check(!table.tryRaise(third, {0, 40 * Gigabyte, 0}));
-        check(table.deferred().bytes == 20 * Gigabyte);
-        check(!table.fits({0, 1, 0})); // the rest of the memory is kept for the raise
-        check(table.release(second));
-        check(table.deferred().bytes == 0);
-        check(table.find(third)->reserved.bytes == 40 * Gigabyte);
-    });
-    section("a smaller worker takes nothing new until it fits again", [&] {
-        table.resize({16'000, 30 * Gigabyte, 1});
-        check(!table.tryReserve(first, {1, 0, 0}));
-        check(table.release(third));
-        check(table.tryReserve(first, half));
+        check(workerLedger.setState(first, reservation_state::Stopping));
+        check(workerLedger.setState(second, reservation_state::Ambiguous));
+        check(!workerLedger.tryReserve(third, {1, 1, 0}));
+        check(workerLedger.release(first));
+        check(!workerLedger.release(first));
+        check(workerLedger.tryReserve(third, {1'000, 10 * Gigabyte, 0}));
+    });
+    section("raises a reservation if it fits, otherwise defers the raise", [&] {
+        check(workerLedger.tryRaise(third, {0, 20 * Gigabyte, 0}));
+        check(!workerLedger.tryRaise(third, {0, 40 * Gigabyte, 0}));
+        check(workerLedger.deferred().bytes == 20 * Gigabyte);
+        check(!workerLedger.fits({0, 1, 0})); // the remaining memory is kept for the raise
+        check(workerLedger.release(second));
+        check(workerLedger.deferred().bytes == 0);
+        check(workerLedger.find(third)->reserved.bytes == 40 * Gigabyte);
+    });
+    section("after shrinking, a worker accepts nothing until its tasks fit again", [&] {
+        workerLedger.resize({16'000, 30 * Gigabyte, 1});
+        check(!workerLedger.tryReserve(first, {1, 0, 0}));
+        check(workerLedger.release(third));
+        check(workerLedger.tryReserve(first, half));
     });
 }
 
@@ -88,11 +88,11 @@
     task.team = "clubs";
     task.pool = "main";
     task.declared = {500, Gigabyte, 0};
-    section("a task survives the way there and back", [&] {
+    section("a task is unchanged after conversion to JSON and back", [&] {
         const auto back = taskSpecFromJson(toJson(task));
         check(toJson(back) == toJson(task));
     });
-    section("a wrong member is named", [&] {
+    section("an invalid member is named", [&] {
         auto value = toJson(task);
         value["declared"]["bytes"] = -1;
         check(namesInvalidMember("bytes", [&] { taskSpecFromJson(value); }));
@@ -109,7 +109,7 @@
     task_spec task;
     task.jobClass = "booking";
     task.declared = {8'000, Gigabyte, 0};
-    section("an unseen class is taken at its word",
+    section("an unknown class gets its declared size",
             [&] { check(learner.reservationFor(task) == task.declared); });
     section("memory follows the peaks of the tasks, not the number of samples", [&] {
         for (int index = 0; index < 10; ++index) {
@@ -121,22 +121,23 @@
         const auto bytes = learner.reservationFor(task).bytes;
         check(bytes >= 3 * Gigabyte && bytes <= 37 * Gigabyte / 10);
     });
-    section("unused processors of batch are reclaimed, those of a service are not", [&] {
-        check(learner.reservationFor(task).millicores == 2'000); // the floor, a quarter
+    section("unused processor time of batch is reclaimed, that of a service is not", [&] {
+        check(learner.reservationFor(task).millicores
+              == 2'000); // the minimum, a quarter of the declared size
         task.kind = task_kind::Service;
         check(learner.reservationFor(task).millicores == 8'000);
     });
-    section("a smaller use than declared frees no memory", [&] {
+    section("using less memory than declared does not reduce the reservation", [&] {
         task.declared.bytes = 9 * Gigabyte;
         check(learner.reservationFor(task).bytes == 9 * Gigabyte);
     });
-    section("a reservation is raised before it is used up", [&] {
+    section("a reservation is raised before it is exhausted", [&] {
         const resources reserved{1'000, Gigabyte, 0};
         check(learner.raisedReservation(reserved, {4'000, Gigabyte / 2, 0}) == reserved);
         check(learner.raisedReservation(reserved, {0, 95 * Gigabyte / 100, 0}).bytes
               == 114 * Gigabyte / 100);
     });
-    section("memory is bounded: the class unseen for longest is forgotten", [&] {
+    section("the number of classes is bounded: the least recently sampled is removed", [&] {
         for (int index = 0; index < 2'000; ++index)
             learner.observe("class-" + std::to_string(index), 0, {1, 1, 0},
                             Start + seconds(index + 1));
@@ -144,8 +145,8 @@
     });
 }
 
-// One worker of ten fails whatever it starts. Jobs would fail there again and again, and would be
-// quarantined for it; instead the worker is set aside, and tries one task after its cool-down.
+// One of ten workers fails every task. Jobs would fail there repeatedly and be quarantined for it;
+// instead the worker is quarantined and gets one task as a probe after its cool-down.
 Test(placement, quarantinedWorker)
 {
     quarantine subject{quarantine_settings{}};
@@ -153,7 +154,7 @@
     const auto fail = [&](int job, const std::string &worker) {
         subject.recordFailure("job-" + std::to_string(job), worker, "main", 10, "exit 1", now);
     };
-    section("three distinct jobs fail on it, one alone does not set it aside", [&] {
+    section("failures of three distinct jobs quarantine it, those of one job do not", [&] {
         for (int repeat = 0; repeat < 5; ++repeat)
             fail(1, "w1");
         fail(2, "w1");
@@ -162,12 +163,12 @@
         check(!subject.canUseWorker("w1", now));
         check(subject.canStartJob("job-1", now));
     });
-    section("what failed there does not count against the jobs", [&] {
+    section("failures on it do not count against the jobs", [&] {
         fail(1, "w2");
         fail(1, "w3");
         check(subject.canStartJob("job-1", now));
     });
-    section("tasks that fail while it is set aside do not prolong the stay", [&] {
+    section("failures during the quarantine do not prolong it", [&] {
         now += seconds(30);
         for (int job = 4; job < 20; ++job)
             fail(job, "w1");
@@ -183,7 +184,7 @@
         check(subject.canUseWorker("w1", now + seconds(240)));
         check(subject.canStartJob("job-30", now));
     });
-    section("an old task that goes on proves nothing; a new one that succeeds does", [&] {
+    section("success of an older task proves nothing; that of a new one ends the quarantine", [&] {
         subject.recordSuccess("job-0", "w1", Start - seconds(1));
         check(subject.isWorkerQuarantined("w1"));
         subject.recordSuccess("job-0", "w1", now + seconds(240));
@@ -191,8 +192,8 @@
     });
 }
 
-// A bad job goes back and forth between the only two workers with room. It never fails on a third,
-// and would fail there every few seconds for ever.
+// A failing job alternates between the only two workers with free capacity. It never fails on a
+// third one and would fail every few seconds forever.
 Test(placement, jobThatFailsOnTwoWorkers)
 {
     quarantine subject{quarantine_settings{}};
@@ -203,15 +204,15 @@
         subject.recordFailure("bad", failures % 2 == 0 ? "w1" : "w2", "main", 20, "exit 1", now);
     }
     section("ten failures are enough", [&] { check(failures == 10); });
-    section("many on a single worker are not: the worker may be at fault", [&] {
+    section("any number on a single worker is not: the worker may be faulty", [&] {
         for (int repeat = 0; repeat < 50; ++repeat)
             subject.recordFailure("other", "w3", "main", 20, "exit 1", now);
         check(subject.canStartJob("other", now));
     });
 }
 
-// A hundred jobs with a broken program arrive at once and fail everywhere. Each worker then looks
-// as if it failed everything; setting them all aside would stop the good jobs too.
+// A hundred jobs with a broken program arrive at once and fail on every worker. Every worker then
+// looks broken, and quarantining all of them would stop the healthy jobs too.
 Test(placement, badJobWave)
 {
     quarantine subject{quarantine_settings{}};
@@ -227,16 +228,16 @@
         }
         now += seconds(1);
     }
-    section("never more than a tenth of the pool is set aside",
+    section("never more than a tenth of the pool is quarantined",
             [&] { check(mostQuarantined == 2); });
-    section("the bad jobs are quarantined, with their reason", [&] {
+    section("the failing jobs are quarantined, with a reason", [&] {
         int quarantined = 0;
         for (int job = 0; job < 100; ++job)
             quarantined += subject.isJobQuarantined("bad-" + std::to_string(job)) ? 1 : 0;
         check(quarantined == 100);
         check(subject.reasonFor("bad-7", now).find("missing file") != std::string::npos);
     });
-    section("they return: one task tries again after the cool-down", [&] {
+    section("one task is retried after the cool-down, and its success ends the quarantine", [&] {
         now += seconds(120);
         check(subject.canStartJob("bad-7", now));
         subject.recordStart("bad-7", "w3", now);
@@ -246,9 +247,9 @@
     });
 }
 
-// Three jobs are quarantined, each for failures on workers of its own. Long after, when those
-// failures are out of the window, each tries one task again, by chance on the same worker, and
-// fails. That worker has seen three distinct jobs fail, yet they say nothing of it.
+// Three jobs are quarantined, each for failures on different workers. Later, when those failures
+// are outside the window, the probe of each job happens to fail on the same worker. Three distinct
+// jobs have then failed on that worker, but this says nothing about it.
 Test(placement, knownBadJobsBlameNoWorker)
 {
     quarantine subject{quarantine_settings{}};
@@ -268,7 +269,7 @@
         subject.recordStart(name, "good", now);
         fail(job, "good");
     }
-    section("the worker goes on taking tasks", [&] {
+    section("the worker still accepts tasks", [&] {
         check(!subject.isWorkerQuarantined("good"));
         check(subject.canUseWorker("good", now));
     });
@@ -280,30 +281,30 @@
 
 Test(placement, quotas)
 {
-    quota_table table;
-    table.setTotal({100'000, 100 * Gigabyte, 10});
-    table.setQuota({"rink", 1, {}});
-    table.setQuota({"clubs", 2, {20'000, 0, 0}});
-    const auto rink = table.teamNumber("rink");
-    const auto clubs = table.teamNumber("clubs");
+    quota_table quotaTable;
+    quotaTable.setTotal({100'000, 100 * Gigabyte, 10});
+    quotaTable.setQuota({"rink", 1, {}});
+    quotaTable.setQuota({"clubs", 2, {20'000, 0, 0}});
+    const auto rink = quotaTable.teamNumber("rink");
+    const auto clubs = quotaTable.teamNumber("clubs");
     section("the share is the largest over all dimensions, divided by the weight", [&] {
-        table.charge(rink, {10'000, 30 * Gigabyte, 0});
-        table.charge(clubs, {10'000, 0, 4});
-        check(table.weightedShare(rink) == 0.3);
-        check(table.weightedShare(clubs) == 0.2);
+        quotaTable.charge(rink, {10'000, 30 * Gigabyte, 0});
+        quotaTable.charge(clubs, {10'000, 0, 4});
+        check(quotaTable.weightedShare(rink) == 0.3);
+        check(quotaTable.weightedShare(clubs) == 0.2);
     });
-    section("a limit holds in the dimension where it is set", [&] {
-        check(table.canReserve(clubs, {10'000, 90 * Gigabyte, 0}));
-        check(!table.canReserve(clubs, {10'001, 0, 0}));
-        check(table.exceededDimension(clubs, {20'001, 0, 0}) == "millicores");
-        check(!table.exceededDimension(clubs, {20'000, 0, 0}));
+    section("a limit applies only in its dimension", [&] {
+        check(quotaTable.canReserve(clubs, {10'000, 90 * Gigabyte, 0}));
+        check(!quotaTable.canReserve(clubs, {10'001, 0, 0}));
+        check(quotaTable.exceededDimension(clubs, {20'001, 0, 0}) == "millicores");
+        check(!quotaTable.exceededDimension(clubs, {20'000, 0, 0}));
     });
 }
 
-// A service has a steady noisy neighbour, then the neighbour goes. While it was there, the noise
-// could not be told from the service's own latency; the change must correct both, in opposite
-// directions.
-Test(placement, steadyNeighbourThatGoes)
+// A service runs beside a constant interfering neighbour, which then leaves. Before that, the
+// interference cannot be distinguished from the service's own latency; the change must correct both
+// estimates, in opposite directions.
+Test(placement, constantNeighbourLeaves)
 {
     interference_model model{interference_settings{}};
     time_point now = Start;
@@ -313,12 +314,12 @@
     const double effectBefore = model.effect(0, 1).mean;
     for (int sample = 0; sample < 5; ++sample)
         model.learn(0, {}, -0.3, now += seconds(10));
-    section("the noise is blamed and the service is not", [&] {
+    section("the neighbour is blamed and the service is not", [&] {
         check(effectBefore < 3);
         check(std::abs(model.effect(0, 1).mean - 4.8) < 0.5);
         check(std::abs(model.baseline(0) + 0.3) < 0.1);
     });
-    section("memory is bounded: the neighbour unseen for longest gives its place", [&] {
+    section("the number of neighbours is bounded: the one seen least recently is replaced", [&] {
         for (class_number other = 2; other < 40; ++other)
             model.learn(0, std::vector<class_share>{{other, 0.1}}, -0.3, now += seconds(10));
         check(model.effect(0, 1).deviation == interference_settings{}.priorDeviation);
@@ -326,8 +327,9 @@
     });
 }
 
-// A quiet task replaces a noisy one; the sample that tells of the noise arrives after the change.
-// If it were explained by who runs now, the quiet class would be blamed and throttled.
+// A quiet task replaces an interfering one, and the sample that shows the interference arrives
+// after the change. If it were attributed to the tasks that run now, the quiet class would be
+// blamed and throttled.
 Test(placement, lateSamplesAreAttributed)
 {
     constexpr class_number Service = 0;
@@ -340,29 +342,29 @@
         history.addChange(Noisy, 4'000, now);
         history.addChange(Noisy, -4'000, now + seconds(10));
         history.addChange(Quiet, 4'000, now + seconds(10));
-        const auto noisyMoment = now + seconds(5); // beside the noisy task, and it arrives at 15 s
+        const auto noisyMoment = now + seconds(5); // beside the noisy task; it arrives at 15 s
         model.learn(Service, sharesOf(*history.at(noisyMoment), 16'000), 0.4, noisyMoment);
         const auto quietMoment = now + seconds(12);
         model.learn(Service, sharesOf(*history.at(quietMoment), 16'000), -0.4, quietMoment);
         history.addChange(Quiet, -4'000, now + seconds(20));
-        model.learn(Service, {}, -0.5, now + seconds(21)); // alone
+        model.learn(Service, {}, -0.5, now + seconds(21)); // without neighbours
         now += seconds(24);
     }
     section("the noisy class is blamed, the quiet one is not", [&] {
         check(std::abs(model.effect(Service, Noisy).mean - 3.6) < 0.3);
         check(std::abs(model.effect(Service, Quiet).mean - 0.4) < 0.3);
     });
-    section("certainty grows with the samples", [&] {
+    section("the uncertainty falls with the number of samples", [&] {
         check(model.effect(Service, Noisy).deviation < 0.3);
         check(model.effect(Service, 9).deviation == interference_settings{}.priorDeviation);
     });
-    section("an unknown pair borrows from the means of its classes", [&] {
+    section("the estimate for an unknown pair uses the means of its classes", [&] {
         model.learn(5, std::vector<class_share>{{Noisy, 0.25}}, 0.5, now);
         const double other = model.effect(6, Noisy).mean;
         check(other > model.effect(6, Quiet).mean);
         check(other > 0.5);
     });
-    section("a moment before the history is not guessed", [&] {
+    section("a moment before the history has no value", [&] {
         check(!history.at(Start + seconds(1)));
         check(history.at(now - seconds(10)));
     });
@@ -374,22 +376,22 @@
     const policy_weights throughputWeights{0.2, 0.4, 0.4};
     const relief_settings settings;
     std::vector<relief_candidate> tasks{{0, 0.01, 4, 4, true}, {1, 0.2, 4, 4, true}};
-    section("the one that disturbs most is throttled first", [&] {
+    section("the task with the largest effect is throttled first", [&] {
         const auto step = chooseRelief(0.5, 16, tasks, latencyWeights, settings);
         check(step && std::get<throttle_relief>(*step).index == 1);
         check(step && std::get<throttle_relief>(*step).limitProcessors == 2);
     });
-    section("evicted only when throttling has come to its floor", [&] {
+    section("a task is evicted only when throttling has reached its lower bound", [&] {
         tasks[0].effectPerProcessor = 0;
         tasks[1].limitProcessors = 1;
         const auto step = chooseRelief(0.5, 16, tasks, latencyWeights, settings);
         check(step && std::get<evict_relief>(*step).index == 1);
     });
-    section("a deployment that weighs evictions more does not evict for as little",
+    section("a deployment with a higher weight of evictions does not evict in this case",
             [&] { check(!chooseRelief(0.5, 16, tasks, throughputWeights, settings)); });
-    section("a small excess is worth no action at all",
+    section("a small excess causes no action",
             [&] { check(!chooseRelief(0.01, 16, tasks, latencyWeights, settings)); });
-    section("processors come back where they disturb least, and only if there is room", [&] {
+    section("the limit is raised where the effect is smallest, and only with enough headroom", [&] {
         tasks = {{0, 0.3, 1, 4, true}, {1, 0.05, 1, 4, true}};
         const auto step = chooseThrottleLift(0.2, tasks, settings);
         check(step && step->index == 1 && step->limitProcessors == 2);
@@ -404,7 +406,7 @@
         budget.refill(settings, 8, Start + std::chrono::minutes(31));
         check(budget.canTake());
     });
-    section("the operators' limit holds however many workers there are", [&] {
+    section("the limit per minute applies to any number of workers", [&] {
         relief_settings limited;
         limited.evictionsPerMinute = 1;
         eviction_budget budget(limited.evictionBurst);
@@ -424,7 +426,7 @@
 {
     const load_signal_settings settings{4, 0.1, 0};
     load_signal signal;
-    section("one bad sample does not raise it, a bad stretch does", [&] {
+    section("a single bad sample does not raise it, several do", [&] {
         for (const double excess : {-0.2, -0.2, 0.6, -0.2, -0.2})
             signal.add(excess, settings);
         check(!signal.isRaised());
@@ -432,7 +434,7 @@
             signal.add(0.2, settings);
         check(signal.isRaised());
     });
-    section("it stays up between the two levels", [&] {
+    section("it stays raised between the two levels", [&] {
         for (int index = 0; index < 4; ++index)
             signal.add(0.05, settings);
         check(signal.isRaised());
