--- a/tests/placer_test.cpp
+++ b/tests/placer_test.cpp
@@ -1,4 +1,4 @@
-// The placer as a whole: exact sequences of events and the actions that must follow.
+// Tests of the placer as a whole: sequences of events and the actions that must follow.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -38,7 +38,7 @@
     return task;
 }
 
-// Workers w0, w1, …: three availability zones, three workers to a rack.
+// Workers w0, w1, … in three availability zones, with three workers per rack.
 struct placer_fixture
 {
     placer subject;
@@ -69,7 +69,7 @@
         }
     }
 
-    void plan(int most = MaxDecisions) { actions = subject.plan(now, most); }
+    void plan(int maxDecisions = MaxDecisions) { actions = subject.plan(now, maxDecisions); }
 
     template <typename Action>
     std::vector<Action> actionsOf() const
@@ -82,7 +82,7 @@
         return found;
     }
 
-    // Plans, and everything that is placed runs.
+    // Plans, and reports every placed task as running. Returns the placements.
     std::vector<place_action> planAndRun()
     {
         plan();
@@ -108,8 +108,9 @@
 
 } // namespace
 
-// The answer of the placing write is lost. The operator sees the task as ambiguous: it may start,
-// so its room must not be given away and it must not be placed again; then the row is read back.
+// The response to the write that stores a placement is lost. The task is shown as ambiguous: it may
+// start, so its capacity must not be given away and it must not be placed again until the row has
+// been read.
 Test(placer, ambiguousStaysCounted)
 {
     placer_fixture fixture(1);
@@ -117,7 +118,7 @@
     fixture.submit(whole);
     fixture.plan();
     fixture.subject.placementSettled(whole.ref(), "w0", placement_outcome::Unknown, fixture.now);
-    section("neither it nor another task gets the room", [&] {
+    section("its capacity goes neither to it again nor to another task", [&] {
         fixture.submit(batchTask("other", 0, {1'000, 0, 0}));
         fixture.now += std::chrono::hours(2);
         fixture.plan();
@@ -125,7 +126,7 @@
         check(fixture.subject.explain(whole.ref(), fixture.now).find("ambiguous")
               != std::string::npos);
     });
-    section("read back as not written, both are placeable again", [&] {
+    section("once read back as not stored, both can be placed", [&] {
         fixture.subject.placementSettled(whole.ref(), "w0", placement_outcome::NotApplied,
                                          fixture.now);
         fixture.plan();
@@ -133,8 +134,8 @@
     });
 }
 
-// A task is asked to stop and the confirmation does not come. It may still run, so the worker would
-// hold more than it has if its room were given away. Late and doubled messages change nothing.
+// A task is asked to stop and the confirmation does not arrive. It may still run, so giving its
+// capacity away would overcommit the worker. Late and duplicated events must change nothing.
 Test(placer, unconfirmedStopStaysCounted)
 {
     placer_fixture fixture(2);
@@ -145,20 +146,20 @@
     fixture.subject.taskStopping(task.ref(), placed[0].worker, fixture.now);
     fixture.subject.taskRunning(task.ref(), placed[0].worker, fixture.now); // sent before the stop
     fixture.submit(batchTask("other", 0, {1, 1, 0}));
-    section("its room is not given away", [&] {
+    section("its capacity is not given away", [&] {
         fixture.now += std::chrono::hours(2);
         fixture.plan();
         check(fixture.actions.empty());
         check(fixture.subject.ledgerOf(placed[0].worker)->find(task.ref())->state
               == reservation_state::Stopping);
     });
-    section("a report of another worker does not free it", [&] {
+    section("a report from another worker does not free it", [&] {
         fixture.subject.taskReleased(task.ref(), "w9", fixture.now);
         fixture.plan();
         check(fixture.actions.empty());
         check(fixture.subject.stats().staleEvents == 1);
     });
-    section("its confirmation does, once", [&] {
+    section("its confirmation does, and counts only once", [&] {
         fixture.subject.taskReleased(task.ref(), placed[0].worker, fixture.now);
         fixture.subject.taskReleased(task.ref(), placed[0].worker, fixture.now);
         check(fixture.subject.pendingTaskCount() == 2);
@@ -179,7 +180,7 @@
         check(workers.size() == 6);
         check(zones.size() == 3 && zones["kartli-a"] == 2 && zones["kartli-b"] == 2);
     });
-    section("batch is packed on few workers", [&] {
+    section("batch tasks are packed on few workers", [&] {
         fixture.submit(batchTask("season", 0, {2'000, 7 * Gigabyte, 0}), 14);
         std::set<std::string> workers;
         for (const auto &placed : fixture.planAndRun())
@@ -192,7 +193,7 @@
 {
     placer_fixture fixture(2);
     fixture.subject.setTeam({"clubs", 1, {8'000, 0, 0}});
-    section("what can never fit is refused at once, by name of the limit", [&] {
+    section("a task that can never fit is refused at once, and the limit is named", [&] {
         fixture.submit(batchTask("huge", 0, {1'000, 61 * Gigabyte, 0}), 2);
         fixture.plan();
         const auto refused = fixture.actionsOf<refuse_action>();
@@ -202,13 +203,13 @@
               != std::string::npos);
         check(fixture.subject.pendingTaskCount() == 0);
     });
-    section("a task above its team's quota too", [&] {
+    section("so is a task that exceeds its team's quota", [&] {
         fixture.submit(batchTask("wide", 0, {9'000, 0, 0}));
         fixture.plan();
         require(fixture.actionsOf<refuse_action>().size() == 1);
         check(fixture.actionsOf<refuse_action>()[0].kind == error_kind::QuotaExceeded);
     });
-    section("a team at its quota waits, and is told why", [&] {
+    section("a task of a team at its quota stays pending, and the reason is shown", [&] {
         fixture.submit(batchTask("season", 0, {3'000, 0, 0}), 3);
         check(fixture.planAndRun().size() == 2);
         check(fixture.subject.explain({"season", 2}, fixture.now).find("quota")
@@ -224,8 +225,8 @@
     });
 }
 
-// Two teams with weights 1 and 3 have more waiting than fits. One submits first, and would take all
-// the room if the queue were served in the order of arrival.
+// Two teams with weights 1 and 3 have more pending tasks than fit. One submits first and would take
+// all capacity if the queue were served in order of arrival.
 Test(placer, teamsShareByWeight)
 {
     placer_fixture fixture(2);
@@ -239,15 +240,15 @@
     const auto placed = fixture.planAndRun();
     for (const auto &each : placed)
         ofClubs += each.task.jobId == "season" ? 1 : 0;
-    section("a quarter and three quarters", [&] {
+    section("they get a quarter and three quarters of the capacity", [&] {
         check(placed.size() == 32);
         check(ofClubs == 8);
     });
 }
 
-// All workers are full of batch when urgent work arrives. It has 2.4 s: victims are stopped at
-// once, and the room is kept for it. Then a worker does not confirm its stop, and another is taken
-// instead.
+// All workers are full of batch tasks when an urgent task arrives, which must start within 2.4 s.
+// Victims are stopped at once and their capacity is held for it. Then one worker does not confirm
+// the stop, and another one is used instead.
 Test(placer, urgentPreemptsBatch)
 {
     placer_fixture fixture(3);
@@ -262,14 +263,14 @@
     fixture.submit(urgent);
     fixture.plan();
     const auto first = fixture.actionsOf<preempt_action>();
-    section("one victim, not the lease watcher, and it must be gone in time", [&] {
+    section("one victim is stopped in time, and it is not the lease watcher", [&] {
         require(first.size() == 1);
         check(first[0].victim.jobId == "season");
         check(first[0].checkpointDeadline <= arrived + milliseconds(1'500));
         fixture.plan();
-        check(fixture.actions.empty()); // asked once
+        check(fixture.actions.empty()); // asked only once
     });
-    section("the worker does not confirm: another one makes room", [&] {
+    section("the worker does not confirm: a task on another one is preempted", [&] {
         fixture.now = first[0].checkpointDeadline + milliseconds(300);
         fixture.plan();
         const auto second = fixture.actionsOf<preempt_action>();
@@ -278,21 +279,21 @@
         fixture.now += milliseconds(200);
         fixture.subject.taskReleased(second[0].victim, second[0].worker, fixture.now);
     });
-    section("it starts within 2.4 s, and the victim does not take the room back", [&] {
+    section("it starts within 2.4 s, and the victim does not get the capacity back", [&] {
         fixture.plan();
         const auto placed = fixture.actionsOf<place_action>();
         require(placed.size() == 1);
         check(placed[0].task == urgent.ref());
         check(fixture.now - arrived <= milliseconds(2'400));
     });
-    section("half of the room it needs is not given to others while the rest is on its way", [&] {
+    section("half of the capacity it needs stays held while the rest is being freed", [&] {
         auto wide = urgent;
         wide.jobId = "gate-wide";
         wide.declared.millicores = 16'000;
         fixture.submit(wide);
         fixture.plan();
         const auto victims = fixture.actionsOf<preempt_action>();
-        require(victims.size() == 1); // the other half is the stop that is still unconfirmed
+        require(victims.size() == 1); // the unconfirmed stop provides the other half
         check(victims[0].worker == first[0].worker);
         fixture.subject.taskReleased(first[0].victim, first[0].worker, fixture.now);
         check(fixture.planAndRun().empty());
@@ -303,7 +304,7 @@
         fixture.subject.taskEnded(wide.ref(), placed[0].worker, fixture.now);
         check(fixture.planAndRun().size() == 2);
     });
-    section("room held for it goes back when it is cancelled", [&] {
+    section("capacity held for it is released when it is cancelled", [&] {
         auto next = urgent;
         next.jobId = "gate-2";
         fixture.submit(next);
@@ -317,9 +318,9 @@
     });
 }
 
-// A team's own batch fills its quota when its urgent work arrives; the workers have room. Waiting
-// for the batch to end could take hours, so as much of the team's own batch stops as the quota
-// asks for, and nobody else's.
+// A team's own batch tasks fill its quota when its urgent work arrives, although the workers have
+// free capacity. Waiting for them to end could take hours, so as many of the team's own batch tasks
+// are stopped as the quota requires, and none of another team.
 Test(placer, urgentWorkOfATeamAtItsQuota)
 {
     placer_fixture fixture(2);
@@ -328,26 +329,26 @@
     auto other = batchTask("matches", 0, {4'000, Gigabyte, 0});
     other.team = "families";
     fixture.submit(other, 2);
-    require(fixture.planAndRun().size() == 6); // four of the season, both matches
+    require(fixture.planAndRun().size() == 6); // four of season, two of matches
     auto urgent = batchTask("gate", 0, {4'000, Gigabyte, 0});
     urgent.priority = task_priority::Urgent;
     const auto arrived = fixture.now;
     fixture.submit(urgent, 2);
     fixture.plan();
     const auto stopped = fixture.actionsOf<preempt_action>();
-    section("one of its own tasks stops for each, in time", [&] {
+    section("one of the team's own tasks is stopped in time for each urgent task", [&] {
         require(stopped.size() == 2);
         for (const auto &each : stopped) {
             check(each.victim.jobId == "season");
             check(each.checkpointDeadline <= arrived + milliseconds(1'500));
         }
     });
-    section("no more are asked while these stop, and nothing starts above the quota", [&] {
+    section("no further ones are stopped meanwhile, and nothing starts above the quota", [&] {
         fixture.now += milliseconds(200);
         check(fixture.planAndRun().empty());
         check(fixture.actionsOf<preempt_action>().empty());
     });
-    section("the urgent tasks take their places within 2.4 s", [&] {
+    section("the urgent tasks are placed within 2.4 s", [&] {
         for (const auto &each : stopped)
             fixture.subject.taskReleased(each.victim, each.worker, fixture.now);
         const auto placed = fixture.planAndRun();
@@ -355,15 +356,15 @@
         check(placed[0].task.jobId == "gate" && placed[1].task.jobId == "gate");
         check(fixture.now - arrived <= milliseconds(2'400));
     });
-    section("batch of a team at its quota stops nothing", [&] {
+    section("a batch task of a team at its quota preempts nothing", [&] {
         fixture.submit(batchTask("second", 0, {4'000, Gigabyte, 0}));
         fixture.plan();
         check(fixture.actions.empty());
     });
 }
 
-// Two urgent tasks need room on the only worker, one after the other. The first one's victim leaves
-// in time; the second one's still runs, and must not keep the first from starting.
+// Two urgent tasks arrive one after the other and need capacity on the only worker. The first one's
+// victim stops in time; the second one's still runs and must not keep the first from starting.
 Test(placer, urgentTasksDoNotBlockEachOther)
 {
     placer_fixture fixture(1);
@@ -380,13 +381,13 @@
     fixture.plan();
     const auto second = fixture.actionsOf<preempt_action>();
     require(first.size() == 1 && second.size() == 1);
-    section("the room of the first victim goes to the first task", [&] {
+    section("the capacity of the first victim goes to the first task", [&] {
         fixture.subject.taskReleased(first[0].victim, "w0", fixture.now);
         const auto placed = fixture.planAndRun();
         require(placed.size() == 1);
         check(placed[0].task.jobId == "gate");
     });
-    section("and that of the second to the second", [&] {
+    section("that of the second victim goes to the second task", [&] {
         fixture.subject.taskReleased(second[0].victim, "w0", fixture.now);
         const auto placed = fixture.planAndRun();
         require(placed.size() == 1);
@@ -394,9 +395,9 @@
     });
 }
 
-// Room is made for an urgent task; before it can start, its team reaches its quota. The task is not
-// tried any more, and the room it holds would stay empty for ever.
-Test(placer, heldRoomExpires)
+// Capacity is held for an urgent task; before it can start, its team reaches its quota. The task is
+// not tried any more, and the held capacity would stay unused forever.
+Test(placer, heldCapacityExpires)
 {
     placer_fixture fixture(1);
     fixture.subject.setTeam({"gates", 1, {8'000, 0, 0}});
@@ -409,26 +410,27 @@
     fixture.plan();
     const auto victims = fixture.actionsOf<preempt_action>();
     require(victims.size() == 1);
-    urgent.jobId = "elsewhere"; // found in the table, on a worker of another scheduler
+    urgent.jobId = "elsewhere"; // read from the table, on a worker of another scheduler
     fixture.subject.taskPlaced(urgent, "w9", urgent.declared, reservation_state::Running,
                                fixture.now);
     fixture.subject.taskReleased(victims[0].victim, "w0", fixture.now);
-    section("at first the room is kept", [&] { check(fixture.planAndRun().empty()); });
-    section("then others get it", [&] {
+    section("at first the capacity stays held", [&] { check(fixture.planAndRun().empty()); });
+    section("later another task gets it", [&] {
         fixture.now += seconds(3);
         fixture.plan();
         const auto placed = fixture.planAndRun();
         require(placed.size() == 1);
         check(placed[0].task == victims[0].victim);
     });
-    section("and the urgent task goes on waiting, with its reason", [&] {
+    section("the urgent task stays pending, with a reason", [&] {
         check(fixture.subject.explain({"gate", 0}, fixture.now).find("quota") != std::string::npos);
     });
 }
 
-// A new owner takes in what the table holds before it has read the configuration. A lease watcher
-// then looks like any task of batch; evicting it for urgent work would restart it.
-Test(placer, takenInTasksAreNotEvicted)
+// After a takeover the new owner adds the tasks from the table before it has read the
+// configuration. A lease watcher then looks like any batch task; evicting it for urgent work would
+// restart it.
+Test(placer, tasksOfUnknownJobsAreNotEvicted)
 {
     placer_fixture fixture(1);
     auto watcher = batchTask("watcher", 0, WorkerSize);
@@ -439,11 +441,11 @@
     auto urgent = batchTask("gate", 0, {1'000, 0, 0});
     urgent.priority = task_priority::Urgent;
     fixture.submit(urgent);
-    section("left alone while its job is not known", [&] {
+    section("not evicted while its job is unknown", [&] {
         fixture.plan();
         check(fixture.actions.empty());
     });
-    section("evicted once it is known to be plain batch", [&] {
+    section("evicted once it is known to be an ordinary batch task", [&] {
         fixture.subject.taskPlaced(watcher, "w0", WorkerSize, reservation_state::Running,
                                    fixture.now);
         fixture.now += seconds(1);
@@ -452,7 +454,7 @@
     });
 }
 
-// A service of low priority is no reason to stop batch work of normal priority.
+// A service of low priority must not preempt batch tasks of normal priority.
 Test(placer, preemptionFollowsPriority)
 {
     placer_fixture fixture(1);
@@ -462,16 +464,16 @@
     service.priority = task_priority::Low;
     fixture.submit(service);
     fixture.plan();
-    section("a low service waits", [&] { check(fixture.actions.empty()); });
-    section("a normal one does not", [&] {
+    section("a service of low priority stays pending", [&] { check(fixture.actions.empty()); });
+    section("one of normal priority preempts", [&] {
         fixture.submit(serviceTask("tickets", 0, {1'000, 0, 0}));
         fixture.plan();
         check(fixture.actionsOf<preempt_action>().size() == 1);
     });
 }
 
-// A class of batch tasks was seen to slow the service on the only worker. Placing more of it there
-// makes gate purchases late; it has to wait, and to say why, but not for ever.
+// A class of batch tasks is known to slow the service on the only worker. Placing more of them
+// there would delay gate purchases; they have to wait, with a reason, but not forever.
 Test(placer, batchWaitsWhereItWouldSlowAService)
 {
     placer_settings settings;
@@ -497,23 +499,24 @@
     more.jobClass = "noisy";
     fixture.submit(more);
     fixture.plan();
-    section("it waits, and says why", [&] {
+    section("it stays pending, with a reason", [&] {
         check(fixture.actionsOf<place_action>().empty());
         check(fixture.subject.explain(more.ref(), fixture.now).find("slow") != std::string::npos);
     });
-    section("another class does not wait", [&] {
+    section("a task of another class is placed", [&] {
         fixture.submit(batchTask("quiet", 0, {500, Gigabyte, 0}));
         check(fixture.planAndRun().size() == 1);
     });
-    section("its worth grows while it waits", [&] {
+    section("it is placed after a longer wait", [&] {
         while (fixture.planAndRun().empty() && fixture.now - first < std::chrono::hours(2))
             fixture.now += seconds(30);
         check(fixture.now - first >= seconds(30) && fixture.now - first < std::chrono::hours(2));
     });
 }
 
-// Night: two replicas answer nobody, so nothing was ever measured there, and the worker is the only
-// one of its shard. Batch starts beside them at once. Once they answer, late, it has to wait.
+// At night two replicas serve no requests, so no latency was ever measured, and the worker is the
+// only one of its shard. Batch must start beside them at once. When they serve requests and miss
+// their target, batch has to wait.
 Test(placer, batchBesideAnIdleService)
 {
     placer_settings settings;
@@ -523,11 +526,11 @@
     fixture.submit(serviceTask("tickets", 0, {4'000, Gigabyte, 0}), 2);
     const auto services = fixture.planAndRun();
     require(services.size() == 2);
-    section("idle: it starts", [&] {
+    section("idle services: the batch task is placed", [&] {
         fixture.submit(batchTask("season", 0, {2'000, Gigabyte, 0}));
         check(fixture.planAndRun().size() == 1);
     });
-    section("answering above their target: it waits", [&] {
+    section("services above their target: the batch task stays pending", [&] {
         fixture.now += seconds(10);
         for (const auto &service : services)
             fixture.reportLatency(service, 3.0);
@@ -537,10 +540,10 @@
     });
 }
 
-// An entry takes a shard over and reads from the table what runs there; the agent has not reported
-// yet, so the worker's size is unknown. Were it taken for nothing, each task would press like
-// thousands of workers: batch would wait for minutes beside replicas that answer nobody, and a
-// sample of that time would teach that the noisiest class slows nothing.
+// An entry takes over a shard and reads from the table what runs there. The agent has not reported
+// yet, so the worker's size is unknown. If it were taken as 0, each task's share would equal
+// thousands of workers: batch would wait for minutes beside idle replicas, and a sample from that
+// time would teach that the most interfering class has no effect.
 Test(placer, tasksAreKnownBeforeTheirWorker)
 {
     placer_settings settings;
@@ -558,14 +561,14 @@
         fixture.now += seconds(2);
     };
     const place_action service{{"tickets", 0}, "w0", {}};
-    section("beside replicas that answer nobody batch starts at once", [&] {
+    section("batch is placed at once beside idle replicas", [&] {
         placer_fixture fixture(0, settings);
         takeOver(fixture, 2);
         fixture.subject.addWorker(placer_fixture::workerInfo(0), fixture.now);
         fixture.submit(batchTask("season", 0, {1'000, Gigabyte, 0}));
         check(fixture.planAndRun().size() == 1);
     });
-    section("a sample before the worker is known teaches nothing", [&] {
+    section("a sample from before the worker's size is known is dropped", [&] {
         placer_fixture fixture(0, settings);
         takeOver(fixture, 1);
         fixture.reportLatency(service, 2.0);
@@ -577,7 +580,7 @@
         check(effect.mean == settings.interference.priorEffect);
         check(effect.deviation == settings.interference.priorDeviation);
     });
-    section("batch waits where the next sample shows a service late", [&] {
+    section("batch stays pending where the next sample shows a service above its target", [&] {
         placer_fixture fixture(0, settings);
         takeOver(fixture, 1);
         fixture.reportLatency(service, 2.0);
@@ -590,21 +593,21 @@
     });
 }
 
-// Thousands of tasks are cancelled at once while some run, some are being placed and some wait, and
-// messages about them arrive late. None may start afterwards.
+// Thousands of tasks are cancelled at once while some run, some are being placed and some are
+// pending, and events about them arrive late. None may start afterwards.
 Test(placer, cancellationWave)
 {
     placer_fixture fixture(4);
     fixture.submit(batchTask("season", 0, {1'000, Gigabyte, 0}), 5'000);
     const auto placed = fixture.planAndRun();
     const auto toStop = fixture.subject.cancelJob("season", fixture.now);
-    section("those on a worker are to be stopped, and count until they are", [&] {
+    section("tasks on a worker have to be stopped, and count until then", [&] {
         check(placed.size() == 64 && toStop.size() == 64);
         fixture.submit(batchTask("other", 0, {1'000, 0, 0}));
         fixture.plan();
         check(fixture.actions.empty());
     });
-    section("no late message brings one back", [&] {
+    section("no late event makes a cancelled task pending again", [&] {
         fixture.subject.taskReleased(placed[0].task, placed[0].worker, fixture.now);
         fixture.subject.taskFailed(placed[1].task, placed[1].worker, "killed", fixture.now);
         fixture.subject.placementSettled(placed[2].task, placed[2].worker,
@@ -614,16 +617,16 @@
         check(next.size() == 1 && next[0].task.jobId == "other");
         check(fixture.subject.pendingTaskCount() == 0);
     });
-    section("the same name, submitted anew, runs", [&] {
+    section("a job submitted again under the same name runs", [&] {
         fixture.subject.reopenJob("season");
         fixture.submit(batchTask("season", 9'000, {1'000, Gigabyte, 0}));
         check(fixture.planAndRun().size() == 1);
     });
 }
 
-// A task uses more memory than it declared. Its reservation is raised while there is headroom, new
-// tasks no longer get that room, and when the worker has none left one batch task goes by policy
-// instead of a random one by the kernel.
+// A task uses more memory than it declared. Its reservation is raised while there is headroom, and
+// new tasks no longer get that capacity. When the worker has none left, one batch task is evicted
+// by policy instead of an arbitrary one being killed by the kernel.
 Test(placer, memoryGrowth)
 {
     placer_fixture fixture(1);
@@ -638,12 +641,12 @@
                 {{"tickets", 0}, "w0", {500, gigabytes * Gigabyte, 0}, fixture.now}, fixture.now);
         fixture.plan();
     };
-    section("the raise is told to the worker", [&] {
+    section("the raise is sent to the worker", [&] {
         grows(24);
         require(fixture.actionsOf<raise_action>().size() == 1);
         check(fixture.actionsOf<raise_action>()[0].reserved.bytes == 288 * Gigabyte / 10);
     });
-    section("without room one low task is evicted, once", [&] {
+    section("without free capacity one task of low priority is evicted, once", [&] {
         grows(33);
         const auto victims = fixture.actionsOf<preempt_action>();
         require(victims.size() == 1);
@@ -653,13 +656,13 @@
         fixture.plan();
         check(fixture.actions.empty());
     });
-    section("the raise follows when it is gone", [&] {
+    section("the raise is granted when that task is gone", [&] {
         fixture.subject.taskReleased(low.ref(), "w0", fixture.now);
         fixture.plan();
         check(fixture.actionsOf<raise_action>().size() == 1);
         check(fixture.subject.ledgerOf("w0")->reserved().bytes == 556 * Gigabyte / 10);
     });
-    section("it does not come back to the worker that evicted it, for a while", [&] {
+    section("it does not return to the worker that evicted it for two minutes", [&] {
         fixture.subject.taskEnded({"low", (low.taskIndex + 1) % 3}, "w0", fixture.now);
         fixture.plan();
         check(fixture.actions.empty());
@@ -668,9 +671,10 @@
     });
 }
 
-// Batch fills the workers and more waits. What is placed ahead must start in the room that an end
-// leaves, also while the table is down and nothing new can be written, and never beyond the
-// worker's size or the team's quota; a backlog must not keep a task from room elsewhere.
+// Batch tasks fill the workers and more are pending. A task in a backlog must start in the capacity
+// that an ended task frees, even while the table is unavailable and no new placement can be stored,
+// but never beyond the worker's size or the team's quota. A backlog must not keep a task from free
+// capacity on another worker.
 Test(placer, backlog)
 {
     placer_fixture fixture(1);
@@ -693,28 +697,28 @@
     check(fixture.planAndRun().size() == 4);
     check(fillBacklog(2).assigned.size() == 2);
     check(fillBacklog(2).assigned.empty());
-    section("one end lets one of them start, no more", [&] {
+    section("when one task ends, exactly one starts", [&] {
         check(startedInOutage() == 0);
         end(0, "w0");
         check(startedInOutage() == 1);
         check(startedInOutage() == 0);
         check(fixture.subject.ledgerOf("w0")->reserved().millicores == WorkerSize.millicores);
     });
-    section("the team's quota holds for the other one", [&] {
+    section("the other one has to wait for the team's quota", [&] {
         fixture.subject.setTeam({"clubs", 1, {12'000, 0, 0}});
         end(1, "w0");
         check(startedInOutage() == 0);
         fixture.subject.setTeam({"clubs", 1, {}});
         check(startedInOutage() == 1);
     });
-    section("a worker that appears gets what waited behind another one", [&] {
+    section("a new worker gets the tasks from the other one's backlog", [&] {
         check(fillBacklog(2).assigned.size() == 2);
         fixture.subject.addWorker(placer_fixture::workerInfo(1), fixture.now);
         check(fillBacklog(2).withdrawn.empty());
         fixture.now += seconds(3);
         const auto back = fillBacklog(2).withdrawn;
         check(back.size() == 2);
-        check(startedInOutage() == 0); // on their way back
+        check(startedInOutage() == 0); // their withdrawal is in progress
         for (const auto &each : back)
             fixture.subject.taskReleased(each.task, each.worker, fixture.now);
         const auto placed = fixture.planAndRun();
@@ -722,9 +726,9 @@
     });
 }
 
-// After a change of owner it is not known which tasks of a backlog the last owner let start.
-// Counted as placed they fill their worker beyond its size: none may start until the sum fits, and
-// one that turns out to wait gives its room back.
+// After a takeover it is unknown which tasks of a backlog the previous owner started. Counted as
+// placed, they exceed their worker's size: none may start until the sum fits, and one that turns
+// out to be in the backlog releases its reservation.
 Test(placer, backlogOfAnEarlierOwner)
 {
     placer_fixture fixture(1);
@@ -742,10 +746,10 @@
     check(fixture.subject.backlogLengthOf("w0") == 0);
 }
 
-// One task outgrows its size on a worker whose others reserved far more than they use. Operators
-// would see batch work evicted although memory is free; and a wave of such tasks, a wave of
-// evictions. The raise is owed and keeps new tasks away; only when what is used comes near the
-// worker's memory does one task go, before the kernel picks one.
+// One task outgrows its size on a worker whose other tasks reserved far more than they use. Batch
+// tasks must not be evicted while memory is free, or a wave of growing tasks would cause a wave of
+// evictions. The deferred raise keeps new tasks away; one task is evicted only when the memory in
+// use comes near the worker's size, before the kernel kills one.
 Test(placer, evictsForMemoryInUse)
 {
     placer_fixture fixture(1);
@@ -761,14 +765,14 @@
     uses({"season", 0}, 5);
     uses({"season", 1}, 5);
     uses({"grows", 0}, 12);
-    section("the raise is owed, nothing is evicted, and no new task gets the room", [&] {
+    section("the raise is deferred, nothing is evicted, and no new task gets the capacity", [&] {
         check(fixture.subject.ledgerOf("w0")->deferred().bytes > 0);
         check(fixture.subject.stats().preemptedForMemory == 0);
         fixture.submit(batchTask("other", 0, {1'000, 2 * Gigabyte, 0}));
         fixture.plan();
         check(fixture.actionsOf<place_action>().empty());
     });
-    section("memory in use comes near the worker's size: one task goes", [&] {
+    section("memory in use comes near the worker's size: one task is evicted", [&] {
         uses({"season", 0}, 22);
         uses({"season", 1}, 22);
         check(fixture.subject.stats().preemptedForMemory == 1);
@@ -777,7 +781,7 @@
     });
 }
 
-// Samples come twice, and a class learns to need more than any worker has.
+// Samples are duplicated, and a class learns to need more than any worker has.
 Test(placer, samples)
 {
     placer_fixture fixture(1);
@@ -787,12 +791,12 @@
         fixture.subject.usageSampled(
                 {{"season", index}, "w0", {1, gigabytes * Gigabyte, 0}, fixture.now}, fixture.now);
     };
-    section("a doubled sample counts once", [&] {
+    section("a duplicated sample counts once", [&] {
         sample(0, 20);
         sample(0, 20);
         check(fixture.subject.stats().droppedSamples == 1);
     });
-    section("one that an earlier attempt left behind says nothing of this one", [&] {
+    section("a sample of an earlier attempt does not count for this one", [&] {
         fixture.subject.taskReleased({"season", 0}, "w0", fixture.now);
         fixture.now += seconds(10);
         require(fixture.planAndRun().size() == 1);
@@ -803,7 +807,7 @@
         fixture.plan();
         check(fixture.actionsOf<raise_action>().empty());
     });
-    section("learning never makes impossible what may run as declared", [&] {
+    section("learning never prevents a task from running that could run as declared", [&] {
         for (int index = 1; index < 10; ++index) {
             fixture.subject.taskEnded({"season", index - 1}, "w0", fixture.now);
             fixture.submit(batchTask("season", index, {1'000, 30 * Gigabyte, 0}));
@@ -815,8 +819,8 @@
     });
 }
 
-// The samples of a worker are 40 s late. After the first throttling all that arrive for a while
-// still show the time before it; acting on them would throttle again and again for the same noise.
+// The samples of a worker arrive 40 s late. For a while after the first throttling they still show
+// the time before it; acting on them would throttle repeatedly for the same interference.
 Test(placer, lateSamplesCallForOneAction)
 {
     placer_settings settings;
@@ -834,7 +838,7 @@
         fixture.now += seconds(1);
         const bool isNoisy = fixture.now - seconds(40) <= changed;
         fixture.reportLatency(service, isNoisy ? 8.0 : 2.5, seconds(40));
-        fixture.reportLatency(service, isNoisy ? 8.0 : 2.5, seconds(40)); // and twice
+        fixture.reportLatency(service, isNoisy ? 8.0 : 2.5, seconds(40)); // a duplicate
         fixture.plan();
         actions += static_cast<int>(fixture.actions.size());
         changed = actions == 1 ? std::min(changed, fixture.now) : changed;
@@ -846,14 +850,14 @@
     });
 }
 
-// Noisy batch arrives on every worker at once and every service is late. Relief must throttle
-// before it evicts, wait for the effect, and never evict more than the budget, or the wave of noise
-// becomes a wave of evictions with all its lost work.
+// Interfering batch tasks start on every worker at once and every service misses its target. Relief
+// must throttle before it evicts, wait for the effect, and never exceed the eviction budget, or the
+// wave of interference would cause a wave of evictions with the loss of their work.
 Test(placer, noisyWave)
 {
     placer_settings settings;
     settings.weights = {0.7, 0.2, 0.1};
-    settings.avoidInterference = false; // the wave is there already
+    settings.avoidInterference = false; // the interfering tasks must be placed beside the services
     placer_fixture fixture(12, settings);
     fixture.submit(serviceTask("tickets", 0, {4'000, Gigabyte, 0}), 12);
     const auto services = fixture.planAndRun();
@@ -861,7 +865,7 @@
     std::map<task_ref, std::pair<std::string, double>> noisy; // worker and processors
     for (const auto &placed : fixture.planAndRun())
         noisy[placed.task] = {placed.worker, 4.0};
-    double noise = 0.3; // log slowdown for each processor
+    double noise = 0.3; // log slowdown per processor
     int throttled = 0;
     int evicted = 0;
     std::map<std::string, time_point> lastAction;
@@ -892,18 +896,18 @@
         for (int index = 0; index < count * 30; ++index)
             step();
     };
-    section("every noisy task is throttled to its floor before any is evicted", [&] {
+    section("every noisy task is throttled to its lower bound before any is evicted", [&] {
         while (evicted == 0 && throttled < 72)
             step();
         check(throttled == 72 && evicted == 0);
         check(shortestPause >= seconds(20));
     });
-    section("then no more are evicted than the budget allows", [&] {
+    section("after that no more are evicted than the budget allows", [&] {
         minutes(20);
         check(evicted >= 3 && evicted <= 4);
         check(fixture.subject.stats().evictionsOverBudget > 0);
     });
-    section("calm gives the processors back, step by step", [&] {
+    section("without interference the limits are raised step by step", [&] {
         noise = 0;
         throttled = 0;
         minutes(1);
@@ -913,8 +917,8 @@
     });
 }
 
-// One of twelve workers fails everything it starts, within a second, so that it always has the most
-// room and attracts the next tasks.
+// One of twelve workers fails every task within a second, so it always has the most free capacity
+// and attracts the next tasks.
 Test(placer, workerThatFailsEverything)
 {
     placer_fixture fixture(12);
@@ -932,12 +936,12 @@
             fixture.subject.taskFailed(placed.task, placed.worker, "disk error", fixture.now);
         }
     }
-    section("it costs a few failures and single probes, and no job is quarantined", [&] {
+    section("it causes few failures and single probes, and no job is quarantined", [&] {
         check(failures >= 3 && failures <= 8);
         check(fixture.subject.stats().refusedQuarantined == 0);
         check(fixture.subject.pendingTaskCount() == 0);
     });
-    section("it is taken again when a probe succeeds", [&] {
+    section("it is used again after a successful probe", [&] {
         fixture.submit(batchTask("fill", 0, {4'000, 4 * Gigabyte, 0}), 100);
         for (int minute = 0; minute < 120; ++minute) {
             fixture.now += std::chrono::minutes(1);
@@ -964,7 +968,7 @@
         }
         reportedRefusals += static_cast<int>(fixture.actionsOf<refuse_action>().size());
     }
-    section("it is quarantined once it failed on three workers, and says so once", [&] {
+    section("it is quarantined after failures on three workers, and this is reported once", [&] {
         check(reportedRefusals == 1);
         check(failures <= 200);
         check(fixture.subject.pendingTaskCount() == 50); // none is lost
