--- a/app/await_reply.h
+++ b/app/await_reply.h
@@ -1,4 +1,5 @@
-// Asking a duty from an HTTP thread and waiting for its answer, with a bound.
+// Lets an HTTP thread send a request to a duty (a component with its own thread and queue) and wait
+// for the reply, with a time limit.
 #pragma once
 
 #include <future>
@@ -15,8 +16,9 @@
 
 using reply_promise = std::shared_ptr<std::promise<Json::Value>>;
 
-// `post` hands the promise to the duty's ring and says whether there was room. The answer's error
-// becomes the refusal of the call; no answer in time is refused as overloaded.
+// `post` puts the request with the reply promise into the duty's queue and returns whether there
+// was room. Throws rpc_refusal with the duty's error, or as overloaded if the queue is full or no
+// reply comes within 2 s.
 template <typename Post>
 Json::Value postAndAwaitReply(Post &&post)
 {
--- a/app/configuration_follower.cpp
+++ b/app/configuration_follower.cpp
@@ -33,7 +33,7 @@
 
 void configuration_follower::noteNewerVersion(std::int64_t version)
 {
-    m_watch.noteVersionElsewhere(version, suspendAwareNow());
+    m_tracker.noteVersionElsewhere(version, suspendAwareNow());
 }
 
 const queue_table *configuration_follower::queues() const
@@ -48,12 +48,12 @@
 
 bool configuration_follower::isConfirmed() const
 {
-    return m_watch.isConfirmed(suspendAwareNow());
+    return m_tracker.isConfirmed(suspendAwareNow());
 }
 
 configuration_freshness configuration_follower::freshness()
 {
-    const auto result = m_watch.freshness(suspendAwareNow());
+    const auto result = m_tracker.freshness(suspendAwareNow());
     const bool isOutdated = result == configuration_freshness::Outdated;
     if (isOutdated != std::exchange(m_wasOutdated, isOutdated))
         m_log.note(isOutdated ? "configuration_outdated" : "configuration_caught_up",
@@ -66,12 +66,12 @@
     const auto now = suspendAwareNow();
     if (answer.bytes > configuration_tracker::MaxEmptyAnswerBytes)
         m_answerBegunAt = now;
-    m_watch.noteAnswerStarted(answer.bytes, now);
+    m_tracker.noteAnswerStarted(answer.bytes, now);
 }
 
 void configuration_follower::handleProgress(const all_changes_applied &changes)
 {
-    m_watch.noteAnswerRead(changes.requestedAt);
+    m_tracker.noteAnswerRead(changes.requestedAt);
 }
 
 void configuration_follower::handleAllRead()
@@ -84,9 +84,9 @@
 void configuration_follower::applyZones(const std::vector<row> &rows)
 {
     std::vector<zone_row> zones;
-    for (const auto &one : rows) {
-        if (auto zone = platform_wire::evacuatedZone(one.name))
-            zones.push_back({std::move(*zone), one.removed});
+    for (const auto &changedRow : rows) {
+        if (auto zone = platform_wire::evacuatedZone(changedRow.name))
+            zones.push_back({std::move(*zone), changedRow.removed});
     }
     const auto before = m_evacuated.zones();
     m_evacuated.applyRows(zones);
@@ -100,31 +100,34 @@
                    {{"zones", fmt::format("{}", fmt::join(m_evacuated.zones(), " "))}});
 }
 
-// Only the newest row that can be read is worked through: one that is overtaken would hold up the
-// others, and callers meanwhile.
+// Applies only the newest readable configuration row. Parsing outdated versions as well would delay
+// the newest one, and callers meanwhile.
 void configuration_follower::applyConfigurationRows(const std::vector<row> &rows)
 {
     applyZones(rows);
-    for (auto one = rows.rbegin(); one != rows.rend(); ++one) {
-        if (one->name == platform_wire::ConfigurationRow && !one->removed && applyRow(*one))
+    for (auto newestFirst = rows.rbegin(); newestFirst != rows.rend(); ++newestFirst) {
+        if (newestFirst->name == platform_wire::ConfigurationRow && !newestFirst->removed
+            && applyRow(*newestFirst))
             return;
     }
 }
 
-// No: it can't be read.
+// False if the row can't be read.
 bool configuration_follower::applyRow(const row &row)
 {
     if (row.version > 0 && row.version <= m_rowVersion)
-        return true; // read before: all of the table is read anew when its history is gone
+        return true; // was read before: the whole table is read again when the store's history is
+                     // lost
     try {
         const auto startedAt = suspendAwareNow();
         queue_table next(platform_wire::configurationFrom(row.value));
         m_rowVersion = row.version;
-        // Never back: a request that one version allowed must not meet an older one.
+        // Never goes back to an older version: what one version allowed must not be refused by an
+        // older one.
         if (m_queues && next.version() <= m_queues->version())
             return true;
         m_queues.emplace(std::move(next));
-        m_watch.noteVersionApplied(m_queues->version());
+        m_tracker.noteVersionApplied(m_queues->version());
         logConfiguration(row.value.size(), startedAt);
         return true;
     } catch (const error &problem) {
--- a/app/configuration_follower.h
+++ b/app/configuration_follower.h
@@ -1,5 +1,6 @@
-// What operators put into the platform's store: the configuration that an entry works by, and
-// whether a newer one may be there; the zones that they empty.
+// Follows what operators write to the platform's store: the configuration that an entry uses, with
+// a judgement of whether a newer version may exist, and the availability zones that are being
+// evacuated.
 #pragma once
 
 #include <cstddef>
@@ -25,13 +26,14 @@
     configuration_follower(net::event_loop &loop, store_client &store, event_log &log);
 
     void start();
-    void noteNewerVersion(std::int64_t version); // another entry works by it
+    // Another entry uses this version.
+    void noteNewerVersion(std::int64_t version);
 
-    const jobs::queue_table *queues() const; // null: none was read yet
-    std::int64_t version() const;            // 0: none
-    bool isConfirmed() const;                // lately, as the newest
+    const jobs::queue_table *queues() const; // null before a configuration was read
+    std::int64_t version() const;            // 0 before a configuration was read
+    bool isConfirmed() const;                // was recently confirmed to be the newest
     const jobs::evacuated_zones &evacuatedZones() const { return m_evacuated; }
-    // Says in the log when the configuration becomes outdated, and when it no longer is.
+    // Also logs when the configuration has become outdated, and when it is up to date again.
     jobs::configuration_freshness freshness();
 
 private:
@@ -48,10 +50,10 @@
     table_follower m_follower;
     std::optional<jobs::queue_table> m_queues;
     jobs::evacuated_zones m_evacuated;
-    std::int64_t m_rowVersion = 0;             // the store's, of the row that was read last
-    std::optional<time_point> m_answerBegunAt; // when the last answer with changes began
-    jobs::configuration_tracker m_watch;
-    bool m_wasOutdated = false; // as last asked
+    std::int64_t m_rowVersion = 0;             // store version of the configuration row read last
+    std::optional<time_point> m_answerBegunAt; // when the last answer with changes began to arrive
+    jobs::configuration_tracker m_tracker;
+    bool m_wasOutdated = false; // at the last call of freshness()
 };
 
 } // namespace zinniabarrow
--- a/app/entry_directory.cpp
+++ b/app/entry_directory.cpp
@@ -11,7 +11,7 @@
     Json::Value value(Json::objectValue);
     value["incarnation"] = Json::Int64(row.incarnation);
     value["internal"] = row.internalAddress;
-    value["callers"] = row.callerAddress;
+    value["callers"] = row.callersAddress;
     return compactJson(value);
 }
 
@@ -111,10 +111,10 @@
     if (owner.entry == self.entry)
         return owner.incarnation == self.incarnation ? std::nullopt : std::optional(self.entry);
     if (isAlive(owner.entry, now)) {
-        // An entry that lives anew takes back what its earlier life owned.
+        // A restarted entry takes over the jobs of its own earlier incarnation.
         return std::nullopt;
     }
-    // Nobody is judged before there was time to hear of everybody.
+    // After the start, no entry counts as dead before all of them had time to send a heartbeat.
     if (now - m_startedAt < HeartbeatTimeout)
         return std::nullopt;
     return preferredLiveEntry(job, now);
--- a/app/entry_directory.h
+++ b/app/entry_directory.h
@@ -1,4 +1,5 @@
-// The entries of the system: which there are, where, and which of them live.
+// The other entries of the system as one entry knows them: their addresses and whether they are
+// alive. Decides which of them takes over or places jobs.
 #pragma once
 
 #include <cstdint>
@@ -12,61 +13,68 @@
 
 namespace zinniabarrow {
 
-// An entry as its row in the platform's store tells it.
+// An entry's row in the platform's store.
 struct entry_row
 {
-    std::int64_t incarnation = 0; // rises with each life
-    std::string internalAddress;  // "ip:port" for the system's own processes
-    std::string callerAddress;    // "ip:port" for callers
+    std::int64_t incarnation = 0; // higher after each restart
+    std::string internalAddress;  // "ip:port" for zinniabarrow's own processes
+    std::string callersAddress;   // "ip:port" for callers
 };
 std::string toText(const entry_row &row);
 entry_row entryRowFrom(const std::string &text); // throws error BadRequest
 
+// What is known of another entry.
 struct known_entry
 {
     entry_row row;
     time_point lastHeartbeatAt{};
-    bool isLeaving = false; // a planned stop: its jobs go to others at once
+    bool isLeaving = false; // is shutting down gracefully: other entries take over its jobs at once
 };
 
 class entry_directory
 {
 public:
-    // An entry that is silent for longer is taken as gone: its jobs go to others. A false alarm
-    // costs a write a job, since rows change owner only under a condition; three calls in a row
-    // have to fail.
+    // An entry without a heartbeat for this long counts as dead, and other entries take over its
+    // jobs. The limit is long enough that three pings in a row have to fail. A false alarm is safe
+    // and costs one write per job, because the owner of a row changes only by a conditional write.
     static constexpr milliseconds HeartbeatTimeout{1600};
 
+    // `self`: the name of the entry that keeps this directory.
     explicit entry_directory(std::string self, time_point startedAt);
 
+    // Applies an entry's row from the store or from a ping. Rows of earlier incarnations are
+    // ignored.
     void updateRow(const std::string &entry, const entry_row &row);
+    // Applies a ping or the answer to one. Ignored for unknown entries and earlier incarnations.
     void recordHeartbeat(const std::string &entry, std::int64_t incarnation, bool leaving,
                          time_point now);
     void removeEntry(const std::string &entry);
 
     const known_entry *find(const std::string &entry) const;
     const std::map<std::string, known_entry> &entries() const { return m_entries; }
+    // Alive: heard from within HeartbeatTimeout and not leaving. False for unknown entries.
     bool isAlive(const std::string &entry, time_point now) const;
-    std::vector<std::string>
-    liveInternalAddresses(time_point now) const; // internal addresses, live ones
-    // Living entries other than this one, in an order that differs by key: who passes work on
-    // spreads it so.
+    std::vector<std::string> liveInternalAddresses(time_point now) const;
+    // The live entries except this one, in an order that depends on the key, so that forwarded work
+    // is spread over all of them.
     std::vector<std::string> liveEntriesFor(const std::string &key, time_point now) const;
-    // The entry that places what all entries should place as one; the same at all of them as long
-    // as they agree on who lives.
+    // The one entry that places all long-running tasks of a service. All entries choose the same
+    // one while they agree on which entries are alive.
     std::string placerOf(const std::string &service, time_point now) const;
-    // The entry that should take over a job of `owner`; none: the owner lives.
+    // The entry that should take over a job of `owner`. None if the owner is alive, or if this
+    // entry has not run long enough to judge that.
     std::optional<std::string> successorOf(const std::string &job, const jobs::owner_id &owner,
                                            const jobs::owner_id &self, time_point now) const;
 
 private:
     std::vector<std::string> liveEntries(time_point now) const;
-    // The same at all entries that agree on who lives.
+    // The live entry, this one included, that ranks first for the key. The same at all entries that
+    // agree on which entries are alive.
     std::string preferredLiveEntry(const std::string &key, time_point now) const;
 
     std::string m_self;
     time_point m_startedAt;
-    std::map<std::string, known_entry> m_entries; // without itself
+    std::map<std::string, known_entry> m_entries; // without this entry itself
 };
 
 } // namespace zinniabarrow
--- a/app/entry_pings.h
+++ b/app/entry_pings.h
@@ -1,5 +1,5 @@
-// The entries tell each other that they live, whether they leave, and which configuration they work
-// by.
+// Heartbeats between entries. Each ping and each answer carries the sender's row, whether it is
+// shutting down, and the version of the configuration that it uses.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace zinniabarrow {
 
-// What an entry consists of, as far as its pings need it; all of it outlives them.
+// The parts of an entry that entry_pings uses. All of them must outlive it.
 struct entry_pings_dependencies
 {
     net::http_caller &caller;
@@ -27,9 +27,10 @@
     entry_pings(std::string self, const entry_pings_dependencies &dependencies,
                 std::function<bool()> isLeaving);
 
-    void setOwnRow(const entry_row &ownRow) { m_ownRow = ownRow; } // this life of the entry
+    // The row of this incarnation of the entry, to be sent in pings.
+    void setOwnRow(const entry_row &ownRow) { m_ownRow = ownRow; }
     void pingAll();
-    // Another entry's ping, and what it is answered. Throws error BadRequest.
+    // Applies another entry's ping and returns the body of the answer. Throws error BadRequest.
     std::string handlePing(const std::string &ping);
 
 private:
--- a/app/entry_registration.cpp
+++ b/app/entry_registration.cpp
@@ -45,8 +45,8 @@
     const auto name = entryRowName(m_settings.id);
     m_store.commit({{{name, version}}, {{name, toText(ownRow), 0, false}}, {}},
                    [this, ownRow](const store_client::commit_outcome &outcome) {
-                       // Also when an earlier try took effect: one more incarnation does no
-                       // harm, one used twice would.
+                       // Starts over also if an earlier try may have taken effect: skipping an
+                       // incarnation is harmless, using one twice is not.
                        if (!std::holds_alternative<committed>(outcome))
                            return registerEntry();
                        m_onRegistered(ownRow);
--- a/app/entry_registration.h
+++ b/app/entry_registration.h
@@ -1,4 +1,5 @@
-// Begins a life of an entry: one incarnation more than the last, written before anything is owned.
+// Registers an entry in the platform's store when it starts: writes its row with the next higher
+// incarnation number. The entry may own jobs only after that.
 #pragma once
 
 #include <functional>
@@ -13,12 +14,13 @@
 class entry_registration
 {
 public:
-    using registered_callback = std::function<void(const entry_row &mine)>;
+    using registered_callback = std::function<void(const entry_row &ownRow)>;
 
     entry_registration(net::event_loop &loop, store_client &store,
                        const job_entry_settings &settings, registered_callback callback);
 
-    // Goes on until the store has taken the incarnation, whatever is lost meanwhile.
+    // Retries until the store has accepted the new incarnation, then calls the callback with the
+    // entry's row.
     void registerEntry();
 
 private:
--- a/app/header_names.h
+++ b/app/header_names.h
@@ -1,4 +1,4 @@
-// The headers by which entries and agents speak about a request.
+// Names of the HTTP headers that zinniabarrow's processes use for request metadata.
 #pragma once
 
 #include <string>
@@ -7,19 +7,24 @@
 
 namespace zinniabarrow {
 
-// Headers between caller, entry, agent and upstream.
-constexpr const char *RequestIdHeader = "Zb-Request-Id"; // echoed, so that an answer is matched
+// Headers exchanged between caller, entry, agent and upstream.
+constexpr const char *RequestIdHeader =
+        "Zb-Request-Id"; // echoed in the answer to match it with its request
 constexpr const char *AttemptHeader = "Zb-Attempt";
-constexpr const char *IncarnationHeader = "Zb-Incarnation"; // of the agent that is meant
-constexpr const char *EndedHeader = "Zb-Ended";             // the attempt is not running any more
+constexpr const char *IncarnationHeader =
+        "Zb-Incarnation";                       // of the agent that the request is meant for
+constexpr const char *EndedHeader = "Zb-Ended"; // set when the attempt no longer runs
 constexpr const char *ServiceHeader = "Zb-Service";
 constexpr const char *TeamHeader = "Zb-Team";
-constexpr const char *DeadlineHeader = "Zb-Deadline-Ms"; // time that remains when it is sent
-constexpr const char *ReplayedHeader = "Zb-Replayed";    // answer kept from the first run
-constexpr const char *LoadHeader = "Zb-Load";            // the agent's load: running,waiting
+constexpr const char *DeadlineHeader =
+        "Zb-Deadline-Ms"; // time left when the request is sent, in ms
+constexpr const char *ReplayedHeader =
+        "Zb-Replayed";                        // the answer was kept from the first execution
+constexpr const char *LoadHeader = "Zb-Load"; // the agent's load, as "running,waiting"
 constexpr const char *KeyHeader = "Idempotency-Key";
 
-// Names that only zinniabarrow sets: dropped from what a caller sends and what an upstream answers.
+// Whether only zinniabarrow may set this header. Such headers are removed from callers' requests
+// and upstreams' answers.
 bool isReservedHeader(const std::string &name);
 
 } // namespace zinniabarrow
--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -30,19 +30,19 @@
 
 namespace {
 
-constexpr milliseconds PollWait{1000};       // the worker answers a look earlier when a run ends
-constexpr milliseconds ServingPollWait{250}; // latencies are measured over half a second
-constexpr milliseconds PollTimeout{700};     // beyond the wait; a worker answers within a few ms
+constexpr milliseconds PollWait{1000};       // the worker answers a poll earlier if a run ends
+constexpr milliseconds ServingPollWait{250}; // latencies are measured over 0.5 s
+constexpr milliseconds PollTimeout{700}; // in addition to the wait; a worker answers in a few ms
 constexpr milliseconds PollRetryDelay{150};
-constexpr milliseconds UnacknowledgedPollDelay{
-        40}; // while ends are not acknowledged: a look returns at once
+// While ends of runs are not acknowledged, the worker answers each poll at once.
+constexpr milliseconds UnacknowledgedPollDelay{40};
 constexpr milliseconds ReportInterval{1000};
 constexpr milliseconds ActionInterval{100};
-constexpr milliseconds StopMargin{150}; // beyond the time that the worker needs for a stop
-constexpr milliseconds CancelsBatchDelay{
-        1000}; // joins cancels into one answer; they hold within 3 s
+constexpr milliseconds StopMargin{150}; // in addition to the worker's stop timeout
+// Lets one answer of the store contain many cancellations; they have to take effect within 3 s.
+constexpr milliseconds CancelsBatchDelay{1000};
 constexpr milliseconds LogFlushInterval{100};
-constexpr milliseconds FinishLimit{300}; // the last write takes some 15 ms
+constexpr milliseconds FinishLimit{300}; // the final write of the lease takes about 15 ms
 constexpr milliseconds HandOverLimit{5000};
 constexpr shutdown_poll_intervals ShutdownIntervals{milliseconds(150), milliseconds(10)};
 constexpr shutdown_limits ShutdownLimits{HandOverLimit, FinishLimit, HandOverLimit + FinishLimit,
@@ -89,7 +89,7 @@
         m_loop.every(ActionInterval, [this] { executeDueActions(); });
         m_loop.every(ReportInterval, [this] { m_reportSender.sendPeriodicReports(); });
         m_loop.every(LeaseRenewInterval,
-                     [this] { m_leaseKeeper.renew(m_silence.heldUntilIfSilent()); });
+                     [this] { m_leaseKeeper.renew(m_workerLiveness.heldUntilIfSilent()); });
         m_entriesFollower.start();
         m_cancelsFollower.start();
         m_leaseKeeper.acquire("process_start");
@@ -97,15 +97,17 @@
             m_metrics.count("callbacks_failed_total", "exception");
             m_log.note("callback_failed", {{"why", problem.what()}});
         });
-        m_log.noteAlways("stopped", {{"epoch", m_runTable.epoch()},
-                                     {"runs", m_runTable.activeRunCount()},
-                                     {"worker", m_worker.isPresent() ? "present" : "absent"},
-                                     {"lease_write_out", lease().isWritePending() ? "yes" : "no"}});
+        m_log.noteAlways("stopped",
+                         {{"epoch", m_runTable.epoch()},
+                          {"runs", m_runTable.activeRunCount()},
+                          {"worker", m_workerPresence.isPresent() ? "present" : "absent"},
+                          {"lease_write_out", lease().isWritePending() ? "yes" : "no"}});
         m_log.flush();
     }
 
 private:
-    // A step's starts go out together, and each new connection to a worker costs it time.
+    // All tasks of a job's step are started at the same time, and each new connection costs the
+    // worker time, so many idle connections are kept.
     static net::caller_limits callerLimits()
     {
         net::caller_limits limits;
@@ -115,8 +117,8 @@
 
     report_sender_dependencies reportSenderDependencies()
     {
-        return {m_settings, m_caller, m_leaseKeeper, m_worker,
-                m_runTable, m_pacer,  m_metrics,     m_log};
+        return {m_settings,           m_caller,  m_leaseKeeper, m_workerPresence, m_runTable,
+                m_throttleController, m_metrics, m_log};
     }
 
     worker_calls_dependencies workerCallsDependencies()
@@ -124,11 +126,11 @@
         return {m_settings.workerAddress,
                 m_caller,
                 m_leaseKeeper,
-                m_worker,
+                m_workerPresence,
                 m_workerClock,
-                m_silence,
+                m_workerLiveness,
                 m_runTable,
-                m_pacer,
+                m_throttleController,
                 m_metrics,
                 m_log};
     }
@@ -150,26 +152,27 @@
         if (settled.isNew) {
             m_reportSender.startEpochAnnouncement(now);
             if (lease().isSettled())
-                m_silence.noteNewEpoch(now);
+                m_workerLiveness.noteNewEpoch(now);
         } else {
-            // A run that an earlier life of this agent told to stop is in neither list until it
-            // has ended, and takes room all the while.
-            m_startsAllowedFrom = now + m_settings.stopTimeout + StopMargin;
+            // A run that an earlier incarnation of this agent told to stop appears in neither of
+            // the worker's lists until it has ended, but occupies resources until then. So nothing
+            // is started before it must have ended.
+            m_startsAllowedAt = now + m_settings.stopTimeout + StopMargin;
         }
         m_reportSender.sendReports();
     }
 
-    // Nothing of any earlier epoch runs any more: what was placed here may go elsewhere.
+    // No run of any earlier epoch is left: tasks that were placed here may be placed elsewhere.
     void noteAllRunsEnded(const std::string &nextIncarnation)
     {
         m_runTable.clearRuns();
-        m_silence.clearHold();
+        m_workerLiveness.clearHold();
         m_leaseKeeper.noteAllRunsEnded(nextIncarnation);
     }
 
     const worker_lease &lease() const { return m_leaseKeeper.lease(); }
 
-    // --- Looking at the worker.
+    // --- Polling the worker.
 
     void pollWorker()
     {
@@ -178,19 +181,21 @@
         m_isPolling = true;
         const auto now = suspendAwareNow();
         std::optional<std::int64_t> deadline;
-        // A worker that answers nothing is only looked at: each call that may have reached it would
-        // put off the time from which all that it runs has ended for certain.
-        if (m_workerClock.isKnown() && now < lease().validUntil() && m_silence.isResponsive(now)) {
+        // A worker that does not answer is polled without a deadline that extends its runs: each
+        // extending call that may have reached it would postpone the time at which all its runs
+        // have certainly ended.
+        if (m_workerClock.isKnown() && now < lease().validUntil()
+            && m_workerLiveness.isResponsive(now)) {
             const auto until = std::min<time_point>(lease().validUntil(), now + HoldDuration);
             deadline = m_workerClock.millisecondsAt(until);
-            m_silence.noteHold(until);
+            m_workerLiveness.noteHold(until);
         }
-        // Without a clock to count from, the first look only reads it.
+        // While the worker's clock is unknown, the poll returns at once and only reads the clock.
         const auto maxWait = m_runTable.servingSamples().empty() ? PollWait : ServingPollWait;
         const auto wait = m_workerClock.isKnown() ? millisecondsIn(maxWait) : 0;
-        auto request = platform_wire::holdRequest(m_worker.id(), deadline, lease().fence(),
+        auto request = platform_wire::holdRequest(m_workerPresence.id(), deadline, lease().fence(),
                                                   m_runTable.acknowledgedThrough(), wait);
-        if (m_worker.id().empty())
+        if (m_workerPresence.id().empty())
             request.headers.clear();
         m_caller.call(m_settings.workerAddress, std::move(request),
                       milliseconds(wait) + PollTimeout,
@@ -203,26 +208,27 @@
     void handlePollResult(const call_result &result, std::int64_t fence, time_point sentAt)
     {
         if (!lease().holdsFence())
-            return; // looks again once it does
+            return; // polling resumes when the fence is acquired
         if (fence != lease().fence())
-            return pollWorker(); // asked before the present fence was taken
+            return pollWorker(); // sent with an earlier fence
         const auto now = suspendAwareNow();
         const auto holdAnswer = platform_wire::holdResult(result);
         logAnswering(holdAnswer.has_value(), result);
-        const bool isAnsweringAgain = holdAnswer && m_silence.heldUntilIfSilent();
-        m_silence.notePoll(holdAnswer.has_value(), now);
+        const bool isAnsweringAgain = holdAnswer && m_workerLiveness.heldUntilIfSilent();
+        m_workerLiveness.notePoll(holdAnswer.has_value(), now);
+        // Renewals during the silence only covered what had been granted before.
         if (isAnsweringAgain)
-            m_leaseKeeper.renew(); // the last renewals were for what had been held
+            m_leaseKeeper.renew();
         if (!holdAnswer) {
             if (platform_wire::isOtherLife(result))
                 return handleIncarnationEnd("other_life");
             const auto *failure = std::get_if<call_failure>(&result);
-            if (failure != nullptr && m_worker.confirmsDeparture(*failure))
+            if (failure != nullptr && m_workerPresence.confirmsDeparture(*failure))
                 handleDepartureConfirmed();
             checkSilence(now);
             return m_loop.after(PollRetryDelay, [this] { pollWorker(); });
         }
-        const auto pollOutcome = m_worker.handleAnswer(holdAnswer->bornMs, sentAt);
+        const auto pollOutcome = m_workerPresence.handleAnswer(holdAnswer->bornMs, sentAt);
         if (pollOutcome == worker_presence::poll_result::NewIncarnation)
             return handleIncarnationEnd("born_anew");
         if (pollOutcome == worker_presence::poll_result::DepartureRefuted)
@@ -240,48 +246,51 @@
             pollWorker();
     }
 
-    // One line when looks begin to fail and one when they are answered again.
+    // Logs once when polls begin to fail and once when they are answered again.
     void logAnswering(bool isAnswered, const call_result &result)
     {
-        if (isAnswered == m_silence.lastPollAnswered())
+        if (isAnswered == m_workerLiveness.lastPollAnswered())
             return;
         if (isAnswered)
-            return m_log.note("worker_answers", {{"worker", m_worker.id()}});
+            return m_log.note("worker_answers", {{"worker", m_workerPresence.id()}});
         const auto *failure = std::get_if<call_failure>(&result);
-        m_log.note("worker_unanswering", {{"worker", m_worker.id()},
+        m_log.note("worker_unanswering", {{"worker", m_workerPresence.id()},
                                           {"why", failure ? nameOf(*failure) : "refused"},
                                           {"runs", m_runTable.activeRunCount()}});
     }
 
-    // With a new fence: the same life as the lease's row tells keeps its runs; in another one, or
-    // after a watcher ended the epoch, all that runs is stopped before the new epoch begins.
+    // After a new fence was acquired: if the worker's incarnation is the one in the lease row, its
+    // runs are kept. If it is another one, or a watcher has ended the epoch, all runs are stopped
+    // before the new epoch begins.
     void settleEpoch(time_point now)
     {
-        if (!m_worker.isIncarnationKnown())
+        if (!m_workerPresence.isIncarnationKnown())
             return;
-        if (m_leaseKeeper.observeWorker(m_worker.incarnationName(), m_runTable.activeRunCount()))
+        if (m_leaseKeeper.observeWorker(m_workerPresence.incarnationName(),
+                                        m_runTable.activeRunCount()))
             m_runTable.stopAll(now);
     }
 
     void handleIncarnationEnd(const char *reason)
     {
-        m_log.note("worker_life_ended", {{"why", reason}, {"worker", m_worker.id()}});
+        m_log.note("worker_life_ended", {{"why", reason}, {"worker", m_workerPresence.id()}});
         m_metrics.count("worker_lives_ended_total", reason);
         m_runTable.clearRuns();
         m_workerClock.reset();
-        m_silence.noteNewIncarnation(suspendAwareNow());
+        m_workerLiveness.noteNewIncarnation(suspendAwareNow());
         m_leaseKeeper.acquire(reason);
     }
 
-    // A worker that answers nothing ends all it runs when the last lease that it was given is over.
+    // A worker that does not answer ends all its runs when the time that it was last granted is
+    // over. From then on they count as ended.
     void checkSilence(time_point now)
     {
-        if (!m_silence.hasNothingRunning(now)
+        if (!m_workerLiveness.hasNothingRunning(now)
             || (lease().isSettled() && m_runTable.activeRunCount() == 0))
             return;
         m_log.note("worker_silent", {{"runs", m_runTable.activeRunCount()}});
         m_metrics.count("worker_lives_ended_total", "silent");
-        noteAllRunsEnded(m_worker.incarnationName());
+        noteAllRunsEnded(m_workerPresence.incarnationName());
     }
 
     // --- The worker's announcements.
@@ -290,12 +299,12 @@
     {
         if (const auto departedId = platform_wire::departureFrom(request)) {
             respond({200, {}, ""});
-            if (m_worker.handleDeparture(*departedId, suspendAwareNow()))
-                m_log.note("worker_departed", {{"worker", m_worker.id()}});
+            if (m_workerPresence.handleDeparture(*departedId, suspendAwareNow()))
+                m_log.note("worker_departed", {{"worker", m_workerPresence.id()}});
             return;
         }
         const auto announcement = platform_wire::announcementFrom(request);
-        // What can't be read names no worker to use, and the answer tells its sender so.
+        // An announcement that can't be parsed is rejected with 400.
         if (!announcement)
             return respond({400, {}, R"({"error":"bad_request"})"});
         respond({200, {}, ""});
@@ -305,7 +314,7 @@
 
     void handleAnnouncement(const worker_announcement &announcement)
     {
-        switch (m_worker.handleAnnouncement(announcement)) {
+        switch (m_workerPresence.handleAnnouncement(announcement)) {
         case worker_presence::change::None:
             break;
         case worker_presence::change::NewIncarnation:
@@ -321,34 +330,35 @@
 
     void handleDepartureRefuted()
     {
-        m_log.note("worker_stayed", {{"worker", m_worker.id()}});
+        m_log.note("worker_stayed", {{"worker", m_workerPresence.id()}});
         m_reportSender.sendReports();
     }
 
     void handleDepartureConfirmed()
     {
-        // What is known of the lease tells whether the end of the epoch can be written at once.
-        m_log.note("worker_gone", {{"worker", m_worker.id()},
+        // The state of the lease is logged because it decides whether the end of the epoch can be
+        // written at once.
+        m_log.note("worker_gone", {{"worker", m_workerPresence.id()},
                                    {"runs", m_runTable.activeRunCount()},
                                    {"lease_write_out", lease().isWritePending() ? "yes" : "no"},
                                    {"lease", lease().holdsFence() ? "held" : "sought"}});
         m_workerClock.reset();
-        noteAllRunsEnded(
-                ""); // and looks go on: a worker that lives anew may tell so in no other way
+        // Polling goes on, because it may be the only way to notice a new incarnation of the
+        // worker.
+        noteAllRunsEnded("");
     }
 
     start_readiness readiness() const
     {
         const auto now = suspendAwareNow();
-        const bool holdsLease = m_areCancelsRead && now >= m_startsAllowedFrom
-                                && lease().isSettled() && m_workerClock.isKnown()
-                                && now < lease().validUntil();
-        return readinessOf({m_worker.isPresent(), m_worker.isLeaving(), holdsLease,
+        const bool holdsLease = m_areCancelsRead && now >= m_startsAllowedAt && lease().isSettled()
+                                && m_workerClock.isKnown() && now < lease().validUntil();
+        return readinessOf({m_workerPresence.isPresent(), m_workerPresence.isLeaving(), holdsLease,
                             m_reportSender.isZoneEvacuated(now)},
-                           m_silence, now);
+                           m_workerLiveness, now);
     }
 
-    // --- Orders of entries.
+    // --- Orders from entries.
 
     void serveInternal(http_request request, responder respond)
     {
@@ -356,7 +366,7 @@
         if (path == "/metrics")
             return respond({200, {{"Content-Type", "text/plain"}}, m_metrics.text()});
         if (path.starts_with(StoreRelayPath) && m_shutdown.hasGivenUp())
-            return respond({503, {}, ""}); // nothing was done
+            return respond({503, {}, ""}); // 503: the call was not executed
         if (path.starts_with(StoreRelayPath))
             return m_store.relay(std::move(request), std::move(respond));
         if (path != "/v1/orders")
@@ -373,7 +383,7 @@
     std::string acceptOrders(const order_batch &batch)
     {
         const auto now = suspendAwareNow();
-        m_runTable.setWorker(m_worker.lastAnnouncement().capacity, readiness());
+        m_runTable.setWorker(m_workerPresence.lastAnnouncement().capacity, readiness());
         std::vector<order_answer> answers;
         for (const auto &order : batch.orders) {
             answers.push_back(m_runTable.handleOrder(order, batch.owner, now));
@@ -388,36 +398,37 @@
         return toText(answers);
     }
 
-    // Carries out what is due, and tells ends that are news.
+    // Executes the run table's due actions, and reports if there are new ends of runs.
     void executeDueActions()
     {
         const auto now = suspendAwareNow();
-        // A worker that answers nothing is not told to start anything: each such call would put off
-        // the time from which all that it runs has ended for certain.
+        // Nothing is started on a worker that does not answer: each such call would postpone the
+        // time at which all its runs have certainly ended.
         const bool canStart = now < lease().validUntil() && m_workerClock.isKnown()
-                              && m_silence.isResponsive(now);
+                              && m_workerLiveness.isResponsive(now);
         for (const auto &action : m_runTable.takeDueActions(now, canStart))
-            std::visit([this](const auto &one) { m_workerCalls.execute(one); }, action);
+            std::visit([this](const auto &typedAction) { m_workerCalls.execute(typedAction); },
+                       action);
         if (std::exchange(m_endsReported, m_runTable.newEndCount()) != m_runTable.newEndCount())
             m_reportSender.sendReports();
     }
 
-    // --- Cancelled jobs, as the store has them.
+    // --- Cancelled jobs, read from the store.
 
     void applyCancels(const std::vector<row> &rows)
     {
         const auto now = suspendAwareNow();
-        for (const auto &one : rows) {
-            if (one.removed)
-                continue; // the job is over for long
-            const int runs = m_runTable.cancelJob(one.name.key, now);
+        for (const auto &changedRow : rows) {
+            if (changedRow.removed)
+                continue; // the job ended long ago
+            const int runs = m_runTable.cancelJob(changedRow.name.key, now);
             if (runs > 0)
-                m_log.note("job_cancelled", {{"job", one.name.key}, {"runs", runs}});
+                m_log.note("job_cancelled", {{"job", changedRow.name.key}, {"runs", runs}});
         }
         executeDueActions();
     }
 
-    // --- Planned stop.
+    // --- Graceful shutdown.
 
     shutdown_driver::hooks shutdownHooks()
     {
@@ -427,9 +438,10 @@
 
     void beginShutdown()
     {
-        m_log.noteAlways("drain_started", {{"runs", m_runTable.activeRunCount()},
-                                           {"worker", m_worker.isLeaving() ? "leaving" : "staying"},
-                                           {"stays", hasToStay() ? "yes" : "no"}});
+        m_log.noteAlways("drain_started",
+                         {{"runs", m_runTable.activeRunCount()},
+                          {"worker", m_workerPresence.isLeaving() ? "leaving" : "staying"},
+                          {"stays", hasToStay() ? "yes" : "no"}});
         m_internalListener.announceClose();
         m_workerListener.announceClose();
     }
@@ -453,7 +465,7 @@
             m_workerListener.drain();
             break;
         case shutdown_step::GiveUp:
-            // Calls of the store that are relayed: they may have been carried out.
+            // Relayed calls to the store are open. 502: they may have been executed.
             m_internalListener.answerAll({502, {}, ""});
             break;
         case shutdown_step::HandOver:
@@ -462,21 +474,24 @@
         }
     }
 
-    // The row tells the end of what is held: an agent that never comes back keeps its worker's
-    // tasks from starting elsewhere for no longer. Its next life renews the lease.
+    // Renews the lease one last time, only up to the end of what the worker was granted. If the
+    // agent never comes back, its worker's tasks can then start elsewhere as soon as possible. If
+    // it does, its next incarnation renews the lease again.
     void sendFinalRenewal()
     {
-        const auto grantedUntil = m_silence.heldUntil();
+        const auto grantedUntil = m_workerLiveness.heldUntil();
         if (grantedUntil && !lease().isWritePending() && !std::exchange(m_isFinalRenewalSent, true))
             m_leaseKeeper.renew(grantedUntil);
     }
 
-    // The next life of an agent goes on with what runs. But a worker that leaves takes its agent's
-    // instance with it: nobody else will ever know that all that ran there has ended, and what was
-    // placed there would wait for the end of the lease.
+    // Normally an agent can exit at once, because its next incarnation goes on with the active
+    // runs. But when the worker leaves, the agent's instance ends with it. No other process would
+    // then learn that all runs there have ended, and the tasks that were placed there would have to
+    // wait until the lease expires. So the agent stays until the entries or the lease row have been
+    // told.
     bool hasToStay() const
     {
-        return m_worker.isGoingAway() || lease().hasUnwrittenEnd()
+        return m_workerPresence.isGoingAway() || lease().hasUnwrittenEnd()
                || m_reportSender.isEpochAnnouncementOpen(suspendAwareNow())
                || m_runTable.hasEndsOfGoneWorker();
     }
@@ -490,22 +505,22 @@
     table_follower m_entriesFollower;
     table_follower m_cancelsFollower;
     run_table m_runTable;
-    throttle_controller m_pacer;
+    throttle_controller m_throttleController;
 
-    worker_presence m_worker;
+    worker_presence m_workerPresence;
     worker_clock m_workerClock;
-    bool m_areCancelsRead = false; // an order that was held up may be of a job that was cancelled
+    bool m_areCancelsRead = false; // before that, a delayed order could start a cancelled job
     shutdown_driver m_shutdown;
-    bool m_isFinalRenewalSent = false; // the last renewal was sent
+    bool m_isFinalRenewalSent = false; // see sendFinalRenewal()
 
     lease_keeper m_leaseKeeper;
     report_sender m_reportSender;
-    worker_liveness m_silence{suspendAwareNow()};
+    worker_liveness m_workerLiveness{suspendAwareNow()};
     worker_calls m_workerCalls;
 
-    std::size_t m_endsReported = 0; // of `m_table.endsSeen()`
+    std::size_t m_endsReported = 0; // value of m_runTable.newEndCount() at the last report
 
-    time_point m_startsAllowedFrom{}; // nothing is started before
+    time_point m_startsAllowedAt{}; // no run is started before this time
     bool m_isPolling = false;
 
     net::http_listener m_internalListener;
--- a/app/job_agent.h
+++ b/app/job_agent.h
@@ -1,11 +1,12 @@
-// The daemon beside a worker: the only one that speaks to it, and the last check before anything is
-// started there.
+// The daemon that runs next to a worker. Only the agent calls the worker, and it makes the last
+// checks before a task is started there.
 #pragma once
 
 #include "app/job_settings.h"
 
 namespace zinniabarrow {
 
+// Runs until the process is told to stop. Returns the exit code.
 int runJobAgent(const job_agent_settings &settings);
 
 } // namespace zinniabarrow
--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -30,16 +30,20 @@
 
 namespace {
 
-constexpr milliseconds PlanInterval{100};   // beside each event: repeats of orders, tasks that wait
-constexpr milliseconds PingInterval{400};   // four pings within the time after which one is gone
-constexpr milliseconds JobsBatchDelay{250}; // joins the changes of many jobs into one answer
+// The controller plans after each event, and at this interval to resend orders and to place waiting
+// tasks.
+constexpr milliseconds PlanInterval{100};
+constexpr milliseconds PingInterval{400};   // four pings within entry_directory::HeartbeatTimeout
+constexpr milliseconds JobsBatchDelay{250}; // lets one answer contain the changes of many jobs
 constexpr milliseconds TakeoverInterval{250};
-constexpr milliseconds LeaseWatchInterval{700};   // for workers that fell silent
-constexpr milliseconds WorkerReportTimeout{3000}; // three reports were missed
+constexpr milliseconds LeaseWatchInterval{700};   // checks for workers without reports
+constexpr milliseconds WorkerReportTimeout{3000}; // three reports in a row were missed
+// After this time a report is answered without the ends of runs that are not stored yet.
 constexpr milliseconds ReportAnswerTimeout{1500};
 constexpr shutdown_poll_intervals ShutdownIntervals{milliseconds(50), milliseconds(50)};
 constexpr milliseconds LogFlushInterval{100};
-constexpr milliseconds MaxStoreSilence{2500}; // then this entry is not ready
+// An entry that had no answer of the store for this long is not ready.
+constexpr milliseconds MaxStoreSilence{2500};
 
 class entry_process
 {
@@ -65,8 +69,9 @@
         , m_directory(m_settings.id, m_startedAt)
         , m_pings(m_settings.id, {m_caller, m_configuration, m_directory, m_log},
                   [this] { return isLeaving(); })
-        , m_takeover({m_store, m_directory, m_view, m_book, m_metrics}, [this] { schedulePlan(); })
-        , m_orderSender({m_settings, m_caller, m_pool, m_book, m_metrics, m_log},
+        , m_takeover({m_store, m_directory, m_view, m_jobController, m_metrics},
+                     [this] { schedulePlan(); })
+        , m_orderSender({m_settings, m_caller, m_pool, m_jobController, m_metrics, m_log},
                         [this] { schedulePlan(); })
         , m_leaseWatcher(m_loop, m_store, m_metrics, m_log, m_settings.id,
                          [this](const auto &worker, auto epoch) { applyEpoch(worker, epoch); })
@@ -106,23 +111,24 @@
     static net::listener_limits internalLimits()
     {
         net::listener_limits limits;
-        limits.bodyBytes = 4 * 1024 * 1024; // a report after a long outage
+        limits.bodyBytes = 4 * 1024 * 1024; // enough for a report after a long outage
         return limits;
     }
 
     job_requests_dependencies requestDependencies()
     {
-        return {m_loop, m_caller,         m_store,           m_configuration, m_directory, m_view,
-                m_book, m_writeCallbacks, m_shutdown.plan(), m_metrics,       m_log};
+        return {m_loop, m_caller,        m_store,          m_configuration,   m_directory,
+                m_view, m_jobController, m_writeCallbacks, m_shutdown.plan(), m_metrics,
+                m_log};
     }
 
-    // --- Start: a new incarnation, the other entries, all jobs.
+    // --- Start of this incarnation of the entry.
 
     void beginIncarnation(const entry_row &ownRow)
     {
         m_self = {m_settings.id, ownRow.incarnation};
         m_pings.setOwnRow(ownRow);
-        m_book.emplace(m_self, m_pool);
+        m_jobController.emplace(m_self, m_pool);
         m_log.note("incarnation", {{"incarnation", ownRow.incarnation}});
         m_entriesFollower.start();
         m_jobsFollower.start();
@@ -132,20 +138,20 @@
         m_loop.every(LeaseWatchInterval, [this] { watchSilentWorkers(); });
     }
 
-    // --- What the store tells: entries, jobs.
+    // --- Rows from the store: entries, jobs.
 
     void updateEntries(const std::vector<row> &rows)
     {
-        for (const auto &one : rows) {
-            if (one.removed) {
-                m_directory.removeEntry(one.name.key);
+        for (const auto &changedRow : rows) {
+            if (changedRow.removed) {
+                m_directory.removeEntry(changedRow.name.key);
                 continue;
             }
             try {
-                m_directory.updateRow(one.name.key, entryRowFrom(one.value));
+                m_directory.updateRow(changedRow.name.key, entryRowFrom(changedRow.value));
             } catch (const error &problem) {
                 m_log.note("entry_row_unreadable",
-                           {{"entry", one.name.key}, {"why", problem.what()}});
+                           {{"entry", changedRow.name.key}, {"why", problem.what()}});
             }
         }
         m_pings.pingAll();
@@ -162,18 +168,20 @@
     void applyJobRows(const std::vector<row> &rows)
     {
         const auto now = suspendAwareNow();
-        for (const auto &one : rows) {
-            if (one.removed) {
-                m_view.removeJob(one.name.key);
-                m_book->rowRemoved(one.name.key);
+        for (const auto &changedRow : rows) {
+            if (changedRow.removed) {
+                m_view.removeJob(changedRow.name.key);
+                m_jobController->rowRemoved(changedRow.name.key);
                 continue;
             }
             try {
-                m_view.applyRow(one.name.key, one.value, one.version, now);
-                if (m_book->owns(one.name.key))
-                    m_book->rowChanged(one.name.key, recordFrom(one.value), one.version);
+                m_view.applyRow(changedRow.name.key, changedRow.value, changedRow.version, now);
+                if (m_jobController->owns(changedRow.name.key))
+                    m_jobController->rowChanged(changedRow.name.key, recordFrom(changedRow.value),
+                                                changedRow.version);
             } catch (const error &problem) {
-                m_log.note("job_row_unreadable", {{"job", one.name.key}, {"why", problem.what()}});
+                m_log.note("job_row_unreadable",
+                           {{"job", changedRow.name.key}, {"why", problem.what()}});
             }
         }
         schedulePlan();
@@ -185,7 +193,7 @@
             m_takeover.scan(m_self);
     }
 
-    // --- Decisions of the book are carried out.
+    // --- Execution of the job controller's actions.
 
     void schedulePlan()
     {
@@ -197,13 +205,13 @@
     void planAndExecute()
     {
         m_isPlanScheduled = false;
-        if (!m_book)
+        if (!m_jobController)
             return;
         m_pool.setEvacuatedZones(m_configuration.evacuatedZones().zones());
-        m_book->plan(suspendAwareNow(), wallClockMs());
+        m_jobController->plan(suspendAwareNow(), wallClockMs());
         std::map<std::string, std::vector<run_order>> orders;
-        for (auto &action : m_book->takeActions()) {
-            std::visit([&](auto &one) { execute(one, orders); }, action);
+        for (auto &action : m_jobController->takeActions()) {
+            std::visit([&](auto &typedAction) { execute(typedAction, orders); }, action);
         }
         for (auto &[worker, batch] : orders)
             m_orderSender.sendOrders(worker, std::move(batch));
@@ -231,16 +239,16 @@
     void handleCommitOutcome(const std::string &id, const store_client::commit_outcome &outcome)
     {
         if (const auto *done = std::get_if<committed>(&outcome)) {
-            m_book->rowWritten(id, done->version);
+            m_jobController->rowWritten(id, done->version);
             return schedulePlan();
         }
         const auto &rows = std::get<conflicting>(outcome).rows;
         m_metrics.count("job_write_conflicts_total", "row_changed");
         try {
             if (rows.empty())
-                m_book->rowConflict(id, 0, std::nullopt);
+                m_jobController->rowConflict(id, 0, std::nullopt);
             else
-                m_book->rowConflict(id, rows.front().version, rows.front().value);
+                m_jobController->rowConflict(id, rows.front().version, rows.front().value);
         } catch (const error &problem) {
             m_log.note("job_row_unreadable", {{"job", id}, {"why", problem.what()}});
         }
@@ -267,7 +275,7 @@
         m_log.note(action.event, {{"job", action.job}, {"detail", action.detail}});
     }
 
-    // --- Workers that nobody hears of.
+    // --- Workers whose agents do not report.
 
     void watchSilentWorkers()
     {
@@ -275,7 +283,7 @@
             return;
         const auto now = suspendAwareNow();
         std::map<std::string, time_point> silentSince;
-        for (const auto &worker : m_book->workersWithPlacements()) {
+        for (const auto &worker : m_jobController->workersWithPlacements()) {
             const auto *workerView = m_pool.find(worker);
             const auto lastHeardAt = workerView == nullptr ? m_startedAt : workerView->lastReportAt;
             if (now - lastHeardAt >= WorkerReportTimeout)
@@ -286,11 +294,11 @@
 
     void applyEpoch(const std::string &worker, std::int64_t epoch)
     {
-        m_book->epochSeen(worker, epoch);
+        m_jobController->epochSeen(worker, epoch);
         schedulePlan();
     }
 
-    // --- Calls of other processes of the system.
+    // --- Calls from other processes of zinniabarrow.
 
     void serveInternal(http_request &request, responder respond)
     {
@@ -301,7 +309,7 @@
             return respond(makeRefusal(503, "leaving"));
         if (path.starts_with(StoreRelayPath))
             return m_store.relay(std::move(request), std::move(respond));
-        if (!m_book)
+        if (!m_jobController)
             return respond(makeRefusal(503, "starting"));
         try {
             if (path == "/v1/ping")
@@ -318,6 +326,7 @@
         respond(makeRefusal(404, "unknown_path"));
     }
 
+    // A report that is answered once all ends of runs in it are stored.
     struct pending_report
     {
         responder respond;
@@ -337,26 +346,27 @@
         }
         const bool isNewIncarnation = m_pool.update(report, now) && report.epoch > 0;
         for (const auto &progress : report.progress)
-            m_book->checkpointReported(report.worker, progress);
+            m_jobController->checkpointReported(report.worker, progress);
         for (const auto &run : report.started)
-            m_book->runStarted(run, now);
+            m_jobController->runStarted(run, now);
         auto state = std::make_shared<pending_report>();
         state->respond = std::move(respond);
         state->pendingEnds = report.ends.size();
         for (const auto &sample : report.samples)
             m_pool.interferenceEstimator().learn(sample);
-        // From an old reading it would go on after the zone is taken back.
+        // An outdated configuration could say so after the zone is back in use.
         state->answer.zoneEvacuated = m_configuration.isConfirmed()
                                       && m_configuration.evacuatedZones().contains(report.zone);
         if (report.wantsInterferenceTable)
             state->answer.interference = m_pool.interferenceEstimator().table();
         for (const auto &end : report.ends)
             handleEnd(report.worker, end, state);
-        // After the ends: those of the epoch before end their own placements.
+        // After the ends were handled, because ends of runs of the previous epoch end their own
+        // placements.
         if (isNewIncarnation)
-            m_book->workerRestarted(report.worker, report.epoch, now);
+            m_jobController->workerRestarted(report.worker, report.epoch, now);
         if (m_pool.find(report.worker)->lastReport.agentIncarnation == report.agentIncarnation)
-            m_book->workerReported(report.worker, now);
+            m_jobController->workerReported(report.worker, now);
         if (state->pendingEnds == 0)
             answerReport(*state);
         else
@@ -374,9 +384,10 @@
             if (--state->pendingEnds == 0)
                 answerReport(*state);
         });
-        if (m_book->runEnded(worker, end, suspendAwareNow(), token))
+        if (m_jobController->runEnded(worker, end, suspendAwareNow(), token))
             return;
-        // Not owned here. A job that is over may still wait for the end of what is being stopped.
+        // This entry does not own the job. A job that is over may still have runs that are being
+        // stopped; their ends are acknowledged.
         const auto *known = m_view.find(end.task.job);
         m_writeCallbacks.resolve(token, known != nullptr && !known->needsOwner);
     }
@@ -388,7 +399,7 @@
         state.respond({200, {}, toText(state.answer)});
     }
 
-    // --- The balancer.
+    // --- Readiness for the load balancer.
 
     bool isReady()
     {
@@ -398,7 +409,7 @@
                && suspendAwareNow() - m_store.lastAnswerAt() < MaxStoreSilence;
     }
 
-    // --- Planned stop.
+    // --- Graceful shutdown.
 
     shutdown_driver::hooks shutdownHooks()
     {
@@ -408,7 +419,8 @@
 
     bool isLeaving() const { return m_shutdown.isLeaving(); }
 
-    // What the end of the process cuts off, and how far behind it was.
+    // Logs which connections are cut off by the end of the process, and how late its event loop
+    // was.
     void logStopped()
     {
         const auto callers = m_callerListener.activity();
@@ -424,35 +436,39 @@
 
     void beginShutdown()
     {
-        m_log.noteAlways("drain_started", {{"owned", m_book ? m_book->unfinishedJobCount() : 0},
-                                           {"late_ms", millisecondsIn(m_loop.lateness())}});
+        m_log.noteAlways("drain_started",
+                         {{"owned", m_jobController ? m_jobController->unfinishedJobCount() : 0},
+                          {"late_ms", millisecondsIn(m_loop.lateness())}});
         m_callerListener.announceClose();
         m_internalListener.announceClose();
-        if (m_book)
-            m_pings.pingAll(); // the others take the jobs over at once
+        if (m_jobController)
+            m_pings.pingAll(); // so that the others take over the jobs at once
     }
 
     remaining_work remainingWork() const
     {
-        const bool hasSuccessors = m_book && !m_directory.entries().empty();
-        return {hasSuccessors && m_book->unfinishedJobCount() > 0, m_callerListener.inFlight() > 0,
+        const bool hasSuccessors = m_jobController && !m_directory.entries().empty();
+        return {hasSuccessors && m_jobController->unfinishedJobCount() > 0,
+                m_callerListener.inFlight() > 0,
                 !m_callerListener.drained() || !m_internalListener.drained()};
     }
 
     void execute(shutdown_step step)
     {
         const auto callers = m_callerListener.activity();
-        m_log.noteAlways("stop_step", {{"step", nameOf(step)},
-                                       {"owned", m_book ? m_book->unfinishedJobCount() : 0},
-                                       {"callers_idle", callers.idle},
-                                       {"callers_reading", callers.reading},
-                                       {"callers_answering", callers.answering},
-                                       {"callers_writing", callers.writing},
-                                       {"late_ms", millisecondsIn(m_loop.lateness())}});
+        m_log.noteAlways("stop_step",
+                         {{"step", nameOf(step)},
+                          {"owned", m_jobController ? m_jobController->unfinishedJobCount() : 0},
+                          {"callers_idle", callers.idle},
+                          {"callers_reading", callers.reading},
+                          {"callers_answering", callers.answering},
+                          {"callers_writing", callers.writing},
+                          {"late_ms", millisecondsIn(m_loop.lateness())}});
         switch (step) {
         case shutdown_step::Finish:
             m_callerListener.drain();
-            // Other processes repeat what they asked for; callers would wait for it to end.
+            // Open calls of other processes are answered at once, because they retry them
+            // elsewhere. Waiting for them would delay callers.
             m_internalListener.drain();
             m_internalListener.answerAll(makeRefusal(502, "leaving"));
             break;
@@ -481,7 +497,7 @@
     owner_id m_self;
     job_view m_view;
     worker_pool m_pool;
-    std::optional<job_controller> m_book;
+    std::optional<job_controller> m_jobController;
     job_takeover m_takeover;
     order_sender m_orderSender;
     lease_watcher m_leaseWatcher;
--- a/app/job_requests.cpp
+++ b/app/job_requests.cpp
@@ -19,11 +19,13 @@
 namespace {
 
 constexpr milliseconds PeerTimeout{350};
-constexpr const char *ForwardedHeader = "Zb-Passed-On"; // by which entry
-constexpr std::size_t MaxForwardAttempts = 3;           // beyond, the others are in the same state
-constexpr milliseconds AnswerTimeout{2600};             // below the callers' usual patience of 3 s
+constexpr const char *ForwardedHeader = "Zb-Passed-On"; // the entry that forwarded the request
+constexpr std::size_t MaxForwardAttempts =
+        3; // after that, the remaining entries are probably in the same state
+constexpr milliseconds AnswerTimeout{2600}; // below the callers' usual timeout of 3 s
 
-// Nothing was sent, or the other one says so.
+// Whether the call was certainly not executed: it was not sent, or the other process says so by
+// 503.
 bool wasNotExecuted(const call_result &result)
 {
     if (const auto *answer = std::get_if<http_response>(&result))
@@ -70,9 +72,9 @@
     , m_configuration(dependencies.configuration)
     , m_directory(dependencies.directory)
     , m_view(dependencies.view)
-    , m_book(dependencies.book)
+    , m_jobController(dependencies.jobController)
     , m_writeCallbacks(dependencies.writeCallbacks)
-    , m_shutdown(dependencies.shutdown)
+    , m_shutdownPlan(dependencies.shutdownPlan)
     , m_metrics(dependencies.counters)
     , m_log(dependencies.log)
     , m_hooks(std::move(callbacks))
@@ -80,12 +82,12 @@
 
 bool job_requests::isLeaving() const
 {
-    return m_shutdown.has_value();
+    return m_shutdownPlan.has_value();
 }
 
 bool job_requests::hasGivenUp() const
 {
-    return m_shutdown && m_shutdown->hasGivenUp();
+    return m_shutdownPlan && m_shutdownPlan->hasGivenUp();
 }
 
 void job_requests::serve(http_request request, responder respond)
@@ -101,7 +103,7 @@
         return respond(countedRefusal(503, "queue_perhaps_newer"));
     if (!target)
         return respond(countedRefusal(404, "unknown_queue"));
-    if (!m_book || !m_hooks.areJobsKnown())
+    if (!m_jobController || !m_hooks.areJobsKnown())
         return respond(countedRefusal(503, "starting"));
     if (hasGivenUp())
         return answerImmediately(request, target->job, respond);
@@ -139,12 +141,12 @@
     const auto *known = m_view.find(id);
     if (known != nullptr)
         return respond({200, {}, platform_wire::stateBody(known->state)});
-    // Handed in before, and its write is out: it can't be refused any more.
-    if (m_book->owns(id))
+    // Submitted before, and its write is in progress: the job can't be refused any more.
+    if (m_jobController->owns(id))
         return accept(id, {}, policy, std::move(respond));
     if (isLeaving())
         return forwardToOtherEntry(std::move(request), std::move(respond));
-    // Nothing can be stored now: said at once, before anything was tried.
+    // The store is unreachable, so the job is refused at once, before a write is tried.
     if (!m_store.isReachable())
         return respond(logRefusal(id, storeUnreachableRefusal()));
     job_spec spec;
@@ -166,21 +168,22 @@
     auto answer = withTimeout(AnswerTimeout, std::move(respond));
     const auto token = m_writeCallbacks.add([this, answer,
                                              submittedAt = suspendAwareNow()](bool /*isStored*/) {
-        // Not stored by this entry means that another one has the job already.
+        // If it was not stored by this entry, another entry has stored the job already.
         m_metrics.observeMilliseconds("acceptance_milliseconds", millisecondsSince(submittedAt));
         answer({200, {}, ""});
     });
-    if (m_book->owns(id))
-        m_book->notifyWhenStored(id, token);
+    if (m_jobController->owns(id))
+        m_jobController->notifyWhenStored(id, token);
     else {
         m_log.note("job_submitted", {{"job", id}, {"queue", policy.queue}});
-        m_book->submit(id, spec, policy, wallClockMs(), suspendAwareNow(), token);
+        m_jobController->submit(id, spec, policy, wallClockMs(), suspendAwareNow(), token);
     }
-    m_hooks.bookChanged();
+    m_hooks.onActionsReady();
 }
 
-// Tasks that last are placed by one entry, which sees them all: several that place at the same
-// moment take the same rooms, are refused, and scatter each job over many workers.
+// Jobs with long-running tasks are handed to one entry, which places all such tasks. If several
+// entries placed them at the same time, they would choose the same free capacity, some of their
+// orders would be refused, and each job would be scattered over many workers.
 void job_requests::handOver(const std::string &placer, const std::string &id, const job_spec &spec,
                             const queue_policy &policy, responder respond)
 {
@@ -197,8 +200,8 @@
                                  {{"job", id}, {"to", placer}, {"taken", isTaken ? "yes" : "no"}});
                       if (isTaken)
                           return respond({200, {}, ""});
-                      // Also when it may have been taken there: the row of a job is written
-                      // once, and whoever comes second learns that it is there.
+                      // This is safe even if the placer may have accepted the job: a job's row is
+                      // created only once, and the second entry to try finds the existing row.
                       m_metrics.count("jobs_not_handed_over_total", "placer_silent");
                       accept(id, spec, policy, respond);
                   });
@@ -221,7 +224,8 @@
     return answer;
 }
 
-// Whoever answers first; at the end of `within` the outcome is unknown, and 504 says so.
+// Returns a responder that passes on the first answer only. If there is none within `timeout`, the
+// outcome is unknown and 504 is sent.
 responder job_requests::withTimeout(milliseconds timeout, responder respond)
 {
     auto pendingResponder = std::make_shared<responder>(std::move(respond));
@@ -236,10 +240,11 @@
     return answer;
 }
 
-// A leaving entry accepts nothing: an entry that stays gets the request as it is.
+// A leaving entry accepts no new jobs. It forwards the unchanged request to an entry that stays.
 void job_requests::forwardToOtherEntry(http_request request, responder respond)
 {
-    // Two that leave and have not heard of each other would pass it to and fro.
+    // A forwarded request is not forwarded again: two leaving entries that do not know of each
+    // other's shutdown would send it back and forth.
     if (!request.header(ForwardedHeader).empty())
         return refuseAsLeaving(request, respond);
     request.headers[ForwardedHeader] = m_self;
@@ -249,21 +254,22 @@
     tryForward(std::move(candidates), std::move(request), std::move(respond));
 }
 
-// To the first of them that takes it; the others have not run it then.
+// Sends the request to the first candidate. Goes on to the next one only if the request was
+// certainly not executed.
 void job_requests::tryForward(std::vector<std::string> candidates, http_request request,
                               responder respond)
 {
     const auto timeout =
-            std::min<duration>(AnswerTimeout, m_shutdown->answerDeadline() - suspendAwareNow());
+            std::min<duration>(AnswerTimeout, m_shutdownPlan->answerDeadline() - suspendAwareNow());
     const auto *next = candidates.empty() ? nullptr : m_directory.find(candidates.front());
-    // Without an other, or without the time to hear what became of it.
+    // No candidate is left, or not enough time to wait for its answer.
     if (next == nullptr || timeout < PeerTimeout)
         return refuseAsLeaving(request, respond);
     m_metrics.count("requests_passed_on_total", "leaving");
     m_log.note("request_passed_on", {{"path", request.path()}, {"to", candidates.front()}});
     candidates.erase(candidates.begin());
     auto copy = request;
-    m_caller.call(next->row.callerAddress, std::move(copy), timeout,
+    m_caller.call(next->row.callersAddress, std::move(copy), timeout,
                   [this, candidates = std::move(candidates), request = std::move(request),
                    respond = std::move(respond)](call_result result) mutable {
                       if (wasNotExecuted(result))
@@ -278,14 +284,14 @@
                   });
 }
 
-// With what is known here, for the time in which a leaving entry can wait for nothing any more.
+// Answers from what this entry knows, when the shutdown leaves no time to wait for anything.
 void job_requests::answerImmediately(const http_request &request, const std::string &id,
                                      const responder &respond)
 {
     const auto *known = m_view.find(id);
     if (known != nullptr && request.method != "DELETE")
         return respond({200, {}, platform_wire::stateBody(known->state)});
-    if (m_book->owns(id))
+    if (m_jobController->owns(id))
         return respond(countedRefusal(504, "outcome_unknown"));
     refuseAsLeaving(request, respond);
 }
@@ -298,8 +304,8 @@
 
 void job_requests::answerState(const std::string &id, responder respond)
 {
-    if (m_book->owns(id))
-        return respond({200, {}, platform_wire::stateBody(m_book->storedState(id))});
+    if (m_jobController->owns(id))
+        return respond({200, {}, platform_wire::stateBody(m_jobController->storedState(id))});
     const auto *known = m_view.find(id);
     if (known != nullptr && isFinal(known->state))
         return respond({200, {}, platform_wire::stateBody(known->state)});
@@ -320,12 +326,12 @@
 void job_requests::answerStoredState(const std::string &id, responder respond)
 {
     readJob(id, [this, id, respond](const std::optional<row_page> &page) {
-        if (page && page->rows.empty() && !m_book->owns(id))
+        if (page && page->rows.empty() && !m_jobController->owns(id))
             return respond({410, {}, R"({"error":"unknown_job"})"});
         const auto *known = m_view.find(id);
         if (known != nullptr)
             return respond({200, {}, platform_wire::stateBody(known->state)});
-        // It may exist: no answer says otherwise.
+        // The store did not answer, so the job may exist.
         respond(storeUnreachableRefusal());
     });
 }
@@ -343,7 +349,7 @@
 void job_requests::cancel(const std::string &id, responder respond)
 {
     auto answer = withTimeout(AnswerTimeout, std::move(respond));
-    if (m_book->owns(id))
+    if (m_jobController->owns(id))
         return cancelOwned(id, answer);
     const auto *known = m_view.find(id);
     const auto *owner = known == nullptr ? nullptr : m_directory.find(known->owner.entry);
@@ -368,12 +374,12 @@
             return respond({200, {}, ""});
         cancelInStore(id, respond);
     });
-    m_book->cancel(id, token);
-    m_hooks.bookChanged();
+    m_jobController->cancel(id, token);
+    m_hooks.onActionsReady();
 }
 
-// The owner can't be asked: the row itself says that the job is cancelled, and the owner, or
-// the entry that takes over, reads it there.
+// Used when the owner can't be asked. Marks the job as cancelled in its row, where the owner, or
+// the entry that takes over, reads it.
 void job_requests::cancelInStore(const std::string &id, const responder &respond)
 {
     readJob(id, [this, id, respond](const std::optional<row_page> &page) {
@@ -381,14 +387,14 @@
             return respond(storeUnreachableRefusal());
         if (page->rows.empty())
             return respond({410, {}, R"({"error":"unknown_job"})"});
-        const auto &one = page->rows.front();
-        auto record = recordFrom(one.value);
+        const auto &storedRow = page->rows.front();
+        auto record = recordFrom(storedRow.value);
         if (isFinal(record.state()))
             return respond({200, {}, ""});
         record.cancelled = true;
         record.writeId = m_self + ":cancel:" + std::to_string(m_nextCancel++);
-        m_store.commit({{{one.name, one.version}},
-                        {{one.name, toText(record), 0, false}, newCancelRow(id)},
+        m_store.commit({{{storedRow.name, storedRow.version}},
+                        {{storedRow.name, toText(record), 0, false}, newCancelRow(id)},
                         {}},
                        [this, id, respond,
                         write = record.writeId](const store_client::commit_outcome &outcome) {
@@ -404,11 +410,11 @@
 {
     if (request.method == "POST")
         return acceptHandedOver(id, request.body, std::move(respond));
-    if (!m_book->owns(id))
+    if (!m_jobController->owns(id))
         return respond(makeRefusal(404, "not_owned"));
     if (request.method == "DELETE")
         return cancelOwned(id, respond);
-    respond({200, {}, platform_wire::stateBody(m_book->storedState(id))});
+    respond({200, {}, platform_wire::stateBody(m_jobController->storedState(id))});
 }
 
 } // namespace zinniabarrow
--- a/app/job_requests.h
+++ b/app/job_requests.h
@@ -1,5 +1,5 @@
-// The requests about jobs that callers send to an entry, and those about the jobs that it owns that
-// other entries send.
+// Handles requests about jobs: those that callers send to an entry, and those that other entries
+// send about the jobs that this entry owns.
 #pragma once
 
 #include <cstdint>
@@ -22,14 +22,14 @@
 
 namespace zinniabarrow {
 
-constexpr seconds RetrySoon{1}; // an entry has read all jobs by then
+constexpr seconds RetrySoon{1}; // default Retry-After; a starting entry has read all jobs by then
 
-std::int64_t wallClockMs(); // since 1970
+std::int64_t wallClockMs(); // ms since 1970
 
-// A refusal with its reason; 429 and 503 say when to come back.
+// An error response with its reason. 429 and 503 get a Retry-After header.
 http_response makeRefusal(int status, const char *reason, seconds retryAfter = RetrySoon);
 
-// What an entry consists of, as far as its requests need it; all of it outlives them.
+// The parts of an entry that job_requests uses. All of them must outlive it.
 struct job_requests_dependencies
 {
     net::event_loop &loop;
@@ -38,9 +38,10 @@
     configuration_follower &configuration;
     entry_directory &directory;
     job_view &view;
-    std::optional<jobs::job_controller> &book; // none before this life of the entry has begun
+    std::optional<jobs::job_controller>
+            &jobController; // empty until this incarnation of the entry has begun
     write_callbacks &writeCallbacks;
-    const std::optional<shutdown_plan> &shutdown; // none before the signal
+    const std::optional<shutdown_plan> &shutdownPlan; // empty until the shutdown signal
     metrics &counters;
     event_log &log;
 };
@@ -50,17 +51,20 @@
 public:
     struct hooks
     {
-        std::function<bool()> areJobsKnown;                             // all were read
-        std::function<void(const std::vector<jobs::row> &)> handleRows; // of jobs, from the store
-        std::function<void()> bookChanged;                              // the book has decisions
+        std::function<bool()> areJobsKnown; // all jobs were read from the store
+        std::function<void(const std::vector<jobs::row> &)>
+                handleRows;                   // job rows read from the store
+        std::function<void()> onActionsReady; // the controller has actions to execute
     };
 
     job_requests(std::string self, const job_requests_dependencies &dependencies, hooks callbacks);
 
-    void serve(http_request request, net::responder respond); // of a caller
-    // Of another entry: asks for a job that this one owns, or hands one over.
+    // A caller's request.
+    void serve(http_request request, net::responder respond);
+    // Another entry's request: about a job that this entry owns, or to hand a new job over to it.
     void serveOwnedJob(const http_request &request, const std::string &id, net::responder respond);
 
+    // As makeRefusal(), and counts the refusal in the metrics.
     http_response countedRefusal(int status, const char *reason, seconds retryAfter = RetrySoon);
 
 private:
@@ -96,9 +100,9 @@
     configuration_follower &m_configuration;
     entry_directory &m_directory;
     job_view &m_view;
-    std::optional<jobs::job_controller> &m_book;
+    std::optional<jobs::job_controller> &m_jobController;
     write_callbacks &m_writeCallbacks;
-    const std::optional<shutdown_plan> &m_shutdown;
+    const std::optional<shutdown_plan> &m_shutdownPlan;
     metrics &m_metrics;
     event_log &m_log;
     hooks m_hooks;
--- a/app/job_settings.cpp
+++ b/app/job_settings.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+// Adds the file's name to errors.
 template <typename Read>
 auto parseSettings(const std::string &file, const std::string &text, Read readSettings)
 {
--- a/app/job_settings.h
+++ b/app/job_settings.h
@@ -1,4 +1,4 @@
-// Settings of the two daemons that serve jobs, as the platform fills them into our template.
+// Settings of the two daemons that serve jobs. The platform fills them into a JSON template.
 #pragma once
 
 #include <string>
@@ -10,28 +10,31 @@
 
 struct job_entry_settings
 {
-    std::string id;                  // name of the machine
+    std::string id;                  // name of the machine (instance)
     std::string zone;                // availability zone
-    socket_address callersAddress;   // where callers come in
-    socket_address readinessAddress; // where the balancer asks for readiness
-    socket_address internalAddress;  // for the system's own processes, and metrics
-    std::string storeAddress;        // "ip:port" of the platform's store
+    socket_address callersAddress;   // listens here for callers
+    socket_address readinessAddress; // listens here for the load balancer's readiness checks
+    socket_address
+            internalAddress;  // listens here for zinniabarrow's own processes, and serves metrics
+    std::string storeAddress; // "ip:port" of the platform's store
 };
 
 struct job_agent_settings
 {
     std::string id;
     std::string zone;
-    socket_address announcementsAddress; // where the worker announces itself
-    socket_address internalAddress;
+    socket_address announcementsAddress; // listens here for the worker's announcements
+    socket_address
+            internalAddress;   // listens here for zinniabarrow's own processes, and serves metrics
     std::string workerAddress; // "ip:port" of the worker
-    std::string service;       // of the worker
-    std::string storeAddress;
-    milliseconds stopTimeout{900}; // a run that is told to stop has ended by then
+    std::string service;       // that the worker belongs to
+    std::string storeAddress;  // "ip:port" of the platform's store
+    milliseconds stopTimeout{900}; // ms; a run that was told to stop has ended after this time
 };
 
-// Throw error BadSettings that names the file and the member. Unknown members are ignored: the
-// platform may fill in more than this version knows.
+// Both parse a settings file's text. They throw error BadSettings, which names the file and the
+// member. Unknown members are ignored, because the platform may fill in more than this version
+// knows.
 job_entry_settings jobEntrySettingsFrom(const std::string &file, const std::string &text);
 job_agent_settings jobAgentSettingsFrom(const std::string &file, const std::string &text);
 
--- a/app/job_tables.h
+++ b/app/job_tables.h
@@ -1,4 +1,4 @@
-// The tables in the platform's store that jobs live in, and where a job's rows lie.
+// Names the tables of the platform's store that hold job data, and the rows of each job in them.
 #pragma once
 
 #include <string>
@@ -11,15 +11,17 @@
 
 namespace zinniabarrow {
 
-constexpr const char *JobsTable = "jobs";         // the records
-constexpr const char *PayloadsTable = "payloads"; // written once, with the first record
-// One row for each cancelled job, written in the transaction that cancels it. Agents follow it, so
-// that a cancel holds where no entry can tell of it.
+constexpr const char *JobsTable = "jobs"; // job records
+constexpr const char *PayloadsTable =
+        "payloads"; // payloads; written once, together with the first record
+// One row per cancelled job, written in the transaction that cancels the job. Agents follow this
+// table, so a cancellation takes effect even when no entry is left to tell them about it.
 constexpr const char *CancelsTable = "cancels";
-constexpr const char *EntriesTable = "entries"; // one row for each entry
-constexpr const char *LeasesTable = "leases";   // one row for each worker
+constexpr const char *EntriesTable = "entries"; // one row per entry
+constexpr const char *LeasesTable = "leases";   // one row per worker
 
-// A part carries 200 transactions a second one after another; 16 carry all that the store takes.
+// Number of parts (partitions) that jobs are spread over. A part runs its transactions one after
+// another, 200 per second; 16 parts together reach the limit of the store.
 constexpr unsigned JobPartCount = 16;
 
 inline std::string partName(unsigned number)
@@ -55,7 +57,8 @@
     return {CancelsTable, partOfJob(job), job};
 }
 
-// Tells agents that the job is cancelled; its key says all.
+// The row that tells agents that the job is cancelled. Its key identifies the job; its value is
+// empty JSON.
 inline jobs::row newCancelRow(const std::string &job)
 {
     return {cancelRowName(job), "{}", 0, false};
--- a/app/job_takeover.cpp
+++ b/app/job_takeover.cpp
@@ -13,25 +13,26 @@
 
 namespace {
 
-constexpr milliseconds FinalRowRetention{180'000}; // callers may ask for 120 s
+// Callers may ask for a job's state for 120 s after its end.
+constexpr milliseconds FinalRowRetention{180'000};
 
 } // namespace
 
 job_takeover::job_takeover(const job_takeover_dependencies &dependencies,
-                           std::function<void()> bookChanged)
+                           std::function<void()> onActionsReady)
     : m_store(dependencies.store)
     , m_directory(dependencies.directory)
     , m_view(dependencies.view)
-    , m_book(dependencies.book)
+    , m_jobController(dependencies.jobController)
     , m_metrics(dependencies.counters)
-    , m_bookChanged(std::move(bookChanged))
+    , m_onActionsReady(std::move(onActionsReady))
 { }
 
 void job_takeover::scan(const owner_id &self)
 {
     const auto now = suspendAwareNow();
     for (const auto &[id, known] : m_view.jobs()) {
-        if (!known.needsOwner || m_book->owns(id) || m_adoptionsInProgress.contains(id))
+        if (!known.needsOwner || m_jobController->owns(id) || m_adoptionsInProgress.contains(id))
             continue;
         const auto successor = m_directory.successorOf(id, known.owner, self, now);
         if (successor && *successor == self.entry)
@@ -48,15 +49,16 @@
                      m_adoptionsInProgress.erase(id);
                      const auto *known = m_view.find(id);
                      if (!page || page->rows.empty() || known == nullptr || !known->needsOwner)
-                         return; // the next look at all jobs tries again
-                     m_book->adopt(id, recordFrom(known->content), known->version,
-                                   page->rows.front().value);
+                         return; // the next scan tries again
+                     m_jobController->adopt(id, recordFrom(known->content), known->version,
+                                            page->rows.front().value);
                      m_metrics.count("jobs_adopted_total", "owner_gone");
-                     m_bookChanged();
+                     m_onActionsReady();
                  });
 }
 
-// Rows of jobs that ended long ago, each by the entry that owned it last.
+// Removes the rows of jobs that ended long ago. Each row is removed by the entry that owned it
+// last.
 void job_takeover::removeOldRows(const std::string &self, time_point now)
 {
     std::vector<std::string> expired;
@@ -66,11 +68,12 @@
             expired.push_back(id);
     }
     for (const auto &id : expired) {
-        m_book->rowRemoved(id);
+        m_jobController->rowRemoved(id);
         m_view.removeJob(id);
         m_store.commit({{}, {}, {jobRowName(id), payloadRowName(id), cancelRowName(id)}},
                        [](const store_client::commit_outcome & /*outcome*/) {
-                           // The rows are gone, or will be found by the next life.
+                           // If the rows could not be removed, the entry's next incarnation finds
+                           // them.
                        });
     }
 }
--- a/app/job_takeover.h
+++ b/app/job_takeover.h
@@ -1,5 +1,5 @@
-// Takes over the jobs of entries that are gone and of this entry's earlier lives, and removes the
-// rows of jobs that ended long ago.
+// Takes over the jobs of dead or leaving entries and of this entry's earlier incarnations. Removes
+// the rows of jobs that ended long ago.
 #pragma once
 
 #include <functional>
@@ -15,23 +15,25 @@
 
 namespace zinniabarrow {
 
-// What an entry consists of, as far as this duty needs it; all of it outlives the duty.
+// The parts of an entry that job_takeover uses. All of them must outlive it.
 struct job_takeover_dependencies
 {
     store_client &store;
     entry_directory &directory;
     job_view &view;
-    std::optional<jobs::job_controller> &book; // there is one before the first look
+    std::optional<jobs::job_controller> &jobController; // set before the first scan
     metrics &counters;
 };
 
 class job_takeover
 {
 public:
-    // `changed`: the book has decisions.
-    job_takeover(const job_takeover_dependencies &dependencies, std::function<void()> bookChanged);
+    // `onActionsReady` is called when the controller has actions to execute.
+    job_takeover(const job_takeover_dependencies &dependencies,
+                 std::function<void()> onActionsReady);
 
-    // At all jobs, by this life of the entry, once all were read.
+    // Checks all known jobs for ones to take over. Called regularly, once all jobs were read.
+    // `self`: this incarnation of the entry.
     void scan(const jobs::owner_id &self);
 
 private:
@@ -41,9 +43,9 @@
     store_client &m_store;
     entry_directory &m_directory;
     job_view &m_view;
-    std::optional<jobs::job_controller> &m_book;
+    std::optional<jobs::job_controller> &m_jobController;
     metrics &m_metrics;
-    std::function<void()> m_bookChanged;
+    std::function<void()> m_onActionsReady;
     std::set<std::string> m_adoptionsInProgress;
 };
 
--- a/app/job_view.h
+++ b/app/job_view.h
@@ -1,5 +1,6 @@
-// What an entry knows of all jobs, its own and the others': a copy of the platform's rows, kept
-// fresh by their feed. It answers callers, counts waiting jobs and shows what to take over.
+// An entry's copy of all job rows in the platform's store, its own jobs' and the other entries',
+// kept up to date by the store's feed. It is used to answer callers, to count waiting jobs and to
+// find jobs to take over.
 #pragma once
 
 #include <cstddef>
@@ -15,6 +16,7 @@
 
 namespace zinniabarrow {
 
+// What is kept of a job's row.
 struct known_job
 {
     std::int64_t version = 0;
@@ -22,15 +24,16 @@
     jobs::job_state state = jobs::job_state::Queued;
     std::string queue;
     bool needsOwner = true;
-    std::string content; // of the row, while the job needs an owner
-    time_point endedAt{};
-    bool hasBegun = false; // a worker has begun a task of it
+    std::string content;   // value of the row; empty once the job needs no owner
+    time_point endedAt{};  // when the job was first seen without need of an owner; 0: not yet
+    bool hasBegun = false; // a worker has started one of its tasks
 };
 
 class job_view
 {
 public:
-    // Rows of older versions than the known one are ignored: readings overtake each other.
+    // Rows that are no newer than the known one are ignored, because reads can overtake each other.
+    // Throws error BadRequest if the content can't be parsed.
     const known_job *applyRow(const std::string &job, const std::string &content,
                               std::int64_t version, time_point now);
     void removeJob(const std::string &job);
@@ -38,7 +41,8 @@
 
     const known_job *find(const std::string &job) const;
     const std::map<std::string, known_job> &jobs() const { return m_jobs; }
-    // Accepted jobs none of whose tasks has begun, as far as their owners know.
+    // The number of accepted jobs in the queue of which no task has started, as far as their owners
+    // know.
     std::size_t countWaiting(const std::string &queue) const;
 
 private:
--- a/app/lease_keeper.cpp
+++ b/app/lease_keeper.cpp
@@ -15,7 +15,7 @@
 
 constexpr milliseconds ReadRetryDelay{150};
 
-// None: the row is somebody else's.
+// The row's version after the write; none if the row was written by another process.
 std::optional<std::int64_t> writtenVersion(const store_client::commit_outcome &outcome,
                                            const std::string &write)
 {
@@ -76,7 +76,7 @@
 void lease_keeper::execute()
 {
     for (const auto &action : m_lease.takeActions())
-        std::visit([this](const auto &one) { execute(one); }, action);
+        std::visit([this](const auto &typedAction) { execute(typedAction); }, action);
 }
 
 void lease_keeper::execute(const read_lease & /*action*/)
@@ -96,8 +96,8 @@
     if (page.rows.empty()) {
         m_lease.rowRead(std::nullopt, 0, now);
     } else {
-        const auto &one = page.rows.front();
-        m_lease.rowRead(leaseFrom(one.value), one.version, now);
+        const auto &storedRow = page.rows.front();
+        m_lease.rowRead(leaseFrom(storedRow.value), storedRow.version, now);
     }
     execute();
 }
--- a/app/lease_keeper.h
+++ b/app/lease_keeper.h
@@ -1,5 +1,5 @@
-// Keeps the lease of an agent's worker in the platform's store: carries out what jobs::worker_lease
-// decides.
+// Maintains the lease of an agent's worker in the platform's store. Executes the reads and writes
+// that jobs::worker_lease decides on.
 #pragma once
 
 #include <functional>
@@ -18,20 +18,23 @@
 public:
     struct callbacks
     {
-        std::function<void()> epochLost; // tasks may not start until an epoch is settled again
+        std::function<void()> epochLost; // no task may start until epochSettled
         std::function<void(const jobs::epoch_settled &)> epochSettled;
-        std::function<void()> fenceAcquired; // calls to the worker carry it from now on
+        std::function<void()> fenceAcquired; // calls to the worker must carry the new fencing token
     };
 
     lease_keeper(net::event_loop &loop, store_client &store, event_log &log, std::string agent,
                  callbacks handlers);
 
     const jobs::worker_lease &lease() const { return m_lease; }
-    // Takes a new fence, which voids the orders of before. The epoch follows once it is known what
-    // of an earlier one still runs.
+    // Acquires a new fencing token, which invalidates all orders given before. The epoch is settled
+    // later, when it is known which runs of an earlier epoch are still active.
     void acquire(const char *reason);
+    // Called regularly. `heldUntil`: set while the worker does not answer; the time until which the
+    // agent last allowed it to go on with its runs. The lease is then renewed to that time only.
     void renew(std::optional<time_point> heldUntil = std::nullopt);
-    // See jobs::worker_lease.
+    // Both pass on to jobs::worker_lease what was observed of the worker. observeWorker() returns
+    // whether all its runs have to be stopped before a new epoch can begin.
     bool observeWorker(const std::string &incarnation, std::size_t runningCount);
     void noteAllRunsEnded(const std::string &nextIncarnation);
 
--- a/app/lease_watcher.cpp
+++ b/app/lease_watcher.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr milliseconds CheckRetryDelay{500}; // after a look that told nothing
+constexpr milliseconds CheckRetryDelay{500}; // after a check without a result
 
 } // namespace
 
@@ -36,12 +36,12 @@
     std::erase_if(m_watched, [&](const std::string &worker) {
         if (silentSince.contains(worker))
             return false;
-        m_watch.forget(worker);
+        m_expiryDetector.forget(worker);
         return true;
     });
     for (const auto &[worker, since] : silentSince) {
         if (!m_watched.insert(worker).second)
-            continue; // looked at already, and again when its lease may be over
+            continue; // watched already; its next check is scheduled
         m_log.note("worker_unheard",
                    {{"worker", worker}, {"silent_ms", millisecondsIn(now - since)}});
         scheduleCheck(worker, now);
@@ -78,9 +78,11 @@
 void lease_watcher::evaluate(const std::string &worker, const row &row, std::int64_t storeMs)
 {
     const auto lease = leaseFrom(row.value);
-    // Another watcher has ended the epoch, or the worker lives anew.
+    // The epoch may be higher because another watcher has ended the previous one, or because the
+    // worker has started a new incarnation.
     m_onEpochKnown(worker, lease.epoch);
-    const auto verdict = m_watch.observe(worker, lease, row.version, storeMs, suspendAwareNow());
+    const auto verdict =
+            m_expiryDetector.observe(worker, lease, row.version, storeMs, suspendAwareNow());
     m_log.note("worker_lease_read", {{"worker", worker},
                                      {"epoch", lease.epoch},
                                      {"renewals", lease.renewals},
@@ -96,13 +98,14 @@
     auto next = lease;
     ++next.epoch;
     next.endedByWatcher = true;
-    // Not the agent's own name: a renewal of its that is repeated would take this for itself.
+    // The write's name must differ from the agent's: otherwise the agent could take this row for
+    // the result of its own renewal when it retries one.
     next.writeId = fmt::format("{}:ends:{}", m_self, version);
     const auto name = leaseRowName(worker);
     m_store.commit({{{name, version}}, {{name, toText(next), 0, false}}, {}},
                    [this, worker, epoch = next.epoch](const store_client::commit_outcome &outcome) {
-                       // Renewed, ended by another watcher, or by an earlier try of this very
-                       // write: the row tells.
+                       // The lease was renewed, or ended by another watcher or by an earlier try of
+                       // this write. Reading the row again tells which.
                        if (!std::holds_alternative<committed>(outcome))
                            return retryCheck(worker);
                        m_log.note("worker_lease_ended", {{"worker", worker}, {"epoch", epoch}});
--- a/app/lease_watcher.h
+++ b/app/lease_watcher.h
@@ -1,5 +1,5 @@
-// Watches the leases of workers whose agents are silent, and ends those that are over: what was
-// placed there may go elsewhere then.
+// Watches the leases of workers whose agents are silent, and ends those that have expired. After
+// that the tasks that were placed there may be placed elsewhere.
 #pragma once
 
 #include <functional>
@@ -18,13 +18,14 @@
 class lease_watcher
 {
 public:
-    // The worker's epoch is at least this one: what was placed under earlier ones has ended.
+    // Reports that the worker's epoch is at least `epoch`, so all runs that were placed under
+    // earlier epochs have ended.
     using epoch_callback = std::function<void(const std::string &worker, std::int64_t epoch)>;
 
     lease_watcher(net::event_loop &loop, store_client &store, metrics &counters, event_log &log,
                   std::string self, epoch_callback onEpochKnown);
 
-    // The workers to watch from now on, and since when each is silent.
+    // Sets the workers to watch from now on, and since when each has been silent.
     void watch(const std::map<std::string, time_point> &silentSince);
 
 private:
@@ -40,7 +41,7 @@
     event_log &m_log;
     std::string m_self;
     epoch_callback m_onEpochKnown;
-    jobs::lease_expiry_detector m_watch;
+    jobs::lease_expiry_detector m_expiryDetector;
     std::set<std::string> m_watched;
 };
 
--- a/app/order_outcomes.cpp
+++ b/app/order_outcomes.cpp
@@ -14,7 +14,7 @@
     return answer.task == order.task && answer.run == order.run && answer.kind == order.kind;
 }
 
-// Empty where the result holds no readable answer; `why` says what it holds instead.
+// Empty if the result contains no readable answer; `reason` is set to what it contains instead.
 std::vector<jobs::order_answer> readAnswers(const call_result &result, std::string &reason)
 {
     if (const auto *failure = std::get_if<call_failure>(&result)) {
@@ -28,7 +28,7 @@
     }
     try {
         return jobs::orderAnswersFrom(response.body);
-    } catch (const error & /*says where in the text, which nobody needs*/) {
+    } catch (const error & /*only tells the position in the text, which is not needed*/) {
         reason = "unreadable";
         return {};
     }
@@ -41,9 +41,10 @@
     order_outcomes outcomes;
     const auto answers = readAnswers(result, outcomes.reason);
     for (auto &order : batch) {
-        const auto answer = std::find_if(answers.begin(), answers.end(), [&order](const auto &one) {
-            return isAnswerTo(one, order);
-        });
+        const auto answer =
+                std::find_if(answers.begin(), answers.end(), [&order](const auto &candidate) {
+                    return isAnswerTo(candidate, order);
+                });
         if (answer != answers.end())
             outcomes.answered.push_back(*answer);
         else
--- a/app/order_outcomes.h
+++ b/app/order_outcomes.h
@@ -1,4 +1,4 @@
-// What an agent's answer to a batch of orders settles.
+// Interprets an agent's answer to a batch of orders.
 #pragma once
 
 #include <string>
@@ -11,12 +11,12 @@
 
 struct order_outcomes
 {
-    std::vector<jobs::order_answer> answered; // of orders in the batch only, each order once
-    std::vector<jobs::run_order> unanswered;  // nothing is known of them: they are given again
-    std::string reason;                       // there are unanswered ones; empty: none
+    std::vector<jobs::order_answer> answered; // only of orders in the batch, one per order
+    std::vector<jobs::run_order> unanswered;  // outcome unknown; these orders are sent again
+    std::string reason;                       // why some are unanswered; empty: all are answered
 };
 
-// Each order of `batch` is in one of the two lists, whatever the result holds.
+// Puts each order of `batch` into exactly one of the two lists, whatever the result contains.
 order_outcomes outcomesOf(std::vector<jobs::run_order> batch, const call_result &result);
 
 } // namespace zinniabarrow
--- a/app/order_sender.cpp
+++ b/app/order_sender.cpp
@@ -16,20 +16,20 @@
 } // namespace
 
 order_sender::order_sender(const order_sender_dependencies &dependencies,
-                           std::function<void()> bookChanged)
+                           std::function<void()> onActionsReady)
     : m_settings(dependencies.settings)
     , m_caller(dependencies.caller)
     , m_pool(dependencies.pool)
-    , m_book(dependencies.book)
+    , m_jobController(dependencies.jobController)
     , m_metrics(dependencies.counters)
     , m_log(dependencies.log)
-    , m_bookChanged(std::move(bookChanged))
+    , m_onActionsReady(std::move(onActionsReady))
 { }
 
 void order_sender::sendOrders(const std::string &worker, std::vector<run_order> orders)
 {
     const auto *view = m_pool.find(worker);
-    if (view == nullptr) // not heard of since the start; its agent reports each second
+    if (view == nullptr) // no report since the start of this entry; agents report every second
         return handleUnanswered(worker, orders);
     http_request request;
     request.method = "POST";
@@ -46,9 +46,9 @@
 void order_sender::handleAnswers(const std::string &worker, const order_outcomes &outcomes,
                                  std::int64_t agentIncarnation)
 {
-    for (const auto &one : outcomes.answered) {
-        m_metrics.count("orders_total", nameOf(one.outcome));
-        m_book->orderAnswered(worker, one, suspendAwareNow(), agentIncarnation);
+    for (const auto &answer : outcomes.answered) {
+        m_metrics.count("orders_total", nameOf(answer.outcome));
+        m_jobController->orderAnswered(worker, answer, suspendAwareNow(), agentIncarnation);
     }
     if (!outcomes.unanswered.empty()) {
         m_metrics.count("orders_unanswered_total", "agent_silent");
@@ -58,13 +58,13 @@
         handleUnanswered(worker, outcomes.unanswered);
     }
     if (!outcomes.answered.empty())
-        m_bookChanged();
+        m_onActionsReady();
 }
 
 void order_sender::handleUnanswered(const std::string &worker, const std::vector<run_order> &orders)
 {
     for (const auto &order : orders)
-        m_book->orderUnanswered(worker, order.task, order.run, suspendAwareNow());
+        m_jobController->orderUnanswered(worker, order.task, order.run, suspendAwareNow());
 }
 
 } // namespace zinniabarrow
--- a/app/order_sender.h
+++ b/app/order_sender.h
@@ -1,4 +1,5 @@
-// Sends the orders of an entry's book to the agents of workers, and tells it what became of them.
+// Sends the orders of an entry's job controller to the agents of workers, and reports their
+// outcomes back to the controller.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +18,13 @@
 
 namespace zinniabarrow {
 
-// What an entry consists of, as far as its orders need it; all of it outlives them.
+// The parts of an entry that order_sender uses. All of them must outlive it.
 struct order_sender_dependencies
 {
     const job_entry_settings &settings;
     net::http_caller &caller;
     jobs::worker_pool &pool;
-    std::optional<jobs::job_controller> &book; // that the orders are of
+    std::optional<jobs::job_controller> &jobController; // that issues the orders
     metrics &counters;
     event_log &log;
 };
@@ -31,8 +32,9 @@
 class order_sender
 {
 public:
-    // `changed`: the book has decisions.
-    order_sender(const order_sender_dependencies &dependencies, std::function<void()> bookChanged);
+    // `onActionsReady` is called when the controller has actions to execute.
+    order_sender(const order_sender_dependencies &dependencies,
+                 std::function<void()> onActionsReady);
 
     void sendOrders(const std::string &worker, std::vector<jobs::run_order> orders);
 
@@ -44,10 +46,10 @@
     const job_entry_settings &m_settings;
     net::http_caller &m_caller;
     jobs::worker_pool &m_pool;
-    std::optional<jobs::job_controller> &m_book;
+    std::optional<jobs::job_controller> &m_jobController;
     metrics &m_metrics;
     event_log &m_log;
-    std::function<void()> m_bookChanged;
+    std::function<void()> m_onActionsReady;
 };
 
 } // namespace zinniabarrow
--- a/app/process.h
+++ b/app/process.h
@@ -1,4 +1,4 @@
-// What both daemon roles share: signals, identity, start-up and the order of a stop.
+// What the daemon roles share: shutdown signals, process identity, reading of settings files.
 #pragma once
 
 #include <csignal>
@@ -9,30 +9,30 @@
 
 namespace zinniabarrow {
 
-constexpr const char *Version = "0.1.0"; // of every subcommand
+constexpr const char *Version = "0.1.0"; // the same for every subcommand
 
-// Exit codes of every subcommand.
+// Exit codes, the same for every subcommand.
 constexpr int ExitDone = 0;
-constexpr int ExitFailed = 1; // refused or failed
-constexpr int ExitUsage = 2;
+constexpr int ExitFailed = 1; // the request was refused, or the command failed
+constexpr int ExitUsage = 2;  // wrong arguments
 
-// Blocks SIGTERM and SIGINT for this thread and all it starts, so that only waitForStop sees them.
-// A second signal waits unseen: it never hurries a drain.
+// Blocks SIGTERM and SIGINT in this thread and all threads that it starts, so that only wait()
+// receives them. Further signals stay pending and do not cut a drain short.
 class stop_signals
 {
 public:
     stop_signals();
-    void wait();    // returns at the first of them
-    void request(); // the same as a signal, from any thread of this process
+    void wait();    // returns at the first signal
+    void request(); // has the effect of a signal; may be called from any thread
 
 private:
     sigset_t m_set;
 };
 
-// A new incarnation of the process named `id`: the wall clock in milliseconds at its start.
+// The identity of the process named `id`. Its incarnation is the current wall clock time in ms.
 process_identity identityFor(const std::string &id);
 
-// The whole file; throws error BadSettings.
+// Returns the file's content. Throws error BadSettings if it can't be read.
 std::string readTextFile(const std::string &fileName);
 
 socket_address addressOf(const config::listen_settings &listen);
--- a/app/report_sender.cpp
+++ b/app/report_sender.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr milliseconds ReportTimeout{2000}; // an entry answers once the ends are stored
-constexpr milliseconds EpochAnnouncementLimit{
-        1000}; // a report is answered within some ms, repeated each 1 s
+constexpr milliseconds ReportTimeout{2000}; // an entry answers after it has stored the ends of runs
+// A report is normally answered within a few ms, and repeated every 1 s.
+constexpr milliseconds EpochAnnouncementLimit{1000};
 
 } // namespace
 
@@ -24,9 +24,9 @@
     : m_settings(dependencies.settings)
     , m_caller(dependencies.caller)
     , m_leaseKeeper(dependencies.leaseKeeper)
-    , m_worker(dependencies.worker)
+    , m_workerPresence(dependencies.workerPresence)
     , m_runTable(dependencies.runTable)
-    , m_pacer(dependencies.pacer)
+    , m_throttleController(dependencies.throttleController)
     , m_metrics(dependencies.counters)
     , m_log(dependencies.log)
     , m_isAccepting(std::move(isAccepting))
@@ -35,15 +35,17 @@
 
 void report_sender::updateEntries(const std::vector<row> &rows)
 {
-    for (const auto &one : rows) {
-        if (one.removed) {
-            m_targets.removeEntry(one.name.key);
+    for (const auto &changedRow : rows) {
+        if (changedRow.removed) {
+            m_targets.removeEntry(changedRow.name.key);
             continue;
         }
         try {
-            m_targets.setAddress(one.name.key, entryRowFrom(one.value).internalAddress);
+            m_targets.setAddress(changedRow.name.key,
+                                 entryRowFrom(changedRow.value).internalAddress);
         } catch (const error &problem) {
-            m_log.note("entry_row_unreadable", {{"entry", one.name.key}, {"why", problem.what()}});
+            m_log.note("entry_row_unreadable",
+                       {{"entry", changedRow.name.key}, {"why", problem.what()}});
         }
     }
     if (!rows.empty())
@@ -55,7 +57,8 @@
     return m_targets.addresses();
 }
 
-// Presses matter to runs that serve: where there are none, nothing was measured.
+// The interference table is only needed where runs serve requests. Without samples there are no
+// such runs, and the table is not requested.
 void report_sender::sendPeriodicReports()
 {
     m_tableSource =
@@ -111,18 +114,18 @@
     message.epoch = m_runTable.epoch();
     message.clockMs = millisecondsIn(suspendAwareNow().time_since_epoch());
     message.service = m_settings.service;
-    message.zone = m_worker.lastAnnouncement().zone;
-    message.kind = m_worker.lastAnnouncement().kind;
-    message.rack = m_worker.lastAnnouncement().rack;
+    message.zone = m_workerPresence.lastAnnouncement().zone;
+    message.kind = m_workerPresence.lastAnnouncement().kind;
+    message.rack = m_workerPresence.lastAnnouncement().rack;
     message.isAccepting = m_isAccepting();
-    message.capacity = m_worker.lastAnnouncement().capacity;
+    message.capacity = m_workerPresence.lastAnnouncement().capacity;
     message.used = m_runTable.used();
     message.usedByLongRunning = m_runTable.usedByLongRunning();
     message.bestEffortMillicores = m_runTable.bestEffortMillicores();
     const auto filling = m_runTable.bestEffortRuns();
     for (const auto &run : m_runTable.servingSamples())
-        message.serving.push_back({run.image, m_pacer.headroomOf(run, filling), run.task.job,
-                                   run.tailLatencyMs > run.latencyTargetMs});
+        message.serving.push_back({run.image, m_throttleController.headroomOf(run, filling),
+                                   run.task.job, run.tailLatencyMs > run.latencyTargetMs});
     for (const auto &run : filling)
         message.bestEffortDemand[run.image] += run.requestedCores;
     message.samples = m_samples;
@@ -145,7 +148,7 @@
     if (answer == nullptr || answer->status != 200) {
         m_metrics.count("reports_unanswered_total", "entry_silent");
         m_runTable.noteOwnerSilent(entry);
-        return; // the next turn reports again
+        return; // the next periodic report tries again
     }
     m_targets.acknowledgeEpoch(entry, epoch);
     m_runTable.noteStartsReported(started, entry);
@@ -163,7 +166,7 @@
     const auto now = suspendAwareNow();
     for (const auto &end : answer.acknowledged) {
         if (m_runTable.acknowledgeEnd(end, now))
-            m_pacer.forget(end.task, end.run);
+            m_throttleController.forget(end.task, end.run);
     }
     bool news = false;
     for (const auto &end : answer.notOwned)
@@ -173,7 +176,7 @@
     if (answer.zoneEvacuated)
         handleEvacuation(now);
     if (!answer.interference.empty())
-        m_pacer.setInterference(std::move(answer.interference));
+        m_throttleController.setInterference(std::move(answer.interference));
 }
 
 void report_sender::handleEvacuation(time_point now)
@@ -182,8 +185,8 @@
     m_evacuation.refresh(now);
     if (!news)
         return;
-    m_log.note("zone_evacuated", {{"zone", m_worker.lastAnnouncement().zone}});
-    sendReports(); // entries that don't know it would place here until the next turn
+    m_log.note("zone_evacuated", {{"zone", m_workerPresence.lastAnnouncement().zone}});
+    sendReports(); // entries that don't know it would place tasks here until the next report
 }
 
 } // namespace zinniabarrow
--- a/app/report_sender.h
+++ b/app/report_sender.h
@@ -1,4 +1,4 @@
-// Tells all entries what an agent knows of its worker, and takes what they answer.
+// Sends reports about an agent's worker to all entries and applies their answers.
 #pragma once
 
 #include <cstdint>
@@ -22,15 +22,15 @@
 
 namespace zinniabarrow {
 
-// What an agent consists of, as far as its reports need it; all of it outlives them.
+// The parts of an agent that report_sender uses. All of them must outlive it.
 struct report_sender_dependencies
 {
     const job_agent_settings &settings;
     net::http_caller &caller;
     const lease_keeper &leaseKeeper;
-    const worker_presence &worker;
+    const worker_presence &workerPresence;
     jobs::run_table &runTable;
-    jobs::throttle_controller &pacer;
+    jobs::throttle_controller &throttleController;
     metrics &counters;
     event_log &log;
 };
@@ -38,21 +38,25 @@
 class report_sender
 {
 public:
-    // `accepting`: whether the worker may be given runs now.
+    // `isAccepting` tells whether the worker may be given runs now.
     report_sender(const report_sender_dependencies &dependencies,
                   std::function<bool()> isAccepting);
 
-    void updateEntries(const std::vector<jobs::row> &rows); // of the store
-    std::vector<std::string> relayAddresses() const;        // internal addresses of all entries
+    // Applies rows of the entries table; reports to all entries if there were any.
+    void updateEntries(const std::vector<jobs::row> &rows);
+    // Internal addresses of all entries, which can relay calls to the store.
+    std::vector<std::string> relayAddresses() const;
 
-    void sendPeriodicReports();                                      // each second
-    void sendReports();                                              // there is news
-    void addSamples(std::vector<jobs::interference_sample> samples); // for the reports until the
-                                                                     // next regular one
+    void sendPeriodicReports(); // called every second
+    void sendReports();         // called whenever something changes
+    // The samples go into all reports up to and including the next periodic one.
+    void addSamples(std::vector<jobs::interference_sample> samples);
+    // Called when a new epoch begins.
     void startEpochAnnouncement(time_point now);
-    // Entries are still to be told the present epoch, and there is time for that.
+    // Whether some entry still has to acknowledge the current epoch and the time limit for that has
+    // not passed.
     bool isEpochAnnouncementOpen(time_point now) const;
-    // Operators empty the worker's zone, by the word of an entry.
+    // Whether operators evacuate the worker's availability zone, as entries report.
     bool isZoneEvacuated(time_point now) const { return m_evacuation.isActive(now); }
 
 private:
@@ -67,19 +71,20 @@
     const job_agent_settings &m_settings;
     net::http_caller &m_caller;
     const lease_keeper &m_leaseKeeper;
-    const worker_presence &m_worker;
+    const worker_presence &m_workerPresence;
     jobs::run_table &m_runTable;
-    jobs::throttle_controller &m_pacer;
+    jobs::throttle_controller &m_throttleController;
     metrics &m_metrics;
     event_log &m_log;
     std::function<bool()> m_isAccepting;
     report_targets m_targets;
-    std::vector<jobs::interference_sample> m_samples; // since the last regular report
+    std::vector<jobs::interference_sample> m_samples; // since the last periodic report
     jobs::table_source_rotation m_tableSourceRotation;
-    std::string m_tableSource; // the entry that its next report asks; empty: none
+    // The entry whose next report asks for the interference table; empty: none.
+    std::string m_tableSource;
     jobs::evacuation_notice m_evacuation;
-    time_point m_epochAnnouncementDeadline{}; // entries have answered a report with the present
-                                              // epoch by then
+    // The agent does not wait longer for entries to acknowledge the current epoch.
+    time_point m_epochAnnouncementDeadline{};
 };
 
 } // namespace zinniabarrow
--- a/app/report_targets.cpp
+++ b/app/report_targets.cpp
@@ -6,18 +6,18 @@
 
 void report_targets::setAddress(const std::string &entry, const std::string &address)
 {
-    m_entries[entry].address = address;
+    m_targets[entry].address = address;
 }
 
 void report_targets::removeEntry(const std::string &entry)
 {
-    m_entries.erase(entry);
+    m_targets.erase(entry);
 }
 
 std::vector<std::string> report_targets::names() const
 {
     std::vector<std::string> names;
-    for (const auto &[name, target] : m_entries)
+    for (const auto &[name, target] : m_targets)
         names.push_back(name);
     return names;
 }
@@ -25,20 +25,20 @@
 std::vector<std::string> report_targets::addresses() const
 {
     std::vector<std::string> addresses;
-    for (const auto &[name, target] : m_entries)
+    for (const auto &[name, target] : m_targets)
         addresses.push_back(target.address);
     return addresses;
 }
 
 const std::string &report_targets::addressOf(const std::string &entry) const
 {
-    return m_entries.at(entry).address;
+    return m_targets.at(entry).address;
 }
 
 bool report_targets::tryBeginReport(const std::string &entry)
 {
-    const auto found = m_entries.find(entry);
-    if (found == m_entries.end())
+    const auto found = m_targets.find(entry);
+    if (found == m_targets.end())
         return false;
     auto &target = found->second;
     if (target.isReportInFlight) {
@@ -52,8 +52,8 @@
 
 bool report_targets::endReport(const std::string &entry)
 {
-    const auto found = m_entries.find(entry);
-    if (found == m_entries.end())
+    const auto found = m_targets.find(entry);
+    if (found == m_targets.end())
         return false;
     found->second.isReportInFlight = false;
     return true;
@@ -61,19 +61,19 @@
 
 void report_targets::acknowledgeEpoch(const std::string &entry, std::int64_t epoch)
 {
-    auto &target = m_entries.at(entry);
+    auto &target = m_targets.at(entry);
     target.acknowledgedEpoch = std::max(target.acknowledgedEpoch, epoch);
 }
 
 bool report_targets::needsAnotherReport(const std::string &entry) const
 {
-    const auto found = m_entries.find(entry);
-    return found != m_entries.end() && found->second.needsAnother;
+    const auto found = m_targets.find(entry);
+    return found != m_targets.end() && found->second.needsAnother;
 }
 
 bool report_targets::isEpochUnacknowledged(std::int64_t epoch) const
 {
-    return std::any_of(m_entries.begin(), m_entries.end(), [epoch](const auto &entry) {
+    return std::any_of(m_targets.begin(), m_targets.end(), [epoch](const auto &entry) {
         return entry.second.acknowledgedEpoch < epoch;
     });
 }
--- a/app/report_targets.h
+++ b/app/report_targets.h
@@ -1,5 +1,5 @@
-// The entries that an agent reports to: which may be sent a report now, and which have heard of an
-// epoch of its worker. Decisions only.
+// The entries that an agent sends reports to. Keeps at most one report in flight per entry and
+// remembers which epoch of the worker each entry has acknowledged. Sends nothing itself.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,33 @@
     void setAddress(const std::string &entry, const std::string &address);
     void removeEntry(const std::string &entry);
 
-    std::vector<std::string> names() const; // in order
+    std::vector<std::string> names() const; // sorted
     std::vector<std::string> addresses() const;
-    const std::string &addressOf(const std::string &entry) const; // throws for one not seen
+    // Throws std::out_of_range if the entry is unknown.
+    const std::string &addressOf(const std::string &entry) const;
 
-    // False: the entry is not known, or a report has no answer yet; another is wanted after it.
+    // True if a report may be sent to the entry now; it then counts as in flight. False if the
+    // entry is unknown, or if a report is in flight; in that case needsAnotherReport() is set.
     bool tryBeginReport(const std::string &entry);
-    // The report that was out has its answer, or never will. False: the entry is gone.
+    // The report in flight was answered or has failed. False if the entry has been removed.
     bool endReport(const std::string &entry);
-    void acknowledgeEpoch(const std::string &entry,
-                          std::int64_t epoch);               // it answered a report with this epoch
-    bool needsAnotherReport(const std::string &entry) const; // something changed meanwhile
-    bool
-    isEpochUnacknowledged(std::int64_t epoch) const; // some entry has not answered a report with it
+    // The entry has answered a report that carried this epoch.
+    void acknowledgeEpoch(const std::string &entry, std::int64_t epoch);
+    // Whether a report was requested while another one was in flight.
+    bool needsAnotherReport(const std::string &entry) const;
+    // Whether some entry has not yet answered a report that carried this epoch.
+    bool isEpochUnacknowledged(std::int64_t epoch) const;
 
 private:
     struct report_target
     {
         std::string address;
-        std::int64_t acknowledgedEpoch = 0; // it answered a report with this epoch
-        bool isReportInFlight = false;      // a report has no answer yet
-        bool needsAnother = false;          // something changed meanwhile
+        std::int64_t acknowledgedEpoch = 0; // highest epoch in an answered report
+        bool isReportInFlight = false;      // a report is not answered yet
+        bool needsAnother = false;          // requested while a report was in flight
     };
 
-    std::map<std::string, report_target> m_entries;
+    std::map<std::string, report_target> m_targets;
 };
 
 } // namespace zinniabarrow
--- a/app/send_queue.cpp
+++ b/app/send_queue.cpp
@@ -20,7 +20,8 @@
     return true;
 }
 
-// The target whose call has waited longest, of those that may have a thread; null: none.
+// Of the targets that may use a thread now, the one whose oldest call has waited longest; null:
+// none.
 const std::string *send_queue::nextTarget() const
 {
     const auto maxUnresponsive = std::max<std::size_t>(m_limits.threads, 2) - 1;
--- a/app/send_queue.h
+++ b/app/send_queue.h
@@ -1,9 +1,9 @@
-// Calls that wait for a thread, and which of them goes out next.
+// Queue of outgoing RPC calls that wait for a sender thread. Decides which call is sent next.
 //
-// Calls to one target keep their order and go out one at a time, so a target that does not answer
-// holds one thread. Those that did not answer last time hold all threads but one between them: were
-// they to hold them all, a call that would be answered at once would wait for their timeouts, and
-// an agent's report would come after its lease.
+// Calls to one target keep their order and are sent one at a time, so a target that does not answer
+// occupies one thread at most. All targets that did not answer their last call together may occupy
+// all threads but one. If they could occupy all of them, calls to targets that answer at once would
+// have to wait for timeouts, and an agent's report could arrive after its lease has expired.
 #pragma once
 
 #include <cstddef>
@@ -23,14 +23,14 @@
     std::string target;
     std::string method;
     Json::Value parameters;
-    std::function<void(std::optional<Json::Value>)> done;
+    std::function<void(std::optional<Json::Value>)> done; // gets the answer; none: no answer
 };
 
 struct send_queue_limits
 {
-    std::size_t threads = 4;                // that take calls
-    std::size_t maxWaitingPerTarget = 1024; // calls to one target
-    std::size_t maxWaiting = 16'384;        //
+    std::size_t threads = 4;                // threads that send calls
+    std::size_t maxWaitingPerTarget = 1024; // calls
+    std::size_t maxWaiting = 16'384;        // calls, to all targets together
 };
 
 class send_queue
@@ -40,11 +40,13 @@
         : m_limits(limits)
     { }
 
-    // False when too many wait.
+    // False if the queue is full, for this target or in all.
     bool push(rpc_call call);
-    // None while no waiting call may go out. Each one that is taken has to be settled.
+    // The next call to send; none if no waiting call may be sent now. completeCall() has to be
+    // called for each call that was taken.
     std::optional<rpc_call> take();
     bool canTake() const { return nextTarget() != nullptr; }
+    // The call to the target was answered or has failed.
     void completeCall(const std::string &target, bool isAnswered);
 
 private:
@@ -57,9 +59,9 @@
     {
         std::deque<waiting_call> waiting;
         bool isInFlight = false;
-        bool isUnresponsive = false; // did not answer last time
+        bool isUnresponsive = false; // did not answer its last call
     };
-    // Targets with no call in flight, by the number of their first waiting call.
+    // Targets with a waiting call and none in flight, by the sequence number of their oldest call.
     using ready_targets = std::map<std::uint64_t, std::string>;
 
     ready_targets &readyTargetsLike(const target_state &state)
--- a/app/shutdown_driver.h
+++ b/app/shutdown_driver.h
@@ -1,4 +1,5 @@
-// Takes a process through the steps of its planned stop, on its loop.
+// Takes a process through the steps of its graceful shutdown, by polling shutdown_plan on the
+// process's event loop.
 #pragma once
 
 #include <functional>
@@ -9,10 +10,10 @@
 
 namespace zinniabarrow {
 
-// From one look to the next.
+// Time between two polls, in ms.
 struct shutdown_poll_intervals
 {
-    milliseconds handOver;
+    milliseconds handOver;      // during HandOver
     milliseconds afterHandOver; // in all later steps
 };
 
@@ -21,21 +22,21 @@
 public:
     struct hooks
     {
-        std::function<void()> onBegin;                  // the process leaves from here on
-        std::function<remaining_work()> remainingWork;  // asked at each look
-        std::function<void(shutdown_step)> executeStep; // once for each step after the first
+        std::function<void()> onBegin;                  // called once, when the shutdown begins
+        std::function<remaining_work()> remainingWork;  // called at each poll
+        std::function<void(shutdown_step)> executeStep; // called once for each step after HandOver
     };
 
     shutdown_driver(net::event_loop &loop, const shutdown_poll_intervals &intervals,
                     const shutdown_limits &limits, hooks callbacks);
 
-    // After the last step the loop stops.
+    // Called on the shutdown signal. The event loop is stopped after the last step.
     void begin();
 
     bool isLeaving() const { return m_plan.has_value(); }
     bool hasGivenUp() const { return m_plan && m_plan->hasGivenUp(); }
-    shutdown_step step() const { return m_step; }                       // that was carried out
-    const std::optional<shutdown_plan> &plan() const { return m_plan; } // none before the signal
+    shutdown_step step() const { return m_step; }                       // executed last
+    const std::optional<shutdown_plan> &plan() const { return m_plan; } // empty before the signal
 
 private:
     void poll();
--- a/app/shutdown_plan.cpp
+++ b/app/shutdown_plan.cpp
@@ -38,7 +38,8 @@
     const auto nextPollAt = now + std::min<duration>(lateness, MaxPollLateness);
     switch (m_step) {
     case shutdown_step::HandOver:
-        // New callers are refused from the next step on: not while others are answered anyway.
+        // New connections are refused from the next step on, so the step waits for open requests
+        // too: while those are answered, new ones can be as well.
         if ((!remaining.hasOwnedWork && !remaining.hasOpenRequests)
             || nextPollAt >= m_handOverDeadline) {
             m_step = shutdown_step::Finish;
--- a/app/store_client.cpp
+++ b/app/store_client.cpp
@@ -11,25 +11,28 @@
 
 namespace {
 
-// An answer is late when it takes this many times the usual: answers vary by a factor of two at
-// rest, and a slow store raises the usual time with each late answer.
+// A call times out after this many times the average answer time. Answer times of an idle store
+// vary by a factor of two, and each late answer of a slow store raises the average.
 constexpr double TimeoutFactor = 8;
 constexpr milliseconds MinTimeout{150};
 constexpr milliseconds MaxTimeout{1500};
-// After a failure the store itself is left alone for this long where another way exists.
+// After a failed direct call, calls go through a relay for this long, if there is one.
 constexpr milliseconds DirectBackoff{400};
-constexpr milliseconds InitialBackoff{40}; // before a write is repeated; doubles
+constexpr milliseconds InitialBackoff{40}; // before a write is retried; doubles with each retry
 constexpr milliseconds MaxBackoff{500};
-constexpr milliseconds RelayAllowance{150}; // for the hop
-// Between two parts of an answer; a link that is lost for longer has lost the answer.
+constexpr milliseconds RelayAllowance{150}; // added to the timeout for the additional hop
+// Longest pause while an answer arrives. After a longer loss of the link the rest of the answer
+// will not come.
 constexpr milliseconds MaxStall{1500};
-// For the rest of an answer once it has begun. What takes longer has left the store's history.
+// Longest time for the rest of an answer once it has begun. After a longer time its changes are no
+// longer in the store's history.
 constexpr milliseconds MaxTransferTime{20'000};
-// One row of 60,000 routes, or the changes of some 20 s on the largest fleet.
+// Enough for one row with 60,000 routes, or for the changes of about 20 s in the largest fleet.
 constexpr std::size_t MaxAnswerBytes = 16 * 1024 * 1024;
 
 void ignoreAnswerBegun(std::uint64_t /*bytes*/) { }
 
+// No answer, or one that says that the store could not be asked.
 bool isStoreFailure(const call_result &result)
 {
     const auto *answer = std::get_if<http_response>(&result);
@@ -73,7 +76,7 @@
     if (isDirect && hasFailed)
         m_avoidDirectUntil = now + DirectBackoff;
     if (hasFailed) {
-        // A store that is slow rather than silent is given more time with each late answer.
+        // Gives a slow store more time with each failure, up to MaxTimeout.
         m_averageAnswerMs = std::min(m_averageAnswerMs * 1.5,
                                      static_cast<double>(MaxTimeout.count()) / TimeoutFactor);
         if (m_isReachable && now - m_lastAnswerAt > milliseconds(500)) {
@@ -96,9 +99,9 @@
                           net::http_caller::call_done done)
 {
     const auto sentAt = net::suspendAwareNow();
-    const bool isLongPoll =
-            callTimeout > timeout() + RelayAllowance; // a feed's answer time says nothing
-    // Until the answer begins: how long the rest takes is a matter of its size and of the link.
+    // The answer time of a long poll tells nothing about the store's speed.
+    const bool isLongPoll = callTimeout > timeout() + RelayAllowance;
+    // Time until the answer begins. The time for the rest depends on its size and on the link.
     auto answerTime = std::make_shared<duration>(milliseconds(5));
     net::large_call limits{{callTimeout, MaxStall, callTimeout + MaxTransferTime}, MaxAnswerBytes};
     limits.begun = [sentAt, isLongPoll, answerTime,
@@ -114,7 +117,7 @@
                   });
 }
 
-// One try, by the way that seems to work.
+// One try, directly or through a relay, whichever is expected to work.
 void store_client::send(http_request request, duration extraTimeout,
                         answer_begun_callback onAnswerBegun, net::http_caller::call_done done)
 {
@@ -163,7 +166,7 @@
          [this, request, done = std::move(done)](const call_result &result) {
              if (auto page = platform_wire::rowsResult(result))
                  return done(std::move(page));
-             // Once more, by the other way where there is one.
+             // Second try; it goes through a relay if the direct call failed and there is one.
              send(request, {}, ignoreAnswerBegun, [done](const call_result &retryResult) {
                  done(platform_wire::rowsResult(retryResult));
              });
@@ -184,11 +187,11 @@
                  return done(std::nullopt);
              if (collected->version == 0)
                  collected->version = page->version;
-             for (auto &one : page->rows)
-                 collected->rows.push_back(std::move(one));
+             for (auto &pageRow : page->rows)
+                 collected->rows.push_back(std::move(pageRow));
              if (!page->hasMore || collected->rows.empty())
                  return done(std::move(*collected));
-             // The first key after the last one that was read.
+             // Continues with the first key after the last one that was read.
              readNextPage(table, part, collected->rows.back().name.key + std::string(1, '\x01'),
                           collected, done);
          });
@@ -211,14 +214,15 @@
     request.target = request.target.substr(std::string(StoreRelayPath).size());
     request.headers.clear();
     m_metrics.count("store_calls_relayed_total", "carried");
-    // As long as any caller waits: a feed holds its answer for up to a second.
+    // At least as long as any caller waits: the store holds the answer of a feed for up to a
+    // second.
     sendTo(m_address, true, std::move(request), MaxTimeout + milliseconds(1000), ignoreAnswerBegun,
            [respond = std::move(respond)](call_result result) {
                if (auto *answer = std::get_if<http_response>(&result)) {
                    answer->headers.clear();
                    return respond(std::move(*answer));
                }
-               // 503 says that nothing was done, 502 that it may have been.
+               // 503: the call was not executed. 502: it may have been.
                const bool mayHaveExecuted = mayHaveArrived(std::get<call_failure>(result));
                respond({mayHaveExecuted ? 502 : 503, {}, ""});
            });
--- a/app/store_client.h
+++ b/app/store_client.h
@@ -1,5 +1,6 @@
-// The one client of the platform's store: repeats a write until its outcome is known, and goes by
-// way of another process when the store turns this machine away.
+// Client of the platform's store, used for all of a process's store calls. Retries a write until
+// its outcome is known, and relays calls through another process when the store does not answer
+// this machine.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +16,7 @@
 
 namespace zinniabarrow {
 
-// The path under which a process passes calls on to the store for another.
+// A process relays calls under this path to the store for other processes.
 constexpr const char *StoreRelayPath = "/v1/store";
 
 class store_client
@@ -25,29 +26,34 @@
     using commit_callback = std::function<void(commit_outcome)>;
     using read_callback = std::function<void(std::optional<jobs::row_page>)>;
     using feed_callback = std::function<void(std::optional<jobs::feed_page>)>;
-    using answer_begun_callback =
-            std::function<void(std::uint64_t bytes)>; // of its body, where declared
+    // Called when an answer begins to arrive; `bytes` is the declared length of its body.
+    using answer_begun_callback = std::function<void(std::uint64_t bytes)>;
     using relay_provider = std::function<std::vector<std::string>()>;
 
-    // `relays` names the internal addresses of processes that may reach the store.
+    // `relays` returns the internal addresses of processes that may be able to reach the store.
     store_client(net::event_loop &loop, net::http_caller &caller, std::string address,
                  relay_provider relays, metrics &counters, event_log &log);
 
-    // Repeats the very same write until it is known to have taken effect or to be void. An answer
-    // that was lost shows as `conflicting` with the writer's own row.
+    // Retries the identical write until it is known to have taken effect or to have failed its
+    // condition. If the write took effect but its answer was lost, the result is `conflicting` with
+    // the row that the caller wrote itself.
     void commit(jobs::row_transaction transaction, commit_callback done);
-    // None: nobody could be asked; the caller asks again.
+    // Reads the rows of a part with keys from `from` up to `to`. Tries twice; the result is empty
+    // if the store did not answer, and the caller has to try again.
     void read(const std::string &table, const std::string &part, const std::string &from,
               const std::string &to, read_callback done);
-    // All rows of a part, page after page.
+    // Reads all rows of a part, page by page.
     void readAll(const std::string &table, const std::string &part, read_callback done);
-    // An answer that is too large to be taken asks for everything anew, page by page.
+    // Long poll for changes of a table after version `after`; the store holds the answer for up to
+    // `wait`. An answer that is too large is reported as lost history, so the caller reads the
+    // whole table again page by page.
     void pollFeed(const std::string &table, std::int64_t after, milliseconds wait,
                   answer_begun_callback onAnswerBegun, feed_callback done);
 
-    // Passes a call of another process on; never further than to the store itself.
+    // Relays another process's call. It goes directly to the store, never through a further relay.
     void relay(http_request request, std::function<void(http_response)> respond);
 
+    // False once calls have failed for more than 500 ms.
     bool isReachable() const { return m_isReachable; }
     time_point lastAnswerAt() const { return m_lastAnswerAt; }
 
@@ -69,8 +75,8 @@
     relay_provider m_relays;
     metrics &m_metrics;
     event_log &m_log;
-    double m_averageAnswerMs = 12;   // answer time, moving average
-    time_point m_avoidDirectUntil{}; // the store itself is not asked before
+    double m_averageAnswerMs = 12;   // moving average of answer times, in ms
+    time_point m_avoidDirectUntil{}; // until then calls go through a relay, if there is one
     std::size_t m_nextRelay = 0;
     bool m_isReachable = true;
     time_point m_lastAnswerAt{};
--- a/app/table_follower.cpp
+++ b/app/table_follower.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr milliseconds FeedPollWait{1000}; // a feed that went silent is noticed soon after
-constexpr milliseconds RetryDelay{200};    // a store that was slow for a moment answers by then
+constexpr milliseconds FeedPollWait{1000}; // short enough to notice soon that the feed has stopped
+constexpr milliseconds RetryDelay{200};    // enough for a store that was slow for a moment
 
 } // namespace
 
@@ -24,10 +24,11 @@
     , m_onProgress(std::move(onProgress))
 { }
 
-// All parts at once; changes since the first reading come with the feed.
+// Reads all parts in parallel. The feed then starts at the oldest version read, so it includes all
+// changes made meanwhile.
 void table_follower::start()
 {
-    auto readState = std::make_shared<full_read>();
+    auto readState = std::make_shared<all_parts_read>();
     readState->pendingParts = m_followed.parts.size();
     readState->requestedAt = net::suspendAwareNow();
     for (const auto &part : m_followed.parts) {
@@ -38,7 +39,8 @@
     }
 }
 
-void table_follower::handlePart(full_read &readState, const std::optional<jobs::row_page> &page)
+void table_follower::handlePart(all_parts_read &readState,
+                                const std::optional<jobs::row_page> &page)
 {
     if (page) {
         m_onRows(page->rows);
--- a/app/table_follower.h
+++ b/app/table_follower.h
@@ -1,5 +1,6 @@
-// Follows a table of the platform's store: reads all of it, then its changes as they come, and all
-// of it anew when the store has dropped the history in between.
+// Follows a table of the platform's store: reads the whole table, then polls the store's feed for
+// changes. Reads the whole table again if the store no longer has the history of changes since the
+// last poll.
 #pragma once
 
 #include <cstddef>
@@ -20,16 +21,21 @@
 struct followed_table
 {
     std::string table;
-    std::vector<std::string> parts{""};
-    milliseconds batchDelay{0}; // after each answer with changes: joins many into the next one
+    std::vector<std::string> parts{""}; // all parts of the table
+    // Pause after each answer with changes, so that the next answer contains many of them.
+    milliseconds batchDelay{0};
 };
 
-// How the following goes on, for those who have to know whether they are behind.
-struct feed_answer_begun // an answer to the feed begins; large where it carries changes
+// The next two structs are progress events, for users that have to know whether their copy is up
+// to date.
+//
+// An answer of the feed begins to arrive.
+struct feed_answer_begun
 {
-    std::uint64_t bytes = 0;
+    std::uint64_t bytes = 0; // length of its body; large if it contains changes
 };
-struct all_changes_applied // all that had changed before it was asked for is known
+// All changes made before `requestedAt` have been passed on.
+struct all_changes_applied
 {
     time_point requestedAt{};
 };
@@ -42,8 +48,9 @@
     using rows_callback = std::function<void(const std::vector<jobs::row> &)>;
     using complete_callback = std::function<void()>;
 
-    // `take` gets rows as they are read and changed, in no particular order between readings:
-    // versions tell. `complete` is called after each reading of the whole table.
+    // `onRows` gets rows as they are read or changed. Rows of different reads can arrive in any
+    // order; their versions tell which is newer. `onComplete` is called after each read of the
+    // whole table.
     table_follower(
             net::event_loop &loop, store_client &store, event_log &log, followed_table followed,
             rows_callback onRows, complete_callback onComplete = [] {},
@@ -52,16 +59,16 @@
     void start();
 
 private:
-    // One reading of all parts.
-    struct full_read
+    // State of one read of the whole table.
+    struct all_parts_read
     {
-        std::size_t pendingParts = 0;   // parts without an answer
-        std::int64_t oldestVersion = 0; // the oldest version that a part was read at
+        std::size_t pendingParts = 0;   // parts not answered yet
+        std::int64_t oldestVersion = 0; // lowest store version at which a part was read
         time_point requestedAt{};
         bool hasFailed = false;
     };
 
-    void handlePart(full_read &readState, const std::optional<jobs::row_page> &page);
+    void handlePart(all_parts_read &readState, const std::optional<jobs::row_page> &page);
     void pollFeed(std::int64_t after);
     void handleFeedPage(const jobs::feed_page &page, time_point requestedAt);
 
--- a/app/worker_calls.cpp
+++ b/app/worker_calls.cpp
@@ -15,7 +15,7 @@
 
 constexpr milliseconds CallTimeout{1000};
 constexpr milliseconds StartAllowance{200}; // a worker starts a task within a few ms
-constexpr milliseconds SampleInterval{500}; // what the worker tells covers half a second
+constexpr milliseconds SampleInterval{500}; // the worker's measurements cover half a second
 
 } // namespace
 
@@ -23,11 +23,11 @@
     : m_address(dependencies.address)
     , m_caller(dependencies.caller)
     , m_leaseKeeper(dependencies.leaseKeeper)
-    , m_worker(dependencies.worker)
-    , m_clock(dependencies.clock)
-    , m_silence(dependencies.silence)
+    , m_workerPresence(dependencies.workerPresence)
+    , m_workerClock(dependencies.workerClock)
+    , m_workerLiveness(dependencies.workerLiveness)
     , m_runTable(dependencies.runTable)
-    , m_pacer(dependencies.pacer)
+    , m_throttleController(dependencies.throttleController)
     , m_metrics(dependencies.counters)
     , m_log(dependencies.log)
     , m_hooks(std::move(callbacks))
@@ -35,19 +35,20 @@
 
 void worker_calls::execute(const start_run &start)
 {
-    // Read here and not before: a process that was frozen since would start on a lease that
-    // has run out, while the task runs elsewhere. Frozen after this line, the call's own
-    // deadline stops it.
+    // The time must be read here and not earlier: if the process was suspended after reading it,
+    // the task could be started under an expired lease while it runs elsewhere. If the process is
+    // suspended after this line, the deadline in the call prevents the start.
     const auto now = suspendAwareNow();
     if (now >= std::min(lease().validUntil(), start.callDeadline))
         return;
     const auto until =
             std::min<time_point>(lease().validUntil(), start.callDeadline + StartAllowance);
-    const auto deadline = m_clock.millisecondsAt(until);
-    m_silence.noteHold(until);
+    const auto deadline = m_workerClock.millisecondsAt(until);
+    m_workerLiveness.noteHold(until);
     m_runTable.startCalled(start.task, start.run, deadline);
     m_caller.call(
-            m_address, platform_wire::startRequest(m_worker.id(), start, deadline, lease().fence()),
+            m_address,
+            platform_wire::startRequest(m_workerPresence.id(), start, deadline, lease().fence()),
             CallTimeout, [this, task = start.task, run = start.run](const call_result &result) {
                 handleStartResult(task, run, result);
             });
@@ -71,7 +72,8 @@
 
 void worker_calls::execute(const stop_run &stop)
 {
-    m_caller.call(m_address, platform_wire::stopRequest(m_worker.id(), stop, lease().fence()),
+    m_caller.call(m_address,
+                  platform_wire::stopRequest(m_workerPresence.id(), stop, lease().fence()),
                   CallTimeout, [this](const call_result &result) {
                       if (!std::holds_alternative<http_response>(result))
                           m_metrics.count("stops_not_confirmed_total", "unanswered");
@@ -84,18 +86,18 @@
     const auto filling = m_runTable.bestEffortRuns();
     if (now >= m_nextSampleAt) {
         m_nextSampleAt = now + SampleInterval;
-        m_hooks.samplesTaken(m_pacer.takeSamples(serving, filling));
+        m_hooks.samplesTaken(m_throttleController.takeSamples(serving, filling));
     }
-    const auto changes = m_pacer.decide(serving, filling, now);
+    const auto changes = m_throttleController.decide(serving, filling, now);
     for (const auto &change : changes) {
         m_metrics.count("paces_total", change.percent < 100 ? "slowed" : "full");
         m_caller.call(m_address,
-                      platform_wire::paceRequest(m_worker.id(), change.task, change.run,
+                      platform_wire::paceRequest(m_workerPresence.id(), change.task, change.run,
                                                  change.percent, lease().fence()),
                       CallTimeout, [this, change](const call_result &result) {
                           const auto *answer = std::get_if<http_response>(&result);
                           if (answer != nullptr && answer->status == 200)
-                              m_pacer.noteConfirmed(change);
+                              m_throttleController.noteConfirmed(change);
                       });
     }
 }
--- a/app/worker_calls.h
+++ b/app/worker_calls.h
@@ -1,4 +1,5 @@
-// The calls of an agent that change what its worker runs: starts, stops and paces.
+// The calls by which an agent changes what its worker runs: starts and stops of runs, and changes
+// of their speed.
 #pragma once
 
 #include <functional>
@@ -18,17 +19,17 @@
 
 namespace zinniabarrow {
 
-// What an agent consists of, as far as these calls need it; all of it outlives them.
+// The parts of an agent that worker_calls uses. All of them must outlive it.
 struct worker_calls_dependencies
 {
-    const std::string &address; // of the worker, "ip:port"
+    const std::string &address; // the worker's, "ip:port"
     net::http_caller &caller;
     const lease_keeper &leaseKeeper;
-    const worker_presence &worker;
-    const worker_clock &clock;
-    jobs::worker_liveness &silence;
+    const worker_presence &workerPresence;
+    const worker_clock &workerClock;
+    jobs::worker_liveness &workerLiveness;
     jobs::run_table &runTable;
-    jobs::throttle_controller &pacer;
+    jobs::throttle_controller &throttleController;
     metrics &counters;
     event_log &log;
 };
@@ -38,7 +39,7 @@
 public:
     struct hooks
     {
-        std::function<void()> tableChanged; // the table may have actions that are due
+        std::function<void()> tableChanged; // the run table may have actions that are due
         std::function<void(std::vector<jobs::interference_sample>)> samplesTaken;
     };
 
@@ -46,7 +47,8 @@
 
     void execute(const jobs::start_run &start);
     void execute(const jobs::stop_run &stop);
-    void adjustSpeeds(time_point now); // after each look at the worker
+    // Called after each successful poll of the worker. Slows down or resumes best-effort runs.
+    void adjustSpeeds(time_point now);
 
 private:
     void handleStartResult(const jobs::task_id &task, int run, const call_result &result);
@@ -56,11 +58,11 @@
     const std::string &m_address;
     net::http_caller &m_caller;
     const lease_keeper &m_leaseKeeper;
-    const worker_presence &m_worker;
-    const worker_clock &m_clock;
-    jobs::worker_liveness &m_silence;
+    const worker_presence &m_workerPresence;
+    const worker_clock &m_workerClock;
+    jobs::worker_liveness &m_workerLiveness;
     jobs::run_table &m_runTable;
-    jobs::throttle_controller &m_pacer;
+    jobs::throttle_controller &m_throttleController;
     metrics &m_metrics;
     event_log &m_log;
     hooks m_hooks;
--- a/app/worker_presence.cpp
+++ b/app/worker_presence.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr milliseconds DepartureTimeout{500}; // a worker ends some ms after it said so
+constexpr milliseconds DepartureTimeout{500}; // a worker ends a few ms after it announced that
 
 } // namespace
 
@@ -17,12 +17,12 @@
             announcement.id == m_id
             && (announcement.bornMs == 0 || m_bornMs == 0 || announcement.bornMs == m_bornMs);
     if (isSameIncarnation && announcement.sequence <= m_lastAnnouncement.sequence)
-        return change::None; // overtaken by a newer one
-    // Held up on its way from a life that has ended since.
+        return change::None; // a newer one arrived before
+    // Delayed announcement of an earlier incarnation.
     if (!isSameIncarnation && announcement.bornMs != 0 && announcement.bornMs < m_bornMs)
         return change::None;
-    // Held up, it would take back what is known of a worker that has left: only an answer says
-    // that it goes on.
+    // A delayed announcement must not cancel the departure of a worker that has left. Only the
+    // answer to a poll shows that the worker goes on.
     if (isSameIncarnation && m_isDeparting)
         return change::None;
     const bool isFirst = m_id.empty();
@@ -46,8 +46,8 @@
     if (!m_id.empty() && id != m_id)
         return false;
     m_isPresent = false;
-    // The message may be of an earlier life under the same id, held up on its way: only a worker
-    // that refuses connections by now has ended all that it ran.
+    // The message may be a delayed one of an earlier incarnation with the same id. Only a refused
+    // connection proves that the worker, and with it all its runs, has ended.
     m_isDeparting = true;
     m_departureDeadline = now + DepartureTimeout;
     return true;
@@ -62,7 +62,8 @@
         resetAnnouncedState();
         return poll_result::NewIncarnation;
     }
-    // It answers long after it said that it ends: the message was of an earlier life.
+    // The worker answers long after its announced end, so the message came from an earlier
+    // incarnation.
     if (!m_isDeparting || sentAt < m_departureDeadline)
         return poll_result::SameIncarnation;
     m_isDeparting = false;
@@ -70,7 +71,8 @@
     return poll_result::DepartureRefuted;
 }
 
-// Each life counts its announcements anew, and neither leaves nor departs by the word of another.
+// Each incarnation numbers its announcements from the start, and what an earlier one said about
+// leaving or departing does not apply to it.
 void worker_presence::resetAnnouncedState()
 {
     m_lastAnnouncement.sequence = 0;
@@ -81,7 +83,8 @@
 
 bool worker_presence::confirmsDeparture(call_failure failure)
 {
-    // A connect that has only timed out tells of the way to the worker, which may run on.
+    // A connection attempt that only timed out may be a network problem, and the worker may still
+    // run.
     return failure == call_failure::Refused && std::exchange(m_isDeparting, false);
 }
 
--- a/app/worker_presence.h
+++ b/app/worker_presence.h
@@ -1,5 +1,5 @@
-// What is known of an agent's worker by its own word: its life, and whether it is there. Decisions
-// only.
+// Tracks what an agent's worker says about itself: its incarnation, and whether it is present,
+// leaving or gone. Makes no calls.
 #pragma once
 
 #include <cstdint>
@@ -16,23 +16,27 @@
 public:
     enum class change { None, ReadinessChanged, NewIncarnation };
 
-    // An announcement that is overtaken, or held up from before a departure, is no news.
+    // Returns None for an announcement that arrives after a newer one, or that was sent before a
+    // departure and delayed.
     change handleAnnouncement(const platform_wire::worker_announcement &announcement);
-    // The worker says that it ends. False: another one says so.
+    // A worker announces that it is about to end. False if that is not this agent's worker.
     bool handleDeparture(const std::string &id, time_point now);
 
+    // DepartureRefuted: the worker goes on although it seemed to have announced its end.
     enum class poll_result { SameIncarnation, DepartureRefuted, NewIncarnation };
-    // A look that was sent then is answered by the life that was born so; 0: not told.
+    // A poll sent at `sentAt` was answered. `bornMs`: start time of the worker's incarnation, which
+    // identifies it; 0: not given.
     poll_result handleAnswer(std::int64_t bornMs, time_point sentAt);
-    // A look has failed. True: the worker that said that it ends is gone, with all that it ran.
+    // A poll has failed. True if that proves that a worker that announced its end is gone, and with
+    // it all its runs.
     bool confirmsDeparture(call_failure failure);
 
-    const std::string &id() const { return m_id; } // empty: not announced yet
+    const std::string &id() const { return m_id; } // empty before the first announcement
     bool isIncarnationKnown() const { return m_bornMs != 0; }
     std::string incarnationName() const { return std::to_string(m_bornMs); }
     bool isPresent() const { return m_isPresent; }
     bool isLeaving() const { return m_lastAnnouncement.leaving; }
-    // It ends soon, or has: its agent's instance goes with it.
+    // The worker is about to end or has ended. The agent's instance ends with it.
     bool isGoingAway() const
     {
         return m_isDeparting || (m_isPresent && m_lastAnnouncement.leaving);
@@ -43,15 +47,15 @@
     }
 
 private:
-    void resetAnnouncedState(); // of the life before
+    void resetAnnouncedState();
 
-    platform_wire::worker_announcement
-            m_lastAnnouncement; // newest announcement of the present life
+    // The newest one of the current incarnation.
+    platform_wire::worker_announcement m_lastAnnouncement;
     std::string m_id;
-    std::int64_t m_bornMs = 0;
-    bool m_isPresent = false;         // announced, and not departed
-    bool m_isDeparting = false;       // said to end, and not yet seen gone
-    time_point m_departureDeadline{}; // it ends before, if it has said so itself
+    std::int64_t m_bornMs = 0;        // start time of the current incarnation; 0: unknown
+    bool m_isPresent = false;         // announced and not departed
+    bool m_isDeparting = false;       // announced its end, which is not confirmed yet
+    time_point m_departureDeadline{}; // it is gone by then, if it did announce its end
 };
 
 } // namespace zinniabarrow
--- a/app/write_callbacks.h
+++ b/app/write_callbacks.h
@@ -1,4 +1,5 @@
-// What waits for a write of the job book: each under a token that the book gives back.
+// Callbacks that wait for writes of the job controller. Each is stored under a token, which the
+// controller returns when the write's outcome is known.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +12,11 @@
 class write_callbacks
 {
 public:
-    // Stored by this process; false: another one has what was to be written.
+    // `isStored`: true if this process stored the change; false if another process owns or has
+    // already stored what was to be written.
     using write_callback = std::function<void(bool isStored)>;
 
+    // Returns the token under which the callback is resolved.
     std::int64_t add(write_callback callback)
     {
         const auto token = m_nextToken++;
@@ -21,7 +24,7 @@
         return token;
     }
 
-    // Ignores a token that is not, or no longer, waited for.
+    // Calls and removes the token's callback. Unknown or already resolved tokens are ignored.
     void resolve(std::int64_t token, bool isStored)
     {
         auto found = m_callbacks.extract(token);
