--- a/tests/process_jobs_test.cpp
+++ b/tests/process_jobs_test.cpp
@@ -1,4 +1,5 @@
-// Callers' jobs on real processes: two entries and two agents beside the stand-in of the platform.
+// Tests of callers' jobs with real processes: two entries and two agents, with the stand-in of the
+// platform.
 #include <algorithm>
 #include <csignal>
 #include <memory>
@@ -16,7 +17,7 @@
 
 namespace {
 
-// Callers whose requests reach a process while it stands still.
+// Callers whose requests reach a process while it is suspended.
 class waiting_callers
 {
 public:
@@ -24,7 +25,7 @@
         : m_server(std::move(server))
     { }
 
-    // One connection each, that the process accepts before anything is sent on it.
+    // Opens one connection per caller. Nothing is sent on it yet.
     void connect(int count)
     {
         for (int each = 0; each < count; ++each)
@@ -66,33 +67,34 @@
 
 } // namespace
 
-Test(process_jobs, the_whole_path)
+Test(process_jobs, submit_run_and_cancel)
 {
     system_under_test system;
-    section("a job is accepted, runs step by step, and is shown as completed at any entry", [&] {
+    section("a job is accepted, runs step by step, and is shown as completed by any entry", [&] {
         require(system.submit(0, "aaaa000000000001"));
         check(system.reachesState(0, "aaaa000000000001", "completed"));
         check(system.reachesState(1, "aaaa000000000001", "completed"));
         check(system.site().done() == TasksPerJob);
         check(system.site().starts() == TasksPerJob);
     });
-    section("the same id again is the same job", [&] {
+    section("submitting the same id again does not create another job", [&] {
         require(system.submit(1, "aaaa000000000001"));
         check(system.site().starts() == TasksPerJob);
     });
-    section("bad input gets a clear answer", [&] {
+    section("invalid input gets a specific answer", [&] {
         check(system.call(0, "POST", "aaaa000000000002", "{")->status == 400);
         check(system.call(0, "GET", "aaaa000000000003")->status == 410);
         check(system.call(0, "GET", "")->body == R"({"waiting":0})");
     });
-    section("a cancelled job stops", [&] {
+    section("a cancelled job is stopped", [&] {
         system.site().workLasts(milliseconds(60'000));
         require(system.submit(0, "aaaa000000000004"));
         check(system.call(1, "DELETE", "aaaa000000000004")->status == 200);
         check(system.reachesState(1, "aaaa000000000004", "cancelled"));
     });
-    // An owner that dies right after the answer has told no agent: they read it in the store.
-    section("agents can read of a cancel as soon as it is acknowledged, by whomever", [&] {
+    // An owner that dies right after the answer has not told any agent: agents read cancellations
+    // in the store.
+    section("agents can read a cancellation as soon as any entry has acknowledged it", [&] {
         check(system.site().agentsReadCancelOf("aaaa000000000004"));
         require(system.submit(0, "aaaa000000000005"));
         check(system.call(0, "DELETE", "aaaa000000000005")->status == 200);
@@ -101,21 +103,22 @@
     checkNoViolations(system, system.site());
 }
 
-// A new version is acknowledged, and one entry, on a slow link, reads it for seconds. Callers there
-// were told that a queue of the new version does not exist, and the balancer that all is well. It
-// hears from the others that they work by a newer version, and says so.
-Test(process_jobs, an_entry_that_is_behind)
+// A new configuration version is written, and one entry on a slow link needs seconds to read it.
+// Guards against that entry telling callers that a queue of the new version does not exist, and
+// telling the load balancer that it is ready. The entry learns from other entries' pings that they
+// use a newer version, and then refuses requests.
+Test(process_jobs, entry_with_an_outdated_configuration)
 {
     system_under_test system;
     check(system.call(0, "GET", "")->status == 200);
     system.announceConfiguration(9);
-    section("callers are refused, and none is told that a queue does not exist", [&] {
+    section("callers get a 503, and none is told that a queue does not exist", [&] {
         require(waitUntil([&] { return system.call(0, "GET", "")->status == 503; }, WaitLimit));
         check(system.call(0, "GET", "")->header("Retry-After") == "1");
         check(!system.isReady(0));
         check(system.isReady(1));
     });
-    section("until it has the version", [&] {
+    section("requests are served again once the entry has the version", [&] {
         system.putConfiguration(9);
         require(waitUntil([&] { return system.isReady(0); }, WaitLimit));
         check(system.call(0, "GET", "")->status == 200);
@@ -123,31 +126,31 @@
     checkNoViolations(system, system.site());
 }
 
-// A service handed in at any entry runs, also when the entry that places all services is frozen:
-// the one that the caller reached hears nothing of it for a moment and accepts the job itself. Both
-// entries are frozen in turn, so that one of the two is the placer.
-Test(process_jobs, a_service_whose_placer_is_frozen)
+// A service that is submitted to any entry must run, even if the entry that places all services is
+// suspended: the entry that the caller reached gets no answer from it within the timeout and
+// accepts the job itself. Both entries are suspended in turn, so that one of them is the placer.
+Test(process_jobs, service_whose_placer_is_suspended)
 {
     system_under_test system;
     system.site().workLasts(milliseconds(600'000));
     int running = 0;
-    for (const int frozen : {0, 1}) {
-        section(fmt::format("entry {} is frozen", frozen), [&] {
-            const auto job = fmt::format("abcd00000000000{}", frozen);
-            system.entry(frozen).signal(SIGSTOP);
-            check(system.submitService(1 - frozen, job));
-            system.entry(frozen).signal(SIGCONT);
+    for (const int suspendedEntry : {0, 1}) {
+        section(fmt::format("entry {} is suspended", suspendedEntry), [&] {
+            const auto job = fmt::format("abcd00000000000{}", suspendedEntry);
+            system.entry(suspendedEntry).signal(SIGSTOP);
+            check(system.submitService(1 - suspendedEntry, job));
+            system.entry(suspendedEntry).signal(SIGCONT);
             running += 2;
             check(waitUntil([&] { return system.site().starts() == running; }, WaitLimit));
-            check(system.reachesState(frozen, job, "running"));
+            check(system.reachesState(suspendedEntry, job, "running"));
         });
     }
     checkNoViolations(system, system.site());
 }
 
-// Callers see their jobs completed, each task run once. The owner of the jobs is killed while their
-// first steps run; the other entry hears nothing of it any more, takes the jobs over by their rows
-// and gives the same orders again, which start nothing anew.
+// The owner of jobs is killed while their first steps run. The other entry gets no more heartbeats
+// from it, takes the jobs over from their rows and sends the same orders again, which must not
+// start anything twice. The jobs complete, and each task runs once.
 Test(process_jobs, owner_killed)
 {
     system_under_test system;
@@ -161,8 +164,9 @@
     checkNoViolations(system, system.site());
 }
 
-// The caller sees its job completed, each task run once. An agent is killed while it runs tasks,
-// and a new one starts: it reads what runs from its worker before it starts anything.
+// An agent is killed while its worker runs tasks, and a new one starts. The new one must read from
+// the worker which runs are active before it starts anything. The job completes, and each task runs
+// once.
 Test(process_jobs, agent_killed)
 {
     system_under_test system;
@@ -176,35 +180,37 @@
     checkNoViolations(system, system.site());
 }
 
-// A task that is done runs again: an agent that was frozen starts what it was told long before.
-Test(process_jobs, orders_that_an_agent_reads_late)
+// Guards against a finished task that runs again because an agent that was suspended executes old
+// orders.
+Test(process_jobs, orders_read_late_by_a_suspended_agent)
 {
     system_under_test system;
     system.site().workLasts(milliseconds(200));
     require(system.submit(0, "cdcd000000000001"));
-    require(system.reachesState(0, "cdcd000000000001", "completed")); // workers are known
+    require(system.reachesState(0, "cdcd000000000001",
+                                "completed")); // the entries know the workers now
     for (int index = 0; index < 2; ++index)
         system.agent(index).signal(SIGSTOP);
     require(system.submit(0, "cdcd000000000002"));
-    std::this_thread::sleep_for(milliseconds(1500)); // longer than an order holds
+    std::this_thread::sleep_for(milliseconds(1500)); // longer than an order is valid
     for (int index = 0; index < 2; ++index)
         system.agent(index).signal(SIGCONT);
-    section("they start nothing", [&] {
+    section("overdue orders start nothing", [&] {
         const auto isOverdue = [&](int index) {
             return system.logContains("agent", index, R"("outcome":"overdue")");
         };
         check(waitUntil([&] { return isOverdue(0) || isOverdue(1); }, WaitLimit));
     });
-    section("and are given again", [&] {
+    section("the orders are sent again", [&] {
         check(system.reachesState(0, "cdcd000000000002", "completed"));
         check(system.site().starts() == 2 * TasksPerJob);
         checkNoViolations(system, system.site());
     });
 }
 
-// The caller's tasks start elsewhere. A worker falls silent and runs on: its agent starts nothing
-// there any more, and nothing that it tries may put off the time from which the worker's runs have
-// ended for certain. Only then do they start on the other worker.
+// A worker stops answering but goes on running. Its agent must not start anything there any more,
+// and none of its calls may postpone the time at which the worker's runs have certainly ended. The
+// tasks start on the other worker, and only after that time.
 Test(process_jobs, worker_silent)
 {
     system_under_test system;
@@ -212,34 +218,35 @@
     require(system.submit(0, "abab000000000001"));
     require(waitUntil([&] { return system.site().starts() == 4; }, WaitLimit));
     system.site().silence(system.site().busiestWorker());
-    // As many as were placed there, which is two at least.
+    // At least two tasks were placed on that worker and start again elsewhere.
     check(waitUntil([&] { return system.site().starts() >= 6; }, WaitLimit));
     checkNoViolations(system, system.site());
 }
 
-// The caller sees two tasks that last stand still for seconds, with room for them on another
-// worker. Their worker leaves as planned while a renewal of its lease is out; its agent finds it
-// gone, and what it knows can't be written yet. Kept until the row is free, it frees the tasks at
-// once; an agent that sought its lease anew instead waited for a look at a worker that was no
-// longer there: its lines were worker_gone with a write out, then lease_sought, and 7 s later
-// worker_silent.
+// Guards against two long-running tasks that are down for seconds although another worker has
+// capacity. Their worker leaves as planned while a renewal of its lease is in progress. The agent
+// finds the worker gone but can't write the end of the epoch yet. It must keep that end and write
+// it when the renewal is done, which frees the tasks at once. An agent that acquired its lease anew
+// instead waited for an answer of a worker that was gone: its log showed worker_gone with a write
+// in progress, then lease_sought, and 7 s later worker_silent.
 Test(process_jobs, worker_leaves_while_its_lease_is_renewed)
 {
     system_under_test system;
     const auto departed = system.departDuringRenewal("acac000000000001");
     check(waitUntil([&] { return system.site().starts() == 2 + departed.runCount; }, WaitLimit));
-    // That it left was known: nobody waited for the end of a lease.
-    system.agent(departed.worker).signal(SIGTERM); // its last lines are written by then
+    // The departure was known, so nobody had to wait for the end of a lease.
+    system.agent(departed.worker).signal(SIGTERM); // so that its last log lines are written
     check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
     check(!system.hasAgentLogged(departed.worker, "worker_silent"));
     check(system.hasAgentLoggedDepartureDuringWrite(departed.worker));
     checkNoViolations(system, system.site());
 }
 
-// The caller sees the same for 12 s: the agent is stopped as planned right after its worker left,
-// and before the row says that all that ran there has ended. Nobody else can know; the entries
-// hear nothing for 3 s and then wait for the end of the lease. An agent that stopped at once said
-// stopped with a write out, and the row's epoch was as before.
+// Guards against long-running tasks that are down for 12 s. The agent is told to stop right after
+// its worker has left, before the lease row says that all runs there have ended. Nobody else can
+// know that: the entries would get no reports for 3 s and then wait for the end of the lease. An
+// agent that stopped at once logged "stopped" with a write in progress, and the row's epoch was
+// unchanged.
 Test(process_jobs, agent_stops_after_its_worker_left)
 {
     system_under_test system;
@@ -254,9 +261,9 @@
     checkNoViolations(system, system.site());
 }
 
-// The caller's two tasks run again on the other worker. Their worker is lost with its agent, and
-// all entries are killed while they wait for the end of its lease: what they had counted is gone,
-// the row tells the end to their next lives.
+// A worker is lost with its agent, and all entries are killed while they wait for the end of its
+// lease. The time that they had waited is lost, but the lease row tells their next incarnations the
+// end. The two tasks run again on the other worker.
 Test(process_jobs, worker_agent_and_entries_lost)
 {
     system_under_test system;
@@ -276,10 +283,11 @@
     checkNoViolations(system, system.site());
 }
 
-// The caller sees its job wait for ever, with a worker that runs nothing. The worker had left as
-// planned, and its agent had written the end of its epoch; it is back under its name, and its
-// announcements tell no birth. Nothing but a look tells its agent that it lives anew.
-Test(process_jobs, worker_is_back_under_its_name)
+// Guards against a job that waits for ever although a worker is idle. The worker had left as
+// planned, and its agent had written the end of its epoch. It is restarted under the same name, and
+// its announcements do not give its start time, so only a poll can tell the agent that this is a
+// new incarnation.
+Test(process_jobs, worker_restarted_under_its_name)
 {
     system_under_test system;
     require(system.submit(0, "abab000000000001"));
@@ -294,10 +302,10 @@
     checkNoViolations(system, system.site());
 }
 
-// Callers see tasks that last stand still for 7 s. Their worker has left and said so; its last
-// announcement was held up and comes in 50 ms later. It must not take back what its agent knows:
-// only an answer of the worker itself says that it goes on.
-Test(process_jobs, last_announcement_after_the_departure)
+// Guards against long-running tasks that are down for 7 s. Their worker has announced its departure
+// and left, and its last announcement is delayed and arrives 50 ms later. That announcement must
+// not cancel the departure: only an answer to a poll shows that the worker goes on.
+Test(process_jobs, delayed_announcement_after_the_departure)
 {
     system_under_test system;
     const auto departed = system.startService("adad000000000002");
@@ -309,34 +317,35 @@
     checkNoViolations(system, system.site());
 }
 
-// Operators empty a zone, and tasks go on being started there. Every worker is in it: a job that
-// comes meanwhile waits, and runs once the zone is taken back.
-Test(process_jobs, a_zone_that_is_emptied)
+// Guards against tasks that are started in an availability zone that operators are evacuating. All
+// workers are in that zone, so a job that is submitted meanwhile waits, and runs once the
+// evacuation is over.
+Test(process_jobs, evacuated_zone)
 {
     system_under_test system;
     system.evacuateZone("kartli-a");
-    section("agents hear of it through the entries", [&] {
+    section("agents learn of the evacuation from the entries", [&] {
         for (const int agent : {0, 1})
             check(waitUntil([&] { return system.hasAgentLogged(agent, "zone_evacuated"); },
                             WaitLimit));
     });
     require(system.submit(0, "abab000000000003"));
-    section("a job waits, and its owner says for which reason", [&] {
+    section("a job waits, and its owner logs the reason", [&] {
         check(waitUntil([&] { return system.logContains("entry", 0, "2 evacuated"); }, WaitLimit));
         check(system.site().starts() == 0);
     });
-    section("it runs once the zone is taken back", [&] {
+    section("it runs once the zone is back in use", [&] {
         system.restoreZone("kartli-a");
         check(system.reachesState(0, "abab000000000003", "completed"));
     });
     checkNoViolations(system, system.site());
 }
 
-// A caller cancels its job and is told that it is cancelled, and then no entry lives any more that
-// could tell the agents: the owner was frozen before, and the one that wrote the cancel for it
-// dies. What runs would run on as long as the agents renew their leases, which needs no entry. So
-// agents learn of cancels from the store, where each is written before it is acknowledged.
-Test(process_jobs, no_entry_is_left_after_a_cancel)
+// A caller is told that its job is cancelled, and then no entry is left that could tell the agents:
+// the owner was suspended before, and the entry that wrote the cancellation dies. The tasks would
+// go on as long as the agents renew their leases, for which they need no entry. So agents read
+// cancellations from the store, where each is written before it is acknowledged.
+Test(process_jobs, no_entry_left_after_a_cancel)
 {
     system_under_test system;
     system.site().workLasts(milliseconds(600'000));
@@ -345,11 +354,11 @@
     system.entry(0).signal(SIGSTOP);
     require(system.call(1, "DELETE", "adad000000000001")->status == 200);
     system.entry(1).signal(SIGKILL);
-    section("its tasks are stopped nevertheless", [&] {
+    section("its tasks are stopped without an entry", [&] {
         check(waitUntil([&] { return system.site().runsOn(0) + system.site().runsOn(1) == 0; },
                         WaitLimit));
     });
-    section("the owner wakes and starts none of them again", [&] {
+    section("the resumed owner starts none of them again", [&] {
         system.entry(0).signal(SIGCONT);
         check(system.reachesState(0, "adad000000000001", "cancelled"));
         check(system.site().starts() == 4);
@@ -357,9 +366,9 @@
     checkNoViolations(system, system.site());
 }
 
-// The caller sees its job accepted and completed. The answers to writes are lost after they took
-// effect; the entry repeats the very same write, finds its own row and goes on.
-Test(process_jobs, answers_of_the_store_lost)
+// The store's answers to writes are lost after the writes took effect. The entry retries the
+// identical write, finds its own row and goes on. The job is accepted and completed.
+Test(process_jobs, lost_answers_of_the_store)
 {
     system_under_test system;
     system.site().loseAnswers(3);
@@ -370,20 +379,21 @@
     checkNoViolations(system, system.site());
 }
 
-// A caller that comes while the store is away is refused, at once, and its job never runs; what was
-// accepted before goes on once it is back.
-Test(process_jobs, store_away)
+// While the store is unreachable, new jobs are refused at once and never run. Jobs that were
+// accepted before go on once the store is reachable again.
+Test(process_jobs, store_unreachable)
 {
     system_under_test system;
     require(system.submit(0, "eeee000000000001"));
     system.site().turnAway(true);
-    // Until the entry knows that the store is away, it takes jobs whose outcome is unknown then.
+    // Until the entry notices that the store is unreachable, it tries to accept jobs, and their
+    // outcome is unknown.
     std::string refused;
     int number = 0;
     require(waitUntil(
             [&] {
                 refused = fmt::format("eeee{:012}", 100 + number++);
-                // As large as the stand-in takes every task to be.
+                // The size that the stand-in assumes for every task.
                 const auto answer = system.call(0, "POST", refused,
                                                 R"({"spec":"","steps":[{"count":1,"cpu":1000}]})");
                 return answer && answer->status == 503 && !answer->header("Retry-After").empty();
@@ -396,9 +406,9 @@
     checkNoViolations(system, system.site());
 }
 
-// An entry is stopped as planned while it owns a job: the other one takes the job over at once, and
-// the process ends by itself.
-Test(process_jobs, planned_stop)
+// An entry is shut down gracefully while it owns a job. The other entry takes the job over at once,
+// and the process exits by itself.
+Test(process_jobs, graceful_shutdown)
 {
     system_under_test system;
     system.site().workLasts(milliseconds(1500));
@@ -410,9 +420,10 @@
     checkNoViolations(system, system.site());
 }
 
-// A caller's request to an entry that is stopped as planned is cut off without an answer, so it
-// knows nothing and may not try again. Its entry leaves while the store is away: a cancel that came
-// two seconds into the stop waits for its write, and the process ends before that wait does.
+// Guards against a request that is cut off without an answer by a graceful shutdown, so that the
+// caller does not know the outcome and may not retry. The entry leaves while the store is
+// unreachable. A cancellation that arrives 2.5 s after the signal waits for its write for longer
+// than the process runs.
 Test(process_jobs, planned_stop_answers_what_is_open)
 {
     system_under_test system;
@@ -423,16 +434,16 @@
     std::this_thread::sleep_for(milliseconds(2500));
     const auto answer = system.call(0, "DELETE", "ffff000000000002");
     check(answer.has_value());
-    check(answer && answer->status == 504); // the cancel may take effect yet
+    check(answer && answer->status == 504); // the cancellation may still take effect
     system.site().turnAway(false);
     check(system.entry(0).waitForExit(WaitLimit) == 0);
     checkNoViolations(system, system.site());
 }
 
-// A caller sends a request to an entry that has been leaving for seconds, and its connection is
-// closed without an answer. The entry was behind at the moment at which it judged whether anything
-// was open: what had arrived stood in its sockets, or was read and not worked through.
-Test(process_jobs, requests_that_reach_a_leaving_entry_which_is_behind)
+// Guards against connections that are closed without an answer by an entry that has been shutting
+// down for seconds. The entry was suspended when it had to decide whether requests were open:
+// requests were still unread in its sockets, or were read but not handled yet.
+Test(process_jobs, requests_to_a_leaving_entry_that_was_suspended)
 {
     system_under_test system;
     system.site().workLasts(milliseconds(600'000));
@@ -449,12 +460,13 @@
         require(caller->send("GET", "/holds/"));
         require(caller->readAnswer() == 200);
     }
-    system.site().turnAway(true); // nobody can take its jobs over: the stop lasts its whole time
+    system.site().turnAway(
+            true); // nobody can take over its jobs, so the shutdown takes the full time
     system.entry(0).signal(SIGTERM);
     std::this_thread::sleep_for(milliseconds(2500));
-    section("it stands still until its jobs need not be waited for any more", [&] {
+    section("the entry is suspended until after the time limit for handing over", [&] {
         system.entry(0).signal(SIGSTOP);
-        connectMore(4); // these wait to be accepted
+        connectMore(4); // these connections are not accepted yet
         int number = 0;
         for (const auto &caller : callers) {
             require(caller->isOpen());
@@ -464,7 +476,7 @@
         std::this_thread::sleep_for(milliseconds(2200));
         system.entry(0).signal(SIGCONT);
     });
-    section("each request is answered all the same", [&] {
+    section("each request is answered nevertheless", [&] {
         int cutOffCount = 0;
         for (const auto &caller : callers)
             cutOffCount += caller->fate() == request_fate::CutOff ? 1 : 0;
@@ -475,16 +487,18 @@
     checkNoViolations(system, system.site());
 }
 
-// A caller is told that its job never runs, and it runs. The store went away while the job was
-// being written, so the first try ended with its outcome unknown; the second one was refused since
-// the store can't be reached, though the first write may yet take effect.
-Test(process_jobs, a_job_whose_write_is_out_is_not_refused)
+// Guards against a caller that is told that its job will not run although it runs. The store became
+// unreachable while the job was being written, so the outcome of the first request is unknown. The
+// second request must not be refused because the store is unreachable, since the first write may
+// still take effect.
+Test(process_jobs, job_with_a_write_in_progress_is_not_refused)
 {
     system_under_test system;
     const std::string body = R"({"spec":"","steps":[{"count":1,"cpu":1000}]})";
     std::string job;
     std::optional<http_response> first;
-    // The store has to go away while it still counts as reachable.
+    // The request has to arrive after the store became unreachable and before the entry has noticed
+    // that.
     for (int number = 1; number < 6 && !(first && first->status == 504); ++number) {
         system.site().turnAway(false);
         require(system.submit(0, fmt::format("efef00000000000{}", number)));
@@ -500,18 +514,18 @@
     checkNoViolations(system, system.site());
 }
 
-// An entry's order, or an announcement of the worker, ends without an answer. Its agent was told to
-// stop and was behind, and its listeners were cut off: what had come stood in sockets, or on
-// connections that wait to be accepted.
-Test(process_jobs, requests_that_reach_a_leaving_agent_which_is_behind)
+// Guards against entries' orders and workers' announcements that get no answer. The agent was told
+// to stop while it was suspended, and closed its listeners although requests were unread in
+// sockets, or on connections that were not accepted yet.
+Test(process_jobs, requests_to_a_leaving_agent_that_was_suspended)
 {
     system_under_test system;
-    constexpr int Callers = 8; // of each kind
+    constexpr int Callers = 8; // number of callers of each kind
     const auto connectTo = [&](waiting_callers &orders, waiting_callers &announcements) {
         orders.connect(Callers);
         announcements.connect(Callers);
     };
-    // On those connections that the agent has not closed by then.
+    // Sends on the connections that the agent has not closed yet.
     const auto send = [](waiting_callers &orders, waiting_callers &announcements) {
         orders.removeClosed();
         orders.send("POST", "/v1/orders", "{}");
@@ -522,7 +536,7 @@
         require(accepts(system.agentInternalAddress(agent)));
         require(accepts(system.agentWorkersAddress(agent)));
     }
-    section("it stands still as it is told to stop", [&] {
+    section("the agent is suspended when it is told to stop", [&] {
         waiting_callers orders(system.agentInternalAddress(0));
         waiting_callers announcements(system.agentWorkersAddress(0));
         connectTo(orders, announcements);
@@ -535,36 +549,39 @@
         check(orders.cutOffCount() + announcements.cutOffCount() == 0);
         check(system.agent(0).waitForExit(WaitLimit) == 0);
     });
-    section("it stands still until the last write of its lease is not waited for any more", [&] {
-        waiting_callers orders(system.agentInternalAddress(1));
-        waiting_callers announcements(system.agentWorkersAddress(1));
-        connectTo(orders, announcements);
-        system.site().turnAway(true);
-        std::this_thread::sleep_for(milliseconds(2000)); // a renewal is out, and stays so
-        system.agent(1).signal(SIGTERM);
-        std::this_thread::sleep_for(milliseconds(100));
-        system.agent(1).signal(SIGSTOP);
-        connectTo(orders, announcements);
-        send(orders, announcements);
-        std::this_thread::sleep_for(milliseconds(1000));
-        system.agent(1).signal(SIGCONT);
-        check(orders.cutOffCount() + announcements.cutOffCount() == 0);
-        check(system.agent(1).waitForExit(WaitLimit) == 0);
-    });
+    section("the agent is suspended until after the time limit for the last write of its lease",
+            [&] {
+                waiting_callers orders(system.agentInternalAddress(1));
+                waiting_callers announcements(system.agentWorkersAddress(1));
+                connectTo(orders, announcements);
+                system.site().turnAway(true);
+                std::this_thread::sleep_for(
+                        milliseconds(2000)); // a renewal is in progress and does not complete
+                system.agent(1).signal(SIGTERM);
+                std::this_thread::sleep_for(milliseconds(100));
+                system.agent(1).signal(SIGSTOP);
+                connectTo(orders, announcements);
+                send(orders, announcements);
+                std::this_thread::sleep_for(milliseconds(1000));
+                system.agent(1).signal(SIGCONT);
+                check(orders.cutOffCount() + announcements.cutOffCount() == 0);
+                check(system.agent(1).waitForExit(WaitLimit) == 0);
+            });
     system.site().turnAway(false);
     checkNoViolations(system, system.site());
 }
 
-// An entry that can't reach the store writes by way of an agent, and the connection ends without an
-// answer. The agent is told to stop while the store has the call: 502 tells that it may have been
-// carried out, and the entry repeats the very same write by another way.
-Test(process_jobs, a_leaving_agent_has_relayed_a_call)
+// Guards against a relayed call whose connection ends without an answer. An entry that can't reach
+// the store sends a call through an agent, and the agent is told to stop while the store handles
+// the call. 502 tells the entry that the call may have been executed, and the entry retries the
+// identical call by another way.
+Test(process_jobs, leaving_agent_with_an_open_relayed_call)
 {
     system_under_test system;
     require(accepts(system.agentInternalAddress(0)));
     kept_caller caller(system.agentInternalAddress(0));
     constexpr const char *Feed = "/v1/store/-/rows-feed?table=op&after=1000000&wait-ms=1000";
-    require(caller.send("GET", Feed)); // is held for a second
+    require(caller.send("GET", Feed)); // the store holds the answer for a second
     require(waitUntil([&] { return system.hasAgentRelayed(0); }, WaitLimit));
     system.agent(0).signal(SIGTERM);
     check(caller.readAnswer() == 502);
@@ -572,9 +589,10 @@
     checkNoViolations(system, system.site());
 }
 
-// A caller's connection is closed without an answer. Its entry was told to stop as it had only
-// begun: it has no incarnation or configuration yet, knows no jobs, or is not yet in its loop.
-Test(process_jobs, an_entry_that_has_only_begun_is_stopped)
+// Guards against connections that are closed without an answer by an entry that is told to stop
+// right after its start: it has no incarnation or configuration yet, has not read the jobs, or its
+// event loop does not run yet.
+Test(process_jobs, shutdown_of_a_starting_entry)
 {
     system_under_test system;
     const auto stopWithRequests = [&] {
@@ -601,7 +619,7 @@
             stopWithRequests();
         });
     }
-    section("while the store is away, before its incarnation", [&] {
+    section("while the store is unreachable, before the entry has an incarnation", [&] {
         system.site().turnAway(true);
         system.startEntry(0);
         require(accepts(system.callersAddress(0)));
@@ -612,12 +630,12 @@
     checkNoViolations(system, system.site());
 }
 
-// The process dies of its signal, and whoever had connected is cut off: it listened before it heard
-// of signals.
-Test(process_jobs, a_stop_in_the_first_moment)
+// Guards against a process that listens before it handles signals: a signal in that moment would
+// kill it and cut off all connections.
+Test(process_jobs, shutdown_right_after_listening)
 {
     system_under_test system;
-    // Looks without a pause: the moment is short.
+    // Tries without a pause, because the moment is short.
     const auto awaitListening = [](const std::string &address) {
         const auto giveUpAt = monotonic_clock::now() + WaitLimit;
         while (!kept_caller(address).isOpen())
@@ -641,13 +659,13 @@
     checkNoViolations(system, system.site());
 }
 
-// A caller's connection is closed without an answer because of something that comes beside the
-// first signal: a second one, a hang-up, writes whose answers do not come.
-Test(process_jobs, stops_with_other_trouble)
+// Guards against connections that are closed without an answer because of something that happens in
+// addition to the first signal: a second signal, a hang-up signal, or lost answers of the store.
+Test(process_jobs, shutdown_with_repeated_signals_or_lost_answers)
 {
     system_under_test system;
     constexpr const char *Job = R"({"spec":"","steps":[{"count":1,"cpu":1000}]})";
-    section("more signals come, and the process is behind", [&] {
+    section("more signals arrive while the process is suspended", [&] {
         waiting_callers callers(system.callersAddress(0));
         callers.connect(4);
         system.entry(0).signal(SIGSTOP);
@@ -677,9 +695,9 @@
     checkNoViolations(system, system.site());
 }
 
-// Connections beyond what an entry holds are closed as they come; those that it holds are answered
-// all the same when it is told to stop amid them.
-Test(process_jobs, planned_stop_amid_more_connections_than_it_holds)
+// Connections beyond an entry's limit are closed when they arrive. Those within the limit must be
+// answered even if the entry is told to stop while all of them are open.
+Test(process_jobs, shutdown_with_too_many_connections)
 {
     constexpr int MaxConnections = 1500;
     system_under_test system;
--- a/tests/process_stops_test.cpp
+++ b/tests/process_stops_test.cpp
@@ -1,6 +1,6 @@
-// Entries that are stopped as planned in turn, amid callers, with little processor time. All that
-// varies is drawn from a seed: ZB_SOAK_SEED=N runs that one, ZB_SOAK_LOGS=FOLDER keeps the lines of
-// the processes when it fails.
+// Soak test of graceful shutdowns: entries are shut down and restarted in turn while callers send
+// requests and processor time is short. All variation is drawn from a seed. ZB_SOAK_SEED=N runs one
+// seed; ZB_SOAK_LOGS=FOLDER keeps the logs of the processes if it fails.
 #include <array>
 #include <atomic>
 #include <csignal>
@@ -20,21 +20,21 @@
 
 namespace {
 
-// Every seed that ever failed stays, one for each cause.
+// Seeds that failed once are kept, one per cause.
 constexpr unsigned Seeds[] = {
-        2, // an entry that was behind judged that no request was open while some stood in its
-           // sockets
-        9, // a connection of which only the request line was read was taken for idle
+        2, // a late entry decided that no request was open while some were unread in its sockets
+        9, // a connection on which only the request line had been read was taken for idle
 };
 
 constexpr int ShutdownCount = 10;
 constexpr int CallersPerEntry = 8;
 constexpr std::size_t MaxJobs = 500;
-constexpr milliseconds KillTimeout{6000};   // as the users' platform does
-constexpr milliseconds MaxRaceTime{200};    // between a request and the end of an idle connection
-constexpr milliseconds MaxArrivalTime{20};  // what was sent to a socket on this machine
-constexpr milliseconds Tick{5};             // of what is done to the processes
-constexpr milliseconds LogPollInterval{50}; // for a line that is waited for
+constexpr milliseconds KillTimeout{6000}; // after the signal, as the platform does
+constexpr milliseconds MaxRaceTime{
+        200}; // between sending a request and the end of an idle connection
+constexpr milliseconds MaxArrivalTime{20};  // for data sent to a socket on this machine
+constexpr milliseconds TickInterval{5};     // interval of actions on the processes
+constexpr milliseconds LogPollInterval{50}; // while waiting for a log line
 constexpr milliseconds TaskDuration{100};
 
 class random_source
@@ -48,7 +48,7 @@
         return minimum
                + static_cast<int>(m_generator() % static_cast<unsigned>(maximum - minimum + 1));
     }
-    std::size_t below(std::size_t bound) { return m_generator() % bound; }
+    std::size_t indexBelow(std::size_t bound) { return m_generator() % bound; }
     milliseconds time(int minimumMs, int maximumMs)
     {
         return milliseconds(between(minimumMs, maximumMs));
@@ -59,27 +59,28 @@
     std::mt19937 m_generator;
 };
 
-// What all callers were told.
+// What all callers together experienced.
 struct callers_record
 {
     std::mutex mutex;
     std::vector<std::string> accepted; // jobs
-    std::set<std::string> cancelled;   // jobs for which a cancel was sent
+    std::set<std::string> cancelled;   // jobs for which a cancellation was sent
     std::vector<std::string> faults;
     int answeredCount = 0;
-    int racedCount = 0;     // with the end of their connection
-    int brokenOffCount = 0; // their connection ended before they were whole
+    int racedCount = 0;     // requests that raced with the end of an idle connection
+    int brokenOffCount = 0; // requests whose connection ended before they were sent completely
     std::size_t jobCount = 0;
 };
 
 struct caller_request
 {
     std::string method;
-    std::string job; // empty: all of the queue
+    std::string job; // empty: the whole queue
     std::string body;
 };
 
-// A caller of one entry: keeps connections, makes new ones, sends whole requests or two parts.
+// A caller of one entry. Keeps connections open, opens new ones, sends requests whole or in two
+// parts.
 class soak_caller
 {
 public:
@@ -97,8 +98,8 @@
             kept_caller connection(m_server);
             if (!connection.isOpen())
                 std::this_thread::sleep_for(milliseconds(10));
-            int left = m_random.between(1, 15);
-            while (left-- > 0 && connection.isOpen() && !stopToken.stop_requested())
+            int requestsLeft = m_random.between(1, 15);
+            while (requestsLeft-- > 0 && connection.isOpen() && !stopToken.stop_requested())
                 exchangeRequest(connection);
         }
     }
@@ -116,7 +117,8 @@
         const auto text = connection.requestText(request.method, path, request.body);
         std::size_t first = 0;
         if (m_random.oneIn(4)) {
-            first = m_random.oneIn(4) ? text.find("\r\n") + 2 : 1 + m_random.below(text.size() - 1);
+            first = m_random.oneIn(4) ? text.find("\r\n") + 2
+                                      : 1 + m_random.indexBelow(text.size() - 1);
             if (!sendInPart(connection, request, text.substr(0, first)))
                 return;
         }
@@ -130,11 +132,13 @@
         if (open <= MaxRaceTime && connection.answerText().empty())
             ++m_record.racedCount;
         else
-            recordFault(request, fmt::format("got no answer but \"{}\", open {} ms after it",
-                                             connection.answerText(), millisecondsIn(open)));
+            recordFault(
+                    request,
+                    fmt::format("got no answer but \"{}\"; its connection stayed open for {} ms",
+                                connection.answerText(), millisecondsIn(open)));
     }
 
-    // False when its connection ended before the rest could be sent.
+    // False if the connection ended before the rest could be sent.
     bool sendInPart(kept_caller &connection, const caller_request &request, const std::string &part)
     {
         connection.sendText(part);
@@ -147,7 +151,8 @@
             ++m_record.brokenOffCount;
         else
             recordFault(request,
-                        fmt::format("was read in part ({} bytes) and given up", part.size()));
+                        fmt::format("was read in part ({} bytes), then its connection was closed",
+                                    part.size()));
         return false;
     }
 
@@ -162,16 +167,16 @@
     {
         const std::lock_guard lock(m_record.mutex);
         const auto &known = m_record.accepted;
-        const auto kind = m_random.between(0, 99);
-        if (kind < 25 && m_record.jobCount < MaxJobs) {
+        const auto drawnKind = m_random.between(0, 99);
+        if (drawnKind < 25 && m_record.jobCount < MaxJobs) {
             const auto randomValue = m_random.between(0, 0x7ffffffe);
             return {"POST", fmt::format("{:08x}{:08x}", randomValue, ++m_record.jobCount),
                     R"({"spec":"","steps":[{"count":1,"cpu":1000,"mem-mb":100}]})"};
         }
-        if (kind < 50 || known.empty())
+        if (drawnKind < 50 || known.empty())
             return {"GET", "", ""};
         const auto last = static_cast<int>(known.size()) - 1;
-        if (kind < 90)
+        if (drawnKind < 90)
             return {"GET", known[static_cast<std::size_t>(m_random.between(0, last))], ""};
         const auto job =
                 known[static_cast<std::size_t>(m_random.between(std::max(0, last - 9), last))];
@@ -185,7 +190,7 @@
         if (request.method == "POST" && status / 100 == 2)
             m_record.accepted.push_back(request.job);
         if (status == 410)
-            recordFault(request, "of a job that was accepted got 410");
+            recordFault(request, "for an accepted job got 410");
     }
 
     std::string m_server;
@@ -194,11 +199,11 @@
     const std::atomic<bool> &m_isBurst;
 };
 
-// Lends a process a share of a core, by letting it stand still for `pause` in each cycle.
+// Limits a process to a share of a core, by suspending it for `pause` in each cycle.
 class cpu_share
 {
 public:
-    cpu_share() = default; // all of it
+    cpu_share() = default; // no limit
     cpu_share(milliseconds pause, int percent)
         : m_pause(pause)
         , m_runTime(pause * percent / (100 - percent))
@@ -222,10 +227,10 @@
 
 private:
     milliseconds m_pause{0};
-    milliseconds m_runTime{0}; // between two pauses
+    milliseconds m_runTime{0}; // running time between two pauses
     bool m_isStopped = false;
-    time_point m_stoppedSince{}; // it stands still
-    time_point m_nextChangeAt{}; // it is stopped or continued
+    time_point m_stoppedSince{}; // start of the current pause
+    time_point m_nextChangeAt{}; // when to suspend or resume the process next
     duration m_stoppedTime{0};
 };
 
@@ -264,11 +269,11 @@
 
     std::string summary() const
     {
-        return fmt::format("seed {}: {} answered, {} raced with the end of their "
-                           "connection, {} broken off in part; {} jobs; longest stop {} ms",
-                           m_seed, m_record.answeredCount, m_record.racedCount,
-                           m_record.brokenOffCount, m_record.accepted.size(),
-                           millisecondsIn(m_longestShutdown));
+        return fmt::format(
+                "seed {}: {} answered, {} raced with the end of their "
+                "connection, {} cut off before they were complete; {} jobs; longest shutdown {} ms",
+                m_seed, m_record.answeredCount, m_record.racedCount, m_record.brokenOffCount,
+                m_record.accepted.size(), millisecondsIn(m_longestShutdown));
     }
 
     void keepLogs(const std::string &folder) const
@@ -298,8 +303,9 @@
         }
         m_isBurst = m_random.oneIn(2);
         m_storeOutageFrom = monotonic_clock::now() + m_random.time(0, 3000);
-        const auto lasts = m_random.time(100, 4500);
-        m_storeOutageUntil = m_storeOutageFrom + (m_random.oneIn(3) ? lasts : milliseconds(0));
+        const auto outageDuration = m_random.time(100, 4500);
+        m_storeOutageUntil =
+                m_storeOutageFrom + (m_random.oneIn(3) ? outageDuration : milliseconds(0));
     }
 
     void setShare(int entry, cpu_share share)
@@ -308,18 +314,18 @@
         m_currentShares[entry] = share;
     }
 
-    // What is done to all processes, at one moment.
+    // Applies the CPU shares and the store's outage as of `now`.
     void tick(time_point now)
     {
         for (const int entry : {0, 1})
             m_currentShares[entry].tick(m_system.entry(entry), now);
         m_system.site().turnAway(now >= m_storeOutageFrom && now < m_storeOutageUntil);
-        std::this_thread::sleep_for(Tick);
+        std::this_thread::sleep_for(TickInterval);
     }
 
-    void tickFor(milliseconds span)
+    void tickFor(milliseconds elapsed)
     {
-        const auto end = monotonic_clock::now() + span;
+        const auto end = monotonic_clock::now() + elapsed;
         for (auto now = monotonic_clock::now(); now < end; now = monotonic_clock::now())
             tick(now);
     }
@@ -330,27 +336,27 @@
         const auto at = monotonic_clock::now();
         const auto suspendedBefore = m_currentShares[index].stoppedTime(at);
         entry.signal(SIGTERM);
-        // Both as of a moment at which it had not ended.
-        duration span{};
+        // Both are measured at the last moment at which the process was still running.
+        duration elapsed{};
         duration suspended{};
-        for (auto now = at; entry.running() && span - suspended < KillTimeout;
+        for (auto now = at; entry.running() && elapsed - suspended < KillTimeout;
              now = monotonic_clock::now()) {
-            span = now - at;
+            elapsed = now - at;
             suspended = m_currentShares[index].stoppedTime(now) - suspendedBefore;
             tick(now);
         }
-        m_longestShutdown = std::max(m_longestShutdown, span);
-        checkExit(index, span);
+        m_longestShutdown = std::max(m_longestShutdown, elapsed);
+        checkExit(index, elapsed);
         startNextIncarnation(index);
     }
 
-    void checkExit(int index, duration span)
+    void checkExit(int index, duration elapsed)
     {
         const auto code = m_system.entry(index).waitForExit(milliseconds(0));
         if (code != 0)
-            recordFault(
-                    fmt::format("entry-{} ended with {} (-1: not) {} ms after it was told to stop",
-                                index, code, millisecondsIn(span)));
+            recordFault(fmt::format(
+                    "entry-{} exited with code {} (-1: did not exit) {} ms after the signal", index,
+                    code, millisecondsIn(elapsed)));
         const auto text = m_system.logText("entry", index, m_incarnationLogFrom[index]);
         const auto stopped = text.rfind(R"("event":"stopped")");
         const auto last = stopped == std::string::npos ? "" : text.substr(stopped);
@@ -360,7 +366,8 @@
         }
     }
 
-    // Some are stopped again right after their start, others once they know all jobs.
+    // Waits until the new incarnation has started, or has read all jobs, before it may be stopped
+    // again.
     void startNextIncarnation(int index)
     {
         m_incarnationLogFrom[index] = m_system.logText("entry", index).size();
@@ -371,7 +378,7 @@
         while (m_system.logText("entry", index, m_incarnationLogFrom[index]).find(event)
                == std::string::npos) {
             if (monotonic_clock::now() > giveUpAt)
-                return recordFault(fmt::format("entry-{} did not say {}", index, event));
+                return recordFault(fmt::format("entry-{} did not log {}", index, event));
             tickFor(LogPollInterval);
         }
     }
@@ -405,9 +412,11 @@
     system_under_test m_system;
     callers_record m_record;
     std::atomic<bool> m_isBurst = false;
-    std::array<cpu_share, 2> m_shares; // as lent to each life of an entry
+    std::array<cpu_share, 2>
+            m_shares; // drawn share of each entry, applied to each of its incarnations
     std::array<cpu_share, 2> m_currentShares;
-    std::array<std::size_t, 2> m_incarnationLogFrom{}; // of its lines
+    std::array<std::size_t, 2>
+            m_incarnationLogFrom{}; // where the log of its current incarnation begins
     time_point m_storeOutageFrom{};
     time_point m_storeOutageUntil{};
     duration m_longestShutdown{};
@@ -428,9 +437,9 @@
 
 } // namespace
 
-// Callers' requests stand in the sockets of an entry that is stopped as planned and behind, and it
-// ends: their connections close without an answer.
-Test(process_stops, every_whole_request_is_answered)
+// Guards against an entry that exits while callers' requests are unread in its sockets, because it
+// is shutting down and late: the callers' connections would close without an answer.
+Test(process_stops, every_complete_request_is_answered)
 {
     const char *one = std::getenv("ZB_SOAK_SEED");
     if (one != nullptr)
--- a/tests/report_targets_test.cpp
+++ b/tests/report_targets_test.cpp
@@ -1,4 +1,4 @@
-// To which entries an agent reports, and when.
+// Tests of report_targets: which entries an agent may send a report to, and when.
 #include <string>
 #include <vector>
 
@@ -22,24 +22,25 @@
 
 } // namespace
 
-// Guards against reports that pile up before an entry that is slow to answer, and against news
-// that is left out because a report was on its way.
-Test(entry_links, one_report_at_a_time)
+// Guards against reports that pile up at an entry that is slow to answer, and against changes that
+// are never reported because they came while a report was in flight.
+Test(report_targets, one_report_at_a_time)
 {
     auto targets = twoEntries();
     check(targets.tryBeginReport("entry-a"));
-    section("news that comes before its answer is wanted after it", [&] {
+    section("a change during a report in flight needs another report", [&] {
         check(!targets.needsAnotherReport("entry-a"));
         check(!targets.tryBeginReport("entry-a"));
         check(targets.endReport("entry-a"));
         check(targets.needsAnotherReport("entry-a"));
     });
-    section("and told by the next report", [&] {
+    section("the next report covers the change", [&] {
         check(targets.tryBeginReport("entry-a"));
         check(!targets.needsAnotherReport("entry-a"));
     });
-    section("other entries don't wait for it", [&] { check(targets.tryBeginReport("entry-b")); });
-    section("an entry that is gone is told nothing", [&] {
+    section("reports to other entries are independent of it",
+            [&] { check(targets.tryBeginReport("entry-b")); });
+    section("no report goes to a removed entry", [&] {
         targets.removeEntry("entry-a");
         check(!targets.endReport("entry-a"));
         check(!targets.tryBeginReport("entry-a"));
@@ -47,40 +48,41 @@
     });
 }
 
-Test(entry_links, where_they_are)
+Test(report_targets, entry_addresses)
 {
     auto targets = twoEntries();
     check((targets.names() == std::vector<std::string>{"entry-a", "entry-b"}));
     check((targets.addresses() == std::vector<std::string>{"a:1", "b:1"}));
-    section("an entry that lives anew elsewhere is told there", [&] {
+    section("a restarted entry gets reports at its new address", [&] {
         targets.setAddress("entry-a", "a:2");
         check(targets.addressOf("entry-a") == "a:2");
     });
-    section("and its report that is out is still waited for", [&] {
+    section("a report in flight still counts after the address has changed", [&] {
         check(targets.tryBeginReport("entry-a"));
         targets.setAddress("entry-a", "a:3");
         check(!targets.tryBeginReport("entry-a"));
     });
 }
 
-// Guards against an agent that goes while an entry waits for the end of an epoch.
-Test(entry_links, who_waits_for_an_epoch)
+// Guards against an agent that exits before all entries know of a new epoch: an entry would go on
+// waiting for the end of the previous one.
+Test(report_targets, unacknowledged_epochs)
 {
-    section("nobody, where there is no entry",
+    section("without entries no epoch is unacknowledged",
             [] { check(!report_targets().isEpochUnacknowledged(1)); });
     auto targets = twoEntries();
-    section("each until it has answered a report with it", [&] {
+    section("each entry has to answer a report with the epoch", [&] {
         targets.acknowledgeEpoch("entry-a", 2);
         check(targets.isEpochUnacknowledged(2));
         targets.acknowledgeEpoch("entry-b", 2);
         check(!targets.isEpochUnacknowledged(2));
         check(targets.isEpochUnacknowledged(3));
     });
-    section("an answer that is overtaken by another takes nothing back", [&] {
+    section("a late answer with an earlier epoch does not undo an acknowledgement", [&] {
         targets.acknowledgeEpoch("entry-a", 1);
         check(!targets.isEpochUnacknowledged(2));
     });
-    section("one that has only begun waits, one that is gone does not", [&] {
+    section("a new entry has to acknowledge the epoch, a removed one does not", [&] {
         targets.setAddress("entry-c", "c:1");
         check(targets.isEpochUnacknowledged(2));
         targets.removeEntry("entry-c");
--- a/tests/send_queue_test.cpp
+++ b/tests/send_queue_test.cpp
@@ -1,4 +1,4 @@
-// Which call goes out next, while some targets do not answer.
+// Tests of send_queue: which call is sent next while some targets do not answer.
 #include "app/send_queue.h"
 #include "section.h"
 
@@ -12,7 +12,7 @@
     return {target, method, Json::objectValue, [](const std::optional<Json::Value> &) {}};
 }
 
-// Takes a call and names it; empty when none may go out.
+// Takes a call and returns its target and method; empty if none may be sent.
 std::string taken(send_queue &queue)
 {
     const auto call = queue.take();
@@ -21,8 +21,8 @@
 
 } // namespace
 
-// An agent's reports overtake each other if two of them are on their way at once: the owner would
-// hear of a task's end before its start.
+// Guards against calls to one target that overtake each other. With two reports of an agent in
+// flight, the owner could learn of a task's end before its start.
 Test(send_queue, calls_to_one_target_keep_their_order)
 {
     send_queue queue({4, 8, 16});
@@ -36,14 +36,14 @@
     check(taken(queue) == "owner second");
 }
 
-// Three entries are silent, the owner answers. Each call to a silent one holds a thread until its
-// timeout. Were all threads held by these, the owner's calls would wait although it answers at
-// once.
-Test(send_queue, silent_targets_leave_a_thread)
+// Three entries do not answer, the owner does. Each call to an unresponsive entry occupies a thread
+// until its timeout. If such calls occupied all threads, the owner's calls would wait although it
+// answers at once.
+Test(send_queue, unresponsive_targets_leave_one_thread)
 {
     send_queue queue({3, 8, 64});
     const std::vector<std::string> unresponsive = {"a", "b", "c"};
-    section("not yet known as silent: each may hold a thread once", [&] {
+    section("not yet known to be unresponsive: each may occupy a thread once", [&] {
         for (const auto &target : unresponsive)
             queue.push(callTo(target));
         check(taken(queue) == "a beat");
@@ -52,7 +52,7 @@
         for (const auto &target : unresponsive)
             queue.completeCall(target, false);
     });
-    section("from then on one thread is left", [&] {
+    section("from then on one thread stays free for the others", [&] {
         for (const auto &target : unresponsive)
             queue.push(callTo(target));
         queue.push(callTo("owner"));
@@ -62,7 +62,7 @@
         queue.completeCall("owner", true);
         check(!queue.canTake());
     });
-    section("one that answers counts as the others again", [&] {
+    section("a target that answers again is no longer limited", [&] {
         queue.completeCall("a", true);
         check(taken(queue) == "c beat");
         queue.push(callTo("a"));
@@ -70,9 +70,9 @@
     });
 }
 
-// Whoever has waited longest goes first: neither those that answer nor those that do not keep the
-// others waiting for good.
-Test(send_queue, the_oldest_goes_first)
+// The target that has waited longest goes first, so that neither responsive nor unresponsive
+// targets starve the others.
+Test(send_queue, oldest_call_is_sent_first)
 {
     send_queue queue({3, 8, 64});
     queue.push(callTo("silent"));
@@ -86,9 +86,9 @@
     check(taken(queue) == "last beat");
 }
 
-// What waits is bounded for each target, so that one which is gone takes the place of no other, and
-// in all.
-Test(send_queue, what_waits_is_bounded)
+// The number of waiting calls is bounded in all, and per target, so that a target that is gone does
+// not use up the queue.
+Test(send_queue, waiting_calls_are_bounded)
 {
     send_queue queue({1, 2, 3});
     check(queue.push(callTo("gone")));
@@ -100,9 +100,9 @@
     check(queue.push(callTo("third")));
 }
 
-// A duty asks a process whose address it does not know yet. The call has to go out, and to fail:
-// were it taken for no call at all, nothing behind it would go out any more.
-Test(send_queue, a_call_without_an_address_goes_out)
+// A call to a process whose address is not known yet has an empty target. It has to be sent, and to
+// fail: if an empty target were taken for "no call", no later call would be sent either.
+Test(send_queue, call_without_an_address_is_sent)
 {
     send_queue queue({2, 8, 16});
     queue.push(callTo(""));
--- a/tests/shutdown_plan_test.cpp
+++ b/tests/shutdown_plan_test.cpp
@@ -1,4 +1,4 @@
-// The steps of a planned stop on a virtual clock.
+// Tests of shutdown_plan: the steps of a graceful shutdown on a virtual clock.
 #include <string>
 
 #include <criterion/criterion.h>
@@ -11,93 +11,103 @@
 
 namespace {
 
-const time_point Begun{seconds(1000)};
-constexpr remaining_work Nothing{};
-constexpr remaining_work Owns{true, false, true};
-constexpr remaining_work Answers{false, true, true};
-constexpr remaining_work Connected{false, false, true};
+const time_point SignaledAt{seconds(1000)};
+constexpr remaining_work NoWork{};
+constexpr remaining_work OwnedWork{true, false, true};
+constexpr remaining_work OpenRequests{false, true, true};
+constexpr remaining_work OpenConnections{false, false, true};
 
-// The step at which a stop with these needs is at this time, looked at each 50 ms, each look late
-// by that much.
+// The step that a shutdown has reached at `at` with this remaining work. It is polled every 50 ms,
+// and each poll comes late by `lateness`.
 shutdown_step stepAt(milliseconds at, const remaining_work &remaining, milliseconds lateness = {})
 {
-    shutdown_plan plan(Begun, {});
+    shutdown_plan plan(SignaledAt, {});
     shutdown_step step = shutdown_step::HandOver;
     for (milliseconds now{0}; now <= at; now += milliseconds(50) + lateness)
-        step = plan.advance(remaining, lateness, Begun + now);
+        step = plan.advance(remaining, lateness, SignaledAt + now);
     return step;
 }
 
 } // namespace
 
-Test(planned_stop, steps)
+Test(shutdown_plan, steps)
 {
-    section("what is owned is handed over first, for 4 s at most", [] {
-        check(stepAt(milliseconds(3900), Owns) == shutdown_step::HandOver);
-        check(stepAt(milliseconds(4000), Owns) == shutdown_step::Finish);
+    section("owned work is handed over first, for 4 s at most", [] {
+        check(stepAt(milliseconds(3900), OwnedWork) == shutdown_step::HandOver);
+        check(stepAt(milliseconds(4000), OwnedWork) == shutdown_step::Finish);
     });
-    section("so are open requests answered, while new callers are still taken", [] {
-        check(stepAt(milliseconds(3900), Answers) == shutdown_step::HandOver);
-        check(stepAt(milliseconds(0), Connected) == shutdown_step::Finish);
+    section("while requests are open, new ones are still accepted, for 4 s at most", [] {
+        check(stepAt(milliseconds(3900), OpenRequests) == shutdown_step::HandOver);
+        check(stepAt(milliseconds(0), OpenConnections) == shutdown_step::Finish);
     });
-    section("with nothing to do it is over at the second look", [] {
-        check(stepAt(milliseconds(0), Nothing) == shutdown_step::Finish);
-        check(stepAt(milliseconds(50), Nothing) == shutdown_step::End);
+    section("with nothing to do it ends at the second poll", [] {
+        check(stepAt(milliseconds(0), NoWork) == shutdown_step::Finish);
+        check(stepAt(milliseconds(50), NoWork) == shutdown_step::End);
     });
-    section("what was read is answered, however long that takes, while there is time", [] {
-        check(stepAt(milliseconds(100), Connected) == shutdown_step::Finish);
-        check(stepAt(milliseconds(5150), Answers) == shutdown_step::Finish);
+    section("requests on open connections are answered until the time limit", [] {
+        check(stepAt(milliseconds(100), OpenConnections) == shutdown_step::Finish);
+        check(stepAt(milliseconds(5150), OpenRequests) == shutdown_step::Finish);
     });
-    section("then it is given up, with time for the answers to go out", [] {
-        check(stepAt(milliseconds(5200), Answers) == shutdown_step::GiveUp);
-        check(stepAt(milliseconds(5650), Answers) == shutdown_step::GiveUp);
-        check(stepAt(milliseconds(5700), Answers) == shutdown_step::End);
+    section("then open requests are given up, with time left to send the answers", [] {
+        check(stepAt(milliseconds(5200), OpenRequests) == shutdown_step::GiveUp);
+        check(stepAt(milliseconds(5650), OpenRequests) == shutdown_step::GiveUp);
+        check(stepAt(milliseconds(5700), OpenRequests) == shutdown_step::End);
     });
-    section("the time to finish may be shorter, counted from the end of handing over", [] {
+    section("the limit of Finish may be shorter, and counts from the end of HandOver", [] {
         const shutdown_limits limits{milliseconds(5000), milliseconds(300), milliseconds(5300),
                                      milliseconds(5700)};
-        const auto handedOver = Begun + seconds(1);
-        shutdown_plan plan(Begun, {}, limits);
-        check(plan.advance(Owns, {}, handedOver - milliseconds(10)) == shutdown_step::HandOver);
-        check(plan.advance(Connected, {}, handedOver) == shutdown_step::Finish);
-        check(plan.advance(Connected, {}, handedOver + milliseconds(290)) == shutdown_step::Finish);
-        check(plan.advance(Connected, {}, handedOver + milliseconds(300)) == shutdown_step::GiveUp);
+        const auto handedOver = SignaledAt + seconds(1);
+        shutdown_plan plan(SignaledAt, {}, limits);
+        check(plan.advance(OwnedWork, {}, handedOver - milliseconds(10))
+              == shutdown_step::HandOver);
+        check(plan.advance(OpenConnections, {}, handedOver) == shutdown_step::Finish);
+        check(plan.advance(OpenConnections, {}, handedOver + milliseconds(290))
+              == shutdown_step::Finish);
+        check(plan.advance(OpenConnections, {}, handedOver + milliseconds(300))
+              == shutdown_step::GiveUp);
     });
-    section("names, for the log", [] { check(nameOf(shutdown_step::GiveUp) == "give_up"); });
+    section("names of steps for the log",
+            [] { check(nameOf(shutdown_step::GiveUp) == "give_up"); });
 }
 
-// Callers of a process that is behind are cut off by the kill, 6 s after the signal: its last looks
-// come too late.
-Test(planned_stop, a_process_that_is_behind)
+// Guards against connections that are cut off when the platform kills the process 6 s after the
+// signal. That happens if the event loop is late, so that the last polls come after their
+// deadlines.
+Test(shutdown_plan, late_event_loop)
 {
-    constexpr milliseconds Late{400};
-    section("it goes on before the look that would be too late", [&] {
-        check(stepAt(milliseconds(3500), Owns, Late) == shutdown_step::HandOver);
-        check(stepAt(milliseconds(3700), Owns, Late) == shutdown_step::Finish);
-        check(stepAt(milliseconds(4950), Owns, Late) == shutdown_step::GiveUp);
-        check(stepAt(milliseconds(5500), Owns, Late) == shutdown_step::GiveUp);
-        check(stepAt(milliseconds(5900), Owns, Late) == shutdown_step::End);
+    constexpr milliseconds Lateness{400};
+    section("a step is taken early if the next poll would come too late", [&] {
+        check(stepAt(milliseconds(3500), OwnedWork, Lateness) == shutdown_step::HandOver);
+        check(stepAt(milliseconds(3700), OwnedWork, Lateness) == shutdown_step::Finish);
+        check(stepAt(milliseconds(4950), OwnedWork, Lateness) == shutdown_step::GiveUp);
+        check(stepAt(milliseconds(5500), OwnedWork, Lateness) == shutdown_step::GiveUp);
+        check(stepAt(milliseconds(5900), OwnedWork, Lateness) == shutdown_step::End);
     });
-    section("one that heard of the signal late counts from when it may have come", [] {
-        shutdown_plan plan(Begun, milliseconds(1500));
-        check(plan.advance(Owns, {}, Begun + milliseconds(2450)) == shutdown_step::HandOver);
-        check(plan.advance(Owns, {}, Begun + milliseconds(2500)) == shutdown_step::Finish);
-        check(plan.advance(Answers, {}, Begun + milliseconds(3700)) == shutdown_step::GiveUp);
-        check(plan.advance(Answers, {}, Begun + milliseconds(4200)) == shutdown_step::End);
+    section("a signal that was handled late counts from when it may have come", [] {
+        shutdown_plan plan(SignaledAt, milliseconds(1500));
+        check(plan.advance(OwnedWork, {}, SignaledAt + milliseconds(2450))
+              == shutdown_step::HandOver);
+        check(plan.advance(OwnedWork, {}, SignaledAt + milliseconds(2500))
+              == shutdown_step::Finish);
+        check(plan.advance(OpenRequests, {}, SignaledAt + milliseconds(3700))
+              == shutdown_step::GiveUp);
+        check(plan.advance(OpenRequests, {}, SignaledAt + milliseconds(4200))
+              == shutdown_step::End);
     });
-    section("one that stood still for very long still has time for some steps", [] {
-        shutdown_plan plan(Begun, seconds(60));
-        check(plan.advance(Owns, {}, Begun + milliseconds(1950)) == shutdown_step::HandOver);
+    section("after a very long block of the event loop there is still time for some steps", [] {
+        shutdown_plan plan(SignaledAt, seconds(60));
+        check(plan.advance(OwnedWork, {}, SignaledAt + milliseconds(1950))
+              == shutdown_step::HandOver);
     });
-    section("one that stood still once still answers what it finds", [] {
-        shutdown_plan plan(Begun, {});
-        const auto resumedAt = Begun + milliseconds(4650);
-        check(plan.advance(Owns, seconds(2), resumedAt) == shutdown_step::Finish);
-        check(plan.advance(Answers, seconds(2), resumedAt + milliseconds(50))
+    section("after a single block of the event loop open requests are still answered", [] {
+        shutdown_plan plan(SignaledAt, {});
+        const auto resumedAt = SignaledAt + milliseconds(4650);
+        check(plan.advance(OwnedWork, seconds(2), resumedAt) == shutdown_step::Finish);
+        check(plan.advance(OpenRequests, seconds(2), resumedAt + milliseconds(50))
               == shutdown_step::GiveUp);
-        check(plan.advance(Answers, seconds(2), resumedAt + milliseconds(100))
+        check(plan.advance(OpenRequests, seconds(2), resumedAt + milliseconds(100))
               == shutdown_step::GiveUp);
-        check(plan.advance(Nothing, seconds(2), resumedAt + milliseconds(150))
+        check(plan.advance(NoWork, seconds(2), resumedAt + milliseconds(150))
               == shutdown_step::End);
     });
 }
--- a/tests/worker_presence_test.cpp
+++ b/tests/worker_presence_test.cpp
@@ -1,4 +1,4 @@
-// What an agent's worker tells about itself, in any order of its messages.
+// Tests of worker_presence: an agent's view of its worker, with the worker's messages in any order.
 #include <criterion/criterion.h>
 
 #include "app/worker_presence.h"
@@ -42,19 +42,21 @@
 {
     running_worker current;
     check(current.worker.isPresent());
-    section("a first word changes what may be given to it, a second one does not", [&] {
-        worker_presence fresh;
-        check(fresh.handleAnnouncement(announcementWith(1)) == news::ReadinessChanged);
-        check(fresh.handleAnnouncement(announcementWith(2)) == news::None);
-    });
-    section("one that is overtaken is no news", [&] {
+    section("the first announcement changes the worker's readiness, an equal second one does not",
+            [&] {
+                worker_presence newPresence;
+                check(newPresence.handleAnnouncement(announcementWith(1))
+                      == news::ReadinessChanged);
+                check(newPresence.handleAnnouncement(announcementWith(2)) == news::None);
+            });
+    section("an announcement that arrives after a newer one is ignored", [&] {
         auto leaving = announcementWith(3);
         leaving.leaving = true;
         check(current.worker.handleAnnouncement(leaving) == news::ReadinessChanged);
         check(current.worker.handleAnnouncement(announcementWith(2)) == news::None);
         check(current.worker.isLeaving());
     });
-    section("a later life is told, an earlier one is not believed", [&] {
+    section("a later incarnation is reported, an announcement of an earlier one is ignored", [&] {
         check(current.worker.handleAnnouncement(announcementWith(1, BornMs + 1))
               == news::NewIncarnation);
         check(current.worker.handleAnnouncement(announcementWith(9, BornMs)) == news::None);
@@ -62,64 +64,67 @@
     });
 }
 
-// A task runs twice: the word that a worker ends was held up from its earlier life, and the present
-// one, which no connection reached in time, was taken for gone with all that it ran.
+// Guards against a task that runs twice: a delayed departure message of the worker's earlier
+// incarnation was followed by a connection timeout to the current one, and the worker was taken for
+// gone, with all its runs.
 Test(worker_presence, only_a_refused_connection_confirms_a_departure)
 {
     running_worker current;
     require(current.worker.handleDeparture("worker", current.now));
-    section("a connect or an answer that is late tells nothing of the worker", [&] {
+    section("a late connection or answer proves nothing about the worker", [&] {
         for (const auto failure : {call_failure::NotConnected, call_failure::Late,
                                    call_failure::Cut, call_failure::TooLarge})
             check(!current.worker.confirmsDeparture(failure));
         check(current.worker.isGoingAway());
     });
-    section("nobody listens there any more: it is gone, once", [&] {
+    section("a refused connection proves once that the worker is gone", [&] {
         check(current.worker.confirmsDeparture(call_failure::Refused));
         check(!current.worker.confirmsDeparture(call_failure::Refused));
     });
-    section("one that has not said that it ends may be back in a moment", [&] {
+    section("without a departure message the worker may be back soon", [&] {
         running_worker other;
         check(!other.worker.confirmsDeparture(call_failure::Refused));
     });
 }
 
-Test(worker_presence, a_departure_of_an_earlier_life)
+Test(worker_presence, departure_of_an_earlier_incarnation)
 {
     running_worker current;
     require(current.worker.handleDeparture("worker", current.now));
-    section("another worker's is not its own", [&] {
+    section("another worker's departure is ignored", [&] {
         running_worker other;
         check(!other.worker.handleDeparture("another", other.now));
         check(other.worker.isPresent());
     });
-    section("its announcements are not believed meanwhile", [&] {
+    section("announcements are ignored while the departure is unconfirmed", [&] {
         check(current.worker.handleAnnouncement(announcementWith(2)) == news::None);
         check(!current.worker.isPresent());
     });
-    section("an answer of just after is not either, one of later says that it stays", [&] {
-        check(current.worker.handleAnswer(BornMs, current.now + milliseconds(499))
-              == look::SameIncarnation);
-        check(!current.worker.isPresent());
-        check(current.worker.handleAnswer(BornMs, current.now + milliseconds(500))
-              == look::DepartureRefuted);
-        check(current.worker.isPresent());
-        check(!current.worker.isGoingAway());
-    });
-    section("the answer of another life is told as that", [&] {
+    section("an answer right after it proves nothing, a later one shows that the worker stays",
+            [&] {
+                check(current.worker.handleAnswer(BornMs, current.now + milliseconds(499))
+                      == look::SameIncarnation);
+                check(!current.worker.isPresent());
+                check(current.worker.handleAnswer(BornMs, current.now + milliseconds(500))
+                      == look::DepartureRefuted);
+                check(current.worker.isPresent());
+                check(!current.worker.isGoingAway());
+            });
+    section("an answer of another incarnation is reported as such", [&] {
         check(current.worker.handleAnswer(BornMs + 5, current.now) == look::NewIncarnation);
         check(current.worker.handleAnswer(BornMs + 5, current.now) == look::SameIncarnation);
     });
 }
 
-// A worker that is back under its id is not used, or goes on getting starts as it drains: a look
-// saw the new life first, and its announcements were taken for overtaken ones of the old.
-Test(worker_presence, a_next_life_that_a_look_sees_first)
+// Guards against a restarted worker that is not used, or that gets new runs while it drains. That
+// happens if a poll sees the new incarnation first, and its announcements, which are numbered from
+// the start, are taken for late ones of the earlier incarnation.
+Test(worker_presence, new_incarnation_first_seen_by_a_poll)
 {
     running_worker current;
     auto draining = announcementWith(40);
     draining.leaving = true;
-    section("that it drains is heard", [] {
+    section("an announcement that the new incarnation is draining is applied", [] {
         running_worker crashed;
         check(crashed.worker.handleAnnouncement(announcementWith(40)) == news::None);
         check(crashed.worker.handleAnswer(BornMs + 5, crashed.now) == look::NewIncarnation);
@@ -128,7 +133,7 @@
         check(crashed.worker.handleAnnouncement(nextAnnouncement) == news::ReadinessChanged);
         check(crashed.worker.isLeaving());
     });
-    section("drained, gone and back, it is there again", [&] {
+    section("after draining, departure and restart the worker is present again", [&] {
         auto worker = current.worker;
         worker.handleAnnouncement(draining);
         require(worker.handleDeparture("worker", current.now));
@@ -139,7 +144,7 @@
         check(worker.isPresent());
         check(!worker.isLeaving());
     });
-    section("so it is when it was back before a look had failed", [&] {
+    section("also if it was restarted before a poll had failed", [&] {
         auto worker = current.worker;
         worker.handleAnnouncement(draining);
         require(worker.handleDeparture("worker", current.now));
