--- a/libs/jobs/agent_clock.h
+++ b/libs/jobs/agent_clock.h
@@ -1,4 +1,4 @@
-// What an entry knows of an agent's clock from its reports.
+// The entry's estimate of an agent's clock, from the clock readings in the agent's reports.
 #pragma once
 
 #include <cstdint>
@@ -7,16 +7,17 @@
 
 namespace zinniabarrow::jobs {
 
-// A reading of the agent's clock, and when it came here. It was on its way for an unknown time, so
-// the agent's clock is never behind what is counted on from it.
+// One reading of the agent's clock, extrapolated. The report took an unknown time to arrive, so the
+// agent's clock is never behind the value computed from it.
 struct agent_clock
 {
-    std::int64_t reportedMs = 0;
-    time_point receivedAt{};
+    std::int64_t reportedMs = 0; // agent's clock, ms, when the report was sent
+    time_point receivedAt{};     // local clock, when the report arrived
 
+    // The agent's clock at `now` is at least this, in ms.
     std::int64_t lowerBoundMs(time_point now) const
     {
-        constexpr std::int64_t MaxDriftPercent = 4; // each of two clocks may be off by 2%
+        constexpr std::int64_t MaxDriftPercent = 4; // each of the two clocks may be off by 2%
         const auto elapsedMs = millisecondsIn(now - receivedAt);
         return reportedMs + elapsedMs - elapsedMs * MaxDriftPercent / 100;
     }
--- a/libs/jobs/configuration_tracker.cpp
+++ b/libs/jobs/configuration_tracker.cpp
@@ -18,7 +18,7 @@
 
 void configuration_tracker::noteAnswerStarted(std::uint64_t bytes, time_point now)
 {
-    // Also when an earlier answer broke off: the changes that it carried are still unread.
+    // If an earlier answer broke off, its changes are still unread: its start time stays.
     if (bytes > MaxEmptyAnswerBytes && !m_readingSince)
         m_readingSince = now;
 }
--- a/libs/jobs/configuration_tracker.h
+++ b/libs/jobs/configuration_tracker.h
@@ -1,4 +1,4 @@
-// Whether the configuration that an entry works by is the newest one.
+// Tracks whether the configuration version that an entry applies is the newest one.
 #pragma once
 
 #include <cstdint>
@@ -10,43 +10,44 @@
 namespace zinniabarrow::jobs {
 
 enum class configuration_freshness {
-    Current,          // by all that is known the newest
-    PossiblyOutdated, // a newer one may be there: a queue that this one lacks may exist
-    Outdated,         // a newer one has been there for long: nothing is answered from this one
+    Current,          // the newest, as far as is known
+    PossiblyOutdated, // a newer version may exist, with queues that this one lacks
+    Outdated,         // a newer version has existed for too long: answer nothing from this one
 };
 
-// An entry on a slow link learns a large configuration late, and would go on telling callers what
-// an old one says: that a new queue does not exist, or that a dropped one does. It hears of newer
-// versions before it has them, from the other entries' pings and from the head of an answer that
-// carries changes, and then doubts its own.
+// An entry on a slow link receives a large configuration late. Until then it would answer callers
+// from the old version: that a new queue does not exist, or that a removed one does. It learns that
+// a newer version exists before it has received it, from the other entries' pings and from the
+// header of a store answer that carries changes, and treats its own version as possibly outdated
+// from then on.
 class configuration_tracker
 {
 public:
-    // Operators are promised a version everywhere 2 s after they have put it. It is heard of within
-    // 0.4 s, a period of the pings, and callers that keep their connections are refused before the
-    // promise is broken.
+    // Operators are promised that a version is in force everywhere 2 s after they have written it.
+    // Entries learn of it within 0.4 s, one ping period. With this limit, callers on persistent
+    // connections are refused before the promise is broken.
     static constexpr milliseconds MaxUnreadTime{800};
-    // An unchanged configuration is confirmed each second, as of the second before; one answer may
-    // get lost meanwhile.
+    // An unchanged configuration is confirmed every second, as of the second before. The limit
+    // tolerates one lost answer.
     static constexpr milliseconds MaxUnconfirmedTime{3500};
-    // An answer without changes is smaller.
+    // Bytes; an answer that carries no changes is not larger.
     static constexpr std::uint64_t MaxEmptyAnswerBytes = 256;
 
-    void noteVersionApplied(std::int64_t version);                   // this entry works by it
-    void noteVersionElsewhere(std::int64_t version, time_point now); // another entry does
-    void noteAnswerStarted(std::uint64_t bytes, time_point now);     // its head has come
-    void noteAnswerRead(time_point requestedAt); // whole, and all of it was taken
+    void noteVersionApplied(std::int64_t version);                   // this entry applies it
+    void noteVersionElsewhere(std::int64_t version, time_point now); // another entry applies it
+    void noteAnswerStarted(std::uint64_t bytes, time_point now);     // its header arrived
+    void noteAnswerRead(time_point requestedAt);                     // read to its end and applied
 
     configuration_freshness freshness(time_point now) const;
-    bool isConfirmed(time_point now) const; // lately
+    bool isConfirmed(time_point now) const; // within MaxUnconfirmedTime
 
 private:
     std::optional<time_point> outdatedSince() const;
 
     std::int64_t m_appliedVersion = 0;
-    std::map<std::int64_t, time_point> m_newerVersions; // versions that were heard of, and when
-    std::optional<time_point> m_readingSince;           // an answer with changes
-    std::optional<time_point> m_confirmedAt;
+    std::map<std::int64_t, time_point> m_newerVersions; // version -> when it was first reported
+    std::optional<time_point> m_readingSince;           // an answer with changes is being read
+    std::optional<time_point> m_confirmedAt;            // request time of the last answer read
 };
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/evacuations.h
+++ b/libs/jobs/evacuations.h
@@ -1,5 +1,5 @@
-// The zones in which operators let nothing more start: by their rows in the platform's store, and
-// as an agent hears of its own.
+// Evacuated zones: operators have ruled that no task starts there any more. Entries read the zones
+// from rows in the platform's store; an agent learns from the entries whether its own zone is one.
 #pragma once
 
 #include <optional>
@@ -14,16 +14,16 @@
 struct zone_row
 {
     std::string zone;
-    bool removed = false; // tasks may start there again
+    bool removed = false; // the row was deleted: tasks may start there again
 };
 
-// What an entry knows: it follows the rows.
+// The entry's view: the set of evacuated zones, kept up to date from the rows.
 class evacuated_zones
 {
 public:
-    // Of a feed, or of a reading of all rows, in their order.
+    // Applies changed rows, in order. They come from the change feed or from a read of all rows.
     void applyRows(const std::vector<zone_row> &rows);
-    // What `changed` got last was a reading of all: what it left out was removed meanwhile.
+    // The rows of the last `applyRows` were all that exist: zones missing there were deleted.
     void finishFullRead();
 
     const std::set<std::string> &zones() const { return m_zones; }
@@ -31,14 +31,15 @@
 
 private:
     std::set<std::string> m_zones;
-    std::set<std::string> m_zonesLastRead; // the rows that came last
+    std::set<std::string> m_zonesLastRead; // zones in the rows of the last `applyRows`
 };
 
-// What an agent knows: entries tell it with each answer to its reports, once a second.
+// The agent's view: entries say in each answer to its reports, once a second, that its zone is
+// evacuated.
 class evacuation_notice
 {
 public:
-    // One answer may be lost. Entries that stop saying so have seen the row removed.
+    // Tolerates one lost answer. Entries stop sending the notice once the row is deleted.
     static constexpr milliseconds ValidFor{2500};
 
     void refresh(time_point now) { m_expiresAt = now + ValidFor; }
--- a/libs/jobs/interference_estimator.cpp
+++ b/libs/jobs/interference_estimator.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double MaxLoad = 0.98; // beyond, a tail says only that the queue grows
+constexpr double MaxLoad = 0.98; // a tail latency beyond it only says that the queue is growing
 constexpr std::size_t NotFound = static_cast<std::size_t>(-1);
 
 std::size_t coefficientIndexOf(const std::vector<std::string> &names, const std::string &name)
@@ -15,7 +15,7 @@
     return found == names.end() ? NotFound : static_cast<std::size_t>(found - names.begin()) + 1;
 }
 
-// In the same direction.
+// Whether the expected change goes at least as far as `change`, in the same direction.
 bool reachesBound(double expected, double change)
 {
     return change >= 0 ? expected >= change : expected <= change;
@@ -56,7 +56,7 @@
                                                 m_settings.priorDeviation);
 }
 
-// By index of the belief; that of the base is 0.
+// The inputs of the estimate's coefficients. Input 0, of the base load, is left at 0.
 std::vector<double>
 interference_estimator::coresByIndex(image_estimate &estimate,
                                      const std::map<std::string, double> &bestEffortCores)
@@ -76,7 +76,7 @@
 void interference_estimator::learn(const interference_sample &sample)
 {
     if (sample.tailLatencyMs <= 0 || sample.latencyTargetMs <= 0)
-        return; // it has not served yet
+        return; // no requests served yet
     if (!m_estimates.contains(sample.image) && m_estimates.size() >= m_settings.maxImages)
         return;
     auto &estimate = estimateFor(sample.image);
@@ -104,18 +104,19 @@
     if (!sample.change->isLowerBound
         || !reachesBound(estimate.coefficients.predict(inputs), change))
         correct(estimate, inputs, change, m_settings.changeNoise);
-    // What the presses don't explain of the level is the image's own.
+    // The part of the load that the neighbours don't explain is the image's own.
     double own = loadOf(static_cast<double>(sample.tailLatencyMs), estimate.floorMs);
     for (const auto &[bestEffort, cores] : sample.bestEffortCores)
         own -= loadPerCore(sample.image, bestEffort) * cores;
-    constexpr double Weight = 0.02; // of the newest: about the last minute on one worker counts
+    constexpr double Weight =
+            0.02; // of the newest sample: about the last minute on one worker counts
     estimate.baseLoad += Weight * (std::max(0.0, own) - estimate.baseLoad);
 }
 
 void interference_estimator::updateFloor(image_estimate &estimate,
                                          const interference_sample &sample)
 {
-    constexpr double FloorFraction = 0.9; // the lowest tail seen was not without any load
+    constexpr double FloorFraction = 0.9; // even the lowest measured tail includes some load
     const double floor = FloorFraction * static_cast<double>(sample.tailLatencyMs);
     if (estimate.floorMs <= 0 || floor < estimate.floorMs)
         estimate.floorMs = floor;
@@ -125,12 +126,13 @@
 void interference_estimator::correct(image_estimate &estimate, const std::vector<double> &inputs,
                                      double load, double noise) const
 {
-    // The tail only says that the load is at least so high, which was known.
+    // The tail only says that the load is at least this high, which is already expected.
     if (load >= MaxLoad && estimate.coefficients.predict(inputs) >= load)
         return;
     estimate.coefficients.update(inputs, load, noise);
     estimate.coefficients.clampBelow(0); // neighbours never speed a run up
-    estimate.coefficients.applyForgetting(m_settings.forgettingFactor); // presses change
+    estimate.coefficients.applyForgetting(
+            m_settings.forgettingFactor); // interference changes over time
 }
 
 double interference_estimator::loadPerCore(const std::string &serving,
@@ -152,7 +154,7 @@
 
 double interference_estimator::loadAtTarget(const std::string &serving) const
 {
-    constexpr double DefaultLoadAtTarget = 0.8; // a target is usually some five times the floor
+    constexpr double DefaultLoadAtTarget = 0.8; // a target is usually about five times the floor
     const auto estimate = m_estimates.find(serving);
     if (estimate == m_estimates.end() || estimate->second.latencyTargetMs <= 0)
         return DefaultLoadAtTarget;
--- a/libs/jobs/interference_estimator.h
+++ b/libs/jobs/interference_estimator.h
@@ -1,12 +1,13 @@
-// How much runs that fill slow down runs that serve beside them, learned from late and noisy
-// measurements. A tail latency rises like that of a queue: slowly at first, then without bound. So
-// it is turned into the load of such a queue, where neighbours add up:
-//   load = 1 - floor / tail = base(serving) + sum over runs that fill of press(serving, filling) x
-//   cores
-// with the floor as the lowest tail seen of the image and the cores that the runs have in use: of
-// ten runs that share the cores of two, each does a fifth of the harm. Sums of tails themselves
-// were tried on the same measurements: one stalled sample outweighs a hundred others, and harmless
-// neighbours are blamed.
+// Estimates how much best-effort runs slow down serving runs on the same worker, from late and
+// noisy measurements. A tail latency rises like that of a queue: slowly at first, then without
+// bound. So it is converted to the load of such a queue, to which the neighbours' contributions add
+// up:
+//   load = 1 - floor / tail
+//        = baseLoad(serving) + sum over best-effort images of loadPerCore(serving, image) x cores
+// `floor` is the lowest tail latency measured for the serving image. `cores` counts the cores in
+// use: of ten runs that share the cores of two, each causes a fifth of the interference. Adding up
+// tail latencies instead was tried on the same measurements: a single stalled sample outweighs a
+// hundred others, and harmless neighbours are blamed.
 #pragma once
 
 #include <cstddef>
@@ -20,14 +21,15 @@
 
 namespace zinniabarrow::jobs {
 
-// What changed on a worker within half a second, for the runs of a serving image that were measured
-// both times. Their own load changes slowly while neighbours come and go at once, so that changes
-// tell the neighbours' part from the runs' own.
+// The change on a worker within half a second, for the runs of a serving image that were measured
+// both times. Their own load changes slowly while neighbours come and go at once, so changes
+// separate the neighbours' part of the load from the runs' own.
 struct interference_change
 {
     double inverseTailDrop = 0;                    // 1/ms: how far 1 / tail fell, mean of the runs
-    std::map<std::string, double> bestEffortCores; // by image: cores more in use
-    // The load went beyond what a tail can tell, or came from there: it changed by no less.
+    std::map<std::string, double> bestEffortCores; // by image: change of the cores in use
+    // Before or after the change, the load exceeded what a tail latency can show: it changed by at
+    // least this much.
     bool isLowerBound = false;
 };
 
@@ -38,30 +40,32 @@
     std::int64_t tailLatencyMs = 0;
     std::int64_t latencyTargetMs = 0;
     std::map<std::string, double> bestEffortCores;  // by image: cores in use
-    std::optional<interference_change> change = {}; // since half a second before
+    std::optional<interference_change> change = {}; // since half a second earlier
 };
 
+// What was learned of a serving image.
 struct image_interference
 {
-    double floorMs = 0;                         // the lowest tail, less a tenth; 0: never measured
-    std::map<std::string, double> loadsPerCore; // load for each core in use by that image
+    double floorMs = 0;                         // lowest tail latency less a tenth; 0: unknown
+    std::map<std::string, double> loadsPerCore; // by best-effort image: load by each core in use
 };
 using interference_table = std::map<std::string, image_interference>; // by serving image
 
-// The load that a tail stands for, 0 to below 1.
+// The load that corresponds to a tail latency; from 0 to below 1.
 double loadOf(double tailLatencyMs, double floorMs);
 
 struct estimator_settings
 {
-    double priorLoadPerCore = 0.03; // of a pair never seen: half of the pairs are near 0, the
-                                    // others between 0.03 and 0.07
+    double priorLoadPerCore = 0.03; // for a pair never measured: half of the pairs are near 0,
+                                    // the others between 0.03 and 0.07
     double priorDeviation = 0.04;
     double priorBaseLoad = 0.5;
     double baseLoadDeviation = 0.2;
-    double levelNoise = 0.15;        // deviation of one sample: own load swings by half
+    double levelNoise = 0.15;        // deviation of one sample; own load varies by half
     double changeNoise = 0.08;       // deviation of one change
     double forgettingFactor = 0.998; // a sample's weight fades within about 500 of its image
-    std::size_t maxImages = 64;      // of each kind; others keep the prior
+    std::size_t maxImages = 64;      // serving ones, and best-effort ones for each of them; all
+                                     // others keep the prior
 };
 
 class interference_estimator
@@ -69,18 +73,21 @@
 public:
     explicit interference_estimator(const estimator_settings &settings = {});
 
+    // Called for each sample in the workers' reports.
     void learn(const interference_sample &sample);
+    // The load that each core in use by `bestEffort` adds to `serving`, both images.
     double loadPerCore(const std::string &serving, const std::string &bestEffort) const;
+    // The load of the image without neighbours.
     double baseLoad(const std::string &serving) const;
-    // The load at which the image is at its target.
+    // The load at which the image's tail latency is at its target.
     double loadAtTarget(const std::string &serving) const;
-    interference_table table() const;
+    interference_table table() const; // all that was learned, for the agents
 
 private:
     struct image_estimate
     {
-        std::vector<std::string> bestEffortImages; // of index 1 and up; index 0 is the base
-        least_squares coefficients; // base, and press of each image seen beside this one
+        std::vector<std::string> bestEffortImages; // of coefficients 1 and up
+        least_squares coefficients; // 0: base load; 1 and up: load per core of a best-effort image
         double baseLoad = 0;
         double floorMs = 0;
         double latencyTargetMs = 0;
--- a/libs/jobs/lease.cpp
+++ b/libs/jobs/lease.cpp
@@ -27,7 +27,7 @@
     lease_row row{integerMember(value, "epoch"),    integerMember(value, "fence"),
                   integerMember(value, "renewals"), stringMember(value, "life"),
                   boolMember(value, "ended"),       stringMember(value, "write")};
-    if (value.isMember("ends_at_ms")) // agents of the release before don't tell it
+    if (value.isMember("ends_at_ms")) // agents of the previous release don't send it
         row.expiresAtMs = integerMember(value, "ends_at_ms");
     return row;
 }
@@ -39,7 +39,7 @@
     return millisecondsIn(at.time_since_epoch());
 }
 
-// Beyond the end that a row tells, or a whole lease.
+// Added to the expiry that a row gives, or to a whole lease.
 constexpr milliseconds LeaseExpirySlack = expirySlack(LeaseDuration);
 
 } // namespace
@@ -48,11 +48,11 @@
 {
     if (storeMs == 0)
         return;
-    // The store read its clock after the call was sent: a call that took long tells less. Of all
-    // answers the tightest counts.
+    // The store read its clock after the call was sent, so the reading gives an upper bound of the
+    // offset; the longer the call took, the looser. The tightest bound of all answers is used.
     const auto offsetMs = storeMs - millisecondsSinceEpoch(sentAt);
-    // One that shows it to be later than was thought possible proves the estimate wrong: kept, each
-    // later row would tell an end that is too early.
+    // A reading later than the estimate's upper bound proves the estimate wrong. If it were kept,
+    // later rows would give an expiry that is too early.
     const bool disproved = storeMs > upperBoundMs(now);
     if (m_maxOffsetMs && !disproved && *m_maxOffsetMs + maxDriftMs(now) <= offsetMs)
         return;
@@ -65,7 +65,7 @@
     return m_maxOffsetMs ? millisecondsSinceEpoch(at) + *m_maxOffsetMs + maxDriftMs(at) : 0;
 }
 
-// No two clocks run at one rate.
+// Two clocks drift apart.
 std::int64_t store_clock::maxDriftMs(time_point at) const
 {
     constexpr int MaxDriftPerMille = 1;
@@ -78,7 +78,7 @@
                                            time_point now)
 {
     if (row.endedByWatcher)
-        return {false, now + LeaseRenewInterval}; // its agent begins anew
+        return {false, now + LeaseRenewInterval}; // its agent begins a new epoch
     auto &last = m_observed[worker];
     if (last.version != version)
         last = {version, now + LeaseDuration + LeaseExpirySlack};
--- a/libs/jobs/lease.h
+++ b/libs/jobs/lease.h
@@ -1,5 +1,5 @@
-// The lease of a worker: the row that gives its agent the right to let tasks run on, and how
-// another process proves that the right has ended.
+// The lease of a worker: a row in the platform's store that gives the worker's agent the right to
+// let tasks run, and the proof by which another process establishes that the right has expired.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +11,27 @@
 
 namespace zinniabarrow::jobs {
 
-// Callers take a task that lasts for lost when nothing runs it for so long and there is room.
+// Callers consider a long-running task lost when nothing has run it for this long although there is
+// room for it.
 constexpr milliseconds TaskLostAfter{9000};
 
-// How long after it sent a renewal that was written an agent may let tasks run. Longer than the
-// platform's outages of 4 to 5 s plus one period of renewal; a worker that is gone together with
-// its agent keeps its tasks from starting elsewhere for about as long, which must stay below
-// LostAfter with all that comes after: margins, the read that finds the lease over, the placement.
+// For how long tasks may run after the agent sent a renewal that was written. Longer than the
+// platform's outages of 4 to 5 s plus one renewal interval. When a worker is lost together with its
+// agent, its tasks can't start elsewhere for about this long. That time plus all that follows (the
+// margins, the read that finds the lease expired, the placement) must stay below TaskLostAfter.
 constexpr milliseconds LeaseDuration{7500};
 constexpr milliseconds LeaseRenewInterval{1500}; // two renewals may fail within one lease
 
-// A worker's clock may be slow by 2%, and both ends read their clocks a little late.
+// Covers the small delays with which both sides read their clocks.
 constexpr milliseconds LeaseMargin{700};
 
-// A worker's clock that is slow takes longer to measure `span`.
+// The real time in which the slowest permitted clock (2% slow) measures `interval`.
 constexpr milliseconds durationOnSlowClock(milliseconds interval)
 {
     return interval + interval / 50;
 }
 
-// How long after `span`, as its holder counts it, it is over for certain.
+// How long to wait beyond `interval` until it is certainly over on the clock of its holder.
 constexpr milliseconds expirySlack(milliseconds interval)
 {
     return durationOnSlowClock(interval) - interval + LeaseMargin;
@@ -38,47 +39,48 @@
 
 struct lease_row
 {
-    std::int64_t epoch = 1; // of the worker: rises when all that ran there has ended for certain
-    std::int64_t fence = 0; // of the agent: rises with each of its lives
+    std::int64_t epoch = 1; // of the worker; rises once all its runs have certainly ended
+    std::int64_t fence = 0; // fencing token; rises with each incarnation of the agent
     std::int64_t renewals = 0;
-    std::string workerIncarnation; // of the worker that the epoch stands for
-    bool endedByWatcher = false;   // by a watcher: all that ran has ended, the agent starts afresh
-    std::string writeId;           // names the write
-    std::int64_t expiresAtMs = 0;  // store's clock: runs go on no longer; 0: not told
+    std::string workerIncarnation; // the incarnation that the epoch belongs to; empty: none
+    bool endedByWatcher = false;   // a watcher ended the epoch: the agent has to begin a new one
+    std::string writeId;           // identifies the write
+    std::int64_t expiresAtMs = 0;  // store's clock, ms: no run continues after it; 0: unknown
 };
 std::string toText(const lease_row &row);
 lease_row leaseFrom(const std::string &text); // throws error BadRequest
 
-// The store's own steady clock as its answers tell it: the one clock that an agent and a watcher
-// share, whatever became of the processes between.
+// Estimates the store's steady clock from the readings in its answers. It is the only clock that an
+// agent and a watcher share, and it doesn't depend on either process living on.
 class store_clock
 {
 public:
-    // The answer to a call that was sent at `sentAt` told `storeMs`; 0: nothing.
+    // The answer to a call sent at `sentAt` carried the clock reading `storeMs`, ms; 0: none.
     void noteReading(std::int64_t storeMs, time_point sentAt, time_point now);
-    // What it shows at `at`, at the latest; 0: it was never told.
+    // The latest time, in ms, that the store's clock can show at `at`; 0: no reading so far.
     std::int64_t upperBoundMs(time_point at) const;
 
 private:
-    std::int64_t maxDriftMs(time_point at) const; // ms, since the answer that counts
+    std::int64_t maxDriftMs(time_point at) const; // since m_readAt
 
-    std::optional<std::int64_t> m_maxOffsetMs; // of this process's clock, at most
-    time_point m_readAt{};
+    std::optional<std::int64_t> m_maxOffsetMs; // store's clock minus local clock, at most
+    time_point m_readAt{};                     // when the reading in use arrived
 };
 
 struct lease_check
 {
-    bool isExpired = false; // the row may be taken from its agent, on the condition of its version
-    time_point checkAgainAt{}; // else
+    bool isExpired = false;    // a watcher may end the epoch, by a write conditional on the
+                               // row's version
+    time_point checkAgainAt{}; // when to check next, if it has not expired
 };
 
-// Proves that a worker's lease has run out. The row says until when by the store's clock, so that a
-// watcher that lives anew need not wait again; where it doesn't, the row has to stay unchanged for
-// the whole lease plus margin, counted from when the watcher had first read that version.
+// Proves that a worker's lease has expired. The row gives the expiry on the store's clock, so that
+// a restarted watcher need not wait again. Without it, the row has to stay unchanged for a whole
+// lease plus slack, counted from when the watcher first read that version.
 class lease_expiry_detector
 {
 public:
-    // The row was read when the store's clock showed `storeMs`.
+    // The row was read when the store's clock showed `storeMs`; 0: unknown.
     lease_check observe(const std::string &worker, const lease_row &row, std::int64_t version,
                         std::int64_t storeMs, time_point now);
     void forget(const std::string &worker);
--- a/libs/jobs/least_squares.cpp
+++ b/libs/jobs/least_squares.cpp
@@ -26,7 +26,7 @@
 void least_squares::update(const std::vector<double> &inputs, double sum, double noise)
 {
     const auto size = m_means.size();
-    std::vector<double> gain(size, 0.0); // covariance x amounts
+    std::vector<double> gain(size, 0.0); // covariance x inputs
     for (std::size_t row = 0; row < size; ++row) {
         for (std::size_t column = 0; column < size; ++column)
             gain[row] += m_covariance[row][column] * inputs[column];
@@ -43,8 +43,8 @@
     }
 }
 
-// A variance only ever grows here: cut down alone, without the rest of its line, it would leave a
-// matrix that is no covariance, and the next samples would drive the beliefs off without bound.
+// Variances only grow here. If one were reduced without the rest of its row, the matrix would no
+// longer be a covariance, and the next samples would make the estimates diverge.
 void least_squares::applyForgetting(double forgettingFactor)
 {
     for (std::size_t index = 0; index < m_means.size(); ++index) {
--- a/libs/jobs/least_squares.h
+++ b/libs/jobs/least_squares.h
@@ -1,6 +1,6 @@
-// Recursive least squares: what is believed of the coefficients of a sum, corrected sample by
-// sample. The joint covariance is kept, so that amounts that come and go together share what is
-// learned until one of them is seen without the other.
+// Recursive least squares: estimates the coefficients of a linear sum, updated sample by sample.
+// The joint covariance is kept, so that inputs that occur only together share the evidence until
+// one of them is seen without the other.
 #pragma once
 
 #include <cstddef>
@@ -11,21 +11,21 @@
 class least_squares
 {
 public:
-    // Adds a coefficient and gives its index.
+    // Adds a coefficient with its prior; returns its index.
     std::size_t addCoefficient(double mean, double deviation);
     std::size_t size() const { return m_means.size(); }
     double mean(std::size_t index) const { return m_means[index]; }
-    double predict(const std::vector<double> &inputs) const; // the sum, as believed
+    double predict(const std::vector<double> &inputs) const; // the expected sum
 
-    // One measured sum; `noise` is its deviation.
+    // Takes one measured sum into account; `noise` is its standard deviation.
     void update(const std::vector<double> &inputs, double sum, double noise);
-    // Old samples lose weight: uncertainty grows, up to that of the beginning.
+    // Reduces the weight of old samples by a factor below 1: the variances grow, up to the prior's.
     void applyForgetting(double forgettingFactor);
-    void clampBelow(double lowest); // of all coefficients
+    void clampBelow(double lowest); // all coefficients
 
 private:
     std::vector<double> m_means;
-    std::vector<double> m_initialVariances; // variance at the beginning
+    std::vector<double> m_initialVariances; // of the priors
     std::vector<std::vector<double>> m_covariance;
 };
 
--- a/libs/jobs/load_forecast.cpp
+++ b/libs/jobs/load_forecast.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr std::size_t HorizonSamples = 4;  // samples: two seconds, as long as most runs that fill
+constexpr std::size_t HorizonSamples = 4;  // two seconds, the length of most best-effort runs
 constexpr double InitialDeviation = 0.5;   // deviation of each coefficient before the first sample
-constexpr double Noise = 0.07;             // load: deviation of a forecast from one sample
-constexpr double ForgettingFactor = 0.999; // a sample's weight fades within about 1,000
+constexpr double Noise = 0.07;             // load: deviation of one sample from its forecast
+constexpr double ForgettingFactor = 0.999; // a sample's weight fades within about 1,000 samples
 
 } // namespace
 
 load_forecast::load_forecast()
 {
-    constexpr double Persistence = 1; // until it is known better, a load stays as it is
+    constexpr double Persistence = 1; // initial forecast: the load stays as it is
     m_predictor.addCoefficient(0, InitialDeviation);
     m_predictor.addCoefficient(Persistence, InitialDeviation);
     m_predictor.addCoefficient(0, InitialDeviation);
--- a/libs/jobs/load_forecast.h
+++ b/libs/jobs/load_forecast.h
@@ -1,6 +1,7 @@
-// Where the load of a serving run goes within the next seconds, learned from how such loads went: a
-// sum of the load now and of that some seconds before. A load that swings is seen to turn before it
-// does, one that stays is expected to stay, and one without pattern to fall back to its mean.
+// Predicts the load of a serving run some seconds ahead, as a linear combination of its present
+// load and its load some seconds ago. The coefficients are learned from all runs of the worker. The
+// turn of a periodic load is predicted before it happens; a constant load is expected to stay, and
+// a random one to return to its mean.
 #pragma once
 
 #include <deque>
@@ -19,16 +20,16 @@
 
     load_forecast();
 
-    // The own loads of all serving runs, at each sampling of the worker: every half second. Runs
-    // that are not among them are forgotten.
+    // Called every half second, at each sampling of the worker, with the loads of all serving runs
+    // without that of their neighbours. The histories of other runs are dropped.
     void recordLoads(const std::map<run_key, double> &loads);
-    // The highest load between now and the time up to which the rule looks.
+    // The higher one of the load now and the load predicted for the horizon.
     double peakLoadAhead(const run_key &run, double now) const;
 
 private:
     void append(std::deque<double> &history, double load);
 
-    least_squares m_predictor;                         // of: one, the load now, the load before
+    least_squares m_predictor;                         // inputs: 1, the load now, the load earlier
     std::map<run_key, std::deque<double>> m_histories; // oldest first
 };
 
--- a/libs/jobs/messages.cpp
+++ b/libs/jobs/messages.cpp
@@ -51,7 +51,7 @@
     const auto text = stringMember(object, "task");
     const auto task = taskIdFrom(text);
     if (!task)
-        throw error(error_kind::BadRequest, "not the name of a task: " + text);
+        throw error(error_kind::BadRequest, "not a task id: " + text);
     return *task;
 }
 
@@ -101,7 +101,7 @@
     order.epoch = integerMember(value, "epoch");
     if (order.kind == order_kind::Stop)
         return order;
-    // Entries of the release before don't tell these.
+    // Entries of the previous release don't send these.
     if (value.isMember("agent_life"))
         order.agentIncarnation = integerMember(value, "agent_life");
     if (value.isMember("holds_until_ms"))
@@ -166,7 +166,7 @@
     for (const auto &row : rows) {
         const auto endKind = endKindNamed(stringMember(row, "how"));
         if (!endKind)
-            throw error(error_kind::BadRequest, "an answered end of an unknown kind");
+            throw error(error_kind::BadRequest, "answered end has an unknown kind");
         ends.push_back({taskMember(row), smallIntegerMember(row, "run"), *endKind});
     }
     return ends;
@@ -205,9 +205,9 @@
     return outcome != order_outcome::Accepted && !shouldRetry(outcome);
 }
 
-std::string_view nameOf(end_kind endKind)
+std::string_view nameOf(end_kind ending)
 {
-    return nameOf(EndKindNames, endKind);
+    return nameOf(EndKindNames, ending);
 }
 
 std::optional<end_kind> endKindNamed(std::string_view name)
@@ -238,12 +238,12 @@
     const auto value = parseJsonObject(text);
     report_answer answer;
     answer.acknowledged = endIdsFrom(arrayMember(value, "acknowledged"));
-    // Entries of the release before don't tell it.
+    // Entries of the previous release don't send it.
     if (value.isMember("not_owned"))
         answer.notOwned = endIdsFrom(arrayMember(value, "not_owned"));
-    const auto &presses = objectMember(value, "presses");
-    for (const auto &serving : presses.getMemberNames()) {
-        const auto &row = objectMember(presses, serving.c_str());
+    const auto &interferenceRows = objectMember(value, "presses");
+    for (const auto &serving : interferenceRows.getMemberNames()) {
+        const auto &row = objectMember(interferenceRows, serving.c_str());
         answer.interference[serving] = {numberMember(row, "floor_ms"),
                                         amountsFrom(objectMember(row, "by"))};
     }
--- a/libs/jobs/messages.h
+++ b/libs/jobs/messages.h
@@ -1,4 +1,4 @@
-// What entries and agents tell each other of runs: orders one way, reports the other. JSON.
+// Messages about runs, as JSON: entries send orders to agents, agents send reports to entries.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,18 @@
 namespace zinniabarrow::jobs {
 
 enum class order_kind {
-    Start, // see that this run is there; the same order twice is one start
-    Stop,  // see that this run ends, or never begins
+    Start, // make sure that the run is started; idempotent
+    Stop,  // make sure that the run ends, or never starts
 };
 
-// What a task asks of the worker beside its payload.
+// What a run requires of its worker.
 struct run_requirements
 {
     task_size size;
-    bool isBestEffort = false; // millicores are not counted against the worker
-    bool isLongRunning = false;
-    std::string image;
-    std::int64_t latencyTargetMs = 0; // ms; 0: none
+    bool isBestEffort = false;        // millicores don't count against the worker's capacity
+    bool isLongRunning = false;       // runs until its job is cancelled
+    std::string image;                // names what runs; interference is estimated per image
+    std::int64_t latencyTargetMs = 0; // upper limit of the tail latency; 0: none
 };
 
 struct run_order
@@ -34,26 +34,26 @@
     order_kind kind = order_kind::Start;
     task_id task;
     int run = 0;
-    std::int64_t epoch = 0; // of the worker, as placed
-    // Of a start only:
-    std::int64_t agentIncarnation = 0; // of the agent, as placed; 0: not told
-    std::int64_t startDeadlineMs = 0;  // agent's clock: started by this order no later; 0: not told
+    std::int64_t epoch = 0; // of the worker, when the task was placed
+    // Only in a start:
+    std::int64_t agentIncarnation = 0; // of the agent, when the task was placed; 0: unknown
+    std::int64_t startDeadlineMs = 0;  // agent's clock: the order starts nothing later; 0: none
     std::string payload;
     std::string checkpoint;
     run_requirements requirements;
-    bool wantsStartReport = false; // the agent reports when its worker runs it
+    bool wantsStartReport = false; // the agent reports it once its worker runs the task
 };
 
 enum class order_outcome {
-    Accepted,              // it is there, or is being started or stopped
-    NoRoom,                // not started, and it never will be
-    Draining,              // the same: the worker is leaving
-    WrongEpoch,            // the same: placed in another life of the worker
-    Superseded,            // the same: that run was stopped or refused before
-    WrongAgentIncarnation, // the same: placed in another life of the agent, and not known to this
-                           // one
-    NotReady,              // nothing was done; ask again
-    DeadlineExceeded,      // the same: on its way for longer than the order holds
+    Accepted,              // the run exists, or is being started or stopped
+    NoRoom,                // refused for good: the worker has no room
+    Draining,              // refused for good: the worker is leaving
+    WrongEpoch,            // refused for good: placed in another epoch of the worker
+    Superseded,            // refused for good: the run was stopped or refused before
+    WrongAgentIncarnation, // refused for good: placed in another incarnation of the agent, and
+                           // unknown to this one
+    NotReady,              // nothing was done; to be retried
+    DeadlineExceeded,      // nothing was done; the order arrived after its deadline; to be retried
 };
 std::string_view nameOf(order_outcome outcome);
 bool shouldRetry(order_outcome outcome);
@@ -64,30 +64,32 @@
     task_id task;
     int run = 0;
     order_outcome outcome = order_outcome::NotReady;
-    order_kind kind = order_kind::Start; // of the order: a run may have one of each out
+    // Of the order: a start and a stop of one run may both be open.
+    order_kind kind = order_kind::Start;
 };
 
 struct order_batch
 {
     std::string owner;        // entry's name
-    std::string ownerAddress; // where its reports go
+    std::string ownerAddress; // where reports to the owner go
     std::vector<run_order> orders;
 };
 
+// How a run ended. The agent adds NeverStarted; the others are the worker's own words.
 enum class end_kind { Done, Failed, Stopped, HoldExpired, Broken, Alone, NeverStarted };
-std::string_view nameOf(end_kind how);
+std::string_view nameOf(end_kind ending);
 std::optional<end_kind> endKindNamed(std::string_view name);
 
 struct run_end
 {
-    std::int64_t sequence = 0; // of the worker's list; 0: the worker never listed it
+    std::int64_t sequence = 0; // in the worker's list of ends; 0: the worker never listed it
     task_id task;
     int run = 0;
     end_kind endKind = end_kind::Done;
     std::string checkpoint;
 };
 
-// A newer checkpoint of a run that goes on.
+// A newer checkpoint of a run that continues.
 struct run_progress
 {
     task_id task;
@@ -95,50 +97,50 @@
     std::string checkpoint;
 };
 
-// A run that its worker has begun.
+// A run that its worker has started.
 struct started_run
 {
     task_id task;
     int run = 0;
 };
 
-// A serving run: how much load its neighbours may add before it is over its target.
+// A serving run, and how much load its neighbours may add before it misses its latency target.
 struct serving_headroom
 {
     std::string image;
-    double headroom = 0;  // load, below zero: it is over
-    std::string job = {}; // empty: not told
-    bool isLate = false;  // over its target, as last measured
+    double headroom = 0;  // load; below zero: it misses its target
+    std::string job = {}; // empty: unknown
+    bool isLate = false;  // missed its target in the last measurement
 };
 
-// What an agent says of its worker. `ends` are repeated until they are acknowledged.
+// An agent's report on its worker. `ends` are repeated until they are acknowledged.
 struct worker_report
 {
-    std::string worker;                // name of its machine
+    std::string worker;                // name of the worker's machine
     std::string address;               // of the agent
-    std::int64_t agentIncarnation = 0; // changes when the agent starts anew
-    std::int64_t epoch = 0;            // of the worker; 0: not known yet
-    std::int64_t clockMs = 0;          // of the agent, monotonic in its life; 0: not told
+    std::int64_t agentIncarnation = 0; // changes when the agent is restarted
+    std::int64_t epoch = 0;            // of the worker; 0: unknown yet
+    std::int64_t clockMs = 0;          // agent's clock, monotonic within an incarnation; 0: unknown
     std::string service;
     std::string zone;
     std::string kind;
     std::string rack;
-    bool isAccepting = false; // takes new runs
+    bool isAccepting = false; // accepts new runs
     task_size capacity;
-    task_size used;                                 // by what runs, starts or is being stopped
-    task_size usedByLongRunning;                    // of it, by runs that last
-    std::int64_t bestEffortMillicores = 0;          // asked by runs that fill
-    std::vector<serving_headroom> serving;          // runs with a target for their latency
-    std::map<std::string, double> bestEffortDemand; // by image: cores asked for by runs that fill
-    std::vector<interference_sample> samples;       // since the last regular report
-    bool wantsInterferenceTable = false;            // asks for the table of presses
+    task_size used;                        // by runs that are running, starting or being stopped
+    task_size usedByLongRunning;           // the part of `used` that long-running runs use
+    std::int64_t bestEffortMillicores = 0; // requested by best-effort runs
+    std::vector<serving_headroom> serving; // runs with a latency target
+    std::map<std::string, double> bestEffortDemand; // by image: cores requested by best-effort runs
+    std::vector<interference_sample> samples;       // since the last periodic report
+    bool wantsInterferenceTable = false;            // asks for the interference table
     std::vector<run_end> ends;
     std::vector<run_progress> progress;
     std::vector<started_run> started; // repeated until the report is answered
 };
 
-// An end that an entry answers for. It is named in full: a run that was taken for never started may
-// turn out to have ended otherwise, and that end is another one.
+// Identifies one end of a run. The kind is part of the identity: a run that was assumed never to
+// have started may turn out to have ended otherwise, and that is a different end.
 struct run_end_id
 {
     task_id task;
@@ -146,20 +148,21 @@
     end_kind endKind = end_kind::Done;
 };
 
-// What an entry answers to a report.
+// The entry's answer to a report.
 struct report_answer
 {
-    std::vector<run_end_id> acknowledged;
-    std::vector<run_end_id> notOwned; // the job belongs to another entry
-    interference_table
-            interference; // as learned from all workers; empty: not asked for, or nothing learned
-    bool zoneEvacuated = false; // of the worker: nothing more is started there
+    std::vector<run_end_id> acknowledged; // stored: the agent may forget them
+    std::vector<run_end_id> notOwned;     // the job belongs to another entry
+    // Learned from all workers; empty: not requested, or nothing learned yet.
+    interference_table interference;
+    bool zoneEvacuated = false; // the worker's zone is: nothing more is started there
 };
 
+// Reading throws error BadRequest on text of another form.
 std::string toText(const report_answer &answer);
 report_answer reportAnswerFrom(const std::string &text);
 std::string toText(const order_batch &batch);
-order_batch orderBatchFrom(const std::string &text); // throws error BadRequest
+order_batch orderBatchFrom(const std::string &text);
 std::string toText(const std::vector<order_answer> &answers);
 std::vector<order_answer> orderAnswersFrom(const std::string &text);
 std::string toText(const worker_report &report);
--- a/libs/jobs/report_text.cpp
+++ b/libs/jobs/report_text.cpp
@@ -1,5 +1,5 @@
-// Reads the report of a worker: an entry takes one of each worker each second and more, which makes
-// it the text that entries read most.
+// Parses the reports of workers. An entry receives one or more a second from each worker, which
+// makes them the texts that it parses most.
 #include "base/errors.h"
 #include "base/large_json.h"
 #include "jobs/messages.h"
@@ -14,7 +14,7 @@
 {
     const auto *found = large_json::find(object, name);
     if (found == nullptr)
-        throw error(error_kind::BadRequest, std::string("a report without ") + name);
+        throw error(error_kind::BadRequest, std::string("report lacks member ") + name);
     return *found;
 }
 
@@ -26,7 +26,7 @@
     return found.GetBool();
 }
 
-// Told only where it is so.
+// A member that is only present when it is true.
 bool isSetIfPresent(const value &object, const char *name)
 {
     return large_json::find(object, name) != nullptr && flag(object, name);
@@ -49,7 +49,7 @@
     const auto text = large_json::text(object, "task");
     const auto task = taskIdFrom(text);
     if (!task)
-        throw error(error_kind::BadRequest, "not the name of a task: " + text);
+        throw error(error_kind::BadRequest, "not a task id: " + text);
     return *task;
 }
 
@@ -62,11 +62,11 @@
 std::map<std::string, double> amountsFrom(const value &object)
 {
     if (!object.IsObject())
-        throw error(error_kind::BadRequest, "amounts are an object");
+        throw error(error_kind::BadRequest, "amounts by image: an object is needed");
     std::map<std::string, double> amounts;
     for (const auto &[name, amount] : object.GetObject()) {
         if (!amount.IsNumber())
-            throw error(error_kind::BadRequest, "amounts are numbers");
+            throw error(error_kind::BadRequest, "amounts by image: numbers are needed");
         amounts[large_json::asText(name)] = amount.GetDouble();
     }
     return amounts;
@@ -74,16 +74,17 @@
 
 serving_headroom headroomFrom(const value &row)
 {
-    // Agents of the release before don't tell the job. Only a run that is late says so.
+    // Agents of the previous release don't send the job. "late" is sent only if true.
     return {large_json::text(row, "image"), real(row, "room"), large_json::textOrNone(row, "job"),
             isSetIfPresent(row, "late")};
 }
 
-// Agents of the release before don't tell it: then none of the worker's room comes free by itself.
+// Agents of the previous release don't send it. All that is used then counts as used by
+// long-running runs: none of it becomes free by itself.
 task_size longRunningUseFrom(const value &report, const task_size &used)
 {
-    const auto *lasting = large_json::find(report, "lasting");
-    return lasting == nullptr ? used : sizeFrom(*lasting);
+    const auto *longRunningUse = large_json::find(report, "lasting");
+    return longRunningUse == nullptr ? used : sizeFrom(*longRunningUse);
 }
 
 interference_sample sampleFrom(const value &row)
@@ -114,7 +115,7 @@
     return {taskOf(row), count(row, "run"), large_json::text(row, "checkpoint")};
 }
 
-// Agents of the release before don't say whether they ask: they take the table for their samples.
+// Agents of the previous release don't send it: they expect the table whenever they send samples.
 bool wantsPresses(const value &report, const std::vector<interference_sample> &samples)
 {
     if (large_json::find(report, "wants_presses") == nullptr)
@@ -133,7 +134,7 @@
     report.address = large_json::text(value, "address");
     report.agentIncarnation = number(value, "agent_life");
     report.epoch = number(value, "epoch");
-    // Agents of the release before don't tell it.
+    // Agents of the previous release don't send it.
     if (find(value, "clock_ms") != nullptr)
         report.clockMs = number(value, "clock_ms");
     report.service = large_json::text(value, "service");
@@ -147,8 +148,8 @@
     report.bestEffortMillicores = number(value, "fill_millicores");
     forEach(value, "serving",
             [&](const auto &row) { report.serving.push_back(headroomFrom(row)); });
-    if (const auto *filling = find(value, "filling"))
-        report.bestEffortDemand = amountsFrom(*filling);
+    if (const auto *demand = find(value, "filling"))
+        report.bestEffortDemand = amountsFrom(*demand);
     forEach(value, "samples", [&](const auto &row) { report.samples.push_back(sampleFrom(row)); });
     report.wantsInterferenceTable = wantsPresses(value, report.samples);
     for (const auto &row : array(value, "ends").GetArray())
--- a/libs/jobs/retry_delay.h
+++ b/libs/jobs/retry_delay.h
@@ -1,17 +1,18 @@
-// When a caller that was refused should come back.
+// The retry delay that is suggested to a caller whose request was refused.
 #pragma once
 
 #include "base/time.h"
 
 namespace zinniabarrow::jobs {
 
-// The store has not answered for `silence`. A short silence is mostly a hiccup; one that has lasted
-// is an outage of 4 to 9 s, and callers that come each second have used up their few retries before
-// its end.
+// The delay depends on how long the store has been unreachable. A short outage mostly ends by
+// itself at once. One that has lasted longer takes 4 to 9 s, and callers that retry every second
+// would use up their few retries before it ends.
 constexpr milliseconds ShortOutage{1000};
 constexpr seconds RetryDelayShortOutage{1};
-constexpr seconds RetryDelayLongOutage{2}; // four retries reach over 8 s
+constexpr seconds RetryDelayLongOutage{2}; // four retries cover 8 s
 
+// `outage`: how long the store has not answered.
 constexpr seconds suggestedRetryDelay(duration outage)
 {
     return outage < ShortOutage ? RetryDelayShortOutage : RetryDelayLongOutage;
--- a/libs/jobs/run_table.cpp
+++ b/libs/jobs/run_table.cpp
@@ -44,7 +44,8 @@
 void run_table::clearRuns()
 {
     std::erase_if(m_runs, [](const auto &entry) { return entry.second.phase != run_phase::Ended; });
-    // The next life numbers its ends anew: it must not be told to forget by numbers of before.
+    // The worker's next incarnation numbers its ends from the start: earlier numbers must not make
+    // it forget any of them.
     for (auto &[key, tracked] : m_runs)
         tracked.end.sequence = 0;
     m_highestEndSequence = 0;
@@ -84,7 +85,7 @@
     const auto known = m_runs.find(key);
     if (known != m_runs.end()) {
         if (known->second.phase == run_phase::Ended && !known->second.reportsEndOnlyTo(owner))
-            ++m_newEndCount; // news to this owner
+            ++m_newEndCount; // this owner has not received it
         known->second.isClaimed = true;
         known->second.setOwner(owner);
         known->second.requirements = order.requirements;
@@ -93,8 +94,8 @@
                 std::max(known->second.startDeadline, startDeadline(order, now));
         return answer(order_outcome::Accepted);
     }
-    // An order of an earlier epoch comes from an owner that was away: its task runs elsewhere by
-    // now, and starting it here would run it twice.
+    // An order of an earlier epoch comes from an owner that was paused or unreachable. Its task may
+    // run elsewhere by now, so that a start here would run it twice.
     if (order.epoch != m_epoch) {
         rememberRefusal(key, now);
         return answer(order_outcome::WrongEpoch);
@@ -107,13 +108,14 @@
     }
     if (m_readiness == start_readiness::RetryLater || !allRunsClaimed())
         return answer(order_outcome::NotReady);
-    // An earlier life of this agent may have told that the run never starts, and its task may run
-    // elsewhere by now. That is forgotten here, while an order can be on its way for seconds.
+    // An earlier incarnation of this agent may have reported that the run never starts, so that its
+    // task may run elsewhere by now. This incarnation doesn't know of that report, and an order can
+    // be in transit for seconds.
     if (order.agentIncarnation != 0 && order.agentIncarnation != m_agentIncarnation) {
         rememberRefusal(key, now);
         return answer(order_outcome::WrongAgentIncarnation);
     }
-    // Nothing is remembered: the same run is started by an order that comes in time.
+    // No refusal is remembered: an order for the same run that arrives in time starts it.
     if (startDeadline(order, now) <= now)
         return answer(order_outcome::DeadlineExceeded);
     if (!hasRoom(order)) {
@@ -150,14 +152,16 @@
         return answer(order_outcome::NotReady);
     if (known == m_runs.end()) {
         rememberRefusal(key, now);
-        // What an earlier life of this agent was stopping may be there yet, in neither list.
+        // A run that an earlier incarnation of this agent told to stop may still exist without
+        // being in either list of the worker.
         const bool mayStillRun = m_readiness == start_readiness::RetryLater;
         return answer(mayStillRun ? order_outcome::NotReady : order_outcome::Superseded);
     }
     auto &tracked = known->second;
     tracked.setOwner(owner);
-    // A stop tells no sizes: the run stays unclaimed, and nothing is started beside it before it
-    // has ended. Otherwise a run that an earlier life of the agent started would count as nothing.
+    // A stop doesn't give the run's size. The run stays unclaimed, so that nothing is started
+    // beside it until it has ended. Otherwise a run that an earlier incarnation of the agent
+    // started would count as using no capacity.
     stopRun(key, tracked, now);
     return answer(order_outcome::Accepted);
 }
@@ -192,15 +196,15 @@
         return;
     auto &tracked = known->second;
     if (answer == start_answer::Started)
-        tracked.lastStartEffectMs = 0; // also of one that is being stopped: its end will be listed
+        tracked.lastStartEffectMs = 0; // also if it is being stopped: its end will be listed
     if (tracked.phase != run_phase::Starting)
         return;
     if (answer == start_answer::Started)
         tracked.phase = run_phase::Running;
     if (answer == start_answer::Refused || answer == start_answer::NotExecuted)
         tracked.openStartCalls = std::max(0, tracked.openStartCalls - 1);
-    // Another call without an answer may have started it, or may still. Only the worker's own
-    // list, read after the calls' deadlines, says that it never ran.
+    // Another, unanswered call may have started the run, or may still do so. Only the worker's
+    // list, read after the deadlines of the calls, proves that it never ran.
     if (answer == start_answer::Refused) {
         tracked.retryAt = Never;
         if (tracked.openStartCalls == 0)
@@ -224,7 +228,7 @@
             tracked.claimDeadline = now + m_settings.claimTimeout;
         if (tracked.phase == run_phase::Starting)
             tracked.phase = run_phase::Running;
-        tracked.lastStartEffectMs = 0; // what comes of it is in the list of ends
+        tracked.lastStartEffectMs = 0; // from now on the list of ends says how it ends
         tracked.checkpoint = listed.checkpoint;
         tracked.measured = listed.measured;
         if (isCancelled(key.first.job))
@@ -249,7 +253,8 @@
     ++m_newEndCount;
 }
 
-// No call may still take effect, or the worker's list will tell what became of the last.
+// Ends the retries. If a call may still take effect, the worker's list decides later whether the
+// run started.
 void run_table::abandonStart(const run_key &key, tracked_run &tracked)
 {
     tracked.retryAt = Never;
@@ -263,8 +268,9 @@
         stopRun(key, tracked, now);
 }
 
-// A run that the worker was never told of is in neither of its lists, ever: told to stop, it would
-// count as running for good, and the next epoch, which begins once nothing runs, never would.
+// A run that the worker was never called for is never in either of its lists. If it were set to
+// Stopping, it would count as active for ever, and the next epoch, which begins once no run is
+// active, would never begin.
 bool run_table::stopRun(const run_key &key, tracked_run &tracked, time_point now)
 {
     if (tracked.phase == run_phase::Ended || tracked.phase == run_phase::Stopping)
@@ -291,8 +297,8 @@
     const run_key key{end.task, end.run};
     m_highestEndSequence = std::max(m_highestEndSequence, end.sequence);
     const auto known = m_runs.find(key);
-    // Acknowledged before: the worker will forget it with the next look. One that was not listed
-    // before is news, whatever was thought of its run.
+    // Acknowledged before; the worker forgets it at the next poll. An end that was not listed
+    // before is new, whatever was assumed of its run.
     if (known == m_runs.end() && isRefused(key) && end.sequence <= previousHighest)
         return;
     auto &tracked = m_runs[key];
@@ -325,8 +331,8 @@
 std::vector<run_action> run_table::takeDueActions(time_point now, bool mayStart)
 {
     std::vector<run_action> actions;
-    // Told again as long as they are listed: with an entry here they would count as running for
-    // good if they had ended meanwhile.
+    // Stray runs are stopped each time they are listed. They get no row in this table: if they had
+    // ended meanwhile, it would count as active for ever.
     for (const auto &[task, run] : std::exchange(m_strayRuns, {}))
         actions.emplace_back(stop_run{task, run});
     for (auto &[key, tracked] : m_runs) {
--- a/libs/jobs/run_table.h
+++ b/libs/jobs/run_table.h
@@ -1,5 +1,5 @@
-// What runs on one worker, as its agent knows it: the last check before anything is started there.
-// Decisions only.
+// The runs of one worker, as its agent knows them. Makes the last check before a run is started.
+// Makes decisions only; the agent carries out the actions.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
     int run = 0;
     std::string payload;
     std::string checkpoint;
-    time_point callDeadline{}; // not called later
+    time_point callDeadline{}; // the worker isn't called later
 };
 
 struct stop_run
@@ -36,15 +36,16 @@
 // Whether new runs may be started on the worker.
 enum class start_readiness {
     Ready,
-    RetryLater,  // in a moment perhaps: the order is given again
-    Unavailable, // not any more: the order goes elsewhere
+    RetryLater,  // perhaps soon: the entry repeats the order
+    Unavailable, // no: the entry places the task elsewhere
 };
 
+// The outcome of a start call to the worker.
 enum class start_answer {
-    Started,     // it is there
-    Refused,     // the worker will never start it by this call
-    NotExecuted, // nothing was done
-    Unanswered,  // it may start, up to the call's own deadline
+    Started,     // the run exists
+    Refused,     // this call will never start the run
+    NotExecuted, // the worker did nothing; the call may be repeated
+    Unanswered,  // the run may start up to the call's deadline
 };
 
 struct listed_run
@@ -52,31 +53,33 @@
     task_id task;
     int run = 0;
     std::string checkpoint;
-    std::int64_t measured = 0; // tail latency in ms, or millicores in use
+    std::int64_t measured = 0; // serving: tail latency, ms; best-effort: millicores in use
 };
 
-// One look at the worker: all that runs, and the ends that were not forgotten.
+// The result of one poll of the worker: its active runs, and all ends that it has not been allowed
+// to forget.
 struct run_listing
 {
-    std::int64_t clockMs = 0; // the worker's clock
+    std::int64_t clockMs = 0; // worker's clock
     std::vector<listed_run> running;
     std::vector<run_end> ended;
 };
 
 struct run_table_settings
 {
-    milliseconds startRetryInterval{
-            250}; // a worker answers within a few ms; the same start twice is one
+    // A worker answers within a few ms. Starts are idempotent.
+    milliseconds startRetryInterval{250};
     milliseconds stopRetryInterval{600};
-    // A start that was accepted is called no later, nor after its order's own deadline: its task
-    // may be done by now, and whoever gave the order be gone. Callers count a start over a second
-    // after that as doubled work.
+    // An accepted start isn't called later than this, nor after its order's own deadline: the task
+    // may have been done elsewhere meanwhile, and the entry that gave the order may be gone.
+    // Callers count a start more than a second after the task was done as duplicate work.
     milliseconds maxStartDelay{700};
-    // Runs of an agent's earlier life that no entry claims are stopped: entries give their orders
-    // again as soon as they hear of the new life, and take jobs over within about two seconds.
+    // Runs of an earlier incarnation of the agent that no entry claims are stopped after this time.
+    // Entries repeat their orders as soon as they learn of the new incarnation, and take jobs over
+    // within about two seconds.
     milliseconds claimTimeout{8000};
-    milliseconds refusalRetention{60'000}; // longer than any order can be on its way
-    milliseconds cancelRetention{180'000}; // as long as entries keep the rows of jobs that are over
+    milliseconds refusalRetention{60'000}; // longer than any order can be in transit
+    milliseconds cancelRetention{180'000}; // as long as entries keep rows of finished jobs
 };
 
 class run_table
@@ -86,49 +89,52 @@
 
     void setWorker(const task_size &capacity, start_readiness readiness);
     void setEpoch(std::int64_t epoch);                  // 0: none, nothing is started
-    void setAgentIncarnation(std::int64_t incarnation); // as reports tell it
-    // The worker lives anew, or is gone: nothing of before runs. Ends that were seen and not
-    // acknowledged are told on.
+    void setAgentIncarnation(std::int64_t incarnation); // as in the reports
+    // The worker was restarted or is gone: none of its runs exists any more. Ends that were listed
+    // and not acknowledged are still reported.
     void clearRuns();
 
     order_answer handleOrder(const run_order &order, const std::string &owner, time_point now);
-    // No run of the job starts any more, and all that are here are stopped; how many these are.
-    // Orders alone would not do: the owner may have died, or not reach this agent.
+    // Stops the job's runs and refuses further starts; returns how many runs are stopped. Called
+    // for cancellations in the store. Stop orders alone aren't enough: the job's owner may have
+    // died, or not reach this agent.
     int cancelJob(const std::string &job, time_point now);
-    // `deadlineMs`: the worker's clock up to which the call could take effect.
+    // A start call was sent. `deadlineMs`: worker's clock, up to which the call can take effect.
     void startCalled(const task_id &task, int run, std::int64_t deadlineMs);
     void startAnswered(const task_id &task, int run, start_answer answer, time_point now);
     void applyListing(const run_listing &listing, time_point now);
-    // The end is in the platform's store. False: not the one that is told for this run now.
+    // The end is in the platform's store and can be forgotten. False: the run's current end is
+    // another one.
     bool acknowledgeEnd(const run_end_id &end, time_point now);
 
-    // `owner` was told the end, and says that the job is another entry's: all are told. False: that
-    // is so already.
+    // `owner` received the end and answered that the job belongs to another entry. From now on the
+    // end is reported to all entries. False: it already was, or the run has another owner by now.
     bool noteNotOwned(const run_end_id &end, const std::string &owner);
 
-    // What is due: starts and stops that have no answer, unclaimed runs. Without a lease nothing
-    // is started.
+    // The calls to the worker that are due: first and repeated starts and stops, and stops of
+    // unclaimed runs. `mayStart` is false without a lease: starts then wait.
     std::vector<run_action> takeDueActions(time_point now, bool mayStart);
-    void stopAll(time_point now); // what runs belongs to an epoch that has ended
-    // The entry does not answer: its ends are told to all, until an entry gives orders for them.
+    void stopAll(time_point now); // the runs belong to an epoch that has ended
+    // The entry doesn't answer: the ends of its runs are reported to all entries, until an entry
+    // gives an order for them.
     void noteOwnerSilent(const std::string &owner);
 
     std::int64_t epoch() const { return m_epoch; }
-    std::size_t newEndCount() const { return m_newEndCount; } // counts ends that were news
-    std::int64_t acknowledgedThrough() const; // ends up to here may be forgotten by the worker
-    task_size used() const;
-    task_size usedByLongRunning() const; // of it, by runs that last
+    std::size_t newEndCount() const { return m_newEndCount; } // grows with each end to be reported
+    std::int64_t acknowledgedThrough() const; // the worker may forget ends up to this one
+    task_size used() const;                   // by runs that have not ended
+    task_size usedByLongRunning() const;      // the part of `used` that long-running runs use
     std::int64_t bestEffortMillicores() const;
-    bool allRunsClaimed() const; // every run is claimed, so the worker's room is known
+    bool allRunsClaimed() const; // only then the worker's free capacity is known
     std::size_t activeRunCount() const;
-    // Ends of a worker that is gone, not acknowledged: no other process will ever tell them.
-    bool hasEndsOfGoneWorker() const;                   // `clear` takes their numbers
-    std::vector<serving_sample> servingSamples() const; // as last looked at
+    // There are unacknowledged ends of a worker that is gone: no other process can report them.
+    bool hasEndsOfGoneWorker() const;
+    std::vector<serving_sample> servingSamples() const; // by the last listing
     std::vector<best_effort_run> bestEffortRuns() const;
-    // Ends that `owner` (or nobody known) has not acknowledged.
+    // Unacknowledged ends to report to `owner`: of its own runs, and of runs without a known owner.
     std::vector<run_end> endsFor(const std::string &owner) const;
     std::vector<run_progress> progressFor(const std::string &owner) const;
-    // Runs whose start `owner` wants to hear of; `startsTold` once it has.
+    // Started runs to report to `owner`, until `noteStartsReported` says that it received them.
     std::vector<started_run> startsFor(const std::string &owner) const;
     void noteStartsReported(const std::vector<started_run> &runs, const std::string &owner);
 
@@ -139,16 +145,17 @@
     {
         run_requirements requirements;
         bool isClaimed = false;
-        bool wantsStartReport = false; // its owner asks for it and has not heard of it yet
-        std::string owner;             // entry that last gave an order for it; empty: none has
-        bool reportsEndToAll = false;  // that entry did not answer, or owns the job no more
+        bool wantsStartReport = false; // its owner asked for the report and has not received it
+        std::string owner;             // entry that last gave an order for it; empty: none
+        bool reportsEndToAll = false;  // the owner doesn't answer, or no longer owns the job
         std::string payload;
         std::string checkpoint;
         run_phase phase = run_phase::Starting;
-        std::int64_t measured = 0;          // as listed
-        std::int64_t lastStartEffectMs = 0; // worker's clock: no start call takes effect later
-        int openStartCalls = 0;             // start calls that may take effect, or have
-        time_point startDeadline{};         // no start is called later
+        std::int64_t measured = 0; // as in listed_run
+        // Worker's clock: no start call takes effect later; 0: no call is open.
+        std::int64_t lastStartEffectMs = 0;
+        int openStartCalls = 0;     // start calls that may still take effect, or may have
+        time_point startDeadline{}; // the worker isn't called later
         time_point retryAt{};
         time_point claimDeadline{};
         run_end end;
@@ -163,7 +170,7 @@
     order_answer stop(const run_order &order, const std::string &owner, time_point now);
     time_point startDeadline(const run_order &order, time_point now) const;
     void applyEnd(const run_end &end, std::int64_t previousHighest, time_point now);
-    // False: it is stopped already.
+    // False: it has ended or is being stopped already.
     bool stopRun(const run_key &key, tracked_run &tracked, time_point now);
     void markNeverStarted(const run_key &key, tracked_run &tracked);
     void abandonStart(const run_key &key, tracked_run &tracked);
@@ -175,7 +182,7 @@
 
     struct refusal
     {
-        int upToRun = 0; // run
+        int upToRun = 0; // this run of the task and all before it are refused
         time_point expiresAt{};
     };
 
@@ -186,8 +193,8 @@
     std::int64_t m_agentIncarnation = 0;
     std::map<run_key, tracked_run> m_runs;
     std::map<task_id, refusal> m_refusals;
-    std::set<run_key> m_strayRuns;                     // listed as running, though refused here
-    std::map<std::string, time_point> m_cancelledJobs; // job, and until when it is remembered
+    std::set<run_key> m_strayRuns;                     // listed as running although refused here
+    std::map<std::string, time_point> m_cancelledJobs; // job -> when the entry expires
     std::int64_t m_highestEndSequence = 0;
     std::size_t m_newEndCount = 0;
 };
--- a/libs/jobs/service_history.cpp
+++ b/libs/jobs/service_history.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr milliseconds RecordInterval{1000}; // reports come as often
-constexpr double Weight = 0.05;              // of the newest: about the last 20 looks count
+constexpr milliseconds RecordInterval{1000}; // workers report as often
+constexpr double Weight = 0.05;              // of the newest count: about the last 20 matter
 
 } // namespace
 
@@ -16,7 +16,7 @@
 {
     if (count.running == 0)
         return 0;
-    constexpr double LateTaskCost = 4; // tasks
+    constexpr double LateTaskCost = 4; // a late task counts like this many missing ones
     return std::max(0.0, 1 - LateTaskCost * count.late / count.running);
 }
 
--- a/libs/jobs/service_history.h
+++ b/libs/jobs/service_history.h
@@ -1,5 +1,5 @@
-// How well each job that serves has been served of late, by the reports of the workers: which of
-// them has had its part of the harm that what fills does.
+// How well the callers of each serving job have been served recently, by the workers' reports.
+// Shows which jobs have already had their share of the interference by best-effort runs.
 #pragma once
 
 #include <map>
@@ -9,31 +9,30 @@
 
 namespace zinniabarrow::jobs {
 
-// The runs of a job that serve, by the workers' reports.
+// The serving runs of a job, by the workers' reports.
 struct serving_count
 {
     int running = 0;
-    int late = 0; // of them, over their target
+    int late = 0; // of them, those that miss their latency target
 };
 using serving_counts = std::map<std::string, serving_count>; // by job
 
-// What callers have of a job now, 0 to 1: users meet all of its tasks, and a late one costs more
-// than one that is missing.
+// How well callers of a job are served now, 0 to 1. Users depend on all of its tasks, and a late
+// task costs more than a missing one.
 double servedFraction(const serving_count &count);
 
 class service_history
 {
 public:
-    // Due at a fixed pace, so that each look weighs the same.
+    // Counts are recorded at a fixed interval, so that each has the same weight.
     bool isDue(time_point now) const { return now >= m_nextRecordAt; }
     void recordCounts(const serving_counts &counts, time_point now);
-    // Served less than the jobs are on average. One that is new is not.
+    // The job was served worse than the average of all jobs. False for a new job.
     bool isBelowAverage(const std::string &job) const;
 
 private:
-    std::map<std::string, double>
-            m_servedFractions; // by job that is at work: moving average, 0 to 1
-    double m_average = 0;      // of them all
+    std::map<std::string, double> m_servedFractions; // by running job: moving average, 0 to 1
+    double m_average = 0;                            // of all of them
     time_point m_nextRecordAt{};
 };
 
--- a/libs/jobs/stall_timer.h
+++ b/libs/jobs/stall_timer.h
@@ -1,4 +1,4 @@
-// A task that lasts: when it was known to be at work, and why it isn't, by what its owner knows.
+// How long a long-running task has not been running, and why, as far as the owner of its job knows.
 #pragma once
 
 #include <string_view>
@@ -8,20 +8,20 @@
 namespace zinniabarrow::jobs {
 
 enum class stall_reason {
-    NoWorker,           // no worker is found
-    PlacementNotStored, // its placement is not in the store yet
-    StartUnanswered,    // no answer settles its start
-    StopPending,        // its run is being stopped, and its end is not known
-    AgentSilent,        // the agent of its worker is silent
-    EarlierEpoch,       // placed before the epoch that its worker has begun
-    NotRunning,         // accepted, and the worker's reports show too few runs of its job
+    NoWorker,           // no worker can take it
+    PlacementNotStored, // its placement is not yet in the store
+    StartUnanswered,    // the start order has no conclusive answer
+    StopPending,        // its run is being stopped, and the end is unknown
+    AgentSilent,        // no reports from the agent of its worker
+    EarlierEpoch,       // placed in an epoch before the worker's current one
+    NotRunning,         // start accepted, but the worker reports too few runs of the job
 };
 std::string_view nameOf(stall_reason why);
 
 struct stall_timer
 {
-    time_point lastRunningAt{}; // last known to be at work, or first looked at
-    time_point logAt{};         // the log
+    time_point lastRunningAt{}; // last known to be running, or first checked
+    time_point logAt{};         // when the stall is logged next
 };
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/table_source_rotation.h
+++ b/libs/jobs/table_source_rotation.h
@@ -1,6 +1,7 @@
-// Which entry an agent asks for the table of presses. Each has learned it from the same samples,
-// and it is the largest part of what they send: one entry at a time is asked, in turn, so that none
-// writes it for every worker and an entry that has only begun is soon followed by another.
+// Chooses the entry that an agent asks for the interference table, round robin. All entries learn
+// the table from the same samples, and it is the largest part of what they send. Asking one entry
+// at a time avoids that each entry sends it to every worker; taking turns means that the table of
+// an entry that has just started is soon replaced by another's.
 #pragma once
 
 #include <cstddef>
@@ -13,10 +14,10 @@
 class table_source_rotation
 {
 public:
-    // Agents begin at different entries.
+    // Different agents begin with different entries.
     explicit table_source_rotation(std::string_view agent);
 
-    // The next of `entries`, which are in order; empty: there is none.
+    // The next of `entries`, which are sorted; empty if there is none.
     std::string next(const std::vector<std::string> &entries);
 
 private:
--- a/libs/jobs/throttle_controller.cpp
+++ b/libs/jobs/throttle_controller.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// How far 1 / tail fell, 1/ms, over several runs.
+// The mean drop of 1 / tail latency, 1/ms, over several runs.
 struct drop_average
 {
     double sum = 0;
@@ -20,8 +20,8 @@
     double mean() const { return sum / runs; }
 };
 
-// Of runs that were measured both times, and of those whose load went beyond what a tail can tell
-// or came from there.
+// Drops of the runs whose load could be measured both times, and apart from them of the runs whose
+// load exceeded the measurable range once: their drops are lower bounds of the change.
 struct tail_drops
 {
     drop_average measured;
@@ -31,7 +31,7 @@
     {
         const auto [shorter, longer] = std::minmax(beforeMs, nowMs);
         if (static_cast<double>(shorter) > maxMeasurableMs)
-            return; // a queue all the while
+            return; // queueing both times: says nothing of the change
         auto &kind = static_cast<double>(longer) > maxMeasurableMs ? lowerBounds : measured;
         kind.add(beforeMs, nowMs);
     }
@@ -89,8 +89,8 @@
 throttle_controller::changeOf(const std::string &image, const std::vector<serving_sample> &serving,
                               const std::map<std::string, double> &currentCores) const
 {
-    constexpr double QueueingFactor =
-            20; // times the floor: beyond, a tail says only that a queue grows
+    // A tail latency beyond this multiple of the floor only says that a queue is growing.
+    constexpr double QueueingFactor = 20;
     tail_drops found;
     for (const auto &sample : serving) {
         const auto before = m_previousTailMs.find({sample.task, sample.run});
@@ -181,7 +181,7 @@
     return row->second.floorMs;
 }
 
-// What the presses don't explain of the measurement counts as the run's own load.
+// The part of the measured load that the neighbours' interference doesn't explain.
 double throttle_controller::ownLoad(const serving_sample &sample,
                                     const std::vector<best_effort_run> &bestEffort) const
 {
--- a/libs/jobs/throttle_controller.h
+++ b/libs/jobs/throttle_controller.h
@@ -1,9 +1,13 @@
-// When runs that fill stand still beside runs that serve. Slowing a run down spreads the harm that
-// it does over a longer time and lessens none of it, while its job comes late and piles up with
-// those that follow. So what fills works at full pace, and only where a serving run was over its
-// target for a while on end does all of it stand still for a moment. (Stopping just the images that
-// were learned to harm was tried: what was learned is wrong now and then, and the run stayed late.)
-// One worker; decisions only.
+// Decides when the best-effort runs of one worker are paused in favour of its serving runs.
+//
+// Slowing a best-effort run down spreads its interference over a longer time without reducing it,
+// while its job finishes late and piles up with the jobs that follow. So best-effort runs work at
+// full speed. Only when a serving run has missed its latency target for a while without a break,
+// all best-effort runs on the worker are paused for a moment. Pausing only the images that are
+// known to interfere was tried: the estimates are wrong now and then, and then the serving run
+// stayed late.
+//
+// Makes decisions only; the caller carries them out.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +23,7 @@
 
 namespace zinniabarrow::jobs {
 
-// A run that serves its own users, as the worker measured it over the last half second.
+// A serving run, as its worker measured it over the last half second.
 struct serving_sample
 {
     task_id task;
@@ -29,33 +33,35 @@
     std::int64_t latencyTargetMs = 0;
 };
 
+// A best-effort run, as its worker measured it over the last half second.
 struct best_effort_run
 {
     task_id task;
     int run = 0;
     std::string image;
-    double usedCores = 0;      // in use, over the last half second
-    double requestedCores = 0; // that it asks for
+    double usedCores = 0;      // mean number of cores in use
+    double requestedCores = 0; // by its task's specification
 };
 
+// The speed at which a best-effort run is to work.
 struct run_speed
 {
     task_id task;
     int run = 0;
-    int percent = 100; // of full speed
+    int percent = 100; // of full speed; 0: paused
 };
 
 struct throttle_settings
 {
-    // Users bear a late answer or two, and not seconds of them on end.
+    // Users tolerate a late answer or two, but not seconds of late answers.
     milliseconds maxLateTime{2200};
-    // A stop ends when a sample shows that it helped: they lag by half a second. A run that is
-    // still late after the longest stop is late by its own load.
+    // A pause ends once a sample shows that it helped; samples lag by half a second. A serving run
+    // that is still late after the longest pause is late because of its own load.
     milliseconds minPause{400};
     milliseconds maxPause{1300};
-    double defaultLoadPerCore = 0.03;    // load for a core, of a pair that was never measured
-    double defaultFloorFraction = 0.17;  // of the target, of an image that was never measured
-    double headroomTargetFraction = 0.9; // of the target: the room that is told ends there
+    double defaultLoadPerCore = 0.03;    // load by one core, for a pair of images never measured
+    double defaultFloorFraction = 0.17;  // floor / latency target, for an image never measured
+    double headroomTargetFraction = 0.9; // reported headroom ends at this fraction of the target
 };
 
 class throttle_controller
@@ -64,18 +70,20 @@
     explicit throttle_controller(const throttle_settings &settings = {});
 
     void setInterference(interference_table table) { m_interference = std::move(table); }
-    // Changes of pace that this look asks for.
+    // Called after each poll of the worker. Returns the runs whose speed has to change.
     std::vector<run_speed> decide(const std::vector<serving_sample> &serving,
                                   const std::vector<best_effort_run> &bestEffort, time_point now);
-    void noteConfirmed(const run_speed &speed); // the worker has taken it
+    void noteConfirmed(const run_speed &speed); // the worker has applied it
     void forget(const task_id &task, int run);
-    // What each serving image is measured at, beside what, and what changed since the last call;
-    // called each half second.
+    // One sample for each serving image: its tail latency, its best-effort neighbours and the
+    // change since the last call. Called every half second.
     std::vector<interference_sample> takeSamples(const std::vector<serving_sample> &serving,
                                                  const std::vector<best_effort_run> &bestEffort);
+    // Cores in use by image.
     std::map<std::string, double>
     coresByImage(const std::vector<best_effort_run> &bestEffort) const;
-    // How much load neighbours may add to a serving run, beyond its own within the next seconds.
+    // The load that neighbours may add to a serving run until it misses its target, given the peak
+    // of its own load that is expected within the next seconds.
     double headroomOf(const serving_sample &sample,
                       const std::vector<best_effort_run> &bestEffort) const;
 
@@ -84,8 +92,8 @@
 
     struct late_run
     {
-        time_point lateSince{};   // late on end since, or since its last relief
-        time_point pausedAt = {}; // what fills stands still since; none: it works
+        time_point lateSince{};   // start of the late period, or the end of the last pause
+        time_point pausedAt = {}; // start of the current pause; 0: none
     };
 
     double loadPerCore(const std::string &serving, const std::string &bestEffort) const;
@@ -102,10 +110,10 @@
     throttle_settings m_settings;
     interference_table m_interference;
     load_forecast m_forecast;
-    std::map<run_key, std::int64_t> m_previousTailMs; // ms, at the last sampling
-    std::map<std::string, double> m_previousCores;    // cores in use then
-    std::map<run_key, late_run> m_lateRuns;           // serving runs over their target
-    std::map<run_key, int> m_confirmedSpeeds; // the worker's pace of each run that fills, per cent
+    std::map<run_key, std::int64_t> m_previousTailMs; // of serving runs, at the last sampling
+    std::map<std::string, double> m_previousCores;    // by image, at the last sampling
+    std::map<run_key, late_run> m_lateRuns;           // serving runs that miss their target
+    std::map<run_key, int> m_confirmedSpeeds;         // best-effort runs, percent
 };
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/worker_lease.cpp
+++ b/libs/jobs/worker_lease.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-const std::string NoIncarnation; // nobody is there, or it is not known who
+const std::string NoIncarnation; // no incarnation of the worker exists, or it is unknown which
 
 } // namespace
 
@@ -21,10 +21,11 @@
 {
     m_isSettled = false;
     m_phase = lease_phase::Reading;
-    // The end stays to be written. Which life comes next is for a look with the new fence to tell.
+    // The end of the epoch still has to be written. A poll with the new fence will show which
+    // incarnation comes next.
     if (m_nextIncarnation)
         m_nextIncarnation = NoIncarnation;
-    // The outcome of the write that is out would be taken for that of the next one.
+    // The outcome of a pending write would be mistaken for that of the next one.
     m_mustReacquire = m_pendingWrite.has_value();
     if (!m_mustReacquire)
         m_actions.emplace_back(read_lease{});
@@ -34,10 +35,11 @@
 {
     if (m_phase != lease_phase::Held || m_pendingWrite)
         return;
-    // A whole lease beside a lost worker would put off the start of its tasks elsewhere.
+    // Renewing the lease of a lost worker would only delay the start of its tasks elsewhere.
     if (heldUntil && *heldUntil <= now)
         return;
-    // At once, as the row may tell the shorter end before this agent knows that it does.
+    // Takes effect at once: the row may give the earlier expiry before this agent learns that the
+    // write succeeded.
     if (heldUntil)
         m_validUntil = std::min(m_validUntil, *heldUntil);
     write(m_row, false, now, heldUntil);
@@ -68,11 +70,12 @@
     m_pendingWrite.reset();
     m_row = written.row;
     m_version = version;
-    // Counted from before the write was sent, as the row tells it to watchers.
+    // Counted from before the write was sent, as in the row that watchers read.
     m_validUntil = written.validUntil;
     if (written.beginsEpoch && !m_nextIncarnation && !m_mustReacquire) {
-        // Without a life the row tells the end alone. A life is looked at before tasks start in it:
-        // a late start of before, which only the new fence keeps out there, may have taken effect.
+        // Without an incarnation the row only says that the epoch has ended. Tasks start only after
+        // a poll of the next incarnation: a late start from before, which only the new fence keeps
+        // out, may have taken effect there.
         m_isSettled = m_row.workerIncarnation != NoIncarnation;
         m_actions.emplace_back(epoch_settled{m_row.epoch, true});
     }
@@ -135,9 +138,9 @@
     ++next.renewals;
     const auto storeMs = m_storeClock.upperBoundMs(now);
     next.expiresAtMs = storeMs == 0 ? 0 : storeMs + millisecondsIn(validUntil - now);
-    // Two lives of an agent may write the same fence, and the earlier one's write take effect
-    // late: taken for the later one's, the row would tell an earlier end than its agent counts
-    // with.
+    // Two incarnations of an agent may write the same fence, and the write of the earlier one may
+    // take effect late. If it were mistaken for the later one's write, the row would give an
+    // earlier expiry than its agent assumes. The expiry in the id tells the writes apart.
     next.writeId = fmt::format("{}:{}:{}:{}", m_agent, next.fence, next.renewals, next.expiresAtMs);
     m_pendingWrite = pending_write{next, validUntil, beginsEpoch};
     m_actions.emplace_back(write_lease{std::move(next), m_version});
--- a/libs/jobs/worker_lease.h
+++ b/libs/jobs/worker_lease.h
@@ -1,5 +1,5 @@
-// The lease of a worker as its agent holds it: which writes of the row are due, and under which
-// epoch tasks may start. Decisions only.
+// The agent's side of a worker's lease: which writes of the lease row are due, and under which
+// epoch tasks may start. Makes decisions only; the agent carries out the actions.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +13,24 @@
 
 namespace zinniabarrow::jobs {
 
-struct read_lease // and tell `rowRead`
+// Read the row, then call `rowRead`.
+struct read_lease
 { };
 
-// Repeated unchanged until its outcome is known; then `rowWritten` or `rowTaken`.
+// Write the row, repeated unchanged until the outcome is known; then call `rowWritten` or
+// `rowConflict`.
 struct write_lease
 {
     lease_row row;
-    std::int64_t expectedVersion = 0; // 0: there is no such row
+    std::int64_t expectedVersion = 0; // 0: the row must not exist
 };
 
-// The row has this epoch: what was placed under earlier ones has ended. Tasks may start under it
-// once `settled`.
+// The row has this epoch: all runs placed under earlier epochs have ended. Tasks may start under it
+// once `isSettled`.
 struct epoch_settled
 {
     std::int64_t epoch = 0;
-    bool isNew = false; // anew
+    bool isNew = false; // false: the epoch of an earlier incarnation of the agent continues
 };
 
 using lease_action = std::variant<read_lease, write_lease, epoch_settled>;
@@ -38,32 +40,32 @@
 public:
     explicit worker_lease(std::string agent);
 
-    // A new life of the agent, or of its worker: orders of before are void once the next fence is
-    // written.
+    // Called for a new incarnation of the agent or of its worker. Earlier orders become void once
+    // the next fence is written.
     void acquireFence();
-    // The time for it has come. `heldUntil`: the worker answers nothing, and was told to let runs
-    // go on until then.
+    // Called every LeaseRenewInterval. `heldUntil`: the worker doesn't answer, and the last hold
+    // call lets its runs continue until then.
     void renew(time_point now, std::optional<time_point> heldUntil = std::nullopt);
 
-    // Any answer of the store tells its clock.
+    // Called for any answer of the store, with the reading of the store's clock, ms.
     void noteStoreClock(std::int64_t storeMs, time_point sentAt, time_point now);
 
-    // --- what became of the actions
+    // --- outcomes of the actions
     void rowRead(const std::optional<lease_row> &row, std::int64_t version, time_point now);
     void rowWritten(std::int64_t version, time_point now);
-    void rowConflict(); // by somebody else
+    void rowConflict(); // another process has written the row
 
     // --- the worker
-    // It answered: `life` runs `running` tasks. True: all of them have to be stopped, as they
-    // belong to an epoch that is over.
+    // A poll was answered: this incarnation of the worker has `activeRuns` runs. True: all of them
+    // have to be stopped, as they belong to an epoch that has ended.
     bool reconcile(const std::string &workerIncarnation, std::size_t activeRuns, time_point now);
-    // All that ran has ended for certain. `life` is the one that comes next, empty: none yet.
+    // All runs have certainly ended. `workerIncarnation` is the next one; empty: none yet.
     void endEpoch(const std::string &workerIncarnation, time_point now);
 
     bool holdsFence() const { return m_phase == lease_phase::Held; }
     bool isSettled() const { return m_isSettled; } // tasks may start under the epoch
-    // The end of the epoch is known here alone: without it in the row, what was placed on the
-    // worker waits for the end of the lease.
+    // The epoch has ended, and only this agent knows. Until the row says so, tasks that were placed
+    // on the worker wait for the lease to expire.
     bool hasUnwrittenEnd() const
     {
         return m_nextIncarnation.has_value() || (m_pendingWrite && m_pendingWrite->beginsEpoch);
@@ -72,7 +74,8 @@
     std::int64_t epoch() const { return m_row.epoch; }
     std::int64_t fence() const { return m_row.fence; }
     const std::string &workerIncarnation() const { return m_row.workerIncarnation; }
-    time_point validUntil() const { return m_validUntil; } // nothing is started or held beyond
+    // Nothing is started, and no hold granted, beyond it.
+    time_point validUntil() const { return m_validUntil; }
 
     std::vector<lease_action> takeActions();
 
@@ -80,13 +83,13 @@
     enum class lease_phase {
         Reading,      // the row is being read
         WritingFence, // the next fence is being written
-        Held,
+        Held,         // the row has this agent's fence
     };
 
     struct pending_write
     {
         lease_row row;
-        time_point validUntil{}; // runs may go on, once it is written
+        time_point validUntil{}; // of the lease, once the row is written
         bool beginsEpoch = false;
     };
 
@@ -97,14 +100,14 @@
     std::string m_agent;
     store_clock m_storeClock;
     lease_phase m_phase = lease_phase::Reading;
-    lease_row m_row; // as last written here
+    lease_row m_row; // as last written by this agent
     std::int64_t m_version = 0;
     std::optional<pending_write> m_pendingWrite;
-    // The life to come, once all of before has ended. Kept until it is in the row: a write that is
-    // out, or a row that was taken, only puts it off.
+    // Set once all runs have ended: the next incarnation of the worker; empty text: none yet or
+    // unknown. Kept until it is in the row; a pending write or a conflict only delays it.
     std::optional<std::string> m_nextIncarnation;
     bool m_isSettled = false;
-    bool m_mustReacquire = false; // again, while a write is out: its outcome is waited for
+    bool m_mustReacquire = false; // read the row again once the pending write's outcome is known
     time_point m_validUntil{};
     std::vector<lease_action> m_actions;
 };
--- a/libs/jobs/worker_liveness.cpp
+++ b/libs/jobs/worker_liveness.cpp
@@ -43,7 +43,8 @@
 
 bool worker_liveness::isSilent(time_point now) const
 {
-    // An agent that was frozen has no answer either, and asks again at once.
+    // An agent that was frozen has no recent answer either, although its last poll was answered. It
+    // polls again at once.
     return !m_lastPollAnswered && !isResponsive(now);
 }
 
@@ -54,7 +55,7 @@
 
 std::optional<time_point> worker_liveness::heldUntilIfSilent() const
 {
-    constexpr int FailedPollLimit = 2; // one is lost now and then
+    constexpr int FailedPollLimit = 2; // a single poll is lost now and then
     return m_consecutiveFailures < FailedPollLimit ? std::nullopt : heldUntil();
 }
 
@@ -66,8 +67,9 @@
 start_readiness readinessOf(const worker_status &status, const worker_liveness &liveness,
                             time_point now)
 {
-    // A lost worker may have nothing whose end would end a placement on it: an order that was put
-    // off would be repeated for as long as the agent lives. Refused, its task goes elsewhere.
+    // A lost worker may have no run whose end would end the placement on it. An order that is to be
+    // retried would be repeated for as long as the agent lives; if it is refused, its task goes to
+    // another worker.
     if (!status.isPresent || status.isLeaving || liveness.isSilent(now))
         return start_readiness::Unavailable;
     if (!status.hasLease || !liveness.isResponsive(now))
--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -1,5 +1,6 @@
-// A cancelled job starts nothing any more, wherever a start of it can still come from: two entries,
-// the store's row between them, and the agents of two workers, on a virtual clock.
+// Once a job is cancelled none of its tasks starts or keeps running, whatever starts were still
+// under way. Simulates two entries, the job's row in the store and the agents of two workers, on a
+// virtual clock.
 #include <algorithm>
 #include <functional>
 #include <map>
@@ -22,16 +23,16 @@
 namespace {
 
 constexpr milliseconds TickDuration{50};
-constexpr milliseconds CancelEffectiveWithin{3000}; // an acknowledged cancel, at every agent
-constexpr milliseconds ObservedFor{12'000};         // longer than anything that is on its way
+constexpr milliseconds CancelEffectiveWithin{3000}; // after its acknowledgement, at every agent
+constexpr milliseconds ObservedFor{12'000};         // longer than any message is in transit
 constexpr milliseconds TakeoverAfter{1600};
 constexpr milliseconds ReportInterval{1000};
 constexpr milliseconds StoreFollowDelay{
-        300}; // from a row of the store to the agents that follow it
+        300}; // from a row in the store to the agents that follow it
 constexpr std::int64_t Epoch = 1;
 const std::string Job = "j";
 
-// Something on its way.
+// A message in transit, or another event in the future.
 struct event
 {
     time_point at{};
@@ -41,7 +42,7 @@
 struct worker_model
 {
     std::set<std::pair<task_id, int>> running;
-    std::map<task_id, int> highestStoppedRun; // run that was stopped or ended
+    std::map<task_id, int> highestStoppedRun; // runs up to it were stopped or have ended
     std::vector<run_end> ended;
     int startCount = 0;
     time_point lastStartAt{};
@@ -51,8 +52,8 @@
 {
     run_table table;
     worker_model worker;
-    bool isCutOff = false;           // from all entries
-    milliseconds startEffectDelay{}; // after the call
+    bool isCutOff = false;           // no messages to or from entries
+    milliseconds startEffectDelay{}; // delay after the call
     bool answersStarts = true;
     time_point reportAt{};
 };
@@ -61,17 +62,17 @@
 {
     explicit entry_model(const char *name)
         : self{name, 1}
-        , book(self, workers)
+        , controller(self, workers)
     { }
 
     owner_id self;
     worker_pool workers;
-    job_controller book;
+    job_controller controller;
     bool isAlive = true;
-    bool losesOrders = false;     // it died before they were sent
+    bool losesOrders = false;     // it crashed before they were sent
     milliseconds writeDelay{50};  // until a write takes effect
     milliseconds orderDelay{50};  // to the agent
-    milliseconds answerDelay{50}; // and back
+    milliseconds answerDelay{50}; // from the agent
     std::vector<std::int64_t> storedTokens;
 };
 
@@ -85,8 +86,8 @@
     std::optional<std::string> row;
     std::int64_t version = 0;
     std::string payload;
-    bool isCancelStored = false;   // the row that agents follow,
-    bool agentsFollowStore = true; // if they reach the store
+    bool isCancelStored = false;   // in the row that agents follow
+    bool agentsFollowStore = true; // false: agents can't reach the store
     time_point cancelledAt{};
 
     cancel_simulation()
@@ -96,7 +97,8 @@
         reportAllWorkers();
     }
 
-    // A life of the agent: it reads the cancels before it accepts anything.
+    // Starts a new incarnation of the agent. It reads the stored cancellations before it accepts
+    // orders.
     void beginIncarnation(agent_model &agent) const
     {
         agent.table = run_table();
@@ -130,7 +132,7 @@
         spec.steps = {step};
         queue_policy policy;
         policy.service = "tickets";
-        first.book.submit(Job, spec, policy, 1000, now, 1);
+        first.controller.submit(Job, spec, policy, 1000, now, 1);
     }
 
     void submitAndRun()
@@ -145,7 +147,7 @@
         events.push_back({now + span, std::move(callback)});
     }
 
-    // --- what happens in one turn
+    // --- the events of one tick
 
     void tick()
     {
@@ -174,8 +176,8 @@
 
     void runEntry(entry_model &entry)
     {
-        entry.book.plan(now, 1000);
-        for (auto &action : entry.book.takeActions()) {
+        entry.controller.plan(now, 1000);
+        for (auto &action : entry.controller.takeActions()) {
             if (const auto *write = std::get_if<write_row>(&action))
                 schedule(entry.writeDelay, [this, &entry, out = *write] { commit(entry, out); });
             else if (const auto *order = std::get_if<send_order>(&action))
@@ -199,9 +201,9 @@
         if (!entry.isAlive)
             return;
         if (versionMatches)
-            entry.book.rowWritten(Job, version);
+            entry.controller.rowWritten(Job, version);
         else
-            entry.book.rowConflict(Job, version, row);
+            entry.controller.rowConflict(Job, version, row);
     }
 
     void storeCancel()
@@ -224,7 +226,7 @@
             const auto answer = agent.table.handleOrder(message.order, entry.self.entry, now);
             schedule(entry.answerDelay, [this, &entry, message, answer] {
                 if (entry.isAlive)
-                    entry.book.orderAnswered(message.worker, answer, now, 0);
+                    entry.controller.orderAnswered(message.worker, answer, now, 0);
             });
         });
     }
@@ -232,7 +234,8 @@
     void reportUnanswered(entry_model &entry, const send_order &message)
     {
         if (entry.isAlive)
-            entry.book.orderUnanswered(message.worker, message.order.task, message.order.run, now);
+            entry.controller.orderUnanswered(message.worker, message.order.task, message.order.run,
+                                             now);
     }
 
     void runAgent(const std::string &name, agent_model &agent)
@@ -303,16 +306,16 @@
             if (!entry->isAlive)
                 continue;
             for (const auto &end : agent.table.endsFor(entry->self.entry))
-                entry->book.runEnded(name, end, now, 100);
+                entry->controller.runEnded(name, end, now, 100);
         }
     }
 
-    // --- what the caller does and sees
+    // --- the caller's actions and checks
 
-    // The cancel at the entry that owns the job, up to its acknowledgement.
+    // Cancels the job at its owner and waits for the acknowledgement.
     void cancelAtOwner()
     {
-        first.book.cancel(Job, 2);
+        first.controller.cancel(Job, 2);
         for (int ticks = 0; ticks < 200 && !isAcknowledged(first); ++ticks)
             tick();
         require(isAcknowledged(first));
@@ -325,7 +328,7 @@
                != entry.storedTokens.end();
     }
 
-    // Where the owner can't be asked, any entry writes the cancel into the row.
+    // If the owner can't be reached, any entry writes the cancellation into the row.
     void cancelInRow()
     {
         auto record = recordFrom(*row);
@@ -352,7 +355,7 @@
     void takeOver()
     {
         if (recordFrom(*row).needsOwner())
-            second.book.adopt(Job, recordFrom(*row), version, payload);
+            second.controller.adopt(Job, recordFrom(*row), version, payload);
     }
 
     int runningTasks() const
@@ -372,7 +375,7 @@
         return found->first;
     }
 
-    // From the end of the bound on, nothing of the job runs and nothing starts.
+    // After CancelEffectiveWithin no task of the job runs, and none starts.
     void checkCancelEffective()
     {
         run(CancelEffectiveWithin
@@ -387,57 +390,57 @@
     }
 };
 
-// What happens around a cancel, up to its acknowledgement and right after it.
+// The events around a cancellation, up to its acknowledgement and right after it.
 struct scenario
 {
     const char *title;
-    bool areEntriesEnough; // also when the agents don't hear of cancels from the store
+    bool areEntriesEnough; // also if the agents don't learn of cancellations from the store
     void (*play)(cancel_simulation &);
 };
 
 const scenario Scenarios[] = {
-        {"nothing else happens", true,
+        {"no other events", true,
          [](cancel_simulation &sim) {
              sim.submitAndRun();
              sim.cancelAtOwner();
          }},
-        {"its owner dies right after the acknowledgement", true,
+        {"the owner crashes right after the acknowledgement", true,
          [](cancel_simulation &sim) {
              sim.submitAndRun();
              sim.cancelAtOwner();
              cancel_simulation::crash(sim.first);
              sim.schedule(TakeoverAfter, [&sim] { sim.takeOver(); });
          }},
-        {"all entries die right after it", false,
+        {"all entries crash right after the acknowledgement", false,
          [](cancel_simulation &sim) {
              sim.submitAndRun();
              sim.cancelAtOwner();
              cancel_simulation::crash(sim.first);
              cancel_simulation::crash(sim.second);
          }},
-        {"the agents hear no entry", false,
+        {"the agents are cut off from all entries", false,
          [](cancel_simulation &sim) {
              sim.submitAndRun();
              sim.setCutOff(true);
              sim.cancelAtOwner();
          }},
-        {"the agents hear no entry for a second", true,
+        {"the agents are cut off from all entries for a second", true,
          [](cancel_simulation &sim) {
              sim.submitAndRun();
              sim.setCutOff(true);
              sim.schedule(milliseconds(1200), [&sim] { sim.setCutOff(false); });
              sim.cancelAtOwner();
          }},
-        {"the owner can't be asked, and writes beside the cancel", true,
+        {"the owner is unreachable, and its write races with the cancellation", true,
          [](cancel_simulation &sim) {
              sim.submitAndRun();
              sim.first.writeDelay = milliseconds(400);
              const task_id task{Job, 0, 0, 0};
-             sim.first.book.checkpointReported(sim.workerOf(task), {task, 1, "0001"});
+             sim.first.controller.checkpointReported(sim.workerOf(task), {task, 1, "0001"});
              sim.run(milliseconds(100));
              sim.cancelInRow();
          }},
-        {"the answers to its starts come while the cancel is written", true,
+        {"the answers to the starts arrive while the cancellation is written", true,
          [](cancel_simulation &sim) {
              sim.first.answerDelay = milliseconds(300);
              sim.submit();
@@ -446,7 +449,7 @@
              sim.first.writeDelay = milliseconds(600);
              sim.cancelAtOwner();
          }},
-        {"its starts are overtaken by its stops", true,
+        {"the stop orders overtake the start orders", true,
          [](cancel_simulation &sim) {
              sim.first.orderDelay = milliseconds(500);
              sim.submit();
@@ -454,7 +457,7 @@
              sim.first.orderDelay = milliseconds(50);
              sim.cancelAtOwner();
          }},
-        {"its starts arrive at agents that live anew, from an owner that was frozen", false,
+        {"start orders of a frozen owner arrive at restarted agents", false,
          [](cancel_simulation &sim) {
              sim.first.orderDelay = milliseconds(5000);
              sim.submit();
@@ -466,15 +469,15 @@
              for (auto &entry : sim.agents)
                  sim.beginIncarnation(entry.second);
          }},
-        {"its row is written for the first time while the cancel arrives", true,
+        {"the cancellation arrives during the first write of the row", true,
          [](cancel_simulation &sim) {
              sim.first.writeDelay = milliseconds(400);
              sim.submit();
              sim.run(milliseconds(100));
              sim.cancelAtOwner();
-             check(sim.runningTasks() == 0); // it was cancelled before its first start was due
+             check(sim.runningTasks() == 0); // cancelled before the first start was due
          }},
-        {"a takeover is under way, and the cancel is written into the row", true,
+        {"the cancellation is written into the row during a takeover", true,
          [](cancel_simulation &sim) {
              sim.submitAndRun();
              sim.first.isAlive = false;
@@ -484,7 +487,7 @@
              sim.cancelInRow();
              sim.schedule(milliseconds(800), [&sim] { sim.takeOver(); });
          }},
-        {"start calls have no answer, and take effect late", true,
+        {"start calls are unanswered and take effect late", true,
          [](cancel_simulation &sim) {
              for (auto &entry : sim.agents) {
                  entry.second.startEffectDelay = milliseconds(1400);
@@ -498,10 +501,11 @@
 
 } // namespace
 
-// A caller cancels its job and is told that it is cancelled. Whatever was on its way then, each
-// task that is started later than the bound, or runs on, is work that nobody asked for. Entries
-// and agents stop it independently of each other, so both ways are tried alone where one suffices.
-Test(cancel, holds_at_every_agent)
+// Guards against tasks that start or keep running after the caller was told that the job is
+// cancelled: orders, answers and calls in transit, restarts and takeovers could cause it. Entries
+// and agents stop the tasks independently of each other. The second test tries the entries alone,
+// in the scenarios where they are enough.
+Test(cancel, is_effective_at_every_agent)
 {
     for (const auto &tried : Scenarios) {
         section(tried.title, [&] {
@@ -512,7 +516,7 @@
     }
 }
 
-Test(cancel, holds_where_agents_hear_only_entries)
+Test(cancel, is_effective_through_entries_alone)
 {
     for (const auto &tried : Scenarios) {
         if (!tried.areEntriesEnough)
@@ -526,9 +530,10 @@
     }
 }
 
-// An agent whose worker does not answer for a moment has accepted a start and not called it yet.
-// The cancel stops it; no list of the worker will ever name it, so its end is known by that.
-Test(cancel, a_start_that_never_went_out_takes_no_room)
+// An agent has accepted a start but not yet called its worker, which doesn't answer for a moment.
+// The cancellation stops the run before the call. No list of the worker will ever contain it, so
+// the agent has to end it by itself; else it would use capacity for ever.
+Test(cancel, a_start_that_was_never_called_uses_no_capacity)
 {
     cancel_simulation sim;
     auto &table = sim.agents.at("w1").table;
--- a/tests/configuration_follow_test.cpp
+++ b/tests/configuration_follow_test.cpp
@@ -1,4 +1,4 @@
-// How an entry learns a configuration, however large it has grown, and what it says meanwhile.
+// Tests how an entry takes over a new configuration of any size, and what it answers meanwhile.
 #include <cstdlib>
 #include <new>
 #include <string>
@@ -23,7 +23,7 @@
 
 } // namespace
 
-// Not inlined: the compiler would take the pairs for mismatched.
+// Not inlined: otherwise the compiler warns of mismatched pairs of new and delete.
 [[gnu::noinline]] void *operator new(std::size_t bytes)
 {
     allocatedBytes += bytes;
@@ -74,20 +74,20 @@
            + body.substr(from, body.find('"', from) - from) + R"("}],"ver":9,"now-ms":1})";
 }
 
-// The slowest instances that carry callers.
+// The slowest instances that serve callers.
 constexpr double LinkBytesPerSecond = 10e6 / 8;
 constexpr double CoreShare = 0.069;
-// Of a whole core, for one route: 26,000 instructions for the answer, its base64, the route and its
-// place in the table, five a nanosecond.
+// Processor time of a whole core for one route: 26,000 instructions, at five a nanosecond, to read
+// the answer, decode its base64, parse the route and insert it into the table.
 constexpr double WorkPerRouteUs = 5;
 
 struct update_timing
 {
-    bool inTime = true;      // no call of it was late
-    double totalSeconds = 0; // from the first byte of the answer until the version is in force
+    bool inTime = true;      // the call did not time out
+    double totalSeconds = 0; // from the first byte of the answer until the version is applied
 };
 
-// The answer comes over the link in parts of 64 KB, the first at the very end of the feed's wait.
+// The answer arrives over the link in parts of 64 KB, the first at the very end of the feed's wait.
 update_timing simulateUpdate(int routes)
 {
     const auto bytes = static_cast<double>(feedWith(configurationOf(routes)).size());
@@ -111,8 +111,8 @@
 
 } // namespace
 
-// The slowest instance takes a new version of each size that the fleet may grow to. While it is
-// busy with it, others must not take it as gone, which they do after 1.6 s of silence.
+// The slowest instance has to take over a new version of each size that the fleet may grow to. The
+// processing must not last for 1.6 s, as others consider an instance gone after that silence.
 Test(configuration_follow, on_the_slowest_instance)
 {
     struct bound
@@ -130,8 +130,8 @@
     }
 }
 
-// Work that grows faster than the routes shows as memory that does: copies of the table, trees of
-// text beside it.
+// Guards against work that grows faster than the number of routes, such as copies of the table or
+// additional parse trees. The allocated memory stands for the work.
 Test(configuration_follow, work_is_linear_in_the_routes)
 {
     const auto perRoute = [](int routes) {
@@ -146,7 +146,7 @@
     const auto small = perRoute(1400);
     check(perRoute(5000) < small * 1.5);
     check(perRoute(20'000) < small * 1.5);
-    section("and a request costs the same in any table", [] {
+    section("the cost of a request does not depend on the table's size", [] {
         const auto table = tableOf(20'000);
         check(table.prefixLengthCount() <= 5);
         const auto before = allocatedBytes;
@@ -155,7 +155,7 @@
     });
 }
 
-Test(configuration_follow, the_longest_prefix_is_the_queue)
+Test(configuration_follow, the_longest_prefix_selects_the_queue)
 {
     const queue_table table(
             {7, {{"a", "/x/", {}}, {"a", "/x/y/", {}}, {"b", "/", {}}, {"a", "/x/", {}}}});
@@ -166,7 +166,7 @@
     check(!table.find("c", "/x/"));
 }
 
-Test(configuration_follow, what_operators_wrote)
+Test(configuration_follow, parses_the_operators_configuration)
 {
     const auto read = platform_wire::configurationFrom(configurationOf(2));
     require(read.routes.size() == 2);
@@ -174,7 +174,7 @@
     check(read.routes[1].policy.queue == "r-0000001");
     check(read.routes[1].policy.maxAttempts == 3);
     check(read.routes[1].policy.stretch == 2.2);
-    section("what can't be read is passed over", [] {
+    section("malformed configurations are rejected", [] {
         for (const auto *text : {"{", "[]", R"({"version":"7","routes":[]})", R"({"version":7})",
                                  R"({"version":7,"routes":[7]})", "\xff",
                                  R"({"version":7,"routes":[{"host":"a","prefix":"/"}]})",
@@ -184,9 +184,9 @@
     });
 }
 
-// Rows of jobs come to each entry a hundred times a second: what can't be read is passed over, and
-// no other writer's mistake stops the process.
-Test(configuration_follow, records_of_jobs)
+// Each entry reads a hundred rows of jobs a second. A malformed row has to be rejected with an
+// error that can be handled, so that no other writer's mistake stops the process.
+Test(configuration_follow, job_records)
 {
     job_record record;
     record.owner = {"entry-1", 3};
@@ -209,10 +209,10 @@
     }
 }
 
-// A version is acknowledged, and the other entries work by it. This one is still reading it, and
-// told callers for seconds that a queue of the new version does not exist, or ran one that was
-// dropped.
-Test(configuration_follow, an_entry_that_is_behind_does_not_answer_from_an_old_version)
+// Guards against wrong answers by an entry that is still reading a version that is acknowledged and
+// applied elsewhere. For seconds it told callers that a queue of the new version doesn't exist, or
+// ran jobs of a queue that was removed.
+Test(configuration_follow, an_outdated_entry_does_not_answer_from_an_old_version)
 {
     configuration_tracker tracker;
     auto now = Start;
@@ -221,14 +221,14 @@
     tracker.noteVersionApplied(7);
     tracker.noteAnswerRead(now);
     check(tracker.freshness(now) == configuration_freshness::Current);
-    section("another entry has a newer one", [&] {
+    section("another entry applies a newer version", [&] {
         tracker.noteVersionElsewhere(6, now);
         tracker.noteVersionElsewhere(7, now);
         check(tracker.freshness(now) == configuration_freshness::Current);
         tracker.noteVersionElsewhere(9, now);
         check(tracker.freshness(now) == configuration_freshness::PossiblyOutdated);
         now += configuration_tracker::MaxUnreadTime;
-        tracker.noteVersionElsewhere(9, now); // again, with each ping
+        tracker.noteVersionElsewhere(9, now); // repeated with each ping
         tracker.noteAnswerRead(now);
         check(tracker.freshness(now) == configuration_freshness::PossiblyOutdated);
         check(tracker.freshness(now + milliseconds(1)) == configuration_freshness::Outdated);
@@ -237,8 +237,8 @@
         tracker.noteVersionApplied(9);
         check(tracker.freshness(now) == configuration_freshness::Current);
     });
-    section("an answer with changes begins, and breaks off", [&] {
-        tracker.noteAnswerStarted(60, now); // none
+    section("an answer with changes starts and breaks off", [&] {
+        tracker.noteAnswerStarted(60, now); // no changes
         check(tracker.freshness(now) == configuration_freshness::Current);
         tracker.noteAnswerStarted(350'000, now);
         check(tracker.freshness(now) == configuration_freshness::PossiblyOutdated);
@@ -248,7 +248,7 @@
         tracker.noteAnswerRead(now);
         check(tracker.freshness(now) == configuration_freshness::Current);
     });
-    section("nothing confirms it any more", [&] {
+    section("the version is no longer confirmed", [&] {
         now += configuration_tracker::MaxUnconfirmedTime;
         check(tracker.isConfirmed(now));
         now += milliseconds(1);
@@ -257,7 +257,7 @@
     });
 }
 
-// A peer that sends a byte now and then must not hold a call for ever.
+// A peer that sends a byte now and then must not keep a call open for ever.
 Test(configuration_follow, an_answer_is_late_when_it_stalls_or_never_ends)
 {
     net::answer_deadline deadline({milliseconds(150), milliseconds(1500), seconds(20)}, Start);
--- a/tests/disturbance_test.cpp
+++ b/tests/disturbance_test.cpp
@@ -1,4 +1,4 @@
-// What is learned of runs that fill beside runs that serve.
+// Tests what is learned of the interference of best-effort runs with serving runs.
 #include <cmath>
 #include <random>
 
@@ -15,10 +15,9 @@
 namespace {
 
 constexpr double FloorMs = 25;
-constexpr double LongestTailMs = 2200; // that workers were seen to measure
-constexpr double InterferingLoadPerCore =
-        0.06;                 // load for each core; the other half of the pairs is harmless
-constexpr int ImageCount = 9; // images
+constexpr double LongestTailMs = 2200;          // ms, as measured by workers
+constexpr double InterferingLoadPerCore = 0.06; // the other half of the pairs is harmless
+constexpr int ImageCount = 9;                   // best-effort images
 
 std::string imageName(int number)
 {
@@ -30,7 +29,7 @@
     return number % 2 == 0;
 }
 
-// The load of a serving run beside what fills.
+// The load of a serving run with that of its best-effort neighbours.
 double withInterference(double load, const std::map<std::string, double> &bestEffortCores)
 {
     for (const auto &[image, cores] : bestEffortCores)
@@ -38,11 +37,11 @@
     return load;
 }
 
-// One worker with a serving image beside runs that come and go, measured each half second.
+// A worker with a serving image and changing best-effort runs, measured every half second.
 class measured_worker
 {
 public:
-    // Neighbours change each `stay` samples; one image in `rare` is there at a time.
+    // Neighbours change every `samplesPerChange` samples; one image in `imageOdds` is present.
     explicit measured_worker(unsigned seed, int samplesPerChange = 4, int imageOdds = 4)
         : m_random(seed)
         , m_samplesPerChange(samplesPerChange)
@@ -54,7 +53,7 @@
         ++m_sampleCount;
         if (m_sampleCount % m_samplesPerChange == 0)
             changeNeighbours();
-        // Its own load swings by half within 20 s.
+        // The run's own load varies by half, with a period of 20 s.
         double load = 0.4 * (1 + 0.5 * std::sin(m_sampleCount / 40.0 * 2 * M_PI));
         load = withInterference(load, m_bestEffortCores);
         std::normal_distribution<double> noise(0, 0.03);
@@ -83,11 +82,11 @@
 
 } // namespace
 
-// Callers of a service get late answers for seconds, since runs that harm it are placed beside it,
-// or harmless ones are kept away: what was learned of the pairs had grown without bound within
-// seconds, because a belief that was cut down to its widest deviation was no belief any more (its
-// covariance was not one), and each further sample pushed it further off.
-Test(disturbance, learns_which_pairs_harm)
+// Guards against estimates that diverge within seconds, so that interfering runs are placed beside
+// a service, whose callers get late answers, or harmless ones are kept away. It happened when a
+// variance was cut down to its initial value: the matrix was no covariance any more, and each
+// further sample made the estimates worse.
+Test(interference, learns_which_pairs_interfere)
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         section("seed " + std::to_string(seed), [&] {
@@ -113,9 +112,8 @@
     }
 }
 
-// The same, in the first seconds of a service: one neighbour at a steady pace, on several workers
-// at a time, then none, then others.
-Test(disturbance, stays_sound_from_the_first_samples_on)
+// The same in the first seconds of a service: one steady neighbour, then none, then another.
+Test(interference, estimates_stay_bounded_from_the_first_samples_on)
 {
     for (const double cores : {0.5, 1.0, 2.0, 3.2, 5.0, 10.0}) {
         section(std::to_string(cores) + " cores", [&] {
@@ -135,7 +133,7 @@
     }
 }
 
-Test(disturbance, a_pair_never_seen_keeps_the_prior)
+Test(interference, a_pair_never_measured_keeps_the_prior)
 {
     interference_estimator estimator;
     check(estimator.loadPerCore("serving", "fill-0") == estimator_settings().priorLoadPerCore);
@@ -144,9 +142,9 @@
     check(estimator.loadPerCore("serving", "never") == estimator_settings().priorLoadPerCore);
 }
 
-// A tail that is longer than can be measured says that the load is at least so high: it must not
-// teach that runs, which together are far more than enough, press less than they do.
-Test(disturbance, a_tail_without_bound_teaches_no_less)
+// A tail latency beyond the measurable range only says that the load is at least that high. It must
+// not lower the estimates of runs whose total load is far beyond the range.
+Test(interference, a_tail_beyond_the_measurable_range_lowers_no_estimate)
 {
     interference_estimator estimator;
     measured_worker worker(3);
@@ -160,8 +158,8 @@
 
 namespace {
 
-// One worker whose scheduler places what fills while the users' load is low, as it should: then the
-// level of the load says the opposite of the truth, runs that harm are seen beside low loads.
+// A worker on which best-effort runs are placed while the users' load is low, as they should be.
+// The level of the load is then misleading: interfering runs are seen together with low loads.
 class low_load_worker
 {
 public:
@@ -206,10 +204,10 @@
 
 } // namespace
 
-// Users of a service are late now and then for as long as it runs: batch runs that harm it are
-// placed beside it while it is quiet, so by the level of its load they look harmless and come
-// again.
-Test(disturbance, runs_that_come_when_the_load_is_low)
+// Guards against late answers that recur for as long as a service runs. Interfering batch runs are
+// placed beside it while its load is low; judged by the level of the load they look harmless, and
+// are placed there again.
+Test(interference, runs_that_are_placed_while_the_load_is_low)
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
         section("seed " + std::to_string(seed), [&] {
@@ -235,8 +233,8 @@
 
 namespace {
 
-// One worker as its agent measures it. Runs of one job come together, twelve cores at a time, while
-// the users' load is low; those that harm are more than the serving run bears at any time.
+// A worker as its agent measures it. Runs of one job arrive together, twelve cores at a time, while
+// the users' load is low. The interfering ones saturate the serving run at any time.
 class saturated_worker
 {
 public:
@@ -276,7 +274,7 @@
 
     std::mt19937 m_random;
     double m_phase;
-    int m_nextImage; // image that comes next
+    int m_nextImage; // the image to be placed next
     int m_sampleCount = 0;
     throttle_controller m_throttle;
     std::map<std::string, double> m_bestEffortCores;
@@ -284,9 +282,9 @@
 
 } // namespace
 
-// Users of one service are late over and over beside the runs that harm it most: these take its
-// tail beyond what can be measured at once, and what says no more than that was left out.
-Test(disturbance, what_harms_beyond_measure_is_learned)
+// Guards against late answers that recur beside the runs that interfere most. They take the tail
+// latency beyond the measurable range at once, and such samples were ignored.
+Test(interference, interference_beyond_the_measurable_range_is_learned)
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         section("seed " + std::to_string(seed), [&] {
--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -1,4 +1,5 @@
-// A zone that operators empty: who knows of it, and what is started there.
+// Tests the evacuation of a zone: how entries and agents learn of it, and that nothing starts
+// there.
 #include <criterion/criterion.h>
 
 #include "jobs/evacuations.h"
@@ -37,13 +38,13 @@
 
 } // namespace
 
-// Tasks start in a zone that operators have emptied, seconds after they were told that it is.
+// Guards against tasks that start in a zone after operators were told that it is evacuated.
 Test(evacuation, no_task_is_placed_there)
 {
     worker_pool pool;
     pool.update(reportOf("a-1", "a"), Now);
     pool.update(reportOf("b-1", "b"), Now);
-    section("while it lasts, other zones take all", [&] {
+    section("during the evacuation all tasks go to other zones", [&] {
         pool.setEvacuatedZones({"a"});
         for (int task = 0; task < 10; ++task)
             check(pool.chooseWorker("tickets", oneTask(), {}, Now) == "b-1");
@@ -52,7 +53,7 @@
         check(pool.describeUnfitWorkers("tickets", oneTask(), {}, Now).find("2 evacuated")
               != std::string::npos);
     });
-    section("that is the reason told, also once its agents accept nothing", [&] {
+    section("the reason is evacuation even if the zone's agents accept no runs", [&] {
         worker_pool other;
         auto report = reportOf("a-1", "a");
         report.isAccepting = false;
@@ -61,22 +62,22 @@
         check(other.describeUnfitWorkers("tickets", oneTask(), {}, Now).find("1 evacuated")
               != std::string::npos);
     });
-    section("taken back, it is a zone like the others", [&] {
+    section("after the evacuation it is a zone like the others", [&] {
         pool.setEvacuatedZones({"b"});
         check(pool.chooseWorker("tickets", oneTask(), {}, Now) == "a-1");
     });
 }
 
-Test(evacuation, what_entries_read)
+Test(evacuation, rows_that_entries_read)
 {
     evacuated_zones known;
     known.applyRows({{"a"}, {"b"}, {"a", true}});
     check(known.zones() == std::set<std::string>{"b"});
-    section("changes of other rows change nothing", [&] {
+    section("an update without rows of zones changes nothing", [&] {
         known.applyRows({});
         check(known.contains("b"));
     });
-    section("a reading of all tells of what was removed unseen", [&] {
+    section("a full read reveals rows that were deleted unnoticed", [&] {
         known.applyRows({{"c"}});
         known.finishFullRead();
         check(known.zones() == std::set<std::string>{"c"});
@@ -84,7 +85,7 @@
         known.finishFullRead();
         check(known.zones().empty());
     });
-    section("rows of operators that are about something else are none of them", [] {
+    section("other rows of operators evacuate no zone", [] {
         using platform_wire::evacuatedZone;
         check(evacuatedZone({"op", "", "evacuate/ee-north-c"}) == "ee-north-c");
         check(!evacuatedZone({"op", "", "evacuate/"}));
@@ -94,27 +95,27 @@
     });
 }
 
-// An order that was on its way for long, or whose owner does not know of the evacuation, starts a
-// task there all the same.
-Test(evacuation, an_agent_starts_nothing_once_it_was_told)
+// Guards against a task that starts in an evacuated zone by an order that was in transit for long,
+// or whose owner doesn't know of the evacuation.
+Test(evacuation, an_agent_starts_nothing_once_it_was_notified)
 {
     worker_liveness liveness(Now);
     liveness.notePoll(true, Now);
     worker_status status{true, false, true, true};
-    section("what may start else is refused, for its owner to place it elsewhere",
+    section("a start that is otherwise possible is refused, so that its owner places it elsewhere",
             [&] { check(readinessOf(status, liveness, Now) == start_readiness::Unavailable); });
-    section("before all is known of the worker nothing is refused for good", [&] {
+    section("nothing is refused for good until the state of the worker is known", [&] {
         status.hasLease = false;
         check(readinessOf(status, liveness, Now) == start_readiness::RetryLater);
     });
-    section("it holds while entries say so", [] {
+    section("the notice is active while entries repeat it", [] {
         evacuation_notice notice;
         check(!notice.isActive(Now));
         notice.refresh(Now);
         check(notice.isActive(Now + evacuation_notice::ValidFor - milliseconds(1)));
         check(!notice.isActive(Now + evacuation_notice::ValidFor));
     });
-    section("they say so in their answers, which other releases read", [] {
+    section("the notice is an optional member of answers, for other releases", [] {
         report_answer answer;
         check(toText(answer).find("evacuated") == std::string::npos);
         check(!reportAnswerFrom(toText(answer)).zoneEvacuated);
--- a/tests/harm_shared_test.cpp
+++ b/tests/harm_shared_test.cpp
@@ -1,5 +1,5 @@
-// Whom runs that fill make late, over a minute of virtual time: several jobs that serve, narrow
-// ones and wide ones, on workers where each new run that fills goes where the pool sends it.
+// Tests how interference is shared between serving jobs with few and with many tasks. Simulates a
+// minute in which best-effort runs go to the workers that the pool chooses.
 #include <array>
 #include <map>
 #include <numeric>
@@ -53,7 +53,7 @@
         }
     }
 
-    // Of 1: what callers had of the job, a late task costing as much as four.
+    // How well callers of the job were served, 0 to 1; a late task counts like four missing ones.
     double servedFraction(std::size_t job) const { return m_servedSums[job] / m_sampleCount; }
     double average() const
     {
@@ -72,7 +72,7 @@
         return std::uniform_real_distribution<double>(low, high)(m_random);
     }
 
-    // Own loads of the runs swing.
+    // Updates the worker's report. The own loads of its serving runs vary at random.
     void report(const std::string &worker)
     {
         auto &serving = m_workers[worker];
@@ -91,7 +91,8 @@
         m_pool.update(message, m_now);
     }
 
-    // More than finds a worker where it harms nobody: each waits for a while, and then goes anyway.
+    // Places more best-effort runs than fit without interference: most wait for a worker where they
+    // make nobody late, one in three goes anyway.
     void place()
     {
         step_spec step;
@@ -121,7 +122,7 @@
         ++m_sampleCount;
     }
 
-    static constexpr double LoadPerCore = 0.05; // load for each core
+    static constexpr double LoadPerCore = 0.05; // load by each core
     static constexpr double RunCores = 2;
 
     std::mt19937 m_random;
@@ -135,9 +136,9 @@
 
 } // namespace
 
-// Guards against jobs that are always late somewhere, wide ones most of all, so that harm to them
-// counts as little and all that fills is sent to them.
-Test(harm_shared, no_job_has_less_than_half_of_the_average)
+// Guards against jobs that receive all best-effort runs. Jobs with many tasks are nearly always
+// late somewhere, so that further interference with them would count for little.
+Test(harm_shared, no_job_is_served_less_than_half_of_the_average)
 {
     constexpr unsigned Seeds = 40;
     for (unsigned seed = 1; seed <= Seeds; ++seed) {
--- a/tests/load_forecast_test.cpp
+++ b/tests/load_forecast_test.cpp
@@ -1,4 +1,4 @@
-// Where the load of a serving run goes within the next two seconds.
+// Tests the prediction of a serving run's load two seconds ahead.
 #include <cmath>
 #include <random>
 
@@ -17,7 +17,7 @@
 constexpr int PerSecond = 2; // samples
 constexpr int HorizonSamples = 2 * PerSecond;
 
-// Users' load of 0.42 that swings by half within `periodSeconds`, as measured.
+// A users' load of 0.42 that varies by half with a period of `periodSeconds`, measured with noise.
 class periodic_load
 {
 public:
@@ -48,9 +48,9 @@
 
 } // namespace
 
-// A batch run is placed beside a service while that is at its quietest; seconds later, with the run
-// still there, the service is at its busiest and its users are late.
-Test(load_forecast, a_load_that_swings)
+// Guards against late answers after a batch run was placed beside a service at its lowest load:
+// seconds later, with the run still active, the load of the service is at its peak.
+Test(load_forecast, a_periodic_load)
 {
     for (const double period : {10.0, 20.0}) {
         section(std::to_string(period) + " s", [&] {
@@ -71,7 +71,7 @@
     }
 }
 
-Test(load_forecast, a_load_without_swing_stays)
+Test(load_forecast, a_constant_load_stays)
 {
     load_forecast forecast;
     for (int sample = 0; sample < 40; ++sample)
@@ -79,12 +79,12 @@
     check(std::abs(forecast.peakLoadAhead(Run, 0.4) - 0.4) < 0.02);
 }
 
-Test(load_forecast, a_run_that_has_just_begun)
+Test(load_forecast, a_run_that_has_just_started)
 {
     load_forecast forecast;
-    section("nothing is known of it but the load now",
+    section("only its present load is known",
             [&] { check(forecast.peakLoadAhead(Run, 0.3) == 0.3); });
-    section("what is known of a run ends with it", [&] {
+    section("the history of a run is dropped with the run", [&] {
         for (int sample = 0; sample < 40; ++sample)
             forecast.recordLoads({{Run, sample % 8 < 4 ? 0.2 : 0.6}});
         forecast.recordLoads({});
--- a/tests/report_load_test.cpp
+++ b/tests/report_load_test.cpp
@@ -1,4 +1,4 @@
-// What reports and their answers cost an entry that has many workers.
+// Tests the cost of reports and their answers for an entry with many workers, and their format.
 #include <map>
 #include <set>
 
@@ -31,15 +31,15 @@
     return "worker-" + std::to_string(number);
 }
 
-// As a deployment with 10 images that serve and 18 that fill comes to learn it.
+// A table such as a deployment with 10 serving images and 18 best-effort images learns.
 interference_table learnedTable()
 {
     interference_table table;
     for (int serving = 0; serving < 10; ++serving) {
         auto &row = table["serving-" + std::to_string(serving)];
         row.floorMs = 25;
-        for (int filling = 0; filling < 18; ++filling)
-            row.loadsPerCore["filling-" + std::to_string(filling)] = 0.031;
+        for (int bestEffort = 0; bestEffort < 18; ++bestEffort)
+            row.loadsPerCore["filling-" + std::to_string(bestEffort)] = 0.031;
     }
     return table;
 }
@@ -53,7 +53,7 @@
     return report;
 }
 
-// What an entry sends for one report, as it reads it.
+// The size of an entry's answer to a report.
 std::size_t answerBytes(const std::string &report, const interference_table &table)
 {
     report_answer answer;
@@ -64,9 +64,9 @@
 
 } // namespace
 
-// An entry with a small share of a processor wrote the whole table in the answer to each report of
-// each worker, and had no time left for its callers.
-Test(report_load, the_table_of_presses_for_many_workers)
+// Guards against an entry that has no processor time left for its callers. With a small share of a
+// processor, it wrote the whole interference table into the answer to each report of each worker.
+Test(report_load, the_interference_table_for_many_workers)
 {
     const auto names = entries(14);
     const auto table = learnedTable();
@@ -86,13 +86,13 @@
         }
     }
 
-    section("over as many seconds as there are entries, each sends each worker one table", [&] {
+    section("within as many seconds as there are entries, each sends each worker one table", [&] {
         const std::size_t reports = Workers * names.size();
         for (const auto &[entry, bytes] : sent)
             cr_assert_leq(bytes, Workers * tableBytes + reports * toText(report_answer{}).size());
     });
 
-    section("and no second brings one entry the workers of many", [&] {
+    section("in any second the requests are spread over the entries", [&] {
         std::map<std::string, int> workersPerEntry;
         for (int number = 0; number < Workers; ++number)
             ++workersPerEntry[table_source_rotation(workerNamed(number)).next(names)];
@@ -101,18 +101,18 @@
     });
 }
 
-Test(report_load, each_entry_is_asked_in_turn)
+Test(report_load, entries_are_asked_round_robin)
 {
     table_source_rotation rotation(workerNamed(1));
 
-    section("without entries none", [&] { cr_assert(rotation.next({}).empty()); });
+    section("no entries: none is asked", [&] { cr_assert(rotation.next({}).empty()); });
 
-    section("one entry is asked each time", [&] {
+    section("a single entry is asked each time", [&] {
         cr_assert_eq(rotation.next(entries(1)), "entry-0");
         cr_assert_eq(rotation.next(entries(1)), "entry-0");
     });
 
-    section("of several each comes once before any comes again", [&] {
+    section("of several, each is asked once before any is asked again", [&] {
         std::set<std::string> asked;
         for (int second = 0; second < 5; ++second)
             asked.insert(rotation.next(entries(5)));
@@ -120,7 +120,7 @@
     });
 }
 
-// Entries are replaced before agents, and agents before entries.
+// Either of entries and agents may be upgraded first.
 Test(report_load, agents_and_entries_of_two_releases)
 {
     auto report = reportOf("worker-1");
@@ -130,17 +130,17 @@
     section("an agent that does not ask gets no table",
             [&] { cr_assert_not(reportFrom(text).wantsInterferenceTable); });
 
-    section("one that asks gets it", [&] {
+    section("an agent that asks gets it", [&] {
         report.wantsInterferenceTable = true;
         cr_assert(reportFrom(toText(report)).wantsInterferenceTable);
     });
 
-    section("an agent of the release before says nothing, and gets it for its samples", [&] {
+    section("an agent of the previous release gets it if it sends samples", [&] {
         text.erase(text.find(member), member.size());
         cr_assert(reportFrom(text).wantsInterferenceTable);
     });
 
-    section("as ever not without samples", [&] {
+    section("and does not get it without samples", [&] {
         report.samples.clear();
         report.wantsInterferenceTable = false;
         text = toText(report);
@@ -149,7 +149,7 @@
     });
 }
 
-// What a worker with many runs tells comes through whole, and what can't be read is refused whole.
+// A report is parsed completely or rejected as a whole.
 Test(report_load, a_report_is_read_as_it_was_written)
 {
     auto report = reportOf("worker-1");
@@ -169,7 +169,7 @@
     report.ends = {{7, {"job-1", 0, 1, 2}, 4, end_kind::Failed, "half"}};
     report.progress = {{{"job-2", 1, 0, 0}, 1, "a \"quarter\"\n"}};
 
-    section("every member, by its text", [&] {
+    section("every member survives", [&] {
         const auto read = reportFrom(toText(report));
         cr_assert_eq(toText(read), toText(report));
         cr_assert_eq(read.clockMs, 486'000);
@@ -177,7 +177,7 @@
         cr_assert_eq(read.serving.back().headroom, -1);
     });
 
-    section("without any of its members it is refused or read as one of the release before", [&] {
+    section("without one member it is rejected, or read as one of the previous release", [&] {
         const std::set<std::string> optional{"serving",       "filling", "samples",
                                              "wants_presses", "lasting", "clock_ms"};
         const auto whole = parseJsonObject(toText(report));
@@ -194,7 +194,7 @@
         }
     });
 
-    section("a member of another type is refused", [&] {
+    section("a member of another type is rejected", [&] {
         const auto whole = parseJsonObject(toText(report));
         for (const auto &name : whole.getMemberNames()) {
             auto other = whole;
@@ -203,7 +203,7 @@
         }
     });
 
-    section("a text that ends early, or goes on, is refused", [&] {
+    section("truncated text and trailing text are rejected", [&] {
         const auto text = toText(report);
         cr_assert_throw(reportFrom(text.substr(0, text.size() / 2)), error);
         cr_assert_throw(reportFrom(text + "{}"), error);
--- a/tests/run_table_test.cpp
+++ b/tests/run_table_test.cpp
@@ -1,5 +1,5 @@
-// The agent's ledger: what may be started on a worker, and what is known after a crash, a lost
-// answer or a freeze.
+// Tests the agent's table of runs: what may be started on a worker, and what is known after a
+// crash, a lost answer or a frozen process.
 #include <criterion/criterion.h>
 
 #include "jobs/run_table.h"
@@ -45,11 +45,11 @@
         return newOrder;
     }
 
-    // The worker lists the run's end as its first one, and nothing that runs.
-    void listEnd(const run_order &newOrder, end_kind how = end_kind::Done)
+    // The worker lists the run's end as its first end, and no active run.
+    void listEnd(const run_order &newOrder, end_kind ending = end_kind::Done)
     {
         run_listing workerListing;
-        workerListing.ended.push_back({1, newOrder.task, newOrder.run, how, ""});
+        workerListing.ended.push_back({1, newOrder.task, newOrder.run, ending, ""});
         table.applyListing(workerListing, now);
     }
 
@@ -67,18 +67,18 @@
 
 Test(run_table, capacity)
 {
-    section("a worker is given as much as it holds", [] {
+    section("a worker gets runs up to its capacity", [] {
         table_fixture fixture;
         for (int index = 0; index < 4; ++index)
             check(fixture.giveOrder(table_fixture::order(index)) == order_outcome::Accepted);
         check(fixture.giveOrder(table_fixture::order(4)) == order_outcome::NoRoom);
-        section("a run that is being stopped still takes its room", [&] {
-            fixture.table.startCalled(table_fixture::order(0).task, 1, 2000); // it may be there
+        section("a run that is being stopped still uses its capacity", [&] {
+            fixture.table.startCalled(table_fixture::order(0).task, 1, 2000); // it may be running
             check(fixture.giveOrder(table_fixture::stopOrderFor(table_fixture::order(0)))
                   == order_outcome::Accepted);
             check(fixture.giveOrder(table_fixture::order(5)) == order_outcome::NoRoom);
         });
-        section("its room is free when its end is listed", [&] {
+        section("its capacity is free once its end is listed", [&] {
             run_listing workerListing;
             workerListing.ended.push_back(
                     {1, table_fixture::order(0).task, 1, end_kind::Stopped, ""});
@@ -86,25 +86,25 @@
             check(fixture.giveOrder(table_fixture::order(6)) == order_outcome::Accepted);
         });
     });
-    section("what fills takes memory and no processors", [] {
+    section("a best-effort run uses memory and no processors", [] {
         table_fixture fixture;
-        auto filling = table_fixture::order(0, 1, 9000);
-        filling.requirements.isBestEffort = true;
-        check(fixture.giveOrder(filling) == order_outcome::Accepted);
+        auto bestEffort = table_fixture::order(0, 1, 9000);
+        bestEffort.requirements.isBestEffort = true;
+        check(fixture.giveOrder(bestEffort) == order_outcome::Accepted);
         check(fixture.table.used() == (task_size{0, 1000, 0}));
         check(fixture.table.bestEffortMillicores() == 9000);
     });
 }
 
-// A caller sees nothing, an operator a worker that is given more than it has: the agent is killed,
-// its next life reads a run from the worker's list, and the first order for it is a stop, since its
-// job was cancelled. A stop tells no size; counted as nothing, the run would share its room.
-Test(run_table, stop_of_a_run_of_an_earlier_life)
+// Guards against a worker with more runs than fit. The agent is killed; its next incarnation finds
+// a run in the worker's list, and the first order for it is a stop, as its job was cancelled. A
+// stop doesn't give the run's size. If it counted as zero, another run would get the same capacity.
+Test(run_table, stop_of_a_run_of_an_earlier_incarnation)
 {
     table_fixture fixture;
     const auto earlier = table_fixture::order(9);
     fixture.table.applyListing(table_fixture::listing({earlier}), fixture.now);
-    section("its size is not known, so nothing is started",
+    section("its size is unknown, so nothing is started",
             [&] { check(fixture.giveOrder(table_fixture::order(0)) == order_outcome::NotReady); });
     section("a stop does not change that", [&] {
         check(fixture.giveOrder(table_fixture::stopOrderFor(earlier)) == order_outcome::Accepted);
@@ -116,59 +116,61 @@
     });
 }
 
-// The caller's job runs once. An entry that was frozen wakes and gives an order that was placed
-// before the worker's lease ran out; the task runs elsewhere by now.
-// A task runs twice: an earlier life of the agent had told the worker to stop its run, which is in
-// neither list until it has ended, and the next life said that it never starts.
-Test(run_table, a_stop_again_while_the_earlier_lifes_stops_may_last)
+// Guards against a task that runs twice. An earlier incarnation of the agent told the worker to
+// stop a run, which is in neither list until it has ended; the next incarnation reported that it
+// never starts.
+Test(run_table, a_repeated_stop_while_stops_of_the_earlier_incarnation_are_open)
 {
     table_fixture fixture;
     fixture.table.setWorker({4000, 8000, 0}, start_readiness::RetryLater);
-    section("the stop is given again until they are over", [&] {
+    section("the stop has to be retried until they are over", [&] {
         check(fixture.giveOrder(table_fixture::stopOrderFor(table_fixture::order(0)))
               == order_outcome::NotReady);
     });
-    section("nothing starts by an order that it has overtaken", [&] {
+    section("a start order that the stop has overtaken starts nothing", [&] {
         fixture.table.setWorker({4000, 8000, 0}, start_readiness::Ready);
         check(fixture.giveOrder(table_fixture::order(0)) == order_outcome::Superseded);
     });
-    section("then the run is gone", [&] {
+    section("then the run is certainly gone", [&] {
         check(fixture.giveOrder(table_fixture::stopOrderFor(table_fixture::order(0)))
               == order_outcome::Superseded);
     });
 }
 
+// Guards against a task that runs twice. An entry that was frozen resumes and gives an order that
+// was placed before the worker's lease expired; the task runs elsewhere by now.
 Test(run_table, orders_of_another_epoch)
 {
     table_fixture fixture;
     auto old = table_fixture::order(0);
     old.epoch = Epoch - 1;
     check(fixture.giveOrder(old) == order_outcome::WrongEpoch);
-    section("also when the same run comes again with the present epoch", [&] {
+    section("also if the same run is ordered again with the current epoch", [&] {
         check(fixture.giveOrder(table_fixture::order(0)) == order_outcome::Superseded);
     });
-    section("a newer run of the task is another matter", [&] {
+    section("a newer run of the task is accepted", [&] {
         check(fixture.giveOrder(table_fixture::order(0, 2)) == order_outcome::Accepted);
     });
 }
 
-// A task runs twice at once: a life of the agent tells that its run never starts, and is killed.
-// Its task is placed anew while an order of the first run is still on its way to the next life.
-Test(run_table, an_order_from_before_the_agents_life)
+// Guards against a task that runs twice at once. An incarnation of the agent reports that a run
+// never starts, and is killed. The task is placed again while an order for the first run is still
+// in transit and reaches the next incarnation.
+Test(run_table, an_order_from_before_the_agents_incarnation)
 {
-    const auto placedIn = [](std::int64_t life, int run) {
+    const auto placedIn = [](std::int64_t incarnation, int run) {
         auto newOrder = table_fixture::order(0, run);
-        newOrder.agentIncarnation = life;
+        newOrder.agentIncarnation = incarnation;
         return newOrder;
     };
     table_fixture fixture;
     fixture.table.setAgentIncarnation(8);
-    section("a run that is not known here never starts", [&] {
+    section("a run that is unknown to this incarnation never starts", [&] {
         check(fixture.giveOrder(placedIn(7, 1)) == order_outcome::WrongAgentIncarnation);
         check(isPermanentRefusal(order_outcome::WrongAgentIncarnation));
         check(fixture.table.takeDueActions(fixture.now, true).empty());
     });
-    section("not told before what the earlier life stopped has ended for certain", [&] {
+    section("not refused before the stops of the earlier incarnation are over", [&] {
         auto other = table_fixture::order(5);
         other.agentIncarnation = 7;
         fixture.table.setWorker({4000, 8000, 0}, start_readiness::RetryLater);
@@ -176,12 +178,12 @@
         fixture.table.setWorker({4000, 8000, 0}, start_readiness::Ready);
         check(fixture.giveOrder(other) == order_outcome::WrongAgentIncarnation);
     });
-    section("nor does an order that names no life start it after that", [&] {
+    section("after that, an order without an incarnation does not start it either", [&] {
         check(fixture.giveOrder(table_fixture::order(0, 1)) == order_outcome::Superseded);
     });
-    section("one that was placed in this life does",
+    section("a run placed in this incarnation starts",
             [&] { check(fixture.giveOrder(placedIn(8, 2)) == order_outcome::Accepted); });
-    section("one that the worker runs is claimed, whichever life started it", [&] {
+    section("an active run is claimed, whichever incarnation started it", [&] {
         fixture.table.applyListing(table_fixture::listing({table_fixture::order(1)}), fixture.now);
         auto claim = table_fixture::order(1);
         claim.agentIncarnation = 7;
@@ -190,8 +192,9 @@
     });
 }
 
-// A task that is done runs again: its start was held up, and the stop that overtook it was lost.
-Test(run_table, an_order_that_was_held_up_for_longer_than_it_holds)
+// Guards against a finished task that runs again. Its start order was delayed, and the stop order
+// that overtook it was lost.
+Test(run_table, an_order_that_arrives_after_its_deadline)
 {
     const auto clockOf = [](time_point at) { return millisecondsIn(at.time_since_epoch()); };
     table_fixture fixture;
@@ -211,12 +214,12 @@
         again.startDeadlineMs = clockOf(fixture.now + milliseconds(300));
         check(fixture.giveOrder(again) == order_outcome::Accepted);
     });
-    section("the start is called up to the deadline of the order that came in time", [&] {
+    section("the start is called until the deadline of the order that arrived in time", [&] {
         const auto actions = fixture.table.takeDueActions(fixture.now, true);
         require(actions.size() == 1);
         check(std::get<start_run>(actions[0]).callDeadline == fixture.now + milliseconds(300));
     });
-    section("the first order, coming again, claims the run and changes no deadline", [&] {
+    section("the first order, if repeated, claims the run and changes no deadline", [&] {
         fixture.table.startAnswered(order.task, 1, start_answer::NotExecuted, fixture.now);
         fixture.now += milliseconds(250);
         check(fixture.giveOrder(order, "entry-b") == order_outcome::Accepted);
@@ -227,9 +230,9 @@
         check(fixture.table.takeDueActions(fixture.now, true).empty());
         check(fixture.table.endsFor("entry-b").size() == 1);
     });
-    section("one that tells no deadline is taken as it comes",
+    section("an order without a deadline is accepted",
             [&] { check(fixture.giveOrder(table_fixture::order(1)) == order_outcome::Accepted); });
-    section("one that holds for long is called no longer for that", [&] {
+    section("a later deadline does not extend the limit of the start's delay", [&] {
         table_fixture other;
         auto longer = table_fixture::order(2);
         longer.startDeadlineMs = clockOf(other.now + milliseconds(60'000));
@@ -238,7 +241,7 @@
         require(actions.size() == 1);
         check(std::get<start_run>(actions[0]).callDeadline == other.now + milliseconds(700));
     });
-    section("a run that was stopped stays refused, however late its order", [&] {
+    section("a run that was stopped stays refused, however late its start order", [&] {
         table_fixture other;
         require(other.giveOrder(table_fixture::stopOrderFor(order)) == order_outcome::Superseded);
         other.now = deadline;
@@ -246,33 +249,34 @@
     });
 }
 
-// A task runs twice at once: an order of its run 1 was held up, and its agent has been given run 2.
+// Guards against a task that runs twice at once. An order for its run 1 was delayed, and the agent
+// received that for run 2 first.
 Test(run_table, an_order_that_was_overtaken_by_that_of_a_newer_run)
 {
     table_fixture fixture;
     require(fixture.giveOrder(table_fixture::order(0, 2)) == order_outcome::Accepted);
     check(fixture.giveOrder(table_fixture::order(0, 1)) == order_outcome::Superseded);
     check(fixture.table.takeDueActions(fixture.now, true).size() == 1);
-    section("also once the newer run is there", [&] {
+    section("also once the newer run is active", [&] {
         fixture.table.startAnswered(table_fixture::order(0).task, 2, start_answer::Started,
                                     fixture.now);
         check(fixture.giveOrder(table_fixture::order(0, 1)) == order_outcome::Superseded);
     });
-    section("another task of the job is another matter", [&] {
+    section("another task of the job is accepted", [&] {
         check(fixture.giveOrder(table_fixture::order(1, 1)) == order_outcome::Accepted);
     });
 }
 
-// A task starts seconds after it was done: its worker turned the start away for a while, and
-// whoever gave the order and could have stopped it was gone.
-Test(run_table, a_start_that_its_worker_turns_away)
+// Guards against a task that starts seconds after it was done. Its worker rejected the start for a
+// while, and the entry that gave the order and could have stopped the run was gone.
+Test(run_table, a_start_that_its_worker_rejects)
 {
     const auto rejectStart = [](table_fixture &fixture) {
         fixture.table.startCalled(table_fixture::order(0).task, 1, 5000);
         fixture.table.startAnswered(table_fixture::order(0).task, 1, start_answer::NotExecuted,
                                     fixture.now);
     };
-    // Calls until `span` is over; how many.
+    // The number of start calls within `span`.
     const auto countCalls = [&](table_fixture &fixture, milliseconds span) {
         int calls = 0;
         for (const auto until = fixture.now + span; fixture.now < until;
@@ -285,7 +289,7 @@
         }
         return calls;
     };
-    section("is called again for less than a second, and told as never started", [&] {
+    section("is repeated for less than a second, and reported as never started", [&] {
         table_fixture fixture;
         fixture.giveOrder(table_fixture::order(0));
         check(countCalls(fixture, milliseconds(750)) == 3);
@@ -295,14 +299,14 @@
         check(ends[0].endKind == end_kind::NeverStarted);
         check(fixture.table.used() == task_size());
     });
-    section("for longer by the word of its owner", [&] {
+    section("is repeated for longer if its owner repeats the order", [&] {
         table_fixture fixture;
         fixture.giveOrder(table_fixture::order(0));
         countCalls(fixture, milliseconds(500));
         fixture.giveOrder(table_fixture::order(0));
         check(countCalls(fixture, milliseconds(60'000)) == 3);
     });
-    section("one of whose calls has no answer is told once the list was read after it", [&] {
+    section("with an unanswered call, once a list was read after its deadline", [&] {
         table_fixture fixture;
         fixture.giveOrder(table_fixture::order(0));
         check(fixture.table.takeDueActions(fixture.now, true).size() == 1);
@@ -317,7 +321,7 @@
         fixture.table.applyListing(table_fixture::listing({}, 2501), fixture.now);
         check(fixture.table.endsFor("entry-a").size() == 1);
     });
-    section("one that may not be called for want of a lease is given up like it", [&] {
+    section("a start that waits for a lease is given up after the same time", [&] {
         table_fixture fixture;
         fixture.giveOrder(table_fixture::order(0));
         check(fixture.table.takeDueActions(fixture.now, false).empty());
@@ -327,8 +331,8 @@
     });
 }
 
-// The answer to a start is lost. The run may begin up to the call's own deadline on the worker's
-// clock; until then it counts as there, and the owner must not place the task elsewhere.
+// The answer to a start call is lost. The run may start up to the call's deadline on the worker's
+// clock. Until then it counts as active, and its owner must not place the task elsewhere.
 Test(run_table, unanswered_start)
 {
     table_fixture fixture;
@@ -337,13 +341,13 @@
     check(fixture.table.takeDueActions(fixture.now, true).size() == 1);
     fixture.table.startCalled(newOrder.task, 1, 2500);
     fixture.table.startAnswered(newOrder.task, 1, start_answer::Unanswered, fixture.now);
-    section("it takes room", [&] { check(fixture.table.used().millicores == 1000); });
-    section("it is asked for again", [&] {
+    section("it uses capacity", [&] { check(fixture.table.used().millicores == 1000); });
+    section("the call is repeated", [&] {
         fixture.now += milliseconds(300);
         check(fixture.table.takeDueActions(fixture.now, true).size() == 1);
         fixture.table.startCalled(newOrder.task, 1, 2800);
     });
-    section("a refusal of the second call says nothing of the first", [&] {
+    section("a refusal of the second call proves nothing about the first", [&] {
         fixture.table.startAnswered(newOrder.task, 1, start_answer::Refused, fixture.now);
         check(fixture.table.endsFor("entry-a").empty());
     });
@@ -351,15 +355,15 @@
         fixture.table.applyListing(table_fixture::listing({}, 2700), fixture.now);
         check(fixture.table.endsFor("entry-a").empty());
     });
-    section("one read after it proves that it never started", [&] {
+    section("a list read after it proves that the run never started", [&] {
         fixture.table.applyListing(table_fixture::listing({}, 2801), fixture.now);
         const auto ends = fixture.table.endsFor("entry-a");
         require(ends.size() == 1);
         check(ends[0].endKind == end_kind::NeverStarted);
         check(fixture.giveOrder(newOrder)
-              == order_outcome::Accepted); // it is known, and its end is told
+              == order_outcome::Accepted); // the run is known, and its end is reported
     });
-    section("once that is stored, the same order is refused for good", [&] {
+    section("once the end is acknowledged, the same order is refused for good", [&] {
         fixture.table.acknowledgeEnd({newOrder.task, 1, end_kind::NeverStarted}, fixture.now);
         check(fixture.giveOrder(newOrder) == order_outcome::Superseded);
     });
@@ -375,8 +379,9 @@
                 {number, table_fixture::order(number).task, 1, end_kind::Done, ""});
     }
     fixture.table.applyListing(workerListing, fixture.now);
-    section("none before it is stored", [&] { check(fixture.table.acknowledgedThrough() == 0); });
-    section("a gap keeps those after it", [&] {
+    section("none before it is acknowledged",
+            [&] { check(fixture.table.acknowledgedThrough() == 0); });
+    section("an unacknowledged end keeps those after it", [&] {
         fixture.table.acknowledgeEnd({table_fixture::order(2).task, 1, end_kind::Done},
                                      fixture.now);
         check(fixture.table.acknowledgedThrough() == 0);
@@ -384,14 +389,15 @@
                                      fixture.now);
         check(fixture.table.acknowledgedThrough() == 2);
     });
-    section("a list that is older brings none back", [&] {
+    section("an older list restores no acknowledged end", [&] {
         fixture.table.applyListing(workerListing, fixture.now);
         check(fixture.table.endsFor("entry-a").size() == 1);
     });
 }
 
-// A worker leaves with its last tasks done and their ends told to an owner that is slow to store
-// them. Dropped with the worker, they would be in no row: the tasks would run again elsewhere.
+// Guards against finished tasks that run again. A worker leaves after its last tasks are done, and
+// the owner is slow to store their ends. If the ends were dropped with the worker, no row would
+// have them.
 Test(run_table, ends_outlive_their_worker)
 {
     table_fixture fixture;
@@ -401,15 +407,15 @@
     workerListing.ended.push_back({7, table_fixture::order(1).task, 1, end_kind::Done, ""});
     fixture.table.applyListing(workerListing, fixture.now);
     fixture.table.clearRuns();
-    section("keep their agent, as nobody else will tell them",
+    section("keep the agent running, as no other process can report them",
             [&] { check(fixture.table.hasEndsOfGoneWorker()); });
-    section("are still told, and what ran is forgotten", [&] {
+    section("are still reported, and active runs are dropped", [&] {
         require(fixture.table.endsFor("entry-a").size() == 1);
         check(fixture.table.endsFor("entry-a")[0].endKind == end_kind::Done);
         check(fixture.table.activeRunCount() == 0);
         check(fixture.table.used() == task_size());
     });
-    section("take no part in what the worker's next life may forget", [&] {
+    section("do not affect which ends the worker's next incarnation may forget", [&] {
         check(fixture.table.acknowledgedThrough() == 0);
         fixture.table.setEpoch(Epoch + 1);
         auto next = table_fixture::order(3);
@@ -430,10 +436,11 @@
     });
 }
 
-// A start of an agent's earlier life takes effect late; the next life is told by the worker that
-// this run can't start any more, and takes it for never started. That end was told and
-// acknowledged while the worker listed the real one: forgotten unheard, the task would run again.
-Test(run_table, a_run_that_was_taken_for_never_started)
+// Guards against a finished task that runs again. A start call of the agent's earlier incarnation
+// takes effect late. The next incarnation is told by the worker that this run can't start any more,
+// and assumes that it never started. That end is reported and acknowledged while the worker lists
+// the real one, which must not be forgotten with it.
+Test(run_table, a_run_that_was_assumed_never_to_have_started)
 {
     table_fixture fixture;
     const auto newOrder = table_fixture::order(1);
@@ -441,27 +448,27 @@
     fixture.table.startCalled(newOrder.task, 1, 5000);
     fixture.table.startAnswered(newOrder.task, 1, start_answer::Refused, fixture.now);
     require(fixture.table.endsFor("entry-a").size() == 1);
-    const auto told = fixture.table.endsFor("entry-a")[0].endKind;
-    require(told == end_kind::NeverStarted);
+    const auto assumedEnd = fixture.table.endsFor("entry-a")[0].endKind;
+    require(assumedEnd == end_kind::NeverStarted);
     run_listing workerListing;
     workerListing.ended.push_back({4, newOrder.task, 1, end_kind::Done, ""});
     fixture.table.applyListing(workerListing, fixture.now);
-    section("the acknowledgement of the one end is not that of the other", [&] {
-        check(!fixture.table.acknowledgeEnd({newOrder.task, 1, told}, fixture.now));
+    section("acknowledging one end does not acknowledge the other", [&] {
+        check(!fixture.table.acknowledgeEnd({newOrder.task, 1, assumedEnd}, fixture.now));
         require(fixture.table.endsFor("entry-a").size() == 1);
         check(fixture.table.endsFor("entry-a")[0].endKind == end_kind::Done);
         check(fixture.table.acknowledgedThrough() == 3);
     });
-    section("the worker forgets it once that is acknowledged", [&] {
+    section("the worker may forget the real end once that is acknowledged", [&] {
         check(fixture.table.acknowledgeEnd({newOrder.task, 1, end_kind::Done}, fixture.now));
         check(fixture.table.acknowledgedThrough() == 4);
     });
-    section("also where the worker lists it after the first was acknowledged", [&] {
+    section("also if the worker lists it after the first was acknowledged", [&] {
         const auto other = table_fixture::order(2);
         fixture.giveOrder(other);
         fixture.table.startCalled(other.task, 1, 5000);
         fixture.table.startAnswered(other.task, 1, start_answer::Refused, fixture.now);
-        require(fixture.table.acknowledgeEnd({other.task, 1, told}, fixture.now));
+        require(fixture.table.acknowledgeEnd({other.task, 1, assumedEnd}, fixture.now));
         workerListing.ended.push_back({5, other.task, 1, end_kind::Done, ""});
         fixture.table.applyListing(workerListing, fixture.now);
         require(fixture.table.endsFor("entry-a").size() == 1);
@@ -470,9 +477,10 @@
     });
 }
 
-// Callers count the jobs that wait. An agent takes an order at once and its worker may begin it
-// seconds later: only what the worker was seen to run has started.
-Test(run_table, starts_that_an_owner_asks_for)
+// Guards against jobs that are shown as started too early. An agent accepts an order at once, while
+// its worker may start the run seconds later: only a run that the worker has listed counts as
+// started.
+Test(run_table, starts_that_an_owner_wants_reported)
 {
     table_fixture fixture;
     auto newOrder = table_fixture::order(1);
@@ -481,11 +489,11 @@
     fixture.giveOrder(table_fixture::order(2));
     check(fixture.table.takeDueActions(fixture.now, true).size() == 2);
     fixture.table.startCalled(newOrder.task, 1, 5000);
-    section("not while its call has no answer", [&] {
+    section("not while its call is unanswered", [&] {
         fixture.table.startAnswered(newOrder.task, 1, start_answer::Unanswered, fixture.now);
         check(fixture.table.startsFor("entry-a").empty());
     });
-    section("once the worker lists it, until that was told, to its owner alone", [&] {
+    section("once the worker lists it, to its owner only, until the owner received it", [&] {
         fixture.table.applyListing(table_fixture::listing({newOrder, table_fixture::order(2)}),
                                    fixture.now);
         check(fixture.table.startsFor("entry-b").empty());
@@ -496,18 +504,18 @@
         fixture.table.noteStartsReported(started, "entry-a");
         check(fixture.table.startsFor("entry-a").empty());
     });
-    section("again to an owner that takes the job over and has not heard of it", [&] {
+    section("again to an owner that takes the job over", [&] {
         check(fixture.giveOrder(newOrder, "entry-b") == order_outcome::Accepted);
         check(fixture.table.startsFor("entry-b").size() == 1);
     });
-    section("the late word of the owner before it changes nothing", [&] {
+    section("a late confirmation of the previous owner has no effect", [&] {
         fixture.table.noteStartsReported({{newOrder.task, 1}}, "entry-a");
         check(fixture.table.startsFor("entry-b").size() == 1);
     });
 }
 
-// A report is lost once, and from then on its owner hears neither that the task has begun nor how
-// far it got: the job counts as waiting, and a run that is lost later begins from nothing.
+// Guards against an owner that, after a single lost report, never learns that a task has started or
+// how far it got: the job counts as waiting, and after a later loss the task starts from scratch.
 Test(run_table, a_report_that_its_owner_does_not_answer)
 {
     table_fixture fixture;
@@ -519,21 +527,21 @@
     fixture.table.applyListing(workerListing, fixture.now);
     require(fixture.table.progressFor("entry-a").size() == 1);
     fixture.table.noteOwnerSilent("entry-a");
-    section("start and progress are still the owner's to hear", [&] {
+    section("start and progress are still reported to the owner", [&] {
         check(fixture.table.startsFor("entry-a").size() == 1);
         require(fixture.table.progressFor("entry-a").size() == 1);
         check(fixture.table.progressFor("entry-a")[0].checkpoint == "half");
         check(fixture.table.progressFor("entry-b").empty());
     });
     fixture.listEnd(newOrder);
-    section("its end goes to all", [&] {
+    section("its end is reported to all entries", [&] {
         check(fixture.table.endsFor("entry-a").size() == 1);
         check(fixture.table.endsFor("entry-b").size() == 1);
     });
-    section("at once to an entry that is back under its name, and knows nothing of it", [&] {
-        const auto told = fixture.table.newEndCount();
+    section("at once to an entry that was restarted under the same name", [&] {
+        const auto previousCount = fixture.table.newEndCount();
         fixture.giveOrder(newOrder, "entry-a");
-        check(fixture.table.newEndCount() > told);
+        check(fixture.table.newEndCount() > previousCount);
         fixture.table.noteOwnerSilent("entry-a");
     });
     section("until an entry claims the run", [&] {
@@ -543,7 +551,8 @@
     });
 }
 
-// A run that was told as never started runs all the same, in nobody's books, beside the next run.
+// Guards against a run that was reported as never started but is active, unknown to any entry,
+// beside the task's next run.
 Test(run_table, a_run_that_was_refused_and_is_listed)
 {
     table_fixture fixture;
@@ -551,7 +560,7 @@
     fixture.giveOrder(table_fixture::stopOrderFor(newOrder));
     require(fixture.giveOrder(newOrder) == order_outcome::Superseded);
     fixture.table.applyListing(table_fixture::listing({newOrder}), fixture.now);
-    section("is stopped, each time that it is seen", [&] {
+    section("is stopped each time it is listed", [&] {
         const auto actions = fixture.table.takeDueActions(fixture.now, true);
         require(actions.size() == 1);
         check(std::holds_alternative<stop_run>(actions[0]));
@@ -559,16 +568,17 @@
         fixture.table.applyListing(table_fixture::listing({newOrder}), fixture.now);
         check(fixture.table.takeDueActions(fixture.now, true).size() == 1);
     });
-    section("and its end is told", [&] {
+    section("and its end is reported", [&] {
         fixture.listEnd(newOrder);
         check(fixture.table.endsFor("entry-a").size() == 1);
         check(fixture.table.takeDueActions(fixture.now, true).empty());
     });
 }
 
-// A job stands still for good: its owner was overtaken, lives on, and gave an order once more
-// before it had heard of that. The run's end was told to it alone, and its heir waited.
-Test(run_table, an_end_told_to_an_entry_that_does_not_own_its_job)
+// Guards against a job that stalls for ever. Its owner was superseded but is still running, and
+// gave another order before it learned of that. The run's end was reported to it alone, and the new
+// owner waited for it.
+Test(run_table, an_end_reported_to_an_entry_that_does_not_own_its_job)
 {
     table_fixture fixture;
     const auto newOrder = table_fixture::order(0);
@@ -578,29 +588,30 @@
     require(fixture.table.endsFor("overtaken").size() == 1);
     require(fixture.table.endsFor("heir").empty());
     const run_end_id end{newOrder.task, 1, end_kind::Done};
-    section("goes to all once that entry has said so", [&] {
+    section("is reported to all once that entry has answered that it does not own the job", [&] {
         check(fixture.table.noteNotOwned(end, "overtaken"));
         check(fixture.table.endsFor("heir").size() == 1);
         check(fixture.table.endsFor("overtaken").size() == 1);
         check(!fixture.table.noteNotOwned(end, "overtaken"));
     });
-    section("the word of an entry that has been followed by another changes nothing", [&] {
+    section("the answer of an entry that has been superseded by then has no effect", [&] {
         fixture.giveOrder(newOrder, "heir");
         check(!fixture.table.noteNotOwned(end, "overtaken"));
         check(fixture.table.endsFor("overtaken").empty());
         check(fixture.table.endsFor("heir").size() == 1);
     });
-    section("the answer says so on the wire, and says no more than before else", [&] {
-        const auto heard = reportAnswerFrom(toText(report_answer{{}, {end}, {}}));
-        require(heard.notOwned.size() == 1);
-        check(heard.notOwned[0].task == newOrder.task);
-        check(heard.acknowledged.empty());
+    section("the answer's text has the member only if there is such an end", [&] {
+        const auto parsed = reportAnswerFrom(toText(report_answer{{}, {end}, {}}));
+        require(parsed.notOwned.size() == 1);
+        check(parsed.notOwned[0].task == newOrder.task);
+        check(parsed.acknowledged.empty());
         check(toText(report_answer{}).find("not_owned") == std::string::npos);
     });
 }
 
-// A worker is given more than it holds, and a task runs twice at once: a run that is being stopped
-// is in neither list for a while, and was told as never started where it had just been called.
+// Guards against a worker with more runs than fit, and a task that runs twice at once. A run that
+// is being stopped is in neither list for a while. If its start had just been called, it was
+// reported as never started.
 Test(run_table, a_run_that_is_being_stopped)
 {
     table_fixture fixture;
@@ -613,11 +624,11 @@
         check(fixture.table.endsFor("entry-a").empty());
         check(fixture.table.used() == (task_size{1000, 1000, 0}));
     };
-    section("takes its room until its end is listed", [&] {
+    section("uses its capacity until its end is listed", [&] {
         fixture.table.startAnswered(newOrder.task, 1, start_answer::Started, fixture.now);
         stopped();
     });
-    section("also where the stop came before the answer to its start", [&] {
+    section("also if the stop came before the answer to its start", [&] {
         table_fixture other;
         std::swap(fixture, other);
         fixture.giveOrder(newOrder);
@@ -626,7 +637,7 @@
         fixture.table.startAnswered(newOrder.task, 1, start_answer::Started, fixture.now);
         stopped();
     });
-    section("also where the list told that it had started", [&] {
+    section("also if the list showed that it had started", [&] {
         table_fixture other;
         std::swap(fixture, other);
         fixture.giveOrder(newOrder);
@@ -634,13 +645,13 @@
         fixture.table.applyListing(table_fixture::listing({newOrder}, 1500), fixture.now);
         stopped();
     });
-    section("and then it is free", [&] {
+    section("and then the capacity is free", [&] {
         fixture.listEnd(newOrder, end_kind::Stopped);
         check(fixture.table.used() == task_size());
     });
 }
 
-Test(run_table, runs_that_nobody_claims_are_stopped)
+Test(run_table, unclaimed_runs_are_stopped)
 {
     table_fixture fixture;
     fixture.table.applyListing(table_fixture::listing({table_fixture::order(0)}), fixture.now);
@@ -659,21 +670,22 @@
     check(fixture.table.takeDueActions(fixture.now, true).size() == 1);
 }
 
-// A task waits for as long as its agent lives: its order was accepted, but the process was
-// frozen before it called the worker, and the epoch has ended meanwhile. All that runs is to stop
-// first; nothing was ever called, so no end is ever listed, and the run counts as running for good.
-Test(run_table, stopped_before_it_was_called)
+// Guards against a task that waits for as long as its agent lives. Its order was accepted, but the
+// agent was frozen before it called the worker, and the epoch has ended meanwhile. All runs have to
+// end before the next epoch. This one was never called, so that no end is ever listed, and it
+// counted as active for ever.
+Test(run_table, stopped_before_the_worker_was_called)
 {
     table_fixture fixture;
     require(fixture.giveOrder(table_fixture::order(0)) == order_outcome::Accepted);
     require(fixture.giveOrder(table_fixture::order(1)) == order_outcome::Accepted);
     section("by an order",
             [&] { fixture.giveOrder(table_fixture::stopOrderFor(table_fixture::order(1))); });
-    section("as its epoch has ended", [&] { fixture.table.stopAll(fixture.now); });
-    for (int look = 1; look <= 100; ++look) {
+    section("because its epoch has ended", [&] { fixture.table.stopAll(fixture.now); });
+    for (int poll = 1; poll <= 100; ++poll) {
         fixture.now += seconds(1);
         fixture.table.takeDueActions(fixture.now, false);
-        fixture.table.applyListing(table_fixture::listing({}, 1000 + 1000 * look), fixture.now);
+        fixture.table.applyListing(table_fixture::listing({}, 1000 + 1000 * poll), fixture.now);
     }
     check(fixture.table.activeRunCount() == 0);
 }
--- a/tests/service_history_test.cpp
+++ b/tests/service_history_test.cpp
@@ -1,4 +1,4 @@
-// Which jobs that serve have had less than the others of late.
+// Tests which serving jobs have recently been served worse than the others.
 #include <criterion/criterion.h>
 
 #include "jobs/service_history.h"
@@ -26,7 +26,7 @@
 
 } // namespace
 
-Test(service_history, what_callers_have_of_a_job)
+Test(service_history, served_fraction)
 {
     check(servedFraction({8, 0}) == 1);
     check(servedFraction({8, 1}) == 0.5);
@@ -35,34 +35,34 @@
     check(servedFraction({0, 0}) == 0);
 }
 
-// Guards against harm that stays with a job which had its part, and against a judgement of one
-// that has just come, or that has recovered.
-Test(service_history, jobs_that_are_behind)
+// Guards against interference that stays with a job that already had its share, and against a wrong
+// verdict on a job that is new or has recovered.
+Test(service_history, jobs_below_average)
 {
     history_fixture fixture;
-    section("nobody is while all are served alike", [&] {
+    section("no job is while all are served alike", [&] {
         fixture.advance(seconds(5), {{"a", {4, 0}}, {"b", {8, 0}}});
         check(!fixture.history.isBelowAverage("a"));
         check(!fixture.history.isBelowAverage("b"));
         check(!fixture.history.isBelowAverage("unknown"));
     });
-    section("one that is late is, also for a while after", [&] {
+    section("a late job is, also for a while afterwards", [&] {
         fixture.advance(seconds(5), {{"a", {4, 0}}, {"b", {8, 2}}});
         check(fixture.history.isBelowAverage("b"));
         check(!fixture.history.isBelowAverage("a"));
         fixture.advance(seconds(5), {{"a", {4, 0}}, {"b", {8, 0}}});
         check(fixture.history.isBelowAverage("b"));
     });
-    section("a new one is taken for average", [&] {
+    section("a new job counts as average", [&] {
         fixture.advance(seconds(1), {{"a", {4, 0}}, {"b", {8, 0}}, {"new", {2, 0}}});
         check(!fixture.history.isBelowAverage("new"));
     });
-    section("once others had their part it isn't any more", [&] {
+    section("not any more once others had their share", [&] {
         fixture.advance(seconds(10), {{"a", {4, 1}}, {"b", {8, 0}}});
         check(fixture.history.isBelowAverage("a"));
         check(!fixture.history.isBelowAverage("b"));
     });
-    section("one that was away comes back as a new one", [&] {
+    section("a job that was absent counts as new", [&] {
         fixture.advance(seconds(2), {{"b", {8, 0}}});
         fixture.advance(seconds(1), {{"a", {4, 0}}, {"b", {8, 0}}});
         check(!fixture.history.isBelowAverage("a"));
--- a/tests/trained_pool.h
+++ b/tests/trained_pool.h
@@ -1,4 +1,5 @@
-// A pool of workers that has learned what presses on what, and the reports that it knows them by.
+// Helpers for worker pools: the report of an empty worker, and training of the interference
+// estimates.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +9,9 @@
 
 namespace zinniabarrow::tests {
 
-constexpr std::int64_t MillicoresPerCore = 1000; // millicores
+constexpr std::int64_t MillicoresPerCore = 1000;
 
-// Of an empty worker of 16 cores that may be given runs.
+// The report of an empty worker with 16 cores that accepts runs.
 inline jobs::worker_report acceptingReport(const std::string &worker)
 {
     jobs::worker_report report;
@@ -22,7 +23,8 @@
     return report;
 }
 
-// Teaches that `filling` presses on `serving` by `press` for each core.
+// Trains the pool with samples in which each core that `bestEffort` uses adds `loadPerCore` to the
+// load of `serving`.
 inline void trainInterference(jobs::worker_pool &pool, const std::string &serving,
                               const std::string &bestEffort, double loadPerCore, int samples = 200)
 {
--- a/tests/worker_lease_test.cpp
+++ b/tests/worker_lease_test.cpp
@@ -1,4 +1,4 @@
-// What an agent writes of its worker's lease, in which order, and when tasks may start.
+// Tests what an agent writes to its worker's lease row, in which order, and when tasks may start.
 #include <criterion/criterion.h>
 
 #include "jobs/worker_lease.h"
@@ -10,18 +10,18 @@
 
 namespace {
 
-// An agent, and the row of its lease.
+// An agent, and its worker's lease row.
 struct lease_fixture
 {
     worker_lease lease{"agent"};
     time_point now{std::chrono::hours(1)};
     std::optional<lease_row> row;
     std::int64_t version = 0;
-    std::optional<write_lease> pendingWrite; // not yet carried out
+    std::optional<write_lease> pendingWrite; // sent, and without outcome yet
     std::vector<std::int64_t> begunEpochs;
     std::vector<std::int64_t> resumedEpochs;
 
-    // Carries out what is asked, but for writes while `writes` is false.
+    // Carries out the lease's actions. Writes stay pending if `answersWrites` is false.
     void runActions(bool answersWrites = true)
     {
         for (auto actions = lease.takeActions(); !actions.empty(); actions = lease.takeActions()) {
@@ -38,7 +38,7 @@
         }
     }
 
-    // The write that is out takes effect if its condition holds; the agent hears which.
+    // Applies the pending write if its expected version matches, and tells the agent the outcome.
     void completeWrite()
     {
         if (!pendingWrite)
@@ -51,7 +51,7 @@
         lease.rowWritten(++version, now);
     }
 
-    // An agent that runs tasks of life `a` under epoch 2.
+    // Brings the agent to epoch 2 with incarnation "a" of its worker.
     void startLease()
     {
         lease.acquireFence();
@@ -65,12 +65,13 @@
 
 } // namespace
 
-// Callers see tasks that last stand still. A worker leaves while a renewal of its lease is out:
-// what is known then can't be written yet, and the worker is not there any more to be asked again.
-Test(worker_lease, worker_leaves_while_a_write_is_out)
+// Guards against long-running tasks that stay down after their worker left. The worker leaves while
+// a renewal of its lease is pending: the end of its epoch can't be written at once, and the worker
+// can't be polled again later.
+Test(worker_lease, worker_leaves_while_a_write_is_pending)
 {
     for (const bool renewalTakesEffect : {true, false}) {
-        section(renewalTakesEffect ? "the renewal takes effect" : "the renewal is void", [&] {
+        section(renewalTakesEffect ? "the renewal takes effect" : "the renewal conflicts", [&] {
             lease_fixture fixture;
             fixture.startLease();
             fixture.lease.renew(fixture.now);
@@ -80,20 +81,21 @@
             check(fixture.lease.hasUnwrittenEnd());
             check(!fixture.lease.isSettled());
             if (!renewalTakesEffect)
-                ++fixture.version; // a watcher's write, or one of an earlier life of the agent
+                ++fixture.version; // a write of a watcher or of an earlier incarnation
             fixture.completeWrite();
             fixture.runActions();
             check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
             check(fixture.row->workerIncarnation.empty());
             check(!fixture.lease.hasUnwrittenEnd());
-            check(!fixture.lease.isSettled()); // nobody is there to start anything
+            check(!fixture.lease.isSettled()); // there is no worker to start tasks on
         });
     }
 }
 
-// Callers see tasks wait. The worker is gone before an agent that lives anew has taken its fence,
-// or while it takes one: no look will ever be answered, and none is waited for.
-Test(worker_lease, worker_is_gone_before_the_fence_is_taken)
+// Guards against tasks that wait for ever. The worker is gone before a restarted agent has its
+// fence, or while it acquires one: no poll will ever be answered, so the epoch has to end without
+// one.
+Test(worker_lease, worker_is_gone_before_the_fence_is_acquired)
 {
     section("while the row is read", [] {
         lease_fixture fixture;
@@ -113,7 +115,7 @@
         fixture.runActions();
         check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
     });
-    section("and the write that says so is void", [] {
+    section("and the write of the epoch's end conflicts", [] {
         lease_fixture fixture;
         fixture.startLease();
         fixture.lease.endEpoch("", fixture.now);
@@ -123,7 +125,7 @@
         fixture.runActions();
         check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
     });
-    section("and it ends again, in another life, while that is written", [] {
+    section("and the next incarnation ends too while that is written", [] {
         lease_fixture fixture;
         fixture.startLease();
         fixture.lease.endEpoch("b", fixture.now);
@@ -139,7 +141,7 @@
 
 Test(worker_lease, a_new_fence)
 {
-    section("the same life keeps its runs and its epoch", [] {
+    section("the same incarnation keeps its runs and its epoch", [] {
         lease_fixture fixture;
         fixture.startLease();
         fixture.lease.acquireFence();
@@ -150,7 +152,7 @@
         check(fixture.resumedEpochs == std::vector<std::int64_t>{2});
         check(fixture.lease.fence() == 2);
     });
-    section("in another life all that runs is stopped first", [] {
+    section("in another incarnation all runs are stopped first", [] {
         lease_fixture fixture;
         fixture.startLease();
         fixture.lease.acquireFence();
@@ -161,7 +163,7 @@
         fixture.runActions();
         check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
     });
-    section("after a watcher ended the epoch, too", [] {
+    section("also after a watcher ended the epoch", [] {
         lease_fixture fixture;
         fixture.startLease();
         ++fixture.row->epoch;
@@ -176,7 +178,7 @@
         check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 4}));
         check(!fixture.row->endedByWatcher);
     });
-    section("it is sought while a renewal is out, whose answer is not taken for its own", [] {
+    section("the answer of a pending renewal is not mistaken for that of the fence's write", [] {
         lease_fixture fixture;
         fixture.startLease();
         fixture.lease.renew(fixture.now);
@@ -192,11 +194,11 @@
     });
 }
 
-Test(worker_lease, until_when_tasks_may_run)
+Test(worker_lease, expiry)
 {
     lease_fixture fixture;
     fixture.startLease();
-    section("counted from before the renewal was sent", [&] {
+    section("counts from before the renewal was sent", [&] {
         const auto sentAt = fixture.now;
         fixture.lease.renew(fixture.now);
         fixture.runActions(false);
@@ -204,17 +206,17 @@
         fixture.completeWrite();
         check(fixture.lease.validUntil() == sentAt + LeaseDuration);
     });
-    section("and told in the row by the store's clock", [&] {
-        check(fixture.row->expiresAtMs == 0); // it was never told
+    section("is in the row, on the store's clock", [&] {
+        check(fixture.row->expiresAtMs == 0); // no reading of the store's clock so far
         fixture.lease.noteStoreClock(70'000, fixture.now, fixture.now);
         fixture.now += LeaseRenewInterval;
         fixture.lease.renew(fixture.now);
         fixture.runActions();
         const auto exact = 70'000 + (LeaseRenewInterval + LeaseDuration).count();
-        check(fixture.row->expiresAtMs >= exact);     // never too early,
-        check(fixture.row->expiresAtMs <= exact + 2); // and late by the drift of clocks alone
+        check(fixture.row->expiresAtMs >= exact);     // never too early
+        check(fixture.row->expiresAtMs <= exact + 2); // late by the assumed clock drift only
     });
-    section("a renewal whose outcome is not known extends nothing", [&] {
+    section("a renewal without outcome extends nothing", [&] {
         const auto before = fixture.lease.validUntil();
         fixture.now += LeaseRenewInterval;
         fixture.lease.renew(fixture.now);
@@ -223,13 +225,13 @@
     });
 }
 
-// Callers see a task run in two places, or all tasks of a worker stopped when its agent is
-// restarted. The end of the worker's life "a" is known but not yet written (a renewal is out, the
-// store is slow or away); meanwhile the worker lives anew as "b" and a new fence is sought. Once
-// the fence is written the end goes into the row at once, and tasks may start under its epoch,
-// before "b" was looked at: a late start of before, which only a call with the new fence keeps out
-// there, may still take effect, and the row never tells "b".
-Test(worker_lease, worker_lives_anew_while_its_end_is_not_written)
+// Guards against a task that runs twice, and against a restart of the agent that stops all tasks of
+// its worker. The end of incarnation "a" is known but not yet written, as a renewal is pending and
+// the store is slow or down. Meanwhile the worker restarts as "b", and a new fence is acquired. If
+// the end were written right after the fence and tasks started before "b" was polled, a late start
+// from before could still take effect, as only a call with the new fence keeps it out; and the row
+// would never name "b".
+Test(worker_lease, worker_restarts_while_its_end_is_not_written)
 {
     for (const std::string endedIncarnation : {"", "a"}) { // it left, or was silent
         section(endedIncarnation.empty() ? "it left" : "it was silent", [&] {
@@ -239,53 +241,52 @@
             fixture.runActions(false);
             require(fixture.pendingWrite.has_value());
             fixture.lease.endEpoch(endedIncarnation, fixture.now);
-            fixture.lease.acquireFence(); // "b" was announced
+            fixture.lease.acquireFence(); // "b" announced itself
             fixture.completeWrite();
             fixture.runActions();
             require(fixture.lease.holdsFence());
-            check(!fixture.lease.isSettled()); // "b" has not been seen
+            check(!fixture.lease.isSettled()); // "b" was not polled yet
             check(!fixture.lease.reconcile("b", 0, fixture.now));
             fixture.runActions();
             check(fixture.lease.isSettled());
             check(fixture.row->workerIncarnation == "b");
-            section("the next life of the agent goes on with what runs", [&] {
+            section("the next incarnation of the agent keeps the runs", [&] {
                 fixture.lease.acquireFence();
                 fixture.runActions();
-                check(!fixture.lease.reconcile("b", 3, fixture.now)); // true: stops them all
+                check(!fixture.lease.reconcile("b", 3, fixture.now)); // true would stop them all
             });
         });
     }
 }
 
-// An agent is killed while its first write is out; that write takes effect later. Its next
-// life read the row before: its own write bears the same name, so that it takes the other one for
-// its own, and the end that the row tells is earlier than the one it counts with.
-Test(worker_lease, writes_of_two_lives_of_the_agent)
+// Guards against a lease row that expires earlier than its agent assumes. An agent is killed while
+// its first write is pending, and that write takes effect later. Its next incarnation read the row
+// before that. If both writes had the same id, it would mistake the earlier write for its own.
+Test(worker_lease, writes_of_two_incarnations_of_the_agent)
 {
     lease_fixture fixture;
     fixture.startLease();
     const auto firstWrite = [&] {
-        worker_lease life{"agent"};
-        life.noteStoreClock(
+        worker_lease nextLease{"agent"};
+        nextLease.noteStoreClock(
                 70'000 + (fixture.now - time_point{std::chrono::hours(1)}) / milliseconds(1),
                 fixture.now, fixture.now);
-        life.acquireFence();
-        life.takeActions();
-        life.rowRead(fixture.row, fixture.version, fixture.now);
-        return std::get<write_lease>(life.takeActions().front());
+        nextLease.acquireFence();
+        nextLease.takeActions();
+        nextLease.rowRead(fixture.row, fixture.version, fixture.now);
+        return std::get<write_lease>(nextLease.takeActions().front());
     };
-    const auto killed = firstWrite();
+    const auto killedWrite = firstWrite();
     fixture.now += seconds(2);
     const auto next = firstWrite();
-    require(killed.row.expiresAtMs < next.row.expiresAtMs);
-    check(killed.row.writeId != next.row.writeId);
+    require(killedWrite.row.expiresAtMs < next.row.expiresAtMs);
+    check(killedWrite.row.writeId != next.row.writeId);
 }
 
-// Callers see all tasks of a healthy worker stopped and begun anew elsewhere, when its agent is
-// replaced. The worker before it left while a write was out, for as long as the store was slow;
-// this one announced itself meanwhile. The epoch that ends the old one has to name the life that
-// runs.
-Test(worker_lease, the_next_life_is_there_before_the_end_is_written)
+// Guards against the replacement of an agent that stops all tasks of a healthy worker. The previous
+// worker left while a write was pending, as the store was slow, and the present one announced
+// itself meanwhile. The epoch that follows has to name the incarnation that runs.
+Test(worker_lease, the_next_incarnation_exists_before_the_end_is_written)
 {
     lease_fixture fixture;
     fixture.startLease();
@@ -299,7 +300,7 @@
     fixture.runActions();
     check(fixture.lease.isSettled());
     check(fixture.row->workerIncarnation == "b");
-    section("an agent that is replaced lets its tasks run on", [&] {
+    section("tasks continue when the agent is replaced", [&] {
         fixture.lease = worker_lease("agent");
         fixture.lease.acquireFence();
         fixture.runActions();
@@ -307,33 +308,33 @@
     });
 }
 
-// Callers see tasks that last stand still for 14 s. Their worker is lost without a word, its agent
-// goes on for a while and is stopped: each renewal told an end that is a whole lease away, though
-// nothing can run there for longer than the last call let it.
-Test(worker_lease, renewals_beside_a_worker_that_answers_nothing)
+// Guards against long-running tasks that stay down for 14 s. Their worker is lost silently, and its
+// agent continues for a while before it is stopped. If it renewed the lease for its whole duration,
+// tasks couldn't start elsewhere for that time, although no run outlives the last hold call.
+Test(worker_lease, renewals_for_a_worker_that_does_not_answer)
 {
     lease_fixture fixture;
     fixture.startLease();
     fixture.lease.noteStoreClock(70'000, fixture.now, fixture.now);
     const auto held = fixture.now + seconds(5);
-    section("the row tells the end of what was held", [&] {
+    section("the row expires with the last hold", [&] {
         fixture.now += seconds(1);
         fixture.lease.renew(fixture.now, held);
         fixture.runActions(false);
         check(fixture.lease.validUntil()
-              <= held); // as soon as it is sent: it may take effect at any time
+              <= held); // once sent, the write may take effect at any time
         fixture.completeWrite();
         check(fixture.lease.validUntil() == held);
         check(fixture.row->expiresAtMs >= 75'000);
         check(fixture.row->expiresAtMs <= 75'002);
     });
-    section("once that is over there is nothing to renew", [&] {
+    section("nothing is renewed once the hold has expired", [&] {
         fixture.now = held;
         fixture.lease.renew(fixture.now, held);
         fixture.runActions(false);
         check(!fixture.pendingWrite.has_value());
     });
-    section("a worker that answers again has a whole lease", [&] {
+    section("a worker that answers again gets a whole lease", [&] {
         fixture.lease.renew(fixture.now);
         fixture.runActions();
         check(fixture.lease.validUntil() == fixture.now + LeaseDuration);
