--- a/libs/jobs/job_controller.cpp
+++ b/libs/jobs/job_controller.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Only the newest: the end of a run that is older than so many others comes no more.
+// Keeps only the newest ones: the end of a run that is older than this many others is no longer
+// reported.
 void addUnreportedRun(task_state &task, int run)
 {
     constexpr std::size_t MaxUnreportedRuns = 4;
@@ -35,7 +36,7 @@
     , m_settings(settings)
 { }
 
-// --- callers
+// --- requests of callers
 
 bool job_controller::owns(const std::string &job) const
 {
@@ -51,7 +52,8 @@
     job.waitingTokens.push_back({token, job.revision});
     m_changedJobs.insert(id);
     m_waitingJobs.insert(id);
-    // Placed before the first write: acceptance and first placement are one transaction.
+    // Tasks are placed before the first write, so that the acceptance and the first placements are
+    // one transaction.
     placeWaitingTasks(id, job, now, wallMs);
 }
 
@@ -69,7 +71,7 @@
         job.record.cancelled = true;
         markChanged(id, job);
         stopAllRuns(id, job);
-        logEvent("job_cancelled", id, "asked by its caller");
+        logEvent("job_cancelled", id, "requested by its caller");
     }
     notifyWhenStored(id, token);
 }
@@ -85,7 +87,7 @@
     return found == m_jobs.end() ? nullptr : &found->second.record;
 }
 
-// --- the store
+// --- events of the store
 
 void job_controller::rowWritten(const std::string &id, std::int64_t version)
 {
@@ -113,11 +115,11 @@
     std::optional<job_record> row;
     if (content)
         row = recordFrom(*content);
-    // An earlier try of this very write took effect and its answer was lost.
+    // An earlier attempt of this write was applied, and its answer was lost.
     if (row && row->writeId == job.inFlightWriteId)
         return rowWritten(id, version);
     if (!row || row->owner != m_self) {
-        logEvent("job_disowned", id, row ? "owner is " + row->owner.entry : "its row is gone");
+        logEvent("job_disowned", id, row ? "owner is " + row->owner.entry : "its row was deleted");
         return dropJob(id);
     }
     job.inFlightRevision = 0;
@@ -134,7 +136,7 @@
         return;
     auto &job = found->second;
     if (job.inFlightRevision != 0 || version <= job.version)
-        return; // an own write, or one that the write that is out will run into
+        return; // our own write, or a change that the write in flight will conflict with
     if (record.owner != m_self) {
         logEvent("job_disowned", id, "owner is " + record.owner.entry);
         return dropJob(id);
@@ -143,7 +145,7 @@
     applyCancel(id, job, record);
 }
 
-// A cancel that another entry wrote on the owner's behalf.
+// Applies a cancel that another entry wrote to the row in the owner's place.
 void job_controller::applyCancel(const std::string &id, owned_job &job, const job_record &row)
 {
     if (!row.cancelled || isFinal(job.record.state()))
@@ -152,7 +154,7 @@
     job.record.cancelled = true;
     markChanged(id, job);
     stopAllRuns(id, job);
-    logEvent("job_cancelled", id, "written by another entry");
+    logEvent("job_cancelled", id, "cancel was written by another entry");
 }
 
 void job_controller::adopt(const std::string &id, const job_record &record, std::int64_t version,
@@ -184,7 +186,7 @@
         dropJob(id);
 }
 
-// --- workers
+// --- events of workers
 
 void job_controller::checkpointReported(const std::string &worker, const run_progress &progress)
 {
@@ -194,7 +196,8 @@
     auto *task = found->second.record.find(progress.task);
     if (task == nullptr || task->done || task->checkpoint == progress.checkpoint)
         return;
-    // A report that was held up tells of a run whose end is known, and of less than that one saved.
+    // A delayed report may name a run that has ended since, with an older checkpoint than the one
+    // that was saved with the end.
     if (!isPlacedOn(*task, worker, progress.run))
         return;
     task->checkpoint = progress.checkpoint;
@@ -208,7 +211,7 @@
         markStarted(found->first, found->second, now);
 }
 
-// Callers count the jobs that wait by their rows, at any entry.
+// Written to the row because callers count waiting jobs by the rows, at any entry.
 void job_controller::markStarted(const std::string &id, owned_job &job, time_point now)
 {
     if (std::exchange(job.record.hasStarted, true))
@@ -240,12 +243,13 @@
     const auto order = job.startOrders.find(key);
     const auto orderReportAt =
             order == job.startOrders.end() ? time_point{} : order->second.basedOnReportAt;
-    // The life that answered is over, and took what it was told along. An owner that was frozen
-    // reads what came meanwhile in any order.
+    // If the agent has restarted since, the incarnation that answered is gone, and with it what it
+    // was ordered to do. An owner that was suspended may process the answer after the report of the
+    // new incarnation.
     if (shouldRetry(answer.outcome) || !isCurrentIncarnation(worker, agentIncarnation))
         return orderUnanswered(worker, answer.task, answer.run, now);
-    // Each answer settles its own order only. A start's answer that took the stop away, while that
-    // waited for the write of the cancel, would leave the run to itself.
+    // An answer settles only the order that it answers. If the answer to a start also removed the
+    // stop, which may still wait for the write of the cancel, the run would never be stopped.
     if (answer.kind == order_kind::Stop)
         job.stopOrders.erase(key);
     else if (job.startOrders.erase(key) > 0 && answer.outcome == order_outcome::Accepted)
@@ -338,11 +342,11 @@
             continue;
         markChanged(id, job);
         logEvent("worker_renewed", id,
-                 fmt::format("runs on {} before epoch {} ended", worker, epoch));
+                 fmt::format("runs on {} from before epoch {} have ended", worker, epoch));
     }
 }
 
-// True when a placement has ended.
+// Returns true when it ended a placement.
 bool job_controller::endPlacementsBefore(const std::string &id, owned_job &job,
                                          const std::string &worker, std::int64_t epoch)
 {
@@ -372,12 +376,14 @@
             if (runPlacement.worker != worker)
                 continue;
             const std::pair key{task, runPlacement.run};
-            // One that is being stopped is not started beside that: its gang misses a member.
+            // A run that is being stopped, because its gang lacks a member, must not be started
+            // again.
             const bool mayStart = job.record.shouldRun(state) && !job.stopOrders.contains(key);
             (mayStart ? job.startOrders : job.stopOrders)[key] = {worker, job.revision, false, now};
-            // What runs there is in the report already.
-            if (const auto placed = m_startsInFlight.find(worker); placed != m_startsInFlight.end())
-                placed->second.erase(key);
+            // The report that told of the restart includes all runs that are there.
+            if (const auto startsInFlight = m_startsInFlight.find(worker);
+                startsInFlight != m_startsInFlight.end())
+                startsInFlight->second.erase(key);
         }
     });
     m_jobsWithOrders.insert(id);
@@ -399,7 +405,7 @@
     return workers;
 }
 
-// --- time
+// --- planning
 
 void job_controller::plan(time_point now, std::int64_t wallMs)
 {
@@ -450,7 +456,7 @@
                           [](const auto &entry) { return !isFinal(entry.second.storedState); }));
 }
 
-// --- inside
+// --- implementation
 
 void job_controller::markChanged(const std::string &id, owned_job &job)
 {
@@ -523,7 +529,7 @@
     return view == nullptr ? time_point{} : view->lastReportAt;
 }
 
-// True while some order of the job still has no answer.
+// Returns true while some order of the job is unanswered.
 bool job_controller::sendDueOrders(const std::string &id, owned_job &job, time_point now)
 {
     const auto isDue = [&](const pending_order &order) {
--- a/libs/jobs/job_controller.h
+++ b/libs/jobs/job_controller.h
@@ -1,5 +1,7 @@
-// The jobs that an entry owns: where their tasks run, what is written of them, what is ordered.
-// Decisions only: events go in with the time, actions come out.
+// Controls the jobs that an entry owns: places their tasks on workers, decides what to write to the
+// store, and which orders to send to agents. An order tells an agent to start or to stop a run. The
+// class does no I/O: its caller passes in events with their time, and carries out the actions that
+// `takeActions` returns.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +20,18 @@
 
 namespace zinniabarrow::jobs {
 
-// Write the job's row on the condition that it still has `expectedVersion`; 0: that there is none.
-// One write of a job is out at a time, and it is repeated unchanged until its outcome is known.
+// Write the job's row on the condition that its version is still `expectedVersion`; 0: that the row
+// does not exist. Each job has at most one write in flight. The caller repeats it unchanged until
+// its outcome is known.
 struct write_row
 {
     std::string job;
     std::int64_t expectedVersion = 0;
     std::string content;
-    std::optional<std::string> payload; // with the first write: the row of the payload
-    bool writesCancelRow =
-            false; // in the same transaction: the row from which agents learn of the cancel
+    std::optional<std::string> payload; // with the first write: content of the payload's row
+    // Also write, in the same transaction, the row from which agents learn that the job is
+    // cancelled.
+    bool writesCancelRow = false;
 };
 
 struct send_order
@@ -36,23 +40,24 @@
     run_order order;
 };
 
-// What `token` waited for is in the platform's store.
+// The change that `token` waited for is in the store.
 struct change_stored
 {
     std::int64_t token = 0;
 };
 
-// The job belongs to another entry now, or is gone: ask there.
+// The job now belongs to another entry, or its row was deleted. The caller of the request that
+// waits with `token` has to ask the new owner.
 struct ownership_lost
 {
     std::int64_t token = 0;
     std::string job;
 };
 
-// A decision for the log, with what decided it.
+// A line for the log: a decision and its reasons.
 struct log_event
 {
-    std::string event; // of the closed table in docs/OPERATIONS.md
+    std::string event; // one of the events that docs/OPERATIONS.md lists
     std::string job;
     std::string detail;
 };
@@ -62,22 +67,25 @@
 
 struct controller_settings
 {
-    // An order without an answer is given again after this: an agent answers in milliseconds, and
-    // the same order twice is one start.
+    // An unanswered order is sent again after this time. Agents answer within milliseconds, and an
+    // order that arrives twice starts one run only.
     milliseconds orderRetryDelay{300};
-    // A start that was given so long ago is in its worker's reports, or takes no effect any more.
+    // A start order that was first sent this long ago either is counted in its worker's reports or
+    // no longer takes effect.
     milliseconds startInFlightTimeout{700};
-    // What fills waits so long for a worker where it harms nobody. A job that has waited this long
-    // is late for certain, and must not make others late for that. Callers take a job of which
-    // nothing runs for 3 s for lost where most of the service is free.
+    // How long a best-effort task waits for a worker on which it causes no lateness; the shorter
+    // time applies while most of the service is idle. A job that has waited for the longer one is
+    // certainly late already, and that must not make others late as well. While most of the service
+    // is idle, callers consider a job lost when nothing of it runs for 3 s.
     milliseconds maxInterferenceWait{60'000};
     milliseconds maxInterferenceWaitWhenIdle{2500};
-    // That a job has begun is written with its next change, or by itself after this long.
+    // That a job has started is written with its next change, or by a write of its own after this
+    // time.
     milliseconds startedWriteDelay{800};
-    // What waits for a worker, or for the answer to an order, is told in the log this often.
+    // How often a wait for a worker, or for the answer to an order, is logged.
     milliseconds waitLogInterval{2000};
-    // A task that lasts and isn't known to be at work for so long stands still; callers count from
-    // 6 s on. Told in the log again and again.
+    // A long-running task that is not known to run for this long is logged as stalled, and again
+    // every `stallLogInterval`. Callers count the outage from 6 s on.
     milliseconds stallThreshold{6000};
     milliseconds stallLogInterval{4000};
     milliseconds stallCheckInterval{1000};
@@ -88,90 +96,106 @@
 public:
     job_controller(owner_id self, worker_pool &workers, const controller_settings &settings = {});
 
-    // --- callers
+    // --- requests of callers
     bool owns(const std::string &job) const;
-    // Hands a new job in; `token` is stored with the acceptance.
+    // Accepts a new job; `token` is notified once the acceptance is stored. `wallMs` is Unix time,
+    // ms.
     void submit(const std::string &job, const job_spec &spec, const queue_policy &policy,
                 std::int64_t wallMs, time_point now, std::int64_t token);
-    // Waits until the present state of an owned job is in the store.
+    // Notifies `token` once the present state of an owned job is stored.
     void notifyWhenStored(const std::string &job, std::int64_t token);
+    // Cancels an owned job and stops its runs. Notifies `token` once the cancel is stored.
     void cancel(const std::string &job, std::int64_t token);
-    job_state storedState(const std::string &job) const; // of an owned job, as the store has it
-    const job_record *record(const std::string &job) const;
+    job_state storedState(const std::string &job) const;    // of an owned job, as it is stored
+    const job_record *record(const std::string &job) const; // null: not owned
 
-    // --- the store
+    // --- events of the store
+    // The write in flight was applied; `version` is the new version of the row.
     void rowWritten(const std::string &job, std::int64_t version);
-    // The row differs from what was expected; nothing: it is gone.
+    // The version of the row was not the expected one. `content` is its present content; none: it
+    // was deleted.
     void rowConflict(const std::string &job, std::int64_t version,
                      const std::optional<std::string> &content);
-    // Takes a job over whose owner is gone.
+    // Takes over a job whose owner is gone.
     void adopt(const std::string &job, const job_record &record, std::int64_t version,
                const std::string &payload);
-    // A row was changed by another writer, as the store's feed shows.
+    // Another writer changed the row, according to the store's change feed.
     void rowChanged(const std::string &job, const job_record &record, std::int64_t version);
-    void rowRemoved(const std::string &job); // the row was removed
+    void rowRemoved(const std::string &job);
 
-    // --- workers
-    // An end as the agent reported it; `token` is stored when the end is.
-    // False: the job is not owned here.
+    // --- events of workers
+    // A run ended, as its agent reported. `token` is notified once the end is stored, and the agent
+    // may then forget it. Returns false when this entry does not own the job, or does not know of
+    // the run yet.
     bool runEnded(const std::string &worker, const run_end &end, time_point now,
                   std::int64_t token);
+    // A run that continues has a newer checkpoint.
     void checkpointReported(const std::string &worker, const run_progress &progress);
+    // A worker has started the run.
     void runStarted(const started_run &run, time_point now);
-    // `agentLife`: of the agent, by its reports as the order was sent; 0: not told.
+    // `agentIncarnation` is the agent's, by its reports at the time when the order was sent; 0:
+    // unknown.
     void orderAnswered(const std::string &worker, const order_answer &answer, time_point now,
                        std::int64_t agentIncarnation);
+    // The order got no answer; it is sent again after `orderRetryDelay`.
     void orderUnanswered(const std::string &worker, const task_id &task, int run, time_point now);
-    // The pool has a new report of the worker, which does not count what is on its way there. After
-    // the ends that came with it, and after `workerRenewed`: what they end takes no room.
+    // The pool took a new report of the worker, which does not include starts that are still in
+    // flight; this reserves their resources again. Call it after `runEnded` for the ends in that
+    // report and after `workerRestarted`, so that no resources are reserved for runs that these
+    // have ended.
     void workerReported(const std::string &worker, time_point now);
-    // The agent lives anew, or the worker does: placements of older epochs have ended, orders of
-    // the present one are given again.
+    // The agent has a new incarnation, or the worker a new epoch: placements of earlier epochs have
+    // ended, and orders of the present one are sent again.
     void workerRestarted(const std::string &worker, std::int64_t epoch, time_point now);
-    // The worker's lease is known to be of that epoch: placements of older ones have ended. No
-    // order is given again: an owner that was frozen looks at leases before it hears that it was
-    // overtaken.
+    // The worker's lease is of that epoch: placements of earlier ones have ended. Sends no orders
+    // again: an owner that was suspended may check leases before it learns that another entry has
+    // taken over.
     void epochSeen(const std::string &worker, std::int64_t epoch);
-    // Workers where owned tasks are placed.
+    // Workers on which tasks of owned jobs are placed.
     std::set<std::string> workersWithPlacements() const;
 
-    // --- time
+    // --- planning
+    // Places waiting tasks, those of the most urgent jobs first, and decides which writes, orders
+    // and log lines are due. `wallMs` is Unix time, ms.
     void plan(time_point now, std::int64_t wallMs);
+    // Returns the actions decided since the last call, for the caller to carry out.
     std::vector<controller_action> takeActions();
 
-    std::size_t unfinishedJobCount() const;
+    std::size_t unfinishedJobCount() const; // owned jobs whose stored state is not final
     std::vector<std::string> ownedJobs() const;
 
 private:
     struct waiting_token
     {
         std::int64_t token = 0;
-        std::int64_t neededRevision = 0; // is stored when this revision is
+        std::int64_t neededRevision = 0; // notified once this revision of the record is stored
     };
 
     struct pending_order
     {
         std::string worker;
-        std::int64_t neededRevision = 0; // given once this revision is stored
-        bool isInFlight = false;         // given, no answer yet
+        std::int64_t neededRevision = 0; // sent once this revision of the record is stored
+        bool isInFlight = false;         // sent, and not yet answered
         time_point retryAt{};
-        time_point firstSentAt{};     // first
-        time_point nextLogAt{};       // the log, that there is no answer
-        time_point basedOnReportAt{}; // the report of its worker that it was last given by
+        time_point firstSentAt{}; // time_point{}: not sent yet
+        time_point nextLogAt{};   // when the missing answer is logged next
+        // Arrival of the worker's latest report when the order was last sent.
+        time_point basedOnReportAt{};
     };
 
     struct waiting_step
     {
         time_point since{};
-        time_point nextLogAt{}; // the log, why no worker is found
+        time_point nextLogAt{}; // when the reason for the wait is logged next
     };
 
-    // How the job's time went, as far as this owner saw it.
+    // How the time until completion was spent, as far as this owner saw it.
     struct job_timeline
     {
-        std::optional<std::int64_t> firstPlacedAtMs; // Unix ms: its first task got a worker
-        std::int64_t slackAtFirstPlacementMs = 0;    // the time to spare then
-        std::int64_t unplacedMs = 0;                 // in all, steps had tasks without a worker
+        // When the first task was placed, Unix time, ms.
+        std::optional<std::int64_t> firstPlacedAtMs;
+        std::int64_t slackAtFirstPlacementMs = 0; // slack at that time, ms
+        std::int64_t unplacedMs = 0; // total time during which steps had tasks without a worker
     };
 
     struct owned_job
@@ -179,22 +203,23 @@
         job_record record;
         std::string payload;
         bool payloadStored = false;
-        bool cancelRowStored = false; // the row for the agents
-        std::int64_t version = 0;     // of the row, as last known
-        std::int64_t revision = 1;    // of the record in memory
+        bool cancelRowStored = false; // the row from which agents learn of the cancel is stored
+        std::int64_t version = 0;     // last known version of the row
+        std::int64_t revision = 1;    // of the record in memory; each change increments it
         std::int64_t storedRevision = 0;
-        std::int64_t inFlightRevision = 0; // of the write that is out; 0: none
-        std::string inFlightWriteId;       // its name
+        std::int64_t inFlightRevision = 0; // revision of the write in flight; 0: none
+        std::string inFlightWriteId;       // id of the write in flight
         job_state inFlightState = job_state::Queued;
         job_state storedState = job_state::Queued;
         std::vector<waiting_token> waitingTokens;
         std::map<std::pair<task_id, int>, pending_order> startOrders;
         std::map<std::pair<task_id, int>, pending_order> stopOrders;
-        std::map<std::pair<task_id, int>, time_point> startedAt;    // when the start was accepted
-        std::map<task_id, std::vector<std::string>> avoidedWorkers; // workers
+        // When the agent accepted the start.
+        std::map<std::pair<task_id, int>, time_point> startedAt;
+        std::map<task_id, std::vector<std::string>> avoidedWorkers; // newest last
         std::map<std::pair<int, int>, time_point> waitingSince;     // by occurrence and step
-        std::map<std::pair<int, int>, waiting_step> unplacedSteps;  // the same
-        std::map<task_id, stall_timer> stalls;                      // tasks that last
+        std::map<std::pair<int, int>, waiting_step> unplacedSteps;  // by occurrence and step
+        std::map<task_id, stall_timer> stalls;                      // of long-running tasks
         job_timeline timeline;
     };
 
@@ -279,17 +304,17 @@
     worker_pool &m_workers;
     controller_settings m_settings;
     std::map<std::string, owned_job> m_jobs;
-    std::set<std::string> m_waitingJobs;      // jobs of which a task may be placed
-    std::set<std::string> m_changedJobs;      // changed since the last plan
-    std::vector<std::string> m_completedJobs; // the log is not told of their course yet
-    std::set<std::string> m_jobsWithOrders;   // with orders that have no answer yet
-    // By worker: starts that it may not count yet. Those that were settled meanwhile are left out
-    // as its next report comes.
+    std::set<std::string> m_waitingJobs;      // jobs that may have a task to place
+    std::set<std::string> m_changedJobs;      // jobs that changed since the last call of `plan`
+    std::vector<std::string> m_completedJobs; // completed jobs whose timeline is not logged yet
+    std::set<std::string> m_jobsWithOrders;   // jobs with unanswered orders
+    // Starts that their worker's reports may not include yet, by worker. Starts that were answered
+    // meanwhile are removed when the worker's next report arrives.
     std::map<std::string, std::set<std::pair<task_id, int>>> m_startsInFlight;
-    time_point m_nextUnderservedLogAt{}; // the log, which jobs are not served in full
-    time_point m_nextStallCheckAt{};     // for tasks that stand still
-    std::map<std::string, time_point>
-            m_startedUnwritten; // jobs whose rows don't say so yet; write it then
+    time_point m_nextUnderservedLogAt{}; // when underserved jobs are logged next
+    time_point m_nextStallCheckAt{};     // when tasks are checked for stalls next
+    // Jobs whose row does not say yet that they have started, and when it is to be written.
+    std::map<std::string, time_point> m_startedUnwritten;
     std::int64_t m_nextWriteNumber = 1;
     std::vector<controller_action> m_actions;
 };
--- a/libs/jobs/job_controller_ends.cpp
+++ b/libs/jobs/job_controller_ends.cpp
@@ -1,4 +1,4 @@
-// What the ends of runs, as agents tell them, change in the jobs that an entry owns.
+// How reported ends of runs change the jobs that an entry owns.
 #include <algorithm>
 #include <utility>
 
@@ -17,8 +17,9 @@
     const auto &id = found->first;
     auto &job = found->second;
     auto *task = job.record.find(end.task);
-    // A later owner placed it, and this one has not heard of that yet: acknowledged here, the end
-    // would be in no row, and the task would run again. One that is done never does.
+    // The run was placed by a later owner, of which this entry has not learned yet. If it
+    // acknowledged the end, the end would be in no row, and the task would run again. A task that
+    // is done never runs again.
     if (task != nullptr && !task->done && end.run > task->lastRun)
         return false;
     if (task != nullptr && isPlacedOn(*task, worker, end.run))
@@ -52,7 +53,7 @@
     applyRunEnd(id, job, worker, end, runDuration);
 }
 
-// Its task was done by another run, and whatever became of this one changes nothing.
+// The task was done by another run, so the outcome of this one changes nothing.
 void job_controller::endRedundantRun(const std::string &id, owned_job &job,
                                      const std::string &worker, const run_end &end)
 {
@@ -63,8 +64,8 @@
              fmt::format("{}: {}", describeRun(end.task, end.run, worker), nameOf(end.endKind)));
 }
 
-// The end of a run whose placement is gone. Acknowledged, its worker forgets it: what it says has
-// to be in the row by then, or a task that is done runs again.
+// The end of a run that is no longer placed. Once it is acknowledged, the worker forgets it. So the
+// outcome must be in the row by then, or a task that is done would run again.
 void job_controller::endUnplacedRun(const std::string &id, owned_job &job,
                                     const std::string &worker, const run_end &end, time_point now)
 {
@@ -84,7 +85,7 @@
     applyRunEnd(id, job, worker, end, std::nullopt);
 }
 
-// `ran`: how long the run took; none: not known.
+// `runDuration` is how long the run took; none: unknown.
 void job_controller::applyRunEnd(const std::string &id, owned_job &job, const std::string &worker,
                                  const run_end &end, const std::optional<milliseconds> &runDuration)
 {
@@ -100,7 +101,7 @@
         logEvent("job_ended", id, std::string(nameOf(job.record.state())));
 }
 
-// How long the run took; none: this entry did not see its start.
+// Returns how long the run took, and forgets its start; none: this entry did not see the start.
 std::optional<milliseconds> job_controller::takeRunDuration(owned_job &job, const run_end &end,
                                                             time_point now)
 {
@@ -123,23 +124,25 @@
 {
     auto &stepTasks = job.record.tasks[static_cast<std::size_t>(task.occurrence)]
                                       [static_cast<std::size_t>(task.step)];
-    // One member's end stands for its whole gang.
-    const int first = step.isGang ? 0 : task.index;
-    const int last = step.isGang ? step.count - 1 : task.index;
-    for (int index = first; index <= last; ++index) {
+    // When one member of a gang is done, the whole gang is.
+    const int firstMember = step.isGang ? 0 : task.index;
+    const int lastMember = step.isGang ? step.count - 1 : task.index;
+    for (int index = firstMember; index <= lastMember; ++index) {
         auto &member = stepTasks[static_cast<std::size_t>(index)];
         member.done = true;
         member.unreportedRuns.clear();
-        const task_id name{id, task.occurrence, task.step, index};
-        // Members of a gang end together, those of the same run by themselves.
-        removePlacement(job, name, run);
-        stopRedundantRuns(job, name, member);
+        const task_id memberId{id, task.occurrence, task.step, index};
+        // The members of a gang end together: their placements of this run end without a stop
+        // order.
+        removePlacement(job, memberId, run);
+        stopRedundantRuns(job, memberId, member);
     }
     m_jobsWithOrders.insert(id);
 }
 
-// Other runs of a task that is done stay placed until they have ended. Known to this owner's memory
-// alone, one that was accepted and has not begun would start once the owner is gone.
+// Other runs of a task that is done stay placed, and so in the row, until they have ended. If only
+// the memory of this owner knew of them, a run that an agent has accepted but not started yet would
+// start after the owner is gone.
 void job_controller::stopRedundantRuns(owned_job &job, const task_id &task, const task_state &state)
 {
     for (const auto &runPlacement : state.placements)
@@ -158,9 +161,9 @@
 {
     auto &task = *job.record.find(end.task);
     ++task.failures;
-    // A run that had served for a while says nothing of its worker, where its twins are.
-    constexpr milliseconds MinServingTime{
-            5000}; // a worker that fails all it starts does so at once
+    // A long-running task that fails after it has served for a while does not discredit its worker,
+    // where the other tasks of its job are.
+    constexpr milliseconds MinServingTime{5000}; // a faulty worker fails its runs at once
     if (step.isLongRunning && runDuration && *runDuration >= MinServingTime)
         return;
     avoidWorker(job, end.task, worker);
@@ -171,36 +174,38 @@
     logEvent("job_failed", id, fmt::format("{} failed {} times", toText(end.task), task.failures));
 }
 
-// The run never starts there. The other members of its gang would wait for it in vain.
+// The run was refused or never started. The other members of its gang would wait for it in vain, so
+// they are stopped.
 void job_controller::handleNeverStarted(owned_job &job, const std::string &worker,
                                         const task_id &task, int run)
 {
     const auto &step = stepOf(job, task);
     if (!step.isGang)
         return avoidWorker(job, task, worker);
-    std::vector<std::pair<task_id, placement>> others;
+    std::vector<std::pair<task_id, placement>> otherMembers;
     for (int index = 0; index < step.count; ++index) {
         const task_id member{task.job, task.occurrence, task.step, index};
         for (const auto &runPlacement : job.record.find(member)->placements) {
             if (runPlacement.run == run)
-                others.emplace_back(member, runPlacement);
+                otherMembers.emplace_back(member, runPlacement);
         }
     }
-    // With another member gone already this one was stopped for that, through no fault of its
-    // worker.
-    if (static_cast<int>(others.size()) < step.count - 1)
+    // If another member is gone already, this one never started because the gang is being stopped,
+    // which is not the fault of its worker.
+    if (static_cast<int>(otherMembers.size()) < step.count - 1)
         return;
     avoidWorker(job, task, worker);
-    for (const auto &[member, runPlacement] : others)
+    for (const auto &[member, runPlacement] : otherMembers)
         stopRun(job, member, runPlacement);
 }
 
-// For the next runs of the task.
+// Keeps the next runs of the task off this worker, as long as another one can take it.
 void job_controller::avoidWorker(owned_job &job, const task_id &task, const std::string &worker)
 {
     auto &workers = job.avoidedWorkers[task];
     workers.push_back(worker);
-    // Only the newest: a task that fails now and then everywhere must not run out of workers.
+    // Keeps only the newest ones, so that a task that fails occasionally everywhere does not run
+    // out of workers.
     constexpr std::size_t MaxAvoidedWorkers = 2;
     if (workers.size() > MaxAvoidedWorkers)
         workers.erase(workers.begin());
--- a/libs/jobs/job_controller_log.cpp
+++ b/libs/jobs/job_controller_log.cpp
@@ -1,4 +1,4 @@
-// What an operator is told of owned jobs that wait or lack something.
+// Log lines for operators about owned jobs that wait or are underserved.
 #include <utility>
 
 #include <fmt/core.h>
@@ -10,12 +10,12 @@
 
 namespace {
 
-// The tasks of a job that run until it is cancelled.
+// The long-running tasks of a job.
 struct long_running_tasks
 {
     int requested = 0;
     int placed = 0;
-    int withTarget = 0; // of those asked
+    int withLatencyTarget = 0; // requested tasks with a latency target
 };
 
 long_running_tasks countLongRunningTasks(const job_record &record)
@@ -28,7 +28,7 @@
                 continue;
             count.requested += step.count;
             count.placed += step.count - countWaiting(occurrence[index]);
-            count.withTarget += step.latencyTargetMs > 0 ? step.count : 0;
+            count.withLatencyTarget += step.latencyTargetMs > 0 ? step.count : 0;
         }
     }
     return count;
@@ -47,9 +47,9 @@
 {
     const std::pair key{occurrence, stepIndex};
     if (tasks == 0) {
-        const auto waited = job.unplacedSteps.extract(key);
-        if (!waited.empty())
-            job.timeline.unplacedMs += millisecondsIn(now - waited.mapped().since);
+        const auto endedWait = job.unplacedSteps.extract(key);
+        if (!endedWait.empty())
+            job.timeline.unplacedMs += millisecondsIn(now - endedWait.mapped().since);
         return;
     }
     const waiting_step initial{now, now + m_settings.waitLogInterval};
@@ -60,14 +60,14 @@
     const auto &step = job.record.steps[static_cast<std::size_t>(stepIndex)];
     const auto full = workersAtTaskLimit(job, {id, occurrence, stepIndex, 0}, step);
     logEvent("tasks_unplaced", id,
-             fmt::format("{} of step {}.{} for {} ms: {}", tasks, occurrence, stepIndex,
-                         millisecondsIn(now - waiting.since),
+             fmt::format("{} tasks of step {}.{} unplaced for {} ms: {}", tasks, occurrence,
+                         stepIndex, millisecondsIn(now - waiting.since),
                          m_workers.describeUnfitWorkers(job.record.policy.service, step, full, now,
                                                         preferences)));
 }
 
-// Jobs that last and lack something: tasks without a worker, tasks that are placed and not at work,
-// or tasks that are late, which tells why callers get less of one job than of another.
+// Logs long-running jobs that are not served in full: tasks without a worker, placed tasks that do
+// not run, or late tasks. This shows why callers get less from one job than from another.
 void job_controller::logUnderservedJobs(time_point now)
 {
     if (now < m_nextUnderservedLogAt)
@@ -80,37 +80,37 @@
             continue;
         const auto found = counts.find(id);
         const auto serving = found == counts.end() ? serving_count{} : found->second;
-        if (longRunning.placed == longRunning.requested && serving.running >= longRunning.withTarget
-            && serving.late == 0)
+        if (longRunning.placed == longRunning.requested
+            && serving.running >= longRunning.withLatencyTarget && serving.late == 0)
             continue;
         logEvent("job_underserved", id,
-                 fmt::format(
-                         "{} tasks that last, {} placed, {} of {} with a target at work, {} late",
-                         longRunning.requested, longRunning.placed, serving.running,
-                         longRunning.withTarget, serving.late));
+                 fmt::format("{} long-running tasks, {} placed, {} of {} with a latency target "
+                             "running, {} late",
+                             longRunning.requested, longRunning.placed, serving.running,
+                             longRunning.withLatencyTarget, serving.late));
     }
 }
 
-// Where the time of a job went: it began with too little to spare, its steps took longer than their
-// estimates, or its tasks waited for workers.
+// Logs where the time of a completed job went: it started with too little slack, its steps took
+// longer than their estimates, or its tasks waited for workers.
 void job_controller::logCompletedJobs(std::int64_t wallMs)
 {
     for (const auto &id : std::exchange(m_completedJobs, {})) {
         const auto found = m_jobs.find(id);
         if (found == m_jobs.end() || !found->second.timeline.firstPlacedAtMs)
-            continue; // begun by an earlier owner
+            continue; // started by an earlier owner
         const auto &record = found->second.record;
-        const auto &course = found->second.timeline;
+        const auto &jobTimeline = found->second.timeline;
         const auto slackAtEndMs = slackMs(record, wallMs);
         logEvent("job_course", id,
                  fmt::format(
-                         "{} by {} ms; first worker after {} ms with {} ms to spare, completed {} "
-                         "ms later; chain estimated {} ms, {} ms without workers",
-                         slackAtEndMs < 0 ? "late" : "in time",
+                         "{} by {} ms; first placed after {} ms with {} ms of slack, completed {} "
+                         "ms later; critical path estimated at {} ms, {} ms with unplaced tasks",
+                         slackAtEndMs < 0 ? "late" : "on time",
                          slackAtEndMs < 0 ? -slackAtEndMs : slackAtEndMs,
-                         *course.firstPlacedAtMs - record.acceptedAtMs,
-                         course.slackAtFirstPlacementMs, wallMs - *course.firstPlacedAtMs,
-                         estimatedCriticalPathMs(record), course.unplacedMs));
+                         *jobTimeline.firstPlacedAtMs - record.acceptedAtMs,
+                         jobTimeline.slackAtFirstPlacementMs, wallMs - *jobTimeline.firstPlacedAtMs,
+                         estimatedCriticalPathMs(record), jobTimeline.unplacedMs));
     }
 }
 
@@ -125,7 +125,7 @@
         return;
     order.nextLogAt = now + m_settings.waitLogInterval;
     logEvent("order_unanswered", id,
-             fmt::format("{}: for {} ms", describeRun(task, run, order.worker),
+             fmt::format("{}: no answer for {} ms", describeRun(task, run, order.worker),
                          millisecondsIn(now - order.firstSentAt)));
 }
 
--- a/libs/jobs/job_controller_placing.cpp
+++ b/libs/jobs/job_controller_placing.cpp
@@ -1,4 +1,4 @@
-// Which worker each waiting task of an owned job goes to.
+// Placement of the waiting tasks of owned jobs.
 #include <algorithm>
 #include <utility>
 
@@ -14,7 +14,7 @@
 
 constexpr double MostlyUsedShare = 0.55; // of a service's processors: a little over half
 
-// Another one for each run: a task that was refused tries its luck elsewhere.
+// A different seed for each run, so that a task that was refused tends to try another worker.
 std::uint64_t tieBreakSeedOf(const task_id &task, int run)
 {
     return stableHash(fmt::format("{} {}", toText(task), run));
@@ -53,7 +53,7 @@
     }
 }
 
-// True when some task of the step still waits for a worker.
+// Returns true when some task of the step still waits for a worker.
 bool job_controller::placeStep(const std::string &id, owned_job &job, int occurrence, int stepIndex,
                                time_point now)
 {
@@ -84,7 +84,7 @@
         if (!worker) {
             hasWaitingTasks = true;
             if (step.maxPerWorker == 0)
-                break; // its twins find no room either
+                break; // the other tasks are of the same size and find no worker either
             continue;
         }
         placeTask(id, job, task, step, *worker, state.lastRun + 1);
@@ -93,7 +93,7 @@
     return hasWaitingTasks;
 }
 
-// All members or none: a member that runs alone holds its worker for nothing.
+// Places all tasks of the gang or none: a member that runs alone occupies its worker in vain.
 bool job_controller::placeGang(const std::string &id, owned_job &job, int occurrence, int stepIndex,
                                time_point now)
 {
@@ -103,7 +103,7 @@
     int run = 1;
     for (const auto &member : members) {
         if (!member.isWaiting())
-            return false; // done, or the last members of an earlier run are still there
+            return false; // done, or members of an earlier run have not ended yet
         run = std::max(run, member.lastRun + 1);
     }
     auto trialPool = m_workers;
@@ -118,7 +118,7 @@
         trialPool.reserve(*worker, step);
         chosenWorkers.push_back(*worker);
     }
-    // The latest saved progress of any member holds for all of them.
+    // All members resume from the latest checkpoint of any of them.
     std::string checkpoint;
     for (const auto &member : members)
         checkpoint = std::max(checkpoint, member.checkpoint);
@@ -144,7 +144,8 @@
     m_jobsWithOrders.insert(id);
 }
 
-// A worker for the task: not one where it has just failed, as long as there is another.
+// Chooses a worker for the task, and takes one on which it has recently failed only when no other
+// one can take it.
 std::optional<std::string> job_controller::chooseWorkerFor(const worker_pool &workers,
                                                            const owned_job &job,
                                                            const task_id &task,
@@ -163,7 +164,7 @@
                        : workers.chooseWorker(service, step, fullWorkers, now, preferences);
 }
 
-// Workers that run as many tasks of the step as they may.
+// Workers that have as many tasks of the step as `maxPerWorker` allows.
 std::vector<std::string>
 job_controller::workersAtTaskLimit(const owned_job &job, const task_id &task, const step_spec &step)
 {
--- a/libs/jobs/job_controller_stalls.cpp
+++ b/libs/jobs/job_controller_stalls.cpp
@@ -1,4 +1,4 @@
-// Which tasks that last stand still, and why, by what their owner knows.
+// Detects long-running tasks that are stalled, and the reason as far as their owner knows it.
 #include <algorithm>
 #include <utility>
 
@@ -47,7 +47,8 @@
     if (runPlacement.epoch < m_workers.find(runPlacement.worker)->lastReport.epoch)
         return stall_reason::EarlierEpoch;
     const auto &step = stepOf(job, task);
-    const bool isReported = step.latencyTargetMs > 0; // reports tell of no others
+    // Reports list only runs with a latency target.
+    const bool isReported = step.latencyTargetMs > 0;
     if (isReported
         && countReportedRuns(task.job, runPlacement.worker)
                    < countPlacedRuns(job, runPlacement.worker))
@@ -55,7 +56,8 @@
     return std::nullopt;
 }
 
-// Runs of the job with a target that the worker's newest report shows.
+// Runs of the job that the worker's latest report lists; only runs with a latency target are
+// listed.
 int job_controller::countReportedRuns(const std::string &id, const std::string &worker) const
 {
     const auto *view = m_workers.find(worker);
@@ -66,7 +68,7 @@
                                           [&](const auto &run) { return run.job == id; }));
 }
 
-// Those that have to be shown.
+// Placed runs of the job that the worker should report.
 int job_controller::countPlacedRuns(const owned_job &job, const std::string &worker)
 {
     int placed = 0;
@@ -99,7 +101,7 @@
     }
 }
 
-// It lasts, its time has come, and the steps before it are done.
+// The task is long-running, its occurrence is due, and the steps that it depends on are done.
 bool job_controller::shouldBeRunning(const owned_job &job, const task_id &task, std::int64_t wallMs)
 {
     const auto &record = job.record;
@@ -142,7 +144,7 @@
     auto text = fmt::format("{}, run {} on {}, epoch {}", nameOf(reason), runPlacement.run,
                             runPlacement.worker, runPlacement.epoch);
     if (reason == stall_reason::NotRunning)
-        text += fmt::format(", {} of {} of its job at work there",
+        text += fmt::format(", {} of {} runs of its job running there",
                             countReportedRuns(task.job, runPlacement.worker),
                             countPlacedRuns(job, runPlacement.worker));
     return text;
--- a/libs/jobs/model.cpp
+++ b/libs/jobs/model.cpp
@@ -21,7 +21,7 @@
         {job_state::Cancelled, "cancelled"},
 }};
 
-// Bounds on one job, so that its record stays far below the 64 KiB of a row and one caller can't
+// Limits on one job: its record stays far below the 64 KiB limit of a row, and no single caller can
 // fill an entry's memory.
 constexpr int MaxTasks = 600; // over all occurrences and steps
 constexpr int MaxSteps = 64;
@@ -221,25 +221,25 @@
 {
     const auto reject = [](const std::string &why) { throw error(error_kind::BadRequest, why); };
     if (spec.steps.empty() || spec.steps.size() > MaxSteps)
-        reject(fmt::format("a job has 1 to {} steps", MaxSteps));
+        reject(fmt::format("a job must have 1 to {} steps", MaxSteps));
     if (spec.occurrences < 0 || spec.occurrences > MaxOccurrences)
-        reject(fmt::format("a job has at most {} occurrences", MaxOccurrences));
+        reject(fmt::format("a job may have at most {} occurrences", MaxOccurrences));
     std::int64_t tasks = 0;
     for (std::size_t index = 0; index < spec.steps.size(); ++index) {
         const auto &step = spec.steps[index];
         if (step.count < 1)
             reject(fmt::format("step {}: at least one task is needed", index));
         if (step.size.millicores < 0 || step.size.memoryMb < 0 || step.size.accelerators < 0)
-            reject(fmt::format("step {}: a size below zero", index));
+            reject(fmt::format("step {}: a size is negative", index));
         for (const int earlierStep : step.after) {
             if (earlierStep < 0 || earlierStep >= static_cast<int>(index))
-                reject(fmt::format("step {} waits for step {}, which is not an earlier one", index,
-                                   earlierStep));
+                reject(fmt::format("step {} depends on step {}, which is not an earlier step",
+                                   index, earlierStep));
         }
         tasks += step.count;
     }
     if (tasks * std::max(1, spec.occurrences) > MaxTasks)
-        reject(fmt::format("a job has at most {} tasks", MaxTasks));
+        reject(fmt::format("a job may have at most {} tasks", MaxTasks));
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/model.h
+++ b/libs/jobs/model.h
@@ -1,4 +1,5 @@
-// Jobs that callers hand in: what they ask for and how far they are.
+// The data model of jobs: what a caller submits (job_spec), and the state that the owning entry
+// keeps and stores (job_record).
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,7 @@
 {
     std::int64_t millicores = 0;   // thousandths of a core
     std::int64_t memoryMb = 0;     // MB
-    std::int64_t accelerators = 0; // whole ones
+    std::int64_t accelerators = 0; // number of devices
 
     friend bool operator==(const task_size &, const task_size &) = default;
     task_size &operator+=(const task_size &other);
@@ -24,47 +25,50 @@
 
 struct step_spec
 {
-    int count = 1;                    // tasks
-    task_size size;                   // of each task
-    std::int64_t estimateMs = 0;      // ms, rough
-    std::vector<int> after;           // earlier steps, all of whose tasks are done first
-    bool checkpointing = false;       // tasks save their progress
-    bool isGang = false;              // tasks work only together
-    bool prefersSameRack = false;     // slower when spread over racks
-    std::string requiredLabel;        // of the worker; empty: any
-    std::string dataRack;             // slower on any other rack; empty: any
-    int maxPerWorker = 0;             // tasks of the step on one worker; 0: no bound
-    bool isSpeculative = false;       // copies may run in parallel
-    bool isLongRunning = false;       // runs until the job is cancelled
-    std::string image;                // what the tasks run; empty: not told
-    std::int64_t latencyTargetMs = 0; // tail latency to stay below, ms; 0: none
-    bool isBestEffort = false;        // uses processor time that others leave
-    int maxUnavailable = 0; // tasks that may be away through acts of the scheduler; 0: not told
+    int count = 1;                    // number of tasks
+    task_size size;                   // resources that each task reserves
+    std::int64_t estimateMs = 0;      // expected run time of a task, ms; rough
+    std::vector<int> after;           // indexes of the steps that must be done first
+    bool checkpointing = false;       // tasks save checkpoints, from which a later run resumes
+    bool isGang = false;              // all tasks must run at the same time
+    bool prefersSameRack = false;     // tasks run slower when they are spread over racks
+    std::string requiredLabel;        // kind or rack that the worker must have; empty: any
+    std::string dataRack;             // rack of the input data, slower elsewhere; empty: none
+    int maxPerWorker = 0;             // limit of tasks on one worker; 0: none
+    bool isSpeculative = false;       // copies of one task may run in parallel
+    bool isLongRunning = false;       // tasks run until the job is cancelled
+    std::string image;                // program image that the tasks run; empty: unknown
+    std::int64_t latencyTargetMs = 0; // tail latency to stay below, ms; 0: no target
+    bool isBestEffort = false;        // reserves no processors, uses idle ones
+    // Most tasks that the scheduler itself may make unavailable at a time; 0: not specified.
+    int maxUnavailable = 0;
 };
 
 struct job_spec
 {
-    std::string payload; // handed to each task as it is
+    std::string payload; // passed unchanged to each task
     std::vector<step_spec> steps;
-    int occurrences = 0;                // 0: once, at once
-    std::int64_t firstOccurrenceMs = 0; // Unix ms of occurrence 0
-    std::int64_t intervalMs = 0;        // ms between occurrences
+    int occurrences = 0;                // scheduled repetitions; 0: runs once, at once
+    std::int64_t firstOccurrenceMs = 0; // Unix time at which occurrence 0 is due, ms
+    std::int64_t intervalMs = 0;        // time between occurrences, ms
 
     bool hasLongRunningStep() const;
 };
 
-// What the operator's configuration said of the queue when the job was accepted.
+// Settings of the job's queue, copied from the operator's configuration when the job was accepted.
+// A job's objective is to complete within `stretch` times its estimated critical path plus
+// `targetLatencyMs`.
 struct queue_policy
 {
-    std::string queue;                // name of the queue
-    std::string service;              // whose workers run its tasks
-    int priority = 0;                 // 0 first
-    int maxAttempts = 1;              // runs of a task that may fail
-    double stretch = 1;               // objective: times the longest chain of work
-    std::int64_t targetLatencyMs = 0; // objective: ms besides
+    std::string queue;                // queue name
+    std::string service;              // service whose workers run the tasks
+    int priority = 0;                 // 0 is the most urgent
+    int maxAttempts = 1;              // failed runs of one task after which the job fails
+    double stretch = 1;               // objective: factor on the estimated critical path
+    std::int64_t targetLatencyMs = 0; // objective: fixed part, ms
 };
 
-// Names one task: the job, which occurrence of it, which step, which task of the step.
+// Identifies one task by its job, occurrence, step and index within the step.
 struct task_id
 {
     std::string job;
@@ -75,40 +79,42 @@
     friend auto operator<=>(const task_id &, const task_id &) = default;
 };
 std::string toText(const task_id &task);                    // "job.0.1.17"
-std::optional<task_id> taskIdFrom(const std::string &text); // none: not such a text
+std::optional<task_id> taskIdFrom(const std::string &text); // none: not a task id
 
-// One start of a task on a worker. The epoch names the worker's life: a placement of an older epoch
-// has ended for certain.
+// One run of a task, assigned to a worker. Each epoch of a worker ends everything that ran before
+// it, so a placement of an older epoch than the worker's present one has certainly ended.
 struct placement
 {
     std::string worker;
     std::int64_t epoch = 0;
     int run = 0;
-    std::int64_t agentIncarnation = 0; // of the worker's agent, as it was placed; 0: not told
+    // Incarnation of the worker's agent when the run was placed; 0: unknown.
+    std::int64_t agentIncarnation = 0;
 };
 
 struct task_state
 {
     bool done = false;
-    int lastRun = 0;  // the newest run number given
-    int failures = 0; // runs that ended through a fault
+    int lastRun = 0;  // run number of the latest placement; 0: never placed
+    int failures = 0; // number of failed runs
     std::string checkpoint;
-    std::vector<placement>
-            placements; // more than one: copies; of a task that is done: to be stopped
-    // Runs that were over with their worker's epoch, and whose own end was never told: the end may
-    // still come, and each counts once.
+    // Runs that have not ended, as far as the owner knows. More than one: speculative copies. Those
+    // of a task that is done are redundant and are being stopped.
+    std::vector<placement> placements;
+    // Runs that ended with their worker's epoch but whose end was never reported. The report may
+    // still arrive, and each one counts once.
     std::vector<int> unreportedRuns = {};
 
     bool isWaiting() const { return !done && placements.empty(); }
 };
 
-int countWaiting(const std::vector<task_state> &step); // tasks that no worker has
+int countWaiting(const std::vector<task_state> &step); // number of tasks without a worker
 
 enum class job_state { Queued, Running, Completed, Failed, Cancelled };
 std::string_view nameOf(job_state state);
 bool isFinal(job_state state);
 
-// An entry in one life.
+// One incarnation of an entry: a restarted entry is a different owner.
 struct owner_id
 {
     std::string entry;
@@ -117,40 +123,42 @@
     friend bool operator==(const owner_id &, const owner_id &) = default;
 };
 
-using occurrence_tasks = std::vector<std::vector<task_state>>; // by step, by index
+using occurrence_tasks = std::vector<std::vector<task_state>>; // indexed by step, then by task
 
-// The part of a job that changes, as it lies in the platform's store.
+// The mutable part of a job, as it is stored in the job's row of the platform's store.
 struct job_record
 {
     owner_id owner;
-    std::string writeId; // names the write that made this content
+    std::string writeId; // unique id of the write that stored this content
     queue_policy policy;
-    std::vector<step_spec> steps; // without the payload, which has a row of its own
+    std::vector<step_spec> steps; // the payload is stored in a row of its own
     int occurrences = 0;
     std::int64_t firstOccurrenceMs = 0;
     std::int64_t intervalMs = 0;
-    std::int64_t acceptedAtMs = 0; // Unix ms
+    std::int64_t acceptedAtMs = 0; // Unix time, ms
     bool cancelled = false;
     bool failed = false;
-    bool hasStarted = false; // a worker has begun a run of some task
+    bool hasStarted = false; // a worker has started a run of some task
     std::vector<occurrence_tasks> tasks;
 
     task_state *find(const task_id &task); // null: no such task
     const task_state *find(const task_id &task) const;
-    bool hasEndedRuns() const;                    // a task has certainly run
-    bool shouldRun(const task_state &task) const; // a run of it may start, or go on
+    bool hasEndedRuns() const; // true once some task has certainly run
+    // True while a run of the task may start or continue.
+    bool shouldRun(const task_state &task) const;
     bool isStepDone(int occurrence, int step) const;
-    bool isStepReady(int occurrence, int step) const; // all steps before it are done
+    bool isStepReady(int occurrence, int step) const; // all steps that it depends on are done
     job_state state() const;
-    // Somebody has to act on the job: it is not over, or runs of it are still placed. A job that
-    // was cancelled and lost its owner in the same moment would otherwise run on.
+    // True while some entry must own the job: it is not finished, or runs of it are still placed.
+    // Without an owner, the runs of a job that was cancelled just as its owner died would never be
+    // stopped.
     bool needsOwner() const;
 };
 
-// The record of a job that has just been handed in.
+// Returns the initial record of a newly submitted job; `acceptedAtMs` is Unix time, ms.
 job_record newRecord(const job_spec &spec, const queue_policy &policy, std::int64_t acceptedAtMs);
 
-// A job on its way from the entry that a caller reached to the one that accepts it.
+// A job that is forwarded from the entry that received it to the entry that will own it.
 struct forwarded_job
 {
     job_record record;
@@ -160,10 +168,11 @@
 std::string toText(const forwarded_job &job);
 forwarded_job forwardedJobFrom(const std::string &text); // throws error BadRequest
 
-// Throws error BadRequest that says what is wrong.
+// Validates a submitted job. Throws error BadRequest with the reason.
 void checkSpec(const job_spec &spec);
 
-// How the platform's store keeps them; throws error BadRequest on text of another form.
+// Text form of a record in the platform's store. `recordFrom` throws error BadRequest when the text
+// is malformed.
 std::string toText(const job_record &record);
 job_record recordFrom(const std::string &text);
 
--- a/libs/jobs/queues.cpp
+++ b/libs/jobs/queues.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr char HostSeparator = '\n'; // in no host
+constexpr char HostSeparator = '\n'; // occurs in no host name
 
 } // namespace
 
@@ -28,7 +28,7 @@
 
 std::optional<route_match> queue_table::find(const std::string &host, const std::string &path) const
 {
-    auto key = host.substr(0, host.find(':')) + HostSeparator; // a port may follow
+    auto key = host.substr(0, host.find(':')) + HostSeparator; // without a port
     const auto hostSize = key.size();
     for (const auto length : m_prefixLengths) {
         if (length > path.size())
--- a/libs/jobs/queues.h
+++ b/libs/jobs/queues.h
@@ -1,4 +1,5 @@
-// The queues that the operator's configuration names, and which of them a caller's path means.
+// The queues of the operator's configuration, and the lookup of the queue that a request path
+// addresses.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +16,7 @@
 struct queue_route
 {
     std::string host;
-    std::string prefix; // of the path; the rest is the job's id
+    std::string prefix; // path prefix; the remainder of the path is the job's id
     queue_policy policy;
 };
 
@@ -28,11 +29,11 @@
 struct route_match
 {
     const queue_route *route = nullptr;
-    std::string job; // empty: the queue itself
+    std::string job; // job id from the path; empty: the queue itself is addressed
 };
 
-// A configuration as it is asked for each request. Finding a route costs one look for each length
-// that prefixes have, however many routes there are.
+// Lookup table of one configuration, used for each request. A lookup costs one hash probe for each
+// distinct prefix length, however many routes there are.
 class queue_table
 {
 public:
@@ -41,14 +42,15 @@
     std::int64_t version() const { return m_version; }
     std::size_t size() const { return m_routes.size(); }
     std::size_t prefixLengthCount() const { return m_prefixLengths.size(); }
-    // The route with the longest prefix; none: there is no such queue.
+    // Returns the route with the longest matching prefix; none: no queue matches.
     std::optional<route_match> find(const std::string &host, const std::string &path) const;
 
 private:
     std::int64_t m_version;
     std::vector<queue_route> m_routes;
-    std::unordered_map<std::string, std::size_t> m_byPrefix; // host and prefix to the route
-    std::vector<std::size_t> m_prefixLengths;                // of prefixes, the longest first
+    // Host and prefix to the index of the route.
+    std::unordered_map<std::string, std::size_t> m_byPrefix;
+    std::vector<std::size_t> m_prefixLengths; // distinct lengths of prefixes, longest first
 };
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/record.cpp
+++ b/libs/jobs/record.cpp
@@ -1,5 +1,6 @@
-// The text of a job's record: short names, since each change writes the whole row and the bytes of
-// the platform's store are paid for. Values that are zero, empty or false are left out.
+// The stored text of a job's record. Member names are short because each change writes the whole
+// row, and the bytes written to the platform's store are paid for. Members that are zero, empty or
+// false are left out.
 #include <json/json.h>
 
 #include "base/errors.h"
@@ -14,19 +15,19 @@
 
 constexpr int RecordVersion = 1;
 
-void put(Json::Value &object, const char *name, std::int64_t value)
+void putIfSet(Json::Value &object, const char *name, std::int64_t value)
 {
     if (value != 0)
         object[name] = Json::Int64(value);
 }
 
-void put(Json::Value &object, const char *name, const std::string &value)
+void putIfSet(Json::Value &object, const char *name, const std::string &value)
 {
     if (!value.empty())
         object[name] = value;
 }
 
-void putFlag(Json::Value &object, const char *name, bool value)
+void putIfTrue(Json::Value &object, const char *name, bool value)
 {
     if (value)
         object[name] = 1;
@@ -35,25 +36,25 @@
 Json::Value toJson(const step_spec &step)
 {
     Json::Value value(Json::objectValue);
-    put(value, "n", step.count);
-    put(value, "c", step.size.millicores);
-    put(value, "m", step.size.memoryMb);
-    put(value, "g", step.size.accelerators);
-    put(value, "e", step.estimateMs);
+    putIfSet(value, "n", step.count);
+    putIfSet(value, "c", step.size.millicores);
+    putIfSet(value, "m", step.size.memoryMb);
+    putIfSet(value, "g", step.size.accelerators);
+    putIfSet(value, "e", step.estimateMs);
     for (const int earlierStep : step.after)
         value["a"].append(earlierStep);
-    putFlag(value, "ck", step.checkpointing);
-    putFlag(value, "ga", step.isGang);
-    putFlag(value, "sr", step.prefersSameRack);
-    put(value, "rl", step.requiredLabel);
-    put(value, "dr", step.dataRack);
-    put(value, "mw", step.maxPerWorker);
-    putFlag(value, "sp", step.isSpeculative);
-    putFlag(value, "la", step.isLongRunning);
-    put(value, "im", step.image);
-    put(value, "tg", step.latencyTargetMs);
-    putFlag(value, "fi", step.isBestEffort);
-    put(value, "mu", step.maxUnavailable);
+    putIfTrue(value, "ck", step.checkpointing);
+    putIfTrue(value, "ga", step.isGang);
+    putIfTrue(value, "sr", step.prefersSameRack);
+    putIfSet(value, "rl", step.requiredLabel);
+    putIfSet(value, "dr", step.dataRack);
+    putIfSet(value, "mw", step.maxPerWorker);
+    putIfTrue(value, "sp", step.isSpeculative);
+    putIfTrue(value, "la", step.isLongRunning);
+    putIfSet(value, "im", step.image);
+    putIfSet(value, "tg", step.latencyTargetMs);
+    putIfTrue(value, "fi", step.isBestEffort);
+    putIfSet(value, "mu", step.maxUnavailable);
     return value;
 }
 
@@ -90,7 +91,7 @@
     return row;
 }
 
-// A task that never started is 0, one that is done 1; any other is an object.
+// A task that was never placed is stored as 0, one that is done as 1, any other as an object.
 Json::Value toJson(const task_state &task)
 {
     if (task.done)
@@ -98,10 +99,11 @@
     if (task.lastRun == 0)
         return 0;
     Json::Value value(Json::objectValue);
-    put(value, "r", task.lastRun);
-    put(value, "f", task.failures);
-    put(value, "k", task.checkpoint);
-    // The agents' lives stand beside the placements, whose three members the release before counts.
+    putIfSet(value, "r", task.lastRun);
+    putIfSet(value, "f", task.failures);
+    putIfSet(value, "k", task.checkpoint);
+    // Agent incarnations are stored in an array of their own: the previous release requires that a
+    // placement has exactly three members.
     for (const auto &runPlacement : task.placements) {
         value["p"].append(toJson(runPlacement));
         value["l"].append(Json::Int64(runPlacement.agentIncarnation));
@@ -113,27 +115,29 @@
 
 placement placementFrom(const large_json::value &row)
 {
-    constexpr rapidjson::SizeType Members = 3;
-    if (!row.IsArray() || row.Size() != Members)
+    constexpr rapidjson::SizeType MemberCount = 3;
+    if (!row.IsArray() || row.Size() != MemberCount)
         throw error(error_kind::BadRequest, "a job's record: a placement has three members");
     return {large_json::asText(row[0]), large_json::asNumber(row[1]), large_json::asCount(row[2])};
 }
 
 void readRedundantRun(const large_json::value &row, job_record &record)
 {
-    constexpr rapidjson::SizeType Members = 7;
-    if (!row.IsArray() || row.Size() != Members)
-        throw error(error_kind::BadRequest, "a job's record: a needless run has seven members");
+    constexpr rapidjson::SizeType MemberCount = 7;
+    if (!row.IsArray() || row.Size() != MemberCount)
+        throw error(error_kind::BadRequest, "a job's record: a redundant run has seven members");
     auto *task = record.find({"", large_json::asCount(row[3]), large_json::asCount(row[4]),
                               large_json::asCount(row[5])});
     if (task == nullptr || !task->done)
-        throw error(error_kind::BadRequest, "a job's record: a needless run of no task done");
+        throw error(error_kind::BadRequest,
+                    "a job's record: a redundant run belongs to a task that is not done");
     task->placements.push_back({large_json::asText(row[0]), large_json::asNumber(row[1]),
                                 large_json::asCount(row[2]), large_json::asNumber(row[6])});
 }
 
-// Runs of tasks that are done, to be stopped. They stand apart: a task that is done is 1 to the
-// release before, too, which leaves these out when it writes the row.
+// Redundant runs: placements of tasks that are done, which are being stopped. They are stored apart
+// from the tasks because the previous release also stores a done task as 1. It drops these runs
+// when it rewrites the row.
 Json::Value redundantRuns(const std::vector<occurrence_tasks> &tasks)
 {
     Json::Value rows(Json::arrayValue);
@@ -162,7 +166,8 @@
     task_state task;
     if (value.IsInt()) {
         task.done = value.GetInt() == 1;
-        task.lastRun = value.GetInt(); // how often a task that is done ran matters no more
+        // 1 for a done task, whose run numbers are no longer needed.
+        task.lastRun = value.GetInt();
         return task;
     }
     task.lastRun = countOr0(value, "r");
@@ -197,12 +202,12 @@
 Json::Value toJson(const queue_policy &policy)
 {
     Json::Value value(Json::objectValue);
-    put(value, "q", policy.queue);
-    put(value, "s", policy.service);
-    put(value, "p", policy.priority);
-    put(value, "x", policy.maxAttempts);
+    putIfSet(value, "q", policy.queue);
+    putIfSet(value, "s", policy.service);
+    putIfSet(value, "p", policy.priority);
+    putIfSet(value, "x", policy.maxAttempts);
     value["t"] = policy.stretch;
-    put(value, "l", policy.targetLatencyMs);
+    putIfSet(value, "l", policy.targetLatencyMs);
     return value;
 }
 
@@ -225,13 +230,13 @@
     value["q"] = toJson(record.policy);
     for (const auto &step : record.steps)
         value["s"].append(toJson(step));
-    put(value, "oc", record.occurrences);
-    put(value, "od", record.firstOccurrenceMs);
-    put(value, "oi", record.intervalMs);
-    put(value, "at", record.acceptedAtMs);
-    putFlag(value, "cx", record.cancelled);
-    putFlag(value, "fx", record.failed);
-    putFlag(value, "bg", record.hasStarted);
+    putIfSet(value, "oc", record.occurrences);
+    putIfSet(value, "od", record.firstOccurrenceMs);
+    putIfSet(value, "oi", record.intervalMs);
+    putIfSet(value, "at", record.acceptedAtMs);
+    putIfTrue(value, "cx", record.cancelled);
+    putIfTrue(value, "fx", record.failed);
+    putIfTrue(value, "bg", record.hasStarted);
     for (const auto &occurrenceSteps : record.tasks) {
         Json::Value steps(Json::arrayValue);
         for (const auto &stepTasks : occurrenceSteps) {
@@ -253,7 +258,7 @@
     using namespace large_json;
     const auto value = parseObject(text);
     if (numberOr0(value, "v") != RecordVersion)
-        throw error(error_kind::BadRequest, "a job's record of another version");
+        throw error(error_kind::BadRequest, "a job's record: unknown version");
     job_record record;
     record.owner = {textOrNone(value, "o"), numberOr0(value, "i")};
     record.writeId = textOrNone(value, "w");
@@ -270,7 +275,7 @@
     forEach(value, "t", [&](const auto &steps) { record.tasks.push_back(occurrenceFrom(steps)); });
     for (const auto &steps : record.tasks) {
         if (steps.size() != record.steps.size())
-            throw error(error_kind::BadRequest, "a job's record whose steps don't agree");
+            throw error(error_kind::BadRequest, "a job's record: steps and tasks do not match");
     }
     forEach(value, "x", [&](const auto &row) { readRedundantRun(row, record); });
     return record;
--- a/libs/jobs/urgency.cpp
+++ b/libs/jobs/urgency.cpp
@@ -7,10 +7,12 @@
 
 namespace {
 
-// The longest chain of estimates, of all steps or of those that are not done in `occurrence`, ms.
+// Estimated run time of the longest chain of dependent steps, ms: of all steps, or, when
+// `occurrence` is given, of those that are not done in it.
 std::int64_t criticalPathMs(const job_record &record, std::optional<int> occurrence)
 {
-    std::vector<std::int64_t> finishMs(record.steps.size(), 0); // the end of each step
+    // By step: when it ends, counted from the start of the chain.
+    std::vector<std::int64_t> finishMs(record.steps.size(), 0);
     std::int64_t longest = 0;
     for (std::size_t index = 0; index < record.steps.size(); ++index) {
         const auto &step = record.steps[index];
--- a/libs/jobs/urgency.h
+++ b/libs/jobs/urgency.h
@@ -1,4 +1,4 @@
-// In which order waiting jobs get their workers.
+// The order in which waiting jobs are given workers.
 #pragma once
 
 #include <cstdint>
@@ -7,28 +7,29 @@
 
 namespace zinniabarrow::jobs {
 
-// How urgent a job is: compares less when it goes first. By priority; then jobs that can still meet
-// their objective, the one with the least time to spare first, since each of them loses by waiting;
-// last those that are late for certain, the oldest first: they take nothing from a job that can be
-// in time.
+// Sort key of a waiting job; the smallest is placed first. Ordered by priority; then by whether the
+// job can still meet its objective. Jobs that can come first, the one with the least slack
+// foremost, because waiting may cost each of them its objective. Jobs that are certainly late come
+// last, the oldest foremost, so that they take no workers from jobs that can still be on time.
 struct job_urgency
 {
     enum class deadline_state { OnTime, Late };
 
-    int priority = 0; // 0 first
+    int priority = 0; // 0 is the most urgent
     deadline_state deadlineState = deadline_state::OnTime;
-    std::int64_t sortKeyMs = 0; // ms: time to spare, or Unix time of acceptance
+    std::int64_t sortKeyMs = 0; // OnTime: slack, ms; Late: Unix time of acceptance, ms
 
     friend auto operator<=>(const job_urgency &, const job_urgency &) = default;
 };
 
+// `wallMs` is the present Unix time, ms.
 job_urgency urgencyOf(const job_record &record, std::int64_t wallMs);
 
-// How long the job may wait and still meet its objective by the estimates of its steps, ms; below
-// zero: it can't.
+// How long the job can wait and still meet its objective, by the estimates of its steps, ms.
+// Negative: it can't meet it.
 std::int64_t slackMs(const job_record &record, std::int64_t wallMs);
 
-// How long the job takes by the estimates of its steps, its longest chain, ms.
+// Estimated run time of the longest chain of dependent steps, ms.
 std::int64_t estimatedCriticalPathMs(const job_record &record);
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/worker_pool.cpp
+++ b/libs/jobs/worker_pool.cpp
@@ -28,14 +28,17 @@
         {unfit_reason::NoAccelerators, "no_accelerators"},
 }};
 
-// Of an agent's clock: before any order.
+// On an agent's clock. Earlier than any order, so that an order with this deadline starts nothing.
 constexpr std::int64_t ExpiredDeadlineMs = 1;
 
-// Entries hear the same of the workers at the same time. Where all take the worker that is best by
-// little, all but the first are refused. Less than any single reason for or against a worker.
+// A pseudo-random bonus for a worker, so that different runs choose different workers among those
+// of nearly equal score. All entries receive the same reports at the same time. If all chose the
+// worker that is best by a small margin, all orders but the first would be refused. The bonus is
+// smaller than any single term of the score.
 double tieBreakOf(const std::string &worker, std::uint64_t seed)
 {
-    constexpr double MaxTieBreak = 0.05; // a quarter of a worker's processors
+    // As much as a quarter of a worker's processors in the score.
+    constexpr double MaxTieBreak = 0.05;
     constexpr std::uint64_t TieBreakSteps = 1024;
     if (seed == 0)
         return 0;
@@ -74,7 +77,8 @@
 bool worker_pool::update(const worker_report &report, time_point now)
 {
     auto &view = m_workers[report.worker];
-    // Held up on its way from a life that was followed by another: what is placed by it is refused.
+    // A delayed report from a previous incarnation of the agent. Runs placed by it would be
+    // refused.
     if (report.agentIncarnation != 0 && report.agentIncarnation < view.lastReport.agentIncarnation)
         return false;
     const bool isNewIncarnation = view.lastReport.agentIncarnation != report.agentIncarnation
@@ -91,7 +95,8 @@
     return isNewIncarnation;
 }
 
-// Of all readings the one counts that says most: a report that was slow to come takes nothing back.
+// Keeps the reading that gives the latest time. A report that was delayed on its way must not set
+// the clock back.
 void worker_pool::updateClock(worker_view &view, const worker_report &report, time_point now)
 {
     if (report.clockMs == 0 || report.agentIncarnation != view.lastReport.agentIncarnation)
@@ -108,7 +113,8 @@
     const auto *view = find(worker);
     if (view == nullptr || !view->clock)
         return 0;
-    // The clock of that life is not known yet: the order claims a run that is there, no more.
+    // The clock of that incarnation is not known yet. With an expired deadline, the order claims a
+    // run that exists already, but starts none.
     if (view->lastReport.agentIncarnation < agentIncarnation)
         return ExpiredDeadlineMs;
     return view->clock->lowerBoundMs(now) + m_settings.startOrderValidity.count();
@@ -133,7 +139,8 @@
     if (found == m_workers.end())
         return;
     auto &view = found->second;
-    constexpr double NewestRunWeight = 0.2; // of the newest: about the last five runs count
+    // Weight of the newest run: about the last five runs count.
+    constexpr double NewestRunWeight = 0.2;
     if (endKind == end_kind::Done) {
         view.consecutiveFailures = 0;
         if (slowdown > 0)
@@ -148,36 +155,36 @@
                                         const step_spec &step, bool avoidsInterference,
                                         time_point now) const
 {
-    const auto &last = view.lastReport;
-    if (last.service != service)
+    const auto &latest = view.lastReport;
+    if (latest.service != service)
         return unfit_reason::ServiceMismatch;
-    if (m_evacuatedZones.contains(last.zone))
+    if (m_evacuatedZones.contains(latest.zone))
         return unfit_reason::Evacuated;
-    if (!last.isAccepting || last.epoch == 0)
+    if (!latest.isAccepting || latest.epoch == 0)
         return unfit_reason::NotAccepting;
     if (now - view.lastReportAt > m_settings.reportTimeout)
         return unfit_reason::Silent;
     if (now < view.quarantinedUntil)
         return unfit_reason::Quarantined;
-    if (!step.requiredLabel.empty() && step.requiredLabel != last.kind
-        && step.requiredLabel != last.rack)
+    if (!step.requiredLabel.empty() && step.requiredLabel != latest.kind
+        && step.requiredLabel != latest.rack)
         return unfit_reason::LabelMismatch;
-    // Beyond, runs that fill only slow each other down: jobs that wait in order come in time more
-    // often than jobs that all run at a fraction of their pace.
+    // Above this share, best-effort runs only slow each other down: more jobs are on time when they
+    // wait and run one after another than when all run at a fraction of full speed.
     constexpr double MaxProcessorShare = 0.95;
-    if (step.isBestEffort && last.bestEffortMillicores > 0
+    if (step.isBestEffort && latest.bestEffortMillicores > 0
         && processorShareWith(view, step) > MaxProcessorShare)
         return unfit_reason::BestEffortFull;
-    // What fills waits for a worker where it harms nobody: its objective leaves it time, and a late
-    // answer can't be made good.
+    // A best-effort task waits for a worker on which it causes no lateness: its objective leaves it
+    // time, while a late response to a user cannot be made good.
     constexpr double MaxExpectedLateJobs = 0.15;
     if (step.isBestEffort && avoidsInterference
         && expectedLateJobs(view, step) > MaxExpectedLateJobs)
         return unfit_reason::WouldCauseLateness;
     const auto size = reservedSize(step.size, step.isBestEffort);
-    const auto room = lackingResource(size, last.capacity, last.used);
-    return room == unfit_reason::None && wasRefused(view, size) ? unfit_reason::RefusedByAgent
-                                                                : room;
+    const auto lacking = lackingResource(size, latest.capacity, latest.used);
+    return lacking == unfit_reason::None && wasRefused(view, size) ? unfit_reason::RefusedByAgent
+                                                                   : lacking;
 }
 
 bool worker_pool::wasRefused(const worker_view &view, const task_size &size)
@@ -205,82 +212,87 @@
            == unfit_reason::None;
 }
 
-// The share of the worker's processors that would be in use.
+// The share of the worker's processors that would be in use with a task of the step.
 double worker_pool::processorShareWith(const worker_view &view, const step_spec &step)
 {
-    const auto &last = view.lastReport;
-    const auto capacity = static_cast<double>(std::max<std::int64_t>(1, last.capacity.millicores));
-    // What serves has about half of its size in use, and what fills works with the rest.
+    const auto &latest = view.lastReport;
+    const auto capacity =
+            static_cast<double>(std::max<std::int64_t>(1, latest.capacity.millicores));
+    // Serving runs use about half of the processors that they reserve; best-effort runs use the
+    // rest.
     constexpr double ReservationUsage = 0.5;
-    const auto requested = static_cast<double>(last.bestEffortMillicores + step.size.millicores);
-    return (ReservationUsage * static_cast<double>(last.used.millicores) + requested) / capacity;
+    const auto requested = static_cast<double>(latest.bestEffortMillicores + step.size.millicores);
+    return (ReservationUsage * static_cast<double>(latest.used.millicores) + requested) / capacity;
 }
 
-// Higher is better: the share of the processor that stays free, less what makes the run slow or
-// its neighbours late.
+// Score of a worker for a task of the step; higher is better. It is the share of the processors
+// that stays idle, less penalties for whatever makes the run slow or its neighbours late.
 double worker_pool::score(const worker_view &view, const step_spec &step, int waitingTasks) const
 {
     if (step.latencyTargetMs > 0)
         return servingScore(view, step, waitingTasks);
-    const auto &last = view.lastReport;
+    const auto &latest = view.lastReport;
     const double share = processorShareWith(view, step);
-    // Below its size a worker runs everything at full speed; above, what fills shares what is left.
-    constexpr double OvercommitStart = 0.9; // sizes are declared roughly
+    // Below this share, all runs of a worker are at full speed. Above it, best-effort runs share
+    // the remaining processor time.
+    constexpr double OvercommitStart = 0.9; // below 1 since declared sizes are rough
     constexpr double OvercommitPenalty =
-            4; // a run at half speed is worse than one that harms its neighbours
+            4; // a run at half speed is worse than one that makes its neighbours late
     double score = -0.2 * share - OvercommitPenalty * std::max(0.0, share - OvercommitStart);
-    if (!step.dataRack.empty() && step.dataRack != last.rack)
-        score -= 0.5; // a task far from its data takes half as long again
+    if (!step.dataRack.empty() && step.dataRack != latest.rack)
+        score -= 0.5; // a task on another rack than its data takes half as long again
     score -= 0.25 * std::max(0.0, view.slowdown - 1.3); // estimates alone are off by a fifth
-    constexpr double LateJobPenalty = 4; // as much as the whole worker's processors over again
+    constexpr double LateJobPenalty = 4; // as much as all of the worker's processors in use
     return score - LateJobPenalty * expectedHarm(view, step);
 }
 
-// Runs that serve are gathered on few workers, those of one job and one image together, so that
-// what fills finds workers where it harms nobody, and elsewhere meets one image at one load and not
-// many.
+// Packs serving runs onto few workers, those of the same job and image together. Best-effort runs
+// then find workers on which they make nobody late; on the others they run beside one image at one
+// load instead of many.
 double worker_pool::servingScore(const worker_view &view, const step_spec &step, int waitingTasks)
 {
-    const auto &last = view.lastReport;
+    const auto &latest = view.lastReport;
     const auto sameImageRuns =
-            std::count_if(last.serving.begin(), last.serving.end(),
+            std::count_if(latest.serving.begin(), latest.serving.end(),
                           [&](const auto &run) { return run.image == step.image; });
     double score = static_cast<double>(countFitting(view, step, waitingTasks)) / waitingTasks;
-    if (!last.serving.empty())
-        score +=
-                0.5 + static_cast<double>(sameImageRuns) / static_cast<double>(last.serving.size());
-    // The tightest of those that are alike.
-    const auto free = static_cast<double>(last.capacity.millicores - last.used.millicores);
-    score -= 0.2 * free / static_cast<double>(std::max<std::int64_t>(1, last.capacity.millicores));
+    if (!latest.serving.empty())
+        score += 0.5
+                 + static_cast<double>(sameImageRuns) / static_cast<double>(latest.serving.size());
+    // Among similar workers, prefer the one with the least free capacity.
+    const auto free = static_cast<double>(latest.capacity.millicores - latest.used.millicores);
+    score -=
+            0.2 * free / static_cast<double>(std::max<std::int64_t>(1, latest.capacity.millicores));
     score -= 0.25 * std::max(0.0, view.slowdown - 1.3); // estimates alone are off by a fifth
     return score;
 }
 
-// How many of `together` tasks of the step would fit.
+// The number of the `waitingTasks` tasks of the step that would fit on the worker.
 int worker_pool::countFitting(const worker_view &view, const step_spec &step, int waitingTasks)
 {
-    auto room = view.lastReport.capacity;
-    room -= view.lastReport.used;
+    auto freeCapacity = view.lastReport.capacity;
+    freeCapacity -= view.lastReport.used;
     int tasks = 0;
-    while (tasks < waitingTasks && step.size.fitsInto(room)) {
-        room -= step.size;
+    while (tasks < waitingTasks && step.size.fitsInto(freeCapacity)) {
+        freeCapacity -= step.size;
         ++tasks;
     }
     return step.maxPerWorker > 0 ? std::min(tasks, step.maxPerWorker) : tasks;
 }
 
-// By job, how likely the placement of a run that fills makes it late on this worker, or keeps it
-// late. Users of a job meet each of its tasks, so that one late task spoils the job, and a second
-// one adds little.
+// By job: the probability that placing a best-effort task of the step makes the job late on this
+// worker, or keeps it late. Only the worst run of each job counts: users of a job depend on all of
+// its tasks, so one late task spoils the job and a second one adds little.
 std::map<std::string, double> worker_pool::expectedLateness(const worker_view &view,
                                                             const step_spec &step) const
 {
     std::map<std::string, double> jobs;
     if (!step.isBestEffort)
         return jobs;
-    // Between surely in time and surely late: own loads swing while the run works.
+    // Width of the range of load between certainly on time and certainly late: the serving runs'
+    // own load varies while the best-effort run works.
     constexpr double LoadUncertainty = 0.2; // load
-    constexpr double FullBlameLoad = 0.05;  // load: a run that adds less is in part to blame
+    constexpr double FullBlameLoad = 0.05;  // load; a run that adds less is only partly to blame
     const double cores = static_cast<double>(step.size.millicores) / 1000;
     for (const auto &run : view.lastReport.serving) {
         const double addedLoad = m_interferenceEstimator.loadPerCore(run.image, step.image) * cores;
@@ -304,9 +316,10 @@
     return sum;
 }
 
-// Decides between workers. A job that was served less than others counts whole here: a job of many
-// tasks is late somewhere nearly always, and would else be sent all that fills. How long what fills
-// waits for a worker does not follow from that, since the harm that is done stays as much.
+// Expected lateness as it counts in the choice between workers. A job that was served less than the
+// average counts in full here: a job with many tasks is nearly always late somewhere and would
+// otherwise attract all best-effort runs. `expectedLateJobs`, which decides whether a best-effort
+// task waits, makes no such difference, since the harm is the same in either case.
 double worker_pool::expectedHarm(const worker_view &view, const step_spec &step) const
 {
     double sum = 0;
@@ -318,15 +331,15 @@
 double worker_pool::latenessWeight(const worker_view &view, const std::string &job) const
 {
     constexpr double LateElsewhereWeight =
-            0.3; // what is left to lose of a job that is late elsewhere
+            0.3; // what a job that is late elsewhere still has to lose
     return isLateElsewhere(view, job) ? LateElsewhereWeight : 1;
 }
 
 double worker_pool::interferenceLoad(const worker_view &view, const serving_headroom &run) const
 {
     double load = 0;
-    for (const auto &[bestEffortImage, amount] : view.lastReport.bestEffortDemand)
-        load += m_interferenceEstimator.loadPerCore(run.image, bestEffortImage) * amount;
+    for (const auto &[bestEffortImage, demandCores] : view.lastReport.bestEffortDemand)
+        load += m_interferenceEstimator.loadPerCore(run.image, bestEffortImage) * demandCores;
     return load;
 }
 
@@ -392,11 +405,11 @@
             roomBesideLongRunning += hasRoomBesideLongRunning(view, step) ? 1 : 0;
     }
     if (counts.empty())
-        return "no worker";
+        return "the service has no worker";
     std::string text;
     for (const auto &[reason, count] : counts)
         text += fmt::format("{} {}, ", count, nameOf(reason));
-    return text + fmt::format("{} with room beside what lasts", roomBesideLongRunning);
+    return text + fmt::format("{} with room beside long-running runs", roomBesideLongRunning);
 }
 
 serving_counts worker_pool::countServingRuns(time_point now) const
@@ -447,10 +460,10 @@
                 static_cast<double>(step.size.millicores) / 1000;
     }
     if (step.latencyTargetMs > 0) {
-        const auto room = m_interferenceEstimator.loadAtTarget(step.image)
-                          - m_interferenceEstimator.baseLoad(step.image);
+        const auto estimatedHeadroom = m_interferenceEstimator.loadAtTarget(step.image)
+                                       - m_interferenceEstimator.baseLoad(step.image);
         found->second.lastReport.serving.push_back(
-                {step.image, room, ""}); // its job is in the report
+                {step.image, estimatedHeadroom, ""}); // the next report names its job
     }
 }
 
--- a/libs/jobs/worker_pool.h
+++ b/libs/jobs/worker_pool.h
@@ -1,4 +1,5 @@
-// What an entry believes of the workers, and which of them a task goes to.
+// An entry's view of the workers, built from their agents' reports, and the choice of the worker
+// for a task. "Serving" runs are those with a latency target; best-effort runs interfere with them.
 #pragma once
 
 #include <cstdint>
@@ -19,42 +20,48 @@
 
 struct worker_view
 {
-    worker_report lastReport;  // newest report, without ends; `used` grows with own placements
-    time_point lastReportAt{}; // when the report came
-    std::optional<agent_clock> clock;    // of the agent's present life
-    std::vector<task_size> refusedSizes; // since the report: sizes that its agent had no room for
-    std::set<std::string> lateJobs;      // that have a task here over its target, by the report
-    int consecutiveFailures = 0;         // runs that failed since one was done
-    time_point quarantinedUntil{};       // gets no work before
-    double slowdown = 1;                 // run time against estimate, moving average
+    // Latest report, without its run ends and checkpoints. `used` and the related sums also include
+    // this entry's own placements since then.
+    worker_report lastReport;
+    time_point lastReportAt{};        // when the report arrived
+    std::optional<agent_clock> clock; // of the agent's present incarnation
+    // Sizes that the agent refused since the report for lack of room.
+    std::vector<task_size> refusedSizes;
+    // Jobs with a task that is over its latency target here, by the report.
+    std::set<std::string> lateJobs;
+    int consecutiveFailures = 0;   // failed runs since the last one that was done
+    time_point quarantinedUntil{}; // no task is placed here before
+    double slowdown = 1;           // actual run time over estimated run time, moving average
 };
 
 struct pool_settings
 {
-    // A worker whose agent is silent for longer gets no new work: reports come every second.
+    // A worker whose agent has not reported for this long gets no new tasks. Agents report every
+    // second.
     milliseconds reportTimeout{2500};
-    // An order that comes later starts nothing: its task may be done by now, and the stop that
-    // overtook it be lost. Answers are waited for a little less.
+    // How long a start order is valid. An agent starts nothing by an order that arrives later: the
+    // task may be done by then, and the stop order that was sent after it and arrived before it may
+    // have been lost. The sender's response timeout is a little shorter.
     milliseconds startOrderValidity{700};
-    // A worker that fails this many runs one after the other gets no work for a while: poisoned
-    // tasks are a few per cent, so four in a row by chance are rare.
+    // A worker on which this many runs fail in a row is quarantined for `quarantineTime`. A few per
+    // cent of tasks fail wherever they run, so four failures in a row rarely happen by chance.
     int maxConsecutiveFailures = 4;
     milliseconds quarantineTime{6000};
 };
 
-// Why a worker takes no task of a step now.
+// Why a worker can take no task of a step at present.
 enum class unfit_reason {
-    None,
+    None, // the worker can take the task
     ServiceMismatch,
     NotAccepting,
-    Evacuated, // its zone is
+    Evacuated, // its zone is evacuated
     Silent,
     Quarantined,
     LabelMismatch,
     BestEffortFull,
     WouldCauseLateness,
-    Avoided,        // the caller rules it out
-    RefusedByAgent, // its agent had no room for as much since its last report
+    Avoided,        // the caller excluded it
+    RefusedByAgent, // its agent refused a task of this size or smaller since its last report
     NoProcessors,
     NoMemory,
     NoAccelerators
@@ -63,9 +70,11 @@
 
 struct placement_preferences
 {
-    int waitingTasks = 1;           // tasks of the step that wait, this one included
-    bool avoidsInterference = true; // waits rather than make runs that serve late
-    std::uint64_t tieBreakSeed = 0; // decides between workers that fit about as well; 0: the best
+    int waitingTasks = 1; // waiting tasks of the step, this one included
+    // Rather place nothing than make serving runs exceed their latency targets.
+    bool avoidsInterference = true;
+    // Randomizes the choice between workers of nearly equal score; 0: takes the best one.
+    std::uint64_t tieBreakSeed = 0;
 };
 
 class worker_pool
@@ -73,39 +82,46 @@
 public:
     explicit worker_pool(const pool_settings &settings = {});
 
-    // True when the agent or the worker has begun a new life since the last report.
+    // Takes a report. Returns true when the agent's incarnation or the worker's epoch has changed
+    // since the last report.
     bool update(const worker_report &report, time_point now);
     const worker_view *find(const std::string &worker) const;
-    bool isReporting(const std::string &worker, time_point now) const; // its agent, of late
-    // The deadline of a start order that is given now, on the agent's clock; 0: it tells none.
+    // Its agent's last report is recent.
+    bool isReporting(const std::string &worker, time_point now) const;
+    // Deadline of a start order that is sent now, by the clock of the agent, ms; 0: the agent's
+    // clock is unknown. `agentIncarnation` is the one that the run was placed on.
     std::int64_t startDeadlineFor(const std::string &worker, std::int64_t agentIncarnation,
                                   time_point now) const;
 
-    // Zones in which nothing more is started.
+    // Sets the zones in which no more runs are started.
     void setEvacuatedZones(std::set<std::string> zones) { m_evacuatedZones = std::move(zones); }
 
-    // How a run ended there, and how long it took against its estimate; 0: not known.
+    // Records how a run ended on the worker. `slowdown` is its actual run time over its estimate;
+    // 0: unknown.
     void recordRunEnd(const std::string &worker, end_kind endKind, double slowdown, time_point now);
 
-    // The worker for one task of `step`; none: nobody has room now. `avoid` are workers where this
-    // task may not go.
+    // Chooses the worker for one task of `step`; none: no worker can take it now. `avoid` lists
+    // workers that are excluded.
     std::optional<std::string> chooseWorker(const std::string &service, const step_spec &step,
                                             const std::vector<std::string> &avoid, time_point now,
                                             const placement_preferences &preferences = {}) const;
-    // For the log, where `choose` finds nobody: how many of the service's workers are unfit, and
-    // why; and how many would have room without the runs that end by themselves.
+    // Explains for the log why `chooseWorker` found no worker: the number of workers of the service
+    // for each unfit_reason, and how many of those without room would have it if only long-running
+    // runs were there.
     std::string describeUnfitWorkers(const std::string &service, const step_spec &step,
                                      const std::vector<std::string> &avoid, time_point now,
                                      const placement_preferences &preferences = {}) const;
-    // By job, of workers that are heard of. A job without targets is not told of.
+    // Serving runs by job, from workers that report at present. Jobs without latency targets are
+    // not included.
     serving_counts countServingRuns(time_point now) const;
-    // The part of the service's processors that is in use or reserved, of workers that are heard
-    // of; what fills is not counted. 0 to 1.
+    // Share of the service's processors that is in use or reserved, 0 to 1, over the workers that
+    // report at present. Best-effort runs are not included.
     double usedProcessorShare(const std::string &service, time_point now) const;
-    // Counts a placement until the next report shows it.
+    // Adds a placement to the worker's used resources, until its next report replaces them.
     void reserve(const std::string &worker, const step_spec &step);
-    // The agent refused such a task, which was sent there by the report that came then: until its
-    // next report none as large goes there. A report that has come since knows better.
+    // Records that the agent had no room for a task of this step. Until its next report, no task of
+    // that size or larger is placed there. Ignored when a report has arrived since `reportedAt`,
+    // the arrival of the report that the refused order was based on.
     void recordRefusal(const std::string &worker, const step_spec &step, time_point reportedAt);
 
     interference_estimator &interferenceEstimator() { return m_interferenceEstimator; }
@@ -139,7 +155,7 @@
     service_history m_serviceHistory;
 };
 
-// What of a step's size counts against a worker's capacity.
+// The part of a task's size that is reserved on a worker: best-effort tasks reserve no processors.
 task_size reservedSize(const task_size &size, bool isBestEffort);
 
 } // namespace zinniabarrow::jobs
--- a/tests/job_book_test.cpp
+++ b/tests/job_book_test.cpp
@@ -1,5 +1,5 @@
-// The jobs that an entry owns: steps in order, one run at a time, and what holds when a write, an
-// order, a worker or the entry itself is lost.
+// The controller of the jobs that an entry owns: the order of steps, one run of a task at a time,
+// and what must hold when a write, an order, a worker or the entry itself is lost.
 #include <algorithm>
 #include <utility>
 
@@ -51,7 +51,7 @@
         workers.update(report, now);
     }
 
-    // The last report of a worker once more, with a change.
+    // Applies a worker's last report again with a change.
     template <typename Change>
     void repeatReport(const std::string &worker, Change change)
     {
@@ -66,7 +66,8 @@
             repeatReport(worker, change);
     }
 
-    // Which of two that are alike gets a task is open.
+    // Makes a worker refuse new runs, in tests that must know which of two equal workers gets a
+    // task.
     void stopAccepting(const std::string &worker) { receiveReports(worker, 1, 0, false); }
 
     static job_spec twoSteps()
@@ -94,7 +95,7 @@
         tick();
     }
 
-    // Plans, and takes what is to be done.
+    // Plans, and collects the resulting actions.
     void tick()
     {
         controller.plan(now, wallMs);
@@ -160,7 +161,7 @@
 {
     test_fixture fixture;
     fixture.submitJob();
-    section("acceptance and first placement are one write, and no order goes out before", [&] {
+    section("acceptance and first placement are one write, before which no order is sent", [&] {
         require(fixture.writes.size() == 1);
         check(fixture.writes[0].expectedVersion == 0);
         check(fixture.writes[0].payload == "hold seat 7");
@@ -173,7 +174,7 @@
         require(fixture.orders.size() == 2);
         check(fixture.controller.storedState("j") == job_state::Running);
     });
-    section("the second step is placed with the last end of the first", [&] {
+    section("the second step is placed when the last run of the first has ended", [&] {
         for (const auto &order : std::vector(fixture.orders)) {
             fixture.acceptOrder(order);
             fixture.endRun(order, end_kind::Done);
@@ -183,7 +184,7 @@
         require(fixture.orders.size() == 3);
         check(fixture.orders[2].order.task.step == 1);
     });
-    section("it is shown as completed when its last end is stored, not before", [&] {
+    section("it is shown as completed once its last end is stored, not before", [&] {
         fixture.acceptOrder(fixture.orders[2]);
         fixture.endRun(fixture.orders[2], end_kind::Done);
         check(fixture.controller.storedState("j") == job_state::Running);
@@ -192,17 +193,17 @@
     });
 }
 
-// Guards against a late job of which nobody can tell whether it waited or ran too long.
-Test(job_book, the_course_of_a_late_job_is_told)
+// Guards against late jobs of which nobody can tell whether they waited or ran too long.
+Test(job_book, the_timeline_of_a_late_job_is_logged)
 {
     test_fixture fixture;
     fixture.submitJob();
     fixture.confirmWrite();
-    section("nothing is told of a job that is not completed", [&] {
+    section("nothing is logged for a job that is not completed", [&] {
         fixture.advance(milliseconds(700));
         check(fixture.logDetailOf("job_course").empty());
     });
-    section("then the log has its lateness, what it could spare, and what its steps took", [&] {
+    section("then its lateness, its slack and the time that its steps took are logged", [&] {
         for (std::size_t index = 0; index < 3; ++index) {
             require(fixture.orders.size() > index);
             fixture.acceptOrder(fixture.orders[index]);
@@ -212,14 +213,14 @@
             fixture.confirmWrite();
         }
         check(fixture.logDetailOf("job_course")
-              == "late by 700 ms; first worker after 0 ms with 0 ms to spare, completed 1900 ms "
-                 "later; chain estimated 1200 ms, 0 ms without workers");
+              == "late by 700 ms; first placed after 0 ms with 0 ms of slack, completed 1900 ms "
+                 "later; critical path estimated at 1200 ms, 0 ms with unplaced tasks");
     });
 }
 
-// A caller hands its job in twice, at two entries. The second entry's write fails on the row of the
-// first: it answers that the job is accepted, and starts nothing.
-Test(job_book, handed_in_at_two_entries)
+// A caller submits its job twice, at two entries. The second entry's write conflicts with the row
+// of the first: it answers that the job is accepted, and starts nothing.
+Test(job_book, submitted_at_two_entries)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -233,7 +234,7 @@
     check(fixture.orders.empty());
 }
 
-// The answer to the write is lost, and its repetition finds the row as the first try left it.
+// The answer to a write is lost. When the write is repeated, the row already has its content.
 Test(job_book, lost_answer_to_a_write)
 {
     test_fixture fixture;
@@ -244,8 +245,8 @@
     check(fixture.orders.size() == 2);
 }
 
-// Another entry cancels the job in its row while the owner can't be asked. The owner finds it when
-// its next write fails, keeps the job, and stops what runs.
+// Another entry cancels the job in its row while the owner cannot be reached. The owner finds out
+// when its next write conflicts; it keeps the job and stops its runs.
 Test(job_book, cancelled_by_another_entry)
 {
     test_fixture fixture;
@@ -267,7 +268,7 @@
     check(fixture.orders[0].order.kind == order_kind::Stop);
 }
 
-// A worker's lease ran out. What was placed there has ended for certain and starts elsewhere, with
+// A worker's lease has expired. What was placed on it has certainly ended and starts elsewhere with
 // a higher run number; what was placed in the new epoch stays.
 Test(job_book, worker_lost)
 {
@@ -276,38 +277,38 @@
     fixture.confirmWrite();
     for (const auto &order : std::vector(fixture.orders))
         fixture.acceptOrder(order);
-    const auto lost = fixture.orders[0];
+    const auto lostOrder = fixture.orders[0];
     fixture.orders.clear();
     fixture.now += std::chrono::seconds(20);
-    fixture.receiveReports(lost.worker == "w1" ? "w2" : "w1");
-    fixture.controller.workerRestarted(lost.worker, 2, fixture.now);
+    fixture.receiveReports(lostOrder.worker == "w1" ? "w2" : "w1");
+    fixture.controller.workerRestarted(lostOrder.worker, 2, fixture.now);
     fixture.tick();
     fixture.confirmWrite();
     require(!fixture.orders.empty());
     for (const auto &order : fixture.orders) {
-        check(order.worker != lost.worker || order.order.epoch == 2);
+        check(order.worker != lostOrder.worker || order.order.epoch == 2);
         check(order.order.run == 2);
     }
 }
 
-// Callers see a task run again after it was done. An owner was overtaken and has not heard of it:
-// the new owner placed the task and is gone, so that the agent tells its end to all. The old
-// owner's record has no such run. Acknowledged by it, the end is forgotten for good, and is in no
-// row.
-Test(job_book, an_end_of_a_run_that_another_owner_placed)
+// Guards against running a task again after it is done. Another entry took over the job, which the
+// old owner has not learned yet. The new owner placed the task and died, so the agent reports its
+// end to all entries. The old owner's record has no such run: if it acknowledged the end, the
+// worker would forget it although it is in no row.
+Test(job_book, end_of_a_run_that_another_owner_placed)
 {
     test_fixture fixture;
     fixture.submitJob();
     fixture.confirmWrite();
     const auto first = fixture.orders[0].order.task;
     const task_id second{first.job, first.occurrence, 1, 0};
-    section("is not acknowledged: the run is not known here yet", [&] {
+    section("the end is not acknowledged while the run is unknown here", [&] {
         check(!fixture.controller.runEnded("w2", {3, second, 1, end_kind::Done, ""}, fixture.now,
                                            50));
         fixture.tick();
         check(fixture.confirmedTokens == std::vector<std::int64_t>{1}); // of the acceptance
     });
-    section("one of a run that was told before is, once more", [&] {
+    section("the repeated end of a known run is acknowledged again", [&] {
         fixture.endRun(fixture.orders[0], end_kind::Done, 51);
         fixture.confirmWrite();
         fixture.endRun(fixture.orders[0], end_kind::Done, 52);
@@ -315,11 +316,12 @@
     });
 }
 
-// A worker that leaves as planned, or whose agent takes its lease anew, begins an epoch although
-// nothing of before has lapsed: an end that comes in after it is the only one that will ever come.
-Test(job_book, an_end_of_a_run_of_an_epoch_before)
+// Guards against losing the end of a run. A worker that leaves as planned, or whose agent acquires
+// its lease again, begins a new epoch although none of its runs has expired. An end that is
+// reported after that is reported only once.
+Test(job_book, end_of_a_run_of_an_earlier_epoch)
 {
-    section("done before its task is placed anew: the task is over", [] {
+    section("done before its task is placed again: the task is done", [] {
         test_fixture fixture;
         fixture.submitJob();
         fixture.confirmWrite();
@@ -334,7 +336,7 @@
         check(fixture.confirmedTokens == (std::vector<std::int64_t>{1, 50}));
         check(fixture.countStarts(order.order.task) == 1);
     });
-    section("done after its task was placed anew: the newer run is stopped", [] {
+    section("done after its task was placed again: the newer run is stopped", [] {
         test_fixture fixture;
         fixture.submitJob();
         fixture.confirmWrite();
@@ -347,7 +349,7 @@
         require(fixture.countStarts(order.order.task) == 2);
         fixture.endRun(order, end_kind::Done, 50);
         check(fixture.confirmedTokens
-              == std::vector<std::int64_t>{1}); // not before it is in the row
+              == std::vector<std::int64_t>{1}); // not before the end is in the row
         fixture.confirmWrite();
         fixture.confirmWrite();
         check(fixture.controller.record("j")->find(order.order.task)->done);
@@ -357,7 +359,7 @@
         check(fixture.orders.back().order.task == order.order.task);
         check(fixture.orders.back().order.run == 2);
     });
-    section("failed: the attempt counts, once, also with the owner that comes next", [] {
+    section("failed: the attempt counts once, also at later owners", [] {
         test_fixture fixture;
         fixture.submitJob();
         fixture.confirmWrite();
@@ -367,14 +369,14 @@
         fixture.controller.workerRestarted(order.worker, 2, fixture.now);
         fixture.tick();
         fixture.confirmWrite();
-        const auto before = *fixture.controller.record("j");
+        const auto recordBefore = *fixture.controller.record("j");
         fixture.endRun(order, end_kind::Failed, 50);
         fixture.endRun(order, end_kind::Failed, 51);
         fixture.confirmWrite();
         check(fixture.controller.record("j")->find(task)->failures == 1);
         check(fixture.confirmedTokens == (std::vector<std::int64_t>{1, 50, 51}));
         test_fixture newOwner;
-        newOwner.controller.adopt("j", recordFrom(toText(before)), 7, "hold seat 7");
+        newOwner.controller.adopt("j", recordFrom(toText(recordBefore)), 7, "hold seat 7");
         newOwner.endRun(order, end_kind::Failed, 60);
         check(newOwner.controller.record("j")->find(task)->failures == 1);
         newOwner.endRun(order, end_kind::Failed, 61);
@@ -385,7 +387,7 @@
         last.endRun(order, end_kind::Failed, 70);
         check(last.controller.record("j")->find(task)->failures == 1);
     });
-    section("of a gang, by one member: the whole gang is over", [] {
+    section("done, of one member of a gang: the whole gang is done", [] {
         test_fixture fixture;
         auto spec = test_fixture::twoSteps();
         spec.steps[0].isGang = true;
@@ -398,7 +400,7 @@
         fixture.endRun(order, end_kind::Done, 50);
         check(fixture.controller.record("j")->isStepDone(0, 0));
     });
-    section("of a task that lasts, done means that it has to run again", [] {
+    section("done, of a long-running task: it has to run again", [] {
         test_fixture fixture;
         auto spec = test_fixture::twoSteps();
         spec.steps.pop_back();
@@ -416,11 +418,11 @@
     });
 }
 
-// A task starts seconds after it was done. A newer run of it was accepted by an agent; the stop of
-// it was known to the memory of one owner, which dies.
+// Guards against starting a task seconds after it was done: an agent has accepted a newer run of
+// it, and only the memory of the owner, which dies, knows that this run is to be stopped.
 Test(job_book, a_newer_run_of_a_task_that_is_done)
 {
-    // Run 1 is over with its epoch, run 2 is accepted; then run 1 turns out to be done.
+    // Run 1 ends with its epoch and run 2 is accepted; then run 1 turns out to be done.
     const auto finishWithNewerRun = [](test_fixture &fixture, const job_spec &spec) {
         fixture.submitJob(spec);
         fixture.confirmWrite();
@@ -447,7 +449,7 @@
                    && item.order.run == run.order.run && item.worker == run.worker;
         });
     };
-    section("stays in the row, and an heir stops it and starts nothing", [&] {
+    section("it stays in the row, and a new owner stops it and starts nothing", [&] {
         test_fixture fixture;
         const auto newerOrder = finishWithNewerRun(fixture, test_fixture::twoSteps());
         const auto row = recordFrom(fixture.writes.back().content);
@@ -459,7 +461,7 @@
         check(countStops(newOwner, newerOrder) == 1);
         check(newOwner.countStarts(newerOrder.order.task) == 0);
     });
-    section("also of a job that is completed: it still needs an owner", [&] {
+    section("so it does when its job is completed, which still needs an owner", [&] {
         test_fixture fixture;
         const auto newerOrder = finishWithNewerRun(fixture, singleTaskSpec);
         check(fixture.controller.storedState("j") == job_state::Completed);
@@ -480,7 +482,7 @@
             check(newOwner.confirmedTokens == std::vector<std::int64_t>{60});
         });
     });
-    section("until it was refused, or its worker has begun an epoch", [&] {
+    section("until it was refused, or its worker has a new epoch", [&] {
         test_fixture fixture;
         const auto newerOrder = finishWithNewerRun(fixture, singleTaskSpec);
         fixture.controller.orderAnswered(
@@ -490,12 +492,12 @@
         fixture.tick();
         check(!recordFrom(fixture.writes.back().content).needsOwner());
         test_fixture other;
-        const auto lost = finishWithNewerRun(other, singleTaskSpec);
-        other.controller.workerRestarted(lost.worker, 3, other.now);
+        const auto otherNewerOrder = finishWithNewerRun(other, singleTaskSpec);
+        other.controller.workerRestarted(otherNewerOrder.worker, 3, other.now);
         other.tick();
         check(!recordFrom(other.writes.back().content).needsOwner());
     });
-    section("is given its stop again by an owner whose agent lives anew", [&] {
+    section("its stop is sent again when the agent has restarted", [&] {
         test_fixture fixture;
         const auto newerOrder = finishWithNewerRun(fixture, singleTaskSpec);
         fixture.orders.clear();
@@ -504,22 +506,23 @@
         check(countStops(fixture, newerOrder) == 1);
         check(fixture.countStarts(newerOrder.order.task) == 0);
     });
-    section("the row tells the release before no more than that the task is done", [&] {
+    section("to the previous release, the row says only that the task is done", [&] {
         test_fixture fixture;
         finishWithNewerRun(fixture, singleTaskSpec);
         check(fixture.writes.back().content.find(R"("t":[[[1]]])") != std::string::npos);
     });
 }
 
-// A task runs twice at once: an order to an agent that has been replaced meanwhile.
-Test(job_book, a_start_names_the_life_of_the_agent_it_was_placed_on)
+// Guards against running a task twice at the same time, by an order that reaches an agent which has
+// been restarted since.
+Test(job_book, a_start_names_the_agent_incarnation_it_was_placed_on)
 {
     test_fixture fixture;
     fixture.repeatAllReports([](auto &report) { report.agentIncarnation = 7; });
     fixture.submitJob();
     fixture.confirmWrite();
     check(fixture.orders[0].order.agentIncarnation == 7);
-    section("also when it is given again to the next life", [&] {
+    section("also when it is sent again to the next incarnation", [&] {
         const auto &worker = fixture.orders[0].worker;
         fixture.repeatReport(worker, [](auto &report) { report.agentIncarnation = 8; });
         fixture.orders.clear();
@@ -528,7 +531,7 @@
         require(!fixture.orders.empty());
         check(fixture.orders[0].order.agentIncarnation == 7);
     });
-    section("also by an heir", [&] {
+    section("also when a new owner sends it", [&] {
         test_fixture newOwner;
         newOwner.controller.adopt("j", recordFrom(fixture.writes.back().content), 102,
                                   "hold seat 7");
@@ -543,8 +546,9 @@
     });
 }
 
-// A task that is done runs again: its start was held up, and the stop that overtook it was lost.
-Test(job_book, a_start_says_until_when_it_holds)
+// Guards against running a task again after it is done: its start order was delayed, and the stop
+// order that overtook it was lost.
+Test(job_book, a_start_has_a_deadline)
 {
     test_fixture fixture;
     fixture.repeatAllReports([](auto &report) { report.clockMs = 5000; });
@@ -561,11 +565,11 @@
         auto report = fixture.workers.find("w1")->lastReport;
         check(reportFrom(toText(report)).clockMs == 5000);
     });
-    section("and so do answers", [] {
+    section("the answer of an agent that it was too late, too", [] {
         const order_answer answer{{"j", 0, 0, 0}, 1, order_outcome::DeadlineExceeded};
         check(orderAnswersFrom(toText({answer}))[0].outcome == order_outcome::DeadlineExceeded);
     });
-    section("overdue, the same run is ordered again and holds for longer", [&] {
+    section("when it was too late, the same run is ordered again with a later deadline", [&] {
         fixture.orders.clear();
         fixture.controller.orderAnswered(first.worker,
                                          {first.order.task, 1, order_outcome::DeadlineExceeded},
@@ -579,7 +583,8 @@
     });
 }
 
-// A worker that turns starts away has the most room of all: what it did not start goes elsewhere.
+// Guards against placing a task on the same worker again and again: a worker that refuses starts
+// has the most room of all. A run that it did not start goes elsewhere.
 Test(job_book, a_run_that_never_started_goes_elsewhere)
 {
     test_fixture fixture;
@@ -596,9 +601,9 @@
     check(fixture.controller.record("j")->find(first.order.task)->failures == 0);
 }
 
-// The others wait for the one that is missing until their worker ends them, and their room with
-// them.
-Test(job_book, a_gang_of_which_a_member_never_starts)
+// Guards against a gang that waits for a missing member, and occupies its workers, until these end
+// its runs.
+Test(job_book, a_gang_with_a_member_that_never_starts)
 {
     auto gangSpec = test_fixture::twoSteps();
     gangSpec.steps.pop_back();
@@ -608,7 +613,7 @@
             return item.order.kind == order_kind::Stop && item.order.task == task;
         });
     };
-    section("given up by its agent: the others are stopped, and it goes elsewhere", [&] {
+    section("never started by its agent: the others are stopped, and it goes elsewhere", [&] {
         test_fixture fixture;
         fixture.submitJob(gangSpec);
         fixture.confirmWrite();
@@ -631,7 +636,7 @@
                 });
         check(newOrder->worker != first.worker);
     });
-    section("refused: the same", [&] {
+    section("refused by its agent: the others are stopped, too", [&] {
         test_fixture fixture;
         fixture.submitJob(gangSpec);
         fixture.confirmWrite();
@@ -646,8 +651,9 @@
     });
 }
 
-// A gang that misses a member is being stopped, and an agent's new life would start one again.
-Test(job_book, an_order_to_stop_goes_to_the_next_life_alone)
+// Guards against restarting the runs of an incomplete gang: they are being stopped when their agent
+// restarts.
+Test(job_book, only_the_stop_is_sent_to_the_next_incarnation)
 {
     auto gangSpec = test_fixture::twoSteps();
     gangSpec.steps.pop_back();
@@ -670,8 +676,9 @@
     check(fixture.orders[0].order.kind == order_kind::Stop);
 }
 
-// Work that was saved is done again: a report that was held up tells what an earlier run had saved.
-Test(job_book, progress_of_an_earlier_run)
+// Guards against repeating work that was saved: a delayed report names the checkpoint of an earlier
+// run.
+Test(job_book, checkpoint_of_an_earlier_run)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -690,45 +697,46 @@
                 return item.order.task == first.order.task && item.order.run == 2;
             });
     require(newOrder != fixture.orders.end());
-    section("what the run that is placed has saved counts", [&] {
+    section("the checkpoint of the placed run counts", [&] {
         fixture.controller.checkpointReported(newOrder->worker, {first.order.task, 2, "more"});
         check(checkpoint() == "more");
     });
-    section("what one before had saved does not", [&] {
+    section("the checkpoint of an earlier run does not", [&] {
         fixture.controller.checkpointReported(first.worker, {first.order.task, 1, "half"});
         check(checkpoint() == "more");
     });
 }
 
-// An owner that was frozen looks at the leases of workers that it has not heard of, before it reads
-// that its jobs are another entry's: orders that it gave then took their runs from the owner.
-Test(job_book, a_lease_that_is_looked_at_gives_no_order_again)
+// Guards against an owner that was suspended and takes runs from the new owner. It checks the
+// leases of workers that it has not heard from before it learns that another entry owns its jobs,
+// and must send no orders then.
+Test(job_book, checking_a_lease_resends_no_orders)
 {
     test_fixture fixture;
     fixture.submitJob();
     fixture.confirmWrite();
-    const auto given = fixture.orders;
-    for (const auto &order : given)
+    const auto sentOrders = fixture.orders;
+    for (const auto &order : sentOrders)
         fixture.acceptOrder(order);
     fixture.orders.clear();
     fixture.controller.epochSeen("w1", 1);
     fixture.controller.epochSeen("w2", 1);
     fixture.tick();
     check(fixture.orders.empty());
-    section("a later epoch ends what was placed before it", [&] {
-        const auto lost = given[0].worker;
-        fixture.controller.epochSeen(lost, 2);
+    section("a later epoch ends earlier placements", [&] {
+        const auto restartedWorker = sentOrders[0].worker;
+        fixture.controller.epochSeen(restartedWorker, 2);
         fixture.tick();
-        for (const auto &order : given) {
-            const int newest = order.worker == lost ? 2 : 1;
+        for (const auto &order : sentOrders) {
+            const int newest = order.worker == restartedWorker ? 2 : 1;
             check(fixture.controller.record("j")->find(order.order.task)->lastRun == newest);
         }
     });
 }
 
-// Its agent tells the end again when the acknowledgement was lost: refused for good, it and all
-// later ends of that worker would never be forgotten.
-Test(job_book, an_end_told_again_to_the_next_owner)
+// An agent reports an end again when the acknowledgement was lost. If the new owner refused it for
+// good, this end and all later ones of that worker would never be forgotten.
+Test(job_book, an_end_reported_again_to_the_next_owner)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -749,39 +757,41 @@
                                        newOwner.now, 60));
 }
 
-// Callers count the jobs that wait by the rows of all owners. What an agent said of a start was
-// known to the owner alone.
-Test(job_book, that_a_job_has_begun_is_in_its_row)
+// Guards against jobs that count as waiting although they run: callers count waiting jobs by the
+// rows of all owners, but only the owner knows from the agent that a run has started.
+Test(job_book, the_row_says_that_a_job_has_started)
 {
     test_fixture fixture;
     fixture.submitJob();
     fixture.confirmWrite();
     const auto order = fixture.orders[0];
-    const auto begunInRow = [&] { return recordFrom(fixture.writes.back().content).hasStarted; };
-    section("not by an order, nor by its acceptance", [&] {
+    const auto hasStartedInRow = [&] {
+        return recordFrom(fixture.writes.back().content).hasStarted;
+    };
+    section("not set by an order, nor by its acceptance", [&] {
         check(order.order.wantsStartReport);
         fixture.acceptOrder(order);
         fixture.now += milliseconds(5000);
         fixture.tick();
-        check(!begunInRow());
+        check(!hasStartedInRow());
     });
-    section("by the word of a worker, with the next write or soon by itself", [&] {
+    section("set by the report of a start, with the next write or soon by a write of its own", [&] {
         fixture.controller.runStarted({order.order.task, 1}, fixture.now);
         fixture.tick();
         check(fixture.writes.size() == 1);
         fixture.now += milliseconds(801);
         fixture.tick();
         require(fixture.writes.size() == 2);
-        check(begunInRow());
+        check(hasStartedInRow());
         fixture.confirmWrite();
     });
-    section("once", [&] {
+    section("written only once", [&] {
         fixture.controller.runStarted({order.order.task, 1}, fixture.now);
         fixture.now += milliseconds(801);
         fixture.tick();
         check(fixture.writes.size() == 2);
     });
-    section("by an end, but for one of a run that never started", [] {
+    section("set by an end, except that of a run that never started", [] {
         test_fixture other;
         other.submitJob();
         other.confirmWrite();
@@ -791,7 +801,7 @@
         other.endRun(other.orders[1], end_kind::Stopped);
         check(recordFrom(other.writes.back().content).hasStarted);
     });
-    section("an owner that takes it over asks for no more", [&] {
+    section("a new owner asks for no more reports of starts", [&] {
         test_fixture newOwner;
         newOwner.controller.adopt("j", recordFrom(fixture.writes.back().content), 7, "hold seat 7");
         newOwner.tick();
@@ -801,7 +811,7 @@
     });
 }
 
-Test(job_book, an_order_without_an_answer_is_given_again)
+Test(job_book, an_unanswered_order_is_sent_again)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -815,60 +825,61 @@
     fixture.now += milliseconds(301);
     fixture.tick();
     require(fixture.orders.size() == 1);
-    check(fixture.orders[0].order.run == first.order.run); // the same run: it is one start
+    check(fixture.orders[0].order.run == first.order.run); // the same run, so it starts only once
     check(fixture.orders[0].worker == first.worker);
 }
 
-// A task stands still while another worker has room: the agent that it was placed on puts its start
-// off for seconds, since it knows of runs that nobody claims.
-// Known to fail, in KNOWN-RED.txt.
+// Guards against a task that is stalled while another worker has room: the agent that it was placed
+// on postpones its start for seconds, because it knows of runs that nobody has claimed. Known to
+// fail, in KNOWN-RED.txt.
 Test(job_book, a_start_that_is_put_off_goes_elsewhere, .disabled = true)
 {
-    auto alone = test_fixture::twoSteps();
-    alone.steps.pop_back();
-    alone.steps[0].count = 1;
-    const auto answerOrder = [](test_fixture &fixture, const send_order &given,
+    auto oneTaskSpec = test_fixture::twoSteps();
+    oneTaskSpec.steps.pop_back();
+    oneTaskSpec.steps[0].count = 1;
+    const auto answerOrder = [](test_fixture &fixture, const send_order &sentOrder,
                                 order_outcome outcome) {
-        const auto &order = given.order;
-        fixture.controller.orderAnswered(given.worker, {order.task, order.run, outcome, order.kind},
-                                         fixture.now, 0);
+        const auto &order = sentOrder.order;
+        fixture.controller.orderAnswered(
+                sentOrder.worker, {order.task, order.run, outcome, order.kind}, fixture.now, 0);
         fixture.tick();
     };
-    const auto answerNotReadyFor = [&](test_fixture &fixture, milliseconds span) {
-        for (const auto until = fixture.now + span; fixture.now < until;) {
+    const auto answerNotReadyFor = [&](test_fixture &fixture, milliseconds waitTime) {
+        for (const auto until = fixture.now + waitTime; fixture.now < until;) {
             answerOrder(fixture, fixture.orders.back(), order_outcome::NotReady);
             fixture.now += milliseconds(400);
             fixture.tick();
         }
     };
-    section("it is given again for a while", [&] {
+    section("it is sent again for a while", [&] {
         test_fixture fixture;
-        fixture.submitJob(alone);
+        fixture.submitJob(oneTaskSpec);
         fixture.confirmWrite();
         answerNotReadyFor(fixture, milliseconds(1600));
         check(fixture.orders.size() > 2);
         check(fixture.countStarts(fixture.orders[0].order.task) == fixture.orders.size());
     });
-    section("then it is stopped there, and once it never starts, starts elsewhere", [&] {
-        test_fixture fixture;
-        fixture.submitJob(alone);
-        fixture.confirmWrite();
-        const auto first = fixture.orders[0];
-        answerNotReadyFor(fixture, milliseconds(2800));
-        require(fixture.orders.back().order.kind == order_kind::Stop);
-        check(fixture.orders.back().worker == first.worker);
-        fixture.orders.erase(fixture.orders.begin(), fixture.orders.end() - 1);
-        check(fixture.countStarts(first.order.task) == 0);
-        for (const char *name : {"w1", "w2"})
-            fixture.receiveReports(name);
-        answerOrder(fixture, fixture.orders.back(), order_outcome::Superseded);
-        fixture.confirmWrite();
-        require(fixture.countStarts(first.order.task) == 1);
-        check(fixture.orders.back().worker != first.worker);
-        check(fixture.orders.back().order.run == 2);
-    });
-    section("a gang goes with all of its members", [&] {
-        auto gangSpec = alone;
+    section("then it is stopped there, and starts elsewhere once it is certain not to start there",
+            [&] {
+                test_fixture fixture;
+                fixture.submitJob(oneTaskSpec);
+                fixture.confirmWrite();
+                const auto first = fixture.orders[0];
+                answerNotReadyFor(fixture, milliseconds(2800));
+                require(fixture.orders.back().order.kind == order_kind::Stop);
+                check(fixture.orders.back().worker == first.worker);
+                fixture.orders.erase(fixture.orders.begin(), fixture.orders.end() - 1);
+                check(fixture.countStarts(first.order.task) == 0);
+                for (const char *name : {"w1", "w2"})
+                    fixture.receiveReports(name);
+                answerOrder(fixture, fixture.orders.back(), order_outcome::Superseded);
+                fixture.confirmWrite();
+                require(fixture.countStarts(first.order.task) == 1);
+                check(fixture.orders.back().worker != first.worker);
+                check(fixture.orders.back().order.run == 2);
+            });
+    section("a gang goes elsewhere with all of its members", [&] {
+        auto gangSpec = oneTaskSpec;
         gangSpec.steps[0].count = 2;
         gangSpec.steps[0].isGang = true;
         test_fixture fixture;
@@ -889,7 +900,7 @@
 
 Test(job_book, failures)
 {
-    section("a task that fails too often fails its job, and the others stop", [] {
+    section("a task that fails too often fails its job, and the other tasks are stopped", [] {
         test_fixture fixture;
         fixture.submitJob();
         fixture.confirmWrite();
@@ -909,7 +920,7 @@
         check(fixture.orders[3].order.kind == order_kind::Stop);
         check(fixture.orders[3].order.task != task);
     });
-    section("a task that lasts is started again however it ends", [] {
+    section("a long-running task is started again however it ends", [] {
         test_fixture fixture;
         auto spec = test_fixture::twoSteps();
         spec.steps.resize(1);
@@ -927,7 +938,7 @@
     });
 }
 
-Test(job_book, at_most_so_many_on_one_worker)
+Test(job_book, limit_of_tasks_on_one_worker)
 {
     test_fixture fixture;
     auto spec = test_fixture::twoSteps();
@@ -967,27 +978,27 @@
     const auto row = recordFrom(fixture.writes[0].content);
     check(row.owner == Self);
     check(toText(row) == fixture.writes[0].content);
-    section("a record of another version is refused", [] {
+    section("a record of another version, or malformed, is refused", [] {
         cr_expect_throw(recordFrom(R"({"v":2})"), error);
         cr_expect_throw(recordFrom("not JSON"), error);
         cr_expect_throw(recordFrom(R"({"v":1,"o":[]})"), error);
     });
-    section("an entry that takes over gives the same orders again", [&] {
+    section("an entry that takes over sends the same orders again", [&] {
         test_fixture newOwner;
         newOwner.controller.adopt("j", row, 101, "hold seat 7");
         newOwner.tick();
         require(newOwner.writes.size() == 1);
         check(newOwner.writes[0].expectedVersion == 101);
-        check(newOwner.orders.empty()); // not before the job is its own
+        check(newOwner.orders.empty()); // not before the new owner has stored its ownership
         newOwner.confirmWrite();
         check(newOwner.orders.size() == 2);
         check(newOwner.orders[0].order.run == 1);
     });
 }
 
-// A caller cancels its job, and the owner dies right after the cancel was stored, before it told
-// the workers. The job is over, and its runs go on: it still needs an owner, and the heir stops
-// them.
+// Guards against runs that continue after a cancel. The owner dies right after it stored the
+// cancel, before it told the workers. The job is finished, but still needs an owner; the new one
+// stops its runs.
 Test(job_book, owner_dies_right_after_a_cancel)
 {
     test_fixture fixture;
@@ -1013,7 +1024,7 @@
     });
 }
 
-Test(job_book, bad_jobs_are_refused_with_the_reason)
+Test(job_book, invalid_jobs_are_refused)
 {
     auto spec = test_fixture::twoSteps();
     spec.steps[0].after = {1};
@@ -1027,11 +1038,12 @@
 
 namespace {
 
-// Both workers serve an image near its target; `press` presses on it.
+// Makes both workers run a serving image close to its target, with which the image `press`
+// interferes.
 void loadWorkers(test_fixture &fixture, std::int64_t usedMillicores)
 {
-    for (int turn = 0; turn < 200; ++turn) {
-        const double cores = turn % 2 == 0 ? 0.0 : 4.0;
+    for (int sampleNumber = 0; sampleNumber < 200; ++sampleNumber) {
+        const double cores = sampleNumber % 2 == 0 ? 0.0 : 4.0;
         const auto tail = static_cast<std::int64_t>(25 / (1 - 0.4 - 0.06 * cores));
         fixture.workers.interferenceEstimator().learn({"site", tail, 150, {{"press", cores}}});
     }
@@ -1070,12 +1082,13 @@
 
 } // namespace
 
-// A batch job waits while every worker would make users of a service late, since it has time and
-// they have none; but not for good: where most of the service is free its caller takes a job of
-// which nothing runs for 3 s for lost, and where it is full it is still done in the end.
-Test(job_book, what_fills_waits_for_a_worker_where_it_harms_nobody)
+// A batch job waits while it would make users of a service late on every worker, since it has time
+// and they have none. But it does not wait forever. Where most of the service is idle, its caller
+// considers a job lost when nothing of it runs for 3 s; where the service is full, the job is still
+// completed in the end.
+Test(job_book, best_effort_tasks_wait_for_a_harmless_placement)
 {
-    section("most of the service is free", [] {
+    section("most of the service is idle", [] {
         test_fixture fixture;
         loadWorkers(fixture, 4000);
         fixture.submitJob(bestEffortJob());
@@ -1092,11 +1105,12 @@
     });
 }
 
-// Users of a service meet one worker's trouble and not all of them at once: a task that has served
-// for a while and fails goes back to where its twins are; one that fails at once goes elsewhere.
-Test(job_book, a_lasting_task_that_fails_goes_back)
+// A task that has served for a while and fails goes back to the worker where the other tasks of its
+// job are, so that users of the service depend on one worker and not on many. One that fails at
+// once goes elsewhere.
+Test(job_book, a_long_running_task_that_fails_goes_back)
 {
-    const auto returnsAfter = [](milliseconds served) {
+    const auto returnsAfter = [](milliseconds servingTime) {
         test_fixture fixture;
         job_spec spec;
         step_spec step;
@@ -1112,7 +1126,7 @@
         check(fixture.orders[0].worker == fixture.orders[1].worker);
         for (const auto &order : std::vector<send_order>(fixture.orders))
             fixture.acceptOrder(order);
-        fixture.now += served;
+        fixture.now += servingTime;
         for (const char *name : {"w1", "w2"})
             fixture.receiveReports(name);
         const auto first = fixture.orders[0];
@@ -1125,30 +1139,30 @@
     check(!returnsAfter(milliseconds(1000)));
 }
 
-// A job on its way to the entry that places it arrives as it was handed in.
-Test(job_book, a_job_handed_over)
+// A job that is forwarded to the entry that will own it arrives as it was submitted.
+Test(job_book, a_forwarded_job)
 {
     const auto spec = test_fixture::twoSteps();
     queue_policy policy;
     policy.queue = "holds";
     policy.service = "tickets";
     policy.stretch = 1.5;
-    const auto arrived =
+    const auto receivedJob =
             forwardedJobFrom(toText(forwarded_job{newRecord(spec, policy, 1000), spec.payload}));
-    const auto there = specOf(arrived);
-    check(there.payload == spec.payload);
-    check(there.steps.size() == 2 && there.steps[1].after == spec.steps[1].after);
-    check(arrived.record.policy.stretch == 1.5);
-    check(arrived.record.acceptedAtMs == 1000);
+    const auto receivedSpec = specOf(receivedJob);
+    check(receivedSpec.payload == spec.payload);
+    check(receivedSpec.steps.size() == 2 && receivedSpec.steps[1].after == spec.steps[1].after);
+    check(receivedJob.record.policy.stretch == 1.5);
+    check(receivedJob.record.acceptedAtMs == 1000);
     cr_expect_throw(forwardedJobFrom("{}"), error);
     cr_expect_throw(forwardedJobFrom("nothing"), error);
 }
 
-// A task that lasts stands still for good. Its owner is frozen before it reads the answer
-// to its order; another entry takes the job over and gives the order, too. Awake again, the owner
-// before repeats the order, and only then reads that the job is another one's. The agent takes it
-// for the owner, and tells it alone how the run ended.
-Test(job_book, an_owner_that_was_frozen_orders_again)
+// Guards against a long-running task that is stalled forever. Its owner is suspended before it
+// reads the answer to its order. Another entry takes over the job and sends the order, too. When
+// the old owner resumes, it repeats the order, and only then learns that it lost the job. The agent
+// now takes the old owner for the owner, and reports the end of the run to it alone.
+Test(job_book, a_suspended_owner_repeats_its_order)
 {
     run_table agent;
     agent.setWorker({16'000, 64'000, 0}, start_readiness::Ready);
@@ -1169,7 +1183,7 @@
     newOwnerController.adopt("j", recordFrom(oldOwner.writes[0].content), oldOwner.version,
                              spec.payload);
     newOwnerController.plan(newOwner.now, 1000);
-    const auto adopted = std::get<write_row>(newOwnerController.takeActions().back());
+    const auto takeoverWrite = std::get<write_row>(newOwnerController.takeActions().back());
     newOwnerController.rowWritten("j", oldOwner.version + 1);
     newOwnerController.plan(newOwner.now, 1000);
     const auto newOrder = std::get<send_order>(newOwnerController.takeActions().back());
@@ -1177,45 +1191,46 @@
                                      agent.handleOrder(newOrder.order, Other.entry, newOwner.now),
                                      newOwner.now, 0);
 
-    section("the owner before gives its order once more, and reads the row after that", [&] {
+    section("the old owner repeats its order, and learns of the new owner only after that", [&] {
         oldOwner.controller.orderUnanswered(order.worker, order.order.task, 1, oldOwner.now);
         oldOwner.now += milliseconds(301);
         oldOwner.tick();
         require(oldOwner.orders.size() == 2);
         check(agent.handleOrder(oldOwner.orders[1].order, Self.entry, oldOwner.now).outcome
               == order_outcome::Accepted);
-        oldOwner.controller.rowChanged("j", recordFrom(adopted.content), oldOwner.version + 1);
+        oldOwner.controller.rowChanged("j", recordFrom(takeoverWrite.content),
+                                       oldOwner.version + 1);
         check(!oldOwner.controller.owns("j"));
     });
-    section("the run fails, and the owner before takes no note of it", [&] {
-        run_listing seen;
-        seen.clockMs = 1000;
-        seen.ended = {{1, order.order.task, 1, end_kind::Failed, ""}};
-        agent.applyListing(seen, oldOwner.now);
-        const auto told = agent.endsFor(Self.entry);
-        require(told.size() == 1);
-        check(!oldOwner.controller.runEnded(order.worker, told[0], oldOwner.now, 50));
-        check(agent.noteNotOwned({told[0].task, 1, told[0].endKind}, Self.entry));
+    section("the run fails, and the old owner does not acknowledge its end", [&] {
+        run_listing listing;
+        listing.clockMs = 1000;
+        listing.ended = {{1, order.order.task, 1, end_kind::Failed, ""}};
+        agent.applyListing(listing, oldOwner.now);
+        const auto reportedEnds = agent.endsFor(Self.entry);
+        require(reportedEnds.size() == 1);
+        check(!oldOwner.controller.runEnded(order.worker, reportedEnds[0], oldOwner.now, 50));
+        check(agent.noteNotOwned({reportedEnds[0].task, 1, reportedEnds[0].endKind}, Self.entry));
     });
-    section("the owner hears of it with the next report, and the task runs again", [&] {
-        const auto told = agent.endsFor(Other.entry);
-        require(told.size() == 1);
-        check(newOwnerController.runEnded(order.worker, told[0], newOwner.now, 51));
+    section("the new owner learns of it by the next report, and the task runs again", [&] {
+        const auto reportedEnds = agent.endsFor(Other.entry);
+        require(reportedEnds.size() == 1);
+        check(newOwnerController.runEnded(order.worker, reportedEnds[0], newOwner.now, 51));
         newOwnerController.plan(newOwner.now, 1000);
         newOwnerController.takeActions();
         newOwnerController.rowWritten("j", oldOwner.version + 2);
         newOwnerController.plan(newOwner.now, 1000);
         const auto actions = newOwnerController.takeActions();
         check(std::any_of(actions.begin(), actions.end(), [](const auto &action) {
-            const auto *given = std::get_if<send_order>(&action);
-            return given != nullptr && given->order.run == 2;
+            const auto *nextOrder = std::get_if<send_order>(&action);
+            return nextOrder != nullptr && nextOrder->order.run == 2;
         }));
     });
 }
 
 namespace {
 
-// A job with one task that lasts and has a target, beside a worker that reports each second.
+// A job of one long-running task with a latency target, on a worker that reports every second.
 struct stall_fixture : test_fixture
 {
     bool isReporting = true;
@@ -1233,28 +1248,28 @@
         spec.steps[0].image = "keeper";
         spec.steps[0].latencyTargetMs = 50;
         stopAccepting("w2");
-        report();
+        sendReport();
         submitJob(spec);
     }
 
-    void report()
+    void sendReport()
     {
-        worker_report told;
-        told.worker = "w1";
-        told.epoch = epoch;
-        told.service = "tickets";
-        told.isAccepting = true;
-        told.capacity = {hasRoom ? 16'000 : 100, 64'000, 0};
-        told.serving.assign(static_cast<std::size_t>(runningTasks), {"keeper", 1, "j"});
-        workers.update(told, now);
+        worker_report workerReport;
+        workerReport.worker = "w1";
+        workerReport.epoch = epoch;
+        workerReport.service = "tickets";
+        workerReport.isAccepting = true;
+        workerReport.capacity = {hasRoom ? 16'000 : 100, 64'000, 0};
+        workerReport.serving.assign(static_cast<std::size_t>(runningTasks), {"keeper", 1, "j"});
+        workers.update(workerReport, now);
     }
 
-    void advance(seconds span)
+    void advance(seconds waitTime)
     {
-        for (seconds spent{}; spent < span; spent += seconds(1)) {
+        for (seconds elapsed{}; elapsed < waitTime; elapsed += seconds(1)) {
             now += seconds(1);
             if (isReporting)
-                report();
+                sendReport();
             tick();
             answerSentOrders();
         }
@@ -1262,8 +1277,8 @@
 
     void answerSentOrders()
     {
-        const auto given = std::exchange(orders, {});
-        for (const auto &order : given) {
+        const auto unansweredOrders = std::exchange(orders, {});
+        for (const auto &order : unansweredOrders) {
             if (isAnswering)
                 acceptOrder(order);
             else
@@ -1279,28 +1294,28 @@
 
     std::vector<std::string> takeStallLines()
     {
-        std::vector<std::string> told;
+        std::vector<std::string> stallLines;
         for (const auto &line : std::exchange(logEvents, {})) {
             if (line.event == "task_stands_still")
-                told.push_back(line.detail);
+                stallLines.push_back(line.detail);
         }
-        return told;
+        return stallLines;
     }
 };
 
 } // namespace
 
-// A task that is placed and does not run was in no line of its owner.
-Test(job_book, tasks_that_stand_still_are_told)
+// Guards against a stalled task that its owner does not log: one that is placed but does not run.
+Test(job_book, stalled_tasks_are_logged)
 {
-    section("not one that its worker shows at work", [] {
+    section("not logged: a task that its worker reports as running", [] {
         stall_fixture fixture;
         fixture.storeAndStart();
         fixture.runningTasks = 1;
         fixture.advance(seconds(20));
         check(fixture.takeStallLines().empty());
     });
-    section("accepted, and its worker shows no run of the job", [] {
+    section("accepted, but its worker reports no run of the job", [] {
         stall_fixture fixture;
         fixture.storeAndStart();
         fixture.advance(seconds(5));
@@ -1309,15 +1324,15 @@
         const auto lines = fixture.takeStallLines();
         require(lines.size() == 1);
         check(lines[0].ends_with(
-                "ms: not_at_work, run 1 on w1, epoch 1, 0 of 1 of its job at work there"));
-        section("again while that lasts, and no longer", [&] {
+                "ms: not_at_work, run 1 on w1, epoch 1, 0 of 1 runs of its job running there"));
+        section("logged again until it runs", [&] {
             fixture.advance(seconds(8));
             check(fixture.takeStallLines().size() == 2);
             fixture.runningTasks = 1;
             fixture.advance(seconds(20));
             check(fixture.takeStallLines().empty());
         });
-        section("anew, from when it was seen last", [&] {
+        section("logged anew, counted from when it last ran", [&] {
             fixture.runningTasks = 0;
             fixture.advance(seconds(5));
             check(fixture.takeStallLines().empty());
@@ -1341,7 +1356,7 @@
         fixture.advance(seconds(8));
         check(singleStallLine(fixture).ends_with("ms: not_stored, run 1 on w1, epoch 1"));
     });
-    section("its worker is not heard of", [&] {
+    section("its worker is silent", [&] {
         stall_fixture fixture;
         fixture.storeAndStart();
         fixture.runningTasks = 1;
@@ -1350,19 +1365,19 @@
         fixture.advance(seconds(10));
         check(singleStallLine(fixture).ends_with("ms: worker_unheard, run 1 on w1, epoch 1"));
     });
-    section("it was placed before the epoch that its worker has", [&] {
+    section("it was placed before its worker's present epoch", [&] {
         stall_fixture fixture;
         fixture.storeAndStart();
         fixture.epoch = 2;
         fixture.advance(seconds(8));
         check(singleStallLine(fixture).ends_with("ms: earlier_epoch, run 1 on w1, epoch 1"));
     });
-    section("no worker is found, and why", [&] {
+    section("no worker is found, with the reason", [&] {
         stall_fixture fixture;
         fixture.storeAndStart();
         fixture.hasRoom = false;
-        fixture.now += seconds(3); // the other worker is silent
-        fixture.report();
+        fixture.now += seconds(3); // the other worker counts as silent by then
+        fixture.sendReport();
         fixture.controller.runEnded("w1", {1, {"j", 0, 0, 0}, 1, end_kind::Failed, ""}, fixture.now,
                                     50);
         fixture.advance(seconds(5));
@@ -1370,7 +1385,7 @@
         check(line.find("ms: no_worker, after run 1; ") != std::string::npos);
         check(line.find("1 no_processors") != std::string::npos);
     });
-    section("not one of a job that is cancelled", [] {
+    section("not logged: a task of a cancelled job", [] {
         stall_fixture fixture;
         fixture.storeAndStart();
         fixture.controller.cancel("j", 60);
@@ -1379,8 +1394,9 @@
     });
 }
 
-// An owner that was frozen heard of an agent's new life before the answer of the life before.
-Test(job_book, an_answer_of_the_agents_life_before)
+// Guards against an answer of an agent's previous incarnation that a suspended owner processes
+// after the report of the new one.
+Test(job_book, answer_of_an_earlier_agent_incarnation)
 {
     const auto submitAndOrder = [](test_fixture &fixture) {
         fixture.stopAccepting("w2");
@@ -1410,7 +1426,7 @@
         fixture.tick();
         return fixture.orders.size() == 3;
     };
-    section("accepted: the start is given until the present life has answered", [&] {
+    section("accepted: the start is sent until the present incarnation has answered", [&] {
         test_fixture fixture;
         submitAndOrder(fixture);
         startNewIncarnation(fixture);
@@ -1422,7 +1438,7 @@
         fixture.tick();
         check(fixture.orders.size() == 3);
     });
-    section("refused: the present life is asked", [&] {
+    section("refused: the order is sent to the present incarnation", [&] {
         test_fixture fixture;
         submitAndOrder(fixture);
         startNewIncarnation(fixture);
@@ -1430,7 +1446,7 @@
         require(isResent(fixture));
         check(fixture.orders[2].order.run == 1);
     });
-    section("a stop, accepted: the same", [&] {
+    section("an accepted stop: it is sent again, too", [&] {
         test_fixture fixture;
         submitAndOrder(fixture);
         fixture.acceptOrder(fixture.orders[0]);
--- a/tests/lasting_jobs_test.cpp
+++ b/tests/lasting_jobs_test.cpp
@@ -1,4 +1,4 @@
-// What an operator is told of jobs that last and lack something.
+// Log lines about long-running jobs that are underserved.
 #include <string>
 #include <vector>
 
@@ -10,8 +10,9 @@
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
 
-// Operators see that callers of one service get less than others and can't tell whether its tasks
-// wait for room, for which, and in whose way, or are late where they run.
+// Guards against operators who see that callers of one service get less than others, but cannot
+// tell whether its tasks wait for room, which resource is short and what occupies it, or whether
+// they are late where they run.
 Test(lasting_jobs, the_log_says_what_a_job_lacks)
 {
     const auto linesOf = [](const saturated_workers &workers, const std::string &event,
@@ -24,7 +25,7 @@
         return lines;
     };
     saturated_workers workers;
-    section("nothing of one that is served in full", [&] {
+    section("no line about a job that is served in full", [&] {
         workers.advanceUnderLoad(seconds(3));
         const auto before = linesOf(workers, "job_underserved", "small-services").size();
         workers.advanceUnderLoad(seconds(5));
@@ -32,15 +33,16 @@
     });
     workers.simulation.submit(0, "too-large", longRunningStep(2, 7 * Cores));
     workers.advanceUnderLoad(seconds(10));
-    section("tasks that have no worker, each two seconds", [&] {
+    section("tasks without a worker, every two seconds", [&] {
         const auto lines = linesOf(workers, "job_underserved", "too-large");
         check(lines.size() >= 4 && lines.size() <= 5);
         require(!lines.empty());
-        check(lines.back() == "2 tasks that last, 0 placed, 0 of 0 with a target at work, 0 late");
+        check(lines.back()
+              == "2 long-running tasks, 0 placed, 0 of 0 with a latency target running, 0 late");
     });
     section("the resource that is short, and that no end of a short task would help", [&] {
         const auto lines = linesOf(workers, "tasks_unplaced", "too-large");
         require(!lines.empty());
-        check(lines.back().ends_with(": 8 no_processors, 0 with room beside what lasts"));
+        check(lines.back().ends_with(": 8 no_processors, 0 with room beside long-running runs"));
     });
 }
--- a/tests/overload_order_test.cpp
+++ b/tests/overload_order_test.cpp
@@ -1,5 +1,5 @@
-// Jobs that ask for a little more than the workers can bear, in the order in which they get
-// workers, over a minute and a half of virtual time.
+// The order in which jobs are given workers when they ask for slightly more than the workers can
+// do, over a minute and a half of virtual time.
 #include <algorithm>
 #include <random>
 #include <string>
@@ -14,10 +14,11 @@
 
 namespace {
 
-constexpr int SlotCount = 40;                 // tasks that work at a time
-constexpr std::int64_t LastSubmitMs = 90'000; // the last job comes in
+constexpr int SlotCount = 40;                 // tasks that run at a time
+constexpr std::int64_t LastSubmitMs = 90'000; // when the last job is submitted
 constexpr std::int64_t TickMs = 50;
-constexpr std::int64_t RequestedPerMs = 46; // ms of tasks: 1.15 of what the places can do
+// Run time of the tasks submitted per ms: 1.15 times what the slots can do.
+constexpr std::int64_t RequestedPerMs = 46;
 
 struct running_task
 {
@@ -30,11 +31,11 @@
 struct simulated_job
 {
     job_record record;
-    std::vector<std::vector<std::int64_t>> actualMs; // by step and task, as they really take
+    std::vector<std::vector<std::int64_t>> actualMs; // actual run times, by step and task
     bool isCompleted = false;
 };
 
-// Longest real time of what is left, tasks without a worker in full.
+// Actual run time of the remaining steps: of each, that of its longest task, counted in full.
 std::int64_t remainingActualMs(const simulated_job &job)
 {
     std::int64_t remainingMs = 0;
@@ -52,8 +53,8 @@
         : m_random(seed)
     { }
 
-    // With what really happens known: jobs that can't be in time come last, the others by the time
-    // that they have to spare.
+    // Share of jobs on time when actual run times are known in advance: jobs that cannot be on time
+    // come last, the others are ordered by slack.
     double onTimeShareWithHindsight()
     {
         return simulate([](const simulated_job &job, std::int64_t now) {
@@ -81,7 +82,7 @@
         return std::uniform_int_distribution<std::int64_t>(low, high)(m_random);
     }
 
-    // Steps take 1.3 to 1.5 times their estimates, their tasks not all the same.
+    // Steps take 1.3 to 1.5 times their estimates; their tasks take different times.
     void submitJob(std::int64_t now)
     {
         job_spec spec;
@@ -179,7 +180,8 @@
 
 } // namespace
 
-// Guards against room that goes to parts of many jobs at a time, so that none of them is in time.
+// Guards against workers that are spread over parts of many jobs at a time, so that none of these
+// jobs is on time.
 Test(overload_order, as_many_in_time_as_when_lost_jobs_come_last)
 {
     constexpr unsigned Seeds = 20;
@@ -189,6 +191,6 @@
         share += overload_simulation(seed).onTimeShare() / Seeds;
         hindsightShare += overload_simulation(seed).onTimeShareWithHindsight() / Seeds;
     }
-    cr_expect(share >= hindsightShare, "%.3f in time, %.3f with lost jobs last", share,
+    cr_expect(share >= hindsightShare, "%.3f on time, %.3f with lost jobs last", share,
               hindsightShare);
 }
--- a/tests/placement_simulation.h
+++ b/tests/placement_simulation.h
@@ -1,6 +1,6 @@
-// Owners of jobs and the agents of workers around the real decisions, on a virtual clock and
-// without a network. Unless a test says otherwise orders, writes and reports take no time. Reports
-// come each second and as runs end.
+// Simulates entries that own jobs and the agents of workers: the real job_controller, worker_pool
+// and run_table on a virtual clock and without a network. Unless a test sets delays, orders, writes
+// and reports take no time. Reports are sent every second and whenever runs end.
 #pragma once
 
 #include <algorithm>
@@ -19,10 +19,10 @@
 
 namespace zinniabarrow::tests {
 
-// One way each.
+// Delays of one way.
 struct simulated_delays
 {
-    milliseconds write{0}; // until its outcome is known
+    milliseconds write{0}; // from a write to its outcome
     milliseconds order{0};
     milliseconds report{0};
 };
@@ -45,7 +45,7 @@
         added.nextReportAt = m_now + TickInterval * static_cast<int>(m_workers.size());
     }
 
-    // Its tasks that end do so after `runsFor`.
+    // Submits a job of one step. Each task that is not long-running ends after `runTime`.
     void submit(int owner, const std::string &job, const jobs::step_spec &step,
                 milliseconds runTime = {})
     {
@@ -66,7 +66,7 @@
             tick();
     }
 
-    // Tasks of the job that a worker has begun and that have not ended.
+    // Number of tasks of the job that a worker has started and that have not ended.
     int countRunning(const std::string &job) const
     {
         int count = 0;
@@ -77,8 +77,8 @@
         }
         return count;
     }
-    // Of all tasks of the job, as their owner knows it.
-    int highestRun(const std::string &job) const
+    // Highest run number of all tasks of the job, by its owner.
+    int highestRunNumber(const std::string &job) const
     {
         int highest = 0;
         for (const auto &item : m_owners) {
@@ -162,14 +162,14 @@
     void endDueRuns(simulated_worker &target)
     {
         const auto endCountBefore = target.table.newEndCount();
-        for (auto iterator = target.running.begin(); iterator != target.running.end();) {
-            if (iterator->second.endTime > m_now) {
-                ++iterator;
+        for (auto runIterator = target.running.begin(); runIterator != target.running.end();) {
+            if (runIterator->second.endTime > m_now) {
+                ++runIterator;
                 continue;
             }
-            target.ended.push_back({++target.lastEndNumber, iterator->first.first,
-                                    iterator->first.second, jobs::end_kind::Done, ""});
-            iterator = target.running.erase(iterator);
+            target.ended.push_back({++target.lastEndNumber, runIterator->first.first,
+                                    runIterator->first.second, jobs::end_kind::Done, ""});
+            runIterator = target.running.erase(runIterator);
         }
         std::erase_if(target.ended, [&](const auto &end) {
             return end.sequence <= target.table.acknowledgedThrough();
@@ -181,12 +181,12 @@
 
     jobs::run_listing listingOf(const simulated_worker &target) const
     {
-        jobs::run_listing seen;
-        seen.clockMs = wallMs();
+        jobs::run_listing listing;
+        listing.clockMs = wallMs();
         for (const auto &[key, run] : target.running)
-            seen.running.push_back({key.first, key.second, "", 0});
-        seen.ended = target.ended;
-        return seen;
+            listing.running.push_back({key.first, key.second, "", 0});
+        listing.ended = target.ended;
+        return listing;
     }
 
     void carryOutRunActions(simulated_worker &target)
@@ -224,7 +224,7 @@
                 return item->controller.record(task.job)
                         ->steps[static_cast<std::size_t>(task.step)];
         }
-        throw std::logic_error("a start of a job that nobody owns");
+        throw std::logic_error("start of a job that no entry owns");
     }
 
     void checkCapacity(const std::string &name, const simulated_worker &target) const
@@ -232,7 +232,7 @@
         jobs::task_size sum;
         for (const auto &[key, run] : target.running)
             sum += run.size;
-        cr_assert(sum.fitsInto(target.capacity), "%s has more than it holds", name.c_str());
+        cr_assert(sum.fitsInto(target.capacity), "%s runs more than its capacity", name.c_str());
     }
 
     void sendReport(const std::string &name, simulated_worker &target)
@@ -267,14 +267,15 @@
         receiver.controller.workerReported(workerReport.worker, m_now);
     }
 
-    // Plans until nothing is left to be done: writes and orders are answered at once.
+    // Plans and carries out the actions until there are none: without delays, writes and orders are
+    // answered at once.
     void planAndAct(simulated_entry &item)
     {
         item.controller.plan(m_now, wallMs());
         for (auto actions = item.controller.takeActions(); !actions.empty();
              actions = item.controller.takeActions()) {
             for (auto &action : actions)
-                std::visit([&](auto &specificAction) { execute(item, specificAction); }, action);
+                std::visit([&](auto &concreteAction) { execute(item, concreteAction); }, action);
             item.controller.plan(m_now, wallMs());
         }
     }
@@ -287,11 +288,11 @@
     }
     void execute(simulated_entry &receiver, jobs::send_order &order)
     {
-        runAfter(m_delays.order, [this, &receiver, given = std::move(order)] {
-            auto &target = m_workers.at(given.worker);
+        runAfter(m_delays.order, [this, &receiver, sentOrder = std::move(order)] {
+            auto &target = m_workers.at(sentOrder.worker);
             target.table.setWorker(target.capacity, jobs::start_readiness::Ready);
-            const auto answer = target.table.handleOrder(given.order, receiver.name, m_now);
-            runAfter(m_delays.order, [this, &receiver, worker = given.worker, answer] {
+            const auto answer = target.table.handleOrder(sentOrder.order, receiver.name, m_now);
+            runAfter(m_delays.order, [this, &receiver, worker = sentOrder.worker, answer] {
                 receiver.controller.orderAnswered(worker, answer, m_now, 0);
             });
         });
@@ -302,17 +303,17 @@
         if (!found.empty())
             m_workers.at(found.mapped().first).table.acknowledgeEnd(found.mapped().second, m_now);
     }
-    void execute(simulated_entry & /*by*/,
-                 const jobs::ownership_lost & /*none: no job changes its owner*/)
+    void execute(simulated_entry & /*receiver*/,
+                 const jobs::ownership_lost & /*never happens: jobs keep their owner*/)
     { }
-    void execute(simulated_entry & /*by*/, jobs::log_event &line)
+    void execute(simulated_entry & /*receiver*/, jobs::log_event &line)
     {
         m_logEvents.push_back(std::move(line));
     }
 
     simulated_delays m_delays;
     time_point m_now{std::chrono::hours(1)};
-    std::multimap<time_point, std::function<void()>> m_delayedEvents; // by when it comes
+    std::multimap<time_point, std::function<void()>> m_delayedEvents; // by time
     std::vector<std::unique_ptr<simulated_entry>> m_owners;
     std::map<std::string, simulated_worker> m_workers;
     std::map<std::string, milliseconds> m_runTimes; // by job
--- a/tests/room_on_the_way_test.cpp
+++ b/tests/room_on_the_way_test.cpp
@@ -1,5 +1,5 @@
-// Owners that share workers: writes, orders and reports take their time, so that what each knows of
-// the room is a little old.
+// Several owners share workers. Writes, orders and reports take time, so what each owner knows of
+// the workers' room is slightly outdated.
 #include <algorithm>
 #include <random>
 #include <string>
@@ -21,22 +21,23 @@
 constexpr simulated_delays Delays{milliseconds(40), milliseconds(10), milliseconds(10)};
 constexpr milliseconds TickInterval{10};
 
-// What happened from when the jobs that last came.
+// Counted from the submission of the long-running jobs on.
 struct refusal_counts
 {
-    int submittedShortTasks = 0; // short tasks handed in
-    int refusedOrders = 0;       // orders, for want of room
-    int refusedLongRunning = 0;  // of these of tasks that last
-    int runningLongRunning = 0;
-    int highestLongRunningRun = 0;
+    int submittedShortTasks = 0;
+    int refusedOrders = 0;      // orders refused for lack of room
+    int refusedLongRunning = 0; // of these, orders for long-running tasks
+    int longRunningInProgress = 0;
+    int highestLongRunningRunNumber = 0;
 
     refusal_counts &operator+=(const refusal_counts &other)
     {
         submittedShortTasks += other.submittedShortTasks;
         refusedOrders += other.refusedOrders;
         refusedLongRunning += other.refusedLongRunning;
-        runningLongRunning += other.runningLongRunning;
-        highestLongRunningRun = std::max(highestLongRunningRun, other.highestLongRunningRun);
+        longRunningInProgress += other.longRunningInProgress;
+        highestLongRunningRunNumber =
+                std::max(highestLongRunningRunNumber, other.highestLongRunningRunNumber);
         return *this;
     }
 };
@@ -49,7 +50,7 @@
 class shared_workers_scenario
 {
 public:
-    // `load`: the share of the workers' processors that short tasks ask for.
+    // `load` is the share of the workers' processors that short tasks ask for.
     shared_workers_scenario(int owners, double load, unsigned seed)
         : m_owners(owners)
         , m_load(load)
@@ -65,20 +66,21 @@
     {
         advance(seconds(2));
         m_submittedShortTasks = 0;
-        const auto notesBefore = m_simulation.logEvents().size();
+        const auto logSizeBefore = m_simulation.logEvents().size();
         for (int number = 0; number < LongRunningJobCount; ++number)
             m_simulation.submit(anyOwner(), longRunningJobName(number),
                                 longRunningStep(TasksPerJob, 2 * Cores));
         advance(seconds(3));
         refusal_counts counts;
         counts.submittedShortTasks = m_submittedShortTasks;
-        for (auto at = notesBefore; at < m_simulation.logEvents().size(); ++at)
-            count(m_simulation.logEvents()[at], counts);
+        for (auto lineIndex = logSizeBefore; lineIndex < m_simulation.logEvents().size();
+             ++lineIndex)
+            count(m_simulation.logEvents()[lineIndex], counts);
         for (int number = 0; number < LongRunningJobCount; ++number) {
-            counts.runningLongRunning += m_simulation.countRunning(longRunningJobName(number));
-            counts.highestLongRunningRun =
-                    std::max(counts.highestLongRunningRun,
-                             m_simulation.highestRun(longRunningJobName(number)));
+            counts.longRunningInProgress += m_simulation.countRunning(longRunningJobName(number));
+            counts.highestLongRunningRunNumber =
+                    std::max(counts.highestLongRunningRunNumber,
+                             m_simulation.highestRunNumber(longRunningJobName(number)));
         }
         return counts;
     }
@@ -92,11 +94,12 @@
 
     void advance(milliseconds duration)
     {
-        constexpr double ShortTaskSlots = WorkerCount * 16 * 2; // for short tasks, half a core each
-        const auto perTurn = m_load * ShortTaskSlots * static_cast<double>(TickInterval.count())
-                             / static_cast<double>(ShortRunTime.count());
-        for (milliseconds passed{0}; passed < duration; passed += TickInterval) {
-            for (m_dueShortTasks += perTurn; m_dueShortTasks > 0;)
+        constexpr double ShortTaskSlots = WorkerCount * 16 * 2; // half a core each
+        const auto tasksPerTick = m_load * ShortTaskSlots
+                                  * static_cast<double>(TickInterval.count())
+                                  / static_cast<double>(ShortRunTime.count());
+        for (milliseconds elapsed{0}; elapsed < duration; elapsed += TickInterval) {
+            for (m_dueShortTasks += tasksPerTick; m_dueShortTasks > 0;)
                 submitShortJob();
             m_simulation.advance(TickInterval);
         }
@@ -124,7 +127,7 @@
     double m_load;
     std::mt19937 m_random;
     placement_simulation m_simulation;
-    double m_dueShortTasks = 0; // short tasks
+    double m_dueShortTasks = 0; // short tasks to be submitted
     int m_submittedJobs = 0;
     int m_submittedShortTasks = 0;
 };
@@ -141,37 +144,37 @@
 
 } // namespace
 
-// Guards against an owner that forgets what it has placed and its agent has not heard of yet as
-// soon as that agent reports anything.
-Test(room_on_the_way, what_an_owner_has_placed_counts_until_its_agent_answers)
+// Guards against an owner that forgets its starts in flight, which the agent has not received yet,
+// as soon as that agent sends any report.
+Test(room_on_the_way, starts_in_flight_count_until_the_agent_answers)
 {
     const auto counts = runSeeds(1, 0.7);
-    section("the only owner is never refused", [&] { check(counts.refusedOrders == 0); });
-    section("and all that lasts is at work",
-            [&] { check(counts.runningLongRunning == AllLongRunningTasks); });
-    section("with its first run", [&] { check(counts.highestLongRunningRun == 1); });
+    section("a single owner is never refused", [&] { check(counts.refusedOrders == 0); });
+    section("and all long-running tasks run",
+            [&] { check(counts.longRunningInProgress == AllLongRunningTasks); });
+    section("in their first run", [&] { check(counts.highestLongRunningRunNumber == 1); });
 }
 
-// Guards against owners that all take the same worker, and are refused again and again though
+// Guards against owners that all choose the same worker and are refused again and again although
 // others have room.
-Test(room_on_the_way, owners_seldom_meet_while_half_of_the_room_is_free)
+Test(room_on_the_way, few_orders_are_refused_while_half_of_the_room_is_free)
 {
     const auto counts = runSeeds(17, 0.5);
-    section("one order in twenty is refused at most", [&] {
+    section("at most one order in twenty is refused", [&] {
         cr_expect(counts.refusedOrders * 20 <= counts.submittedShortTasks, "%d of %d",
                   counts.refusedOrders, counts.submittedShortTasks);
     });
-    section("one in five of those of tasks that last", [&] {
+    section("and at most one in five of those for long-running tasks", [&] {
         cr_expect(counts.refusedLongRunning * 5 <= AllLongRunningTasks, "%d of %d",
                   counts.refusedLongRunning, AllLongRunningTasks);
     });
-    section("and all that lasts is at work", [&] {
-        cr_expect(counts.runningLongRunning == AllLongRunningTasks, "%d",
-                  counts.runningLongRunning);
+    section("and all long-running tasks run", [&] {
+        cr_expect(counts.longRunningInProgress == AllLongRunningTasks, "%d",
+                  counts.longRunningInProgress);
     });
 }
 
-// Guards against orders for a worker that has just said to have no room.
+// Guards against orders for a worker whose agent has just refused one for lack of room.
 Test(room_on_the_way, a_refusal_holds_until_the_next_report)
 {
     time_point now{std::chrono::hours(1)};
@@ -188,21 +191,21 @@
     };
     pool.recordRefusal("w1", longRunningStep(1, 2 * Cores), pool.find("w1")->lastReportAt);
 
-    section("neither for the same size nor for a larger one", [&] {
+    section("no task of the same or a larger size is placed there", [&] {
         check(!choose(longRunningStep(1, 2 * Cores)));
         check(!choose(longRunningStep(1, 3 * Cores)));
     });
-    section("a smaller one may fit", [&] { check(choose(longRunningStep(1, Cores))); });
-    section("the log tells it", [&] {
+    section("a smaller one may be", [&] { check(choose(longRunningStep(1, Cores))); });
+    section("the log shows the refusal", [&] {
         check(pool.describeUnfitWorkers("tickets", longRunningStep(1, 2 * Cores), {}, now)
                       .starts_with("1 refused, "));
     });
-    section("the next report is newer", [&] {
+    section("the next report ends that", [&] {
         now += milliseconds(10);
         pool.update(workerReport, now);
         check(choose(longRunningStep(1, 2 * Cores)));
     });
-    section("so is one that has overtaken the refusal", [&] {
+    section("a report that arrived before the refusal counts as the next one", [&] {
         pool.recordRefusal("w1", longRunningStep(1, 2 * Cores), now - milliseconds(10));
         check(choose(longRunningStep(1, 2 * Cores)));
     });
@@ -210,7 +213,7 @@
 
 namespace {
 
-// One owner and one worker, by hand.
+// One owner and one worker, driven by the test.
 struct single_worker_fixture
 {
     jobs::worker_pool pool;
@@ -250,7 +253,7 @@
         return counts;
     }
 
-    // In the order in which an entry takes it.
+    // In the order in which an entry processes a report.
     void takeReport(const jobs::worker_report &counts)
     {
         const bool hasRestarted = pool.update(counts, now) && counts.epoch > 0;
@@ -277,20 +280,21 @@
 
 } // namespace
 
-// Guards against an empty worker that counts as full: of what has ended, or is counted twice.
-Test(room_on_the_way, what_no_longer_is_on_its_way_takes_no_room)
+// Guards against an empty worker that counts as full, because resources stay reserved for runs that
+// have ended, or are reserved twice.
+Test(room_on_the_way, starts_no_longer_in_flight_take_no_room)
 {
-    section("until it is answered it does", [] {
+    section("a start in flight takes room until it is answered", [] {
         single_worker_fixture fixture;
         fixture.takeReport(single_worker_fixture::report());
         check(fixture.used() == 16 * Cores);
     });
-    section("a new epoch has ended what was placed by the old one", [] {
+    section("a new epoch ends what was placed in the previous one", [] {
         single_worker_fixture fixture;
         fixture.takeReport(single_worker_fixture::report(2));
         check(fixture.used() == 0);
     });
-    section("so does an end that comes before the answer", [] {
+    section("an end that arrives before the answer frees the room", [] {
         single_worker_fixture fixture;
         auto counts = single_worker_fixture::report();
         for (const auto &order : fixture.orders)
@@ -298,7 +302,7 @@
         fixture.takeReport(counts);
         check(fixture.used() == 0);
     });
-    section("given long ago, it is in the report or starts no more", [] {
+    section("a start sent long ago is in the report or no longer takes effect", [] {
         single_worker_fixture fixture;
         fixture.now += seconds(1);
         auto counts = single_worker_fixture::report();
--- a/tests/saturated_workers.h
+++ b/tests/saturated_workers.h
@@ -1,5 +1,4 @@
-// Workers that are full: with tasks that last, and with short ones, of which more come than there
-// is room for.
+// Saturated workers: long-running tasks, and short ones that ask for more than the remaining room.
 #pragma once
 
 #include <fmt/core.h>
@@ -34,8 +33,8 @@
 inline constexpr int OwnerCount = 3;
 inline constexpr milliseconds ShortRunTime{640};
 
-// Of each worker's 16 cores tasks that last have 10; jobs of short tasks ask for more than the
-// rest.
+// On each worker, long-running tasks reserve 10 of the 16 cores, and jobs of short tasks ask for
+// more than the rest.
 struct saturated_workers
 {
     int ownerCount = OwnerCount;
@@ -56,7 +55,7 @@
         require(simulation.countRunning("small-services") == 4 * WorkerCount);
     }
 
-    // Short tasks for 1.5 times of the 6 cores that each worker has left.
+    // Submits short tasks that ask for 1.5 times the 6 cores that each worker has left.
     void advanceUnderLoad(milliseconds duration)
     {
         constexpr milliseconds SubmitInterval{40};
--- a/tests/urgency_test.cpp
+++ b/tests/urgency_test.cpp
@@ -1,4 +1,4 @@
-// In which order waiting jobs get their workers when not all of them can be in time.
+// The order in which waiting jobs are given workers when not all of them can be on time.
 #include <criterion/criterion.h>
 
 #include "jobs/urgency.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::int64_t Accepted = 1'000'000; // Unix ms
+constexpr std::int64_t Accepted = 1'000'000; // Unix time, ms
 
 job_spec chain(std::vector<std::int64_t> estimates)
 {
@@ -42,23 +42,23 @@
 
 } // namespace
 
-Test(urgency, time_to_spare)
+Test(urgency, slack)
 {
     auto record = accepted(chain({2000, 1000})); // objective: 7 s
-    section("what is left to do counts", [&] {
+    section("remaining steps count", [&] {
         check(slackMs(record, Accepted) == 4000);
         check(slackMs(record, Accepted + 4001) == -1);
     });
-    section("what is done does not", [&] {
+    section("steps that are done do not", [&] {
         finish(record, 0);
         check(slackMs(record, Accepted + 4001) == 1999);
     });
-    section("steps beside each other take the time of the longest", [&] {
+    section("parallel steps take the time of the longest", [&] {
         auto spec = chain({2000, 1000});
         spec.steps[1].after.clear();
         check(slackMs(accepted(spec), Accepted) == 3000);
     });
-    section("an occurrence counts from when it is due", [&] {
+    section("an occurrence counts from its due time", [&] {
         auto spec = chain({2000});
         spec.occurrences = 2;
         spec.firstOccurrenceMs = Accepted + 10'000;
@@ -67,8 +67,9 @@
     });
 }
 
-// A burst of large jobs: in order of age, jobs that have lost their objective by waiting hold back
-// those that come after, until every job is late by a little.
+// Guards against a burst of large jobs that makes all jobs late: in order of age, jobs that have
+// already missed their objective by waiting hold back the later ones, until every job is late by a
+// little.
 Test(urgency, burst_of_large_jobs)
 {
     const auto now = Accepted + 10'000;
@@ -76,11 +77,11 @@
     const auto oldest = urgencyOf(accepted(chain({2000}), Accepted - 5000), now);
     const auto tight = urgencyOf(accepted(chain({1000}), now - 1500), now);
     const auto easy = urgencyOf(accepted(chain({4000}), now - 1600), now);
-    section("the least time to spare goes first", [&] { check(tight < easy); });
-    section("jobs that are late for certain wait for those that are not", [&] {
+    section("the job with the least slack goes first", [&] { check(tight < easy); });
+    section("jobs that are certainly late wait for those that are not", [&] {
         check(easy < late);
         check(oldest < late);
     });
-    section("priority goes before both",
+    section("priority decides first",
             [&] { check(urgencyOf(accepted(chain({2000}), Accepted, 1), now) < tight); });
 }
--- a/tests/worker_pool_test.cpp
+++ b/tests/worker_pool_test.cpp
@@ -1,4 +1,5 @@
-// Which worker a task goes to, when runs that fill press on runs that serve.
+// The choice of the worker for a task, when best-effort runs interfere with serving runs; and what
+// the pool takes from reports.
 #include <criterion/criterion.h>
 
 #include "base/json.h"
@@ -12,7 +13,7 @@
 
 namespace {
 
-constexpr std::int64_t AgentIncarnation = 8; // of an agent
+constexpr std::int64_t AgentIncarnation = 8;
 
 const time_point Now{std::chrono::hours(1)};
 
@@ -48,9 +49,9 @@
 
 } // namespace
 
-// Each placement by a report of a life that is over is refused: a task would be placed there again
-// and again.
-Test(worker_pool, a_report_of_an_agents_earlier_life)
+// Guards against placing a task again and again by a delayed report of an agent's previous
+// incarnation: the agent refuses each of these placements.
+Test(worker_pool, a_report_of_an_earlier_agent_incarnation)
 {
     worker_pool workers;
     const time_point now{std::chrono::hours(1)};
@@ -59,20 +60,21 @@
     report.epoch = 3;
     report.agentIncarnation = 8;
     check(workers.update(report, now));
-    auto earlier = report;
-    earlier.agentIncarnation = 7;
-    earlier.isAccepting = true;
-    check(!workers.update(earlier, now));
+    auto earlierReport = report;
+    earlierReport.agentIncarnation = 7;
+    earlierReport.isAccepting = true;
+    check(!workers.update(earlierReport, now));
     check(workers.find("w1")->lastReport.agentIncarnation == 8);
     check(!workers.find("w1")->lastReport.isAccepting);
-    section("one of an agent that has no fence yet counts", [&] {
-        earlier.agentIncarnation = 0;
-        check(workers.update(earlier, now));
+    section("a report of an agent that has no fence yet counts", [&] {
+        earlierReport.agentIncarnation = 0;
+        check(workers.update(earlierReport, now));
     });
 }
 
-// A task that is done runs again: an order that holds for too long on the agent's clock.
-Test(worker_pool, how_long_an_order_holds)
+// Guards against running a task again after it is done, by a start order that is valid for too long
+// on the agent's clock.
+Test(worker_pool, start_order_deadline)
 {
     constexpr std::int64_t ClockMs = 50'000;
     constexpr std::int64_t OrderValidityMs = 700;
@@ -83,46 +85,47 @@
         report.clockMs = clockMs;
         workers.update(report, Now + after);
     };
-    const auto deadlineAfter = [&](milliseconds after, std::int64_t life = AgentIncarnation) {
-        return workers.startDeadlineFor("w1", life, Now + after);
+    const auto deadlineAfter = [&](milliseconds after,
+                                   std::int64_t incarnation = AgentIncarnation) {
+        return workers.startDeadlineFor("w1", incarnation, Now + after);
     };
-    section("an agent that tells no clock is given no deadline", [&] {
+    section("no deadline for an agent that does not report its clock", [&] {
         check(deadlineAfter({}) == 0);
         receiveReport(0, {});
         check(deadlineAfter({}) == 0);
     });
-    section("counted from the reading, as if the report had come at once", [&] {
+    section("counted from the reading, as if the report had taken no time", [&] {
         receiveReport(ClockMs, {});
         check(deadlineAfter({}) == ClockMs + OrderValidityMs);
     });
-    section("on as the slower of two clocks that are off", [&] {
+    section("counted on at the slowest rate that clock drift allows", [&] {
         check(deadlineAfter(milliseconds(500)) == ClockMs + 500 - 20 + OrderValidityMs);
         check(deadlineAfter(milliseconds(1000)) == ClockMs + 1000 - 40 + OrderValidityMs);
     });
-    section("a report that was slow to come takes nothing back", [&] {
+    section("a delayed report does not set the clock back", [&] {
         receiveReport(ClockMs + 200, milliseconds(1000));
         check(deadlineAfter(milliseconds(1000)) == ClockMs + 1000 - 40 + OrderValidityMs);
     });
-    section("a prompt one tells more", [&] {
+    section("a prompt report sets it forward", [&] {
         receiveReport(ClockMs + 2000, milliseconds(2000));
         check(deadlineAfter(milliseconds(2000)) == ClockMs + 2000 + OrderValidityMs);
     });
-    section("each life has its own clock", [&] {
+    section("each incarnation has its own clock", [&] {
         report.agentIncarnation = AgentIncarnation + 1;
         receiveReport(900, milliseconds(3000));
         check(deadlineAfter(milliseconds(3000), AgentIncarnation + 1) == 900 + OrderValidityMs);
         check(deadlineAfter(milliseconds(3000), AgentIncarnation) == 900 + OrderValidityMs);
     });
-    section("a task of a life not heard of yet is claimed there, not started", [&] {
+    section("a task of an incarnation that has not reported yet is claimed, not started", [&] {
         const auto deadline = deadlineAfter(milliseconds(3000), AgentIncarnation + 2);
         check(deadline > 0 && deadline < 900);
     });
 }
 
-// Users of a service are late wherever one of its tasks has a neighbour that harms it. A service
-// whose tasks are spread over all workers is harmed by everything; gathered on one, what fills goes
-// elsewhere.
-Test(worker_pool, tasks_that_serve_are_gathered)
+// Guards against spreading the serving tasks of a service over all workers, where every best-effort
+// run makes one of them late, and with it the users of the service. When they are packed onto one
+// worker, best-effort runs go elsewhere.
+Test(worker_pool, serving_tasks_are_packed)
 {
     worker_pool pool;
     for (const char *name : {"w1", "w2", "w3", "w4"})
@@ -133,20 +136,20 @@
         for (int remaining = 3; remaining > 0; --remaining)
             check(chooseAndReserve(pool, first, remaining) == firstWorker);
     });
-    section("a job that does not fit beside them begins another worker", [&] {
+    section("a job that does not fit beside them goes to another worker", [&] {
         const auto second = servingStep("shop", 5);
         const auto other = chooseAndReserve(pool, second, 5);
         check(other != firstWorker);
         for (int remaining = 4; remaining > 0; --remaining)
             check(chooseAndReserve(pool, second, remaining) == other);
     });
-    section("one that fits beside its twins joins them",
+    section("a task that fits beside others of its image joins them",
             [&] { check(chooseAndReserve(pool, servingStep("site", 1)) == firstWorker); });
 }
 
-// Users of a service get late answers for seconds, because a batch job was placed beside it that
-// was known to harm it; or the batch job waits although another worker would have done.
-Test(worker_pool, what_fills_keeps_off_those_that_it_harms)
+// Guards against late answers for seconds because a batch job was placed beside a service that it
+// is known to harm; and against a batch job that waits although another worker would have done.
+Test(worker_pool, best_effort_tasks_avoid_harmful_placements)
 {
     worker_pool pool;
     trainInterference(pool, "site", "heavy", 0.06);
@@ -155,11 +158,11 @@
     busy.used = {12 * MillicoresPerCore, 24'000, 0};
     busy.serving = {{"site", 0.1}, {"site", 0.1}};
     pool.update(busy, Now);
-    section("it waits while there is no other worker",
+    section("a harmful task waits while there is no other worker",
             [&] { check(chooseAndReserve(pool, bestEffortStep("heavy")) == "none"); });
-    section("one that harms nobody does not",
+    section("a harmless task does not wait",
             [&] { check(chooseAndReserve(pool, bestEffortStep("light")) == "busy"); });
-    section("it goes where there is room for its press", [&] {
+    section("a harmful task goes where the headroom is enough for it", [&] {
         auto calm = busy;
         calm.worker = "calm";
         calm.serving = {{"site", 0.5}, {"site", 0.5}};
@@ -190,23 +193,23 @@
 
 } // namespace
 
-// Users of a job meet each of its tasks: one late task spoils the whole job. What fills is spread
-// over many workers, each of which has a task of another job, and all jobs are late at once,
-// although one crowded worker would have cost a single one.
-Test(worker_pool, what_fills_spoils_few_jobs)
+// Guards against making all jobs late at once. Users of a job depend on all of its tasks, so one
+// late task spoils the whole job. If best-effort runs are spread over many workers, each with a
+// task of another job, all jobs are late, although one crowded worker would have spoiled only one.
+Test(worker_pool, best_effort_tasks_harm_few_jobs)
 {
     worker_pool pool;
     trainInterference(pool, "site", "heavy", 0.06);
-    const auto placedImpatiently = [&] {
+    const auto chooseDespiteInterference = [&] {
         return pool.chooseWorker("tickets", bestEffortStep("heavy"), {}, Now, {1, false})
                 .value_or("none");
     };
-    section("three tasks of one job are less to lose than two jobs", [&] {
+    section("harm to three tasks of one job weighs less than harm to two jobs", [&] {
         pool.update(reportWithServing("one-job",
                                       {{"site", 0, "a"}, {"site", 0, "a"}, {"site", 0, "a"}}),
                     Now);
         pool.update(reportWithServing("two-jobs", {{"site", 0, "b"}, {"site", 0, "c"}}), Now);
-        check(placedImpatiently() == "one-job");
+        check(chooseDespiteInterference() == "one-job");
     });
     section("a job that is late elsewhere has little left to lose", [&] {
         auto crowded = reportWithServing("crowded", {{"site", 0, "b"}});
@@ -215,40 +218,40 @@
         pool.update(crowded, Now);
         pool.update(reportWithServing("one-job", {{"site", 0, "a"}}), Now);
         pool.update(reportWithServing("two-jobs", {{"site", 0, "b"}}), Now);
-        check(placedImpatiently() == "two-jobs");
+        check(chooseDespiteInterference() == "two-jobs");
     });
 }
 
-// A job of many tasks is nearly always late somewhere. Were harm to it as good as free for that,
-// all that fills would go to it, and its users would have less than half of what others have.
-Test(worker_pool, a_job_that_has_had_less_is_spared)
+// Guards against sending all best-effort runs to one job. A job with many tasks is nearly always
+// late somewhere. If harming it counted almost nothing for that reason, its users would get less
+// than half of what others get.
+Test(worker_pool, an_underserved_job_is_spared)
 {
     worker_pool pool;
     trainInterference(pool, "site", "heavy", 0.06);
     auto crowded = reportWithServing("crowded", {{"site", 0, "wide", true}});
     crowded.bestEffortDemand = {{"heavy", 8}};
     crowded.isAccepting = false;
-    const auto placedAt = [&](time_point now) {
+    const auto chooseAt = [&](time_point now) {
         pool.update(crowded, now);
         pool.update(reportWithServing("narrow", {{"site", 0, "narrow"}}), now);
         pool.update(reportWithServing("wide", {{"site", 0, "wide"}, {"site", 0, "wide"}}), now);
         auto step = bestEffortStep("heavy");
         return pool.chooseWorker("tickets", step, {}, now, {1, false}).value_or("none");
     };
-    section("first the one that is late elsewhere is harmed",
-            [&] { check(placedAt(Now) == "wide"); });
-    section("and no more once it has had less than others", [&] {
+    section("at first the job that is late elsewhere is harmed",
+            [&] { check(chooseAt(Now) == "wide"); });
+    section("but no longer once it was served less than others", [&] {
         std::string last;
         for (int second = 1; second <= 5; ++second)
-            last = placedAt(Now + seconds(second));
+            last = chooseAt(Now + seconds(second));
         check(last == "narrow");
     });
 }
 
-// A report and what it says of the runs that serve survive the way to an entry, also from an agent
-// of the release before, which names no jobs and tells no changes: refused, its worker would count
-// as silent all through a rolling release.
-Test(worker_pool, reports_are_read)
+// Guards against refusing the reports of agents of the previous release, which name no jobs and
+// include no changes. Their workers would count as silent throughout a rolling release.
+Test(worker_pool, reports_are_parsed)
 {
     auto report = reportWithServing("w1", {{"site", 0.25, "a", true}});
     report.usedByLongRunning = {9 * MillicoresPerCore, 18'000, 0};
@@ -258,13 +261,13 @@
                        {{"heavy", 2.0}},
                        interference_change{0.002, {{"heavy", -1.0}}, true}}};
     section("as written", [&] {
-        const auto read = reportFrom(toText(report));
-        check(read.serving.front().job == "a");
-        check(read.serving.front().isLate);
-        check(read.usedByLongRunning == report.usedByLongRunning);
-        check(read.samples.front().change->inverseTailDrop == 0.002);
-        check(read.samples.front().change->bestEffortCores.at("heavy") == -1.0);
-        check(read.samples.front().change->isLowerBound);
+        const auto parsedReport = reportFrom(toText(report));
+        check(parsedReport.serving.front().job == "a");
+        check(parsedReport.serving.front().isLate);
+        check(parsedReport.usedByLongRunning == report.usedByLongRunning);
+        check(parsedReport.samples.front().change->inverseTailDrop == 0.002);
+        check(parsedReport.samples.front().change->bestEffortCores.at("heavy") == -1.0);
+        check(parsedReport.samples.front().change->isLowerBound);
     });
     section("without jobs and changes", [&] {
         auto text = parseJsonObject(toText(report));
@@ -272,11 +275,11 @@
         text["serving"][0].removeMember("late");
         text.removeMember("lasting");
         text["samples"][0].removeMember("inverse_fall");
-        const auto read = reportFrom(compactJson(text));
-        check(read.serving.front().job.empty());
-        check(!read.serving.front().isLate);
-        check(read.usedByLongRunning == read.used);
-        check(!read.samples.front().change);
+        const auto parsedReport = reportFrom(compactJson(text));
+        check(parsedReport.serving.front().job.empty());
+        check(!parsedReport.serving.front().isLate);
+        check(parsedReport.usedByLongRunning == parsedReport.used);
+        check(!parsedReport.samples.front().change);
     });
     section("with a change that was measured", [&] {
         auto text = parseJsonObject(toText(report));
@@ -285,40 +288,40 @@
     });
 }
 
-// Operators are told of a service that lacks tasks although all are at work, or of none although
-// some are late.
-Test(worker_pool, runs_that_serve_are_counted_by_job)
+// Guards against telling operators that a service lacks tasks although all run, or that it lacks
+// nothing although some are late.
+Test(worker_pool, serving_runs_are_counted_by_job)
 {
     worker_pool pool;
     pool.update(reportWithServing("w1", {{"site", 0.25, "a"}, {"site", -0.1, "a", true}}), Now);
     pool.update(reportWithServing("w2", {{"site", 0.25, "b"}, {"site", 0.25, "a"}}), Now);
-    section("over all workers, late ones too", [&] {
+    section("over all workers, with the late ones", [&] {
         const auto jobs = pool.countServingRuns(Now);
         check(jobs.size() == 2);
         check(jobs.at("a").running == 3);
         check(jobs.at("a").late == 1);
         check(jobs.at("b").late == 0);
     });
-    section("not those of a worker that nobody hears of",
+    section("without those of a worker whose agent is silent",
             [&] { check(pool.countServingRuns(Now + seconds(3)).empty()); });
 }
 
-// An operator is told that a task has no room, and not which: a worker is bought where memory
-// lacks.
-Test(worker_pool, the_log_names_what_is_short)
+// Guards against telling operators that a task has no room without naming the resource that is
+// short: they would add a worker where only memory is lacking.
+Test(worker_pool, the_log_names_the_short_resource)
 {
     worker_pool pool;
-    auto lasting = acceptingReport("lasting");
-    lasting.used = {15 * MillicoresPerCore, 24'000, 0};
-    lasting.usedByLongRunning = lasting.used;
-    auto ending = acceptingReport("ending");
-    ending.used = {15 * MillicoresPerCore, 24'000, 0};
-    ending.usedByLongRunning = {8 * MillicoresPerCore, 12'000, 0};
-    auto memory = acceptingReport("memory");
-    memory.used = {8 * MillicoresPerCore, 63'000, 0};
-    memory.usedByLongRunning = memory.used;
-    for (const auto &report : {lasting, ending, memory, acceptingReport("avoided")})
+    auto longRunning = acceptingReport("lasting");
+    longRunning.used = {15 * MillicoresPerCore, 24'000, 0};
+    longRunning.usedByLongRunning = longRunning.used;
+    auto shortRunning = acceptingReport("ending");
+    shortRunning.used = {15 * MillicoresPerCore, 24'000, 0};
+    shortRunning.usedByLongRunning = {8 * MillicoresPerCore, 12'000, 0};
+    auto fullMemory = acceptingReport("memory");
+    fullMemory.used = {8 * MillicoresPerCore, 63'000, 0};
+    fullMemory.usedByLongRunning = fullMemory.used;
+    for (const auto &report : {longRunning, shortRunning, fullMemory, acceptingReport("avoided")})
         pool.update(report, Now);
     check(pool.describeUnfitWorkers("tickets", servingStep("site", 1), {"avoided"}, Now)
-          == "1 avoided, 2 no_processors, 1 no_memory, 1 with room beside what lasts");
+          == "1 avoided, 2 no_processors, 1 no_memory, 1 with room beside long-running runs");
 }
