--- a/libs/work/leases.h
+++ b/libs/work/leases.h
@@ -1,4 +1,4 @@
-// Lease lengths that all parts of the scheduler share, and the allowance for unequal clocks.
+// Lease durations shared by all parts of the scheduler, and the allowance for clock drift.
 #pragma once
 
 #include <map>
@@ -8,28 +8,31 @@
 
 namespace zinniabarrow::work {
 
-// grantLease must outlast the taking over of a dead owner's shard (ownerLease, margin, a reading
-// and one report), so that the tasks of live agents run on.
+// grantLease must be longer than the takeover of a dead owner's shard (ownerLease, safetyMargin,
+// one scan of the shard rows and one report), so that the tasks of live agents keep running.
 struct lease_settings
 {
-    milliseconds ownerLease{6'000};         // a shard may be taken after this long unrenewed
-    milliseconds renewInterval{2'000};      // between two renewals of a shard's row
-    milliseconds grantPeriod{1'800'000};    // an owner may grant this long after its last renewal
-    milliseconds grantLease{15'000};        // an agent's lease, from when it sent its report
-    milliseconds taskLease{30'000};         // a worker's lease of a task of class Lease, at most
-    milliseconds proofTaskLease{3'600'000}; // of class Proof: outlasts any agent's absence
-    milliseconds safetyMargin{1'000};       // added to each wait for another process's lease
-    std::int64_t clockDriftPpm = 500;       // largest difference in rate of two clocks
+    milliseconds ownerLease{6'000};      // a shard may be taken over when unrenewed for this long
+    milliseconds renewInterval{2'000};   // between two renewals of a shard's lease row
+    milliseconds grantPeriod{1'800'000}; // an owner may send grants for this long after a renewal
+    milliseconds grantLease{15'000};     // an agent's lease, counted from the sending of its report
+    milliseconds taskLease{30'000};      // longest lease of a task of failover class Lease
+    milliseconds proofTaskLease{3'600'000}; // of class Proof: longer than any absence of an agent
+    milliseconds safetyMargin{1'000};       // added to each wait for another process's lease to end
+    std::int64_t clockDriftPpm = 500;       // largest difference in rate between two clocks
 };
 
-// A write that has no answer by then gets none: the lane to the platform was full, or the ring of
-// whoever waits for it. It is in doubt from then on, like one whose answer was lost on its way.
+// How long to wait for the answer to a write. After that no answer will come, because the queue to
+// the platform or the ring buffer of the waiting thread was full; the write is then in doubt, like
+// one whose answer was lost.
 constexpr milliseconds AnswerTimeout{10'000};
 
-// Workers that an owner has not heard of for a while, and until when each may hold a lease.
+// Workers that have sent an owner no report for a while, each with the time until which it may
+// still hold a lease.
 using unresponsive_workers = std::map<std::string, time_point>;
 
-// How long one process waits to be sure that a lease of length `lease` has ended in another one.
+// How long a process must wait on its own clock to be sure that a lease of length `lease` has ended
+// on another process's clock.
 constexpr milliseconds safeWait(milliseconds lease, const lease_settings &settings)
 {
     constexpr std::int64_t Million = 1'000'000;
--- a/libs/work/messages.cpp
+++ b/libs/work/messages.cpp
@@ -80,7 +80,8 @@
         return task;
     for (const auto &name : arrayMember(value, "newerCheckpoints")) {
         if (!name.isString())
-            throw error(error_kind::BadRequest, "member \"newerCheckpoints\": needs texts");
+            throw error(error_kind::BadRequest,
+                        "member \"newerCheckpoints\" must be a list of strings");
         task.newerCheckpoints.push_back(name.asString());
     }
     return task;
@@ -146,13 +147,15 @@
 {
     const auto slash = text.rfind('/');
     if (slash == std::string_view::npos || slash == 0)
-        throw error(error_kind::BadRequest, "task \"" + std::string(text) + "\": needs job/index");
+        throw error(error_kind::BadRequest,
+                    "task \"" + std::string(text) + "\" is not of the form job/index");
     task_id task{std::string(text.substr(0, slash)), 0};
     const auto digits = text.substr(slash + 1);
     const char *end = digits.data() + digits.size();
     const auto [parsedEnd, conversionError] = std::from_chars(digits.data(), end, task.index);
     if (conversionError != std::errc() || parsedEnd != end)
-        throw error(error_kind::BadRequest, "task \"" + std::string(text) + "\": bad index");
+        throw error(error_kind::BadRequest,
+                    "task \"" + std::string(text) + "\" has an invalid index");
     return task;
 }
 
@@ -202,7 +205,7 @@
     report.sequence = countMember(value, "sequence");
     report.epoch = countMember(value, "epoch");
     report.events = listFromJson(value, "events", taskEventFromJson);
-    if (value.isMember("reservationsTaken")) // agents of earlier versions take none
+    if (value.isMember("reservationsTaken")) // agents of earlier versions don't send it
         report.ackedReservation = countMember(value, "reservationsTaken");
     return report;
 }
@@ -254,7 +257,7 @@
     const Json::Value &specs = objectMember(value, "specs");
     for (const auto &job : specs.getMemberNames())
         grant.specs[job] = specs[job];
-    // Owners of earlier versions send neither: declared sizes count then.
+    // Owners of earlier versions send no reservations: the declared sizes hold then.
     if (value.isMember("reservations"))
         grant.reservations = listFromJson(value, "reservations", taskReservationFromJson);
     if (value.isMember("reservationsThrough"))
--- a/libs/work/messages.h
+++ b/libs/work/messages.h
@@ -1,10 +1,10 @@
-// Messages between the owner of a shard (an entry) and the agents of its workers, and the names of
-// tasks that both sides share.
+// Messages between the owner of a shard (an entry) and the agents of its workers, and the task ids
+// that both sides use.
 //
-// An agent sends reports; the owner answers each with a grant, and may send another one at any
-// time. Both are repeated whole until they are settled, so a lost, doubled or reordered message
-// changes nothing. A lease counts from the agent's own sending of the report that it answers: a
-// grant that the network or a paused owner holds back is worth nothing when it arrives.
+// An agent sends reports. The owner answers each with a grant, and may send further grants at any
+// time. Both repeat their full content until it is acknowledged, so lost, duplicated or reordered
+// messages do no harm. A lease is counted from the moment at which the agent sent the answered
+// report, so a grant that was delayed by the network or by a paused owner gives no extra time.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +26,7 @@
 struct task_id
 {
     std::string job;
-    std::uint32_t index = 0; // within the job
+    std::uint32_t index = 0; // within the job, from 0
 
     bool operator==(const task_id &) const = default;
     bool operator<(const task_id &other) const
@@ -35,7 +35,7 @@
     }
 };
 
-// "job/index"; the job's own name may hold slashes.
+// "job/index". The job's own name may contain slashes.
 std::string textOf(const task_id &task);
 task_id taskIdFromText(std::string_view text); // throws error BadRequest
 
@@ -51,25 +51,25 @@
     }
 };
 
-// Name of the object that holds an attempt's checkpoint. It can be told without the worker, so that
-// a checkpoint is found also if the worker was lost before it could report it.
+// Name of the object that holds an attempt's checkpoint. It is derived from the attempt alone, so
+// that a checkpoint can be found even if the worker was lost before it could report it.
 std::string checkpointName(const task_attempt &attempt);
 
-// What an agent tells the owner about one attempt.
+// What an agent reports to the owner about one attempt.
 enum class task_event_kind {
     Started,
     Checkpointed, // still running; `checkpoint` names the newest checkpoint
     Evicted,      // checkpointed and ended
     Succeeded,
     Failed,
-    Stopped, // ended on request, or will never start
-    Refused, // does not fit the worker; will never start
-    Lost,    // ended without a result: its lease lapsed, or the worker does not know it
+    Stopped, // ended on request, or stopped before it started: it will never start
+    Refused, // does not fit on the worker; will never start
+    Lost,    // ended without a result: its lease lapsed, or the worker does not know the attempt
 };
 
 struct task_event
 {
-    std::uint64_t number = 0; // rises by one within an agent's session
+    std::uint64_t number = 0; // increases by one with each event of an agent's session, from 1
     task_id task;
     std::uint32_t attempt = 0;
     task_event_kind kind = task_event_kind::Started;
@@ -77,27 +77,28 @@
     std::string detail;     // reason of a failure or refusal
 };
 
-// The agent's heartbeat, and the start of the lease that its answer gives. Events are repeated
-// until a grant acknowledges them.
+// The agent's heartbeat. The lease that the answering grant gives is counted from the sending of
+// this report. Events are repeated in each report until a grant acknowledges them.
 struct agent_report
 {
     std::string worker;
-    std::uint64_t incarnation = 0; // of the worker's instance, from its listing
+    std::uint64_t incarnation = 0; // of the worker's instance, as its listing says
     std::string session;           // unique for each process of an agent
-    std::uint64_t sequence = 0;    // rises with each report of the session
+    std::uint64_t sequence = 0;    // increases with each report of the session
     std::uint64_t epoch = 0;       // newest epoch that the worker itself has recorded
     std::vector<task_event> events;
-    std::uint64_t ackedReservation = 0; // newest `reservationsThrough` taken under `epoch`
+    std::uint64_t ackedReservation = 0; // newest `newestReservation` fully applied under `epoch`
 };
 
-// What the owner's ledger counts for an attempt where that is more than its declared size.
+// What the owner's reservation ledger counts for an attempt, if more than the declared size.
 struct task_reservation
 {
     task_attempt attempt;
     resources reserved;
 };
 
-// Processor time that a running task may use, below its reservation: it disturbs a service.
+// Limit on the processor time of a running task that interferes with a service. It is lower than
+// the task's reservation.
 struct cpu_limit
 {
     task_attempt attempt;
@@ -109,41 +110,43 @@
     task_id task;
     std::uint32_t attempt = 0;
     failover_class failover = failover_class::Lease;
-    std::string checkpoint; // resume from here; empty: from the start
-    // Of attempts that ended without a report: the first of these that exists is resumed instead.
+    std::string checkpoint; // object name to resume from; empty: start from the beginning
+    // Names of checkpoints of later attempts that ended without a report, newest first. The worker
+    // resumes from the first of them that exists instead of `checkpoint`.
     std::vector<std::string> newerCheckpoints;
 };
 
-// The owner's answer to a report, or (replyTo 0) an unasked repeat that extends no lease.
+// The owner's answer to a report, also repeated later without a new report. A `replyTo` that the
+// agent doesn't remember extends no lease.
 struct worker_grant
 {
     int shard = 0;
     std::uint64_t epoch = 0;
     std::string worker;
     std::uint64_t incarnation = 0;
-    std::string session;          // of the agent that is addressed
-    std::uint64_t replyTo = 0;    // report that is answered; the lease counts from its sending
-    milliseconds lease{0};        // measured by the agent from when it sent report `replyTo`
-    std::uint64_t ackedEvent = 0; // events up to here are settled in the table
-    bool mayStartBacklog = false; // the table is down: the backlog may be started
-    std::vector<granted_task> tasks;
-    std::vector<granted_task> backlog; // placed ahead, in order; not to be started yet
-    std::vector<task_attempt> stops;
-    std::vector<task_attempt> evictions;          // checkpoint, then end
+    std::string session;                 // of the agent that the grant is meant for
+    std::uint64_t replyTo = 0;           // sequence of the newest report of the session; 0: none
+    milliseconds lease{0};               // counted by the agent from when it sent report `replyTo`
+    std::uint64_t ackedEvent = 0;        // events up to this number are committed in the table
+    bool mayStartBacklog = false;        // true while the table is down: the backlog may be started
+    std::vector<granted_task> tasks;     // to be started, if the agent doesn't run them yet
+    std::vector<granted_task> backlog;   // placed before there is room; wait for `mayStartBacklog`
+    std::vector<task_attempt> stops;     // to be stopped without a checkpoint
+    std::vector<task_attempt> evictions; // to be checkpointed and ended
     std::map<std::string, Json::Value> specs;     // by job, for `tasks` and `backlog`
-    std::vector<task_reservation> reservations{}; // of `tasks`, and what the agent has not taken
-    std::uint64_t newestReservation = 0;          // for the agent's next report
-    // All there are: what is not named runs without a limit. Absent from owners of earlier
-    // versions.
+    std::vector<task_reservation> reservations{}; // of `tasks`, and those not yet acknowledged
+    std::uint64_t newestReservation = 0;          // acknowledged by the agent's next report
+    // The complete list: a task that is not in it runs without a limit. Absent in grants of owners
+    // of earlier versions.
     std::optional<std::vector<cpu_limit>> cpuLimits{};
 };
 
-// The declared size in what a worker is told of a task.
+// The declared size from the task specification that is passed to a worker.
 resources declaredSize(const Json::Value &spec);
 
 std::string_view nameOf(task_event_kind kind);
 
-// Each reader throws error BadRequest that names the bad member.
+// Each reader throws error BadRequest, with the name of the invalid member.
 Json::Value toJson(const task_attempt &attempt);
 task_attempt taskAttemptFromJson(const Json::Value &value);
 Json::Value toJson(const agent_report &report);
--- a/libs/work/ownership.cpp
+++ b/libs/work/ownership.cpp
@@ -135,7 +135,7 @@
     for (auto &[number, state] : m_shards) {
         const table_row *row = findRowOrNull(rows, shardKey(number));
         const table_row *lease = findRowOrNull(rows, shardLeaseKey(number));
-        // An answer that was overtaken by a newer one must not look like a change.
+        // A scan result that arrives after a newer one must not look like a change.
         if (versionOf(row) < state.rowVersion || versionOf(lease) < state.leaseVersion)
             continue;
         resolveFromRows(state, row, lease, now);
@@ -143,12 +143,15 @@
     }
 }
 
-// A write is settled by its operation id in the rows. Not found and the versions still as it needs
-// them: it may be on its way, so exactly the same write goes out again; its conditions let one copy
-// at most take effect. Not found and a version has moved: it never will. That is judged by the
-// write's own conditions, and whether or not it is in doubt yet: the reading that shows the other
-// owner's write may come before the answer, and no later one need differ from it. Measured against
-// what was read last, the write would go out for ever, and the shard be neither taken nor let go.
+// Finds out from the rows whether the pending write has taken effect:
+// - A row carries its operation id: it has.
+// - Not so, and the versions still meet its conditions: it may be in flight. Exactly the same write
+//   is sent again; its conditions let at most one copy take effect.
+// - Not so, and a version has changed: it never will, and is dropped.
+// Versions are compared with the write's own conditions, also when it is not in doubt yet: the scan
+// that shows another owner's write may come before the answer, and later scans may show the same
+// versions. If they were compared with the last scan, the write would be repeated forever and the
+// shard neither acquired nor released.
 void shard_ownership::resolveFromRows(shard_state &state, const table_row *row,
                                       const table_row *lease, time_point now)
 {
@@ -167,8 +170,9 @@
 void shard_ownership::updateFromRows(shard_state &state, const table_row *row,
                                      const table_row *lease, time_point now)
 {
-    // A pause of the readings (the table was down, or this process stopped) restarts the watch:
-    // the owner could not renew either, and an outage must not become a wave of takeovers.
+    // A long gap between scans (the table was down, or this process was stopped) restarts the wait
+    // for the owner's lease to end: the owner could not renew either, and an outage must not cause
+    // a wave of takeovers.
     const bool hasReadGap =
             state.lastReadAt && now - *state.lastReadAt > m_settings.leases.ownerLease;
     const bool isFirstRead = !state.lastReadAt;
@@ -200,7 +204,7 @@
             onApplied(state, event.result.sequence, now);
             break;
         case write_outcome::Refused:
-            // Refusing a repeat says nothing about the copy that was sent before.
+            // A refused repeat doesn't tell whether the copy that was sent before took effect.
             if (state.pendingWrite->isInDoubt)
                 state.pendingWrite->retryAt = now + RetryDelay;
             else if (state.pendingWrite->kind == pending_write::purpose::Release)
@@ -279,8 +283,8 @@
         acquire(state, now);
 }
 
-// The previous owner's lease is counted from the first sight of its last renewal, which was sent
-// before; a less preferred entry waits longer, so that two rarely race.
+// The previous owner's lease is counted from when this entry first saw its last renewal, which is
+// later than its sending. Less preferred entries wait longer, so that two entries rarely race.
 time_point shard_ownership::acquireNotBefore(const shard_state &state) const
 {
     const auto stagger = m_settings.takeoverStagger * preferenceRank(state);
@@ -290,17 +294,18 @@
            + stagger;
 }
 
-// Until then a worker that has not attached to this owner may hold a lease: a superseded owner may
-// answer reports until its horizon ends, and the last answer is good for one more lease.
+// Until when a worker that has not attached to this owner may hold an earlier owner's lease: a
+// superseded owner may answer reports until its grant period ends, and its last answer gives one
+// more lease.
 time_point shard_ownership::earlierLeasesEnd(const shard_state &state) const
 {
     const lease_settings &leases = m_settings.leases;
     if (state.rowVersion == 0)
         return state.versionsSeenAt;
-    const auto lastGrantEnds = safeWait(leases.grantLease, leases);
+    const auto grantLeaseWait = safeWait(leases.grantLease, leases);
     if (state.isHandedOver)
-        return state.versionsSeenAt + std::max(state.earlierLeasesLeft, lastGrantEnds);
-    return state.versionsSeenAt + safeWait(leases.grantPeriod, leases) + lastGrantEnds;
+        return state.versionsSeenAt + std::max(state.earlierLeasesLeft, grantLeaseWait);
+    return state.versionsSeenAt + safeWait(leases.grantPeriod, leases) + grantLeaseWait;
 }
 
 void shard_ownership::acquire(shard_state &state, time_point now)
@@ -328,7 +333,7 @@
     sendWrite(state, std::move(write), now);
 }
 
-// What the row says of the last owner's workers, if that has handed the shard over.
+// Reads what the last owner wrote about earlier leases if it handed the shard over.
 void shard_ownership::loadHandOver(shard_state &state, const Json::Value &row)
 {
     state.isHandedOver = row["freed"].asBool();
@@ -340,7 +345,8 @@
         state.unresponsive[worker] = milliseconds(unresponsive[worker].asInt64());
 }
 
-// Counted from when this entry saw the row: the last owner counted from before it wrote it.
+// The remaining times are counted from when this entry first saw the row, which is safe: the last
+// owner calculated them before it wrote the row.
 unresponsive_workers shard_ownership::handedOverWorkers(const shard_state &state)
 {
     unresponsive_workers unresponsive;
@@ -358,12 +364,13 @@
     row["owner"] = "";
     row["epoch"] = Json::UInt64(state.epoch);
     row["freed"] = true;
-    // An earlier owner's horizon may still run; the next owner must not forget it.
+    // The grant period of an earlier owner may not be over yet, so the next owner must wait for the
+    // rest of it.
     row["silentWaitMs"] = Json::Int64(millisecondsUntil(state.earlierLeasesEndAt, now) + 1);
     if (state.earlierLeasesEndAt <= now)
         row["silentWaitMs"] = 0;
-    // Each owner that is replaced would otherwise have its successor wait anew for workers that
-    // were gone long before, and their tasks with them: entries are replaced one after the other.
+    // When entries are replaced one after the other, each new owner would otherwise start a new
+    // wait for workers that are long gone, and their tasks would wait as well.
     for (const auto &[worker, until] : unresponsive)
         row["quietMs"][worker] = Json::Int64(until > now ? millisecondsUntil(until, now) + 1 : 0);
     write.transaction.writes.push_back({shardKey(state.info.shard), row});
@@ -409,7 +416,7 @@
                                             state.earlierLeasesEndAt, write.unresponsive});
         break;
     case pending_write::purpose::Renew:
-        // Counted from before the write was sent: a watcher saw its effect later than that.
+        // Counted from before the write was sent: other entries see its effect later than that.
         state.leaseVersion = version;
         state.grantUntil = write.sentAt + m_settings.leases.grantPeriod;
         state.nextRenewalAt = write.sentAt + m_settings.leases.renewInterval;
--- a/libs/work/ownership.h
+++ b/libs/work/ownership.h
@@ -1,8 +1,8 @@
-// Who may decide for a shard of workers.
+// Ownership of shards: which entry may decide for a shard of workers.
 //
-// `shard/<n>` holds owner and epoch and changes only with the owner; every write of the owner is
-// conditional on its version. `shard/<n>/lease` is written at each renewal, so that renewals never
-// conflict with the owner's own task transactions.
+// Row `shard/<n>` holds the owner and the epoch. It changes only when the owner changes, and every
+// write of the owner is conditional on its version (fencing). Row `shard/<n>/lease` is written at
+// each renewal, so that renewals never conflict with the owner's own task transactions.
 #pragma once
 
 #include <cstdint>
@@ -30,42 +30,44 @@
     std::string zone;
 };
 
-// Stable key of the shard's row, and of the row that renewals write.
+// Keys of the shard's row and of its lease row. Both are stored, so they must never change.
 std::string shardKey(int shard);
 std::string shardLeaseKey(int shard);
 constexpr const char *ShardPrefix = "shard/";
 
-// The shard of a worker: rendezvous over the shards of its availability zone (over all if none).
+// The shard of a worker, by rendezvous hashing over the shards of its availability zone (over all
+// shards if the zone has none; 0 if there are no shards).
 int shardOfWorker(const std::string &worker, const std::string &zone,
                   const std::vector<shard_info> &shards);
 
-// Entries by preference for a shard: those outside the shard's availability zone first, so that the
-// loss of one zone does not take the workers and their owner together.
+// Entry ids in the order in which they should own the shard: those outside the shard's availability
+// zone come first, so that losing one zone doesn't lose both the workers and their owner.
 std::vector<std::string> ownersByPreference(const shard_info &shard,
                                             const std::vector<entry_info> &entries);
 
 // Events.
-struct shard_rows_read // every row under ShardPrefix
+struct shard_rows_read // all rows under ShardPrefix
 {
     std::vector<table_row> rows;
     time_point readStartedAt;
 };
-struct shard_write_answered
+struct shard_write_answered // the platform's answer to a commit_shard
 {
     std::string operationId;
     write_result result;
 };
 struct peers_changed
 {
-    std::vector<entry_info> entries; // live ones, this one included
+    std::vector<entry_info> entries; // all live entries, including this one
 };
-// Both carry what the shards' tables tell at this very moment, by shard: of a worker that was heard
-// since, a shard that is handed over would name too early an end.
-struct ownership_tick
+// The next two carry the current unresponsive workers of each owned shard, by shard number. They
+// must be read at that moment: for a worker that has reported since, a handed-over shard would name
+// an end of its lease that is too early.
+struct ownership_tick // time has passed
 {
     std::map<int, unresponsive_workers> unresponsive;
 };
-struct release_shards // planned stop: hands over everything it holds
+struct release_shards // planned shutdown: hand over all owned shards
 {
     std::map<int, unresponsive_workers> unresponsive;
 };
@@ -77,17 +79,18 @@
 {
     table_transaction transaction;
 };
-struct scan_shards // read every row under ShardPrefix
+struct scan_shards // read all rows under ShardPrefix; answered by shard_rows_read
 { };
 struct became_owner
 {
     int shard = 0;
     std::uint64_t epoch = 0;
     std::uint64_t shardVersion = 0; // of `shard/<n>`: each write of the owner is conditional on it
-    time_point earlierLeasesEndAt;  // a worker that has not attached may hold a lease until then
-    unresponsive_workers unresponsive; // but these only until then, as the last owner told
+    time_point earlierLeasesEndAt; // a worker not yet attached may hold an earlier lease until then
+    unresponsive_workers
+            unresponsive; // exceptions from the previous owner: each until its own time
 };
-struct lost_shard
+struct lost_shard // the shard is handed over, or another entry owns it: stop deciding for it
 {
     int shard = 0;
 };
@@ -96,26 +99,27 @@
 struct ownership_settings
 {
     lease_settings leases;
-    milliseconds scanInterval{1'000};    // between two readings of the shard rows
-    milliseconds takeoverStagger{1'000}; // each place down the preference waits this much longer
-    milliseconds handOverDelay{60'000};  // a less preferred owner hands over after this long
+    milliseconds scanInterval{1'000};    // between two scans of the shard rows
+    milliseconds takeoverStagger{1'000}; // extra wait before a takeover, per preference rank
+    milliseconds handOverDelay{60'000}; // an owner that isn't the preferred one hands over after it
 };
 
-// The shards of one entry.
+// Acquires, renews and hands over shards for one entry. Performs no I/O: events go in, actions come
+// out.
 class shard_ownership
 {
 public:
-    // `operationPrefix` is unique for each process: no two processes share an operation id.
+    // `operationPrefix` must be unique for each process, so that operation ids are too.
     shard_ownership(entry_info self, std::string operationPrefix, std::vector<shard_info> shards,
                     ownership_settings settings);
 
     std::vector<ownership_action> handle(const ownership_event &event, time_point now);
 
     bool owns(int shard) const;
-    // No grant may be sent at or after this time; checked right before each send. A time in the
-    // past when the shard is not owned.
+    // No grant may be sent at or after this time; the caller checks it right before each send. A
+    // time in the past when the shard is not owned.
     time_point mayGrantUntil(int shard) const;
-    // True once everything was handed over after release_shards.
+    // True once all shards are handed over after release_shards.
     bool isReleased() const;
 
 private:
@@ -123,13 +127,13 @@
     {
         enum class purpose { Acquire, Renew, Release } kind = purpose::Acquire;
         table_transaction transaction;
-        std::uint64_t rowVersion = 0;      // takes effect on this version alone,
-        std::uint64_t leaseVersion = 0;    // and on this one of the lease
-        time_point sentAt;                 // decided then: before its first sending
-        time_point retryAt = Never;        // sent again then
-        time_point earlierLeasesEndAt;     // for Take
-        unresponsive_workers unresponsive; // for Take
-        std::uint64_t epoch = 0;           // for Take
+        std::uint64_t rowVersion = 0;      // condition: version of the shard's row
+        std::uint64_t leaseVersion = 0;    // condition: version of its lease row
+        time_point sentAt;                 // when it was decided, so before its first sending
+        time_point retryAt = Never;        // when it is sent again
+        time_point earlierLeasesEndAt;     // for Acquire
+        unresponsive_workers unresponsive; // for Acquire
+        std::uint64_t epoch = 0;           // for Acquire
         bool isInDoubt = false;            // may have taken effect, or may still do so
     };
 
@@ -140,18 +144,18 @@
         std::uint64_t rowVersion = 0;
         std::uint64_t leaseVersion = 0;
         std::uint64_t epoch = 0;
-        bool isHandedOver = false;         // handed over by its last owner
-        milliseconds earlierLeasesLeft{0}; // what its last owner still had to wait, when freed
-        std::map<std::string, milliseconds> unresponsive; // and for these workers
-        time_point versionsSeenAt;                        // the versions were first seen then
-        time_point unchangedSince; // unchanged since then, without a gap in the readings
+        bool isHandedOver = false;         // the last owner handed the shard over
+        milliseconds earlierLeasesLeft{0}; // remaining wait of the last owner at the hand-over
+        std::map<std::string, milliseconds> unresponsive; // the same for single workers
+        time_point versionsSeenAt;                        // when these versions were first seen
+        time_point unchangedSince; // unchanged since then, without a long gap between scans
         std::optional<time_point> lastReadAt;
         // While owned.
         bool isOwned = false;
-        time_point grantUntil;
+        time_point grantUntil; // see mayGrantUntil()
         time_point nextRenewalAt;
-        time_point earlierLeasesEndAt;
-        time_point lessPreferredSince = Never;
+        time_point earlierLeasesEndAt;         // see became_owner
+        time_point lessPreferredSince = Never; // since when another live entry is preferred
         std::optional<pending_write> pendingWrite;
     };
 
--- a/libs/work/quota_parts.cpp
+++ b/libs/work/quota_parts.cpp
@@ -13,29 +13,28 @@
 constexpr const char *OperationMember = "op";
 constexpr const char *QuotaPrefix = "quota/";
 
-// Each dimension by itself.
+// Applies the operation to each dimension separately.
 template <typename Operation>
-resources combine(const resources &remaining, const resources &right, Operation operation)
+resources combine(const resources &left, const resources &right, Operation operation)
 {
-    return {operation(remaining.millicores, right.millicores),
-            operation(remaining.bytes, right.bytes),
-            operation(remaining.accelerators, right.accelerators)};
+    return {operation(left.millicores, right.millicores), operation(left.bytes, right.bytes),
+            operation(left.accelerators, right.accelerators)};
 }
 
-resources larger(const resources &remaining, const resources &right)
+resources larger(const resources &left, const resources &right)
 {
-    return combine(remaining, right, [](auto a, auto b) { return std::max(a, b); });
+    return combine(left, right, [](auto a, auto b) { return std::max(a, b); });
 }
 
-resources smaller(const resources &remaining, const resources &right)
+resources smaller(const resources &left, const resources &right)
 {
-    return combine(remaining, right, [](auto a, auto b) { return std::min(a, b); });
+    return combine(left, right, [](auto a, auto b) { return std::min(a, b); });
 }
 
-// Zero where the team has no limit, so that such dimensions call for no writes.
+// `amount` with 0 in the dimensions without a limit, so that these cause no writes.
 resources limitedDimensionsOf(const resources &amount, const resources &limit)
 {
-    return combine(amount, limit, [](auto a, auto upperBound) { return upperBound > 0 ? a : 0; });
+    return combine(amount, limit, [](auto a, auto limitAmount) { return limitAmount > 0 ? a : 0; });
 }
 
 Json::Value toJson(const resources &amount)
@@ -80,7 +79,7 @@
         team.demand.demanded = limitedDimensionsOf(
                 smaller(larger(demand.inUse, demand.demanded), demand.limit), demand.limit);
         team.demand.largestWaiting = limitedDimensionsOf(demand.largestWaiting, demand.limit);
-        team.isYielding = now >= team.nextYieldAt && hasWaitingOthers(team);
+        team.isYielding = now >= team.nextYieldAt && isOtherShardShort(team);
         if (!team.inFlightOperation.empty() && now >= team.answerDeadline)
             markInDoubt(name, team, now);
         if (team.isLoaded && !team.isStale && team.inFlightOperation.empty()
@@ -104,8 +103,8 @@
     return found == team.parts.end() ? resources{} : found->second;
 }
 
-// A write without an answer may take effect at any moment until the row has a newer version: what
-// is given to tasks must fit the part with it and without it.
+// A write without an answer may take effect at any moment until the row has a newer version.
+// Therefore tasks may only use what is within the part both with and without that write.
 resources quota_parts::usableQuota(const std::string &name) const
 {
     const auto found = m_teams.find(name);
@@ -117,11 +116,11 @@
         part = smaller(part, team.inFlightPart);
     if (team.inDoubtPart)
         part = smaller(part, *team.inDoubtPart);
-    // Yields as tasks end: what they leave is not given to others here.
+    // While yielding, quota of ended tasks is not reused in this shard.
     return team.isYielding ? smaller(part, partToKeep(team)) : part;
 }
 
-// Among the shards that hold a part or wait for one.
+// An equal share for each shard that has a part or waits for one.
 resources quota_parts::equalShare(const team_state &team) const
 {
     std::set<int> active = team.waitingShards;
@@ -135,7 +134,8 @@
     return {limit.millicores / count, limit.bytes / count, limit.accelerators / count};
 }
 
-bool quota_parts::hasWaitingOthers(const team_state &team) const
+// True if another shard waits and has less than an equal share.
+bool quota_parts::isOtherShardShort(const team_state &team) const
 {
     const resources equal = limitedDimensionsOf(equalShare(team), team.demand.limit);
     return std::any_of(team.waitingShards.begin(), team.waitingShards.end(), [&](int shard) {
@@ -145,7 +145,8 @@
     });
 }
 
-// Two shards that each kept a rest too small for one task would both wait for ever.
+// What the shard keeps while yielding. If its equal share fits no further task, it keeps only what
+// is in use: two shards that each kept a remainder too small for one task would both wait forever.
 resources quota_parts::partToKeep(const team_state &team) const
 {
     const auto &resourcesInUse = team.demand.inUse;
@@ -154,7 +155,7 @@
     return fitsOne ? larger(equal, resourcesInUse) : resourcesInUse;
 }
 
-// Left by the other shards; below zero after the operators lowered the limit.
+// What the other shards leave of the limit; negative after operators have lowered the limit.
 resources quota_parts::unallocatedQuota(const team_state &team) const
 {
     resources remaining = team.demand.limit;
@@ -171,10 +172,10 @@
     const resources part = currentPart(team);
     const resources partKept = partToKeep(team);
     if (team.isYielding && !part.fitsIn(partKept)) {
-        team.nextRaiseAt = now + 2 * m_settings.readInterval; // others have read the row by then
+        team.nextRaiseAt = now + 2 * m_settings.readInterval; // by then others have read the row
         return smaller(part, partKept);
     }
-    if (part.fitsIn(demand.demanded)) // all of it is in use
+    if (part.fitsIn(demand.demanded)) // the demand needs all of it
         team.keepUnusedUntil = now + m_settings.unusedReturnDelay;
     if (demand.demanded.fitsIn(part))
         return now < team.keepUnusedUntil ? part : demand.demanded;
@@ -182,7 +183,7 @@
         return part;
     const resources minimumNeeded = demand.inUse + demand.largestWaiting;
     const resources upperBound =
-            hasWaitingOthers(team) ? larger(equalShare(team), minimumNeeded) : demand.limit;
+            isOtherShardShort(team) ? larger(equalShare(team), minimumNeeded) : demand.limit;
     const resources raised =
             larger(part, smaller(smaller(demand.demanded, upperBound), unallocatedQuota(team)));
     return minimumNeeded.fitsIn(raised) ? raised : part;
@@ -196,7 +197,8 @@
                            && !(demand.inUse + demand.largestWaiting).fitsIn(target);
     if (!target.fitsIn(currentPart(team)))
         team.nextYieldAt = now + m_settings.readInterval;
-    // A write in doubt is settled by another one: until the version moves, nobody knows.
+    // A write in doubt is resolved by a new write: until the row's version changes, the first one
+    // may still take effect.
     if (team.inDoubtPart || target != currentPart(team)
         || isWaiting != team.waitingShards.contains(m_shard))
         writePart(name, team, target, isWaiting, now);
@@ -240,14 +242,15 @@
             team.inFlightOperation.clear();
         else if (event.result.outcome == write_outcome::Unknown)
             markInDoubt(name, team, now + m_settings.readInterval);
-        else // Applied as well: there is one way in which parts become known
+        else // also if Applied: parts always become known by reading the row
             markInDoubt(name, team, now);
         break;
     }
     return std::exchange(m_actions, {});
 }
 
-// The row is read. Until a newer version was seen, a copy of the write may still take effect.
+// Requests a read of the row. A copy of the write may still take effect until a newer version of
+// the row was read.
 void quota_parts::markInDoubt(const std::string &name, team_state &team, time_point writeAt)
 {
     team.inFlightOperation.clear();
@@ -266,21 +269,21 @@
         if (found == m_teams.end())
             continue;
         const auto row = std::find_if(event.rows.begin(), event.rows.end(),
-                                      [&](const auto &one) { return one.key == key; });
+                                      [&](const auto &candidate) { return candidate.key == key; });
         table_row none;
         none.key = key;
         load(found->second, row == event.rows.end() ? none : *row);
     }
 }
 
-// A reading that was overtaken by a newer one says nothing.
+// A read result that arrives after a newer one is ignored.
 void quota_parts::load(team_state &team, const table_row &row)
 {
     if (row.version < team.version)
         return;
     team.isLoaded = true;
     team.isStale = false;
-    // Writes in doubt were conditional on the version before: they have taken effect, or never
+    // Writes in doubt were conditional on the previous version: they have taken effect, or never
     // will.
     if (row.version > team.version)
         team.inDoubtPart.reset();
@@ -291,7 +294,8 @@
     const auto &parts = objectMember(row.value, "parts");
     for (const auto &shard : parts.getMemberNames()) {
         const int shardNumber = std::stoi(shard);
-        if (shardNumber < static_cast<int>(m_settings.shardCount)) // there may have been more once
+        if (shardNumber
+            < static_cast<int>(m_settings.shardCount)) // there may have been more shards before
             team.parts[shardNumber] = resourcesFromJson(parts[shard]);
     }
     team.waitingShards.clear();
--- a/libs/work/quota_parts.h
+++ b/libs/work/quota_parts.h
@@ -1,11 +1,13 @@
-// One shard's parts of the teams' quotas, when several shards share them.
+// One shard's parts of the teams' quotas, when several shards share each quota.
 //
-// Row quota/<team> holds each shard's part; a part is changed only by the shard's owner, in a write
-// that is conditional on the shard's row and on the quota's. The owner gives a team no more than
-// the part that is certain, so the sum over all shards never exceeds the quota, whoever dies or
-// pauses. Parts follow demand: unused ones are given back, and a shard above an equal share yields
-// to one below it that waits, as its tasks end. A part that fits no further task is not kept from
-// others.
+// Row quota/<team> holds the part of each shard. Only the shard's owner changes a part, in a write
+// that is conditional on the shard's row and on the quota's row. The owner lets a team use no more
+// than the part that is certainly committed, so the sum over all shards never exceeds the quota,
+// whichever process dies or pauses.
+//
+// Parts follow demand: unused parts are returned. A shard above an equal share yields to a waiting
+// shard below it as its own tasks end. A remainder that is too small for another task is returned
+// too.
 #pragma once
 
 #include <cstdint>
@@ -24,20 +26,20 @@
 
 struct quota_settings
 {
-    std::size_t shardCount = 1;       // all there are; with one, no row is needed
-    milliseconds readInterval{2'000}; // between two looks at the rows
-    milliseconds retryDelay{500};     // after a write that failed or was in doubt
-    milliseconds unusedReturnDelay{
-            5'000}; // an unused part is kept so long, unless another shard waits
+    std::size_t shardCount = 1;       // of the whole system; with one shard no row is needed
+    milliseconds readInterval{2'000}; // between two reads of the quota rows
+    milliseconds retryDelay{500};     // from a refused write to the next one
+    // An unused part is kept this long, unless another shard waits for quota.
+    milliseconds unusedReturnDelay{5'000};
 };
 
-// What this shard knows of a team; 0 in a dimension of `limit`: none there.
+// A team's demand in this shard.
 struct team_demand
 {
-    resources limit;          // of the whole team
+    resources limit;          // quota of the whole team; 0 in a dimension: no limit there
     resources inUse;          // by the shard's tasks
-    resources demanded;       // held, and asked for by those that wait
-    resources largestWaiting; // the largest of those that wait; 0: none waits
+    resources demanded;       // `inUse` and the sum of the waiting tasks
+    resources largestWaiting; // size of the largest waiting task; 0: none waits
 };
 
 using quota_action = std::variant<commit_rows, read_rows>;
@@ -45,37 +47,39 @@
 class quota_parts
 {
 public:
-    // `shardVersion` of the shard's row. `operationPrefix` is unique for each tenure of a shard.
+    // `shardVersion` is the version of the shard's row, a condition of each write.
+    // `operationPrefix` must be unique for each tenure of a shard.
     quota_parts(int shard, std::uint64_t shardVersion, std::string operationPrefix,
                 quota_settings settings);
 
-    // Of every team that has a limit; to be called before each planning.
+    // Takes the demand of every team that has a limit. Call before each planning run.
     std::vector<quota_action> update(const std::map<std::string, team_demand> &demands,
                                      time_point now);
     std::vector<quota_action> handle(const write_answered &event, time_point now);
     void handle(const rows_read &event);
 
-    // What the shard may hold in the dimensions that have a limit; the rest means nothing.
+    // How much the team's tasks in this shard may use together. Only the dimensions with a limit
+    // are meaningful.
     resources usableQuota(const std::string &team) const;
 
 private:
     struct team_state
     {
         team_demand demand;
-        bool isLoaded = false;     // the row was read
-        bool isStale = false;      // and has to be read again before the next write
-        std::uint64_t version = 0; // of the row; 0: there is none
-        std::map<int, resources> parts;
-        std::set<int> waitingShards;          // shards that ask for more than they got
-        std::string inFlightOperation;        // of the write on its way; empty: none
-        resources inFlightPart;               // part in it
-        time_point answerDeadline;            // in doubt from then on
-        std::optional<resources> inDoubtPart; // lowest part in writes that may still take effect
-        time_point nextWriteAt;               // not before
-        time_point keepUnusedUntil;           // an unused part
-        time_point nextRaiseAt;               // not before: others come first after it yielded
-        time_point nextYieldAt;               // not before: what was raised is used first
-        bool isYielding = false;              // to another shard, as tasks end
+        bool isLoaded = false;                // the row was read at least once
+        bool isStale = false;                 // must be read again before the next write
+        std::uint64_t version = 0;            // of the row; 0: there is no row
+        std::map<int, resources> parts;       // by shard
+        std::set<int> waitingShards;          // shards that need more than their part
+        std::string inFlightOperation;        // operation id of the write in flight; empty: none
+        resources inFlightPart;               // this shard's part in that write
+        time_point answerDeadline;            // the write in flight is in doubt from then on
+        std::optional<resources> inDoubtPart; // smallest part in writes that may still take effect
+        time_point nextWriteAt;               // earliest time of the next write
+        time_point keepUnusedUntil;           // an unused part is kept until then
+        time_point nextRaiseAt;  // earliest time of the next raise: others go first after a yield
+        time_point nextYieldAt;  // earliest time to yield: a raised part is used first
+        bool isYielding = false; // gives up quota to another shard as tasks end
     };
 
     static std::string keyOf(const std::string &team);
@@ -86,7 +90,7 @@
     resources unallocatedQuota(const team_state &team) const;
     resources equalShare(const team_state &team) const;
     resources partToKeep(const team_state &team) const;
-    bool hasWaitingOthers(const team_state &team) const;
+    bool isOtherShardShort(const team_state &team) const;
     void writePart(const std::string &name, team_state &team, const resources &part, bool isWaiting,
                    time_point now);
     void markInDoubt(const std::string &name, team_state &team, time_point writeAt);
--- a/libs/work/task_coordinator.cpp
+++ b/libs/work/task_coordinator.cpp
@@ -1,5 +1,5 @@
-// Sections: Jobs | Reports of agents | Grants | Silent workers | Records |
-// The store, changes for the ledger
+// Sections: Jobs | Placement and eviction | Reports of agents | Grants | Silent workers | Records |
+// Answers of the table, changes for the ledger
 
 #include "work/task_coordinator.h"
 
@@ -37,8 +37,9 @@
         {coordinator_counter::StaleAttemptStopped, "stray_stopped"},
 }};
 
-// A process that loses a shard and takes it again counts its operations from one: without the
-// epoch, a row that its first tenure wrote would pass for one that the second has just written.
+// Operation ids contain the epoch: a process that loses a shard and acquires it again numbers its
+// operations from 1 again, and a row written in its first tenure must not be taken for one that was
+// just written in its second.
 std::string tenurePrefix(const std::string &prefix, const shard_tenure &tenure)
 {
     return prefix + "/" + std::to_string(tenure.shard) + "." + std::to_string(tenure.epoch);
@@ -107,11 +108,11 @@
     for (const auto &[worker, ids] : m_tasksByWorker) {
         for (const auto &task : ids) {
             const task_record record = m_store.newestRecord(task);
-            const task_record settled = m_store.committedRecord(task);
+            const task_record committed = m_store.committedRecord(task);
             if (occupiesWorker(record) && record.worker == worker)
                 tasks.emplace_back(task, find(task));
-            else if (occupiesWorker(settled) && settled.worker == worker)
-                tasks.emplace_back(task, settled);
+            else if (occupiesWorker(committed) && committed.worker == worker)
+                tasks.emplace_back(task, committed);
         }
     }
     return tasks;
@@ -120,7 +121,7 @@
 bool task_coordinator::canPlaceOn(const std::string &worker) const
 {
     const auto found = m_workers.find(worker);
-    return found != m_workers.end() && found->second.isAttached && !found->second.isLeaseExpired
+    return found != m_workers.end() && found->second.isAttached && !found->second.isLeaseLapsed
            && !m_store.isDeclaredSilent(worker);
 }
 
@@ -128,7 +129,7 @@
 {
     unresponsive_workers unresponsive;
     for (const auto &[name, worker] : m_workers) {
-        // An agent reports at least three times within its lease.
+        // A healthy agent reports at least three times within its lease.
         const bool hasReportedLately = now - worker.lastReportAt < m_settings.leases.grantLease / 2;
         if (!hasReportedLately && !tasksOn(name).empty())
             unresponsive[name] = latestLeaseEnd(name, worker);
@@ -146,12 +147,13 @@
 
 namespace {
 
-// All but the generation that it was last written for. Writing every job for every generation
-// would take most of the platform's writes: a change concerns one job, as a rule.
-bool isSameExceptGeneration(job_spec hasLeftWorker, const job_spec &right)
+// True if the jobs differ at most in their generation. Such a job is not written again: a
+// generation usually changes one job, and writing all jobs for each would take most of the
+// platform's writes.
+bool isSameExceptGeneration(job_spec candidate, const job_spec &other)
 {
-    hasLeftWorker.generation = right.generation;
-    return hasLeftWorker == right;
+    candidate.generation = other.generation;
+    return candidate == other;
 }
 
 } // namespace
@@ -181,7 +183,7 @@
     resizeJob(job, now);
 }
 
-// Tasks past the new size are cancelled; those that an earlier size had cancelled come back.
+// Cancels the tasks beyond the new size, and restores those that a smaller size had cancelled.
 void task_coordinator::resizeJob(const stored_job &job, time_point now)
 {
     const std::uint32_t end = taskIndexAt(job.spec, job.spec.taskCount);
@@ -209,7 +211,7 @@
     dropPlaceable(event.job);
 }
 
-// Placement and eviction.
+// --- Placement and eviction ----------------------------------------------------------------------
 
 void task_coordinator::on(const placement_decided &event, time_point now)
 {
@@ -229,7 +231,8 @@
     record.incarnation = m_workers[event.worker].incarnation;
     record.isBacklogged = event.isBacklogged;
     stageRecord(event.task, record, now);
-    m_volatileStates.erase(event.task); // of a placement under this number that had no effect
+    // An earlier placement with this attempt number may have had no effect.
+    m_volatileStates.erase(event.task);
     if (event.reserved == resources{})
         return;
     volatile_state &volatileState = volatileStateOf(event.task, record.attempt);
@@ -237,8 +240,8 @@
     volatileState.reservationNumber = ++m_lastReservationNumber;
 }
 
-// Told with the next grant, which follows within a report: nothing waits for it. What may start
-// meanwhile was placed by the ledger that counts the raise already.
+// The raise is sent with the next grant, which answers the next report. That is soon enough: the
+// placer's ledger already counts the raise, so tasks that start meanwhile fit beside it.
 void task_coordinator::on(const reservation_raised &event, time_point)
 {
     const task_record record = m_store.newestRecord(event.task);
@@ -251,48 +254,50 @@
 
 std::size_t task_coordinator::backlogSizeOn(const std::string &worker) const
 {
-    std::size_t ahead = 0;
+    std::size_t backlogSize = 0;
     for (const auto &task : tasksOn(worker)) {
         const task_record record = m_store.newestRecord(task);
         const volatile_state *volatileState = findVolatileState(task, record.attempt);
-        const bool started =
+        const bool hasStarted =
                 volatileState != nullptr
-                && (volatileState->hasRoom || !volatileState->startedBySession.empty());
-        if (record.isBacklogged && record.worker == worker && !started)
-            ++ahead;
+                && (volatileState->isStartAllowed || !volatileState->startedBySession.empty());
+        if (record.isBacklogged && record.worker == worker && !hasStarted)
+            ++backlogSize;
     }
-    return ahead;
+    return backlogSize;
 }
 
-// Placed in the table, and no write is on its way that would change that. A write of the job's row
-// is none: a new generation brings one, just when urgent work of that generation needs room.
+// True if the task is committed as Placed and no staged or in-flight change ends that. A write of
+// the job's row doesn't count as such a change: each new generation may write job rows, just when
+// urgent work of that generation needs room.
 bool task_coordinator::staysPlaced(const task_id &task) const
 {
-    const task_record settled = m_store.committedRecord(task);
-    const task_record next = m_store.newestRecord(task);
-    return settled.state == task_state::Placed && next.state == task_state::Placed
-           && settled.attempt == next.attempt;
+    const task_record committed = m_store.committedRecord(task);
+    const task_record latest = m_store.newestRecord(task);
+    return committed.state == task_state::Placed && latest.state == task_state::Placed
+           && committed.attempt == latest.attempt;
 }
 
-// Also while the write that places it is out: the placer evicts the youngest first, and counts it
-// as stopping from now on. Nobody would decide it again, and urgent work would wait for its room.
+// Also accepted while the placement itself is in flight: the placer evicts the youngest tasks
+// first, and counts the task as stopping from now on. If the decision were dropped, nobody would
+// repeat it, and urgent work would wait for the room.
 void task_coordinator::on(const eviction_decided &event, time_point)
 {
-    const task_record next = m_store.newestRecord(event.task);
-    if (next.state != task_state::Placed)
-        return; // it leaves as it is
-    volatileStateOf(event.task, next.attempt).isEvicting = true;
-    m_workersToGrant.insert(next.worker);
+    const task_record latest = m_store.newestRecord(event.task);
+    if (latest.state != task_state::Placed)
+        return; // it leaves the worker anyway
+    volatileStateOf(event.task, latest.attempt).isEvicting = true;
+    m_workersToGrant.insert(latest.worker);
 }
 
 void task_coordinator::on(const backlog_start_decided &event, time_point)
 {
-    // Another write of the row or of its job may be on its way: were the decision dropped then, the
-    // owner's ledger would count a task that never starts.
+    // Accepted also while another write of the row or of its job is in flight. If the decision were
+    // dropped then, the owner's ledger would count a task that never starts.
     const task_record record = m_store.committedRecord(event.task);
     if (!staysPlaced(event.task) || !record.isBacklogged)
         return;
-    volatileStateOf(event.task, record.attempt).hasRoom = true;
+    volatileStateOf(event.task, record.attempt).isStartAllowed = true;
     m_workersToGrant.insert(record.worker);
 }
 
@@ -305,7 +310,7 @@
     m_workersToGrant.insert(record.worker);
 }
 
-// Reports.
+// --- Reports of agents ---------------------------------------------------------------------------
 
 void task_coordinator::on(const report_received &event, time_point now)
 {
@@ -322,20 +327,18 @@
     worker.isAttached = report.epoch == m_tenure.epoch;
     worker.ackedReservation = worker.isAttached ? report.ackedReservation : 0;
     if (m_store.isDeclaredSilent(report.worker)) {
-        // Its tasks may run elsewhere by now, and the table promises that it holds no lease: no
-        // grant before the table has taken that back.
+        // Its tasks may already run elsewhere, and the table says that it holds no lease. So it
+        // gets no grant before its removal from the silent workers is committed.
         count(coordinator_counter::WorkerReturned);
         m_store.stageSilent(report.worker, false, now);
         return;
     }
-    // The agent counts from its sending of this report, which was before now.
+    // The agent counts its lease from the sending of this report, which was earlier.
     worker.leaseUntil = now + safeWait(m_settings.leases.grantLease, m_settings.leases);
-    worker.isLeaseExpired = false;
+    worker.isLeaseLapsed = false;
     m_workersToGrant.insert(report.worker);
 }
 
-// --- Reports of agents ---------------------------------------------------------------------------
-
 bool task_coordinator::acceptReport(const agent_report &report, worker_state &worker,
                                     time_point now)
 {
@@ -364,15 +367,15 @@
     return true;
 }
 
-// Two agents may speak for one worker while the replaced one is only paused. The last one to appear
-// is answered; the older one again only after the newer one fell silent.
+// Two agent processes may report for one worker, if the replaced one was only paused. The one that
+// appeared last is answered; the older one only after the newer one has stopped reporting.
 bool task_coordinator::acceptSession(const agent_report &report, worker_state &worker,
                                      time_point now)
 {
     if (report.session == worker.session)
         return true;
-    const bool current = now - worker.lastReportAt < m_settings.leases.grantLease;
-    if (worker.replacedSessions.contains(report.session) && current) {
+    const bool isCurrent = now - worker.lastReportAt < m_settings.leases.grantLease;
+    if (worker.replacedSessions.contains(report.session) && isCurrent) {
         count(coordinator_counter::StaleSession);
         return false;
     }
@@ -391,9 +394,9 @@
     if (isEnd(event.kind))
         worker.staleAttempts.erase({event.task, event.attempt});
     const task_record record = m_store.newestRecord(event.task);
-    const bool current = occupiesWorker(record) && record.attempt == event.attempt
-                         && record.worker == report.worker;
-    if (!current) {
+    const bool isCurrent = occupiesWorker(record) && record.attempt == event.attempt
+                           && record.worker == report.worker;
+    if (!isCurrent) {
         if (event.kind == task_event_kind::Started
             && m_store.committedRecord(event.task) == record) {
             count(coordinator_counter::StaleAttemptStopped);
@@ -405,34 +408,35 @@
     if (event.kind == task_event_kind::Started) {
         applyStarted(report, event);
     } else if (event.kind == task_event_kind::Checkpointed) {
-        task_record next = record;
-        next.checkpoint = event.checkpoint;
-        stageRecord(event.task, next, now);
+        task_record latest = record;
+        latest.checkpoint = event.checkpoint;
+        stageRecord(event.task, latest, now);
     } else {
-        const task_record next = recordAfterEnd(record, event);
-        stageRecord(event.task, next, now, next.state == task_state::Done);
-        emitChange(event.task, task_change::EndReported, next, record.worker);
+        const task_record latest = recordAfterEnd(record, event);
+        stageRecord(event.task, latest, now, latest.state == task_state::Done);
+        emitChange(event.task, task_change::EndReported, latest, record.worker);
     }
 }
 
 void task_coordinator::applyStarted(const agent_report &report, const task_event &event)
 {
     volatile_state &volatileState = volatileStateOf(event.task, event.attempt);
-    const bool first = volatileState.startedBySession.empty();
+    const bool isFirstReport = volatileState.startedBySession.empty();
     volatileState.startedBySession = report.session;
     const task_record record = m_store.newestRecord(event.task);
-    if (first)
+    if (isFirstReport)
         emitChange(event.task, task_change::Started, record, record.worker);
 }
 
-// The task was taken back from a worker that had been silent, and has not been placed again: what
-// the worker did before its lease lapsed still counts.
+// Handles an event of an attempt that is no longer current. If the task was requeued from a silent
+// worker and not placed again yet, what it did before its lease lapsed still counts.
 void task_coordinator::applyLateEvent(const task_event &event, time_point now)
 {
     task_record record = m_store.newestRecord(event.task);
-    const bool newest = record.state == task_state::Pending && record.attempt == event.attempt;
+    const bool isNewestAttempt =
+            record.state == task_state::Pending && record.attempt == event.attempt;
     const stored_job *job = m_store.job(event.task.job);
-    if (!newest || event.attempt == 0 || job == nullptr) {
+    if (!isNewestAttempt || event.attempt == 0 || job == nullptr) {
         count(coordinator_counter::StaleEvent);
         return;
     }
@@ -472,7 +476,7 @@
     return record;
 }
 
-// A newer life of the worker's instance proves that what ran in an earlier one has ended.
+// A newer incarnation of the worker proves that the tasks of earlier incarnations have ended.
 void task_coordinator::applyIncarnation(const std::string &worker, std::uint64_t incarnation,
                                         time_point now)
 {
@@ -487,8 +491,8 @@
     }
 }
 
-// Acknowledged in order, and only what the table holds: an agent keeps the rest and repeats it to
-// whoever owns the shard next.
+// Events are acknowledged in order, and only when their effect is committed: an agent keeps the
+// others and repeats them, also to the next owner of the shard.
 std::uint64_t task_coordinator::newestAckable(const agent_report &report,
                                               std::uint64_t newestAcked) const
 {
@@ -505,17 +509,15 @@
 bool task_coordinator::isEventCommitted(const task_event &event) const
 {
     const task_record record = m_store.committedRecord(event.task);
-    const bool current = occupiesWorker(record) && record.attempt == event.attempt;
+    const bool isCurrent = occupiesWorker(record) && record.attempt == event.attempt;
     if (event.kind == task_event_kind::Started)
         return true;
     if (event.kind == task_event_kind::Checkpointed)
-        return !current || record.checkpoint == event.checkpoint;
-    // A late success is on its way to the table while the task is still Pending there.
-    return !current && !m_store.hasUncommittedChange(event.task);
+        return !isCurrent || record.checkpoint == event.checkpoint;
+    // A late success may be staged or in flight while the task is still Pending in the table.
+    return !isCurrent && !m_store.hasUncommittedChange(event.task);
 }
 
-// Grants.
-
 // --- Grants --------------------------------------------------------------------------------------
 
 void task_coordinator::sendPendingGrants(time_point now)
@@ -540,7 +542,7 @@
     grant.replyTo = worker.sequence;
     grant.ackedEvent = worker.ackedEvent;
     grant.mayStartBacklog = m_settings.startsBacklogWhenDown && m_store.isDown(now);
-    // A successor may already count on the end of this owner's horizon.
+    // After the grant deadline no lease is given: a successor may rely on that.
     if (now < m_grantDeadline)
         grant.lease = m_settings.leases.grantLease;
     else
@@ -553,12 +555,12 @@
     m_actions.emplace_back(send_grant{std::move(grant)});
 }
 
-// Only what the table holds is granted, and nothing that is about to change.
+// Only committed placements are granted, and none that is about to change.
 void task_coordinator::addTaskToGrant(worker_grant &grant, const worker_state &worker,
                                       const task_id &task) const
 {
     const task_record record = m_store.committedRecord(task);
-    const task_record next = m_store.newestRecord(task);
+    const task_record latest = m_store.newestRecord(task);
     if (!occupiesWorker(record) || record.worker != grant.worker
         || record.incarnation != worker.incarnation)
         return;
@@ -571,7 +573,7 @@
         grant.stops.push_back(attempt);
         return;
     }
-    const bool isStaying = next.state == task_state::Placed && next.attempt == record.attempt;
+    const bool isStaying = latest.state == task_state::Placed && latest.attempt == record.attempt;
     const stored_job *job = m_store.job(task.job);
     if (!isStaying || job == nullptr)
         return;
@@ -581,14 +583,16 @@
         return;
     const granted_task granted{task, record.attempt, job->spec.failover, record.checkpoint,
                                newerCheckpointNames(task, record)};
-    const bool ahead = record.isBacklogged && (volatileState == nullptr || !volatileState->hasRoom);
-    if (ahead && volatileState != nullptr && volatileState->isEvicting)
-        return; // taken back
-    (ahead ? grant.backlog : grant.tasks).push_back(granted);
+    const bool staysInBacklog =
+            record.isBacklogged && (volatileState == nullptr || !volatileState->isStartAllowed);
+    if (staysInBacklog && volatileState != nullptr && volatileState->isEvicting)
+        return; // withdrawn before it could start
+    (staysInBacklog ? grant.backlog : grant.tasks).push_back(granted);
     grant.specs[task.job] = job->spec.taskSpec;
 }
 
-// Until the agent says that it counts the raise: a replaced agent starts from declared sizes.
+// A raise is repeated until the agent acknowledges it, and for each agent session again, as a
+// replaced agent starts from the declared sizes.
 void task_coordinator::addReservationToGrant(worker_grant &grant, const worker_state &worker,
                                              const task_attempt &attempt,
                                              const volatile_state *volatileState)
@@ -600,8 +604,8 @@
         grant.reservations.push_back({attempt, volatileState->reservedSize});
 }
 
-// A worker that was lost after it had made a checkpoint and before it could report it leaves the
-// object behind; resuming from an older one would do that work twice.
+// A worker that was lost after it wrote a checkpoint, but before the checkpoint was reported,
+// leaves the object behind. Resuming from an older checkpoint would repeat that work.
 std::vector<std::string> task_coordinator::newerCheckpointNames(const task_id &task,
                                                                 const task_record &record)
 {
@@ -617,26 +621,28 @@
     return names;
 }
 
-// Silent workers.
+// --- Silent workers ------------------------------------------------------------------------------
 
 void task_coordinator::on(const coordinator_tick &, time_point now)
 {
     m_store.tick(now);
     if (!isReady())
         return;
-    // After a pause of this process the reports wait in its queue: that is not silence.
+    // After a pause of this process, reports are still waiting in its queue, so the workers are not
+    // silent. Each gets the length of a lease to report.
     constexpr milliseconds MaxTickGap{2'000};
     if (now - m_lastTickAt > MaxTickGap) {
-        const auto wait = safeWait(m_settings.leases.grantLease, m_settings.leases);
+        const auto leaseWait = safeWait(m_settings.leases.grantLease, m_settings.leases);
         for (auto &[name, worker] : m_workers)
-            worker.leaseUntil = std::max(worker.leaseUntil, now + wait);
+            worker.leaseUntil = std::max(worker.leaseUntil, now + leaseWait);
     }
     m_lastTickAt = now;
     checkWorkerLeases(now);
     removeGoneWorkers(now);
 }
 
-// Instances that were replaced under another name.
+// Removes workers without tasks that have not reported for a long time, such as instances that were
+// replaced under another name.
 void task_coordinator::removeGoneWorkers(time_point now)
 {
     std::erase_if(m_workers, [&](const auto &item) {
@@ -646,21 +652,19 @@
     });
 }
 
-// --- Silent workers ------------------------------------------------------------------------------
-
 void task_coordinator::checkWorkerLeases(time_point now)
 {
     for (auto &[name, worker] : m_workers) {
-        worker.isLeaseExpired = now >= latestLeaseEnd(name, worker);
-        if (worker.isLeaseExpired)
+        worker.isLeaseLapsed = now >= latestLeaseEnd(name, worker);
+        if (worker.isLeaseLapsed)
             declareSilent(name, now);
     }
 }
 
-// No lease of the worker or of its tasks ends later (docs/design/OWNERSHIP.md). A worker that has
-// recorded this epoch takes no lease of an earlier owner; one that the earlier owner had written
-// down as silent held none, and one that it had not heard of when it handed the shard over no
-// longer than it said then, whoever granted it.
+// No lease of the worker or of its tasks ends later than this (docs/design/OWNERSHIP.md). A worker
+// that has recorded this epoch accepts no lease of an earlier owner. One that the earlier owner had
+// declared silent held no lease. One that was unresponsive when the earlier owner handed the shard
+// over holds none beyond the time given then, whoever granted it.
 time_point task_coordinator::latestLeaseEnd(const std::string &name,
                                             const worker_state &worker) const
 {
@@ -668,12 +672,13 @@
     if (attached || m_store.isCommittedSilent(name))
         return worker.leaseUntil;
     const auto handedOver = m_tenure.unresponsive.find(name);
-    const bool knownJob = handedOver != m_tenure.unresponsive.end();
-    return std::max(worker.leaseUntil, knownJob ? handedOver->second : m_tenure.earlierLeasesEndAt);
+    const bool isHandedOver = handedOver != m_tenure.unresponsive.end();
+    return std::max(worker.leaseUntil,
+                    isHandedOver ? handedOver->second : m_tenure.earlierLeasesEndAt);
 }
 
-// Class Lease may start elsewhere. Class Proof stays until the worker or a newer incarnation of it
-// says that the old attempt has ended.
+// Requeues the worker's tasks of class Lease, which may now start elsewhere. Tasks of class Proof
+// stay until the worker or a newer incarnation of it reports that the old attempt has ended.
 void task_coordinator::declareSilent(const std::string &name, time_point now)
 {
     bool hasMovedTask = false;
@@ -694,8 +699,6 @@
     m_store.stageSilent(name, true, now);
 }
 
-// Records.
-
 // --- Records -------------------------------------------------------------------------------------
 
 void task_coordinator::stageRecord(const task_id &task, const task_record &record, time_point now,
@@ -715,15 +718,15 @@
     return {found->second.begin(), found->second.end()};
 }
 
-// Keeps the list of a worker's tasks: those that are settled there, or wanted there.
+// Updates the list of the worker's tasks: those on it by their committed or newest record.
 void task_coordinator::updateWorkerIndex(const task_id &task, const std::string &worker)
 {
     if (worker.empty())
         return;
     const task_record newestState = m_store.newestRecord(task);
-    const task_record settled = m_store.committedRecord(task);
+    const task_record committed = m_store.committedRecord(task);
     const bool isOnThisWorker = (occupiesWorker(newestState) && newestState.worker == worker)
-                                || (occupiesWorker(settled) && settled.worker == worker);
+                                || (occupiesWorker(committed) && committed.worker == worker);
     if (isOnThisWorker)
         m_tasksByWorker[worker].insert(task);
     else
@@ -748,6 +751,8 @@
     return &found->second;
 }
 
+// --- Answers of the table, changes for the ledger ------------------------------------------------
+
 void task_coordinator::on(const write_answered &event, time_point now)
 {
     m_store.handle(event, now);
@@ -755,16 +760,14 @@
 
 void task_coordinator::on(const rows_read &event, time_point now)
 {
-    const bool before = isReady();
+    const bool wasReady = isReady();
     m_store.handle(event, now);
-    if (!before && isReady())
+    if (!wasReady && isReady())
         onRowsLoaded(now);
 }
 
-// --- The store, changes for the ledger -----------------------------------------------------------
-
-// Workers with tasks are known from the rows. Each gets the time to report first: while the rows
-// were being read, no report could be answered.
+// Creates the state of all workers that have tasks according to the rows. Each gets the length of a
+// lease to report first, as no report could be answered while the rows were being read.
 void task_coordinator::onRowsLoaded(time_point now)
 {
     for (const auto &task : m_store.everPlacedTasks()) {
@@ -774,7 +777,7 @@
         m_tasksByWorker[record.worker].insert(task);
         worker_state &worker = m_workers[record.worker];
         worker.incarnation = std::max(worker.incarnation, record.incarnation);
-        // Of these the last owner has waited for a part already.
+        // The last owner has already waited for these for a while.
         if (m_tenure.unresponsive.contains(record.worker))
             worker.leaseUntil = m_tenure.unresponsive.at(record.worker);
         else if (!m_store.isCommittedSilent(record.worker))
@@ -824,9 +827,9 @@
         m_volatileStates.erase(change.task);
 }
 
-void task_coordinator::applyCommittedJob(const committed_job &settled)
+void task_coordinator::applyCommittedJob(const committed_job &committed)
 {
-    const std::string &id = settled.id;
+    const std::string &id = committed.id;
     const stored_job *job = m_store.job(id);
     if (job == nullptr || m_store.hasUncommittedJobChange(id))
         return;
@@ -835,7 +838,7 @@
             refreshPlaceable({id, taskIndexAt(job->spec, position)});
         return;
     }
-    if (!settled.isNewlyCancelled)
+    if (!committed.isNewlyCancelled)
         return;
     for (const auto &task : m_store.everPlacedTasks(id)) {
         const task_record record = m_store.committedRecord(task);
--- a/libs/work/task_coordinator.h
+++ b/libs/work/task_coordinator.h
@@ -1,6 +1,12 @@
 // The owner's decisions about the tasks of one shard: what is granted to which agent, what an
-// agent's report changes, and when a silent worker's tasks may start elsewhere. Which worker a task
-// goes to is decided elsewhere and comes in as place_decided.
+// agent's report changes, and when a silent worker's tasks may start elsewhere. The placer chooses
+// the worker of a task; its decision comes in as placement_decided.
+//
+// Terms for workers:
+//   attached       has recorded this owner's epoch, so it accepts no lease of an earlier owner
+//   unresponsive   has tasks, but its agent has not reported for half a lease
+//   silent         declared silent in the table: its leases have ended and tasks were requeued
+//   lapsed lease   no lease of the worker can hold any more; nothing is placed on it
 #pragma once
 
 #include <cstdint>
@@ -20,19 +26,19 @@
 
 namespace zinniabarrow::work {
 
-// Events; write_settled and rows_read come from work/task_store.h.
-struct job_accepted // repeats change nothing; a newer generation adds tasks or cancels the last
-                    // ones
+// Events; write_answered and rows_read come from work/task_store.h.
+// A repeated job changes nothing; one of a newer generation adds tasks or cancels the last ones.
+struct job_accepted
 {
     job_spec spec;
 };
-// The owner works by that generation from now on; comes before its jobs. Those of an older one are
-// refused: see followed().
+// The owner applies this generation of the configuration from now on. Comes before the generation's
+// jobs; jobs of older generations are refused from then on, see appliedGeneration().
 struct generation_applied
 {
     std::uint64_t generation = 0;
 };
-struct cancel_job // its rows are removed once no task of it may run
+struct cancel_job // the job's rows are removed once none of its tasks may be running
 {
     std::string job;
 };
@@ -40,20 +46,20 @@
 {
     task_id task;
     std::string worker;
-    bool isBacklogged =
-            false;        // backlog: started while the table is down, or once start_ahead_decided
-    resources reserved{}; // by the placer's ledger, where that is more than declared
+    // Placed before there is room. Starts after backlog_start_decided, or while the table is down.
+    bool isBacklogged = false;
+    resources reserved{}; // in the placer's reservation ledger, if more than the declared size
 };
-struct reservation_raised // of a task that is placed; its agent has to count it too
+struct reservation_raised // of a placed task; the agent must count the raised size too
 {
     task_id task;
     resources reserved;
 };
-struct eviction_decided // checkpoint and free; a task that does not run is only freed
+struct eviction_decided // checkpoint, end and requeue; a task that is not running is only requeued
 {
     task_id task;
 };
-struct backlog_start_decided // there is room now for a task that was placed ahead
+struct backlog_start_decided // there is room now for a task of the backlog
 {
     task_id task;
 };
@@ -61,16 +67,16 @@
 {
     agent_report report;
 };
-struct grant_deadline_changed // shard_owner::mayGrantUntil
+struct grant_deadline_changed // the present value of shard_ownership::mayGrantUntil()
 {
     time_point until;
 };
 struct coordinator_tick // every 20 to 100 ms
 { };
-struct cpu_limit_decided // of the processor time of a task that runs; 0: lifted
+struct cpu_limit_decided // limit on the processor time of a running task
 {
     task_id task;
-    std::int64_t millicores = 0;
+    std::int64_t millicores = 0; // 0: lift the limit
 };
 using coordinator_event =
         std::variant<generation_applied, job_accepted, cancel_job, placement_decided,
@@ -84,17 +90,16 @@
     worker_grant grant;
 };
 
-// The placer's ledger follows these. A task counts against its worker from place_decided until
-// Vacated, Freed, Ended or Reverted; one that was placed ahead only from start_ahead_decided or
-// Started.
+// The placer's reservation ledger follows these changes. A task counts against its worker from
+// placement_decided until EndReported, Requeued, Ended or Reverted; a backlogged one only from
+// backlog_start_decided or Started.
 enum class task_change {
-    Placed,      // the table holds the placement
-    Started,     // the agent said that it runs
-    EndReported, // the agent said that it has ended; Freed or Ended follows once the table holds
-                 // that
+    Placed,      // the placement is committed
+    Started,     // the agent reported that the task runs
+    EndReported, // the agent reported its end; Requeued or Ended follows when that is committed
     Requeued,    // no longer on the worker; Pending again
-    Ended,       // over; `worker` is empty if it was never placed
-    Reverted,    // a wanted change did not take effect; `state` and `worker` say what holds
+    Ended,       // in a final state; `worker` is empty if it was never placed
+    Reverted,    // a decided change did not take effect; `state` and `worker` tell what holds
 };
 std::string_view nameOf(task_change change);
 struct task_changed
@@ -102,25 +107,26 @@
     task_id task;
     task_change change = task_change::Placed;
     task_state state = task_state::Pending; // after the change
-    std::string worker;                     // where it is, or where it was
+    std::string worker;                     // that it is on, or that it was on before the change
     std::uint32_t attempt = 0;
 };
 
+// Counters for metrics.
 enum class coordinator_counter {
-    StaleIncarnation, // report of an earlier life of a worker
-    StaleSession,     // report of a superseded agent
-    StaleReport,      // doubled or reordered report
-    StaleEvent,       // about an attempt that is no longer current
-    NewerEpoch,       // an agent has seen a newer owner
-    StaleGeneration,  // a job of an older generation than was carried out here
-    NotPlaceable,     // placement of a task that is not pending, or on a worker that may not get it
-    BacklogFull,
-    GrantDeadlinePassed, // no lease given: the owner's own right has lapsed
-    WorkerSilent,
-    WorkerReturned,
-    FailedOver,          // a task of a silent worker may start elsewhere
-    EndProven,           // a newer incarnation proved that a task has ended
-    StaleAttemptStopped, // an agent runs an attempt that is not current
+    StaleIncarnation, // report from an earlier incarnation of a worker
+    StaleSession,     // report from a superseded agent process
+    StaleReport,      // duplicated or reordered report
+    StaleEvent,       // event of an attempt that is no longer current
+    NewerEpoch,       // report from an agent that knows a newer owner
+    StaleGeneration,  // job of an older generation than the applied one
+    NotPlaceable, // placement of a task that is not pending, or on a worker that can't get tasks
+    BacklogFull,  // placement in a full backlog
+    GrantDeadlinePassed, // grant without a lease: the owner's right to give leases has ended
+    WorkerSilent,        // worker declared silent
+    WorkerReturned,      // report from a worker that was declared silent
+    FailedOver,          // task of a silent worker that may start elsewhere now
+    EndProven,           // task whose end is proven by a newer incarnation of its worker
+    StaleAttemptStopped, // attempt that an agent runs although it is not current
 };
 std::string_view nameOf(coordinator_counter reason);
 
@@ -131,14 +137,17 @@
 {
     lease_settings leases;
     store_settings store;
-    std::size_t maxBacklogPerWorker = 4; // largest backlog of one worker
-    // While the table is down an agent starts of its backlog what fits. False: only what
-    // start_ahead_decided names, for an owner whose ledgers and quotas have to count each start.
+    std::size_t maxBacklogPerWorker = 4; // tasks
+    // True: while the table is down, an agent starts the tasks of its backlog that fit. False: only
+    // those of a backlog_start_decided, for an owner whose ledgers and quotas must count each
+    // start.
     bool startsBacklogWhenDown = true;
-    bool workersPersistEpoch = true; // false: a silent worker is waited for as if it never attached
+    // False: the wait for a silent worker is as long as if it had never attached to this owner.
+    bool workersPersistEpoch = true;
 };
 
-struct shard_tenure // from became_owner
+// The ownership of one shard by this entry during one epoch; the fields are those of became_owner.
+struct shard_tenure
 {
     int shard = 0;
     std::uint64_t epoch = 0;
@@ -147,63 +156,66 @@
     unresponsive_workers unresponsive{};
 };
 
+// Coordinates the tasks of one shard during one tenure. Performs no I/O: events go in, actions come
+// out.
 class task_coordinator
 {
 public:
-    // `operationPrefix` is unique for each process.
+    // `operationPrefix` must be unique for each process.
     task_coordinator(shard_tenure tenure, const std::string &operationPrefix,
                      coordinator_settings settings);
 
     std::vector<coordinator_action> handle(const coordinator_event &event, time_point now);
 
-    bool isReady() const { return m_store.isReady(); } // rows were read; before, it decides nothing
+    bool isReady() const { return m_store.isReady(); } // rows were read; nothing is decided before
     bool isTableDown(time_point now) const { return m_store.isDown(now); }
-    // The newest intention, whether settled or not, with the states that only this process knows.
+    // The newest record, committed or not, with the states Running and Evicting that are kept only
+    // in memory.
     task_record find(const task_id &task) const;
-    // Settled as Pending, with no write on its way.
+    // True if the task is committed as Pending and no change of it is staged or in flight.
     bool isPlaceable(const task_id &task) const;
     const std::set<task_id> &placeableTasks() const { return m_placeable; } // by job and index
-    // Every task that may run on a worker, settled or not: the ledger after a takeover.
+    // Every task that may be running on a worker by its newest or its committed record. The
+    // reservation ledger is rebuilt from them after a takeover.
     std::vector<std::pair<task_id, task_record>> occupyingTasks() const;
-    bool hasTask(const task_id &task) const
-    {
-        return m_store.isInJobRange(task);
-    }                                                 // one of this shard's
-    bool canPlaceOn(const std::string &worker) const; // attached, and not silent
-    // With tasks, and not heard of for longer than any agent is that is well.
+    // True for a task of this shard (each shard has some of a job's tasks).
+    bool hasTask(const task_id &task) const { return m_store.isInJobRange(task); }
+    // True if the worker has recorded this epoch, its lease holds and it is not declared silent.
+    bool canPlaceOn(const std::string &worker) const;
+    // Workers with tasks whose agent has not reported for longer than a healthy agent would take.
     unresponsive_workers unresponsiveWorkers(time_point now) const;
     std::vector<std::string> jobs() const { return m_store.jobs(); }
     const stored_job *job(const std::string &id) const { return m_store.job(id); }
-    // The newest generation that an owner of this shard has carried out. An owner whose own
-    // configuration is older must not carry it out: it would cancel jobs that have come since, and
-    // start anew those that were removed.
+    // The newest generation that an owner of this shard has applied. An owner whose own
+    // configuration is older must not apply it: it would cancel jobs that were added since, and
+    // restart jobs that were removed.
     std::uint64_t appliedGeneration() const { return m_store.appliedGeneration(); }
 
 private:
     struct worker_state
     {
         std::uint64_t incarnation = 0;
-        std::string session; // agent that is answered
+        std::string session; // of the agent process that is answered
         std::set<std::string> replacedSessions;
-        std::uint64_t sequence = 0; // newest report of the session
+        std::uint64_t sequence = 0; // of the session's newest report
         time_point lastReportAt;
-        bool isAttached = false; // its worker has recorded this epoch
-        time_point leaseUntil;   // it may hold a lease of this owner until then
-        bool isLeaseExpired =
-                false; // that is over: nothing is placed on it before it is granted again
-        std::uint64_t ackedEvent = 0;
+        bool isAttached = false;              // the worker has recorded this epoch
+        time_point leaseUntil;                // it may hold a lease from this owner until then
+        bool isLeaseLapsed = false;           // then nothing is placed on it until the next grant
+        std::uint64_t ackedEvent = 0;         // events up to this number are committed
         std::set<task_attempt> staleAttempts; // to be stopped
-        std::uint64_t ackedReservation = 0;   // the agent has counted those up to here
+        std::uint64_t ackedReservation = 0; // the agent has applied reservations up to this number
     };
 
-    struct volatile_state // known only to this process
+    // What is known of a task's current attempt and not stored; lost with this process.
+    struct volatile_state
     {
         std::uint32_t attempt = 0;
-        std::string startedBySession; // session that said it runs
+        std::string startedBySession; // agent session that reported it as started
         bool isEvicting = false;
-        bool hasRoom = false;                // placed ahead, and there is room now
-        resources reservedSize;              // while `reservation` is set
-        std::uint64_t reservationNumber = 0; // number of its newest raise; 0: declared size
+        bool isStartAllowed = false;         // backlogged, and there is room for it now
+        resources reservedSize;              // only if `reservationNumber` is set
+        std::uint64_t reservationNumber = 0; // of its newest raise; 0: the declared size holds
         std::int64_t cpuLimit = 0;           // millicores; 0: none
     };
 
@@ -266,7 +278,7 @@
     void onRowsLoaded(time_point now);
     void processStoreOutput();
     void applyRecordChange(const record_change &change);
-    void applyCommittedJob(const committed_job &settled);
+    void applyCommittedJob(const committed_job &committed);
     void refreshPlaceable(const task_id &task);
     void dropPlaceable(const std::string &job);
     void emitChange(const task_id &task, task_change change, const task_record &record,
@@ -279,11 +291,11 @@
     time_point m_grantDeadline;
     time_point m_lastTickAt;
     std::map<std::string, worker_state> m_workers;
-    std::map<std::string, std::set<task_id>> m_tasksByWorker; // settled or wanted there
+    std::map<std::string, std::set<task_id>> m_tasksByWorker; // by committed or newest record
     std::map<task_id, volatile_state> m_volatileStates;
-    std::uint64_t m_lastReservationNumber = 0; // numbers the raises of this tenure
+    std::uint64_t m_lastReservationNumber = 0; // reservations of this tenure are numbered from 1
     std::set<task_id> m_placeable;
-    std::set<std::string> m_workersToGrant; // workers that get a grant at the end of this event
+    std::set<std::string> m_workersToGrant; // get a grant at the end of the present event
     std::vector<coordinator_action> m_actions;
 };
 
--- a/libs/work/task_records.cpp
+++ b/libs/work/task_records.cpp
@@ -21,7 +21,7 @@
         {task_state::Cancelled, "cancelled"},
 }};
 
-// One letter for each stored state: rows hold thousands of them.
+// One letter for each stored state, as rows hold thousands of them.
 constexpr name_table<task_state, 6> StoredStateNames = {{
         {task_state::Pending, "p"},
         {task_state::Placed, "w"},
@@ -31,7 +31,7 @@
         {task_state::Cancelled, "x"},
 }};
 
-// Members of a stored record, in order; trailing defaults are left out.
+// Positions in the list of a stored record. Trailing default values are left out.
 enum record_member { State, Attempt, Checkpoint, Failures, Worker, Incarnation, Ahead, Members };
 
 Json::Value memberOr(const Json::Value &list, int index, const Json::Value &defaultValue)
@@ -119,10 +119,11 @@
     if (value.isInt() && value.asInt() == 0)
         return record;
     if (!value.isArray() || value.size() < 2 || value.size() > Members || !value[0].isString())
-        throw error(error_kind::BadRequest, "a task's record needs a list of 2 to 7 members");
+        throw error(error_kind::BadRequest, "a task record must be a list of 2 to 7 members");
     const auto state = valueOf(StoredStateNames, value[State].asString());
     if (!state)
-        throw error(error_kind::BadRequest, "unknown stored state " + value[State].asString());
+        throw error(error_kind::BadRequest,
+                    "unknown state in a task record: " + value[State].asString());
     record.state = *state;
     record.attempt = value[Attempt].asUInt();
     record.checkpoint = memberOr(value, Checkpoint, "").asString();
--- a/libs/work/task_store.cpp
+++ b/libs/work/task_store.cpp
@@ -1,5 +1,5 @@
-// Sections: Rows and keys | Views: settled, in flight, wanted | Wanting changes | Sending |
-// Answers of the table | Loading after a takeover
+// Sections: Rows and keys | Records and jobs | Staging changes | Sending transactions |
+// Answers to transactions | Loading rows
 
 #include "work/task_store.h"
 
@@ -39,7 +39,7 @@
     return found == records.end() ? nullptr : &found->second;
 }
 
-// Tasks without a record, between two that have one: their number, and 0 for a single one.
+// A gap of tasks without a record in a chunk's list: their number, or 0 for a single one.
 Json::Value gapToJson(std::uint32_t tasks)
 {
     return tasks > 1 ? tasks : 0;
@@ -91,15 +91,13 @@
     return m_consecutiveFailures > 0 && now - m_failingSince >= m_settings.outageThreshold;
 }
 
-// Keys and values of rows.
+// --- Rows and keys -------------------------------------------------------------------------------
 
 std::string task_store::prefix() const
 {
     return "work/" + std::to_string(m_shard) + "/";
 }
 
-// --- Rows and keys -------------------------------------------------------------------------------
-
 std::string task_store::keyOf(const row_id &row) const
 {
     switch (row.kind) {
@@ -156,7 +154,7 @@
     return m_jobs[row.job].version;
 }
 
-// The row's value with what is wanted, sent ones included.
+// The row's newest value, with all staged changes.
 Json::Value task_store::valueOf(const row_id &row) const
 {
     if (row.kind == row_kind::Job)
@@ -177,19 +175,17 @@
     for (const auto &[index, record] : chunk.staged)
         records[index] = record;
     value["tasks"] = Json::Value(Json::arrayValue);
-    std::uint32_t next = row.chunk * m_settings.tasksPerChunk;
+    std::uint32_t position = row.chunk * m_settings.tasksPerChunk;
     for (const auto &[index, record] : records) {
-        if (index > next)
-            value["tasks"].append(gapToJson(index - next));
+        if (index > position)
+            value["tasks"].append(gapToJson(index - position));
         value["tasks"].append(toJson(record));
-        next = index + 1;
+        position = index + 1;
     }
     return value;
 }
 
-// Records.
-
-// --- Views: settled, in flight, wanted -----------------------------------------------------------
+// --- Records and jobs ----------------------------------------------------------------------------
 
 task_record task_store::withJobCancellation(const task_record &record,
                                             const std::optional<stored_job> &job)
@@ -284,7 +280,7 @@
     return ids;
 }
 
-// --- Wanting changes -----------------------------------------------------------------------------
+// --- Staging changes -----------------------------------------------------------------------------
 
 void task_store::stageJob(const stored_job &job, time_point now)
 {
@@ -296,8 +292,8 @@
 {
     std::vector<task_id> tasks;
     for (const auto &id : jobs()) {
-        const auto some = everPlacedTasks(id);
-        tasks.insert(tasks.end(), some.begin(), some.end());
+        const auto placedTasks = everPlacedTasks(id);
+        tasks.insert(tasks.end(), placedTasks.begin(), placedTasks.end());
     }
     return tasks;
 }
@@ -320,8 +316,6 @@
     return tasks;
 }
 
-// Silent workers.
-
 bool task_store::isDeclaredSilent(const std::string &worker) const
 {
     for (const auto *workers :
@@ -337,18 +331,16 @@
     return m_silentWorkers.committed && m_silentWorkers.committed->contains(worker);
 }
 
-void task_store::stageSilent(const std::string &worker, bool silent, time_point now)
+void task_store::stageSilent(const std::string &worker, bool isSilent, time_point now)
 {
     silent_set workers = newestValue(m_silentWorkers).value_or(silent_set());
-    const bool changed = silent ? workers.insert(worker).second : workers.erase(worker) > 0;
+    const bool changed = isSilent ? workers.insert(worker).second : workers.erase(worker) > 0;
     if (!changed)
         return;
     m_silentWorkers.staged = std::move(workers);
     markDirty({row_kind::Silent, {}, 0}, now + m_settings.commitWindow);
 }
 
-// The configuration.
-
 std::uint64_t task_store::appliedGeneration() const
 {
     return newestValue(m_appliedGeneration).value_or(0);
@@ -362,8 +354,6 @@
     markDirty({row_kind::AppliedGeneration, {}, 0}, now + m_settings.commitWindow);
 }
 
-// Transactions.
-
 void task_store::markDirty(const row_id &row, time_point due)
 {
     const auto [known, added] = m_dirtyRows.try_emplace(row, due);
@@ -374,7 +364,7 @@
     m_rowsByDueTime.insert({due, row});
 }
 
-// --- Sending -------------------------------------------------------------------------------------
+// --- Sending transactions ------------------------------------------------------------------------
 
 void task_store::tick(time_point now)
 {
@@ -420,22 +410,22 @@
     table_transaction &transaction = m_transaction->transaction;
     transaction.operationId = m_operationPrefix + "/" + std::to_string(++m_operationCount);
     transaction.conditions.push_back({shardKey(m_shard), m_shardVersion});
-    // Rows that are due within the window go along. A removal goes alone: the rows of one job, all
-    // of them settled.
+    // Rows that become due within the commit window are sent along. The removal of a job is sent in
+    // a transaction of its own, with rows that are all committed.
     const time_point until = now + m_settings.commitWindow;
-    const bool removal = m_rowsByDueTime.begin()->second.kind == row_kind::Removal;
-    auto next = m_rowsByDueTime.begin();
-    while (next != m_rowsByDueTime.end() && next->first <= until
+    const bool isRemoval = m_rowsByDueTime.begin()->second.kind == row_kind::Removal;
+    auto position = m_rowsByDueTime.begin();
+    while (position != m_rowsByDueTime.end() && position->first <= until
            && transaction.writes.size() < m_settings.maxRowsPerCommit) {
-        const row_id row = next->second;
-        if ((row.kind == row_kind::Removal) != removal) {
-            ++next;
+        const row_id row = position->second;
+        if ((row.kind == row_kind::Removal) != isRemoval) {
+            ++position;
             continue;
         }
-        next = m_rowsByDueTime.erase(next);
+        position = m_rowsByDueTime.erase(position);
         m_dirtyRows.erase(row);
         m_transaction->rows.push_back(row);
-        if (removal) {
+        if (isRemoval) {
             addRemoval(row.job);
             break;
         }
@@ -457,7 +447,7 @@
     moveToInFlight(row);
 }
 
-// The job's row goes last, so that an owner that finds it knows that chunks may be left.
+// The job's row is removed last, so that an owner that loads it knows that chunks may remain.
 void task_store::addRemoval(const std::string &job)
 {
     if (!canRemoveJob(job))
@@ -493,7 +483,7 @@
     }
 }
 
-// What was sent is wanted again, under what was wanted since.
+// Stages what was in flight again. Values that were staged since take precedence.
 void task_store::moveBackToStaged(const row_id &row)
 {
     if (row.kind == row_kind::Chunk) {
@@ -513,7 +503,7 @@
     }
 }
 
-// --- Answers of the table ------------------------------------------------------------------------
+// --- Answers to transactions ---------------------------------------------------------------------
 
 void task_store::handle(const write_answered &event, time_point now)
 {
@@ -527,7 +517,7 @@
     case write_outcome::Refused:
         m_actions.emplace_back(store_counter::CommitRefused);
         recordFailure(now);
-        // Refusing a repeat says nothing about the copy that was sent before.
+        // A refused repeat doesn't tell whether the copy that was sent before took effect.
         if (current.isInDoubt)
             current.retryAt = now + retryDelay();
         else
@@ -541,7 +531,8 @@
         current.retryAt = now + retryDelay();
         return;
     case write_outcome::Conflict:
-        // Either a copy of this very write took effect, or a row has changed: reading tells.
+        // Either a copy of this transaction has taken effect, or a row has changed otherwise. The
+        // rows are read to find out.
         m_actions.emplace_back(store_counter::CommitConflict);
         current.isResolving = true;
         current.retryAt = now;
@@ -563,19 +554,20 @@
         resolveFromRows(event, now);
 }
 
-// A write in doubt took effect if one of its rows carries its operation id: only this process
-// writes these rows, one transaction at a time. If no row has changed, a copy may still be on its
-// way; exactly the same write goes out again, and its conditions let one copy at most take effect.
+// A transaction in doubt has taken effect if one of its rows carries its operation id: only this
+// process writes these rows, one transaction at a time. If no row has changed, a copy may still be
+// in flight; exactly the same transaction is sent again, and its conditions let at most one copy
+// take effect.
 void task_store::resolveFromRows(const rows_read &event, time_point now)
 {
     transaction_state &current = *m_transaction;
     const auto &conditions = current.transaction.conditions;
-    const bool sameRead = event.keys.size() == conditions.size()
-                          && std::equal(event.keys.begin(), event.keys.end(), conditions.begin(),
-                                        [](const auto &key, const auto &condition) {
-                                            return key == condition.key;
-                                        });
-    if (!sameRead)
+    const bool isSameRead = event.keys.size() == conditions.size()
+                            && std::equal(event.keys.begin(), event.keys.end(), conditions.begin(),
+                                          [](const auto &key, const auto &condition) {
+                                              return key == condition.key;
+                                          });
+    if (!isSameRead)
         return;
     std::map<std::string, const table_row *> rows;
     for (const auto &row : event.rows)
@@ -634,14 +626,14 @@
 
 void task_store::onApplied(std::uint64_t version, time_point now)
 {
-    const transaction_state done = std::move(*m_transaction);
+    const transaction_state applied = std::move(*m_transaction);
     m_transaction.reset();
     m_consecutiveFailures = 0;
     m_failingSince = Never;
     m_retryAt = time_point();
-    for (const auto &row : done.rows) {
+    for (const auto &row : applied.rows) {
         if (row.kind == row_kind::Removal) {
-            for (const auto &write : done.transaction.writes) {
+            for (const auto &write : applied.transaction.writes) {
                 const row_id removed = *rowIdFromKey(write.key);
                 if (removed.kind == row_kind::Job)
                     m_jobs.erase(removed.job);
@@ -676,16 +668,16 @@
     }
     chunk_state &chunk = m_chunks[row];
     for (auto &[index, record] : std::exchange(chunk.inFlight, {})) {
-        task_record &settled = chunk.committed[index];
+        task_record &storedRecord = chunk.committed[index];
         m_changes.push_back({{row.job, index},
-                             withJobCancellation(settled, job.committed),
+                             withJobCancellation(storedRecord, job.committed),
                              withJobCancellation(record, job.committed),
                              false});
-        settled = std::move(record);
+        storedRecord = std::move(record);
     }
 }
 
-// Nothing of the transaction took effect, or will: its rows are wanted again.
+// Called when the transaction has had no effect and never will: its changes are staged again.
 void task_store::restageTransaction(time_point now)
 {
     const auto rows = std::move(m_transaction->rows);
@@ -732,9 +724,7 @@
     return true;
 }
 
-// Rows that were read.
-
-// --- Loading after a takeover --------------------------------------------------------------------
+// --- Loading rows --------------------------------------------------------------------------------
 
 void task_store::load(const std::vector<table_row> &rows)
 {
@@ -790,9 +780,9 @@
     }
 }
 
-// A row that something else has changed: the table's content stands, and what was wanted for it is
-// dropped, so that one row cannot hold up its group for ever. Agents repeat their events, and the
-// placer decides again.
+// Takes over a row that another writer has changed. Staged changes of a chunk are dropped, so that
+// one row can't block the rest of its transaction forever: agents repeat their events, and the
+// placer decides again. Of any other row only the version is taken over.
 void task_store::reloadRow(const row_id &row, const table_row *found)
 {
     if (row.kind != row_kind::Chunk) {
@@ -815,10 +805,10 @@
     }
     for (const auto &[index, record] : after) {
         const task_record *old = findRecord(before, index);
-        const task_record was = old == nullptr ? task_record() : *old;
-        if (was != record)
+        const task_record previous = old == nullptr ? task_record() : *old;
+        if (previous != record)
             m_changes.push_back({{row.job, index},
-                                 withJobCancellation(was, job),
+                                 withJobCancellation(previous, job),
                                  withJobCancellation(record, job),
                                  false});
     }
--- a/libs/work/task_store.h
+++ b/libs/work/task_store.h
@@ -1,12 +1,13 @@
-// The rows of one shard's jobs and tasks: what the table holds, what is on its way there, and what
-// is wanted next.
+// The rows of one shard's jobs and tasks. Each value has up to three versions: committed (what the
+// table holds), in flight (in the transaction that was sent) and staged (changed since).
 //
 // Rows, all under "work/<shard>/" and written only under the shard's epoch:
 //   job/<id>             specification, range of tasks, whether the job is cancelled
 //   task/<id>/<chunk>    records of 64 tasks; tasks without a record were never placed
-//   silent               workers that were declared silent: no grant until they are removed again
-//   followed             newest generation of the configuration that was carried out here
-// Changes are collected for a short window and go out as one transaction, one at a time.
+//   silent               workers declared silent: they get no grant until they are removed again
+//   followed             newest generation of the configuration that was applied here
+// Changes are collected for a short window and sent as one transaction. Only one transaction is in
+// flight at a time.
 #pragma once
 
 #include <cstdint>
@@ -27,13 +28,15 @@
 
 struct store_settings
 {
-    milliseconds commitWindow{100};       // changes are collected this long
+    milliseconds commitWindow{100};       // how long changes are collected before they are sent
     milliseconds lazyCommitWindow{1'000}; // the same for changes that nobody waits for
-    std::size_t maxRowsPerCommit = 50;    // most rows in one transaction
-    std::uint32_t tasksPerChunk = 64; // indexes in one row: 64 for each step of the jobs' strides
-    milliseconds initialRetryDelay{100}; // after a refused or unknown write; doubles each time
+    std::size_t maxRowsPerCommit = 50;
+    // Task indexes per row. Set to 64 times the jobs' stride, so that a row holds 64 of the shard's
+    // tasks.
+    std::uint32_t tasksPerChunk = 64;
+    milliseconds initialRetryDelay{100}; // after a refused or unanswered write; doubles each time
     milliseconds maxRetryDelay{5'000};
-    milliseconds outageThreshold{3'000}; // the table counts as down after failing this long
+    milliseconds outageThreshold{3'000}; // the table counts as down after failing for this long
 };
 
 // Actions.
@@ -41,7 +44,7 @@
 {
     table_transaction transaction;
 };
-struct read_rows // answered by rows_read; asked again after a while if no answer comes
+struct read_rows // answered by rows_read; repeated if no answer comes
 {
     std::vector<std::string> keys;
 };
@@ -49,15 +52,16 @@
 {
     std::string prefix;
 };
-struct fenced // another entry holds the shard: discard this table
+struct fenced // another entry owns the shard: discard this coordinator
 {
     int shard = 0;
 };
+// Counters for metrics.
 enum class store_counter {
-    CommitRefused,  // the table refused: nothing changed
-    CommitUnknown,  // no answer: read back and settled
-    CommitConflict, // a row had changed: it is read again, the rest goes on without it
-    CommitResent,   // the same transaction once more
+    CommitRefused,  // the platform refused the transaction: nothing changed
+    CommitUnknown,  // outcome unknown: the rows are read back to find out
+    CommitConflict, // a row had changed: it is read again, the other rows are sent without it
+    CommitResent,   // the same transaction was sent again
 };
 std::string_view nameOf(store_counter reason);
 using store_action = std::variant<commit_rows, read_rows, scan_rows, fenced, store_counter>;
@@ -70,11 +74,12 @@
 };
 struct rows_read
 {
-    std::vector<std::string> keys; // that were asked for; empty for a scan
-    std::vector<table_row> rows;   // those that exist
+    std::vector<std::string> keys; // of the read_rows; empty for a scan
+    std::vector<table_row> rows;   // those of them that exist
 };
 
-// A record that the table holds now. Reverted: the wanted change did not take effect.
+// A change of a task's committed record; or, if `isReverted`, a staged change that was dropped,
+// with `after` as the record that holds instead.
 struct record_change
 {
     task_id task;
@@ -86,7 +91,8 @@
 struct stored_job
 {
     job_spec spec;
-    std::uint32_t peakTaskCount = 0; // tasks ever; those past spec.tasks are cancelled
+    // Largest spec.taskCount so far. Tasks beyond the present spec.taskCount are cancelled.
+    std::uint32_t peakTaskCount = 0;
     bool isCancelled = false;
 
     bool operator==(const stored_job &other) const
@@ -99,44 +105,46 @@
 struct committed_job
 {
     std::string id;
-    bool isNewlyCancelled = false; // by this write
+    bool isNewlyCancelled = false; // this write cancelled it
 };
 
+// Keeps the three versions of each row, and sends, retries and resolves transactions. Performs no
+// I/O: events go in, actions come out.
 class task_store
 {
 public:
-    // `shardVersion` of the shard's row: every write is conditional on it. `operationPrefix` is
-    // unique for each tenure of a shard.
+    // `shardVersion` is the version of the shard's row; every write is conditional on it.
+    // `operationPrefix` must be unique for each tenure of a shard.
     task_store(int shard, std::uint64_t shardVersion, std::string operationPrefix,
                store_settings settings);
 
-    bool isReady() const { return m_isReady; } // rows were read
+    bool isReady() const { return m_isReady; } // the rows were read
     bool isFenced() const { return m_isFenced; }
-    bool isDown(time_point now) const;
+    bool isDown(time_point now) const; // the table has failed for outageThreshold or longer
 
-    // A job's cancellation changes each of its tasks at once, without a write for each: Pending
+    // Cancelling a job changes all of its tasks at once, without a write for each task: Pending
     // reads as Cancelled, Placed as Cancelling.
-    task_record newestRecord(const task_id &task) const;    // newest intention
+    task_record newestRecord(const task_id &task) const; // staged, else in flight, else committed
     task_record committedRecord(const task_id &task) const; // as the table holds it
-    bool hasUncommittedChange(const task_id &task) const;   // the two may differ
-    bool isInJobRange(const task_id &task) const;           // in the range of a job
+    bool hasUncommittedChange(const task_id &task) const;   // if so, the two may differ
+    bool isInJobRange(const task_id &task) const;           // a task that this shard has or had
     bool hasUncommittedJobChange(const std::string &id) const;
-    // Lazy: nobody waits for this change.
+    // `isLazy`: nobody waits for this change; it is collected for lazyCommitWindow.
     void stageRecord(const task_id &task, const task_record &record, time_point now,
                      bool isLazy = false);
 
-    const stored_job *job(const std::string &id) const; // newest intention
+    const stored_job *job(const std::string &id) const; // newest version; null: no such job
     std::vector<std::string> jobs() const;
     void stageJob(const stored_job &job, time_point now);
-    // Every task that was ever placed, settled or not.
+    // All tasks with a record in any version: those that were ever placed.
     std::vector<task_id> everPlacedTasks() const;
     std::vector<task_id> everPlacedTasks(const std::string &job) const;
 
-    bool isDeclaredSilent(const std::string &worker) const;  // settled, on its way, or wanted
+    bool isDeclaredSilent(const std::string &worker) const;  // in any of the three versions
     bool isCommittedSilent(const std::string &worker) const; // as the table holds it
-    void stageSilent(const std::string &worker, bool silent, time_point now);
+    void stageSilent(const std::string &worker, bool isSilent, time_point now);
 
-    std::uint64_t appliedGeneration() const; // generation; newest intention
+    std::uint64_t appliedGeneration() const; // newest version; 0: none
     void stageAppliedGeneration(std::uint64_t generation, time_point now);
 
     void handle(const write_answered &event, time_point now);
@@ -148,7 +156,8 @@
     std::vector<committed_job> takeCommittedJobs() { return std::exchange(m_committedJobs, {}); }
 
 private:
-    // Followed comes first: a change of a job is never in the table without its generation.
+    // Rows that are due at the same time are sent in this order. AppliedGeneration comes first, so
+    // that a change of a job is never in the table without its generation.
     enum class row_kind { AppliedGeneration, Job, Chunk, Silent, Removal };
 
     struct row_id
@@ -165,9 +174,9 @@
 
     struct chunk_state
     {
-        std::uint64_t version = 0; // 0: no row yet
-        record_map committed;      // absent: never placed
-        record_map inFlight;       // in the transaction on its way
+        std::uint64_t version = 0; // of the row; 0: no row yet
+        record_map committed;      // a task without a record was never placed
+        record_map inFlight;       // in the transaction that was sent
         record_map staged;         // changed since
     };
 
@@ -186,8 +195,8 @@
         table_transaction transaction;
         std::vector<row_id> rows;
         bool isInDoubt = false;     // a copy may have taken effect, or may still do so
-        bool isResolving = false;   // waits for its rows to be read back
-        time_point retryAt = Never; // of the next sending or reading, if no answer comes before
+        bool isResolving = false;   // its rows are read back to find out whether it took effect
+        time_point retryAt = Never; // next sending or reading, if no answer comes before
     };
 
     // Keys and values of rows.
@@ -238,12 +247,12 @@
     std::map<row_id, chunk_state> m_chunks;
     row_state<silent_set> m_silentWorkers;
     row_state<std::uint64_t> m_appliedGeneration;
-    std::map<row_id, time_point> m_dirtyRows; // when each is due to be sent
+    std::map<row_id, time_point> m_dirtyRows; // staged rows, with the time at which each is due
     std::set<std::pair<time_point, row_id>> m_rowsByDueTime;
     std::optional<transaction_state> m_transaction;
-    int m_consecutiveFailures = 0; // of the table, in a row
+    int m_consecutiveFailures = 0; // transactions without success since the last success
     time_point m_failingSince = Never;
-    time_point m_retryAt;
+    time_point m_retryAt; // earliest time of the next transaction
     std::vector<store_action> m_actions;
     std::vector<record_change> m_changes;
     std::vector<committed_job> m_committedJobs;
--- a/libs/work/task_supervisor.cpp
+++ b/libs/work/task_supervisor.cpp
@@ -1,4 +1,4 @@
-// Sections: Events | What a grant brings | What a listing brings | Leases, listings, reports
+// Sections: Events | Handling grants | Handling listings | Leases, listings, reports
 
 #include "work/task_supervisor.h"
 
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t MaxRememberedReports = 64;
-constexpr int ReportsPerLease = 3; // two may be lost before the agent's lease lapses
+constexpr int ReportsPerLease = 3; // so two may be lost before the agent's lease lapses
 
 constexpr name_table<task_outcome, 5> OutcomeNames = {{
         {task_outcome::Succeeded, "succeeded"},
@@ -223,7 +223,7 @@
     scheduleNextReport(grant);
     for (const auto &attempt : grant.stops)
         applyStop(attempt);
-    applyReservations(grant); // before anything starts beside the tasks that have grown
+    applyReservations(grant); // before any start, which must fit beside the raised reservations
     for (const auto &task : grant.tasks)
         applyGrantedTask(grant, task, false, grantLeaseEnd, now);
     for (const auto &task : grant.backlog)
@@ -234,14 +234,15 @@
         applyCpuLimits(*grant.cpuLimits);
 }
 
-// A superseded owner may still be alive and send: its tasks may by now run elsewhere.
+// A superseded owner may still send grants. They are refused, because its tasks may already run
+// elsewhere.
 bool task_supervisor::isCurrent(const worker_grant &grant) const
 {
     return grant.epoch >= m_epoch && grant.incarnation == m_incarnation;
 }
 
-// The worker records the epoch before the next report acknowledges it. An agent that is replaced
-// reads it back from the worker's listing, and so refuses the old owner as its predecessor did.
+// Has the worker record the epoch; the next report acknowledges it only after that. A replacement
+// of this agent reads it from the worker's listing, and so refuses the old owner's grants too.
 void task_supervisor::adoptEpoch(std::uint64_t epoch, time_point now)
 {
     if (epoch <= m_epoch)
@@ -250,9 +251,9 @@
     requestListing(now);
 }
 
-// --- What a grant brings -------------------------------------------------------------------------
+// --- Handling grants -----------------------------------------------------------------------------
 
-// The end of the lease that this grant alone gives, and extends the agent's lease to it.
+// Returns the end of the lease that this grant gives, and extends the agent's lease to it.
 time_point task_supervisor::extendLease(const worker_grant &grant)
 {
     const auto sentReport = m_reportSentAt.find(grant.replyTo);
@@ -263,9 +264,10 @@
     return leaseEnd;
 }
 
-// An answered report is followed by the next one late: reports are the larger part of what control
-// costs. Without an answer they go on quickly: were the longer period kept, a successor of a dead
-// owner would first be heard after the agent's lease, and the tasks of a live agent would lapse.
+// After an answer the next report is sent late, because reports are the larger part of the control
+// traffic. Without an answer reports are repeated quickly: with the longer interval the first grant
+// of a dead owner's successor could come after the end of the agent's lease, and the tasks of a
+// live agent would lapse.
 void task_supervisor::scheduleNextReport(const worker_grant &grant)
 {
     if (grant.replyTo != m_reportSequence || !m_unackedEvents.empty())
@@ -291,11 +293,11 @@
     }
 }
 
-// Without it, a start would be checked against declared sizes while the tasks beside it were given
-// more: the worker would start what no longer fits. Reservations of one attempt only rise, so that
-// a grant that was overtaken takes nothing back. One that does not fit, beside a task that the
-// owner has already written off, kills nothing here: it is not acknowledged, so the owner repeats
-// it, and evicts by its policy what has outgrown the worker.
+// Takes over raised reservations, so that a start is not checked against declared sizes while other
+// tasks were given more. The reservation of an attempt only rises, so a reordered grant lowers
+// nothing. A raise may not fit here, for example beside a task that the owner no longer counts. It
+// is then not acknowledged and nothing is stopped: the owner repeats it, and decides by its policy
+// what to evict from the worker.
 void task_supervisor::applyReservations(const worker_grant &grant)
 {
     bool allApplied = true;
@@ -303,7 +305,7 @@
         const auto found = m_tasks.find(attempt.task);
         if (found == m_tasks.end() || found->second.attempt != attempt.attempt
             || found->second.state == supervised_state::Ended)
-            continue; // about to start (takeTask), or over
+            continue; // about to start (see applyGrantedTask), or ended
         supervised_task &supervised = found->second;
         const resources raisedSize = largest(supervised.reservedSize, reserved);
         if (raisedSize == supervised.reservedSize)
@@ -318,14 +320,14 @@
     if (!allApplied)
         return;
     if (m_reservationsEpoch != grant.epoch)
-        m_ackedReservation = 0; // another owner numbers anew
+        m_ackedReservation = 0; // each owner numbers its reservations from 1
     m_reservationsEpoch = grant.epoch;
     m_ackedReservation = std::max(m_ackedReservation, grant.newestReservation);
 }
 
-// Each grant names every limit, so a lost one is repeated, an agent that was replaced learns them
-// again, and those of a former owner, which its successor does not know, are lifted. Told once, a
-// task could stay throttled for the rest of its life, or a noisy one at full speed.
+// Each grant contains all limits. So a lost limit is repeated, a replaced agent learns all limits,
+// and limits of an earlier owner that the present one doesn't know are lifted. If limits were sent
+// only once, a task could stay throttled until its end, or an interfering one run at full speed.
 void task_supervisor::applyCpuLimits(const std::vector<cpu_limit> &limits)
 {
     std::map<task_attempt, std::int64_t> limitByAttempt;
@@ -346,7 +348,7 @@
 {
     const auto supervised = m_tasks.find(event.attempt.task);
     if (supervised != m_tasks.end() && supervised->second.attempt == event.attempt.attempt)
-        supervised->second.cpuLimit = UnknownCpuLimit; // told again with the next grant
+        supervised->second.cpuLimit = UnknownCpuLimit; // so it is sent again after the next grant
 }
 
 void task_supervisor::applyGrantedTask(const worker_grant &grant, const granted_task &task,
@@ -357,8 +359,8 @@
         return;
     if (isBacklog && !grant.mayStartBacklog)
         return;
-    // This grant's own lease must hold, not only the agent's: a delayed grant may name a task that
-    // was moved meanwhile, and a newer grant may have extended the agent's lease since.
+    // The lease of this grant must still hold, not only the agent's lease: a newer grant may have
+    // extended that one, while this grant was delayed and its task has moved to another worker.
     if (now >= grantLeaseEnd) {
         count(supervisor_counter::LeaseLapsed);
         return;
@@ -390,8 +392,8 @@
     m_actions.emplace_back(worker_stop{{task.task, task.attempt}});
 }
 
-// True if this attempt is no longer to be started here: it was, or it is too old, or an earlier
-// attempt has to end first.
+// Returns true if the attempt need not be started: it was started before, a newer attempt is known,
+// or an earlier attempt has to end first (it is stopped here).
 bool task_supervisor::handleKnownAttempt(const granted_task &task, time_point now)
 {
     const auto found = m_tasks.find(task.task);
@@ -414,7 +416,8 @@
         addEvent(attempt, task_event_kind::Started, now);
     if (supervised.state == supervised_state::Refusing)
         m_actions.emplace_back(worker_stop{attempt});
-    // A start may have been lost: it is repeated, and the worker runs an attempt only once.
+    // The request to start it may have been lost, so it is repeated. The worker runs an attempt
+    // only once.
     return supervised.state != supervised_state::Starting || supervised.refusedAtListing != 0;
 }
 
@@ -428,16 +431,16 @@
                                 const resources &reserved, time_point grantLeaseEnd)
 {
     supervised_task &supervised = m_tasks[task.task];
+    // What is known of an earlier attempt, such as its refusal, doesn't concern this one.
     if (supervised.attempt != task.attempt)
-        supervised =
-                supervised_task(); // a refusal of an earlier attempt says nothing about this one
+        supervised = supervised_task();
     supervised.attempt = task.attempt;
     supervised.state = supervised_state::Starting;
     supervised.failover = task.failover;
     supervised.checkpoint = task.checkpoint;
     supervised.spec = spec;
     supervised.reservedSize = largest(supervised.reservedSize, reserved);
-    supervised.cpuLimit = 0; // the worker starts it without one
+    supervised.cpuLimit = 0; // workers start tasks without a limit
     supervised.startDeadline = grantLeaseEnd;
     const milliseconds startWithin(millisecondsUntil(grantLeaseEnd, m_listingReceivedAt));
     const milliseconds lease = taskLeaseFor(task.failover, grantLeaseEnd);
@@ -445,14 +448,16 @@
             worker_start{task, spec, lease, startWithin, m_newestListing, m_incarnation});
 }
 
-// Also for an attempt that never ran here: an older agent of this worker may still hold its start.
+// The attempt is also stopped if it never ran here: a request to start it, from an earlier agent of
+// this worker, may still be in flight.
 void task_supervisor::applyStop(const task_attempt &attempt)
 {
     if (!hasEndEvent(attempt))
         m_actions.emplace_back(worker_stop{attempt});
 }
 
-// An attempt that is not here has nothing to checkpoint: it is only told never to start.
+// An attempt that is not known here has nothing to checkpoint: the worker is only told never to
+// start it.
 void task_supervisor::applyEviction(const task_attempt &attempt)
 {
     const auto supervised = m_tasks.find(attempt.task);
@@ -463,6 +468,8 @@
         m_actions.emplace_back(worker_checkpoint{attempt, checkpointName(attempt)});
 }
 
+// --- Handling listings ---------------------------------------------------------------------------
+
 void task_supervisor::on(const listing_received &event, time_point now)
 {
     const worker_listing &listing = event.listing;
@@ -475,11 +482,12 @@
     if (!isSameIncarnation)
         adoptIncarnation(listing.incarnation);
     if (!shouldReport(now))
-        m_nextReportAt = now; // the owner has heard nothing since
+        m_nextReportAt = now; // the owner got no report while the worker didn't answer
     m_newestListing = listing.number;
     m_listingReceivedAt = now;
     m_tasksLapseAt = now + m_settings.leases.taskLease;
-    // A new owner can place on this worker and answer its leases once it is told.
+    // A new owner can place tasks on this worker as soon as a report tells it that the worker has
+    // recorded its epoch.
     if (listing.epoch != m_workerEpoch)
         m_nextReportAt = std::min(m_nextReportAt, now + m_settings.eventDelay);
     m_workerEpoch = listing.epoch;
@@ -492,16 +500,15 @@
     renewTaskLeases();
 }
 
-// --- What a listing brings -----------------------------------------------------------------------
-
-// What ran in the worker's earlier life is gone; unacknowledged events of it still count.
+// The tasks of the worker's earlier incarnation are gone; their unacknowledged events remain valid.
 void task_supervisor::adoptIncarnation(std::uint64_t incarnation)
 {
     m_incarnation = incarnation;
     m_tasks.clear();
     m_leaseUntil = time_point();
     m_reportSentAt.clear();
-    // The owner waits for it: only a newer life proves that what ran in the old one has ended.
+    // Report at once: the owner may wait for the newer incarnation, as only this proves that the
+    // tasks of the old one have ended.
     m_nextReportAt = time_point();
 }
 
@@ -514,7 +521,7 @@
     }
     const bool isNew = supervised.attempt != running.attempt.attempt
                        || supervised.state == supervised_state::Starting;
-    if (supervised.attempt != running.attempt.attempt) { // what is known is of an earlier attempt
+    if (supervised.attempt != running.attempt.attempt) { // these values are of an earlier attempt
         supervised.reservedSize = {};
         supervised.cpuLimit = UnknownCpuLimit;
     }
@@ -545,7 +552,7 @@
     addEvent(finished.attempt, kind, now, finished.checkpoint, finished.detail);
 }
 
-// Attempts that the worker neither runs nor lists as finished.
+// Handles attempts that the worker lists neither as running nor as finished.
 void task_supervisor::resolveMissing(const worker_listing &listing, time_point now)
 {
     std::set<task_attempt> listed;
@@ -560,13 +567,13 @@
         const bool isStartMissing = isMissing && supervised.state == supervised_state::Starting;
         const bool isRefused = isStartMissing && supervised.refusedAtListing != 0
                                && listing.number > supervised.refusedAtListing;
-        // Its start was lost and the worker would refuse it by now. The owner grants it again, or
-        // has moved it.
+        // The request to start it was lost, and the worker would refuse it by now. The owner grants
+        // the attempt again, or has moved the task.
         if (isStartMissing && !isRefused && now >= supervised.startDeadline) {
             it = m_tasks.erase(it);
             continue;
         }
-        // Another agent of this worker had its outcome settled and forgotten.
+        // Another agent of this worker reported its outcome, and the worker was told to forget it.
         if (isRefused || (isMissing && supervised.state == supervised_state::Running)) {
             supervised.state = supervised_state::Ended;
             addEvent(attempt, task_event_kind::Lost, now);
@@ -597,8 +604,9 @@
 
 // --- Leases, listings, reports -------------------------------------------------------------------
 
-// Class Lease: only while the agent's own lease holds, and never past it. Class Proof: always,
-// since nobody starts such a task elsewhere without proof that this attempt has ended.
+// Tasks of class Lease are renewed only while the agent's own lease holds, and not beyond its end.
+// Tasks of class Proof are always renewed: no owner starts them elsewhere without proof that this
+// attempt has ended.
 void task_supervisor::renewTaskLeases()
 {
     for (const auto &[task, supervised] : m_tasks) {
@@ -611,9 +619,9 @@
     }
 }
 
-// The worker counts from when it made the listing, which was before the listing arrived here, so
-// the task's lease ends no later than `grantEnds`. Counting from the arrival of the renewal would
-// let a paused agent extend it.
+// The task's lease is measured from the arrival of the newest listing. The worker counts it from
+// when it made that listing, which was earlier, so the lease ends no later than `grantLeaseEnd`. If
+// it were counted from the arrival of the renewal, a paused agent would extend it.
 milliseconds task_supervisor::taskLeaseFor(failover_class failover, time_point grantLeaseEnd) const
 {
     if (failover == failover_class::Proof)
@@ -628,10 +636,11 @@
     m_actions.emplace_back(worker_list{m_epoch});
 }
 
-// The owner takes a report for a sign of the worker. If this agent, which is well, went on to
-// report for a worker that is gone, the tasks there would never start elsewhere, and others would
-// join them. Once it was not listed for as long as a task's lease, what it ran of class Lease has
-// ended: silence costs nothing any more. Ends that are not acknowledged are told all the same.
+// The owner takes a report as a sign that the worker is alive. If a healthy agent continued to
+// report for a lost worker, the worker's tasks would never start elsewhere, and more tasks would be
+// placed there. So the agent stops reporting when the worker has not been listed for the length of
+// a task lease: its tasks of class Lease have ended by then, so nothing is lost. Events that are
+// not acknowledged yet are reported in any case.
 bool task_supervisor::shouldReport(time_point now) const
 {
     return now < m_tasksLapseAt || !m_unackedEvents.empty();
--- a/libs/work/task_supervisor.h
+++ b/libs/work/task_supervisor.h
@@ -1,7 +1,9 @@
-// The agent's side of the work: what it asks of its worker, and what it tells the owner.
+// The agent's side of task execution: carries out the owner's grants on its worker and reports
+// events to the owner.
 //
-// What the worker itself must keep is listed in docs/design/OWNERSHIP.md: its incarnation, the
+// What the worker itself must remember is listed in docs/design/OWNERSHIP.md: its incarnation, the
 // newest epoch it was told, and the newest attempt of each task that it ran or was told to stop.
+// worker_tasks.h implements it.
 #pragma once
 
 #include <cstdint>
@@ -23,8 +25,8 @@
 enum class task_outcome {
     Succeeded,
     Failed,
-    Evicted, // after a checkpoint request
-    Stopped, // on request, also for an attempt that never ran
+    Evicted, // checkpointed and ended on request
+    Stopped, // on request; also an attempt that was stopped before it ran
     Lapsed,  // its lease lapsed
 };
 std::string_view nameOf(task_outcome outcome);
@@ -41,17 +43,18 @@
 struct running_task
 {
     task_attempt attempt;
-    std::string checkpoint; // newest one, if any
-    Json::Value spec;       // as it was started with
+    std::string checkpoint; // object name of the newest one; empty: none
+    Json::Value spec;       // task specification that it was started with
     failover_class failover = failover_class::Lease;
 };
 
-// What a worker runs and what has ended there since it was last told to forget.
+// A worker's answer to worker_list: its running tasks, and the ended ones that it was not yet told
+// to forget.
 struct worker_listing
 {
-    std::uint64_t number = 0;      // rises with each listing of an incarnation
-    std::uint64_t incarnation = 0; // rises when the instance is restarted or replaced
-    std::uint64_t epoch = 0;       // newest epoch the worker was told
+    std::uint64_t number = 0;      // increases with each listing of an incarnation, from 1
+    std::uint64_t incarnation = 0; // increases when the instance is restarted or replaced
+    std::uint64_t epoch = 0;       // newest epoch that the worker was told
     std::vector<running_task> running;
     std::vector<finished_task> finished;
 };
@@ -67,12 +70,12 @@
 {
     worker_listing listing;
 };
-struct start_refused // the worker ran or stopped this attempt, or a newer one, before
+struct start_refused // the worker has already run or stopped this attempt or a newer one
 {
     task_attempt attempt;
-    std::uint64_t listing = 0; // newest listing that the worker had made when it refused
+    std::uint64_t listing = 0; // number of the worker's newest listing when it refused
 };
-struct cpu_limit_unconfirmed // the worker's answer to a worker_limit is missing
+struct cpu_limit_unconfirmed // the worker did not answer a worker_cpu_limit
 {
     task_attempt attempt;
 };
@@ -81,8 +84,8 @@
 using supervisor_event = std::variant<grant_received, listing_received, start_refused,
                                       cpu_limit_unconfirmed, supervisor_tick>;
 
-// Actions on the worker. Each is idempotent and is asked again until a listing shows its effect. A
-// lost answer to any but worker_list changes nothing.
+// Actions on the worker. Each is idempotent and repeated until a listing shows its effect, so a
+// lost answer to any of them but worker_list does no harm.
 struct worker_list // the worker records `epoch` if it is newer, and answers with a listing
 {
     std::uint64_t epoch = 0;
@@ -91,34 +94,34 @@
 {
     granted_task task;
     Json::Value spec;
-    milliseconds lease{0};         // of the task
-    milliseconds startWithin{0};   // the worker refuses to start it later
-    std::uint64_t listing = 0;     // both count from when the worker made this listing
-    std::uint64_t incarnation = 0; // of the worker that made it; any other refuses
+    milliseconds lease{0};         // lease of the task, counted from listing `listing`
+    milliseconds startWithin{0};   // the worker refuses a later start; counted the same way
+    std::uint64_t listing = 0;     // number of a listing: its creation time is the reference
+    std::uint64_t incarnation = 0; // of the worker that made the listing; any other refuses
 };
 struct worker_renew
 {
     task_attempt attempt;
     milliseconds lease{0}; // counted from when the worker made listing `listing`
     std::uint64_t listing = 0;
-    std::uint64_t incarnation = 0; // of the worker that made it; any other ignores it
+    std::uint64_t incarnation = 0; // of the worker that made the listing; any other ignores this
 };
-struct worker_stop // also for an attempt that is not there: it must never start later
+struct worker_stop // also sent for an attempt that is not running: it must never start later
 {
     task_attempt attempt;
 };
-struct worker_checkpoint // checkpoint into this object, then end
+struct worker_checkpoint // write a checkpoint, then end the task
 {
     task_attempt attempt;
-    std::string checkpoint;
+    std::string checkpoint; // name of the object to write
 };
-struct worker_cpu_limit // of processor time; 0: none any more. Listings do not show it:
-                        // limit_unsettled
+// Listings don't show the limit: the caller reports a missing answer as cpu_limit_unconfirmed.
+struct worker_cpu_limit
 {
     task_attempt attempt;
-    std::int64_t millicores = 0;
+    std::int64_t millicores = 0; // 0: lift the limit
 };
-struct worker_forget // the outcome is settled in the table
+struct worker_forget // the outcome is committed in the table: no longer list it
 {
     task_attempt attempt;
 };
@@ -127,16 +130,17 @@
 {
     agent_report report;
 };
+// Counters for metrics.
 enum class supervisor_counter {
-    StaleEpoch,            // grant of a superseded owner
-    StaleIncarnation,      // grant for an earlier life of the worker
-    OtherSession,          // grant for another agent of this worker
-    LeaseLapsed,           // a start was held back: the agent's own lease had lapsed
-    OverCapacity,          // a start was refused: it does not fit the worker
-    StaleListing,          // a reordered or doubled listing
-    StaleAttempt,          // a start of an attempt that already ran here
-    BacklogStarted,        // backlog started while the table was down
-    ReservationNotApplied, // a raised reservation that does not fit beside what still runs here
+    StaleEpoch,            // grant from a superseded owner
+    StaleIncarnation,      // grant for an earlier incarnation of the worker
+    OtherSession,          // grant for another agent process of this worker
+    LeaseLapsed,           // start not sent: the lease given by its grant had lapsed
+    OverCapacity,          // start refused: the task does not fit on the worker
+    StaleListing,          // reordered or duplicated listing
+    StaleAttempt,          // grant of an older attempt than the one known here
+    BacklogStarted,        // backlog task started while the table was down
+    ReservationNotApplied, // raised reservation that does not fit beside the running tasks
 };
 std::string_view nameOf(supervisor_counter reason);
 struct increment_counter
@@ -150,33 +154,35 @@
 struct supervisor_settings
 {
     lease_settings leases;
-    milliseconds reportInterval{2'000}; // while the owner answers; less where its lease is short
-    milliseconds repeatInterval{1'000}; // of a report without an answer, or with unsettled events
-    milliseconds listInterval{1'000};
-    milliseconds eventDelay{100};         // a new event is reported after this, with others
-    std::size_t maxEventsPerReport = 200; // most events in one report
+    milliseconds reportInterval{2'000}; // while the owner answers; shorter if its leases are short
+    milliseconds repeatInterval{1'000}; // without an answer, or with unacknowledged events
+    milliseconds listInterval{1'000};   // between two listings of the worker
+    milliseconds eventDelay{100};       // events are collected this long before they are reported
+    std::size_t maxEventsPerReport = 200;
 };
 
-// True if `amount` for the task fits beside task_keeper::occupiedBeside (the last check before a
-// start; workers start whatever they are given).
+// Returns true if the task fits with size `amount` beside task_supervisor::occupiedByOthers(). This
+// is the last check before a start: workers start whatever they are told to.
 using capacity_check = std::function<bool(const task_id &task, const resources &amount)>;
 
+// Supervises the tasks of one worker. Performs no I/O: events go in, actions come out.
 class task_supervisor
 {
 public:
-    // `session` is unique for each process.
+    // `session` must be unique for each agent process.
     task_supervisor(std::string worker, std::string session, supervisor_settings settings,
                     capacity_check capacityCheck);
 
     std::vector<supervisor_action> handle(const supervisor_event &event, time_point now);
 
-    time_point nextTick() const; // when keeper_tick has something to do
+    time_point nextTick() const; // when the next supervisor_tick is due
 
-    // Tasks that count against the worker's capacity: starting, running, ending.
+    // Tasks that count against the worker's capacity: starting or running ones, including those
+    // that are being stopped.
     std::vector<running_task> occupyingTasks() const;
-    // What these hold without `task`: each the larger of its declared and its reserved size.
+    // Total size of these tasks except `task`, each with the larger of declared and reserved size.
     resources occupiedByOthers(const task_id &task) const;
-    time_point leaseUntil() const { return m_leaseUntil; }
+    time_point leaseUntil() const { return m_leaseUntil; } // end of the agent's own lease
     std::uint64_t epoch() const { return m_epoch; }
     std::size_t unackedEventCount() const { return m_unackedEvents.size(); }
 
@@ -184,10 +190,10 @@
     enum class supervised_state {
         Starting,
         Refusing, // does not fit: the worker is told never to start it
-        Running,  // a listing showed it
-        Ended,    // a listing showed its end; the event is not acknowledged yet
+        Running,  // listed as running
+        Ended,    // listed as finished, or missing; its event is not acknowledged yet
     };
-    static constexpr std::int64_t UnknownCpuLimit = -1; // an earlier agent may have told one
+    static constexpr std::int64_t UnknownCpuLimit = -1; // an earlier agent process may have set one
     struct supervised_task
     {
         std::uint32_t attempt = 0;
@@ -195,10 +201,10 @@
         failover_class failover = failover_class::Lease;
         std::string checkpoint;
         Json::Value spec;
-        resources reservedSize;   // by the owner's ledger, where it said more than declared
-        time_point startDeadline; // while Starting: the worker refuses it from then on
-        std::uint64_t refusedAtListing = 0; // listing number when the worker refused to start it
-        std::int64_t cpuLimit = UnknownCpuLimit; // that the worker was told; 0: none
+        resources reservedSize;   // from the owner, if more than the declared size
+        time_point startDeadline; // while Starting: the worker refuses the start from then on
+        std::uint64_t refusedAtListing = 0;      // newest listing when the worker refused the start
+        std::int64_t cpuLimit = UnknownCpuLimit; // millicores that the worker was told; 0: none
     };
 
     void on(const grant_received &event, time_point now);
@@ -241,20 +247,20 @@
     supervisor_settings m_settings;
     capacity_check m_capacityCheck;
 
-    std::uint64_t m_incarnation = 0; // 0: the worker has not been listed yet
-    std::uint64_t m_epoch = 0;       // newest seen in a grant or a listing
-    std::uint64_t m_workerEpoch = 0; // newest that the worker has recorded
-    std::uint64_t m_newestListing = 0;
+    std::uint64_t m_incarnation = 0;   // of the worker; 0: not listed yet
+    std::uint64_t m_epoch = 0;         // newest seen in a grant or a listing
+    std::uint64_t m_workerEpoch = 0;   // newest that the worker has recorded
+    std::uint64_t m_newestListing = 0; // number of the newest listing received
     time_point m_listingReceivedAt;
-    time_point m_tasksLapseAt; // of class Lease, unless the worker is listed before
-    time_point m_leaseUntil;
+    time_point m_tasksLapseAt; // tasks of class Lease have ended by then if no new listing comes
+    time_point m_leaseUntil;   // end of the agent's own lease
     std::uint64_t m_reportSequence = 0;
-    std::map<std::uint64_t, time_point> m_reportSentAt; // of the newest reports
+    std::map<std::uint64_t, time_point> m_reportSentAt; // by sequence, of the newest reports
     std::uint64_t m_lastEventNumber = 0;
-    std::deque<task_event> m_unackedEvents; // unacknowledged
+    std::deque<task_event> m_unackedEvents;
     std::map<task_id, supervised_task> m_tasks;
-    std::uint64_t m_reservationsEpoch = 0; // of the owner that numbered the next
-    std::uint64_t m_ackedReservation = 0;  // newest that was taken whole
+    std::uint64_t m_reservationsEpoch = 0; // epoch whose owner numbered m_ackedReservation
+    std::uint64_t m_ackedReservation = 0;  // newest reservation up to which all are applied
     time_point m_nextListingAt;
     time_point m_nextReportAt;
     std::vector<supervisor_action> m_actions;
--- a/libs/work/trace_checker.cpp
+++ b/libs/work/trace_checker.cpp
@@ -25,11 +25,11 @@
 trace_size sizeOf(const Json::Value &event)
 {
     const Json::Value &size = objectMember(event, "size");
-    trace_size read;
-    read.millicores = static_cast<std::int64_t>(countMember(size, "millicores"));
-    read.memoryBytes = static_cast<std::int64_t>(countMember(size, "memoryBytes"));
-    read.accelerators = static_cast<std::int64_t>(countMember(size, "accelerators"));
-    return read;
+    trace_size result;
+    result.millicores = static_cast<std::int64_t>(countMember(size, "millicores"));
+    result.memoryBytes = static_cast<std::int64_t>(countMember(size, "memoryBytes"));
+    result.accelerators = static_cast<std::int64_t>(countMember(size, "accelerators"));
+    return result;
 }
 
 std::string attemptText(const Json::Value &event)
@@ -96,7 +96,7 @@
         if (task.worker != name)
             continue;
         task.running = false;
-        // An outcome that had not been reported went with the instance.
+        // An outcome that was not committed yet is lost with the instance.
         task.succeeded = task.done;
     }
 }
@@ -198,7 +198,7 @@
         try {
             event = parseJson(line);
         } catch (const error &) {
-            event = Json::Value(); // reported as a bad line
+            event = Json::Value(); // counts as a BadLine
         }
         checker.addEvent(event);
     }
--- a/libs/work/trace_checker.h
+++ b/libs/work/trace_checker.h
@@ -1,9 +1,10 @@
-// Checks a trace of what workers really did against the promises: capacity, one place at a time,
-// resumed exactly once, nothing lost, nothing started after its cancellation.
+// Checks a trace of what workers did against the guarantees of the system: no worker over its
+// capacity, one running attempt per task, each eviction resumed exactly once, no task lost, none
+// started after its cancellation.
 //
-// A trace is JSON lines in the order of their effects. Each has "event" and, by event:
-//   worker        worker, size            a new life of the worker: what ran there is gone
-//   accepted      task, service, failover the system has taken on the task
+// A trace is a list of JSON lines in the order of their effects. Each has "event" and, by event:
+//   worker        worker, size            new incarnation of the worker: its earlier tasks are gone
+//   accepted      task, service, failover the system has accepted the task
 //   placed        task, attempt, worker   the table holds the placement
 //   started       task, attempt, worker, size
 //   resumed       the same and checkpoint
@@ -12,11 +13,11 @@
 //   stopped       task, attempt, worker   no longer running, without a result
 //   ended         task, attempt, worker, outcome ("succeeded" or "failed")
 //   done          task                    the table holds its success
-//   cancelled     task                    the system has said so
-//   failed        task                    the system has given the task up for good
-// A task of failover class "lease" may run again if it had succeeded and its worker fell silent
-// before it could say so; one of class "proof" may not. "size" is {"millicores", "memoryBytes",
-// "accelerators"}; other members are ignored.
+//   cancelled     task                    the system has answered that it is cancelled
+//   failed        task                    the system no longer retries the task
+// A task of failover class "lease" may run again after a success if its worker fell silent before
+// the success was reported; a task of class "proof" may not. "size" is {"millicores",
+// "memoryBytes", "accelerators"}. Other members are ignored.
 #pragma once
 
 #include <cstdint>
@@ -40,23 +41,23 @@
 };
 
 enum class trace_violation_kind {
-    BadLine,
-    OverCapacity,
-    StartedWhileRunning, // started while it still ran
-    AttemptRepeated,     // started under an attempt that is not newer
+    BadLine,             // not a valid event
+    OverCapacity,        // the tasks of a worker are larger than the worker
+    StartedWhileRunning, // started while another attempt was running
+    AttemptRepeated,     // started with an attempt number that is not newer
     NotPlaced,           // started without a placement of that attempt on that worker
-    WrongCheckpoint,     // an evicted task did not go on from where it was
+    WrongCheckpoint,     // an evicted task was not resumed from its checkpoint
     StartedAfterEnd,     // a task that had succeeded ran again
-    StartedAfterCancel,
-    NotResumed, // evicted, and nothing after
-    Lost,       // accepted, and no end of any kind (a service: not running)
+    StartedAfterCancel,  // started or still running after its cancellation
+    NotResumed,          // evicted and never resumed
+    Lost,                // accepted, but neither succeeded nor failed (a service: not running)
 };
 std::string_view nameOf(trace_violation_kind kind);
 
 struct trace_violation
 {
     trace_violation_kind kind = trace_violation_kind::BadLine;
-    std::size_t line = 0; // from 1; the last line for what is missing
+    std::size_t line = 0; // from 1; the last line if an event is missing at the end
     std::string detail;   // task or worker, and what happened
 };
 
@@ -64,7 +65,7 @@
 {
 public:
     void addEvent(const Json::Value &event);
-    // Complete: the system was given time to finish, so whatever has not happened is lost.
+    // `isComplete`: the system had time to finish, so a task without an end counts as lost.
     std::vector<trace_violation> finish(bool isComplete);
 
 private:
@@ -78,10 +79,10 @@
         bool done = false;
         bool failed = false;
         bool cancelled = false;
-        std::string worker;        // where it runs
+        std::string worker;        // of the newest start
         std::uint32_t attempt = 0; // newest that was started
         trace_size size;
-        std::string expectedCheckpoint;                  // of an eviction that was not resumed yet
+        std::string expectedCheckpoint;                  // of an eviction not resumed yet; or empty
         std::map<std::uint32_t, std::string> placements; // worker by attempt
     };
     struct worker_trace
@@ -103,7 +104,7 @@
     std::vector<trace_violation> m_violations;
 };
 
-// Reads JSON lines to the end. A line that is no JSON object is a violation.
+// Checks JSON lines up to the end of the stream. A line that is not a JSON object is a violation.
 std::vector<trace_violation> checkTrace(std::istream &lines, bool isComplete);
 
 } // namespace zinniabarrow::work
--- a/libs/work/usage.cpp
+++ b/libs/work/usage.cpp
@@ -103,27 +103,27 @@
 {
     if (report.session.empty())
         return report.tasks;
-    auto &known = m_workers[worker];
-    const bool isSameSession = known.session == report.session;
-    // A doubled or late one would take the usage back to what it was.
-    if (isSameSession && report.sequence <= known.sequence)
+    auto &stored = m_workers[worker];
+    const bool isSameSession = stored.session == report.session;
+    // A duplicated or late report would set the usage back to an old value.
+    if (isSameSession && report.sequence <= stored.sequence)
         return std::nullopt;
-    // A lost report may have told of a change: what stood before it is no longer known.
-    const bool isNextInSequence = isSameSession && report.sequence == known.sequence + 1;
-    if (!report.isFull && !(isNextInSequence && known.isComplete)) {
-        known = {report.session, report.sequence, false, {}};
+    // A lost report may have contained changes, so the usage before it is no longer known.
+    const bool isNextInSequence = isSameSession && report.sequence == stored.sequence + 1;
+    if (!report.isFull && !(isNextInSequence && stored.isComplete)) {
+        stored = {report.session, report.sequence, false, {}};
         return report.tasks;
     }
     if (report.isFull)
-        known.tasks.clear();
-    known.session = report.session;
-    known.sequence = report.sequence;
-    known.isComplete = true;
+        stored.tasks.clear();
+    stored.session = report.session;
+    stored.sequence = report.sequence;
+    stored.isComplete = true;
     for (const auto &task : report.endedTasks)
-        known.tasks.erase(task);
+        stored.tasks.erase(task);
     for (const auto &[task, usage] : report.tasks)
-        known.tasks[task] = usage;
-    return known.tasks;
+        stored.tasks[task] = usage;
+    return stored.tasks;
 }
 
 } // namespace zinniabarrow::work
--- a/libs/work/usage.h
+++ b/libs/work/usage.h
@@ -1,10 +1,10 @@
-// What the tasks of a worker were measured to use, from agent to owner.
+// Reports of the measured resource usage of a worker's tasks, from agent to owner.
 //
-//   usage_reporter   at the agent: a whole report now and then, between them only what changed
-//   usage_book       at the owner: puts the whole together again
+//   usage_reporter   at the agent: a full report at intervals, reports of changes in between
+//   usage_tracker    at the owner: rebuilds the full usage from the reports
 //
-// A report that names no sequence (of an older agent) is whole by itself. An older owner takes a
-// report of changes for a whole one and sees fewer samples, none of them wrong.
+// A report without a session (from an older agent) is always full. An older owner takes a report of
+// changes for a full one: it gets fewer samples, but no wrong ones.
 #pragma once
 
 #include <cstdint>
@@ -31,22 +31,24 @@
 
 struct usage_report
 {
-    std::string session;             // of the agent; empty: whole, from an older agent
-    std::uint64_t sequence = 0;      // rises by one with each report of the session
-    bool isFull = true;              // else it changes the report before
-    usage_by_task tasks;             // all, or those that changed
-    std::vector<task_id> endedTasks; // of those that the report before held
+    std::string session;             // of the agent process; empty: full report of an older agent
+    std::uint64_t sequence = 0;      // increases by one with each report of the session, from 1
+    bool isFull = true;              // false: only the changes since the previous report
+    usage_by_task tasks;             // all tasks, or those that changed
+    std::vector<task_id> endedTasks; // that the previous report still had
 };
 
-// Into the members of a `usage` message and out of them. The reader throws error BadRequest.
+// Write to and read from the members of a `usage` message. The reader throws error BadRequest.
 void addToJson(Json::Value &message, const usage_report &report);
 usage_report usageReportFromJson(const Json::Value &message);
 
 struct usage_settings
 {
-    double relativeThreshold = 0.05;       // of the value sent last: smaller changes wait
-    std::int64_t millicoresThreshold = 50; // and so do changes below this
-    std::int64_t bytesThreshold = std::int64_t(16) * 1 << 20; // for memory
+    // A change is reported before the next full report only if it exceeds the relative and the
+    // absolute threshold.
+    double relativeThreshold = 0.05;                          // share of the value sent last
+    std::int64_t millicoresThreshold = 50;                    // of processor time
+    std::int64_t bytesThreshold = std::int64_t(16) * 1 << 20; // of memory
     milliseconds fullReportInterval{30'000};
 };
 
@@ -56,7 +58,7 @@
     usage_reporter(std::string session, usage_settings settings);
 
     usage_report nextReport(const usage_by_task &measured, time_point now);
-    // The next one is whole: an answer was missing, or another owner is told.
+    // Makes the next report a full one. Call when an answer is missing or the owner changes.
     void requestFullReport() { m_nextFullReportAt = time_point(); }
 
 private:
@@ -66,15 +68,16 @@
     std::string m_session;
     usage_settings m_settings;
     std::uint64_t m_sequence = 0;
-    time_point m_nextFullReportAt{}; // when the next whole report is due
-    usage_by_task m_lastSent;        // as the owner has it
+    time_point m_nextFullReportAt{};
+    usage_by_task m_lastSent; // what the owner knows, if no report was lost
 };
 
 class usage_tracker
 {
 public:
-    // The usage of every task that is known by now; nothing for a doubled or late report. After a
-    // gap only what the report itself names is known, until the next whole one.
+    // Returns the usage of all tasks of the worker, as far as it is known now; nothing for a
+    // duplicated or late report. After a lost report only the tasks that the report itself names
+    // are known, until the next full report.
     std::optional<usage_by_task> applyReport(const std::string &worker, const usage_report &report);
     void forgetWorker(const std::string &worker) { m_workers.erase(worker); }
 
@@ -83,7 +86,7 @@
     {
         std::string session;
         std::uint64_t sequence = 0;
-        bool isComplete = false; // no report is missing since the last whole one
+        bool isComplete = false; // no report was lost since the last full one
         usage_by_task tasks;
     };
 
--- a/libs/work/worker_tasks.cpp
+++ b/libs/work/worker_tasks.cpp
@@ -37,7 +37,8 @@
 time_point worker_tasks::listingTime(std::uint64_t number, std::uint64_t incarnation) const
 {
     const auto found = m_listingTimes.find(number);
-    // Numbers start again with each life: a request from before would match another listing.
+    // Listing numbers start again with each incarnation, so a request for an earlier incarnation
+    // could match a different listing.
     if (found == m_listingTimes.end() || incarnation != m_incarnation)
         return time_point::min();
     return found->second;
@@ -48,8 +49,8 @@
     const task_attempt attempt{request.task.task, request.task.attempt};
     if (runs(attempt))
         return start_result::AlreadyRunning;
-    // A repeated or delayed start must not run an attempt again, nor one that was stopped before it
-    // could start.
+    // A repeated or delayed start must not run an attempt a second time, nor one that was stopped
+    // before it could start.
     if (m_newestAttempts[attempt.task] >= attempt.attempt)
         return start_result::Refused;
     const time_point listedAt = listingTime(request.listing, request.incarnation);
--- a/libs/work/worker_tasks.h
+++ b/libs/work/worker_tasks.h
@@ -1,6 +1,6 @@
-// What a worker must keep for its agents, as the rule in docs/design/OWNERSHIP.md needs it: each
-// attempt runs at most once, a lease counts from a listing, and the newest epoch is remembered. The
-// platform's workers are held to this; stand-ins and tests use it as it is.
+// What a worker must remember for its agents, as docs/design/OWNERSHIP.md requires: each attempt
+// runs at most once, leases are counted from listings, and the newest epoch is kept. The platform's
+// workers have to behave like this; the stand-ins and the tests use this class directly.
 #pragma once
 
 #include <cstdint>
@@ -15,29 +15,30 @@
 
 enum class start_result {
     Started,
-    AlreadyRunning, // a repeat
-    TooLate,        // changed nothing: decided for an earlier life, or its time has passed
-    Refused,        // this attempt or a newer one ran or was stopped before
+    AlreadyRunning, // a repeated request
+    TooLate,        // meant for an earlier incarnation, or its time has passed; changes nothing
+    Refused,        // this attempt or a newer one has already run or was stopped
 };
 
 class worker_tasks
 {
 public:
-    // `incarnation` rises with every life of the instance.
+    // `incarnation` must increase with every restart or replacement of the instance.
     explicit worker_tasks(std::uint64_t incarnation)
         : m_incarnation(incarnation)
     { }
 
-    // Call first after any wait: removes the tasks whose lease has lapsed. The caller ends them
-    // before it does anything else.
+    // Removes and returns the tasks whose lease has lapsed. Call it first after any wait; the
+    // caller must end their processes before it does anything else.
     std::vector<task_attempt> endLapsedTasks(time_point now);
 
     worker_listing list(const worker_list &request, time_point now);
     start_result start(const worker_start &request, time_point now);
     void renew(const worker_renew &request);
-    // True if it ran: the caller ends it. An attempt that never ran will never start.
+    // Returns true if the attempt (or an older one of the task) was running: the caller must end
+    // its process. An attempt that has not run yet will never start.
     bool stop(const worker_stop &request);
-    // The caller says that a running attempt has ended.
+    // To be called when a running attempt has ended.
     void recordEnd(const finished_task &finished);
     void forget(const worker_forget &request) { m_finished.erase(request.attempt); }
 
@@ -54,14 +55,15 @@
         time_point leaseUntil;
     };
 
-    // When listing `number` was made; a time in the past if it was not, or is long ago.
+    // When listing `number` was made; time_point::min() if this incarnation didn't make it or no
+    // longer remembers it.
     time_point listingTime(std::uint64_t number, std::uint64_t incarnation) const;
 
     std::uint64_t m_incarnation;
     std::uint64_t m_epoch = 0;
     std::uint64_t m_newestListing = 0;
-    std::map<std::uint64_t, time_point> m_listingTimes;
-    std::map<task_id, std::uint32_t> m_newestAttempts; // attempt that ran or was stopped
+    std::map<std::uint64_t, time_point> m_listingTimes; // by number, of the newest listings
+    std::map<task_id, std::uint32_t> m_newestAttempts;  // newest attempt that ran or was stopped
     std::map<task_id, leased_task> m_running;
     std::map<task_attempt, finished_task> m_finished;
 };
--- a/tests/quota_parts_test.cpp
+++ b/tests/quota_parts_test.cpp
@@ -1,5 +1,6 @@
 // Several shards share a team's quota through one row, while answers are lost or late and owners
-// change. Decision code on a virtual clock; tasks are placed at once where the shard's part allows.
+// change. Runs the decision code on a virtual clock; tasks start as soon as the shard's part
+// allows.
 #include <algorithm>
 #include <deque>
 #include <functional>
@@ -28,7 +29,8 @@
     return {count * 1'000, 0, 0};
 }
 
-// One tenure of a shard. A superseded one goes on deciding; its placements are fenced.
+// The ownership of a shard by one entry during one epoch. A superseded owner continues to decide,
+// but its placements are fenced.
 struct tenure
 {
     int shard = 0;
@@ -38,22 +40,22 @@
 
 struct shard_state
 {
-    std::uint64_t version = 0;           // of its row
-    std::int64_t waiting = 0;            // tasks
-    std::deque<time_point> taskEndTimes; // of its tasks
+    std::uint64_t version = 0;           // of the shard's row
+    std::int64_t waiting = 0;            // number of waiting tasks
+    std::deque<time_point> taskEndTimes; // of the running tasks
 };
 
 struct quota_model
 {
-    std::int64_t quotaCores; // cores
-    std::int64_t taskCores;  // cores of one task
+    std::int64_t quotaCores; // of the team, in all shards
+    std::int64_t taskCores;  // of one task
     time_point now{seconds(1)};
     memory_platform platform;
     std::vector<shard_state> shardStates;
     std::deque<tenure> tenures;
     std::vector<std::pair<time_point, std::function<void()>>> delayedEvents;
     std::size_t commits = 0;
-    std::int64_t maxCoresInUse = 0; // cores at once, by all shards
+    std::int64_t maxCoresInUse = 0; // largest number in use at the same time, by all shards
     std::function<write_fault(tenure &)> chooseFault = [](tenure &) { return write_fault::None; };
 
     quota_model(std::size_t count, std::int64_t limitCores, std::int64_t unitCores)
@@ -178,7 +180,7 @@
     }
 };
 
-// Demand wanders: the first shard takes all there is, then others want theirs.
+// Demand moves between shards: the first one takes the whole quota, then others ask for their part.
 void runShiftingDemand(quota_model &model)
 {
     model.shardStates[0].waiting = 60;
@@ -198,9 +200,10 @@
 
 } // namespace
 
-// A team's tasks wait in three shards with one quota: together they never hold more than it, all of
-// it is used by whoever asks, and the one that came first yields to the others.
-Test(quota_parts, demand_wanders)
+// A team's tasks wait in three shards with one quota. Together the shards must never use more than
+// the quota, the quota must be fully used by whichever shards need it, and the shard that came
+// first must yield to the others.
+Test(quota_parts, shifting_demand)
 {
     quota_model model(3, 10, 1);
     section("one shard alone gets the whole quota", [&] {
@@ -208,7 +211,7 @@
         model.runFor(seconds(2));
         check(model.coresInUse() == 10);
     });
-    section("it yields to one that comes later", [&] {
+    section("it yields to a shard that comes later", [&] {
         model.shardStates[1].waiting = 20;
         model.runFor(seconds(10));
         check(model.shardStates[1].taskEndTimes.size() >= 3);
@@ -216,7 +219,7 @@
     });
     model.runFor(seconds(60));
     checkQuotaKept(model);
-    section("no writes once nobody asks", [&] {
+    section("no writes without demand", [&] {
         model.runFor(seconds(10));
         const auto before = model.commits;
         model.runFor(seconds(30));
@@ -224,8 +227,8 @@
     });
 }
 
-// One task takes the whole quota, and two shards have some. A rest that fits no task is given back,
-// or both would wait for ever.
+// Each task needs the whole quota, and tasks wait in two shards. A remainder that fits no task must
+// be returned, or both shards would wait forever.
 Test(quota_parts, one_task_at_a_time)
 {
     quota_model model(2, 2, 2);
@@ -237,10 +240,10 @@
     check(model.shardStates[0].waiting < 25);
 }
 
-// Every write of a part is struck by each fault, with and without a change of that shard's owner
-// before the fault shows. A late write of the old owner must not count beside what the new one
-// gives out.
-Test(quota_parts, every_write_struck)
+// Each fault is injected into each write of a part, with and without a change of that shard's owner
+// before the fault has an effect. A late write of the old owner must not add to what the new owner
+// lets tasks use.
+Test(quota_parts, every_write_with_each_fault)
 {
     quota_model faultFree(3, 10, 1);
     runShiftingDemand(faultFree);
@@ -271,9 +274,9 @@
     }
 }
 
-// An idle shard gives its part back, and that write hangs on its way for 5 s: its owner, or the
-// next one, sees the part unchanged. What it starts on the strength of it would, once the write
-// takes effect, count beside what another shard takes.
+// An idle shard returns its part, and that write is delayed for 5 s, so that its owner, or the next
+// one, sees the part unchanged. Tasks that it started within this part would, once the write takes
+// effect, exceed the quota together with the tasks of the shard that takes the returned part.
 Test(quota_parts, late_return)
 {
     for (const bool hasOwnerChange : {false, true}) {
@@ -303,9 +306,9 @@
     }
 }
 
-// The write that gives a part back is lost, and nobody else writes the row. It could still take
-// effect, so the part may not be used; another write has to settle it, or the shard's tasks would
-// wait for ever.
+// The write that returns a part is lost, and nobody else writes the row. It could still take
+// effect, so the part may not be used. The shard must resolve it by another write, or its tasks
+// would wait forever.
 Test(quota_parts, lost_return)
 {
     quota_model model(2, 10, 1);
@@ -322,9 +325,9 @@
     checkQuotaKept(model);
 }
 
-// Faults and changes of owners all the time: the sum stays within the quota at every moment, and
-// everything is done in the end.
-Test(quota_parts, storms)
+// Random faults and owner changes all the time: the shards must stay within the quota at every
+// moment, and all tasks must be done in the end.
+Test(quota_parts, random_faults)
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         random_generator random(seed);
--- a/tests/record_work_session.cpp
+++ b/tests/record_work_session.cpp
@@ -1,5 +1,6 @@
-// Prints the recorded session of work, to be read and then kept as tests/golden/work_session.jsonl.
-// No test runs this: a changed decision must show as a difference to the kept file.
+// Prints the session of work_session.h, to be reviewed and stored as
+// tests/golden/work_session.jsonl. No test runs this program, so that a changed decision shows up
+// as a difference to the stored file.
 #include <fmt/core.h>
 
 #include "work_session.h"
--- a/tests/usage_test.cpp
+++ b/tests/usage_test.cpp
@@ -1,4 +1,5 @@
-// Usage of tasks from agent to owner: bytes, and what lost, doubled and reordered reports change.
+// Reports of task usage from agent to owner: their size, and the effect of lost, duplicated and
+// reordered reports.
 #include <cstdio>
 
 #include "base/json.h"
@@ -54,7 +55,7 @@
 
 } // namespace
 
-// Regression bound of the control budget: 32 tasks whose usage barely moves, a minute of reports.
+// Bounds the traffic of usage reports: 32 tasks whose usage hardly changes, reports of one minute.
 Test(usage, bytes_of_32_tasks)
 {
     usage_reporter reporter("agent-1#1", {});
@@ -62,7 +63,7 @@
     std::size_t sum = 0;
     for (int report = 0; report < 30; ++report) {
         auto usage = tasksOf(32);
-        usage[{"season@3", 0}].millicores += report % 2 * 100; // one of them does move
+        usage[{"season@3", 0}].millicores += report % 2 * 100; // the usage of one task does change
         const auto bytes = bytesOf(reporter.nextReport(usage, time_point(seconds(2 * report))));
         fullBytes = std::max(fullBytes, bytes);
         sum += bytes;
@@ -73,10 +74,10 @@
     check(sum / 60 < 150);
 }
 
-// An owner that places by usage must not see a task at its old size because one message was lost,
-// nor back at it because one came twice or late. Reports of changes are struck at every place, and
-// after the next whole report the owner knows what the worker measured.
-Test(usage, lost_doubled_and_reordered)
+// An owner that places tasks by usage must not keep an old value because a report was lost, nor
+// return to it because a report arrived twice or late. Faults hit reports of changes at all places;
+// after the next full report the owner knows what the worker measured.
+Test(usage, lost_duplicated_and_reordered)
 {
     const usage_settings settings;
     random_generator random(7, 1);
@@ -99,11 +100,11 @@
             else if (fault == 1 && inFlight.size() > 1)
                 std::swap(inFlight.back(), inFlight[inFlight.size() - 2]);
             if (fault == 2 || inFlight.empty())
-                continue; // late: arrives with the next
+                continue; // late: delivered with the next report
             const auto delivered = inFlight;
             for (const auto &report : delivered) {
                 const auto known = tracker.applyReport("w", report);
-                // Nothing that the owner is told is older than the report that tells it.
+                // No usage that the owner learns is older than the report it comes from.
                 if (known && report.sequence == static_cast<std::uint64_t>(turn) + 1) {
                     for (const auto &[task, usage] : *known)
                         check(measured.contains(task)
@@ -120,10 +121,10 @@
     }
 }
 
-// Processes are replaced one by one, so that an agent and its owner may be of different releases.
-Test(usage, releases_side_by_side)
+// Processes are replaced one by one, so an agent and its owner may be of different releases.
+Test(usage, agent_and_owner_of_different_releases)
 {
-    section("an older agent's reports are whole, however often they come", [] {
+    section("an older agent's reports are full, however often they come", [] {
         usage_tracker tracker;
         const auto message = parseJson(
                 R"({"tasks":[{"task":"a/0","millicores":5,"bytes":7}],"worker":"w","age_ms":3})");
@@ -131,7 +132,7 @@
         check(tracker.applyReport("w", usageReportFromJson(message)) == expected);
         check(tracker.applyReport("w", usageReportFromJson(message)) == expected);
     });
-    section("an older owner finds what it reads in a report of changes", [] {
+    section("a report of changes has the members that an older owner reads", [] {
         usage_reporter reporter("s", {});
         reporter.nextReport(tasksOf(2), time_point(seconds(0)));
         Json::Value message(Json::objectValue);
@@ -139,7 +140,7 @@
         check(message["tasks"].isArray() && message["tasks"].size() == 1);
         check(message["tasks"][0]["task"].asString() == "season@3/2");
     });
-    section("a replaced agent starts anew, whatever its predecessor counted", [] {
+    section("a replaced agent starts with a full report, whatever its predecessor sent", [] {
         usage_tracker tracker;
         usage_reporter before("s1", {});
         for (int report = 0; report < 5; ++report)
--- a/tests/work_faults_test.cpp
+++ b/tests/work_faults_test.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr milliseconds FaultDuration = seconds(100); // longer than any lease of the model
+constexpr milliseconds FaultDuration = seconds(100); // longer than any lease of the simulation
 const task_id Watcher{"watch", 1};                   // class Proof, never evicted
 
 struct fault
 {
     std::string name;
     std::function<void(work_model &, const std::string &worker)> inject;
-    bool mayRestartWatcher = false; // only a restarted instance is proof that it ended
+    bool mayRestartWatcher = false; // true if the instance restarts, which proves that it ended
 };
 
 model_entry &ownerOf(work_model &model)
@@ -36,7 +36,7 @@
             {"table down", table(table_fault::Down)},
             {"table slow", table(table_fault::Slow)},
             {"answers lost after the effect", table(table_fault::AnswerLost)},
-            {"messages doubled", network(network_fault::Duplicated)},
+            {"messages duplicated", network(network_fault::Duplicated)},
             {"messages reordered", network(network_fault::Reordered)},
             {"messages dropped", network(network_fault::Dropped)},
             {"worker killed",
@@ -119,8 +119,9 @@
     check(violations.empty());
 }
 
-// One run: all jobs, three evictions, two cancellations; the fault strikes `offset` after the first
-// time that `step` happens, is healed, and everything gets time to finish.
+// One run with all jobs, three evictions and two cancellations. The fault is injected `offset`
+// after the first occurrence of `step`, cleared after FaultDuration, and all tasks get time to
+// finish.
 void runScenario(const std::string &step, const fault &fault, milliseconds offset)
 {
     work_model model(7);
@@ -160,7 +161,7 @@
         check(model.startCount(Watcher) == 1);
 }
 
-// Faults of random kind, place, time and length, several at once.
+// Injects faults of random kind, place, time and length, several at once.
 void runRandomFaults(std::uint64_t seed)
 {
     random_generator random(seed);
@@ -186,8 +187,8 @@
     checkNoViolations(model);
 }
 
-// Strikes at the step itself (what was decided may not have been sent), and when its writes, its
-// messages and its effect are on their way.
+// Injects each fault at the step itself (the decision may not have been sent yet), and while its
+// writes, messages and effects are in flight.
 void injectAtEachOffset(const std::string &step)
 {
     for (const auto &fault : allFaults()) {
@@ -200,10 +201,9 @@
 
 } // namespace
 
-// The operator sees each task run in one place, go on from its checkpoint, and end once, whatever
-// fails at whichever step. Each test strikes one step of a task's life with every fault in turn;
-// the fault lasts longer than any lease, so what was decided before it meets what was decided
-// after.
+// Each task must run in one place at a time, resume from its checkpoint and end once, whatever
+// fails at whichever step. Each test injects every fault in turn at one step of a task's life. The
+// fault lasts longer than any lease, so decisions from before it meet decisions from after it.
 Test(work_faults, place)
 {
     injectAtEachOffset("place");
@@ -225,9 +225,9 @@
     injectAtEachOffset("cancel");
 }
 
-// Several faults at once, at times that nobody thought of. Seeds that once showed a fault of the
-// code stay in the list: 112, a start that outlived its worker's instance and ran on the next one.
-Test(work_faults, storms)
+// Several faults at once, at random times. Seeds that have revealed a bug stay in the list: 112 is
+// a start request that was delivered to the next incarnation of its worker and carried out there.
+Test(work_faults, random_faults)
 {
     constexpr std::uint64_t Seeds = 80;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed)
--- a/tests/work_fixtures.h
+++ b/tests/work_fixtures.h
@@ -1,5 +1,5 @@
-// What tests of libs/work share: a table of one shard, and an agent with its worker, whose
-// surroundings the test plays itself.
+// Fixtures for the tests of libs/work: the coordinator of one shard, and an agent with its worker.
+// The test itself plays the part of everything else.
 #pragma once
 
 #include <optional>
@@ -17,6 +17,7 @@
 
 using namespace zinniabarrow::work;
 
+// The actions of one type, in order.
 template <typename Action, typename Actions>
 std::vector<Action> actionsOf(const Actions &actions)
 {
@@ -28,7 +29,8 @@
     return found;
 }
 
-// A table of one shard on a platform whose answers the test gives.
+// The coordinator of one shard, and an in-memory platform. The test decides when and whether a
+// transaction takes effect and is answered.
 struct coordinator_fixture
 {
     memory_platform platform;
@@ -36,8 +38,8 @@
     time_point now{seconds(1)};
     std::vector<coordinator_action> actions; // of the last event
 
-    explicit coordinator_fixture(std::uint64_t epoch = 1, time_point waitForSilentUntil = {})
-        : coordinator({0, epoch, 1, waitForSilentUntil, {}}, "op", {})
+    explicit coordinator_fixture(std::uint64_t epoch = 1, time_point earlierLeasesEndAt = {})
+        : coordinator({0, epoch, 1, earlierLeasesEndAt, {}}, "op", {})
     {
         platform.commit({"take", {}, {{shardKey(0), Json::Value(Json::objectValue)}}});
         feed(rows_read{});
@@ -57,6 +59,7 @@
     {
         feed(report_received{{name, 1, "s", sequence, 1, std::move(events)}});
     }
+    // Advances the time, ticks, and returns the transaction that the coordinator sends, if any.
     std::optional<table_transaction> nextCommit(milliseconds wait = milliseconds(200))
     {
         now += wait;
@@ -68,13 +71,15 @@
     {
         feed(write_answered{transaction.operationId, platform.commit(transaction)});
     }
-    // The answer is lost; `applied`: after the effect.
+    // The answer is lost. `applied`: the transaction has taken effect before that.
     void loseAnswer(const table_transaction &transaction, bool applied)
     {
         if (applied)
             platform.commit(transaction);
         feed(write_answered{transaction.operationId, {write_outcome::Unknown, 0, {}}});
     }
+    // Advances the time by 10 s and answers the read of rows that the coordinator requests; false
+    // if it requests none.
     bool readRowsBack()
     {
         now += seconds(10);
@@ -96,10 +101,10 @@
     }
 };
 
-// An agent and its worker, with grants that the test makes.
+// An agent and its worker. The test makes the grants.
 struct supervisor_fixture
 {
-    bool hasRoom = true;
+    bool hasRoom = true; // answer of the capacity check
     task_supervisor supervisor{
             "w", "s", {}, [this](const auto &, const auto &) { return hasRoom; }};
     worker_tasks worker{1};
@@ -121,7 +126,7 @@
     void perform(const worker_start &action) { worker.start(action, now); }
     void perform(const worker_renew &action) { worker.renew(action); }
     void perform(const worker_stop &action) { worker.stop(action); }
-    // Time passes; the worker is listed and the agent reports at its end.
+    // Advances the time; then the worker is listed and the agent ticks.
     void advance(milliseconds length)
     {
         now += length;
@@ -141,6 +146,7 @@
         result.specs["job"] = Json::Value(Json::objectValue);
         return result;
     }
+    // A grant of attempt `attempt` of Task.
     worker_grant grantTask(std::uint64_t replyTo, std::uint32_t attempt, std::uint64_t epoch = 1,
                            failover_class failover = failover_class::Lease) const
     {
--- a/tests/work_model.h
+++ b/tests/work_model.h
@@ -1,6 +1,6 @@
-// A small model around the cores of libs/work: an in-memory table with faults, workers that keep
-// what docs/design/OWNERSHIP.md asks of them, and a message queue on a virtual clock. What the
-// workers do is written as a trace; the checker reads it at the end of every run.
+// A simulation around the decision code of libs/work: an in-memory table with faults, workers that
+// remember what docs/design/OWNERSHIP.md requires, and a message queue on a virtual clock. What the
+// workers do is written as a trace, which the trace checker reads at the end of each run.
 #pragma once
 
 #include <algorithm>
@@ -29,8 +29,8 @@
 enum class table_fault { None, Down, Slow, AnswerLost };
 enum class network_fault { None, Duplicated, Reordered, Dropped };
 
-// Every process can be killed (its memory is lost) or frozen (its messages wait, also those that it
-// had decided to send and had not sent yet).
+// Every process can be killed (its memory is lost) or frozen (messages to and from it wait until it
+// goes on, including those that it had decided to send but had not sent yet).
 struct process
 {
     std::string name;
@@ -38,7 +38,7 @@
     int startNumber = 1;
     time_point frozenUntil;
     time_point restartAt = Never;
-    std::set<std::string> unreachablePeers; // messages to and from these are lost
+    std::set<std::string> unreachablePeers; // names; messages to and from them are lost
 };
 
 struct model_worker : process
@@ -60,7 +60,7 @@
     std::map<task_id, std::string> workerByTask;
 };
 
-// What is measured besides the trace.
+// Counts besides the trace.
 struct model_counts
 {
     std::map<std::string, int> byReason;
@@ -73,7 +73,7 @@
 class work_model
 {
 public:
-    static constexpr int SlotsPerWorker = 6; // tasks that a worker holds
+    static constexpr int SlotsPerWorker = 6; // tasks that fit on a worker
 
     explicit work_model(std::uint64_t seed, int size = 3)
         : m_random(seed)
@@ -94,7 +94,7 @@
             startProcess(agent);
     }
 
-    // Jobs as an operator gives them.
+    // Submits a job, as an operator does. `runSeconds` 0: its tasks never end by themselves.
     void submit(const std::string &job, std::uint32_t tasks, failover_class failover, bool service,
                 int runSeconds)
     {
@@ -131,20 +131,21 @@
     {
         feedOwnership(entry, release_shards{unresponsiveWorkers(entry)});
     }
-    // The instance and its agent reach nobody else any more.
+    // Cuts off the worker's agent from all entries; the agent and its worker still reach each
+    // other.
     void isolateWorker(const std::string &worker)
     {
         for (const auto &[name, entry] : entries)
             agents.at("agent-" + worker).unreachablePeers.insert(name);
     }
-    // A second agent for a worker whose first one is only paused, and goes on later.
+    // Starts a second agent for a worker whose first agent is only frozen, and continues later.
     void startSecondAgent(const std::string &worker, milliseconds length)
     {
         freeze(agents.at("agent-" + worker), length);
         model_agent &second = agents["second-" + worker];
         second.name = "second-" + worker;
         second.worker = worker;
-        ++second.startNumber; // no two processes share a session
+        ++second.startNumber; // each agent process has its own session
         startProcess(second);
     }
 
@@ -157,7 +158,7 @@
         }
     }
     void runFor(milliseconds length) { runUntil(now + length); }
-    // Runs until `done`, at most `length`; returns how long it took.
+    // Runs until `done` returns true, at most for `length`. Returns how long it took.
     milliseconds runUntilTrue(milliseconds length, const std::function<bool()> &done)
     {
         const time_point start = now;
@@ -200,7 +201,7 @@
     time_point now{seconds(1)};
     lease_settings leaseSettings;
     memory_platform platform;
-    bool placeInBacklog = false; // a full pool gets a backlog
+    bool placeInBacklog = false; // tasks without room go to a worker's backlog
     table_fault tableFault = table_fault::None;
     network_fault networkFault = network_fault::None;
     std::map<std::string, model_entry> entries;
@@ -208,7 +209,8 @@
     std::map<std::string, model_worker> workers;
     model_counts counts;
     std::string trace;
-    // Called at each step of a task: "place", "run", "evict", "resume", "cancel", with its worker.
+    // Called at each step of a task's life with the step ("place", "run", "evict", "resume" or
+    // "cancel") and the task's worker.
     std::function<void(const std::string &step, const std::string &worker)> onStep;
 
 private:
@@ -243,7 +245,7 @@
         return findIn(workers, name);
     }
 
-    // Messages.
+    // Messages. `from` and `to` are names of processes; empty: the table.
     void enqueue(const std::string &from, const std::string &to, milliseconds delay,
                  std::function<void()> deliver)
     {
@@ -251,7 +253,7 @@
         m_queue.push({now + delay, ++m_order, from, to, target ? target->startNumber : 0,
                       std::move(deliver)});
     }
-    // Between processes: subject to the faults of the network.
+    // Sends a message between processes, subject to network faults.
     void send(const std::string &from, const std::string &to, const std::function<void()> &deliver)
     {
         milliseconds delay = NetworkDelay;
@@ -270,10 +272,10 @@
             m_queue.pop();
             const process *from = find(next.from);
             const process *to = find(next.to);
-            const time_point thawAt = std::max(from ? from->frozenUntil : time_point(),
-                                               to ? to->frozenUntil : time_point());
-            if (thawAt > now) {
-                next.deliverAt = thawAt;
+            const time_point continuesAt = std::max(from ? from->frozenUntil : time_point(),
+                                                    to ? to->frozenUntil : time_point());
+            if (continuesAt > now) {
+                next.deliverAt = continuesAt;
                 m_queue.push(next);
                 continue;
             }
@@ -291,7 +293,7 @@
     {
         for (auto &[name, worker] : workers) {
             restartIfDue(worker);
-            // A frozen instance runs nothing, and ends lapsed tasks before anything else.
+            // Also for a frozen instance: its tasks finish nothing, but their leases lapse.
             if (worker.isAlive)
                 stepWorker(worker);
         }
@@ -319,12 +321,12 @@
     void startProcess(model_worker &worker) { traceWorker(worker.name); }
     void startProcess(model_agent &agent)
     {
-        supervisor_settings keeper;
-        keeper.leases = leaseSettings;
-        keeper.reportInterval = seconds(4); // as the agent's settings have it
+        supervisor_settings supervisorSettings;
+        supervisorSettings.leases = leaseSettings;
+        supervisorSettings.reportInterval = seconds(4); // as in the settings of the agent
         agent.supervisor = std::make_unique<task_supervisor>(
-                agent.worker, agent.name + "#" + std::to_string(agent.startNumber), keeper,
-                [&agent](const task_id &, const resources &) {
+                agent.worker, agent.name + "#" + std::to_string(agent.startNumber),
+                supervisorSettings, [&agent](const task_id &, const resources &) {
                     return agent.supervisor->occupyingTasks().size() < SlotsPerWorker;
                 });
     }
@@ -334,18 +336,18 @@
     }
     void startProcess(model_entry &entry)
     {
-        ownership_settings ownership;
-        ownership.leases = leaseSettings;
+        ownership_settings ownershipSettings;
+        ownershipSettings.leases = leaseSettings;
         entry.shardOwnership = std::make_unique<shard_ownership>(
                 entry_info{entry.name, zoneOf(entry.name)},
                 entry.name + "#" + std::to_string(entry.startNumber),
-                std::vector<shard_info>{{0, "zone-b"}}, ownership);
+                std::vector<shard_info>{{0, "zone-b"}}, ownershipSettings);
         entry.coordinator.reset();
         entry.workerByTask.clear();
     }
 
-    // The table. Down: refused. Slow: three seconds each way. AnswerLost: it takes effect, and the
-    // caller only sees its own time-out.
+    // The table. Down: transactions are refused. Slow: three seconds each way. AnswerLost: the
+    // transaction takes effect, but the caller only sees its own time-out.
     void commit(model_entry &entry, const table_transaction &transaction,
                 const std::function<void(const write_result &)> &answer)
     {
@@ -388,7 +390,7 @@
                 traceTaskRow(written.key.substr(12), *written.value);
         }
     }
-    // What the table holds is what counts, also if the entry that wrote it never learns of it.
+    // Traces what the table holds, whether or not the entry that wrote it learns of it.
     void traceTaskRow(const std::string &key, const Json::Value &row)
     {
         std::uint32_t index = 0;
@@ -499,7 +501,7 @@
     void run(model_entry &entry, const std::vector<ownership_action> &actions)
     {
         for (const auto &action : actions)
-            std::visit([&](const auto &one) { perform(entry, one); }, action);
+            std::visit([&](const auto &typed) { perform(entry, typed); }, action);
     }
     void perform(model_entry &entry, const commit_shard &action)
     {
@@ -519,14 +521,14 @@
     }
     void perform(model_entry &entry, const became_owner &action)
     {
-        coordinator_settings table;
-        table.leases = leaseSettings;
+        coordinator_settings coordinatorSettings;
+        coordinatorSettings.leases = leaseSettings;
         const std::string prefix = entry.name + "#" + std::to_string(entry.startNumber) + "/"
                                    + std::to_string(action.epoch);
         entry.coordinator = std::make_unique<task_coordinator>(
                 shard_tenure{action.shard, action.epoch, action.shardVersion,
                              action.earlierLeasesEndAt, action.unresponsive},
-                prefix, table);
+                prefix, coordinatorSettings);
         entry.workerByTask.clear();
     }
     void perform(model_entry &entry, const lost_shard &)
@@ -538,7 +540,7 @@
     void run(model_entry &entry, const std::vector<coordinator_action> &actions)
     {
         for (const auto &action : actions)
-            std::visit([&](const auto &one) { perform(entry, one); }, action);
+            std::visit([&](const auto &typed) { perform(entry, typed); }, action);
     }
     void perform(model_entry &entry, const commit_rows &action)
     {
@@ -576,7 +578,7 @@
     }
     void perform(model_entry &entry, const send_grant &action)
     {
-        // Through its text, as between processes.
+        // Serialized and parsed, as between real processes.
         const std::string text = compactJson(toJson(action.grant));
         for (auto &[name, agent] : agents) {
             model_agent *target = &agent;
@@ -616,7 +618,7 @@
     {
         model_worker &worker = workers.at(agent.worker);
         for (const auto &action : actions)
-            std::visit([&](const auto &one) { perform(agent, worker, one); }, action);
+            std::visit([&](const auto &typed) { perform(agent, worker, typed); }, action);
     }
     void perform(model_agent &agent, model_worker &, const send_report &action)
     {
@@ -661,7 +663,7 @@
     void perform(model_agent &agent, model_worker &worker, const worker_renew &action)
     {
         send(agent.name, worker.name, [this, &worker, action] {
-            stepWorker(worker); // lapsed tasks end first
+            stepWorker(worker); // ends lapsed tasks first
             worker.tasks.renew(action);
         });
     }
@@ -752,7 +754,8 @@
         event["size"] = sizeJson(SlotsPerWorker);
         appendToTrace(event);
     }
-    // What the system answers about cancelled jobs: over, as their rows say or are gone.
+    // Traces the tasks of cancelled jobs as cancelled, if their records say so or the job's rows
+    // are removed.
     void traceCancelled()
     {
         model_entry *entry = owner();
--- a/tests/work_session.h
+++ b/tests/work_session.h
@@ -1,5 +1,5 @@
-// The recorded session of work: tasks placed, evicted, resumed and cancelled while their owner
-// dies, a worker is replaced and the table goes away.
+// A recorded session: tasks are placed, evicted, resumed and cancelled while their owner dies, a
+// worker is replaced and the table is down for a while.
 #pragma once
 
 #include <sstream>
@@ -11,18 +11,19 @@
 constexpr const char *WorkSessionFile = "tests/golden/work_session.jsonl";
 constexpr std::uint64_t WorkSessionSeed = 11;
 
-// What the workers did, in order, then the rows that the table holds at the end; lines of JSON.
+// Runs the session. Returns JSON lines: what the workers did, in order, then the rows that the
+// table holds at the end. The violations found in the trace are stored in `violations`.
 inline std::vector<std::string> recordWorkSession(std::vector<trace_violation> *violations)
 {
     work_model model(WorkSessionSeed);
     model.submit("watch", 2, failover_class::Proof, true, 3600);
     model.submit("season", 8, failover_class::Lease, false, 20);
     model.runFor(seconds(5));
-    model.evict({"season", 3}); // checkpointed, freed, resumed
+    model.evict({"season", 3}); // checkpointed, requeued, resumed
     model.runFor(seconds(3));
-    model.kill(*model.owner(), seconds(30)); // the other entry takes the shard
+    model.kill(*model.owner(), seconds(30)); // the other entry takes over the shard
     model.runFor(seconds(10));
-    model.kill(model.workers.at("w1"), seconds(2)); // a newer incarnation comes back
+    model.kill(model.workers.at("w1"), seconds(2)); // restarts with a newer incarnation
     model.submit("clubs", 6, failover_class::Lease, false, 30);
     model.runFor(seconds(5));
     model.tableFault = table_fault::Down;
--- a/tests/work_session_test.cpp
+++ b/tests/work_session_test.cpp
@@ -1,5 +1,5 @@
-// Compares a whole session of work, to the byte, with the one that was read and kept. A changed
-// decision shows as a difference; tests/record_work_session prints the session anew.
+// Compares a whole session, byte for byte, with the reviewed recording in tests/golden. Any changed
+// decision shows up as a difference. tests/record_work_session prints a new recording.
 #include <fstream>
 
 #include "section.h"
@@ -17,13 +17,13 @@
         expected.push_back(line);
     std::vector<trace_violation> violations;
     const auto actual = recordWorkSession(&violations);
-    section("no promise is broken on the way", [&] { check(violations.empty()); });
-    section("line by line", [&] {
+    section("the trace has no violations", [&] { check(violations.empty()); });
+    section("each line is as recorded", [&] {
         require(actual.size() == expected.size());
         for (std::size_t index = 0; index < expected.size(); ++index)
             cr_expect_str_eq(actual[index].c_str(), expected[index].c_str(), "line %zu", index + 1);
     });
-    section("the session shows each step", [&] {
+    section("the recording contains each kind of step", [&] {
         for (const auto *event : {"started", "evicted", "resumed", "ended", "cancelled"}) {
             const auto part = std::string("\"event\":\"") + event + "\"";
             check(std::any_of(expected.begin(), expected.end(),
