--- a/tests/work_takeover_test.cpp
+++ b/tests/work_takeover_test.cpp
@@ -1,4 +1,4 @@
-// How long tasks stand still when an owner, a worker, both, or the platform fails. Virtual time.
+// How long tasks are stopped when an owner, a worker, both, or the platform fails. Virtual time.
 #include <fmt/core.h>
 
 #include "work_model.h"
@@ -12,7 +12,7 @@
 const task_id LeaseTask{"hold", 0};  // class Lease
 const task_id ProofTask{"watch", 0}; // class Proof
 
-// One service of each class, running, on an otherwise empty pool.
+// Starts one service of each failover class on an otherwise empty pool.
 void startServices(work_model &model)
 {
     model.submit("hold", 1, failover_class::Lease, true, 0);
@@ -21,20 +21,20 @@
     require(model.runs(LeaseTask) && model.runs(ProofTask));
 }
 
-std::string formatSeconds(milliseconds time)
+std::string formatSeconds(milliseconds duration)
 {
-    return fmt::format("{:.1f} s", static_cast<double>(time.count()) / 1'000);
+    return fmt::format("{:.1f} s", static_cast<double>(duration.count()) / 1'000);
 }
 
 struct recovery_times
 {
-    milliseconds ownerTakeover{0};    // until another entry decides
-    milliseconds leaseTaskRestart{0}; // until the Lease task runs again, if it stopped
+    milliseconds ownerTakeover{0};    // until another entry owns the shard
+    milliseconds leaseTaskRestart{0}; // until LeaseTask runs again, if it stopped
     int leaseTaskStarts = 0;
     int proofTaskStarts = 0;
 };
 
-// Strikes, and measures until both have recovered, at most `length`.
+// Injects a fault, and measures the recovery during `length`.
 recovery_times measureRecovery(work_model &model, const std::function<void()> &inject,
                                milliseconds length)
 {
@@ -46,15 +46,15 @@
     bool hasStopped = false;
     while (model.now - start < length) {
         model.runFor(milliseconds(100));
-        const auto passed = std::chrono::duration_cast<milliseconds>(model.now - start);
+        const auto elapsed = std::chrono::duration_cast<milliseconds>(model.now - start);
         if (!hasOwner && model.owner() != nullptr) {
             hasOwner = true;
-            result.ownerTakeover = passed;
+            result.ownerTakeover = elapsed;
         }
         hasStopped = hasStopped || !model.runs(LeaseTask);
         if (hasStopped && result.leaseTaskRestart.count() == 0
             && model.startCount(LeaseTask) > before && model.runs(LeaseTask))
-            result.leaseTaskRestart = passed;
+            result.leaseTaskRestart = elapsed;
     }
     check(hasOwner);
     result.leaseTaskStarts = model.startCount(LeaseTask);
@@ -77,12 +77,12 @@
 
 } // namespace
 
-// A parent whose seat hold runs on a lost instance waits until it runs elsewhere; a lease watcher
-// must run on whatever happens to the scheduler. Each case starts from the same state; bounds are
-// the waits that the rule of docs/design/OWNERSHIP.md adds up to.
-Test(work_takeover, table_of_times)
+// A seat hold (class Lease) on a lost instance must soon run elsewhere, as a parent waits for it; a
+// lease watcher (class Proof) must keep running whatever happens to the scheduler. Each case starts
+// from the same state. The bounds are the sums of the waits that docs/design/OWNERSHIP.md requires.
+Test(work_takeover, takeover_times)
 {
-    section("the owner dies: live agents re-attach, and nothing stops", [] {
+    section("the owner dies: live agents attach to its successor, and no task stops", [] {
         work_model model(1);
         startServices(model);
         const auto result = measureRecovery(
@@ -91,7 +91,7 @@
         check(result.ownerTakeover <= seconds(12));
         check(result.leaseTaskStarts == 1 && result.proofTaskStarts == 1);
     });
-    section("a planned stop of the owner hands over within a few seconds", [] {
+    section("the owner shuts down as planned and hands over within a few seconds", [] {
         work_model model(1);
         startServices(model);
         const auto result = measureRecovery(
@@ -111,7 +111,7 @@
         check(result.leaseTaskRestart <= seconds(22));
         check(result.leaseTaskStarts == 2 && result.proofTaskStarts == 1);
     });
-    section("both: the successor waits out the horizon for the silent worker", [] {
+    section("both: the successor waits for the whole grant period for the silent worker", [] {
         work_model model(1);
         startServices(model);
         const std::string worker = model.workerRunning(LeaseTask);
@@ -122,11 +122,11 @@
                     model.kill(*model.owner(), seconds(600));
                 },
                 seconds(200));
-        print("owner dead and worker silent, horizon 60 s", result);
+        print("owner dead and worker silent, grant period 60 s", result);
         check(result.leaseTaskRestart > seconds(60) && result.leaseTaskRestart <= seconds(90));
         check(result.leaseTaskStarts == 2 && result.proofTaskStarts == 1);
     });
-    section("both, but the owner had written the silence down: no second wait", [] {
+    section("both, but the owner had already declared the worker silent: no second wait", [] {
         work_model model(1);
         startServices(model);
         const std::string worker = model.workerRunning(LeaseTask);
@@ -140,12 +140,11 @@
     });
 }
 
-// A seat hold ran on a worker that is gone; the agent of that worker lives and reports. The owner
-// took each report for a sign of the worker, and left the hold there until the worker came back, if
-// ever. The agent must fall silent for a worker that it has not heard for as long as a task's
-// lease: by then the hold has ended there, as nobody renews it. The watcher waits for the next life
-// all the same.
-Test(work_takeover, a_worker_is_gone_and_its_agent_lives)
+// A worker is lost, but its agent lives and reports. If the owner took these reports as a sign of
+// the worker, a seat hold would stay there until the worker came back, if ever. The agent must stop
+// reporting for a worker that has not answered for as long as a task lease: by then the hold has
+// ended there, as nobody renews it. The watcher still waits for the worker's next incarnation.
+Test(work_takeover, a_worker_is_lost_and_its_agent_lives)
 {
     work_model model(1);
     startServices(model);
@@ -158,10 +157,10 @@
     check(result.leaseTaskStarts == 2 && result.proofTaskStarts == 2);
 }
 
-// A worker and its agent are gone, and the entries are replaced one after the other, as at a
-// release: each new owner knows no more than the rows tell it. A parent whose seat hold ran on that
-// worker must not wait anew with each of them: what the one before had waited for already is known
-// to it.
+// A worker and its agent are lost, and the entries are replaced one after the other, as in a
+// rollout. Each new owner knows only what the rows say. It must not start a new wait for the silent
+// worker, or a parent waits that much longer for the seat hold that ran there: the rows tell how
+// long its predecessor has already waited.
 Test(work_takeover, entries_are_replaced_while_a_worker_is_silent)
 {
     const auto replaceOwner = [](work_model &model) {
@@ -172,19 +171,19 @@
         model.runFor(seconds(1));
         model.kill(*owner, seconds(1));
     };
-    section("its task waits little longer than with one owner", [&] {
+    section("its task waits little longer than with a single owner", [&] {
         work_model model(1);
         startServices(model);
         const time_point start = model.now;
         model.isolateWorker(model.workerRunning(LeaseTask));
-        milliseconds waited{0};
+        milliseconds waitTime{0};
         const auto advance = [&](milliseconds length) {
             const auto hasMoved = [&] { return model.startCount(LeaseTask) == 2; };
-            if (waited.count() > 0)
+            if (waitTime.count() > 0)
                 return model.runFor(length);
             model.runUntilTrue(length, hasMoved);
             if (hasMoved())
-                waited = std::chrono::duration_cast<milliseconds>(model.now - start);
+                waitTime = std::chrono::duration_cast<milliseconds>(model.now - start);
         };
         for (int replaced = 0; replaced < 3; ++replaced) {
             advance(seconds(9));
@@ -192,11 +191,11 @@
         }
         advance(seconds(60));
         fmt::print(stderr, "| worker silent, three owners replaced | {} |\n",
-                   formatSeconds(waited));
-        check(waited > seconds(0) && waited <= seconds(22));
+                   formatSeconds(waitTime));
+        check(waitTime > seconds(0) && waitTime <= seconds(22));
         check(model.violations().empty());
     });
-    section("nothing runs twice, whoever was heard last by whom", [&] {
+    section("no task runs twice, whichever owner got the last report of which worker", [&] {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             work_model model(seed);
             startServices(model);
@@ -223,19 +222,19 @@
     });
 }
 
-// The table is down for twice the longest lease. While the horizon lasts nothing stops at all; then
-// the agents' leases lapse and tasks of class Lease end, but no task of class Proof is restarted.
+// The table is down for twice the grant period. During the grant period no task stops. Then the
+// agents' leases lapse and tasks of class Lease end, but no task of class Proof is restarted.
 Test(work_takeover, long_outage)
 {
-    section("within the horizon everything runs on", [] {
+    section("within the grant period all tasks keep running", [] {
         work_model model(2);
         startServices(model);
         const auto result = measureRecovery(
                 model, [&] { model.tableFault = table_fault::Down; }, seconds(50));
-        print("platform down 50 s, horizon 60 s", result);
+        print("platform down 50 s, grant period 60 s", result);
         check(result.leaseTaskStarts == 1 && result.proofTaskStarts == 1);
     });
-    section("twice the horizon restarts no task of class Proof", [] {
+    section("an outage of twice the grant period restarts no task of class Proof", [] {
         work_model model(2);
         startServices(model);
         model.tableFault = table_fault::Down;
@@ -260,8 +259,8 @@
     });
 }
 
-// Batch work goes on while the table is down: tasks placed ahead start as others end, and what has
-// ended is reported in order once the table is back.
+// Batch work continues while the table is down: tasks of the backlog start as others end, and all
+// ends are reported in order once the table is back.
 Test(work_takeover, backlog)
 {
     work_model model(3, 1);
@@ -276,7 +275,7 @@
             tasks += model.startCount({"batch", index});
         return tasks;
     };
-    check(started() == 10); // six at once, four of the backlog
+    check(started() == 10); // six at once, four from the backlog
     model.tableFault = table_fault::None;
     model.runFor(seconds(60));
     check(started() == 10);
--- a/tests/work_test.cpp
+++ b/tests/work_test.cpp
@@ -24,7 +24,7 @@
     return fmt::format(R"({{"event":"accepted","task":"j/0","service":false,"failover":"{}"}})",
                        failover);
 }
-// A line about an attempt of j/0; `checkpoint` where the event has one.
+// A trace line about an attempt of task j/0; `checkpoint` only for events that have one.
 std::string line(const std::string &event, int attempt, const std::string &on,
                  const std::string &checkpoint = {})
 {
@@ -49,8 +49,8 @@
 
 } // namespace
 
-// The checker guards every other test of faults: it must see each violation that is planted.
-Test(work, trace_checker_sees_each_planted_violation)
+// All tests of faults rely on the trace checker, so it must find every kind of violation.
+Test(work, trace_checker_finds_each_violation)
 {
     using kind = trace_violation_kind;
     const std::vector<std::string> validTrace = {
@@ -68,27 +68,27 @@
     const auto containsKind = [](const std::vector<kind> &kinds, kind wanted) {
         return std::find(kinds.begin(), kinds.end(), wanted) != kinds.end();
     };
-    section("a clean trace has none", [&] { check(kindsAfter(7, {}).empty()); });
-    section("two places", [&] {
+    section("a valid trace has none", [&] { check(kindsAfter(7, {}).empty()); });
+    section("started while it runs elsewhere", [&] {
         check(containsKind(kindsAfter(3, {line("placed", 2, "b"), line("started", 2, "b")}),
                            kind::StartedWhileRunning));
     });
-    section("an attempt twice", [&] {
+    section("the same attempt started twice", [&] {
         check(containsKind(kindsAfter(3, {line("stopped", 1, "a"), line("started", 1, "a")}),
                            kind::AttemptRepeated));
     });
-    section("started without a placement, or elsewhere", [&] {
+    section("started without a placement, or on another worker", [&] {
         check(containsKind(kindsAfter(1, {line("started", 1, "a")}), kind::NotPlaced));
         check(containsKind(kindsAfter(2, {line("started", 1, "b")}), kind::NotPlaced));
     });
-    section("resumed from elsewhere than its checkpoint", [&] {
+    section("not resumed from its checkpoint", [&] {
         check(containsKind(kindsAfter(5, {line("started", 2, "b")}), kind::WrongCheckpoint));
     });
     section("never resumed", [&] {
         const auto kinds = kindsAfter(4, {});
         check(containsKind(kinds, kind::NotResumed) && containsKind(kinds, kind::Lost));
     });
-    section("ran again after its end", [&] {
+    section("started again after its success", [&] {
         check(containsKind(kindsAfter(7, {line("placed", 3, "a"), line("started", 3, "a")}),
                            kind::StartedAfterEnd));
     });
@@ -105,13 +105,13 @@
             text->replace(text->find("j/0"), 3, "k/0");
         check(containsKind(kindsAfter(3, {otherAccepted, otherPlaced, other}), kind::OverCapacity));
     });
-    section("a line that is no event", [&] {
+    section("a line that is not an event", [&] {
         check(containsKind(kindsAfter(7, {"nonsense"}), kind::BadLine));
         check(containsKind(kindsAfter(7, {R"({"event":"unheard","task":"j/0"})"}), kind::BadLine));
     });
 }
 
-Test(work, messages_cross_the_wire_whole)
+Test(work, messages_survive_serialization)
 {
     const worker_grant grant{3,
                              7,
@@ -133,7 +133,7 @@
                               9,    7, {{1, {"job", 5}, 2, task_event_kind::Evicted, "c", "why"}}};
     check(toJson(agentReportFromJson(toJson(report))) == toJson(report));
 
-    section("a wrong member is named", [&] {
+    section("an error names the invalid member", [&] {
         for (const auto &name : sent.getMemberNames()) {
             Json::Value broken = sent;
             broken[name] = Json::Value(-1.5);
@@ -148,8 +148,8 @@
     });
 }
 
-// A wave of cancellations must not become a wave of writes: one row says that the job is cancelled,
-// and only tasks on a worker need their stop confirmed.
+// Cancelling many tasks must not cause as many writes: one row says that the job is cancelled, and
+// only tasks on a worker need their stop confirmed.
 Test(work, cancelling_thousands_writes_one_row)
 {
     coordinator_fixture fixture;
@@ -166,7 +166,7 @@
     check(fixture.coordinator.placeableTasks().empty());
     check(fixture.coordinator.find({"wave", 4'999}).state == task_state::Cancelled);
 
-    section("the placed one is stopped, and its rows go when it has ended", [&] {
+    section("the placed task is stopped, and the rows are removed when it has ended", [&] {
         fixture.report("w", 2);
         const auto grants = actionsOf<send_grant>(fixture.actions);
         require(grants.size() == 1);
@@ -179,8 +179,8 @@
     });
 }
 
-// The answer to a write is lost. Whether it took effect or not, the placement must be granted once,
-// and never before the table is known to hold it.
+// The answer to a write is lost. Whether the write took effect or not, the placement must be
+// granted once, and never before it is known to be committed.
 Test(work, a_write_without_an_answer)
 {
     for (const bool effect : {true, false}) {
@@ -200,12 +200,12 @@
                 const auto again = fixture.nextCommit(seconds(10));
                 require(again.has_value());
                 check(again->operationId == commit->operationId);
-                section("a refusal of the repeat says nothing about the first", [&] {
+                section("a refused repeat doesn't tell whether the first one took effect", [&] {
                     fixture.feed(
                             write_answered{again->operationId, {write_outcome::Refused, 0, {}}});
                     check(!fixture.coordinator.isPlaceable({"job", 0}));
                 });
-                fixture.platform.commit(*commit); // the first one arrives late after all
+                fixture.platform.commit(*commit); // the first copy arrives late
                 const auto third = fixture.nextCommit(seconds(10));
                 require(third.has_value());
                 check(third->operationId == commit->operationId);
@@ -219,9 +219,9 @@
     }
 }
 
-// A process loses a shard and takes it again. Its second write of this tenure never reaches the
-// table; the row still carries the second write of its first tenure, which must not pass for it:
-// the success that the agent reported would be acknowledged and lost.
+// A process loses a shard and acquires it again. The second write of its new tenure never reaches
+// the table, while the row still has the second write of its first tenure. The two must not be
+// confused, or the success that the agent reported would be acknowledged and lost.
 Test(work, operation_ids_of_two_tenures)
 {
     coordinator_fixture fixture;
@@ -252,9 +252,9 @@
     check(fixture.coordinator.find({"job", 0}).state == task_state::Done);
 }
 
-// Something else has changed one row of a group. The rest of the group must go on, and the changed
-// row is read again; otherwise one row would hold up all placements for ever.
-Test(work, a_conflict_on_one_row_leaves_the_rest_of_its_group)
+// Another writer has changed one row of a transaction. The other rows must be written all the same,
+// and the changed row must be read again; otherwise one row would block all placements forever.
+Test(work, a_conflict_on_one_row_does_not_block_the_others)
 {
     coordinator_fixture fixture;
     fixture.submit("good", 1);
@@ -281,7 +281,7 @@
     check(fixture.coordinator.find({"good", 0}).state == task_state::Placed);
     check(fixture.coordinator.isPlaceable({"bad", 0}));
 
-    section("and a new owner fences the table", [&] {
+    section("a new owner fences the coordinator", [&] {
         fixture.platform.commit({"take", {}, {{shardKey(0), Json::Value(Json::objectValue)}}});
         fixture.feed(placement_decided{{"bad", 0}, "w", false});
         fixture.commitAndAnswer(*fixture.nextCommit());
@@ -290,9 +290,9 @@
     });
 }
 
-// A task that was placed ahead waits in the agent's backlog. It starts when the owner finds room,
-// or is taken back; taking it back must not cut off a task that the owner does not yet know to run.
-Test(work, a_task_placed_ahead)
+// A backlogged task waits at the agent. It starts when the owner finds room, or is withdrawn; the
+// withdrawal must not cut off a task that is already running without the owner's knowledge.
+Test(work, a_backlogged_task)
 {
     coordinator_fixture fixture;
     supervisor_fixture agent;
@@ -311,7 +311,7 @@
     agent.advance(seconds(2));
     check(exchangeReportAndGrant().backlog.size() == 1 && !agent.worker.runs(agent.Task));
 
-    section("is taken back without ever running", [&] {
+    section("is withdrawn without ever running", [&] {
         coordinator_fixture copy = fixture;
         supervisor_fixture other;
         copy.feed(eviction_decided{{"job", 0}});
@@ -325,10 +325,9 @@
     });
 }
 
-// An operator asks an entry that owns several shards why a task waits. All of them know the job;
-// the one that the task belongs to has to answer, or the reason is that of a shard that never had
-// it.
-Test(work, a_task_is_known_to_its_own_shard_alone)
+// An operator asks an entry that owns several shards why a task waits. All shards know the job, but
+// only the one that the task belongs to may answer; another one would give a wrong reason.
+Test(work, a_task_is_known_only_to_its_own_shard)
 {
     coordinator_fixture fixture;
     job_spec spec;
@@ -343,9 +342,10 @@
     check(!fixture.coordinator.hasTask({"job", 9}) && !fixture.coordinator.hasTask({"other", 1}));
 }
 
-// A worker with nothing but a lease watcher goes silent, so nothing of it may start elsewhere and
-// no row says that it is silent. Batch tasks placed there would be freed at the next tick, placed
-// there again, and so on, while other workers stand empty. It gets none until it is granted again.
+// A worker that runs only a lease watcher (class Proof) falls silent: no task of it may start
+// elsewhere, so no row declares it silent. Batch tasks placed there would be requeued at the next
+// tick, placed there again, and so on, while other workers are idle. So it must get no tasks until
+// its next grant.
 Test(work, a_silent_worker_gets_no_tasks)
 {
     coordinator_fixture fixture;
@@ -372,16 +372,16 @@
         check(actionsOf<coordinator_counter>(fixture.actions).front()
               == coordinator_counter::NotPlaceable);
     });
-    section("it reports again: it is granted, and gets tasks", [&] {
+    section("it reports again: it gets a grant, and tasks may be placed on it", [&] {
         fixture.report("w", 2);
         check(actionsOf<send_grant>(fixture.actions).size() == 1);
         check(fixture.coordinator.canPlaceOn("w"));
     });
 }
 
-// An owner carries out generation 5, which brings a job and removes another, and stops. Its
-// successor has not heard of it yet: by generation 4 it would cancel the new job and start the
-// removed one anew under another name. It finds in the table what was carried out, and waits.
+// An owner applies generation 5, which adds one job and removes another, and stops. Its successor
+// doesn't know generation 5 yet: applying generation 4, it would cancel the new job and start the
+// removed one again under another name. It must read from the table what was applied, and wait.
 Test(work, a_successor_with_an_older_generation)
 {
     coordinator_fixture first;
@@ -403,14 +403,14 @@
         check(written.writes.front().key == "work/0/followed");
         first.commitAndAnswer(written);
     });
-    section("rows that say the same are not written again", [&] {
+    section("unchanged job rows are not written again", [&] {
         applyGeneration(first, 6, "new@5");
         const auto commit = first.nextCommit();
         require(commit.has_value());
         check(commit->writes.size() == 1 && commit->writes.front().key == "work/0/followed");
         first.commitAndAnswer(*commit);
     });
-    section("the successor knows, and refuses what is older", [&] {
+    section("the successor knows the applied generation, and refuses older jobs", [&] {
         task_coordinator successor({0, 2, 1, {}, {}}, "other", {});
         successor.handle(rows_read{{}, first.platform.scan("work/0/")}, first.now);
         check(successor.appliedGeneration() == 6);
@@ -426,9 +426,10 @@
     });
 }
 
-// Urgent work comes in with a new generation, so the very planning that evicts for it runs while
-// the rows of jobs that this generation changes are written. The placer has been promised the room:
-// an eviction that was dropped for the write would leave the urgent work waiting until it gives up.
+// Urgent work arrives with a new generation, so the planning run that evicts tasks for it happens
+// while the rows of the jobs that this generation changes are being written. The placer counts on
+// the room: if the eviction were dropped because of the write, the urgent work would wait until it
+// gives up.
 Test(work, an_eviction_while_the_jobs_row_is_written)
 {
     coordinator_fixture fixture;
@@ -443,19 +444,19 @@
     fixture.feed(job_accepted{spec});
     const auto written = fixture.nextCommit();
     require(written.has_value());
-    section("it is asked of the agent all the same", [&] {
+    section("it is sent to the agent all the same", [&] {
         fixture.feed(eviction_decided{{"job", 0}});
         fixture.report("w", 2);
         check(actionsOf<send_grant>(fixture.actions).front().grant.evictions.size() == 1);
     });
-    section("and still after the row is written", [&] {
+    section("also after the row is written", [&] {
         fixture.commitAndAnswer(*written);
         fixture.report("w", 3);
         check(actionsOf<send_grant>(fixture.actions).front().grant.evictions.size() == 1);
     });
 }
 
-// A scaled-down service loses its last replicas, and gets them back when it grows again.
+// A service that is scaled down loses its last replicas, and gets them back when scaled up again.
 Test(work, a_newer_generation_resizes_a_job)
 {
     coordinator_fixture fixture;
@@ -474,9 +475,10 @@
     check(fixture.coordinator.placeableTasks().size() == 4);
 }
 
-// What reaches an agent may be late, doubled, from an owner that was replaced, or meant for another
-// agent or another life of its worker. None of it may start a task that can run elsewhere by now.
-Test(work, an_agent_starts_only_what_holds)
+// Grants that reach an agent may be late, duplicated, from a superseded owner, or meant for another
+// agent or another incarnation of its worker. None of them may start a task that may already run
+// elsewhere.
+Test(work, an_agent_starts_only_valid_grants)
 {
     section("a superseded owner's grant", [] {
         supervisor_fixture fixture;
@@ -484,7 +486,7 @@
         fixture.feed(grant_received{fixture.grantTask(1, 1, 1)});
         check(!fixture.worker.runs(fixture.Task)
               && fixture.hasCounted(supervisor_counter::StaleEpoch));
-        section("also after the agent was replaced: the worker keeps the epoch", [&] {
+        section("also after the agent was replaced: the worker remembers the epoch", [&] {
             fixture.advance(seconds(2));
             fixture.supervisor =
                     task_supervisor("w", "s", {}, [](const auto &, const auto &) { return true; });
@@ -493,22 +495,22 @@
             check(!fixture.worker.runs(fixture.Task));
         });
     });
-    section("a grant that was held back, after a newer one extended the agent's lease", [] {
+    section("a delayed grant, after a newer one extended the agent's lease", [] {
         supervisor_fixture fixture;
-        const worker_grant late = fixture.grantTask(fixture.reportCount, 1);
+        const worker_grant delayedGrant = fixture.grantTask(fixture.reportCount, 1);
         fixture.advance(seconds(20));
         fixture.feed(grant_received{fixture.grant(fixture.reportCount)});
         check(fixture.supervisor.leaseUntil() > fixture.now);
-        fixture.feed(grant_received{late});
+        fixture.feed(grant_received{delayedGrant});
         check(!fixture.worker.runs(fixture.Task)
               && fixture.hasCounted(supervisor_counter::LeaseLapsed));
     });
-    section("a grant that was held back gives no lease from its arrival", [] {
+    section("the lease of a delayed grant is not counted from its arrival", [] {
         supervisor_fixture fixture;
         fixture.feed(grant_received{fixture.grantTask(fixture.reportCount, 1)});
-        const worker_grant late = fixture.grant(fixture.reportCount);
+        const worker_grant delayedGrant = fixture.grant(fixture.reportCount);
         fixture.advance(seconds(10));
-        fixture.feed(grant_received{late});
+        fixture.feed(grant_received{delayedGrant});
         fixture.advance(seconds(4));
         check(fixture.worker.runs(fixture.Task));
         fixture.advance(seconds(2));
@@ -523,7 +525,7 @@
         fixture.advance(seconds(3'000));
         check(fixture.worker.runs(fixture.Task));
     });
-    section("an agent that paused between its check and the sending", [] {
+    section("an agent that paused between checking the lease and sending the start", [] {
         supervisor_fixture fixture;
         const auto actions = fixture.supervisor.handle(
                 grant_received{fixture.grantTask(fixture.reportCount, 1)}, fixture.now);
@@ -531,7 +533,7 @@
         check(fixture.worker.start(actionsOf<worker_start>(actions).front(), fixture.now)
               == start_result::TooLate);
     });
-    section("a start that was held back, and is not too late, gains no time by it", [] {
+    section("a delayed start that is not too late gets no longer lease", [] {
         supervisor_fixture fixture;
         const auto actions = fixture.supervisor.handle(
                 grant_received{fixture.grantTask(fixture.reportCount, 1)}, fixture.now);
@@ -539,7 +541,7 @@
         check(fixture.worker.endLapsedTasks(fixture.now + seconds(14)).empty());
         check(fixture.worker.endLapsedTasks(fixture.now + seconds(15)).size() == 1);
     });
-    section("another session, another incarnation", [] {
+    section("a grant for another session or incarnation", [] {
         supervisor_fixture fixture;
         worker_grant other = fixture.grantTask(fixture.reportCount, 1);
         other.session = "before";
@@ -562,7 +564,7 @@
         fixture.feed(grant_received{fixture.grantTask(fixture.reportCount, 2)});
         check(fixture.worker.runs(fixture.Task));
     });
-    section("a task that does not fit is refused for good, under this attempt", [] {
+    section("a task that does not fit is refused, and this attempt never starts", [] {
         supervisor_fixture fixture;
         fixture.hasRoom = false;
         fixture.feed(grant_received{fixture.grantTask(fixture.reportCount, 1)});
@@ -575,7 +577,7 @@
         fixture.feed(grant_received{fixture.grantTask(fixture.reportCount, 1)});
         check(!fixture.worker.runs(fixture.Task));
     });
-    section("a start meant for an earlier life of the instance", [] {
+    section("a start meant for an earlier incarnation", [] {
         supervisor_fixture fixture;
         const auto actions = fixture.supervisor.handle(
                 grant_received{fixture.grantTask(fixture.reportCount, 1)}, fixture.now);
@@ -586,10 +588,10 @@
     });
 }
 
-// A report is dear, so an agent that is answered sends few. But the owner may die, and its
-// successor's first answer must come before the agent's lease of 15 s is over, or the seat holds of
-// a live worker would end: unanswered reports follow each other quickly, and so do those with
-// events to settle.
+// Reports are costly, so an agent sends few of them while they are answered. But the owner may die,
+// and its successor's first grant must come before the agent's lease of 15 s is over, or the seat
+// holds of a live worker would end. So reports are sent quickly while they are unanswered, and
+// while events are unacknowledged.
 Test(work, reports_are_few_while_they_are_answered)
 {
     supervisor_settings settings;
@@ -610,31 +612,34 @@
         return fixture.reportCount;
     };
     const auto always = [](worker_grant &) { return true; };
-    constexpr std::uint64_t EpochReport = 1; // tells at once that the worker has the epoch
+    // An extra report that tells at once that the worker has recorded the epoch.
+    constexpr std::uint64_t EpochReport = 1;
     section("answered: one in four seconds",
             [&] { check(reportsIn(seconds(60), seconds(15), always) == 15 + EpochReport); });
     section("unanswered: one a second", [&] {
         check(reportsIn(seconds(60), seconds(15), [](worker_grant &) { return false; }) == 60);
     });
-    section("answers to an earlier report show nothing", [&] {
-        const auto late = [](worker_grant &grant) { return --grant.replyTo > 0; };
-        check(reportsIn(seconds(60), seconds(15), late) == 60 + EpochReport);
+    section("an answer to an earlier report doesn't count as an answer", [&] {
+        const auto answerPreviousReport = [](worker_grant &grant) { return --grant.replyTo > 0; };
+        check(reportsIn(seconds(60), seconds(15), answerPreviousReport) == 60 + EpochReport);
     });
-    section("a short lease: three in its time",
+    section("a short lease: three reports within it",
             [&] { check(reportsIn(seconds(60), seconds(6), always) == 30 + EpochReport); });
-    section("a task that was refused is told within the delay, and each second until settled", [&] {
-        const auto tell = [](worker_grant &grant) {
-            grant.tasks.push_back({supervisor_fixture::Task, 1, failover_class::Lease, {}, {}});
-            return true;
-        };
-        check(reportsIn(seconds(10), seconds(15), tell) == 10 + EpochReport);
-    });
+    section("a refused task is reported after the event delay, then each second until acknowledged",
+            [&] {
+                const auto refuseTask = [](worker_grant &grant) {
+                    grant.tasks.push_back(
+                            {supervisor_fixture::Task, 1, failover_class::Lease, {}, {}});
+                    return true;
+                };
+                check(reportsIn(seconds(10), seconds(15), refuseTask) == 10 + EpochReport);
+            });
 }
 
-// Each tick of the agent's duty wakes two threads of every worker, and nearly all of them found
-// nothing to do. The bound is on how often the keeper asks for one while it is answered and all is
-// well.
-Test(work, an_agent_at_rest_is_rarely_woken)
+// Each tick of an agent wakes two threads on its worker, so ticks without anything to do must be
+// rare. Bounds the ticks that the supervisor asks for while its reports are answered and nothing
+// fails.
+Test(work, an_idle_agent_is_rarely_woken)
 {
     supervisor_settings settings;
     settings.reportInterval = seconds(4);
@@ -659,8 +664,8 @@
     check(ticks <= 60 + 15 + 1); // listings, reports, and the first report after the first listing
 }
 
-// A worker is silent. Its task of class Lease may start elsewhere only when no lease can be left,
-// and the worker gets nothing before the table has taken back that it is silent.
+// A worker falls silent. Its task of class Lease may start elsewhere only when all its leases must
+// have ended, and the worker gets no grant before the table no longer declares it silent.
 Test(work, a_silent_worker)
 {
     const auto place = [](coordinator_fixture &fixture, const std::string &job,
@@ -692,24 +697,25 @@
     check(fixture.coordinator.isPlaceable({"lease", 0}));
     check(fixture.coordinator.find({"proof", 0}).state == task_state::Placed);
 
-    section("nothing is sent to it meanwhile", [&] {
+    section("it gets no grant meanwhile", [&] {
         fixture.feed(eviction_decided{{"proof", 0}});
         check(actionsOf<send_grant>(fixture.actions).empty());
     });
-    section("it is back: no grant before the table says so", [&] {
-        fixture.report("w", 3);
-        check(actionsOf<send_grant>(fixture.actions).empty());
-        check(!fixture.coordinator.canPlaceOn("w"));
-        fixture.commitAndAnswer(*fixture.nextCommit());
-        fixture.report("w", 4);
-        check(actionsOf<send_grant>(fixture.actions).size() == 1);
-    });
-    section("a newer life of its instance proves that the rest has ended", [&] {
+    section("it reports again: no grant before its removal from the silent workers is committed",
+            [&] {
+                fixture.report("w", 3);
+                check(actionsOf<send_grant>(fixture.actions).empty());
+                check(!fixture.coordinator.canPlaceOn("w"));
+                fixture.commitAndAnswer(*fixture.nextCommit());
+                fixture.report("w", 4);
+                check(actionsOf<send_grant>(fixture.actions).size() == 1);
+            });
+    section("a newer incarnation proves that its other tasks have ended", [&] {
         fixture.feed(report_received{{"w", 2, "t", 1, 1, {}}});
         fixture.commitAndAnswer(*fixture.nextCommit());
         check(fixture.coordinator.isPlaceable({"proof", 0}));
     });
-    section("a success is acknowledged only when the table holds it", [&] {
+    section("a success is acknowledged only when it is committed", [&] {
         fixture.feed(placement_decided{{"lease", 0}, "w", false});
         fixture.commitAndAnswer(*fixture.nextCommit());
         const task_event success{1, {"lease", 0}, 2, task_event_kind::Succeeded, "", ""};
@@ -719,12 +725,12 @@
         fixture.feed(report_received{{"w", 2, "t", 3, 1, {success}}});
         check(actionsOf<send_grant>(fixture.actions).front().grant.ackedEvent == 1);
     });
-    section("past its own horizon the owner gives no lease", [&] {
+    section("after its grant deadline the owner gives no lease", [&] {
         fixture.feed(grant_deadline_changed{fixture.now});
         fixture.feed(report_received{{"w", 2, "t", 4, 1, {}}});
         check(actionsOf<send_grant>(fixture.actions).front().grant.lease.count() == 0);
     });
-    section("a pause of the owner is not the silence of its workers", [] {
+    section("after a pause of the owner its workers are not declared silent", [] {
         coordinator_fixture paused;
         paused.report("w", 1);
         job_spec spec;
@@ -741,7 +747,7 @@
     });
 }
 
-// Whoever owns a shard must not be decided twice; an outage must not look like a dead owner.
+// A shard must not have two owners, and an outage of the table must not look like a dead owner.
 Test(work, ownership_of_a_shard)
 {
     memory_platform platform;
@@ -751,7 +757,8 @@
     const std::vector<entry_info> both = {{"a", "z2"}, {"b", "z2"}};
     time_point now{seconds(1)};
     std::optional<became_owner> newest;
-    // One entry's turn: reads if `reads`, ticks, and commits what it asks for.
+    // Lets one entry read the rows (if `reads`), tick and write; its writes are refused unless
+    // `commits`.
     const auto takeTurn = [&](shard_ownership &owner, bool reads, bool commits) {
         owner.handle(peers_changed{both}, now);
         if (reads)
@@ -776,7 +783,7 @@
     shard_ownership &first = a.owns(0) ? a : b;
     shard_ownership &second = a.owns(0) ? b : a;
 
-    section("its horizon counts from before the renewal was sent", [&] {
+    section("its grant period is counted from before the renewal was sent", [&] {
         advance(2, [&] { takeTurn(second, true, true); });
         const time_point sent = now;
         const auto renewals = actionsOf<commit_shard>(first.handle(ownership_tick{}, now));
@@ -802,13 +809,13 @@
             advance(1, [&] { takeTurn(second, true, true); });
         check(second.owns(0));
         check(now - start <= seconds(10));
-        check(until > now); // so a silent worker has to be waited for
+        check(until > now); // so the new owner must wait for a silent worker
         takeTurn(first, false, true);
         check(first.mayGrantUntil(0) <= until);
         takeTurn(first, true, true);
         check(!first.owns(0));
     });
-    section("two entries decide to take it at the same moment: one of them gets it", [&] {
+    section("two entries try to acquire it at the same moment: one of them gets it", [&] {
         memory_platform fresh;
         shard_ownership c({"c", "z2"}, "c#1", shards, {});
         shard_ownership d({"d", "z2"}, "d#1", shards, {});
@@ -822,18 +829,18 @@
         d.handle(shard_write_answered{other.operationId, fresh.commit(other)}, now);
         check(c.owns(0) && !d.owns(0));
     });
-    section("a planned stop hands over at once", [&] {
+    section("a planned shutdown hands over at once", [&] {
         for (const auto &action : actionsOf<commit_shard>(second.handle(release_shards{}, now))) {
             const write_result result = platform.commit(action.transaction);
             second.handle(shard_write_answered{action.transaction.operationId, result}, now);
         }
         check(second.isReleased() && !second.owns(0));
-        const time_point mustWait = newest->earlierLeasesEndAt;
+        const time_point earlierLeasesEnd = newest->earlierLeasesEndAt;
         advance(4, [&] { takeTurn(first, true, true); });
         check(first.owns(0));
-        // The one before last did not stop as planned: its horizon still runs.
-        check(newest->earlierLeasesEndAt >= mustWait);
-        check(mustWait > now + seconds(1'000));
+        // The owner before the last one did not shut down as planned: its grant period still runs.
+        check(newest->earlierLeasesEndAt >= earlierLeasesEnd);
+        check(earlierLeasesEnd > now + seconds(1'000));
     });
 }
 
--- a/tests/work_waits_test.cpp
+++ b/tests/work_waits_test.cpp
@@ -1,5 +1,5 @@
-// Waits of the work's owner and its agents: each ends, also when what ends it is heard at a moment
-// at which it can't be acted on.
+// Waits of owners and agents: each wait must end, also if the event that ends it arrives at a
+// moment at which it can't be acted on.
 #include "section.h"
 #include "work/quota_parts.h"
 #include "work_fixtures.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The rows of one shard, and entries that read and write them when the test says so.
+// The rows of one shard. The test decides when an entry reads and writes them.
 struct shard_fixture
 {
     memory_platform platform;
@@ -32,10 +32,10 @@
         const shard_write_answered settled{transaction.operationId, platform.commit(transaction)};
         owner.handle(settled, now);
     }
-    // Each second the entry reads and writes what it likes.
+    // Advances the time by `length` seconds. Each second the entry reads, ticks and may write.
     void advance(shard_ownership &owner, int length)
     {
-        for (int passed = 0; passed < length; ++passed) {
+        for (int second = 0; second < length; ++second) {
             now += seconds(1);
             read(owner);
             if (const auto transaction = tick(owner))
@@ -46,14 +46,15 @@
 
 } // namespace
 
-// Callers see the tasks of a shard stand still for ever. An entry's write is out when it reads that
-// another one has taken the shard, and only then hears that the write has failed. The other entry
-// dies before it writes again: no later reading differs from the last, and the shard is free.
-Test(work_waits, a_write_that_another_owner_has_made_void)
+// Guards against a shard without an owner, whose tasks are stopped forever. While an entry's write
+// is in flight, the entry reads that another one has acquired the shard; only then is it told that
+// the write has failed. The other entry dies before it writes again, so no later scan shows a
+// change, and nobody owns the shard.
+Test(work_waits, a_write_made_void_by_another_owner)
 {
-    constexpr int AcquiredAfterSeconds =
-            9; // the lease of an owner, the allowance for clocks, two readings
-    section("of an entry that wanted to take the shard", [] {
+    // The lease of an owner, the allowance for clock drift and two scans.
+    constexpr int AcquiredAfterSeconds = 9;
+    section("of an entry that wanted to acquire the shard", [] {
         shard_fixture fixture;
         auto late = shard_fixture::makeEntry("late");
         auto first = shard_fixture::makeEntry("first");
@@ -87,7 +88,7 @@
         fixture.advance(owner, AcquiredAfterSeconds);
         check(owner.owns(0));
     });
-    section("and a planned stop of it has nothing to wait for", [&] {
+    section("and a planned shutdown of it has nothing to wait for", [&] {
         shard_fixture fixture;
         auto owner = shard_fixture::makeEntry("owner");
         superseded(fixture, owner);
@@ -97,10 +98,10 @@
     });
 }
 
-// Urgent work waits until its deadline has passed. Its room was to come from a task that was placed
-// a moment ago, the first to be evicted as it loses the least work; the write that places it is
-// still out. The placer counts the task as stopping from then on: dropped here, nobody ever stops
-// it.
+// Guards against urgent work that waits until its deadline has passed. The placer evicts a task
+// that was placed a moment ago, because it loses the least work, while the write of its placement
+// is still in flight. From then on the placer counts the task as stopping; if the eviction were
+// dropped, nobody would ever stop it.
 Test(work_waits, an_eviction_while_the_placement_is_written)
 {
     coordinator_fixture fixture;
@@ -115,7 +116,7 @@
         const auto grants = actionsOf<send_grant>(from.actions);
         return grants.empty() ? 0 : grants.front().grant.evictions.size();
     };
-    section("it is asked of the agent once the placement is written", [&] {
+    section("it is sent to the agent once the placement is committed", [&] {
         coordinator_fixture written = fixture;
         written.commitAndAnswer(*placing);
         check(checkpointsGranted(written) == 1);
@@ -126,7 +127,7 @@
         require(lost.readRowsBack());
         check(checkpointsGranted(lost) == 1);
     });
-    section("but not of the next placement, if this one has no effect", [&] {
+    section("but doesn't apply to the next placement, if this one has no effect", [&] {
         coordinator_fixture none = fixture;
         Json::Value foreign(Json::objectValue);
         foreign["tasks"] = Json::Value(Json::arrayValue);
@@ -141,13 +142,14 @@
     });
 }
 
-// Callers see the tasks of a shard stand still for ever. The lane to the platform is full after a
-// long outage and drops a write, or the answer finds its ring full: no answer will come. Each of
-// the owner's writes is waited for only so long, and its rows then tell what became of it.
+// Guards against a shard whose tasks are stopped forever. After a long outage the queue to the
+// platform is full and drops a write, or the ring buffer for the answer is full: no answer will
+// come. The owner must stop waiting for a write after a time-out, and find out from the rows
+// whether it took effect.
 Test(work_waits, the_answer_to_a_write_never_comes)
 {
     constexpr int WithinSeconds = 15;
-    section("to an entry that takes a shard", [] {
+    section("to an entry that acquires a shard", [] {
         shard_fixture fixture;
         auto owner = shard_fixture::makeEntry("owner");
         fixture.read(owner);
@@ -155,7 +157,7 @@
         fixture.advance(owner, WithinSeconds);
         check(owner.owns(0));
     });
-    section("to an owner that renews: it took effect, and is found", [] {
+    section("to an owner that renews: the write took effect, and this is found out", [] {
         shard_fixture fixture;
         auto owner = shard_fixture::makeEntry("owner");
         fixture.advance(owner, 2);
@@ -166,13 +168,13 @@
         fixture.advance(owner, 1);
         check(owner.mayGrantUntil(0) > fixture.now + lease_settings().grantPeriod - seconds(2));
     });
-    section("to the owner's write of its tasks", [] {
+    section("to an owner's write of task records", [] {
         coordinator_fixture fixture;
         fixture.submit("job", 1);
         const auto dropped = fixture.nextCommit();
         require(dropped.has_value());
         std::optional<table_transaction> again;
-        for (int passed = 0; passed < WithinSeconds && !again; ++passed) {
+        for (int second = 0; second < WithinSeconds && !again; ++second) {
             again = fixture.nextCommit(seconds(1));
             const auto reads = actionsOf<read_rows>(fixture.actions);
             if (!reads.empty())
@@ -185,15 +187,16 @@
         fixture.commitAndAnswer(*again);
         check(fixture.coordinator.isPlaceable({"job", 0}));
     });
-    section("to a shard that asks for its part of a quota", [] {
+    section("to a shard's write of its part of a quota", [] {
         memory_platform platform;
         platform.commit({"take", {}, {{shardKey(0), Json::Value(Json::objectValue)}}});
         quota_parts parts(0, 1, "op", quota_settings{2});
-        const resources core{1'000, 0, 0};
-        const std::map<std::string, team_demand> demands = {{"team", {core, {}, core, core}}};
+        const resources oneCore{1'000, 0, 0};
+        const std::map<std::string, team_demand> demands = {
+                {"team", {oneCore, {}, oneCore, oneCore}}};
         int commits = 0;
-        for (int passed = 0; passed < WithinSeconds + 5; ++passed) {
-            const time_point now = seconds(passed + 1) + time_point();
+        for (int second = 0; second < WithinSeconds + 5; ++second) {
+            const time_point now = seconds(second + 1) + time_point();
             for (const auto &action : parts.update(demands, now)) {
                 if (const auto *read = std::get_if<read_rows>(&action)) {
                     const auto row = platform.read(read->keys.front());
@@ -207,43 +210,43 @@
                 parts.handle(write_answered{commit->transaction.operationId, result}, now);
             }
         }
-        check(core.fitsIn(parts.usableQuota("team")));
+        check(oneCore.fitsIn(parts.usableQuota("team")));
     });
 }
 
-// Callers see tasks stand still for ever that were placed on a worker which is gone, and new ones
-// are placed there too: its agent lives, and each of its reports was taken for a sign of the
-// worker. What the worker ran of class Lease has ended once its tasks' leases are over, as nobody
-// renews them; from then on the agent is silent for it, and the owner moves them.
-Test(work_waits, a_worker_that_is_gone_beside_its_agent)
+// Guards against tasks that stay on a lost worker forever, while new ones are placed there too: the
+// worker's agent lives, and the owner takes each of its reports as a sign of the worker. The
+// worker's tasks of class Lease have ended when their leases are over, as nobody renews them. From
+// then on the agent must stop reporting, so that the owner moves them.
+Test(work_waits, a_lost_worker_with_a_live_agent)
 {
     supervisor_fixture agent;
     const auto advanceWithoutWorker = [&](int length) {
-        for (int passed = 0; passed < length; ++passed) {
+        for (int second = 0; second < length; ++second) {
             agent.now += seconds(1);
             agent.feed(supervisor_tick{});
         }
     };
     agent.advance(seconds(1));
     const auto taskLease = std::chrono::duration_cast<seconds>(lease_settings().taskLease).count();
-    section("while leases of its tasks may hold, the agent reports", [&] {
+    section("while leases of its tasks may still hold, the agent reports", [&] {
         const auto before = agent.reportCount;
         advanceWithoutWorker(static_cast<int>(taskLease) - 2);
         check(agent.reportCount > before + 5);
     });
-    section("then no more, and is woken only to ask the worker", [&] {
+    section("then it stops reporting, and wakes up only to list the worker", [&] {
         advanceWithoutWorker(3);
         const auto before = agent.reportCount;
         advanceWithoutWorker(60);
         check(agent.reportCount == before);
         check(agent.supervisor.nextTick() > agent.now);
     });
-    section("it answers again: the owner hears at once", [&] {
+    section("the worker answers again: the agent reports at once", [&] {
         const auto before = agent.reportCount;
         agent.advance(milliseconds(100));
         check(agent.reportCount == before + 1);
     });
-    section("an end that the owner has not acknowledged is told all the same", [&] {
+    section("an end that the owner has not acknowledged is still reported", [&] {
         agent.feed(grant_received{agent.grantTask(agent.reportCount, 1)});
         require(agent.worker.runs(agent.Task));
         agent.worker.recordEnd({{agent.Task, 1}, task_outcome::Succeeded, {}, {}});
--- a/tests/work_writes_test.cpp
+++ b/tests/work_writes_test.cpp
@@ -1,5 +1,4 @@
-// What the table is asked to write at the peak of task starts, and what other row layouts would
-// ask.
+// How much the table must write at the peak rate of task starts, compared with other row layouts.
 #include <set>
 
 #include <fmt/core.h>
@@ -29,12 +28,13 @@
     std::size_t rows = 0;
     std::size_t bytes = 0;
     std::size_t starts = 0;
-    std::size_t rowsIfPerTask = 0;   // rows, if each task had one
-    std::size_t rowsIfPerWorker = 0; // rows, if each worker had one
-    std::size_t messageBytes = 0;    // of reports and grants, without their transport
+    std::size_t rowsIfPerTask = 0;   // rows written if each task had its own row
+    std::size_t rowsIfPerWorker = 0; // rows written if each worker had its own row
+    std::size_t messageBytes = 0;    // bodies of reports and grants, without transport overhead
 };
 
-// One shard at its part of the peak: jobs of 500 tasks, placed in order, each running 60 to 160 s.
+// One shard with its share of the peak load: jobs of 500 tasks, placed in order, each task running
+// for 60 to 160 s.
 class peak_load_shard
 {
 public:
@@ -111,27 +111,26 @@
     void report(int index)
     {
         const std::string id = name(index);
-        worker &statistics = m_workerStates[id];
-        const agent_report report{id, 1, id + "#1", ++statistics.sequence, 1, statistics.events};
+        worker &state = m_workerStates[id];
+        const agent_report report{id, 1, id + "#1", ++state.sequence, 1, state.events};
         m_statistics.messageBytes += compactJson(toJson(report)).size();
         feed(report_received{report});
     }
     void addEvent(const std::string &id, const task_attempt &attempt, task_event_kind kind)
     {
-        worker &statistics = m_workerStates[id];
-        statistics.events.push_back(
-                {++statistics.lastEvent, attempt.task, attempt.attempt, kind, {}, {}});
+        worker &state = m_workerStates[id];
+        state.events.push_back({++state.lastEvent, attempt.task, attempt.attempt, kind, {}, {}});
     }
 
     void feed(const coordinator_event &event)
     {
         for (const auto &action : m_coordinator.handle(event, m_now))
-            std::visit([&](const auto &statistics) { act(statistics); }, action);
+            std::visit([&](const auto &typed) { perform(typed); }, action);
     }
     template <typename Action>
-    void act(const Action &)
+    void perform(const Action &)
     { }
-    void act(const commit_rows &action)
+    void perform(const commit_rows &action)
     {
         ++m_statistics.transactions;
         for (const auto &write : action.transaction.writes) {
@@ -143,7 +142,7 @@
         feed(write_answered{action.transaction.operationId, result});
         m_statistics.rowsIfPerWorker += m_changedWorkers.size();
     }
-    void act(const task_changed &action)
+    void perform(const task_changed &action)
     {
         if (action.change == task_change::Started || action.change == task_change::EndReported)
             return;
@@ -152,11 +151,11 @@
         if (action.change == task_change::Placed)
             ++m_statistics.starts;
     }
-    void act(const send_grant &action)
+    void perform(const send_grant &action)
     {
-        worker &statistics = m_workerStates[action.grant.worker];
+        worker &state = m_workerStates[action.grant.worker];
         m_statistics.messageBytes += compactJson(toJson(action.grant)).size();
-        std::erase_if(statistics.events,
+        std::erase_if(state.events,
                       [&](const auto &event) { return event.number <= action.grant.ackedEvent; });
         for (const auto &task : action.grant.tasks) {
             const task_attempt attempt{task.task, task.attempt};
@@ -184,7 +183,7 @@
     write_statistics m_statistics;
 };
 
-// Prints a line of the table, and holds the writes to `mostRows` a second.
+// Prints one line of figures, and checks that less than `maxRowsPerSecond` rows are written.
 void measurePeak(int shards, double maxRowsPerSecond)
 {
     const write_statistics statistics = peak_load_shard(shards).run();
@@ -208,8 +207,8 @@
 
 } // namespace
 
-// At 210 starts (and as many ends) a second with some 23,000 tasks running, the table's several
-// hundred row writes a second must suffice for everyone, whatever the number of shards.
+// At 210 starts (and as many ends) a second with about 23,000 tasks running, the several hundred
+// row writes a second that the table can do must suffice, whatever the number of shards.
 Test(work_writes, one_shard)
 {
     section("one shard", [] { measurePeak(1, 150); });
