--- a/app/admission_duty.cpp
+++ b/app/admission_actor.cpp
@@ -1,4 +1,4 @@
-#include "app/admission_duty.h"
+#include "app/admission_actor.h"
 
 #include <algorithm>
 #include <cstdlib>
--- a/app/admission_duty.h
+++ b/app/admission_actor.h
@@ -14,7 +14,7 @@
 #include "request/admission.h"
 #include "request/announcement.h"
 #include "request/latency_window.h"
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 #include "runtime/http.h"
 #include "runtime/metrics.h"
 
--- a/app/agent.cpp
+++ b/app/agent.cpp
@@ -2,14 +2,14 @@
 
 #include <thread>
 
-#include "app/admission_duty.h"
-#include "app/announce_duty.h"
-#include "app/follow_duty.h"
+#include "app/admission_actor.h"
+#include "app/announcement_actor.h"
+#include "app/config_follower_actor.h"
 #include "app/header_names.h"
-#include "app/keeper_duty.h"
-#include "app/lanes.h"
+#include "app/outbound_calls.h"
 #include "app/process.h"
 #include "app/rpc_endpoint.h"
+#include "app/supervisor_actor.h"
 #include "app/upstream_probe.h"
 #include "base/json_member.h"
 #include "base/log.h"
--- a/app/announce_duty.cpp
+++ b/app/announcement_actor.cpp
@@ -1,4 +1,4 @@
-#include "app/announce_duty.h"
+#include "app/announcement_actor.h"
 
 #include <thread>
 
--- a/app/announce_duty.h
+++ b/app/announcement_actor.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "app/lanes.h"
-#include "app/request_duty.h"
-#include "config/report_pace.h"
+#include "app/outbound_calls.h"
+#include "app/request_actor.h"
+#include "config/report_throttle.h"
 #include "config/settings.h"
 #include "request/announcer.h"
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 
 namespace zinniabarrow {
 
--- a/app/config_duty.cpp
+++ b/app/config_actor.cpp
@@ -1,4 +1,4 @@
-#include "app/config_duty.h"
+#include "app/config_actor.h"
 
 #include "config/content_slice.h"
 
--- a/app/config_duty.h
+++ b/app/config_actor.h
@@ -11,13 +11,13 @@
 #include <variant>
 
 #include "app/await_reply.h"
-#include "app/lanes.h"
-#include "app/request_duty.h"
+#include "app/outbound_calls.h"
+#include "app/request_actor.h"
 #include "base/log.h"
 #include "config/generations.h"
 #include "config/operator_view.h"
 #include "config/settings.h"
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 #include "runtime/metrics.h"
 
 namespace zinniabarrow {
--- a/app/follow_duty.cpp
+++ b/app/config_follower_actor.cpp
@@ -1,4 +1,4 @@
-#include "app/follow_duty.h"
+#include "app/config_follower_actor.h"
 
 #include "base/errors.h"
 #include "base/json_member.h"
--- a/app/follow_duty.h
+++ b/app/config_follower_actor.h
@@ -9,11 +9,11 @@
 #include <variant>
 
 #include "app/await_reply.h"
-#include "app/lanes.h"
+#include "app/outbound_calls.h"
 #include "base/log.h"
 #include "config/generation_follower.h"
 #include "config/settings.h"
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 
 namespace zinniabarrow {
 
--- a/app/entry.cpp
+++ b/app/entry.cpp
@@ -2,12 +2,12 @@
 
 #include <thread>
 
-#include "app/config_duty.h"
-#include "app/lanes.h"
+#include "app/config_actor.h"
+#include "app/outbound_calls.h"
 #include "app/process.h"
-#include "app/request_duty.h"
+#include "app/request_actor.h"
 #include "app/rpc_endpoint.h"
-#include "app/schedule_duty.h"
+#include "app/scheduling_actor.h"
 #include "base/errors.h"
 #include "base/log.h"
 
--- a/app/lanes.cpp
+++ b/app/outbound_calls.cpp
@@ -1,4 +1,4 @@
-#include "app/lanes.h"
+#include "app/outbound_calls.h"
 
 #include "base/errors.h"
 #include "rpc/rpc.h"
--- a/app/lanes.h
+++ b/app/outbound_calls.h
@@ -12,7 +12,7 @@
 
 #include "app/send_queue.h"
 #include "base/time.h"
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 #include "runtime/http.h"
 #include "runtime/metrics.h"
 #include "runtime/platform_client.h"
--- a/app/owned_shard.h
+++ b/app/owned_shard.h
@@ -8,7 +8,7 @@
 
 #include <json/json.h>
 
-#include "app/config_duty.h"
+#include "app/config_actor.h"
 #include "base/log.h"
 #include "placement/scheduler.h"
 #include "runtime/metrics.h"
--- a/app/process.h
+++ b/app/process.h
@@ -4,7 +4,7 @@
 #include <csignal>
 #include <string>
 
-#include "app/request_duty.h"
+#include "app/request_actor.h"
 #include "config/settings.h"
 
 namespace zinniabarrow {
--- a/app/request_duty.cpp
+++ b/app/request_actor.cpp
@@ -1,7 +1,7 @@
 // Sections: settings of the parts | on HTTP threads | on the duty's thread: events, the flow's
 // actions, membership, what the flow asks back
 
-#include "app/request_duty.h"
+#include "app/request_actor.h"
 
 #include <algorithm>
 #include <charconv>
--- a/app/request_duty.h
+++ b/app/request_actor.h
@@ -14,14 +14,14 @@
 
 #include "app/await_reply.h"
 #include "app/forwarding.h"
-#include "app/lanes.h"
+#include "app/outbound_calls.h"
 #include "base/log.h"
 #include "config/settings.h"
 #include "delivery/request_flow.h"
 #include "request/membership.h"
 #include "request/retry_budget.h"
 #include "request/router.h"
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 #include "runtime/http.h"
 #include "runtime/metrics.h"
 
--- a/app/schedule_duty.cpp
+++ b/app/scheduling_actor.cpp
@@ -1,4 +1,4 @@
-#include "app/schedule_duty.h"
+#include "app/scheduling_actor.h"
 
 #include <algorithm>
 
--- a/app/schedule_duty.h
+++ b/app/scheduling_actor.h
@@ -10,13 +10,13 @@
 #include <variant>
 
 #include "app/await_reply.h"
-#include "app/config_duty.h"
-#include "app/lanes.h"
+#include "app/config_actor.h"
+#include "app/outbound_calls.h"
 #include "app/owned_shard.h"
-#include "app/request_duty.h"
+#include "app/request_actor.h"
 #include "base/log.h"
 #include "config/settings.h"
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 #include "runtime/metrics.h"
 #include "work/ownership.h"
 #include "work/usage.h"
--- a/app/keeper_duty.cpp
+++ b/app/supervisor_actor.cpp
@@ -1,4 +1,4 @@
-#include "app/keeper_duty.h"
+#include "app/supervisor_actor.h"
 
 #include "base/errors.h"
 #include "base/json.h"
--- a/app/keeper_duty.h
+++ b/app/supervisor_actor.h
@@ -7,13 +7,13 @@
 #include <variant>
 #include <vector>
 
-#include "app/lanes.h"
-#include "app/request_duty.h"
+#include "app/outbound_calls.h"
+#include "app/request_actor.h"
 #include "base/log.h"
 #include "config/settings.h"
 #include "placement/resources.h"
 #include "request/latency_window.h"
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 #include "runtime/metrics.h"
 #include "work/task_supervisor.h"
 #include "work/usage.h"
--- a/app/upstream_probe.h
+++ b/app/upstream_probe.h
@@ -9,7 +9,7 @@
 #include <functional>
 #include <memory>
 
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 #include "runtime/http.h"
 
 namespace zinniabarrow {
--- a/include/zinniabarrow/zinniabarrow.h
+++ b/include/zinniabarrow/zinniabarrow.h
@@ -26,7 +26,7 @@
 
 // Delivery: the life of one caller's request, at most once.
 #include "delivery/attempt_guard.h"
-#include "delivery/claim_book.h"
+#include "delivery/claim_coordinator.h"
 #include "delivery/request_flow.h"
 
 // Placement: what fits where, learned sizes, interference, quotas, quarantine.
--- a/include/zinniabarrow/zinniabarrow_internal.h
+++ b/include/zinniabarrow/zinniabarrow_internal.h
@@ -2,7 +2,7 @@
 #pragma once
 
 // Threads and rings, HTTP, metrics, the platform's client.
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 #include "runtime/http.h"
 #include "runtime/metrics.h"
 #include "runtime/platform_client.h"
--- a/libs/config/report_pace.cpp
+++ b/libs/config/report_throttle.cpp
@@ -1,4 +1,4 @@
-#include "config/report_pace.h"
+#include "config/report_throttle.h"
 
 namespace zinniabarrow::config {
 
--- a/libs/delivery/claim_book.cpp
+++ b/libs/delivery/claim_coordinator.cpp
@@ -1,7 +1,7 @@
 // Sections: Claims and their ends | Verdicts and memory | Open records |
 // Time: sending, reading, giving up | Answers of the table | Eras and sweeping
 
-#include "delivery/claim_book.h"
+#include "delivery/claim_coordinator.h"
 
 #include <algorithm>
 #include <utility>
--- a/libs/delivery/claim_row.cpp
+++ b/libs/delivery/claim_row.cpp
@@ -6,7 +6,7 @@
 #include "base/hash.h"
 #include "base/json_member.h"
 #include "base/names.h"
-#include "delivery/claim_book.h"
+#include "delivery/claim_coordinator.h"
 
 namespace zinniabarrow::delivery {
 
--- a/libs/delivery/flow_json.cpp
+++ b/libs/delivery/flow_json.cpp
@@ -4,7 +4,7 @@
 
 #include "base/json_member.h"
 #include "base/names.h"
-#include "delivery/claim_book.h"
+#include "delivery/claim_coordinator.h"
 #include "platform/platform_json.h"
 
 namespace zinniabarrow::delivery {
--- a/libs/delivery/request_flow.h
+++ b/libs/delivery/request_flow.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "delivery/claim_book.h"
+#include "delivery/claim_coordinator.h"
 #include "delivery/flow_messages.h"
 
 namespace zinniabarrow::delivery {
--- a/libs/runtime/duty.cpp
+++ b/libs/runtime/event_actor.cpp
@@ -1,4 +1,4 @@
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 
 #include <algorithm>
 
--- a/libs/runtime/http.h
+++ b/libs/runtime/http.h
@@ -20,7 +20,7 @@
 #include "base/answer_check.h"
 #include "base/time.h"
 #include "runtime/body_stream.h"
-#include "runtime/receivers.h"
+#include "runtime/receiver_threads.h"
 
 namespace zinniabarrow {
 
--- a/libs/runtime/receivers.cpp
+++ b/libs/runtime/receiver_threads.cpp
@@ -1,4 +1,4 @@
-#include "runtime/receivers.h"
+#include "runtime/receiver_threads.h"
 
 #include <utility>
 
--- a/tests/at_most_once_test.cpp
+++ b/tests/at_most_once_test.cpp
@@ -2,7 +2,7 @@
 // counts its executions.
 #include <fmt/core.h>
 
-#include "delivery_world.h"
+#include "delivery_simulation.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/claim_book_test.cpp
+++ b/tests/claim_coordinator_test.cpp
@@ -1,7 +1,7 @@
 // Claims on keys: their cost in writes, their life, and what an outage of the table does.
 #include <fmt/core.h>
 
-#include "delivery_world.h"
+#include "delivery_simulation.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/order_model.h
+++ b/tests/cluster_simulation.h
@@ -17,8 +17,8 @@
 
 #include "jobs/job_controller.h"
 #include "jobs/run_table.h"
-#include "modelled_worker.h"
-#include "run_rules.h"
+#include "run_checker.h"
+#include "simulated_worker.h"
 
 namespace zinniabarrow::tests {
 
--- a/tests/config_records_test.cpp
+++ b/tests/config_records_test.cpp
@@ -3,7 +3,7 @@
 #include "base/random.h"
 #include "config/generation_follower.h"
 #include "config/operator_view.h"
-#include "config/report_pace.h"
+#include "config/report_throttle.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/config_session_test.cpp
+++ b/tests/config_session_test.cpp
@@ -7,7 +7,7 @@
 #include "base/json.h"
 #include "config/generations.h"
 #include "config_files.h"
-#include "config_world.h"
+#include "config_simulation.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/control_bytes_test.cpp
+++ b/tests/control_bytes_test.cpp
@@ -1,5 +1,5 @@
 // Bytes of control, counted where they are sent and where they are received.
-#include "app/lanes.h"
+#include "app/outbound_calls.h"
 #include "app/rpc_endpoint.h"
 #include "base/errors.h"
 #include "section.h"
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -2,7 +2,7 @@
 #include <atomic>
 #include <future>
 
-#include "runtime/duty.h"
+#include "runtime/event_actor.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/generations_test.cpp
+++ b/tests/generations_test.cpp
@@ -4,7 +4,7 @@
 #include "base/json.h"
 #include "config/operator_view.h"
 #include "config_files.h"
-#include "config_world.h"
+#include "config_simulation.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/http_listener_test.cpp
+++ b/tests/http_listener_test.cpp
@@ -8,7 +8,7 @@
 
 #include <criterion/criterion.h>
 
-#include "kept_caller.h"
+#include "keep_alive_caller.h"
 #include "net/event_loop.h"
 #include "net/http_caller.h"
 #include "net/http_listener.h"
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <thread>
 
-#include "kept_caller.h"
+#include "keep_alive_caller.h"
 #include "runtime/http.h"
 #include "section.h"
 #include "stalled_callers.h"
--- a/tests/order_of_events_test.cpp
+++ b/tests/order_of_events_test.cpp
@@ -10,7 +10,7 @@
 #include <criterion/criterion.h>
 #include <fmt/core.h>
 
-#include "order_model.h"
+#include "cluster_simulation.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/order_search.h
+++ b/tests/order_search.h
@@ -13,8 +13,8 @@
 #include <fmt/core.h>
 
 #include "base/random.h"
-#include "order_model.h"
-#include "standing_rules.h"
+#include "cluster_simulation.h"
+#include "stall_checker.h"
 
 namespace zinniabarrow::tests {
 
--- a/tests/lanes_test.cpp
+++ b/tests/outbound_calls_test.cpp
@@ -9,7 +9,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "app/lanes.h"
+#include "app/outbound_calls.h"
 #include "rpc/rpc.h"
 #include "section.h"
 
--- a/tests/process_config_test.cpp
+++ b/tests/process_config_test.cpp
@@ -2,7 +2,7 @@
 #include <fstream>
 
 #include "base/json.h"
-#include "fleet_story.h"
+#include "fleet_scenario.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
--- a/tests/process_evict_test.cpp
+++ b/tests/process_evict_test.cpp
@@ -1,6 +1,6 @@
 // Evictions on real processes: urgent work takes the room of batch tasks, which are checkpointed,
 // freed, and go on later from where they were, exactly once, whatever dies or is lost meanwhile.
-#include "fleet_story.h"
+#include "fleet_scenario.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
--- a/tests/process_interference_test.cpp
+++ b/tests/process_interference_test.cpp
@@ -2,7 +2,7 @@
 // instances by the noise of the tasks that they run.
 #include <atomic>
 
-#include "fleet_story.h"
+#include "fleet_scenario.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
--- a/tests/process_jobs_test.cpp
+++ b/tests/process_jobs_test.cpp
@@ -10,7 +10,7 @@
 #include <fmt/core.h>
 
 #include "job_system.h"
-#include "kept_caller.h"
+#include "keep_alive_caller.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
--- a/tests/process_links_test.cpp
+++ b/tests/process_links_test.cpp
@@ -5,7 +5,7 @@
 #include <fmt/core.h>
 
 #include "base/json.h"
-#include "fleet_story.h"
+#include "fleet_scenario.h"
 #include "stalled_callers.h"
 
 using namespace zinniabarrow;
--- a/tests/process_requests_test.cpp
+++ b/tests/process_requests_test.cpp
@@ -1,6 +1,6 @@
 // Requests on real processes while these are killed, frozen, cut off and drained.
-#include "fleet_story.h"
-#include "kept_caller.h"
+#include "fleet_scenario.h"
+#include "keep_alive_caller.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
--- a/tests/process_shards_test.cpp
+++ b/tests/process_shards_test.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <set>
 
-#include "fleet_story.h"
+#include "fleet_scenario.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
--- a/tests/process_stops_test.cpp
+++ b/tests/process_stops_test.cpp
@@ -13,7 +13,7 @@
 #include <thread>
 
 #include "job_system.h"
-#include "kept_caller.h"
+#include "keep_alive_caller.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
--- a/tests/process_stream_test.cpp
+++ b/tests/process_stream_test.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/core.h>
 
-#include "fleet_story.h"
+#include "fleet_scenario.h"
 #include "standins/standin.h"
 
 using namespace zinniabarrow;
--- a/tests/process_work_test.cpp
+++ b/tests/process_work_test.cpp
@@ -1,5 +1,5 @@
 // Tasks on real processes while owners, agents and workers die and freeze and the table goes away.
-#include "fleet_story.h"
+#include "fleet_scenario.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
--- a/tests/request_session.h
+++ b/tests/request_session.h
@@ -1,7 +1,7 @@
 // The recorded session: a refusal and a retry, a lost claim answer, a keyed repeat, a cut answer.
 #pragma once
 
-#include "delivery_world.h"
+#include "delivery_simulation.h"
 
 namespace zinniabarrow::tests {
 
--- a/tests/run_rules.h
+++ b/tests/run_checker.h
@@ -10,7 +10,7 @@
 
 #include "base/time.h"
 #include "jobs/model.h"
-#include "modelled_worker.h"
+#include "simulated_worker.h"
 
 namespace zinniabarrow::tests {
 
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -1,6 +1,6 @@
 // The owner's shard together with agents and workers: what one side decides has to hold on the
 // other one too.
-#include "shard_world.h"
+#include "shard_simulation.h"
 
 #include "base/errors.h"
 
--- a/tests/standing_rules.h
+++ b/tests/stall_checker.h
@@ -8,7 +8,7 @@
 #include <fmt/core.h>
 
 #include "base/time.h"
-#include "order_model.h"
+#include "cluster_simulation.h"
 
 namespace zinniabarrow::tests {
 
--- a/tests/thread_check.cpp
+++ b/tests/thread_check.cpp
@@ -10,7 +10,7 @@
 #include "base/bounded_ring.h"
 #include "runtime/body_stream.h"
 #include "runtime/metrics.h"
-#include "runtime/receivers.h"
+#include "runtime/receiver_threads.h"
 
 using namespace zinniabarrow;
 
