--- a/app/admission_actor.cpp
+++ b/app/admission_actor.cpp
@@ -130,7 +130,7 @@
     if (const auto *refusal = std::get_if<delivery::guard_refusal>(&chosen)) {
         m_metrics.count("attempts_refused_total", nameOf(refusal->kind));
         auto response = refusalAnswer(refusal->kind, refusal->ran, milliseconds(0));
-        if (refusal->ended)
+        if (refusal->hasEnded)
             response.headers[EndedHeader] = "yes";
         return response;
     }
@@ -151,8 +151,8 @@
                 m_metrics.count("streams_cut_total", nameOf(*end));
             else
                 over.ran = executed::Yes;
-            over.event.callerTime = waited;
-            over.event.whole = !end;
+            over.event.slowCallerTime = waited;
+            over.event.isComplete = !end;
             reportEnd(over, startedAt);
         });
         return response;
@@ -168,7 +168,7 @@
 
 void admission_duty::reportEnd(ending over, time_point startedAt)
 {
-    over.event.tookTime = monotonic_clock::now() - startedAt;
+    over.event.elapsedTime = monotonic_clock::now() - startedAt;
     // A slot that is never given back would be lost: the ring is sized for every connection.
     while (!m_duty->post(over))
         m_metrics.count("ring_full_total", "finished");
@@ -193,8 +193,8 @@
 
 http_response admission_duty::refuse(const request::admission::refuse &refusal)
 {
-    m_metrics.count("refusals_total", nameOf(refusal.kind));
-    auto response = refusalAnswer(refusal.kind, executed::No, refusal.retryAfter);
+    m_metrics.count("refusals_total", nameOf(refusal.errorKind));
+    auto response = refusalAnswer(refusal.errorKind, executed::No, refusal.retryAfter);
     response.headers["Zb-Retry-After-Ms"] = std::to_string(refusal.retryAfter.count());
     return response;
 }
@@ -242,7 +242,7 @@
 void admission_duty::on(arrival &what, time_point now)
 {
     // A doubled, late or misdirected forward must not run.
-    if (const auto refusal = m_guard.arrived(what.attempt, now)) {
+    if (const auto refusal = m_guard.admitAttempt(what.attempt, now)) {
         what.decided->set_value(*refusal);
         return;
     }
@@ -252,7 +252,7 @@
 
 void admission_duty::on(const ending &what, time_point now)
 {
-    m_guard.ended(what.requestId, what.attempt, what.ran, now);
+    m_guard.recordEnd(what.requestId, what.attempt, what.ran, now);
     // One that was late took at least so long: an upstream that answers nothing in time is slow.
     if (what.ran == executed::Yes || what.late)
         noteTime(what.answeredAfter, now);
@@ -261,7 +261,7 @@
 
 void admission_duty::on(const cancelling &what, time_point now)
 {
-    if (!m_guard.cancelled(what.requestId, what.attempt, now))
+    if (!m_guard.cancelAttempt(what.requestId, what.attempt, now))
         return; // it runs, or was never here: its end decides
     const auto key = keyOf(what.requestId, what.attempt);
     feed(request::admission::cancelled{key});
@@ -287,7 +287,7 @@
 // Only what waits can come to nothing by time alone.
 time_point admission_duty::nextTick() const
 {
-    return m_admission.waiting() == 0 ? Never : m_tickedAt + TickEvery;
+    return m_admission.waitingCount() == 0 ? Never : m_tickedAt + TickEvery;
 }
 
 void admission_duty::tick()
@@ -301,8 +301,8 @@
     const auto now = monotonic_clock::now();
     for (const auto &action : m_admission.handle(what, now))
         decide(action, now);
-    m_running = m_admission.running();
-    m_waiting = m_admission.waiting();
+    m_running = m_admission.runningCount();
+    m_waiting = m_admission.waitingCount();
     m_latencyMicroseconds = m_admission.serviceTime(m_settings.upstream.service).count();
 }
 
@@ -317,9 +317,9 @@
     m_attempts.erase(found);
     const auto &attempt = waiting.attempt;
     if (const auto *refusal = std::get_if<request::admission::refuse>(&action)) {
-        m_guard.ended(attempt.requestId, attempt.attempt, executed::No, now);
+        m_guard.recordEnd(attempt.requestId, attempt.attempt, executed::No, now);
         waiting.decided->set_value(*refusal);
-    } else if (const auto late = m_guard.start(attempt.requestId, attempt.attempt, now)) {
+    } else if (const auto late = m_guard.startAttempt(attempt.requestId, attempt.attempt, now)) {
         waiting.decided->set_value(*late);
         feed(request::admission::finished{key, duration(0), duration(0),
                                           true}); // gives its slot back
--- a/app/announcement_actor.cpp
+++ b/app/announcement_actor.cpp
@@ -35,7 +35,7 @@
     request::announcer_settings out;
     for (const auto &entry : settings.entries)
         out.entries.push_back(config::toText(entry));
-    out.firstPeriod = settings.announce;
+    out.initialPeriod = settings.announce;
     return out;
 }
 
@@ -86,9 +86,9 @@
     } catch (const error &) {
         return; // the same as no reply
     }
-    m_leftEverywhere = m_announcer.leftEverywhere();
+    m_leftEverywhere = m_announcer.isLeaveComplete();
     // An agent that was replaced while it was paused must not go on beside its successor.
-    if (m_announcer.superseded() && !m_toldSuperseded) {
+    if (m_announcer.isSuperseded() && !m_toldSuperseded) {
         m_toldSuperseded = true;
         m_superseded();
     }
@@ -98,8 +98,8 @@
 {
     const auto now = monotonic_clock::now();
     const auto reply = request::announceReplyFromJson(*heard.reply);
-    m_announcer.answered(heard.entry, reply, now);
-    if (reply.sendWhole)
+    m_announcer.handleReply(heard.entry, reply, now);
+    if (reply.needsFullAnnouncement)
         m_reports.startAgain(heard.entry); // it was replaced, and knows no generations either
     else if (heard.told)
         m_reports.answered(heard.entry, *heard.told, now);
@@ -110,10 +110,10 @@
     m_announcer.setLoad(m_load());
     for (const auto &message : m_announcer.tick(monotonic_clock::now()))
         send(message);
-    m_leftEverywhere = m_announcer.leftEverywhere();
+    m_leftEverywhere = m_announcer.isLeaveComplete();
 }
 
-void announce_duty::send(const request::announcer::send &message)
+void announce_duty::send(const request::announcer::outgoing_message &message)
 {
     Json::Value parameters(Json::objectValue);
     if (const auto *whole = std::get_if<request::announcement>(&message.message))
--- a/app/announcement_actor.h
+++ b/app/announcement_actor.h
@@ -42,7 +42,7 @@
     void handle(event &what);
     void tick();
     void answered(const reply_heard &heard);
-    void send(const request::announcer::send &message);
+    void send(const request::announcer::outgoing_message &message);
 
     rpc_sender &m_sender;
     std::function<request::upstream_load()> m_load;
--- a/app/forwarding.cpp
+++ b/app/forwarding.cpp
@@ -39,11 +39,11 @@
         delivery::attempt_refused refused;
         refused.kind = *kind;
         refused.ran = executedNamed(response.header(ExecutedHeader));
-        refused.ended = refused.ran == executed::No || response.header(EndedHeader) == "yes";
+        refused.hasEnded = refused.ran == executed::No || response.header(EndedHeader) == "yes";
         refused.retryAfter = milliseconds(std::atoll(response.header("Zb-Retry-After-Ms").c_str()));
         return refused;
     }
-    delivery::whole_answer whole;
+    delivery::complete_answer whole;
     whole.status = response.status;
     whole.bodyBytes = response.body.size();
     const auto type = response.header("Content-Type");
@@ -61,7 +61,7 @@
     case call_failure::Refused:
         return delivery::attempt_unreachable{};
     case call_failure::Late:
-        return delivery::attempt_late{};
+        return delivery::attempt_timed_out{};
     case call_failure::TooLarge:
         return delivery::attempt_too_large{};
     case call_failure::Cut:
@@ -72,7 +72,7 @@
 
 request::attempt_outcome routingOutcome(const delivery::attempt_outcome &outcome)
 {
-    if (std::holds_alternative<delivery::whole_answer>(outcome))
+    if (std::holds_alternative<delivery::complete_answer>(outcome))
         return request::attempt_outcome::Answered;
     const auto *refused = std::get_if<delivery::attempt_refused>(&outcome);
     if (refused == nullptr || refused->ran != executed::No
@@ -155,7 +155,7 @@
         sent.answer = *response;
         sent.outcome = outcomeOf(sent.answer);
         sent.routing.load = loadOf(sent.answer);
-        if (!std::holds_alternative<delivery::whole_answer>(sent.outcome))
+        if (!std::holds_alternative<delivery::complete_answer>(sent.outcome))
             sent.answer.stream.reset(); // a refusal is never passed on as it is
     } else {
         sent.outcome = outcomeOf(std::get<call_failure>(result));
--- a/app/request_actor.cpp
+++ b/app/request_actor.cpp
@@ -29,8 +29,8 @@
     request::membership_settings out;
     out.entryId = self.id;
     out.incarnation = self.incarnation;
-    out.shortestPeriod =
-            std::max<milliseconds>(settings.announceSilence / out.missedPeriods, milliseconds(100));
+    out.minPeriod = std::max<milliseconds>(settings.announceSilence / out.missedHeartbeatLimit,
+                                           milliseconds(100));
     return out;
 }
 
@@ -39,7 +39,7 @@
     request::router_settings out;
     out.zone = settings.zone;
     out.region = settings.region;
-    out.spillAt = settings.routing.spill;
+    out.spillAboveLoad = settings.routing.spill;
     return out;
 }
 
@@ -59,8 +59,8 @@
 request::retry_budget_settings budgetSettings(const config::retry_settings &settings)
 {
     request::retry_budget_settings out;
-    out.share = settings.share;
-    out.floorPerSecond = settings.floor;
+    out.retriesPerRequest = settings.share;
+    out.minRetriesPerSecond = settings.floor;
     return out;
 }
 
@@ -178,7 +178,7 @@
 void request_duty::reportStream(const std::string &id, std::uint32_t attempt,
                                 forwarded_attempt begun)
 {
-    if (!m_duty->post(delivery::answer_begun{id, attempt, begun.answer.status}))
+    if (!m_duty->post(delivery::answer_started{id, attempt, begun.answer.status}))
         m_metrics.count("ring_full_total", "answer_begun");
     const auto stream = std::move(begun.answer.stream);
     stream->observeEnd(
@@ -242,7 +242,7 @@
 
 void request_duty::drain()
 {
-    while (!m_duty->post(delivery::flow_drain{}))
+    while (!m_duty->post(delivery::flow_drain_started{}))
         std::this_thread::sleep_for(RingFullPause);
 }
 
@@ -264,7 +264,7 @@
 {
     const auto &service = what.event.service;
     auto budget = m_budgets.find(service);
-    if (budget == m_budgets.end() && m_router.upstreams(service) > 0)
+    if (budget == m_budgets.end() && m_router.upstreamCount(service) > 0)
         budget = m_budgets.try_emplace(service, budgetSettings(m_settings.retry), now).first;
     if (budget != m_budgets.end())
         budget->second.requestStarted(now);
@@ -273,7 +273,7 @@
     feed(what.event, now);
 }
 
-void request_duty::on(delivery::answer_begun &what, time_point now)
+void request_duty::on(delivery::answer_started &what, time_point now)
 {
     feed(what, now);
 }
@@ -302,10 +302,10 @@
     try {
         const bool whole = what.parameters.isMember("whole");
         const auto outcome =
-                whole ? m_membership.heard(request::announcementFromJson(what.parameters["whole"]),
-                                           now)
-                      : m_membership.heard(request::heartbeatFromJson(what.parameters["beat"]),
-                                           now);
+                whole ? m_membership.handleMessage(
+                        request::announcementFromJson(what.parameters["whole"]), now)
+                      : m_membership.handleMessage(
+                              request::heartbeatFromJson(what.parameters["beat"]), now);
         apply(outcome.changes, now);
         what.reply->set_value(toJson(outcome.reply));
     } catch (const error &) {
@@ -317,10 +317,10 @@
 void request_duty::on(digest_heard &what, time_point now)
 {
     m_upkeepAt = std::min(m_upkeepAt, now + NewsAfter);
-    const auto outcome = m_membership.heard(what.message, now);
+    const auto outcome = m_membership.handleMessage(what.message, now);
     apply(outcome.changes, now);
     for (auto &peer : m_peers) {
-        if (peer.id == what.message.from) {
+        if (peer.id == what.message.senderId) {
             peer.incarnation = std::max(peer.incarnation, what.message.incarnation);
             peer.heardAt = now;
         }
@@ -349,8 +349,8 @@
         peer->heardAt = now;
         if (what.ack->isMember("ack")) {
             auto ack = request::digestAckFromJson((*what.ack)["ack"]);
-            ack.from = what.peer; // digests are kept by the address they are sent to
-            m_membership.heard(ack);
+            ack.senderId = what.peer; // digests are kept by the address they are sent to
+            m_membership.handleMessage(ack);
         }
     } catch (const error &) {
         m_metrics.count("digests_refused_total", "bad_request");
@@ -363,7 +363,7 @@
     status["entry"] = m_self.id;
     status["incarnation"] = Json::UInt64(m_self.incarnation);
     status["in_flight"] = Json::UInt64(m_flow.inFlight());
-    status["draining"] = m_flow.draining();
+    status["draining"] = m_flow.isDraining();
     status["peers"] = Json::Value(Json::arrayValue);
     for (const auto &peer : m_peers)
         status["peers"].append(peer.address);
@@ -371,12 +371,12 @@
     for (const auto &[reason, count] : m_metrics.byReason("refusals_total"))
         status["refusals"][reason] = count;
     status["upstreams"] = Json::Value(Json::arrayValue);
-    for (const auto &upstream : m_membership.routable())
+    for (const auto &upstream : m_membership.routableUpstreams())
         status["upstreams"].append(toJson(upstream));
     what.reply->set_value(status);
 }
 
-void request_duty::on(delivery::flow_drain &what, time_point now)
+void request_duty::on(delivery::flow_drain_started &what, time_point now)
 {
     feed(what, now);
 }
@@ -417,7 +417,7 @@
     const std::set<std::string> excluded(action.excluded.begin(), action.excluded.end());
     const auto decision = m_router.choose(action.service, excluded, now);
     if (const auto *kind = std::get_if<error_kind>(&decision)) {
-        feed(delivery::none_available{action.id, *kind}, now);
+        feed(delivery::no_upstream_available{action.id, *kind}, now);
         return;
     }
     const auto &chosen = std::get<request::route>(decision);
@@ -492,7 +492,7 @@
         m_duty->post(delivery::claims_read{readId, false, {}});
 }
 
-void request_duty::perform(const delivery::count_flow &action, time_point /*now*/)
+void request_duty::perform(const delivery::increment_counter &action, time_point /*now*/)
 {
     m_metrics.count("flow_" + std::string(nameOf(action.counter)) + "_total",
                     action.kind ? nameOf(*action.kind) : "all", static_cast<double>(action.amount));
@@ -547,7 +547,7 @@
 {
     m_shareAt = now + ShareEvery;
     members_snapshot snapshot;
-    snapshot.agents = m_membership.known();
+    snapshot.agents = m_membership.knownUpstreams();
     snapshot.liveEntries.push_back(m_self.id);
     for (const auto &peer : m_peers) {
         if (!peer.id.empty())
@@ -566,9 +566,9 @@
     request::failed_attempt failed;
     failed.kind = kind;
     failed.deadline = Never; // the request's own deadline and attempts are the flow's to check
-    const auto verdict = budget->second.mayRetry(failed, m_now);
+    const auto verdict = budget->second.requestRetry(failed, m_now);
     if (const auto *denied = std::get_if<request::give_up>(&verdict)) {
-        m_metrics.count("retries_denied_total", nameOf(denied->why));
+        m_metrics.count("retries_denied_total", nameOf(denied->denialReason));
         return false;
     }
     m_metrics.count("retries_total", nameOf(kind));
--- a/app/request_actor.h
+++ b/app/request_actor.h
@@ -128,9 +128,10 @@
     {
         reply_promise reply;
     };
-    using event = std::variant<arrival, delivery::answer_begun, attempt_result,
-                               delivery::claims_committed, delivery::claims_read, announced,
-                               digest_heard, digest_answered, status_asked, delivery::flow_drain>;
+    using event =
+            std::variant<arrival, delivery::answer_started, attempt_result,
+                         delivery::claims_committed, delivery::claims_read, announced, digest_heard,
+                         digest_answered, status_asked, delivery::flow_drain_started>;
 
     struct peer_entry
     {
@@ -149,7 +150,7 @@
     // On the duty's thread.
     void handle(event &what);
     void on(arrival &what, time_point now);
-    void on(delivery::answer_begun &what, time_point now);
+    void on(delivery::answer_started &what, time_point now);
     void on(attempt_result &what, time_point now);
     void on(delivery::claims_committed &what, time_point now);
     void on(delivery::claims_read &what, time_point now);
@@ -157,7 +158,7 @@
     void on(digest_heard &what, time_point now);
     void on(digest_answered &what, time_point now);
     void on(status_asked &what, time_point now);
-    void on(delivery::flow_drain &what, time_point now);
+    void on(delivery::flow_drain_started &what, time_point now);
     time_point nextTick() const;
     void tick();
     void upkeep(time_point now);
@@ -169,7 +170,7 @@
     void perform(const delivery::commit_claims &action, time_point now);
     void perform(const delivery::read_claims &action, time_point now);
     void perform(const delivery::scan_claims &action, time_point now);
-    void perform(const delivery::count_flow &action, time_point now);
+    void perform(const delivery::increment_counter &action, time_point now);
     void perform(const delivery::flow_drained &action, time_point now);
     void readClaims(const std::string &readId, std::vector<std::string> keys,
                     std::vector<std::string> prefixes);
--- a/bench/delivery_bench.cpp
+++ b/bench/delivery_bench.cpp
@@ -68,7 +68,7 @@
         handle(attempt_ended{action.id, action.attempt, m_answer}, now);
     }
 
-    whole_answer m_answer{200, {}, 1024, std::string(1024, 'x')};
+    complete_answer m_answer{200, {}, 1024, std::string(1024, 'x')};
     std::uint64_t m_sequence = 1;
     request_flow m_flow{
             "e1.1", {}, [](error_kind) { return true; }, [](const std::string &) { return true; }};
@@ -82,9 +82,9 @@
         attempt_guard guard(1, {});
         for (int i = 0; i < count; ++i) {
             const auto id = fmt::format("e1.1-{}", i);
-            guard.arrived({id, 1, 1, false, time_point(seconds(1))}, time_point{});
-            guard.start(id, 1, time_point{});
-            guard.ended(id, 1, executed::Yes, time_point{});
+            guard.admitAttempt({id, 1, 1, false, time_point(seconds(1))}, time_point{});
+            guard.startAttempt(id, 1, time_point{});
+            guard.recordEnd(id, 1, executed::Yes, time_point{});
         }
         state.counters["bytes_each"] = (usedBytes() - before) / count;
     }
--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -104,7 +104,7 @@
     auto beat = heartbeatOf(nodes.agent(0).self());
     for (auto _ : state) {
         ++beat.sequence;
-        benchmark::DoNotOptimize(nodes.entry(0).heard(beat, nodes.now()));
+        benchmark::DoNotOptimize(nodes.entry(0).handleMessage(beat, nodes.now()));
     }
 }
 BENCHMARK(heartbeatOfOne)->Arg(11)->Arg(790);
--- a/bench/membership_mesh.cpp
+++ b/bench/membership_mesh.cpp
@@ -124,21 +124,22 @@
     }
 }
 
-void mesh::receive(const std::string &entry, const std::string &agent, const announcer::send &sent)
+void mesh::receive(const std::string &entry, const std::string &agent,
+                   const announcer::outgoing_message &sent)
 {
     const auto at = m_entries.find(entry);
     if (at == m_entries.end())
         return;
     const auto outcome = std::visit(
-            [&](const auto &message) { return at->second.members->heard(message, m_now); },
+            [&](const auto &message) { return at->second.members->handleMessage(message, m_now); },
             sent.message);
     apply(at->second, outcome.changes);
-    if (!outcome.replyDue && std::holds_alternative<heartbeat>(sent.message))
+    if (!outcome.shouldReply && std::holds_alternative<heartbeat>(sent.message))
         return;
     transfer(entry, agent, toJson(outcome.reply), [=, this] {
         const auto found = m_agents.find(agent);
         if (found != m_agents.end())
-            found->second->answered(entry, outcome.reply, m_now);
+            found->second->handleReply(entry, outcome.reply, m_now);
     });
 }
 
@@ -158,14 +159,14 @@
     const auto at = m_entries.find(entry);
     if (at == m_entries.end())
         return;
-    const auto outcome = at->second.members->heard(message, m_now);
+    const auto outcome = at->second.members->handleMessage(message, m_now);
     apply(at->second, outcome.changes);
     if (!outcome.ack)
         return;
-    transfer(entry, message.from, toJson(*outcome.ack), [=, this] {
-        const auto found = m_entries.find(message.from);
+    transfer(entry, message.senderId, toJson(*outcome.ack), [=, this] {
+        const auto found = m_entries.find(message.senderId);
         if (found != m_entries.end())
-            found->second.members->heard(*outcome.ack);
+            found->second.members->handleMessage(*outcome.ack);
     });
 }
 
--- a/bench/membership_mesh.h
+++ b/bench/membership_mesh.h
@@ -80,7 +80,8 @@
     void transfer(const std::string &from, const std::string &to, const Json::Value &message,
                   std::function<void()> arrive);
     void announceFrom(const std::string &name, announcer &self);
-    void receive(const std::string &entry, const std::string &agent, const announcer::send &sent);
+    void receive(const std::string &entry, const std::string &agent,
+                 const announcer::outgoing_message &sent);
     void digestsFrom(const std::string &name, entry_node &self);
     void receive(const std::string &entry, const digest &message);
     static void apply(entry_node &at, const std::vector<membership_change> &changes);
--- a/bench/routing_scenario.cpp
+++ b/bench/routing_scenario.cpp
@@ -67,7 +67,7 @@
 
     upstream_load load() const
     {
-        return {gate.running(), gate.waiting(), gate.serviceTime(Service)};
+        return {gate.runningCount(), gate.waitingCount(), gate.serviceTime(Service)};
     }
 };
 
@@ -160,10 +160,10 @@
         router_settings settings;
         settings.zone = zone;
         settings.region = "kartli";
-        settings.spillAt = m_scenario.spillAt;
-        settings.longestBackOff = m_scenario.longestBackOff;
+        settings.spillAboveLoad = m_scenario.spillAt;
+        settings.maxBackoff = m_scenario.longestBackOff;
         retry_budget_settings budget;
-        budget.share = m_scenario.retryShare;
+        budget.retriesPerRequest = m_scenario.retryShare;
         const random_generator random(m_scenario.seed + 1000 + m_entries.size());
         m_entries.push_back(std::make_unique<entry_node>(
                 entry_node{zone, router(settings, m_scenario.policy, random),
@@ -171,7 +171,7 @@
         // The upstreams have been there for a while.
         for (const auto &node : m_upstreams) {
             m_entries.back()->routes.apply(upstream_joined{node->about},
-                                           m_time.now() - settings.slowStart);
+                                           m_time.now() - settings.slowStartTime);
         }
     }
 
@@ -305,7 +305,7 @@
             attempt_ended ended{to, attempt_outcome::Refused, m_time.now() - sentAt, load,
                                 refusal.retryAfter};
             made->entry->routes.attemptEnded(ended, m_time.now());
-            retry(made, refusal.kind);
+            retry(made, refusal.errorKind);
         });
     }
 
@@ -313,7 +313,7 @@
     {
         const failed_attempt failed{kind, made->attempts, made->deadline,
                                     made->entry->routes.expectedLatency(Service)};
-        const auto verdict = made->entry->budget.mayRetry(failed, m_time.now());
+        const auto verdict = made->entry->budget.requestRetry(failed, m_time.now());
         if (const auto *over = std::get_if<give_up>(&verdict))
             return refused(over->kind);
         ++m_result.retries;
--- a/bench/routing_scenario.h
+++ b/bench/routing_scenario.h
@@ -37,9 +37,9 @@
     microseconds localDelay{100};    // one way within a zone
     milliseconds reportPeriod{1000}; // announcements of load
     bool loadWithAnswers = true;
-    double spillAt = router_settings{}.spillAt;
+    double spillAt = router_settings{}.spillAboveLoad;
     int queueLimit = admission_settings{}.queueLimit;
-    milliseconds longestBackOff = router_settings{}.longestBackOff;
+    milliseconds longestBackOff = router_settings{}.maxBackoff;
     bool allFail = false;     // every upstream refuses the connection
     bool fastFailing = false; // the last upstream does
     bool hanging = false;     // the last upstream takes requests and never answers
--- a/examples/embedding.cpp
+++ b/examples/embedding.cpp
@@ -20,7 +20,7 @@
             fmt::print("start {}\n", start->id);
         } else {
             const auto &refusal = std::get<admission::refuse>(action);
-            fmt::print("refuse {}: {}, come back in {} ms\n", refusal.id, nameOf(refusal.kind),
+            fmt::print("refuse {}: {}, come back in {} ms\n", refusal.id, nameOf(refusal.errorKind),
                        refusal.retryAfter.count());
         }
     }
--- a/libs/delivery/attempt_guard.cpp
+++ b/libs/delivery/attempt_guard.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 // Safe for every repeat: says nothing about whether the first copy ran.
-constexpr guard_refusal NotCertain{error_kind::OutcomeUnknown, executed::Unknown, false};
-constexpr guard_refusal TooLate{error_kind::DeadlinePassed, executed::No, true};
+constexpr guard_refusal OutcomeNotKnown{error_kind::OutcomeUnknown, executed::Unknown, false};
+constexpr guard_refusal DeadlineRefusal{error_kind::DeadlinePassed, executed::No, true};
 
 } // namespace
 
@@ -17,128 +17,136 @@
     , m_settings(settings)
 { }
 
-std::optional<guard_refusal> attempt_guard::arrived(const incoming_attempt &attempt, time_point now)
+std::optional<guard_refusal> attempt_guard::admitAttempt(const incoming_attempt &attempt,
+                                                         time_point now)
 {
-    forgetOld(now);
+    removeExpired(now);
     // Meant for an agent that has been replaced: that one may have started it, and its memory is
     // gone, while the upstream lives on.
     if (attempt.incarnation != m_incarnation)
-        return NotCertain;
+        return OutcomeNotKnown;
     const auto id = stableHash(attempt.requestId);
-    const auto found = m_seen.find(id);
-    if (found != m_seen.end()) {
-        if (auto refusal = repeated(found->second, attempt))
+    const auto found = m_records.find(id);
+    if (found != m_records.end()) {
+        if (auto refusal = checkRepeat(found->second, attempt))
             return refusal;
-    } else if (m_seen.size() >= m_settings.maxRemembered) {
+    } else if (m_records.size() >= m_settings.maxRememberedRequests) {
         // Full: forgetting one would let its doubled copy start, and a refusal that is not
         // remembered can't promise that a second copy of this one stays out.
         return guard_refusal{error_kind::Overloaded, executed::Unknown, false};
     }
-    auto &seen = m_seen[id];
-    seen.attempt = attempt.attempt;
-    seen.idempotent = attempt.idempotent;
-    seen.deadline = attempt.deadline;
-    seen.at = attempt.deadline <= now ? state::Refused : state::Waiting;
-    touch(id, seen, now);
-    if (seen.at == state::Refused)
-        return TooLate;
+    auto &record = m_records[id];
+    record.attempt = attempt.attempt;
+    record.idempotent = attempt.idempotent;
+    record.deadline = attempt.deadline;
+    record.currentState = attempt.deadline <= now ? state::Refused : state::Waiting;
+    recordEvent(id, record, now);
+    if (record.currentState == state::Refused)
+        return DeadlineRefusal;
     return std::nullopt;
 }
 
 // A request that is known here: only a newer attempt after the end of the one before may pass.
-std::optional<guard_refusal> attempt_guard::repeated(seen_request &seen,
-                                                     const incoming_attempt &attempt) const
+std::optional<guard_refusal> attempt_guard::checkRepeat(request_record &record,
+                                                        const incoming_attempt &attempt) const
 {
-    if (attempt.attempt <= seen.attempt) {
+    if (attempt.attempt <= record.attempt) {
         // Refused here and never to start: a copy may hear the same.
-        const bool same = attempt.attempt == seen.attempt;
-        return same && seen.at == state::Refused && seen.ran == executed::No ? TooLate : NotCertain;
+        const bool same = attempt.attempt == record.attempt;
+        return same && record.currentState == state::Refused && record.ran == executed::No
+                       ? DeadlineRefusal
+                       : OutcomeNotKnown;
     }
-    if (seen.at == state::Waiting || seen.at == state::Running)
-        return NotCertain;
-    if (seen.ran != executed::No && !attempt.idempotent)
-        return NotCertain;
+    if (record.currentState == state::Waiting || record.currentState == state::Running)
+        return OutcomeNotKnown;
+    if (record.ran != executed::No && !attempt.idempotent)
+        return OutcomeNotKnown;
     return std::nullopt;
 }
 
-std::optional<guard_refusal> attempt_guard::start(const std::string &requestId,
-                                                  std::uint32_t attempt, time_point now)
+std::optional<guard_refusal> attempt_guard::startAttempt(const std::string &requestId,
+                                                         std::uint32_t attempt, time_point now)
 {
-    auto *seen = find(requestId, attempt);
-    if (seen == nullptr || seen->at == state::Running || seen->at == state::Ended)
-        return NotCertain;
-    if (seen->at == state::Waiting && seen->deadline <= now)
-        seen->at = state::Refused;
-    if (seen->at == state::Refused)
-        return TooLate;
-    seen->at = state::Running;
-    seen->ran = executed::Unknown;
-    touch(stableHash(requestId), *seen, now);
+    auto *record = find(requestId, attempt);
+    if (record == nullptr || record->currentState == state::Running
+        || record->currentState == state::Ended)
+        return OutcomeNotKnown;
+    if (record->currentState == state::Waiting && record->deadline <= now)
+        record->currentState = state::Refused;
+    if (record->currentState == state::Refused)
+        return DeadlineRefusal;
+    record->currentState = state::Running;
+    record->ran = executed::Unknown;
+    recordEvent(stableHash(requestId), *record, now);
     return std::nullopt;
 }
 
-void attempt_guard::ended(const std::string &requestId, std::uint32_t attempt, executed ran,
-                          time_point now)
+void attempt_guard::recordEnd(const std::string &requestId, std::uint32_t attempt, executed ran,
+                              time_point now)
 {
-    auto *seen = find(requestId, attempt);
-    if (seen == nullptr || seen->at == state::Ended || seen->at == state::Refused)
+    auto *record = find(requestId, attempt);
+    if (record == nullptr || record->currentState == state::Ended
+        || record->currentState == state::Refused)
         return;
-    if (seen->at == state::Running)
-        seen->ran = ran; // the upstream's own word
-    seen->at = seen->at == state::Running ? state::Ended : state::Refused;
-    touch(stableHash(requestId), *seen, now);
+    if (record->currentState == state::Running)
+        record->ran = ran; // the upstream's own word
+    record->currentState = record->currentState == state::Running ? state::Ended : state::Refused;
+    recordEvent(stableHash(requestId), *record, now);
 }
 
-bool attempt_guard::cancelled(const std::string &requestId, std::uint32_t attempt, time_point now)
+bool attempt_guard::cancelAttempt(const std::string &requestId, std::uint32_t attempt,
+                                  time_point now)
 {
-    forgetOld(now);
+    removeExpired(now);
     const auto id = stableHash(requestId);
-    auto found = m_seen.find(id);
-    if (found == m_seen.end() || found->second.attempt < attempt) {
+    auto found = m_records.find(id);
+    if (found == m_records.end() || found->second.attempt < attempt) {
         // The cancel overtook its forward: remembered, so that the forward does not start. When
         // memory is full the forward is refused for that reason anyway.
-        if (found != m_seen.end() && found->second.at == state::Running)
+        if (found != m_records.end() && found->second.currentState == state::Running)
             return false;
-        if (found == m_seen.end() && m_seen.size() >= m_settings.maxRemembered)
+        if (found == m_records.end() && m_records.size() >= m_settings.maxRememberedRequests)
             return false;
-        auto &seen = m_seen[id];
-        seen.attempt = attempt;
-        seen.at = state::Refused;
-        touch(id, seen, now);
+        auto &record = m_records[id];
+        record.attempt = attempt;
+        record.currentState = state::Refused;
+        recordEvent(id, record, now);
         return true;
     }
-    auto &seen = found->second;
-    if (seen.attempt == attempt && seen.at == state::Waiting)
-        seen.at = state::Refused;
-    return seen.attempt == attempt && seen.at == state::Refused;
+    auto &record = found->second;
+    if (record.attempt == attempt && record.currentState == state::Waiting)
+        record.currentState = state::Refused;
+    return record.attempt == attempt && record.currentState == state::Refused;
 }
 
-attempt_guard::seen_request *attempt_guard::find(const std::string &requestId,
-                                                 std::uint32_t attempt)
+attempt_guard::request_record *attempt_guard::find(const std::string &requestId,
+                                                   std::uint32_t attempt)
 {
-    const auto found = m_seen.find(stableHash(requestId));
-    const bool known = found != m_seen.end() && found->second.attempt == attempt;
+    const auto found = m_records.find(stableHash(requestId));
+    const bool known = found != m_records.end() && found->second.attempt == attempt;
     return known ? &found->second : nullptr;
 }
 
-void attempt_guard::touch(std::uint64_t id, seen_request &seen, time_point now)
+void attempt_guard::recordEvent(std::uint64_t id, request_record &record, time_point now)
 {
-    seen.touchedAt = now;
-    m_touches.emplace_back(now, id);
+    record.lastEventAt = now;
+    m_eventsByAge.emplace_back(now, id);
 }
 
-void attempt_guard::forgetOld(time_point now)
+void attempt_guard::removeExpired(time_point now)
 {
-    while (!m_touches.empty() && m_touches.front().first + m_settings.rememberTime <= now) {
-        const auto [touchedAt, id] = m_touches.front();
-        m_touches.pop_front();
-        const auto found = m_seen.find(id);
-        if (found == m_seen.end() || found->second.touchedAt != touchedAt)
+    while (!m_eventsByAge.empty()
+           && m_eventsByAge.front().first + m_settings.retentionTime <= now) {
+        const auto [touchedAt, id] = m_eventsByAge.front();
+        m_eventsByAge.pop_front();
+        const auto found = m_records.find(id);
+        if (found == m_records.end() || found->second.lastEventAt != touchedAt)
             continue;
-        if (found->second.at == state::Running || found->second.at == state::Waiting)
-            touch(id, found->second, now); // never while it may still run
+        if (found->second.currentState == state::Running
+            || found->second.currentState == state::Waiting)
+            recordEvent(id, found->second, now); // never while it may still run
         else
-            m_seen.erase(found);
+            m_records.erase(found);
     }
 }
 
--- a/libs/delivery/attempt_guard.h
+++ b/libs/delivery/attempt_guard.h
@@ -20,8 +20,8 @@
 
 struct guard_settings
 {
-    std::size_t maxRemembered = 200'000; // requests
-    milliseconds rememberTime{90'000};   // after the last event of a request; above any deadline
+    std::size_t maxRememberedRequests = 200'000; // requests
+    milliseconds retentionTime{90'000}; // after the last event of a request; above any deadline
 };
 
 struct incoming_attempt
@@ -38,7 +38,7 @@
 {
     error_kind kind = error_kind::OutcomeUnknown;
     executed ran = executed::Unknown;
-    bool ended = false; // nothing of this attempt is running here
+    bool hasEnded = false; // nothing of this attempt is running here
 };
 
 // One thread at a time.
@@ -48,40 +48,41 @@
     attempt_guard(std::uint64_t incarnation, guard_settings settings);
 
     // May this forward be taken in (queued)? Nothing: yes.
-    std::optional<guard_refusal> arrived(const incoming_attempt &attempt, time_point now);
+    std::optional<guard_refusal> admitAttempt(const incoming_attempt &attempt, time_point now);
     // May it start now? Asked after any wait, right before the first byte goes to the upstream.
-    std::optional<guard_refusal> start(const std::string &requestId, std::uint32_t attempt,
-                                       time_point now);
+    std::optional<guard_refusal> startAttempt(const std::string &requestId, std::uint32_t attempt,
+                                              time_point now);
     // It is over: refused before its start (`ran` No) or not running any more.
-    void ended(const std::string &requestId, std::uint32_t attempt, executed ran, time_point now);
+    void recordEnd(const std::string &requestId, std::uint32_t attempt, executed ran,
+                   time_point now);
     // Nobody waits for it any more. True: it has not started and never will.
-    bool cancelled(const std::string &requestId, std::uint32_t attempt, time_point now);
+    bool cancelAttempt(const std::string &requestId, std::uint32_t attempt, time_point now);
 
-    std::size_t remembered() const { return m_seen.size(); }
+    std::size_t rememberedRequests() const { return m_records.size(); }
 
 private:
     enum class state { Waiting, Running, Ended, Refused };
 
-    struct seen_request
+    struct request_record
     {
-        std::uint32_t attempt = 0;   // the newest
-        state at = state::Waiting;   // of the newest
-        executed ran = executed::No; // what all attempts so far have done
+        std::uint32_t attempt = 0;           // the newest
+        state currentState = state::Waiting; // of the newest
+        executed ran = executed::No;         // what all attempts so far have done
         bool idempotent = false;
         time_point deadline = Never;
-        time_point touchedAt{};
+        time_point lastEventAt{};
     };
 
-    std::optional<guard_refusal> repeated(seen_request &seen,
-                                          const incoming_attempt &attempt) const;
-    seen_request *find(const std::string &requestId, std::uint32_t attempt);
-    void touch(std::uint64_t id, seen_request &seen, time_point now);
-    void forgetOld(time_point now);
+    std::optional<guard_refusal> checkRepeat(request_record &record,
+                                             const incoming_attempt &attempt) const;
+    request_record *find(const std::string &requestId, std::uint32_t attempt);
+    void recordEvent(std::uint64_t id, request_record &record, time_point now);
+    void removeExpired(time_point now);
 
     std::uint64_t m_incarnation;
     guard_settings m_settings;
-    std::unordered_map<std::uint64_t, seen_request> m_seen;     // by stableHash of the request id
-    std::deque<std::pair<time_point, std::uint64_t>> m_touches; // oldest first
+    std::unordered_map<std::uint64_t, request_record> m_records; // by stableHash of the request id
+    std::deque<std::pair<time_point, std::uint64_t>> m_eventsByAge; // oldest first
 };
 
 } // namespace zinniabarrow::delivery
--- a/libs/delivery/claim_coordinator.cpp
+++ b/libs/delivery/claim_coordinator.cpp
@@ -15,20 +15,20 @@
 namespace {
 
 const std::string EraKey = "claim-era";
-constexpr std::uint64_t MaxStartedEras = 1; // a request ends long before two eras have begun
+constexpr std::uint64_t MaxErasInProgress = 1; // a request ends long before two eras have begun
 
 std::size_t storedBytes(const claim_row &row)
 {
     return row.answer && row.answer->body ? row.answer->body->size() : 0;
 }
 
-std::optional<std::uint64_t> eraOf(const Json::Value &value)
+std::optional<std::uint64_t> eraFromJson(const Json::Value &value)
 {
     const bool known = value.isObject() && value["era"].isUInt64();
     return known ? std::optional(value["era"].asUInt64()) : std::nullopt;
 }
 
-table_transaction removalOf(const std::string &operationId, const std::vector<table_row> &rows)
+table_transaction makeRemoval(const std::string &operationId, const std::vector<table_row> &rows)
 {
     table_transaction transaction{operationId, {}, {}};
     for (const auto &row : rows) {
@@ -40,10 +40,11 @@
 
 } // namespace
 
-claim_book::claim_book(std::string entryId, claim_settings settings, entry_alive_check alive)
+claim_coordinator::claim_coordinator(std::string entryId, claim_settings settings,
+                                     entry_alive_check isEntryAlive)
     : m_entryId(std::move(entryId))
     , m_settings(settings)
-    , m_alive(std::move(alive))
+    , m_isEntryAlive(std::move(isEntryAlive))
     , m_sweepPrefix(stableHash(m_entryId)) // entries start their sweeps apart
 { }
 
@@ -51,110 +52,112 @@
 
 // --- Claims and their ends -----------------------------------------------------------------------
 
-void claim_book::claim(const claim_request &request, time_point now)
+void claim_coordinator::claim(const claim_request &request, time_point now)
 {
     m_now = now;
     const auto refuse = [&](error_kind kind) {
-        m_actions.emplace_back(claim_settled{request.requestId, claim_refused{kind}});
+        m_actions.emplace_back(claim_decided{request.requestId, claim_refused{kind}});
     };
-    if (auto verdict = fromMemory(request)) {
-        m_actions.emplace_back(claim_settled{request.requestId, std::move(*verdict)});
-    } else if (m_tableDown) {
+    if (auto verdict = verdictFromMemory(request)) {
+        m_actions.emplace_back(claim_decided{request.requestId, std::move(*verdict)});
+    } else if (m_isTableDown) {
         refuse(error_kind::PlatformUnavailable);
-    } else if (m_open.size() >= m_settings.maxOpen) {
+    } else if (m_openClaims.size() >= m_settings.maxOpenClaims) {
         refuse(error_kind::Overloaded);
     } else {
-        auto &claim = m_open[request.rowKey];
-        claim.row = {request.requestId,    m_entryId, request.requestHash,
-                     claim_state::Started, 0,         {}};
-        claim.giveUpAt = now + m_settings.claimPatience;
-        m_giveUps.emplace(claim.giveUpAt, request.rowKey);
-        m_rowOf[request.requestId] = request.rowKey;
-        queue(request.rowKey, claim, now);
+        auto &claim = m_openClaims[request.rowKey];
+        claim.wantedRow = {request.requestId,    m_entryId, request.requestHash,
+                           claim_state::Started, 0,         {}};
+        claim.timeoutAt = now + m_settings.claimTimeout;
+        m_timeouts.emplace(claim.timeoutAt, request.rowKey);
+        m_rowKeys[request.requestId] = request.rowKey;
+        queueCommit(request.rowKey, claim, now);
     }
-    advance();
+    runDueWork();
 }
 
-void claim_book::finished(const std::string &requestId, const whole_answer &answer, time_point now)
+void claim_coordinator::recordFinished(const std::string &requestId, const complete_answer &answer,
+                                       time_point now)
 {
     m_now = now;
     auto stored = answer;
     if (stored.body && stored.body->size() > m_settings.maxAnswerBytes)
         stored.body.reset();
-    end(requestId, claim_state::Finished, std::move(stored));
+    endClaim(requestId, claim_state::Finished, std::move(stored));
 }
 
-void claim_book::notRun(const std::string &requestId, time_point now)
+void claim_coordinator::recordNotRun(const std::string &requestId, time_point now)
 {
     m_now = now;
-    end(requestId, claim_state::NotRun, std::nullopt);
+    endClaim(requestId, claim_state::NotRun, std::nullopt);
 }
 
-void claim_book::unknown(const std::string &requestId, time_point now)
+void claim_coordinator::recordUnknown(const std::string &requestId, time_point now)
 {
     m_now = now;
-    end(requestId, claim_state::Unknown, std::nullopt);
+    endClaim(requestId, claim_state::Unknown, std::nullopt);
 }
 
-void claim_book::abandon(const std::string &requestId, time_point now)
+void claim_coordinator::abandonClaim(const std::string &requestId, time_point now)
 {
     m_now = now;
-    const auto *claim = find(requestId);
-    if (claim != nullptr && claim->granted)
-        return end(requestId, claim_state::NotRun, std::nullopt);
+    const auto *claim = findClaim(requestId);
+    if (claim != nullptr && claim->isGranted)
+        return endClaim(requestId, claim_state::NotRun, std::nullopt);
     if (claim != nullptr)
-        drop(std::string(m_rowOf.at(requestId)));
-    advance();
+        dropClaim(std::string(m_rowKeys.at(requestId)));
+    runDueWork();
 }
 
-void claim_book::end(const std::string &requestId, claim_state state,
-                     std::optional<whole_answer> answer)
+void claim_coordinator::endClaim(const std::string &requestId, claim_state state,
+                                 std::optional<complete_answer> answer)
 {
-    auto *claim = find(requestId);
-    if (claim == nullptr || !claim->granted || claim->row.state != claim_state::Started)
+    auto *claim = findClaim(requestId);
+    if (claim == nullptr || !claim->isGranted || claim->wantedRow.state != claim_state::Started)
         return;
-    claim->row.state = state;
-    claim->row.answer = std::move(answer);
+    claim->wantedRow.state = state;
+    claim->wantedRow.answer = std::move(answer);
     // Records of an end travel with the claims of others; alone they wait for company.
-    if (claim->at == phase::Held)
-        queue(m_rowOf[requestId], *claim, m_now + m_settings.recordDelay);
-    advance();
+    if (claim->currentPhase == phase::Stored)
+        queueCommit(m_rowKeys[requestId], *claim, m_now + m_settings.endRecordDelay);
+    runDueWork();
 }
 
 // The claimant has gone without forwarding. What never left this process is forgotten; what may be
 // in the table is marked NotRun there, so that the caller's repeat may run.
-void claim_book::drop(const std::string &key)
+void claim_coordinator::dropClaim(const std::string &key)
 {
-    auto &claim = m_open.at(key);
-    m_giveUps.erase({claim.giveUpAt, key});
-    claim.waiting = false;
-    claim.row.state = claim_state::NotRun;
-    if (claim.at == phase::Queued && !claim.unsettled)
-        erase(key);
+    auto &claim = m_openClaims.at(key);
+    m_timeouts.erase({claim.timeoutAt, key});
+    claim.awaitsVerdict = false;
+    claim.wantedRow.state = claim_state::NotRun;
+    if (claim.currentPhase == phase::CommitQueued && !claim.hasUnknownCommit)
+        eraseClaim(key);
 }
 
 // --- Memory of this entry -----------------------------------------------------------------------
 
 // --- Verdicts and memory -------------------------------------------------------------------------
 
-std::optional<claim_verdict> claim_book::fromMemory(const claim_request &request) const
+std::optional<claim_verdict>
+claim_coordinator::verdictFromMemory(const claim_request &request) const
 {
-    const auto open = m_open.find(request.rowKey);
-    if (open != m_open.end()) {
-        const auto &row = open->second.row;
+    const auto openEntry = m_openClaims.find(request.rowKey);
+    if (openEntry != m_openClaims.end()) {
+        const auto &row = openEntry->second.wantedRow;
         // Until the table has taken it, a release frees nothing: another entry could be refused.
         const bool sameBody = row.requestHash == request.requestHash;
         if (row.state == claim_state::NotRun || (row.state == claim_state::Started && sameBody))
             return claim_refused{error_kind::KeyInProgress};
         return verdictFor(row, request.requestHash);
     }
-    const auto kept = m_kept.find(request.rowKey);
-    if (kept != m_kept.end() && m_now < kept->second.until)
-        return verdictFor(kept->second.row, request.requestHash);
+    const auto cached = m_cachedClaims.find(request.rowKey);
+    if (cached != m_cachedClaims.end() && m_now < cached->second.expiresAt)
+        return verdictFor(cached->second.row, request.requestHash);
     return std::nullopt;
 }
 
-claim_verdict claim_book::verdictFor(const claim_row &row, std::uint64_t requestHash) const
+claim_verdict claim_coordinator::verdictFor(const claim_row &row, std::uint64_t requestHash) const
 {
     if (row.requestHash != requestHash)
         return claim_refused{error_kind::KeyReused};
@@ -166,186 +169,188 @@
         return claim_refused{error_kind::OutcomeUnknown};
     // Started. An entry that died, or that lost its record of the end, never completes it; this
     // entry would still have it open.
-    const bool mayEnd =
-            row.entryId != m_entryId && m_alive(row.entryId) && row.era + MaxStartedEras >= m_era;
-    return claim_refused{mayEnd ? error_kind::KeyInProgress : error_kind::OutcomeUnknown};
+    const bool canStillEnd = row.entryId != m_entryId && m_isEntryAlive(row.entryId)
+                             && row.era + MaxErasInProgress >= m_era;
+    return claim_refused{canStillEnd ? error_kind::KeyInProgress : error_kind::OutcomeUnknown};
 }
 
-bool claim_book::isFree(const claim_row &row) const
+bool claim_coordinator::isKeyFree(const claim_row &row) const
 {
     // m_era may lag behind the table, which makes rows look younger than they are: safe.
-    return row.state == claim_state::NotRun || row.era + m_settings.keyLifeEras < m_era;
+    return row.state == claim_state::NotRun || row.era + m_settings.keyLifetimeEras < m_era;
 }
 
-void claim_book::keep(const std::string &key, const claim_row &row)
+void claim_coordinator::cacheClaim(const std::string &key, const claim_row &row)
 {
-    m_keptByAge.push_back(key);
-    const auto life = m_settings.eraLength * static_cast<std::int64_t>(m_settings.keyLifeEras);
-    m_kept[key] = {row, m_now + life, std::prev(m_keptByAge.end())};
-    m_keptBytes += storedBytes(row);
-    while (m_kept.size() > m_settings.maxKept || m_keptBytes > m_settings.maxKeptBytes)
-        forgetOldest();
+    m_cachedByAge.push_back(key);
+    const auto lifetime =
+            m_settings.eraDuration * static_cast<std::int64_t>(m_settings.keyLifetimeEras);
+    m_cachedClaims[key] = {row, m_now + lifetime, std::prev(m_cachedByAge.end())};
+    m_cachedBytes += storedBytes(row);
+    while (m_cachedClaims.size() > m_settings.maxCachedClaims
+           || m_cachedBytes > m_settings.maxCachedBytes)
+        evictOldestCached();
 }
 
-void claim_book::forgetOldest()
+void claim_coordinator::evictOldestCached()
 {
-    const auto found = m_kept.find(m_keptByAge.front());
-    m_keptBytes -= storedBytes(found->second.row);
-    m_kept.erase(found);
-    m_keptByAge.pop_front();
+    const auto found = m_cachedClaims.find(m_cachedByAge.front());
+    m_cachedBytes -= storedBytes(found->second.row);
+    m_cachedClaims.erase(found);
+    m_cachedByAge.pop_front();
 }
 
-claim_book::open_claim *claim_book::find(const std::string &requestId)
+claim_coordinator::open_claim *claim_coordinator::findClaim(const std::string &requestId)
 {
-    const auto found = m_rowOf.find(requestId);
-    return found == m_rowOf.end() ? nullptr : &m_open.at(found->second);
+    const auto found = m_rowKeys.find(requestId);
+    return found == m_rowKeys.end() ? nullptr : &m_openClaims.at(found->second);
 }
 
-void claim_book::answer(open_claim &claim, claim_verdict verdict)
+void claim_coordinator::sendVerdict(open_claim &claim, claim_verdict verdict)
 {
-    if (!claim.waiting)
+    if (!claim.awaitsVerdict)
         return;
-    claim.waiting = false;
-    m_actions.emplace_back(claim_settled{claim.row.requestId, std::move(verdict)});
+    claim.awaitsVerdict = false;
+    m_actions.emplace_back(claim_decided{claim.wantedRow.requestId, std::move(verdict)});
 }
 
 // --- Scheduling ---------------------------------------------------------------------------------
 
 // --- Open records --------------------------------------------------------------------------------
 
-void claim_book::queue(const std::string &key, open_claim &claim, time_point dueAt)
+void claim_coordinator::queueCommit(const std::string &key, open_claim &claim, time_point dueAt)
 {
-    unschedule(key, claim);
-    claim.at = phase::Queued;
-    claim.dueAt = dueAt;
-    m_toCommit.emplace(dueAt, key);
+    removeFromQueues(key, claim);
+    claim.currentPhase = phase::CommitQueued;
+    claim.nextCommitAt = dueAt;
+    m_commitQueue.emplace(dueAt, key);
 }
 
-void claim_book::mustRead(const std::string &key, open_claim &claim)
+void claim_coordinator::queueRead(const std::string &key, open_claim &claim)
 {
-    unschedule(key, claim);
-    claim.at = phase::MustRead;
-    m_toRead.insert(key);
+    removeFromQueues(key, claim);
+    claim.currentPhase = phase::ReadQueued;
+    m_readQueue.insert(key);
 }
 
-void claim_book::unschedule(const std::string &key, const open_claim &claim)
+void claim_coordinator::removeFromQueues(const std::string &key, const open_claim &claim)
 {
-    m_toCommit.erase({claim.dueAt, key});
-    m_toRead.erase(key);
+    m_commitQueue.erase({claim.nextCommitAt, key});
+    m_readQueue.erase(key);
 }
 
-void claim_book::erase(const std::string &key)
+void claim_coordinator::eraseClaim(const std::string &key)
 {
-    const auto &claim = m_open.at(key);
-    unschedule(key, claim);
-    m_giveUps.erase({claim.giveUpAt, key});
-    m_rowOf.erase(claim.row.requestId);
-    m_open.erase(key);
+    const auto &claim = m_openClaims.at(key);
+    removeFromQueues(key, claim);
+    m_timeouts.erase({claim.timeoutAt, key});
+    m_rowKeys.erase(claim.wantedRow.requestId);
+    m_openClaims.erase(key);
 }
 
 // --- Time: sending, reading, giving up -----------------------------------------------------------
 
-void claim_book::tick(time_point now)
+void claim_coordinator::tick(time_point now)
 {
     m_now = now;
-    advance();
+    runDueWork();
 }
 
-void claim_book::advance()
+void claim_coordinator::runDueWork()
 {
-    giveUp();
-    while (!m_keptByAge.empty() && m_kept.at(m_keptByAge.front()).until <= m_now)
-        forgetOldest();
-    watchEra();
+    timeOutClaims();
+    while (!m_cachedByAge.empty() && m_cachedClaims.at(m_cachedByAge.front()).expiresAt <= m_now)
+        evictOldestCached();
+    readEraIfDue();
     sendReads();
     sendCommits();
-    sweep();
+    sweepIfDue();
 }
 
 // A hanging table must not hold a request: it is refused while it certainly has not run.
-void claim_book::giveUp()
+void claim_coordinator::timeOutClaims()
 {
-    while (!m_giveUps.empty() && m_giveUps.begin()->first <= m_now) {
-        const auto key = m_giveUps.begin()->second;
-        auto &claim = m_open.at(key);
-        answer(claim, claim_refused{error_kind::PlatformUnavailable});
-        drop(key);
+    while (!m_timeouts.empty() && m_timeouts.begin()->first <= m_now) {
+        const auto key = m_timeouts.begin()->second;
+        auto &claim = m_openClaims.at(key);
+        sendVerdict(claim, claim_refused{error_kind::PlatformUnavailable});
+        dropClaim(key);
     }
 }
 
-void claim_book::sendReads()
+void claim_coordinator::sendReads()
 {
     // What is in doubt is bounded by the transactions in flight, and so are these reads.
-    if (m_tableDown || m_toRead.empty())
+    if (m_isTableDown || m_readQueue.empty())
         return;
     std::vector<std::string> keys;
-    while (!m_toRead.empty() && keys.size() < m_settings.maxBatch) {
-        keys.push_back(*m_toRead.begin());
-        m_toRead.erase(m_toRead.begin());
-        m_open.at(keys.back()).at = phase::Reading;
+    while (!m_readQueue.empty() && keys.size() < m_settings.maxBatchRows) {
+        keys.push_back(*m_readQueue.begin());
+        m_readQueue.erase(m_readQueue.begin());
+        m_openClaims.at(keys.back()).currentPhase = phase::Reading;
     }
     const auto id = nextId();
     m_actions.emplace_back(read_claims{id, keys});
-    m_reads[id] = std::move(keys);
+    m_readsInFlight[id] = std::move(keys);
 }
 
 // Group commit: what waits when a transaction may go out goes together.
-void claim_book::sendCommits()
+void claim_coordinator::sendCommits()
 {
-    if (!mayCommit() || m_toCommit.empty() || m_now < commitAllowedAt()
-        || m_now < m_toCommit.begin()->first)
+    if (!canCommit() || m_commitQueue.empty() || m_now < commitAllowedAt()
+        || m_now < m_commitQueue.begin()->first)
         return;
     std::vector<std::string> keys;
-    while (!m_toCommit.empty() && keys.size() < m_settings.maxBatch) {
-        keys.push_back(m_toCommit.begin()->second);
-        m_toCommit.erase(m_toCommit.begin());
+    while (!m_commitQueue.empty() && keys.size() < m_settings.maxBatchRows) {
+        keys.push_back(m_commitQueue.begin()->second);
+        m_commitQueue.erase(m_commitQueue.begin());
     }
     sendCommit(keys);
-    m_commitsPaidUntil = std::max(m_commitsPaidUntil, m_now) + m_settings.commitGap;
+    m_commitsPacedUntil = std::max(m_commitsPacedUntil, m_now) + m_settings.commitInterval;
 }
 
 // The rate of transactions is bounded by the gap; a few may go together, so that claims that come
 // close to each other at an ordinary load don't wait.
-time_point claim_book::commitAllowedAt() const
+time_point claim_coordinator::commitAllowedAt() const
 {
-    return m_commitsPaidUntil - (m_settings.commitBurst - 1) * m_settings.commitGap;
+    return m_commitsPacedUntil - (m_settings.commitBurst - 1) * m_settings.commitInterval;
 }
 
-bool claim_book::mayCommit() const
+bool claim_coordinator::canCommit() const
 {
-    return !m_tableDown && m_era != 0 && m_commits.size() < m_settings.maxCommits;
+    return !m_isTableDown && m_era != 0 && m_commitsInFlight.size() < m_settings.maxCommitsInFlight;
 }
 
-void claim_book::sendCommit(const std::vector<std::string> &keys)
+void claim_coordinator::sendCommit(const std::vector<std::string> &keys)
 {
     table_transaction transaction{nextId(), {}, {}};
     // A row written with an era that has passed would be swept too early, and a late repeat would
     // run again: the era must still be the one that the row says.
     transaction.conditions.push_back({EraKey, m_eraVersion});
     for (const auto &key : keys) {
-        auto &claim = m_open.at(key);
-        if (!claim.granted)
-            claim.row.era = m_era;
-        claim.at = phase::Committing;
-        claim.sent = claim.row.state;
+        auto &claim = m_openClaims.at(key);
+        if (!claim.isGranted)
+            claim.wantedRow.era = m_era;
+        claim.currentPhase = phase::Committing;
+        claim.sentState = claim.wantedRow.state;
         transaction.conditions.push_back({key, claim.version});
-        transaction.writes.push_back({key, toJson(claim.row)});
+        transaction.writes.push_back({key, toJson(claim.wantedRow)});
     }
-    m_commits[transaction.operationId] = keys;
+    m_commitsInFlight[transaction.operationId] = keys;
     m_actions.emplace_back(commit_claims{std::move(transaction)});
 }
 
-time_point claim_book::nextWake() const
+time_point claim_coordinator::nextWake() const
 {
     auto wake = m_nextEraReadAt;
-    if (!m_giveUps.empty())
-        wake = std::min(wake, m_giveUps.begin()->first);
-    if (!m_tableDown && m_era != 0)
+    if (!m_timeouts.empty())
+        wake = std::min(wake, m_timeouts.begin()->first);
+    if (!m_isTableDown && m_era != 0)
         wake = std::min(wake, m_nextSweepAt);
-    if (!m_tableDown && !m_toRead.empty())
+    if (!m_isTableDown && !m_readQueue.empty())
         wake = std::min(wake, m_now);
-    if (mayCommit() && !m_toCommit.empty())
-        wake = std::min(wake, std::max(m_toCommit.begin()->first, commitAllowedAt()));
+    if (canCommit() && !m_commitQueue.empty())
+        wake = std::min(wake, std::max(m_commitQueue.begin()->first, commitAllowedAt()));
     return wake;
 }
 
@@ -353,21 +358,21 @@
 
 // --- Answers of the table ------------------------------------------------------------------------
 
-void claim_book::committed(const claims_committed &event, time_point now)
+void claim_coordinator::handleCommitResult(const claims_committed &event, time_point now)
 {
     m_now = now;
-    const auto found = m_commits.find(event.operationId);
-    if (found != m_commits.end()) {
+    const auto found = m_commitsInFlight.find(event.operationId);
+    if (found != m_commitsInFlight.end()) {
         const auto keys = std::move(found->second);
-        m_commits.erase(found);
-        commitEnded(keys, event.result);
+        m_commitsInFlight.erase(found);
+        commitDone(keys, event.result);
     } else if (event.operationId == m_eraCommitId) {
-        eraCommitted(event.result);
+        handleEraCommit(event.result);
     }
-    advance();
+    runDueWork();
 }
 
-void claim_book::commitEnded(const std::vector<std::string> &keys, const write_result &result)
+void claim_coordinator::commitDone(const std::vector<std::string> &keys, const write_result &result)
 {
     const bool eraPassed =
             result.outcome == write_outcome::Conflict && result.conflictKey == EraKey;
@@ -375,164 +380,167 @@
         m_era = 0;
         m_nextEraReadAt = m_now;
     }
-    noteTable(result.outcome);
+    recordTableOutcome(result.outcome);
     if (result.outcome != write_outcome::Applied)
-        m_actions.emplace_back(count_flow{flow_counter::ClaimResent, std::nullopt, keys.size()});
+        m_actions.emplace_back(
+                increment_counter{flow_counter::ClaimResent, std::nullopt, keys.size()});
     for (const auto &key : keys) {
-        auto &claim = m_open.at(key);
+        auto &claim = m_openClaims.at(key);
         switch (result.outcome) {
         case write_outcome::Applied:
-            applied(key, result.sequence);
+            commitApplied(key, result.sequence);
             break;
         case write_outcome::Conflict:
             // One row stopped the whole transaction. Reading all of them tells which, in one read,
             // so that the others are lost to nobody's conflict and go out again together.
             if (eraPassed)
-                queue(key, claim, m_now);
+                queueCommit(key, claim, m_now);
             else
-                mustRead(key, claim);
+                queueRead(key, claim);
             break;
         case write_outcome::Unknown:
             // The answer is lost, the write may have applied: nothing is forwarded before the
             // row has been read and carries our own request id.
-            claim.unsettled = true;
-            mustRead(key, claim);
+            claim.hasUnknownCommit = true;
+            queueRead(key, claim);
             break;
         case write_outcome::Refused:
-            queue(key, claim, m_now); // goes out when the table is back
+            queueCommit(key, claim, m_now); // goes out when the table is back
             break;
         }
     }
-    if (m_tableDown)
-        refuseWaiting();
+    if (m_isTableDown)
+        refuseUnsentClaims();
 }
 
-void claim_book::applied(const std::string &key, std::uint64_t version)
+void claim_coordinator::commitApplied(const std::string &key, std::uint64_t version)
 {
-    auto &claim = m_open.at(key);
+    auto &claim = m_openClaims.at(key);
     claim.version = version;
-    reached(key, claim, claim.sent);
+    confirmStored(key, claim, claim.sentState);
 }
 
 // The table is known to hold our row with `stored`.
-void claim_book::reached(const std::string &key, open_claim &claim, claim_state stored)
+void claim_coordinator::confirmStored(const std::string &key, open_claim &claim, claim_state stored)
 {
-    claim.unsettled = false; // an older transaction's condition can't hold any more
-    m_giveUps.erase({claim.giveUpAt, key});
-    claim.at = phase::Held;
-    if (stored != claim.row.state) {
-        queue(key, claim, m_now);
+    claim.hasUnknownCommit = false; // an older transaction's condition can't hold any more
+    m_timeouts.erase({claim.timeoutAt, key});
+    claim.currentPhase = phase::Stored;
+    if (stored != claim.wantedRow.state) {
+        queueCommit(key, claim, m_now);
         return;
     }
     if (stored == claim_state::Started) {
-        claim.granted = true;
-        answer(claim, claim_granted{});
+        claim.isGranted = true;
+        sendVerdict(claim, claim_granted{});
         return;
     }
     if (stored != claim_state::NotRun)
-        keep(key, claim.row);
-    erase(key);
+        cacheClaim(key, claim.wantedRow);
+    eraseClaim(key);
 }
 
-void claim_book::read(const claims_read &event, time_point now)
+void claim_coordinator::handleReadResult(const claims_read &event, time_point now)
 {
     m_now = now;
-    if (event.readId == m_sweepId)
-        swept(event);
+    if (event.readId == m_sweepReadId)
+        handleSweepScan(event);
     else
         event.succeeded ? tableAnswered() : tableFailed();
     if (event.readId == m_eraReadId)
-        eraRead(event);
-    const auto found = m_reads.find(event.readId);
-    if (found != m_reads.end()) {
+        handleEraRead(event);
+    const auto found = m_readsInFlight.find(event.readId);
+    if (found != m_readsInFlight.end()) {
         const auto keys = std::move(found->second);
-        m_reads.erase(found);
+        m_readsInFlight.erase(found);
         event.succeeded ? readDone(keys, event.rows) : readFailed(keys);
     }
-    if (m_tableDown)
-        refuseWaiting();
-    advance();
+    if (m_isTableDown)
+        refuseUnsentClaims();
+    runDueWork();
 }
 
-void claim_book::readDone(const std::vector<std::string> &keys, const std::vector<table_row> &rows)
+void claim_coordinator::readDone(const std::vector<std::string> &keys,
+                                 const std::vector<table_row> &rows)
 {
     std::map<std::string, const table_row *> found;
     for (const auto &row : rows)
         found[row.key] = &row;
     for (const auto &key : keys)
-        resolve(key, found.contains(key) ? found.at(key) : nullptr);
+        resolveRow(key, found.contains(key) ? found.at(key) : nullptr);
 }
 
-void claim_book::readFailed(const std::vector<std::string> &keys)
+void claim_coordinator::readFailed(const std::vector<std::string> &keys)
 {
     for (const auto &key : keys) {
-        auto &claim = m_open.at(key);
-        answer(claim, claim_refused{error_kind::PlatformUnavailable});
-        mustRead(key, claim);
-        if (!claim.granted)
-            drop(key);
+        auto &claim = m_openClaims.at(key);
+        sendVerdict(claim, claim_refused{error_kind::PlatformUnavailable});
+        queueRead(key, claim);
+        if (!claim.isGranted)
+            dropClaim(key);
     }
 }
 
-void claim_book::resolve(const std::string &key, const table_row *row)
+void claim_coordinator::resolveRow(const std::string &key, const table_row *row)
 {
-    auto &claim = m_open.at(key);
+    auto &claim = m_openClaims.at(key);
     if (row == nullptr) {
         claim.version = 0;
         // Written even for a claimant that has gone: the transaction without an answer may apply
         // at any later time, and would block the key for its whole life.
-        if (claim.waiting || claim.granted || claim.unsettled)
-            queue(key, claim, m_now);
+        if (claim.awaitsVerdict || claim.isGranted || claim.hasUnknownCommit)
+            queueCommit(key, claim, m_now);
         else
-            erase(key);
+            eraseClaim(key);
         return;
     }
     try {
         const auto stored = claimRowFromJson(row->value);
-        if (stored.requestId != claim.row.requestId) {
-            resolveForeign(key, claim, *row);
+        if (stored.requestId != claim.wantedRow.requestId) {
+            resolveOtherRow(key, claim, *row);
             return;
         }
         claim.version = row->version;
-        claim.row.era = stored.era;
-        reached(key, claim, stored.state);
+        claim.wantedRow.era = stored.era;
+        confirmStored(key, claim, stored.state);
     } catch (const error &) {
         // A row that nobody can read proves nothing: the request must not run.
-        answer(claim, claim_refused{error_kind::OutcomeUnknown});
-        erase(key);
+        sendVerdict(claim, claim_refused{error_kind::OutcomeUnknown});
+        eraseClaim(key);
     }
 }
 
-void claim_book::resolveForeign(const std::string &key, open_claim &claim, const table_row &row)
+void claim_coordinator::resolveOtherRow(const std::string &key, open_claim &claim,
+                                        const table_row &row)
 {
     const auto stored = claimRowFromJson(row.value);
-    if (claim.waiting && isFree(stored)) {
+    if (claim.awaitsVerdict && isKeyFree(stored)) {
         claim.version = row.version;
-        queue(key, claim, m_now);
+        queueCommit(key, claim, m_now);
         return;
     }
-    answer(claim, verdictFor(stored, claim.row.requestHash));
-    erase(key);
+    sendVerdict(claim, verdictFor(stored, claim.wantedRow.requestHash));
+    eraseClaim(key);
 }
 
 // --- Outage -------------------------------------------------------------------------------------
 
-void claim_book::tableAnswered()
+void claim_coordinator::tableAnswered()
 {
-    m_tableDown = false;
+    m_isTableDown = false;
 }
 
 // While the table is down one small read probes it, however much waits; a single lost answer costs
 // one round trip, since the first probe goes out at once.
-void claim_book::tableFailed()
+void claim_coordinator::tableFailed()
 {
-    const bool underWay = m_nextEraReadAt == Never;
-    if (!underWay)
-        m_nextEraReadAt = m_tableDown ? m_now + m_settings.tableRetry : m_now;
-    m_tableDown = true;
+    const bool isReadInFlight = m_nextEraReadAt == Never;
+    if (!isReadInFlight)
+        m_nextEraReadAt = m_isTableDown ? m_now + m_settings.tableRetryInterval : m_now;
+    m_isTableDown = true;
 }
 
-void claim_book::noteTable(write_outcome outcome)
+void claim_coordinator::recordTableOutcome(write_outcome outcome)
 {
     if (outcome == write_outcome::Refused)
         tableFailed();
@@ -542,17 +550,18 @@
 
 // Claims that wait to be sent or read back are refused at once: they have not run, and callers
 // learn it now instead of after their patience.
-void claim_book::refuseWaiting()
+void claim_coordinator::refuseUnsentClaims()
 {
     std::vector<std::string> keys;
-    for (const auto &[key, claim] : m_open) {
-        const bool idle = claim.at == phase::Queued || claim.at == phase::MustRead;
-        if (claim.waiting && idle)
+    for (const auto &[key, claim] : m_openClaims) {
+        const bool isUnsent = claim.currentPhase == phase::CommitQueued
+                              || claim.currentPhase == phase::ReadQueued;
+        if (claim.awaitsVerdict && isUnsent)
             keys.push_back(key);
     }
     for (const auto &key : keys) {
-        answer(m_open.at(key), claim_refused{error_kind::PlatformUnavailable});
-        drop(key);
+        sendVerdict(m_openClaims.at(key), claim_refused{error_kind::PlatformUnavailable});
+        dropClaim(key);
     }
 }
 
@@ -560,7 +569,7 @@
 
 // --- Eras and sweeping ---------------------------------------------------------------------------
 
-void claim_book::watchEra()
+void claim_coordinator::readEraIfDue()
 {
     if (m_now < m_nextEraReadAt)
         return;
@@ -569,26 +578,26 @@
     m_actions.emplace_back(read_claims{m_eraReadId, {EraKey}});
 }
 
-void claim_book::eraRead(const claims_read &event)
+void claim_coordinator::handleEraRead(const claims_read &event)
 {
     m_eraReadId.clear();
-    m_nextEraReadAt = m_now + m_settings.tableRetry;
+    m_nextEraReadAt = m_now + m_settings.tableRetryInterval;
     if (!event.succeeded)
         return;
     const auto *row = event.rows.empty() ? nullptr : &event.rows.front();
     const auto version = row == nullptr ? 0 : row->version;
     if (version != m_eraVersion)
-        m_eraSeenAt = m_now;
+        m_eraVersionSeenAt = m_now;
     m_eraVersion = version;
-    m_era = row == nullptr ? 0 : eraOf(row->value).value_or(0);
-    m_nextEraReadAt = m_now + m_settings.eraLength / 4;
+    m_era = row == nullptr ? 0 : eraFromJson(row->value).value_or(0);
+    m_nextEraReadAt = m_now + m_settings.eraDuration / 4;
     // Raised only after it was seen unchanged for its length on one clock, so that the eras never
     // run ahead of time, whoever raises them and whatever was paused.
-    if (m_era == 0 || m_now - m_eraSeenAt >= m_settings.eraLength)
+    if (m_era == 0 || m_now - m_eraVersionSeenAt >= m_settings.eraDuration)
         raiseEra();
 }
 
-void claim_book::raiseEra()
+void claim_coordinator::raiseEra()
 {
     Json::Value value(Json::objectValue);
     value["era"] = Json::UInt64(m_era + 1);
@@ -598,51 +607,53 @@
             commit_claims{{m_eraCommitId, {{EraKey, m_eraVersion}}, {{EraKey, value}}}});
 }
 
-void claim_book::eraCommitted(const write_result &result)
+void claim_coordinator::handleEraCommit(const write_result &result)
 {
     m_eraCommitId.clear();
     m_nextEraReadAt = m_now; // reads back whatever happened
-    noteTable(result.outcome);
-    if (m_tableDown)
-        refuseWaiting();
+    recordTableOutcome(result.outcome);
+    if (m_isTableDown)
+        refuseUnsentClaims();
 }
 
-void claim_book::sweep()
+void claim_coordinator::sweepIfDue()
 {
-    if (m_now < m_nextSweepAt || m_era == 0 || m_tableDown)
+    if (m_now < m_nextSweepAt || m_era == 0 || m_isTableDown)
         return;
     m_nextSweepAt = Never;
-    m_sweepId = nextId();
-    m_actions.emplace_back(scan_claims{m_sweepId, claimPrefix(m_sweepPrefix)});
+    m_sweepReadId = nextId();
+    m_actions.emplace_back(scan_claims{m_sweepReadId, claimRowPrefix(m_sweepPrefix)});
 }
 
-void claim_book::swept(const claims_read &event)
+void claim_coordinator::handleSweepScan(const claims_read &event)
 {
-    m_sweepId.clear();
+    m_sweepReadId.clear();
     std::vector<table_row> expired;
     for (const auto &row : event.rows) {
-        const auto era = eraOf(row.value);
-        const bool old = era && *era + m_settings.keyLifeEras < m_era;
-        if (old && expired.size() < m_settings.maxBatch)
+        const auto era = eraFromJson(row.value);
+        const bool isExpired = era && *era + m_settings.keyLifetimeEras < m_era;
+        if (isExpired && expired.size() < m_settings.maxBatchRows)
             expired.push_back(row);
     }
-    const bool more = expired.size() == m_settings.maxBatch;
-    m_nextSweepAt = m_now + (more ? m_settings.sweepGap / 16 : m_settings.sweepGap);
-    if (event.succeeded && !more)
+    const bool hasMoreRows = expired.size() == m_settings.maxBatchRows;
+    m_nextSweepAt =
+            m_now + (hasMoreRows ? m_settings.sweepInterval / 16 : m_settings.sweepInterval);
+    if (event.succeeded && !hasMoreRows)
         ++m_sweepPrefix;
     if (expired.empty())
         return;
-    m_actions.emplace_back(count_flow{flow_counter::ClaimSwept, std::nullopt, expired.size()});
+    m_actions.emplace_back(
+            increment_counter{flow_counter::ClaimSwept, std::nullopt, expired.size()});
     // Whatever becomes of it, a later scan finds what is left.
-    m_actions.emplace_back(commit_claims{removalOf(nextId(), expired)});
+    m_actions.emplace_back(commit_claims{makeRemoval(nextId(), expired)});
 }
 
-std::string claim_book::nextId()
+std::string claim_coordinator::nextId()
 {
     return fmt::format("{}/c{}", m_entryId, ++m_lastId);
 }
 
-std::vector<claim_action> claim_book::takeActions()
+std::vector<claim_action> claim_coordinator::takeActions()
 {
     return std::exchange(m_actions, {});
 }
--- a/libs/delivery/claim_coordinator.h
+++ b/libs/delivery/claim_coordinator.h
@@ -42,36 +42,36 @@
     std::string entryId;           // incarnation of the entry that holds the claim
     std::uint64_t requestHash = 0; // of method, path and body
     claim_state state = claim_state::Started;
-    std::uint64_t era = 0;              // era of the claim, see claim_settings::eraLength
-    std::optional<whole_answer> answer; // set when Finished and small enough
+    std::uint64_t era = 0;                 // era of the claim, see claim_settings::eraLength
+    std::optional<complete_answer> answer; // set when Finished and small enough
 };
 
 std::string_view nameOf(claim_state state);
-Json::Value toJson(const whole_answer &answer);
-whole_answer wholeAnswerFromJson(const Json::Value &value); // throws error BadRequest
+Json::Value toJson(const complete_answer &answer);
+complete_answer completeAnswerFromJson(const Json::Value &value); // throws error BadRequest
 Json::Value toJson(const claim_row &row);
 claim_row claimRowFromJson(const Json::Value &value); // throws error BadRequest
 
 struct claim_settings
 {
-    int commitBurst = 5;                   // transactions that may go at once after a pause
-    milliseconds commitGap{20};            // between two transactions of this entry, on average
-    milliseconds recordDelay{100};         // a record of an end waits so long for company
-    milliseconds tableRetry{250};          // between two probes of a table that is down
-    milliseconds claimPatience{1000};      // a claim not settled by then is refused as not run
-    std::size_t maxBatch = 64;             // rows in one transaction
-    std::size_t maxCommits = 4;            // transactions in flight
-    std::size_t maxOpen = 8192;            // claims not yet settled for good
-    std::size_t maxKept = 8192;            // ended requests in this entry's memory
-    std::size_t maxKeptBytes = 16U << 20U; // bytes of their answers
-    std::size_t maxAnswerBytes = 4096;     // larger answers are not stored
-    std::size_t maxKeyBytes = 256;         // longer keys are refused
+    int commitBurst = 5;                     // transactions that may go at once after a pause
+    milliseconds commitInterval{20};         // between two transactions of this entry, on average
+    milliseconds endRecordDelay{100};        // a record of an end waits so long for company
+    milliseconds tableRetryInterval{250};    // between two probes of a table that is down
+    milliseconds claimTimeout{1000};         // a claim not settled by then is refused as not run
+    std::size_t maxBatchRows = 64;           // rows in one transaction
+    std::size_t maxCommitsInFlight = 4;      // transactions in flight
+    std::size_t maxOpenClaims = 8192;        // claims not yet settled for good
+    std::size_t maxCachedClaims = 8192;      // ended requests in this entry's memory
+    std::size_t maxCachedBytes = 16U << 20U; // bytes of their answers
+    std::size_t maxAnswerBytes = 4096;       // larger answers are not stored
+    std::size_t maxKeyBytes = 256;           // longer keys are refused
     // The age of rows is counted in eras: a row of the table that some entry raises once it has
     // seen it unchanged for eraLength on its own clock. A key lives for at least
     // keyLifeEras * eraLength, and longer when the table is down.
-    milliseconds eraLength{600'000};
-    std::uint64_t keyLifeEras = 12;
-    milliseconds sweepGap{5000}; // between two scans for expired rows
+    milliseconds eraDuration{600'000};
+    std::uint64_t keyLifetimeEras = 12;
+    milliseconds sweepInterval{5000}; // between two scans for expired rows
 };
 
 struct claim_granted
@@ -82,11 +82,11 @@
 };
 struct claim_replayed
 {
-    whole_answer answer;
+    complete_answer answer;
 };
 using claim_verdict = std::variant<claim_granted, claim_refused, claim_replayed>;
 
-struct claim_settled
+struct claim_decided
 {
     std::string requestId;
     claim_verdict verdict;
@@ -100,136 +100,139 @@
 };
 
 // The row of a key: scoped to service and team, spread over 4096 prefixes for the sweep.
-std::string claimKey(const std::string &service, const std::string &team, const std::string &key);
+std::string claimRowKey(const std::string &service, const std::string &team,
+                        const std::string &key);
 
-std::string claimPrefix(std::size_t index); // of the index-th part of the sweep, modulo 4096
+std::string claimRowPrefix(std::size_t index); // of the index-th part of the sweep, modulo 4096
 
 // Is this incarnation of an entry believed to be alive? A wrong answer changes only the words of a
 // refusal, never whether something runs.
 using entry_alive_check = std::function<bool(const std::string &entryId)>;
 
 using claim_action =
-        std::variant<claim_settled, commit_claims, read_claims, scan_claims, count_flow>;
+        std::variant<claim_decided, commit_claims, read_claims, scan_claims, increment_counter>;
 
 // One thread at a time. Whatever a call decides is waiting in takeActions() afterwards.
-class claim_book
+class claim_coordinator
 {
 public:
-    claim_book(std::string entryId, claim_settings settings, entry_alive_check alive);
+    claim_coordinator(std::string entryId, claim_settings settings, entry_alive_check isEntryAlive);
 
     // Asks for the right to run; answered by one claim_settled, at once or later.
     void claim(const claim_request &request, time_point now);
     // The holder of a claim reports its end. Nothing may be forwarded for it afterwards.
-    void finished(const std::string &requestId, const whole_answer &answer, time_point now);
-    void notRun(const std::string &requestId, time_point now);
-    void unknown(const std::string &requestId, time_point now);
+    void recordFinished(const std::string &requestId, const complete_answer &answer,
+                        time_point now);
+    void recordNotRun(const std::string &requestId, time_point now);
+    void recordUnknown(const std::string &requestId, time_point now);
     // The request ended before its claim was settled: no claim_settled follows.
-    void abandon(const std::string &requestId, time_point now);
+    void abandonClaim(const std::string &requestId, time_point now);
 
-    void committed(const claims_committed &event, time_point now);
-    void read(const claims_read &event, time_point now);
+    void handleCommitResult(const claims_committed &event, time_point now);
+    void handleReadResult(const claims_read &event, time_point now);
     void tick(time_point now);
 
     std::vector<claim_action> takeActions();
     time_point nextWake() const;
-    std::size_t openRecords() const { return m_open.size(); } // not yet settled for good
-    std::size_t keptBytes() const { return m_keptBytes; }
+    std::size_t openClaimCount() const { return m_openClaims.size(); } // not yet settled for good
+    std::size_t cachedBytes() const { return m_cachedBytes; }
 
 private:
     // Queued: waits for a transaction. Committing: in one. MustRead: a transaction ended in doubt.
     // Reading: its row is being read. Held: the table says what is wanted for now.
-    enum class phase { Queued, Committing, MustRead, Reading, Held };
+    enum class phase { CommitQueued, Committing, ReadQueued, Reading, Stored };
 
     struct open_claim
     {
-        claim_row row;                           // as it is wanted in the table
-        claim_state sent = claim_state::Started; // state in the newest transaction
-        phase at = phase::Queued;
-        bool waiting = true;       // a claim_settled is owed
-        bool granted = false;      // the holder may have forwarded
-        bool unsettled = false;    // a transaction without an answer may still apply
-        std::uint64_t version = 0; // of the row as last known; 0: absent
-        time_point dueAt{};        // next transaction, while Queued
-        time_point giveUpAt{};     // end of patience, while waiting
+        claim_row wantedRow;                          // as it is wanted in the table
+        claim_state sentState = claim_state::Started; // state in the newest transaction
+        phase currentPhase = phase::CommitQueued;
+        bool awaitsVerdict = true;     // a claim_settled is owed
+        bool isGranted = false;        // the holder may have forwarded
+        bool hasUnknownCommit = false; // a transaction without an answer may still apply
+        std::uint64_t version = 0;     // of the row as last known; 0: absent
+        time_point nextCommitAt{};     // next transaction, while Queued
+        time_point timeoutAt{};        // end of patience, while waiting
     };
 
-    struct kept_claim
+    struct cached_claim
     {
         claim_row row;
-        time_point until = Never;
-        std::list<std::string>::iterator age;
+        time_point expiresAt = Never;
+        std::list<std::string>::iterator agePosition;
     };
 
     // Row keys in the order of a time.
     using timed_keys = std::set<std::pair<time_point, std::string>>;
 
-    std::optional<claim_verdict> fromMemory(const claim_request &request) const;
+    std::optional<claim_verdict> verdictFromMemory(const claim_request &request) const;
     claim_verdict verdictFor(const claim_row &row, std::uint64_t requestHash) const;
-    bool isFree(const claim_row &row) const;
-    open_claim *find(const std::string &requestId);
-
-    void end(const std::string &requestId, claim_state state, std::optional<whole_answer> answer);
-    void drop(const std::string &key);
-    void answer(open_claim &claim, claim_verdict verdict);
-    void queue(const std::string &key, open_claim &claim, time_point dueAt);
-    void mustRead(const std::string &key, open_claim &claim);
-    void unschedule(const std::string &key, const open_claim &claim);
-    void erase(const std::string &key);
-    void keep(const std::string &key, const claim_row &row);
-    void forgetOldest();
-
-    void applied(const std::string &key, std::uint64_t version);
-    void reached(const std::string &key, open_claim &claim, claim_state stored);
-    void resolve(const std::string &key, const table_row *row);
-    void resolveForeign(const std::string &key, open_claim &claim, const table_row &row);
-    void commitEnded(const std::vector<std::string> &keys, const write_result &result);
+    bool isKeyFree(const claim_row &row) const;
+    open_claim *findClaim(const std::string &requestId);
+
+    void endClaim(const std::string &requestId, claim_state state,
+                  std::optional<complete_answer> answer);
+    void dropClaim(const std::string &key);
+    void sendVerdict(open_claim &claim, claim_verdict verdict);
+    void queueCommit(const std::string &key, open_claim &claim, time_point dueAt);
+    void queueRead(const std::string &key, open_claim &claim);
+    void removeFromQueues(const std::string &key, const open_claim &claim);
+    void eraseClaim(const std::string &key);
+    void cacheClaim(const std::string &key, const claim_row &row);
+    void evictOldestCached();
+
+    void commitApplied(const std::string &key, std::uint64_t version);
+    void confirmStored(const std::string &key, open_claim &claim, claim_state stored);
+    void resolveRow(const std::string &key, const table_row *row);
+    void resolveOtherRow(const std::string &key, open_claim &claim, const table_row &row);
+    void commitDone(const std::vector<std::string> &keys, const write_result &result);
     void readDone(const std::vector<std::string> &keys, const std::vector<table_row> &rows);
     void readFailed(const std::vector<std::string> &keys);
     void tableAnswered();
     void tableFailed();
-    void noteTable(write_outcome outcome);
-    void refuseWaiting();
+    void recordTableOutcome(write_outcome outcome);
+    void refuseUnsentClaims();
 
-    void advance();
-    void giveUp();
+    void runDueWork();
+    void timeOutClaims();
     void sendCommits();
-    bool mayCommit() const;
+    bool canCommit() const;
     time_point commitAllowedAt() const;
     void sendReads();
     void sendCommit(const std::vector<std::string> &keys);
-    void watchEra();
-    void eraRead(const claims_read &event);
+    void readEraIfDue();
+    void handleEraRead(const claims_read &event);
     void raiseEra();
-    void eraCommitted(const write_result &result);
-    void sweep();
-    void swept(const claims_read &event);
+    void handleEraCommit(const write_result &result);
+    void sweepIfDue();
+    void handleSweepScan(const claims_read &event);
     std::string nextId();
 
     std::string m_entryId;
     claim_settings m_settings;
-    entry_alive_check m_alive;
-    std::map<std::string, open_claim> m_open;   // by row key
-    std::map<std::string, std::string> m_rowOf; // row key by request id
-    timed_keys m_toCommit;
-    std::set<std::string> m_toRead;
-    timed_keys m_giveUps;
-    std::map<std::string, std::vector<std::string>> m_commits; // row keys by operation id
-    std::map<std::string, std::vector<std::string>> m_reads;   // row keys by read id
-    std::map<std::string, kept_claim> m_kept;                  // by row key
-    std::list<std::string> m_keptByAge;                        // row keys, oldest first
-    std::size_t m_keptBytes = 0;
+    entry_alive_check m_isEntryAlive;
+    std::map<std::string, open_claim> m_openClaims; // by row key
+    std::map<std::string, std::string> m_rowKeys;   // row key by request id
+    timed_keys m_commitQueue;
+    std::set<std::string> m_readQueue;
+    timed_keys m_timeouts;
+    std::map<std::string, std::vector<std::string>> m_commitsInFlight; // row keys by operation id
+    std::map<std::string, std::vector<std::string>> m_readsInFlight;   // row keys by read id
+    std::map<std::string, cached_claim> m_cachedClaims;                // by row key
+    std::list<std::string> m_cachedByAge;                              // row keys, oldest first
+    std::size_t m_cachedBytes = 0;
     std::uint64_t m_lastId = 0;
-    time_point m_commitsPaidUntil{}; // each transaction moves it on by commitGap
-    bool m_tableDown = false;        // since the last failure nothing has succeeded
-    std::uint64_t m_era = 0;         // 0: not known, nothing is committed
+    time_point m_commitsPacedUntil{}; // each transaction moves it on by commitGap
+    bool m_isTableDown = false;       // since the last failure nothing has succeeded
+    std::uint64_t m_era = 0;          // 0: not known, nothing is committed
     std::uint64_t m_eraVersion = 0;
-    time_point m_eraSeenAt{};     // when m_eraVersion was first seen
-    time_point m_nextEraReadAt{}; // Never while a read or a raise is under way
+    time_point m_eraVersionSeenAt{}; // when m_eraVersion was first seen
+    time_point m_nextEraReadAt{};    // Never while a read or a raise is under way
     std::string m_eraReadId;
     std::string m_eraCommitId;
     time_point m_nextSweepAt{}; // Never while a scan is under way
     std::size_t m_sweepPrefix = 0;
-    std::string m_sweepId;
+    std::string m_sweepReadId;
     time_point m_now{}; // of the call being handled
     std::vector<claim_action> m_actions;
 };
--- a/libs/delivery/claim_row.cpp
+++ b/libs/delivery/claim_row.cpp
@@ -47,20 +47,20 @@
     return nameOf(StateNames, state);
 }
 
-std::string claimPrefix(std::size_t index)
+std::string claimRowPrefix(std::size_t index)
 {
     return fmt::format("claim/{:03x}/", index % SweepPrefixes);
 }
 
-std::string claimKey(const std::string &service, const std::string &team, const std::string &key)
+std::string claimRowKey(const std::string &service, const std::string &team, const std::string &key)
 {
     // Lengths keep two scopes apart whose parts hold the separator.
     const auto scope =
             fmt::format("{}:{}/{}:{}/{}", service.size(), service, team.size(), team, key);
-    return claimPrefix(stableHash(scope)) + scope;
+    return claimRowPrefix(stableHash(scope)) + scope;
 }
 
-Json::Value toJson(const whole_answer &answer)
+Json::Value toJson(const complete_answer &answer)
 {
     Json::Value value(Json::objectValue);
     value["status"] = answer.status;
@@ -72,9 +72,9 @@
     return value;
 }
 
-whole_answer wholeAnswerFromJson(const Json::Value &value)
+complete_answer completeAnswerFromJson(const Json::Value &value)
 {
-    whole_answer answer;
+    complete_answer answer;
     answer.status = static_cast<int>(countMember(value, "status"));
     answer.bodyBytes = countMember(value, "body_bytes");
     if (value.isMember("headers")) {
@@ -115,7 +115,7 @@
     row.state = *state;
     row.era = countMember(value, "era");
     if (value.isMember("answer"))
-        row.answer = wholeAnswerFromJson(value["answer"]);
+        row.answer = completeAnswerFromJson(value["answer"]);
     return row;
 }
 
--- a/libs/delivery/flow_json.cpp
+++ b/libs/delivery/flow_json.cpp
@@ -17,22 +17,22 @@
         {executed::Unknown, "unknown"},
 }};
 
-Json::Value text(std::string_view view)
+Json::Value toJsonString(std::string_view view)
 {
     return std::string(view);
 }
 
-Json::Value remaining(time_point deadline, time_point now)
+Json::Value remainingMs(time_point deadline, time_point now)
 {
     return Json::Int64(millisecondsUntil(deadline, now));
 }
 
-time_point deadlineFrom(const Json::Value &value, time_point now)
+time_point deadlineFromJson(const Json::Value &value, time_point now)
 {
     return now + milliseconds(countMember(value, "deadline_ms"));
 }
 
-error_kind kindFrom(const Json::Value &value)
+error_kind errorKindFromJson(const Json::Value &value)
 {
     const auto kind = errorKindNamed(stringMember(value, "kind"));
     if (!kind)
@@ -41,7 +41,7 @@
 }
 
 template <typename Table>
-auto enumFrom(const Table &table, const Json::Value &value, const char *name)
+auto enumFromJson(const Table &table, const Json::Value &value, const char *name)
 {
     const auto found = valueOf(table, stringMember(value, name));
     if (!found)
@@ -49,7 +49,7 @@
     return *found;
 }
 
-Json::Value texts(const std::vector<std::string> &items)
+Json::Value toJsonArray(const std::vector<std::string> &items)
 {
     Json::Value list(Json::arrayValue);
     for (const auto &item : items)
@@ -59,7 +59,7 @@
 
 // --- Outcomes of an attempt ---------------------------------------------------------------------
 
-Json::Value outcomeJson(const whole_answer &answer)
+Json::Value outcomeJson(const complete_answer &answer)
 {
     auto value = toJson(answer);
     value["outcome"] = "whole";
@@ -70,9 +70,9 @@
 {
     Json::Value value(Json::objectValue);
     value["outcome"] = "refused";
-    value["kind"] = text(nameOf(refusal.kind));
-    value["executed"] = text(nameOf(refusal.ran));
-    value["ended"] = refusal.ended;
+    value["kind"] = toJsonString(nameOf(refusal.kind));
+    value["executed"] = toJsonString(nameOf(refusal.ran));
+    value["ended"] = refusal.hasEnded;
     value["retry_after_ms"] = Json::Int64(refusal.retryAfter.count());
     return value;
 }
@@ -88,11 +88,11 @@
 {
     Json::Value value(Json::objectValue);
     value["outcome"] = "cut";
-    value["ended"] = cut.ended;
+    value["ended"] = cut.hasEnded;
     return value;
 }
 
-Json::Value outcomeJson(const attempt_late &)
+Json::Value outcomeJson(const attempt_timed_out &)
 {
     Json::Value value(Json::objectValue);
     value["outcome"] = "late";
@@ -106,22 +106,22 @@
     return value;
 }
 
-attempt_outcome outcomeFrom(const Json::Value &value)
+attempt_outcome outcomeFromJson(const Json::Value &value)
 {
     const auto name = stringMember(value, "outcome");
     if (name == "whole")
-        return wholeAnswerFromJson(value);
+        return completeAnswerFromJson(value);
     if (name == "refused") {
-        return attempt_refused{kindFrom(value), enumFrom(ExecutedNames, value, "executed"),
-                               boolMember(value, "ended"),
-                               milliseconds(countMember(value, "retry_after_ms"))};
+        return attempt_refused{
+                errorKindFromJson(value), enumFromJson(ExecutedNames, value, "executed"),
+                boolMember(value, "ended"), milliseconds(countMember(value, "retry_after_ms"))};
     }
     if (name == "unreachable")
         return attempt_unreachable{};
     if (name == "cut")
         return attempt_cut{boolMember(value, "ended")};
     if (name == "late")
-        return attempt_late{};
+        return attempt_timed_out{};
     if (name == "too_large")
         return attempt_too_large{};
     throw error(error_kind::BadRequest, "bad member \"outcome\"");
@@ -135,7 +135,7 @@
 
     Json::Value operator()(const request_arrived &event) const
     {
-        auto value = named("request_arrived");
+        auto value = newObject("request_arrived");
         value["id"] = event.id;
         value["service"] = event.service;
         value["method"] = event.method;
@@ -143,29 +143,29 @@
         value["team"] = event.team;
         value["key"] = event.idempotencyKey;
         value["body_hash"] = Json::UInt64(event.bodyHash);
-        value["deadline_ms"] = remaining(event.deadline, now);
+        value["deadline_ms"] = remainingMs(event.deadline, now);
         return value;
     }
 
     Json::Value operator()(const upstream_chosen &event) const
     {
-        auto value = named("upstream_chosen");
+        auto value = newObject("upstream_chosen");
         value["id"] = event.id;
         value["agent"] = event.agentId;
         return value;
     }
 
-    Json::Value operator()(const none_available &event) const
+    Json::Value operator()(const no_upstream_available &event) const
     {
-        auto value = named("none_available");
+        auto value = newObject("none_available");
         value["id"] = event.id;
-        value["kind"] = text(nameOf(event.kind));
+        value["kind"] = toJsonString(nameOf(event.kind));
         return value;
     }
 
-    Json::Value operator()(const answer_begun &event) const
+    Json::Value operator()(const answer_started &event) const
     {
-        auto value = named("answer_begun");
+        auto value = newObject("answer_begun");
         value["id"] = event.id;
         value["attempt"] = event.attempt;
         value["status"] = event.status;
@@ -183,9 +183,9 @@
 
     Json::Value operator()(const claims_committed &event) const
     {
-        auto value = named("claims_committed");
+        auto value = newObject("claims_committed");
         value["operation"] = event.operationId;
-        value["outcome"] = text(nameOf(event.result.outcome));
+        value["outcome"] = toJsonString(nameOf(event.result.outcome));
         value["sequence"] = Json::UInt64(event.result.sequence);
         value["conflict_key"] = event.result.conflictKey;
         return value;
@@ -193,7 +193,7 @@
 
     Json::Value operator()(const claims_read &event) const
     {
-        auto value = named("claims_read");
+        auto value = newObject("claims_read");
         value["read"] = event.readId;
         value["succeeded"] = event.succeeded;
         value["rows"] = Json::Value(Json::arrayValue);
@@ -207,10 +207,10 @@
         return value;
     }
 
-    Json::Value operator()(const flow_tick &) const { return named("tick"); }
-    Json::Value operator()(const flow_drain &) const { return named("drain"); }
+    Json::Value operator()(const flow_tick &) const { return newObject("tick"); }
+    Json::Value operator()(const flow_drain_started &) const { return newObject("drain"); }
 
-    static Json::Value named(const char *name)
+    static Json::Value newObject(const char *name)
     {
         Json::Value value(Json::objectValue);
         value["event"] = name;
@@ -218,7 +218,7 @@
     }
 };
 
-request_arrived arrivedFrom(const Json::Value &value, time_point now)
+request_arrived arrivedFromJson(const Json::Value &value, time_point now)
 {
     request_arrived event;
     event.id = stringMember(value, "id");
@@ -228,16 +228,16 @@
     event.team = stringMember(value, "team");
     event.idempotencyKey = stringMember(value, "key");
     event.bodyHash = countMember(value, "body_hash");
-    event.deadline = deadlineFrom(value, now);
+    event.deadline = deadlineFromJson(value, now);
     return event;
 }
 
-claims_committed committedFrom(const Json::Value &value)
+claims_committed committedFromJson(const Json::Value &value)
 {
     return {stringMember(value, "operation"), writeResultFromJson(value)};
 }
 
-claims_read readFrom(const Json::Value &value)
+claims_read readFromJson(const Json::Value &value)
 {
     claims_read event{stringMember(value, "read"), boolMember(value, "succeeded"), {}};
     for (const auto &item : arrayMember(value, "rows")) {
@@ -255,26 +255,26 @@
 
     Json::Value operator()(const choose_upstream &action) const
     {
-        auto value = named("choose_upstream");
+        auto value = newObject("choose_upstream");
         value["id"] = action.id;
         value["service"] = action.service;
-        value["excluded"] = texts(action.excluded);
+        value["excluded"] = toJsonArray(action.excluded);
         return value;
     }
 
     Json::Value operator()(const forward_request &action) const
     {
-        auto value = named("forward_request");
+        auto value = newObject("forward_request");
         value["id"] = action.id;
         value["attempt"] = action.attempt;
         value["agent"] = action.agentId;
-        value["deadline_ms"] = remaining(action.deadline, now);
+        value["deadline_ms"] = remainingMs(action.deadline, now);
         return value;
     }
 
     Json::Value operator()(const cancel_attempt &action) const
     {
-        auto value = named("cancel_attempt");
+        auto value = newObject("cancel_attempt");
         value["id"] = action.id;
         value["attempt"] = action.attempt;
         value["agent"] = action.agentId;
@@ -309,53 +309,53 @@
     {
         Json::Value value(Json::objectValue);
         value["answer"] = "refused";
-        value["kind"] = text(nameOf(answer.kind));
-        value["executed"] = text(nameOf(answer.ran));
+        value["kind"] = toJsonString(nameOf(answer.kind));
+        value["executed"] = toJsonString(nameOf(answer.ran));
         value["retry_after_ms"] = Json::Int64(answer.retryAfter.count());
         return value;
     }
 
     Json::Value operator()(const commit_claims &action) const
     {
-        auto value = sessionJson(action.transaction);
+        auto value = toSessionJson(action.transaction);
         value["action"] = "commit_claims";
         return value;
     }
 
     Json::Value operator()(const read_claims &action) const
     {
-        auto value = named("read_claims");
+        auto value = newObject("read_claims");
         value["read"] = action.readId;
-        value["keys"] = texts(action.keys);
+        value["keys"] = toJsonArray(action.keys);
         return value;
     }
 
     Json::Value operator()(const scan_claims &action) const
     {
-        auto value = named("scan_claims");
+        auto value = newObject("scan_claims");
         value["read"] = action.readId;
         value["prefix"] = action.prefix;
         return value;
     }
 
-    Json::Value operator()(const count_flow &action) const
+    Json::Value operator()(const increment_counter &action) const
     {
-        auto value = named("count");
-        value["counter"] = text(nameOf(action.counter));
+        auto value = newObject("count");
+        value["counter"] = toJsonString(nameOf(action.counter));
         if (action.kind)
-            value["kind"] = text(nameOf(*action.kind));
+            value["kind"] = toJsonString(nameOf(*action.kind));
         value["amount"] = Json::UInt64(action.amount);
         return value;
     }
 
     Json::Value operator()(const flow_drained &action) const
     {
-        auto value = named("drained");
+        auto value = newObject("drained");
         value["records_lost"] = Json::UInt64(action.recordsLost);
         return value;
     }
 
-    static Json::Value named(const char *name)
+    static Json::Value newObject(const char *name)
     {
         Json::Value value(Json::objectValue);
         value["action"] = name;
@@ -365,7 +365,7 @@
 
 } // namespace
 
-Json::Value sessionJson(const table_transaction &transaction)
+Json::Value toSessionJson(const table_transaction &transaction)
 {
     Json::Value value(Json::objectValue);
     value["operation"] = transaction.operationId;
@@ -392,29 +392,29 @@
 {
     const auto name = stringMember(value, "event");
     if (name == "request_arrived")
-        return arrivedFrom(value, now);
+        return arrivedFromJson(value, now);
     if (name == "upstream_chosen")
         return upstream_chosen{stringMember(value, "id"), stringMember(value, "agent")};
     if (name == "none_available")
-        return none_available{stringMember(value, "id"), kindFrom(value)};
+        return no_upstream_available{stringMember(value, "id"), errorKindFromJson(value)};
     if (name == "answer_begun") {
-        return answer_begun{stringMember(value, "id"),
-                            static_cast<std::uint32_t>(countMember(value, "attempt")),
-                            static_cast<int>(countMember(value, "status"))};
+        return answer_started{stringMember(value, "id"),
+                              static_cast<std::uint32_t>(countMember(value, "attempt")),
+                              static_cast<int>(countMember(value, "status"))};
     }
     if (name == "attempt_ended") {
         return attempt_ended{stringMember(value, "id"),
                              static_cast<std::uint32_t>(countMember(value, "attempt")),
-                             outcomeFrom(value)};
+                             outcomeFromJson(value)};
     }
     if (name == "claims_committed")
-        return committedFrom(value);
+        return committedFromJson(value);
     if (name == "claims_read")
-        return readFrom(value);
+        return readFromJson(value);
     if (name == "tick")
         return flow_tick{};
     if (name == "drain")
-        return flow_drain{};
+        return flow_drain_started{};
     throw error(error_kind::BadRequest, "bad member \"event\"");
 }
 
--- a/libs/delivery/flow_json.h
+++ b/libs/delivery/flow_json.h
@@ -18,6 +18,6 @@
 Json::Value toJson(const flow_action &action, time_point now);
 
 // The short form of sessions; the platform's own form is in platform/platform_json.h.
-Json::Value sessionJson(const table_transaction &transaction);
+Json::Value toSessionJson(const table_transaction &transaction);
 
 } // namespace zinniabarrow::delivery
--- a/libs/delivery/flow_messages.cpp
+++ b/libs/delivery/flow_messages.cpp
@@ -16,9 +16,9 @@
         {flow_counter::Retried, "retried"},
         {flow_counter::RetryDenied, "retry_denied"},
         {flow_counter::StaleEvent, "stale_event"},
-        {flow_counter::DoubledEvent, "doubled_event"},
+        {flow_counter::DuplicateEvent, "doubled_event"},
         {flow_counter::LateOutcome, "late_outcome"},
-        {flow_counter::Unclaimed, "unclaimed"},
+        {flow_counter::ProceededUnclaimed, "unclaimed"},
         {flow_counter::ClaimResent, "claim_resent"},
         {flow_counter::ClaimSwept, "claim_swept"},
 }};
--- a/libs/delivery/flow_messages.h
+++ b/libs/delivery/flow_messages.h
@@ -43,14 +43,14 @@
 };
 
 // The routing's other answer: nobody may take the request now.
-struct none_available
+struct no_upstream_available
 {
     std::string id;
     error_kind kind = error_kind::NoUpstream;
 };
 
 // An answer whose completeness answer_check has proved.
-struct whole_answer
+struct complete_answer
 {
     int status = 200;
     std::map<std::string, std::string> headers; // those to be kept with a stored answer
@@ -63,7 +63,7 @@
 {
     error_kind kind = error_kind::Internal;
     executed ran = executed::Unknown;
-    bool ended = false;         // the attempt is known not to be running any more
+    bool hasEnded = false;      // the attempt is known not to be running any more
     milliseconds retryAfter{0}; // 0: the kind's own
 };
 
@@ -74,26 +74,26 @@
 // The connection broke after the request, or a part of it, had been sent.
 struct attempt_cut
 {
-    bool ended = false; // the agent confirmed that the attempt is not running any more
+    bool hasEnded = false; // the agent confirmed that the attempt is not running any more
 };
 
 // The transport gave up waiting.
-struct attempt_late
+struct attempt_timed_out
 { };
 
 // The upstream ran the request; its answer passes the bound on answers.
 struct attempt_too_large
 { };
 
-using attempt_outcome = std::variant<whole_answer, attempt_refused, attempt_unreachable,
-                                     attempt_cut, attempt_late, attempt_too_large>;
+using attempt_outcome = std::variant<complete_answer, attempt_refused, attempt_unreachable,
+                                     attempt_cut, attempt_timed_out, attempt_too_large>;
 
 // The end of an attempt whose answer was not whole.
 attempt_outcome outcomeOf(error_kind failure);
 
 // A whole head and the first part of a body that is too large to be kept have come: they may be
 // passed on now. Followed by attempt_ended once the body has ended.
-struct answer_begun
+struct answer_started
 {
     std::string id;
     std::uint32_t attempt = 0; // as given by forward_request
@@ -127,12 +127,12 @@
 { };
 
 // A planned stop begins: new requests are refused, those in flight end as usual.
-struct flow_drain
+struct flow_drain_started
 { };
 
 using flow_event =
-        std::variant<request_arrived, upstream_chosen, none_available, answer_begun, attempt_ended,
-                     claims_committed, claims_read, flow_tick, flow_drain>;
+        std::variant<request_arrived, upstream_chosen, no_upstream_available, answer_started,
+                     attempt_ended, claims_committed, claims_read, flow_tick, flow_drain_started>;
 
 // --- Actions ------------------------------------------------------------------------------------
 
@@ -172,7 +172,7 @@
 // Answer from the record of the first run, marked as a replay.
 struct replay_answer
 {
-    whole_answer stored;
+    complete_answer stored;
 };
 
 struct refuse_request
@@ -213,23 +213,23 @@
 
 // What is counted, beside the error kinds of retries and refusals.
 enum class flow_counter {
-    Arrived,      // requests taken in
-    Passed,       // whole answers passed on
-    Streamed,     // answers of which a first part was passed on
-    StreamCut,    // of these, those that did not come whole: the caller's connection was cut
-    Replayed,     // answered from a stored answer
-    Refused,      // answered with an error kind; by kind
-    Retried,      // another attempt; by the kind that ended the one before
-    RetryDenied,  // not retried: budget spent; by the kind that ended the attempt
-    StaleEvent,   // event of an earlier attempt or of a request that is over
-    DoubledEvent, // event that had been handled already
-    LateOutcome,  // outcome that came after the caller's answer and settled a claim
-    Unclaimed,    // idempotent request that went on without its claim
-    ClaimResent,  // claim or record that had to be read back or sent again
-    ClaimSwept,   // expired rows whose removal was sent
-};
-
-struct count_flow
+    Arrived,            // requests taken in
+    Passed,             // whole answers passed on
+    Streamed,           // answers of which a first part was passed on
+    StreamCut,          // of these, those that did not come whole: the caller's connection was cut
+    Replayed,           // answered from a stored answer
+    Refused,            // answered with an error kind; by kind
+    Retried,            // another attempt; by the kind that ended the one before
+    RetryDenied,        // not retried: budget spent; by the kind that ended the attempt
+    StaleEvent,         // event of an earlier attempt or of a request that is over
+    DuplicateEvent,     // event that had been handled already
+    LateOutcome,        // outcome that came after the caller's answer and settled a claim
+    ProceededUnclaimed, // idempotent request that went on without its claim
+    ClaimResent,        // claim or record that had to be read back or sent again
+    ClaimSwept,         // expired rows whose removal was sent
+};
+
+struct increment_counter
 {
     flow_counter counter = flow_counter::Arrived;
     std::optional<error_kind> kind;
@@ -243,8 +243,9 @@
     std::uint64_t recordsLost = 0; // records that the table did not take before the end
 };
 
-using flow_action = std::variant<choose_upstream, forward_request, cancel_attempt, answer_caller,
-                                 commit_claims, read_claims, scan_claims, count_flow, flow_drained>;
+using flow_action =
+        std::variant<choose_upstream, forward_request, cancel_attempt, answer_caller, commit_claims,
+                     read_claims, scan_claims, increment_counter, flow_drained>;
 
 std::string_view nameOf(flow_counter counter);
 
--- a/libs/delivery/request_flow.cpp
+++ b/libs/delivery/request_flow.cpp
@@ -34,7 +34,7 @@
 }
 
 // A refusal may say "not run" only when both its kind and the one who refused say so.
-executed certainOf(error_kind kind, executed ran)
+executed provenExecution(error_kind kind, executed ran)
 {
     return ran == executed::No && answerFor(kind).ran != executed::No ? executed::Unknown : ran;
 }
@@ -46,14 +46,14 @@
     return contains(SafeMethods, method) || contains(OtherIdempotentMethods, method);
 }
 
-request_flow::request_flow(std::string entryId, flow_settings settings, retry_permit permit,
-                           entry_alive_check alive)
+request_flow::request_flow(std::string entryId, flow_settings settings,
+                           retry_permit isRetryPermitted, entry_alive_check isEntryAlive)
     : m_settings(settings)
-    , m_permit(std::move(permit))
-    , m_book(std::move(entryId), settings.claims, std::move(alive))
+    , m_isRetryPermitted(std::move(isRetryPermitted))
+    , m_claims(std::move(entryId), settings.claims, std::move(isEntryAlive))
 {
     // Two eras after its claim a request must be over, or a repeat would be told so too early.
-    if (settings.claims.eraLength <= settings.maxRequestTime + settings.lateOutcomeTime)
+    if (settings.claims.eraDuration <= settings.maxRequestTime + settings.lateOutcomeTimeout)
         throw error(error_kind::BadSettings, "claims.eraLength must exceed the time of a request");
 }
 
@@ -61,16 +61,16 @@
 {
     m_now = now;
     std::visit([this](const auto &each) { on(each); }, event);
-    takeBookOutput();
-    wakeDue();
-    takeBookOutput();
-    finishDrain();
+    takeClaimActions();
+    processDueWakes();
+    takeClaimActions();
+    reportDrainIfDone();
     return std::exchange(m_actions, {});
 }
 
 time_point request_flow::nextWake() const
 {
-    auto wake = std::min(m_book.nextWake(), m_drainRecordsBy);
+    auto wake = std::min(m_claims.nextWake(), m_drainDeadline);
     if (!m_wakes.empty())
         wake = std::min(wake, m_wakes.begin()->first);
     return wake;
@@ -81,10 +81,10 @@
 void request_flow::on(const request_arrived &event)
 {
     // Handled again, it could be forwarded to another agent, which has not seen it.
-    if (m_requests.contains(event.id) || m_ended.contains(event.id))
-        return count(flow_counter::DoubledEvent);
+    if (m_requests.contains(event.id) || m_endedIds.contains(event.id))
+        return count(flow_counter::DuplicateEvent);
     count(flow_counter::Arrived);
-    if (m_draining)
+    if (m_isDraining)
         return refuseNew(event, error_kind::Draining);
     if (event.deadline <= m_now)
         return refuseNew(event, error_kind::DeadlinePassed);
@@ -97,11 +97,11 @@
     ++m_inFlight;
     request.arrived = event;
     request.arrived.deadline = std::min(event.deadline, m_now + m_settings.maxRequestTime);
-    waitUntil(request, request.arrived.deadline);
+    scheduleWake(request, request.arrived.deadline);
     if (!needsClaim(event))
-        return choose(request);
-    m_book.claim(
-            {event.id, claimKey(event.service, event.team, event.idempotencyKey), hashOf(event)},
+        return requestUpstream(request);
+    m_claims.claim(
+            {event.id, claimRowKey(event.service, event.team, event.idempotencyKey), hashOf(event)},
             m_now);
 }
 
@@ -112,28 +112,28 @@
         return;
     // The process may have been paused since: the deadline is looked at before the act.
     if (request->arrived.deadline <= m_now)
-        return deadlinePassed(*request);
-    request->at = step::Forwarded;
+        return handleDeadline(*request);
+    request->currentStep = step::Forwarded;
     request->agentId = event.agentId;
     ++request->attempt;
     m_actions.emplace_back(
             forward_request{event.id, request->attempt, event.agentId, request->arrived.deadline});
 }
 
-void request_flow::on(const none_available &event)
+void request_flow::on(const no_upstream_available &event)
 {
     auto *request = find(event.id, step::Choosing);
     if (request == nullptr)
         return;
     // After a refusal of its own the request learns that reason: it says more.
     if (request->lastRefusal)
-        return refuse(*request, request->lastRefusal->kind, request->lastRefusal->ran,
-                      request->lastRefusal->retryAfter);
-    const bool certain = answerFor(event.kind).ran == executed::No;
-    refuse(*request, certain ? event.kind : error_kind::NoUpstream, executed::No);
+        return refuseActive(*request, request->lastRefusal->kind, request->lastRefusal->ran,
+                            request->lastRefusal->retryAfter);
+    const bool isProvenNotRun = answerFor(event.kind).ran == executed::No;
+    refuseActive(*request, isProvenNotRun ? event.kind : error_kind::NoUpstream, executed::No);
 }
 
-void request_flow::on(const answer_begun &event)
+void request_flow::on(const answer_started &event)
 {
     auto *request = find(event.id, step::Forwarded);
     if (request == nullptr)
@@ -141,13 +141,13 @@
     if (request->attempt != event.attempt)
         return count(flow_counter::StaleEvent);
     if (request->arrived.deadline <= m_now)
-        return deadlinePassed(*request);
+        return handleDeadline(*request);
     // From here on there is no retry: the caller has the first bytes. The claim stays open until
     // the body has ended, so that a repeat meanwhile learns that the key is in progress.
     count(flow_counter::Streamed);
     m_actions.emplace_back(answer_caller{event.id, pass_answer{event.attempt, event.status, true}});
-    request->at = step::Streaming;
-    waitUntil(*request, request->arrived.deadline + m_settings.lateOutcomeTime);
+    request->currentStep = step::Streaming;
+    scheduleWake(*request, request->arrived.deadline + m_settings.lateOutcomeTimeout);
 }
 
 void request_flow::on(const attempt_ended &event)
@@ -155,44 +155,44 @@
     const auto found = m_requests.find(event.id);
     // An event of an earlier attempt, or of an answered request, must not become this answer.
     if (found == m_requests.end() || found->second.attempt != event.attempt
-        || found->second.at == step::Choosing)
+        || found->second.currentStep == step::Choosing)
         return count(flow_counter::StaleEvent);
     auto &request = found->second;
-    if (request.at == step::Streaming)
-        return settleStreamed(request, event.outcome);
-    if (request.at == step::Answered)
-        return settleLate(request, event.outcome);
-    std::visit([&](const auto &outcome) { ended(request, outcome); }, event.outcome);
+    if (request.currentStep == step::Streaming)
+        return finishStreamed(request, event.outcome);
+    if (request.currentStep == step::Answered)
+        return handleLateOutcome(request, event.outcome);
+    std::visit([&](const auto &outcome) { handleOutcome(request, outcome); }, event.outcome);
 }
 
 void request_flow::on(const claims_committed &event)
 {
-    m_book.committed(event, m_now);
+    m_claims.handleCommitResult(event, m_now);
 }
 
 void request_flow::on(const claims_read &event)
 {
-    m_book.read(event, m_now);
+    m_claims.handleReadResult(event, m_now);
 }
 
 void request_flow::on(const flow_tick &)
 {
-    m_book.tick(m_now);
+    m_claims.tick(m_now);
 }
 
-void request_flow::on(const flow_drain &)
+void request_flow::on(const flow_drain_started &)
 {
-    m_draining = true;
+    m_isDraining = true;
 }
 
 // --- Claims -------------------------------------------------------------------------------------
 
-void request_flow::takeBookOutput()
+void request_flow::takeClaimActions()
 {
-    for (auto output = m_book.takeActions(); !output.empty(); output = m_book.takeActions()) {
+    for (auto output = m_claims.takeActions(); !output.empty(); output = m_claims.takeActions()) {
         for (auto &action : output) {
-            if (const auto *settled = std::get_if<claim_settled>(&action))
-                claimSettled(*settled);
+            if (const auto *settled = std::get_if<claim_decided>(&action))
+                handleClaimDecision(*settled);
             else if (auto *commit = std::get_if<commit_claims>(&action))
                 m_actions.emplace_back(std::move(*commit));
             else if (auto *read = std::get_if<read_claims>(&action))
@@ -200,146 +200,147 @@
             else if (auto *scan = std::get_if<scan_claims>(&action))
                 m_actions.emplace_back(std::move(*scan));
             else
-                m_actions.emplace_back(std::get<count_flow>(action));
+                m_actions.emplace_back(std::get<increment_counter>(action));
         }
     }
 }
 
-void request_flow::claimSettled(const claim_settled &settled)
+void request_flow::handleClaimDecision(const claim_decided &settled)
 {
     auto *request = find(settled.requestId, step::Claiming);
     if (request == nullptr)
         return;
     if (std::holds_alternative<claim_granted>(settled.verdict)) {
-        request->claimed = true;
-        return choose(*request);
+        request->holdsClaim = true;
+        return requestUpstream(*request);
     }
     if (const auto *replay = std::get_if<claim_replayed>(&settled.verdict)) {
         count(flow_counter::Replayed);
         m_actions.emplace_back(answer_caller{settled.requestId, replay_answer{replay->answer}});
-        return forget(settled.requestId);
+        return removeRequest(settled.requestId);
     }
     const auto kind = std::get<claim_refused>(settled.verdict).kind;
-    const bool noClaim = kind == error_kind::PlatformUnavailable || kind == error_kind::Overloaded;
-    if (noClaim && isIdempotent(request->arrived.method)) {
+    const bool isClaimUnavailable =
+            kind == error_kind::PlatformUnavailable || kind == error_kind::Overloaded;
+    if (isClaimUnavailable && isIdempotent(request->arrived.method)) {
         // Running it again has the same effect by the method's definition: an outage need not
         // stop it.
-        count(flow_counter::Unclaimed);
-        return choose(*request);
+        count(flow_counter::ProceededUnclaimed);
+        return requestUpstream(*request);
     }
-    refuse(*request, kind, answerFor(kind).ran);
+    refuseActive(*request, kind, answerFor(kind).ran);
 }
 
-void request_flow::endClaim(live_request &request, executed ran)
+void request_flow::recordClaimEnd(active_request &request, executed ran)
 {
-    if (!std::exchange(request.claimed, false))
+    if (!std::exchange(request.holdsClaim, false))
         return;
     if (ran == executed::No)
-        m_book.notRun(request.arrived.id, m_now);
+        m_claims.recordNotRun(request.arrived.id, m_now);
     else if (ran == executed::Yes)
-        m_book.finished(request.arrived.id, whole_answer{}, m_now);
+        m_claims.recordFinished(request.arrived.id, complete_answer{}, m_now);
     else
-        m_book.unknown(request.arrived.id, m_now);
+        m_claims.recordUnknown(request.arrived.id, m_now);
 }
 
 // --- Attempts -----------------------------------------------------------------------------------
 
-void request_flow::choose(live_request &request)
+void request_flow::requestUpstream(active_request &request)
 {
-    request.at = step::Choosing;
+    request.currentStep = step::Choosing;
     if (request.arrived.deadline <= m_now)
-        return deadlinePassed(request);
+        return handleDeadline(request);
     m_actions.emplace_back(
             choose_upstream{request.arrived.id, request.arrived.service, request.excluded});
 }
 
-void request_flow::ended(live_request &request, const whole_answer &answer)
+void request_flow::handleOutcome(active_request &request, const complete_answer &answer)
 {
-    pass(request, answer);
+    passAnswer(request, answer);
 }
 
-void request_flow::ended(live_request &request, const attempt_refused &refusal)
+void request_flow::handleOutcome(active_request &request, const attempt_refused &refusal)
 {
-    const auto ran = certainOf(refusal.kind, refusal.ran);
+    const auto ran = provenExecution(refusal.kind, refusal.ran);
     request.lastRefusal = refuse_request{refusal.kind, ran, refusal.retryAfter};
     request.mayHaveRun |= ran != executed::No;
-    const bool elsewhere = ran == executed::No && answerFor(refusal.kind).retryElsewhere;
-    const bool again =
-            ran == executed::Unknown && refusal.ended && isIdempotent(request.arrived.method);
-    if ((elsewhere || again) && retry(request, refusal.kind))
+    const bool canRunElsewhere = ran == executed::No && answerFor(refusal.kind).retryElsewhere;
+    const bool canRunAgain =
+            ran == executed::Unknown && refusal.hasEnded && isIdempotent(request.arrived.method);
+    if ((canRunElsewhere || canRunAgain) && tryRetry(request, refusal.kind))
         return;
-    refuse(request, refusal.kind, ran, refusal.retryAfter);
+    refuseActive(request, refusal.kind, ran, refusal.retryAfter);
 }
 
-void request_flow::ended(live_request &request, const attempt_unreachable &)
+void request_flow::handleOutcome(active_request &request, const attempt_unreachable &)
 {
-    ended(request,
-          attempt_refused{error_kind::UpstreamUnreachable, executed::No, true, milliseconds(0)});
+    handleOutcome(request, attempt_refused{error_kind::UpstreamUnreachable, executed::No, true,
+                                           milliseconds(0)});
 }
 
-void request_flow::ended(live_request &request, const attempt_cut &cut)
+void request_flow::handleOutcome(active_request &request, const attempt_cut &cut)
 {
-    ended(request,
-          attempt_refused{error_kind::AnswerCut, executed::Unknown, cut.ended, milliseconds(0)});
+    handleOutcome(request, attempt_refused{error_kind::AnswerCut, executed::Unknown, cut.hasEnded,
+                                           milliseconds(0)});
 }
 
-void request_flow::ended(live_request &request, const attempt_late &)
+void request_flow::handleOutcome(active_request &request, const attempt_timed_out &)
 {
-    deadlinePassed(request);
+    handleDeadline(request);
 }
 
-void request_flow::ended(live_request &request, const attempt_too_large &)
+void request_flow::handleOutcome(active_request &request, const attempt_too_large &)
 {
-    refuse(request, error_kind::AnswerTooLarge, executed::Yes);
+    refuseActive(request, error_kind::AnswerTooLarge, executed::Yes);
 }
 
 // No hedging: one attempt at a time, and the next only when the one before is known not to have run
 // or, for idempotent methods, known to have ended. True when another attempt begins.
-bool request_flow::retry(live_request &request, error_kind kind)
+bool request_flow::tryRetry(active_request &request, error_kind kind)
 {
     if (request.attempt >= m_settings.maxAttempts)
         return false;
     if (request.arrived.deadline - m_now < m_settings.minRetryTime)
         return false;
-    if (!m_permit(kind)) {
+    if (!m_isRetryPermitted(kind)) {
         count(flow_counter::RetryDenied, kind);
         return false;
     }
     count(flow_counter::Retried, kind);
     request.excluded.push_back(request.agentId);
-    choose(request);
+    requestUpstream(request);
     return true;
 }
 
 // --- Answers ------------------------------------------------------------------------------------
 
-void request_flow::pass(live_request &request, const whole_answer &answer)
+void request_flow::passAnswer(active_request &request, const complete_answer &answer)
 {
     count(flow_counter::Passed);
     m_actions.emplace_back(
             answer_caller{request.arrived.id, pass_answer{request.attempt, answer.status, false}});
-    if (request.claimed)
-        m_book.finished(request.arrived.id, answer, m_now);
-    forget(request.arrived.id);
+    if (request.holdsClaim)
+        m_claims.recordFinished(request.arrived.id, answer, m_now);
+    removeRequest(request.arrived.id);
 }
 
-void request_flow::refuse(live_request &request, error_kind kind, executed ran,
-                          milliseconds retryAfter)
+void request_flow::refuseActive(active_request &request, error_kind kind, executed ran,
+                                milliseconds retryAfter)
 {
     // What an earlier attempt may have done counts for the whole request.
     if (request.mayHaveRun && ran == executed::No)
         ran = executed::Unknown;
     // Callers of non-idempotent requests know one word for every unknown outcome.
     const bool unknown = ran == executed::Unknown && answerFor(kind).ran != executed::Unknown;
-    const bool cutChange = kind == error_kind::AnswerCut && !isIdempotent(request.arrived.method);
-    if (unknown || cutChange)
+    const bool isCutChange = kind == error_kind::AnswerCut && !isIdempotent(request.arrived.method);
+    if (unknown || isCutChange)
         kind = error_kind::OutcomeUnknown;
     count(flow_counter::Refused, kind);
     m_actions.emplace_back(answer_caller{
             request.arrived.id,
             refuse_request{kind, ran, std::max(retryAfter, answerFor(kind).comeBackAfter)}});
-    endClaim(request, ran);
-    forget(request.arrived.id);
+    recordClaimEnd(request, ran);
+    removeRequest(request.arrived.id);
 }
 
 void request_flow::refuseNew(const request_arrived &event, error_kind kind)
@@ -350,48 +351,48 @@
     rememberEnded(event.id);
 }
 
-void request_flow::deadlinePassed(live_request &request)
+void request_flow::handleDeadline(active_request &request)
 {
-    if (request.at == step::Claiming)
-        m_book.abandon(request.arrived.id, m_now);
-    if (request.at != step::Forwarded && !request.mayHaveRun)
-        return refuse(request, error_kind::DeadlinePassed, executed::No);
-    if (request.at != step::Forwarded)
-        return refuse(request, error_kind::AnswerLate, executed::Unknown);
+    if (request.currentStep == step::Claiming)
+        m_claims.abandonClaim(request.arrived.id, m_now);
+    if (request.currentStep != step::Forwarded && !request.mayHaveRun)
+        return refuseActive(request, error_kind::DeadlinePassed, executed::No);
+    if (request.currentStep != step::Forwarded)
+        return refuseActive(request, error_kind::AnswerLate, executed::Unknown);
     m_actions.emplace_back(cancel_attempt{request.arrived.id, request.attempt, request.agentId});
-    if (!request.claimed)
-        return refuse(request, error_kind::AnswerLate, executed::Unknown);
+    if (!request.holdsClaim)
+        return refuseActive(request, error_kind::AnswerLate, executed::Unknown);
     // The attempt may still run. Its late outcome settles the claim; until then repeats learn that
     // the key is in progress, which is true.
     count(flow_counter::Refused, error_kind::AnswerLate);
     m_actions.emplace_back(
             answer_caller{request.arrived.id, refuse_request{error_kind::AnswerLate,
                                                              executed::Unknown, milliseconds(0)}});
-    request.at = step::Answered;
+    request.currentStep = step::Answered;
     --m_inFlight;
-    waitUntil(request, m_now + m_settings.lateOutcomeTime);
+    scheduleWake(request, m_now + m_settings.lateOutcomeTimeout);
 }
 
 // The body has ended: whole, and the claim records that it ran, or cut. A cut says nothing about
 // the request, so that a repeat of the key learns `outcome_unknown` and never runs.
-void request_flow::settleStreamed(live_request &request, const attempt_outcome &outcome)
+void request_flow::finishStreamed(active_request &request, const attempt_outcome &outcome)
 {
-    const bool whole = std::holds_alternative<whole_answer>(outcome);
+    const bool whole = std::holds_alternative<complete_answer>(outcome);
     count(whole ? flow_counter::Passed : flow_counter::StreamCut);
-    endClaim(request, whole ? executed::Yes : executed::Unknown);
-    forget(request.arrived.id);
+    recordClaimEnd(request, whole ? executed::Yes : executed::Unknown);
+    removeRequest(request.arrived.id);
 }
 
 // The caller has its answer; what became of the attempt still settles the claim.
-void request_flow::settleLate(live_request &request, const attempt_outcome &outcome)
+void request_flow::handleLateOutcome(active_request &request, const attempt_outcome &outcome)
 {
     count(flow_counter::LateOutcome);
     auto ran = executed::Unknown;
-    if (const auto *answer = std::get_if<whole_answer>(&outcome)) {
-        m_book.finished(request.arrived.id, *answer, m_now);
-        request.claimed = false;
+    if (const auto *answer = std::get_if<complete_answer>(&outcome)) {
+        m_claims.recordFinished(request.arrived.id, *answer, m_now);
+        request.holdsClaim = false;
     } else if (const auto *refusal = std::get_if<attempt_refused>(&outcome)) {
-        ran = certainOf(refusal->kind, refusal->ran);
+        ran = provenExecution(refusal->kind, refusal->ran);
     } else if (std::holds_alternative<attempt_unreachable>(outcome)) {
         ran = executed::No;
     } else if (std::holds_alternative<attempt_too_large>(outcome)) {
@@ -399,81 +400,81 @@
     }
     if (request.mayHaveRun && ran == executed::No)
         ran = executed::Unknown;
-    endClaim(request, ran);
-    forget(request.arrived.id);
+    recordClaimEnd(request, ran);
+    removeRequest(request.arrived.id);
 }
 
 // --- Time and drain -----------------------------------------------------------------------------
 
-void request_flow::waitUntil(live_request &request, time_point when)
+void request_flow::scheduleWake(active_request &request, time_point when)
 {
-    m_wakes.erase({request.wakeAt, request.arrived.id});
-    request.wakeAt = when;
+    m_wakes.erase({request.nextWakeAt, request.arrived.id});
+    request.nextWakeAt = when;
     m_wakes.emplace(when, request.arrived.id);
 }
 
-void request_flow::wakeDue()
+void request_flow::processDueWakes()
 {
     while (!m_wakes.empty() && m_wakes.begin()->first <= m_now) {
         auto &request = m_requests.at(m_wakes.begin()->second);
-        if (request.at != step::Answered && request.at != step::Streaming) {
-            deadlinePassed(request);
+        if (request.currentStep != step::Answered && request.currentStep != step::Streaming) {
+            handleDeadline(request);
             continue;
         }
-        endClaim(request, executed::Unknown);
-        forget(request.arrived.id);
+        recordClaimEnd(request, executed::Unknown);
+        removeRequest(request.arrived.id);
     }
 }
 
-void request_flow::forget(std::string id)
+void request_flow::removeRequest(std::string id)
 {
     const auto found = m_requests.find(id);
-    if (found->second.at != step::Answered)
+    if (found->second.currentStep != step::Answered)
         --m_inFlight;
-    m_wakes.erase({found->second.wakeAt, found->first});
+    m_wakes.erase({found->second.nextWakeAt, found->first});
     m_requests.erase(found);
     rememberEnded(id);
 }
 
 void request_flow::rememberEnded(const std::string &id)
 {
-    m_ended.insert(id);
-    m_endedByAge.push_back(id);
-    if (m_endedByAge.size() <= m_settings.maxEnded)
+    m_endedIds.insert(id);
+    m_endedIdsByAge.push_back(id);
+    if (m_endedIdsByAge.size() <= m_settings.maxEndedIds)
         return;
-    m_ended.erase(m_endedByAge.front());
-    m_endedByAge.pop_front();
+    m_endedIds.erase(m_endedIdsByAge.front());
+    m_endedIdsByAge.pop_front();
 }
 
-void request_flow::finishDrain()
+void request_flow::reportDrainIfDone()
 {
-    if (!m_draining || m_drainReported || m_inFlight > 0)
+    if (!m_isDraining || m_isDrainReported || m_inFlight > 0)
         return;
-    if (m_drainRecordsBy == Never) {
-        m_drainRecordsBy = m_now + m_settings.drainRecordTime;
+    if (m_drainDeadline == Never) {
+        m_drainDeadline = m_now + m_settings.drainTimeout;
         while (!m_requests.empty()) {
             auto &request = m_requests.begin()->second;
-            endClaim(request, executed::Unknown);
-            forget(request.arrived.id);
+            recordClaimEnd(request, executed::Unknown);
+            removeRequest(request.arrived.id);
         }
-        takeBookOutput();
+        takeClaimActions();
     }
-    if (m_book.openRecords() > 0 && m_now < m_drainRecordsBy)
+    if (m_claims.openClaimCount() > 0 && m_now < m_drainDeadline)
         return;
-    m_drainReported = true;
-    m_drainRecordsBy = Never;
-    m_actions.emplace_back(flow_drained{m_book.openRecords()});
+    m_isDrainReported = true;
+    m_drainDeadline = Never;
+    m_actions.emplace_back(flow_drained{m_claims.openClaimCount()});
 }
 
 void request_flow::count(flow_counter counter, std::optional<error_kind> kind, std::uint64_t amount)
 {
-    m_actions.emplace_back(count_flow{counter, kind, amount});
+    m_actions.emplace_back(increment_counter{counter, kind, amount});
 }
 
-request_flow::live_request *request_flow::find(const std::string &id, step expected)
+request_flow::active_request *request_flow::find(const std::string &id, step expected)
 {
     const auto found = m_requests.find(id);
-    if (found != m_requests.end() && found->second.at == expected)
+    if (found != m_requests.end() && found->second.currentStep == expected)
         return &found->second;
     count(flow_counter::StaleEvent);
     return nullptr;
--- a/libs/request/admission.h
+++ b/libs/request/admission.h
@@ -24,10 +24,10 @@
     int slots = 8;                       // requests the upstream runs at once
     int connections = 64;                // connections the upstream accepts
     int queueLimit = 16;                 // requests that wait here
-    milliseconds firstServiceTime{20};   // estimate until the first request has finished
+    milliseconds initialServiceTime{20}; // estimate until the first request has finished
     double deadlineMargin = 1.0;         // mean deviations kept free before a deadline
-    milliseconds shortestRetryAfter{50}; // bounds of the Retry-After that is handed out
-    milliseconds longestRetryAfter{10 * 1000};
+    milliseconds minRetryAfter{50};      // bounds of the Retry-After that is handed out
+    milliseconds maxRetryAfter{10 * 1000};
 };
 
 struct admission_counters
@@ -55,9 +55,9 @@
     struct finished // the upstream no longer works on the request, however it ended
     {
         std::string id;
-        duration tookTime{};   // from `start`
-        duration callerTime{}; // of it, while the answer waited for a caller that reads slowly
-        bool whole = true;     // nothing of the answer was left out
+        duration elapsedTime{};    // from `start`
+        duration slowCallerTime{}; // of it, while the answer waited for a caller that reads slowly
+        bool isComplete = true;    // nothing of the answer was left out
     };
     struct cancelled // the caller is gone; a request that runs keeps its slot until `finished`
     {
@@ -65,7 +65,7 @@
     };
     struct connections_changed
     {
-        int unusable = 0; // open connections that carry no request and cannot take one
+        int unusableCount = 0; // open connections that carry no request and cannot take one
     };
     struct drain_started
     { };
@@ -82,24 +82,24 @@
     struct refuse
     {
         std::string id;
-        error_kind kind = error_kind::Internal;
+        error_kind errorKind = error_kind::Internal;
         milliseconds retryAfter{}; // 0: coming back does not help
     };
     using action = std::variant<start, refuse>;
 
     explicit admission(admission_settings settings);
 
-    std::vector<action> handle(const event &what, time_point now);
+    std::vector<action> handle(const event &newEvent, time_point now);
 
-    bool drained() const { return m_draining && m_running.empty() && m_waiting.empty(); }
-    int running() const { return static_cast<int>(m_running.size()); }
-    int waiting() const { return static_cast<int>(m_waiting.size()); }
+    bool isDrained() const { return m_isDraining && m_running.empty() && m_waiting.empty(); }
+    int runningCount() const { return static_cast<int>(m_running.size()); }
+    int waitingCount() const { return static_cast<int>(m_waiting.size()); }
     duration serviceTime(const std::string &service) const; // learned mean
     duration backlog(time_point now) const; // until a request that arrives now would start
     const admission_counters &counters() const { return m_counters; }
 
 private:
-    enum class verdict { Wait, Start, Refuse };
+    enum class decision { Wait, Start, Refuse };
     // Mean and mean deviation of the service time, both moving.
     struct estimate
     {
@@ -112,38 +112,39 @@
         std::string team;
         int priority = 0;
         time_point startedAt;
-        duration charged{}; // service time already counted against the team
+        duration chargedTime{}; // service time already counted against the team
     };
     struct team_state
     {
-        double served = 0; // weighted service time in microseconds
-        int waiting = 0;
-        int running = 0;
+        double servedTime = 0; // weighted service time in microseconds
+        int waitingCount = 0;
+        int runningCount = 0;
     };
 
-    void on(const arrived &happened, time_point now);
-    void on(const finished &happened, time_point now);
-    void on(const cancelled &happened, time_point now);
-    void on(const connections_changed &happened, time_point now);
-    void on(const drain_started &happened, time_point now);
-    void on(const tick &happened, time_point now);
+    void on(const arrived &details, time_point now);
+    void on(const finished &details, time_point now);
+    void on(const cancelled &details, time_point now);
+    void on(const connections_changed &details, time_point now);
+    void on(const drain_started &details, time_point now);
+    void on(const tick &details, time_point now);
 
-    bool knows(const std::string &id) const;
-    void activate(const std::string &team);
-    void forgetIdleTeams();
-    void shedOne(const std::string &newcomer, time_point now);
+    bool isKnown(const std::string &id) const;
+    void markTeamActive(const std::string &team);
+    void removeIdleTeams();
+    void shedRequest(const std::string &arrivingTeam, time_point now);
     bool isOverShare(const std::string &team) const;
-    std::size_t victimOf(const std::string &team) const;
+    std::size_t leastUrgentOf(const std::string &team) const;
     std::vector<std::size_t> dispatchOrder() const;
-    std::vector<time_point> slotTimes(time_point now) const;
+    std::vector<time_point> slotFreeTimes(time_point now) const;
     void plan(time_point now);
-    verdict judge(const arrived &request, time_point begins, bool idle, time_point now) const;
-    void settle(const std::vector<std::size_t> &order, const std::vector<verdict> &verdicts,
-                time_point now);
+    decision decide(const arrived &request, time_point expectedStart, bool idle,
+                    time_point now) const;
+    void applyDecisions(const std::vector<std::size_t> &order,
+                        const std::vector<decision> &decisions, time_point now);
     void startRequest(const arrived &request, time_point now);
     void refuseRequest(const std::string &id, error_kind kind, time_point now);
     milliseconds retryAfterFor(error_kind kind, time_point now);
-    void learn(const std::string &service, duration took);
+    void updateEstimate(const std::string &service, duration measured);
     const estimate &estimateFor(const std::string &service) const;
 
     admission_settings m_settings;
@@ -152,12 +153,12 @@
     std::map<std::string, running_request> m_running;
     std::map<std::string, team_state> m_teams;
     std::map<std::string, estimate> m_estimates;
-    estimate m_overall;
+    estimate m_overallEstimate;
     std::vector<action> m_actions; // of the event being handled
     double m_virtualTime = 0;      // least served time of an active team, never falls
-    time_point m_comeBackAt{};     // place handed out to the last refused request
+    time_point m_nextRetryAt{};    // place handed out to the last refused request
     int m_unusableConnections = 0;
-    bool m_draining = false;
+    bool m_isDraining = false;
 };
 
 } // namespace zinniabarrow::request
--- a/libs/request/announcement.cpp
+++ b/libs/request/announcement.cpp
@@ -17,12 +17,12 @@
 }};
 
 // Compact forms keep to signed 64 bits: other JSON readers stop there.
-Json::Value number(std::uint64_t value)
+Json::Value toJsonNumber(std::uint64_t value)
 {
     return Json::Value(static_cast<Json::Int64>(value));
 }
 
-std::uint64_t numberIn(const Json::Value &json, const char *name)
+std::uint64_t unsignedMember(const Json::Value &json, const char *name)
 {
     return static_cast<std::uint64_t>(countMember(json, name));
 }
@@ -35,7 +35,7 @@
     return *state;
 }
 
-std::string idIn(const Json::Value &json, const char *name)
+std::string idMember(const Json::Value &json, const char *name)
 {
     auto id = stringMember(json, name);
     if (id.empty())
@@ -55,7 +55,7 @@
 
 using member_names = std::span<const char *const>;
 
-Json::Value packed(const Json::Value &json, member_names names)
+Json::Value packValues(const Json::Value &json, member_names names)
 {
     Json::Value values(Json::arrayValue);
     for (const char *name : names)
@@ -63,10 +63,10 @@
     return values;
 }
 
-Json::Value unpacked(const Json::Value &values, member_names names, const char *what)
+Json::Value unpackValues(const Json::Value &values, member_names names, const char *description)
 {
     if (!values.isArray() || values.size() != names.size()) {
-        throw error(error_kind::BadRequest, std::string(what) + " must be an array of "
+        throw error(error_kind::BadRequest, std::string(description) + " must be an array of "
                                                     + std::to_string(names.size()) + " values");
     }
     Json::Value json(Json::objectValue);
@@ -75,7 +75,7 @@
     return json;
 }
 
-upstream_load loadIn(const Json::Value &json)
+upstream_load loadFromJson(const Json::Value &json)
 {
     return {smallIntegerMember(json, "inFlight"), smallIntegerMember(json, "queued"),
             microseconds(countMember(json, "latencyUs"))};
@@ -102,8 +102,8 @@
     json["workerSize"]["memoryBytes"] = Json::Int64(message.workerSize.memoryBytes);
     json["workerSize"]["accelerators"] = Json::Int64(message.workerSize.accelerators);
     json["slots"] = message.slots;
-    json["incarnation"] = number(message.incarnation);
-    json["sequence"] = number(message.sequence);
+    json["incarnation"] = toJsonNumber(message.incarnation);
+    json["sequence"] = toJsonNumber(message.sequence);
     json["state"] = std::string(nameOf(message.state));
     json["inFlight"] = message.load.inFlight;
     json["queued"] = message.load.queued;
@@ -114,61 +114,61 @@
 announcement announcementFromJson(const Json::Value &json)
 {
     announcement message;
-    message.agentId = idIn(json, "agentId");
-    message.address = idIn(json, "address");
+    message.agentId = idMember(json, "agentId");
+    message.address = idMember(json, "address");
     message.zone = stringMember(json, "zone");
     message.region = stringMember(json, "region");
     message.rack = stringMember(json, "rack");
-    message.service = idIn(json, "service");
+    message.service = idMember(json, "service");
     message.workerId = stringMember(json, "workerId");
     const auto &size = objectMember(json, "workerSize");
     message.workerSize.millicores = countMember(size, "millicores");
     message.workerSize.memoryBytes = countMember(size, "memoryBytes");
     message.workerSize.accelerators = countMember(size, "accelerators");
     message.slots = smallIntegerMember(json, "slots");
-    message.incarnation = numberIn(json, "incarnation");
-    message.sequence = numberIn(json, "sequence");
+    message.incarnation = unsignedMember(json, "incarnation");
+    message.sequence = unsignedMember(json, "sequence");
     message.state = stateNamed(stringMember(json, "state"));
-    message.load = loadIn(json);
+    message.load = loadFromJson(json);
     return message;
 }
 
 Json::Value toJson(const heartbeat &message)
 {
-    announcement whole;
-    whole.agentId = message.agentId;
-    whole.incarnation = message.incarnation;
-    whole.sequence = message.sequence;
-    whole.state = message.state;
-    whole.load = message.load;
-    return packed(toJson(whole), HeartbeatMembers);
+    announcement full;
+    full.agentId = message.agentId;
+    full.incarnation = message.incarnation;
+    full.sequence = message.sequence;
+    full.state = message.state;
+    full.load = message.load;
+    return packValues(toJson(full), HeartbeatMembers);
 }
 
 heartbeat heartbeatFromJson(const Json::Value &values)
 {
-    const Json::Value members = unpacked(values, HeartbeatMembers, "a heartbeat");
+    const Json::Value members = unpackValues(values, HeartbeatMembers, "a heartbeat");
     heartbeat message;
-    message.agentId = idIn(members, "agentId");
-    message.incarnation = numberIn(members, "incarnation");
-    message.sequence = numberIn(members, "sequence");
+    message.agentId = idMember(members, "agentId");
+    message.incarnation = unsignedMember(members, "incarnation");
+    message.sequence = unsignedMember(members, "sequence");
     message.state = stateNamed(stringMember(members, "state"));
-    message.load = loadIn(members);
+    message.load = loadFromJson(members);
     return message;
 }
 
-heartbeat heartbeatOf(const announcement &whole)
+heartbeat heartbeatOf(const announcement &full)
 {
-    return {whole.agentId, whole.incarnation, whole.sequence, whole.state, whole.load};
+    return {full.agentId, full.incarnation, full.sequence, full.state, full.load};
 }
 
 Json::Value toJson(const announce_reply &message)
 {
     Json::Value json(Json::objectValue);
-    if (message.refused)
-        json["refused"] = std::string(nameOf(*message.refused));
-    json["sequence"] = number(message.sequence);
-    json["knownIncarnation"] = number(message.knownIncarnation);
-    json["sendWhole"] = message.sendWhole;
+    if (message.refusalKind)
+        json["refused"] = std::string(nameOf(*message.refusalKind));
+    json["sequence"] = toJsonNumber(message.sequence);
+    json["knownIncarnation"] = toJsonNumber(message.knownIncarnation);
+    json["sendWhole"] = message.needsFullAnnouncement;
     json["periodMs"] = Json::Int64(message.period.count());
     return json;
 }
@@ -176,13 +176,13 @@
 announce_reply announceReplyFromJson(const Json::Value &json)
 {
     announce_reply message;
-    message.sequence = numberIn(json, "sequence");
-    message.knownIncarnation = numberIn(json, "knownIncarnation");
-    message.sendWhole = boolMember(json, "sendWhole");
+    message.sequence = unsignedMember(json, "sequence");
+    message.knownIncarnation = unsignedMember(json, "knownIncarnation");
+    message.needsFullAnnouncement = boolMember(json, "sendWhole");
     message.period = milliseconds(countMember(json, "periodMs"));
     if (json.isMember("refused")) {
-        message.refused = errorKindNamed(stringMember(json, "refused"));
-        if (!message.refused)
+        message.refusalKind = errorKindNamed(stringMember(json, "refused"));
+        if (!message.refusalKind)
             throw error(error_kind::BadRequest, "'refused' must be the name of an error kind");
     }
     return message;
@@ -191,31 +191,31 @@
 Json::Value toJson(const digest &message)
 {
     Json::Value json(Json::objectValue);
-    json["from"] = message.from;
-    json["incarnation"] = number(message.incarnation);
-    json["sequence"] = number(message.sequence);
-    json["since"] = number(message.since);
-    json["upTo"] = number(message.upTo);
+    json["from"] = message.senderId;
+    json["incarnation"] = toJsonNumber(message.incarnation);
+    json["sequence"] = toJsonNumber(message.sequence);
+    json["since"] = toJsonNumber(message.sinceVersion);
+    json["upTo"] = toJsonNumber(message.upToVersion);
     json["records"] = Json::Value(Json::arrayValue);
     for (const auto &record : message.records) {
         Json::Value item = toJson(record.upstream);
-        item["heard"] = record.heard;
-        json["records"].append(packed(item, RecordMembers));
+        item["heard"] = record.hasDirectHeartbeats;
+        json["records"].append(packValues(item, RecordMembers));
     }
-    return packed(json, DigestMembers);
+    return packValues(json, DigestMembers);
 }
 
 digest digestFromJson(const Json::Value &values)
 {
-    const Json::Value json = unpacked(values, DigestMembers, "a digest");
+    const Json::Value json = unpackValues(values, DigestMembers, "a digest");
     digest message;
-    message.from = idIn(json, "from");
-    message.incarnation = numberIn(json, "incarnation");
-    message.sequence = numberIn(json, "sequence");
-    message.since = numberIn(json, "since");
-    message.upTo = numberIn(json, "upTo");
+    message.senderId = idMember(json, "from");
+    message.incarnation = unsignedMember(json, "incarnation");
+    message.sequence = unsignedMember(json, "sequence");
+    message.sinceVersion = unsignedMember(json, "since");
+    message.upToVersion = unsignedMember(json, "upTo");
     for (const auto &record : arrayMember(json, "records")) {
-        const Json::Value item = unpacked(record, RecordMembers, "a record of a digest");
+        const Json::Value item = unpackValues(record, RecordMembers, "a record of a digest");
         message.records.push_back({announcementFromJson(item), boolMember(item, "heard")});
     }
     return message;
@@ -224,16 +224,17 @@
 Json::Value toJson(const digest_ack &message)
 {
     Json::Value json(Json::objectValue);
-    json["from"] = message.from;
-    json["incarnation"] = number(message.incarnation);
-    json["upTo"] = number(message.upTo);
-    return packed(json, AckMembers);
+    json["from"] = message.senderId;
+    json["incarnation"] = toJsonNumber(message.incarnation);
+    json["upTo"] = toJsonNumber(message.upToVersion);
+    return packValues(json, AckMembers);
 }
 
 digest_ack digestAckFromJson(const Json::Value &values)
 {
-    const Json::Value json = unpacked(values, AckMembers, "a digest's answer");
-    return {idIn(json, "from"), numberIn(json, "incarnation"), numberIn(json, "upTo")};
+    const Json::Value json = unpackValues(values, AckMembers, "a digest's answer");
+    return {idMember(json, "from"), unsignedMember(json, "incarnation"),
+            unsignedMember(json, "upTo")};
 }
 
 } // namespace zinniabarrow::request
--- a/libs/request/announcement.h
+++ b/libs/request/announcement.h
@@ -73,14 +73,14 @@
 };
 Json::Value toJson(const heartbeat &message); // an array, see announcement.cpp
 heartbeat heartbeatFromJson(const Json::Value &values);
-heartbeat heartbeatOf(const announcement &whole);
+heartbeat heartbeatOf(const announcement &full);
 
 struct announce_reply
 {
     std::uint64_t sequence = 0; // of the message that is answered
-    std::optional<error_kind> refused;
+    std::optional<error_kind> refusalKind;
     std::uint64_t knownIncarnation = 0; // the newest the entry has seen of this agent
-    bool sendWhole = false;             // the entry lacks the whole announcement
+    bool needsFullAnnouncement = false; // the entry lacks the whole announcement
     milliseconds period{};              // until the next heartbeat is due
 };
 Json::Value toJson(const announce_reply &message);
@@ -89,16 +89,16 @@
 struct digest_record
 {
     announcement upstream;
-    bool heard = false; // the sender hears this agent itself
+    bool hasDirectHeartbeats = false; // the sender hears this agent itself
 };
 
 struct digest
 {
-    std::string from;              // entry id
-    std::uint64_t incarnation = 0; // of the sending entry's process
-    std::uint64_t sequence = 0;    // within the incarnation
-    std::uint64_t since = 0;       // the receiver's last acknowledged version
-    std::uint64_t upTo = 0;        // version reached with these records
+    std::string senderId;           // entry id
+    std::uint64_t incarnation = 0;  // of the sending entry's process
+    std::uint64_t sequence = 0;     // within the incarnation
+    std::uint64_t sinceVersion = 0; // the receiver's last acknowledged version
+    std::uint64_t upToVersion = 0;  // version reached with these records
     std::vector<digest_record> records;
 };
 Json::Value toJson(const digest &message); // an array
@@ -106,9 +106,9 @@
 
 struct digest_ack
 {
-    std::string from;              // entry id of the receiver of the digest
+    std::string senderId;          // entry id of the receiver of the digest
     std::uint64_t incarnation = 0; // of the digest's sender, as the receiver saw it
-    std::uint64_t upTo = 0;        // version applied; lower than `since` asks for a resync
+    std::uint64_t upToVersion = 0; // version applied; lower than `since` asks for a resync
 };
 Json::Value toJson(const digest_ack &message); // an array
 digest_ack digestAckFromJson(const Json::Value &values);
--- a/libs/request/announcer.cpp
+++ b/libs/request/announcer.cpp
@@ -12,7 +12,7 @@
     , m_self(std::move(self))
 {
     for (const auto &entry : m_settings.entries)
-        m_listeners[entry].period = m_settings.firstPeriod;
+        m_targets[entry].period = m_settings.initialPeriod;
 }
 
 void announcer::setState(upstream_state state)
@@ -20,65 +20,67 @@
     if (m_self.state == upstream_state::Leaving || m_self.state == state)
         return;
     m_self.state = state;
-    forgetAnswers();
+    resetAcks();
 }
 
-void announcer::forgetAnswers()
+void announcer::resetAcks()
 {
-    for (auto &[entry, to] : m_listeners) {
-        to.knowsWhole = false;
-        to.wholeSince = m_self.sequence + 1;
-        to.nextAt = time_point{};
+    for (auto &[entry, target] : m_targets) {
+        target.isAnnouncementAcked = false;
+        target.ackableFromSequence = m_self.sequence + 1;
+        target.nextSendAt = time_point{};
     }
 }
 
 std::vector<std::string> announcer::targets() const
 {
-    return preferred(deaf());
+    return preferredTargets(unresponsiveEntries());
 }
 
-std::vector<std::string> announcer::preferred(const std::set<std::string> &unresponsive) const
+std::vector<std::string>
+announcer::preferredTargets(const std::set<std::string> &unresponsive) const
 {
     // Only a few entries hear the agent all the time, but one that is cut off from these must not
     // go on sending requests to an upstream that leaves: Leaving is told to all.
     if (m_self.state == upstream_state::Leaving
-        || m_settings.entries.size() <= m_settings.fewEntries) {
+        || m_settings.entries.size() <= m_settings.announceToAllUpTo) {
         return m_settings.entries;
     }
-    return announceTargets(m_self.agentId, m_settings.entries, m_settings.count, unresponsive);
+    return announceTargets(m_self.agentId, m_settings.entries, m_settings.targetCount,
+                           unresponsive);
 }
 
-std::set<std::string> announcer::deaf() const
+std::set<std::string> announcer::unresponsiveEntries() const
 {
     std::set<std::string> result;
-    for (const auto &[entry, to] : m_listeners) {
-        if (to.deaf)
+    for (const auto &[entry, target] : m_targets) {
+        if (target.isUnresponsive)
             result.insert(entry);
     }
     return result;
 }
 
-std::vector<announcer::send> announcer::tick(time_point now)
+std::vector<announcer::outgoing_message> announcer::tick(time_point now)
 {
-    std::vector<send> messages;
-    if (m_superseded)
+    std::vector<outgoing_message> messages;
+    if (m_isSuperseded)
         return messages;
-    for (auto &[entry, to] : m_listeners)
-        noteSilence(to, now);
+    for (auto &[entry, target] : m_targets)
+        checkUnresponsive(target, now);
     // A deaf entry is tried now and then beside those that stand in for it. In their place, two
     // dead entries that are tried in the same moment would leave the agent unheard.
-    const auto standing = targets();
-    std::set<std::string> due(standing.begin(), standing.end());
-    for (const auto &entry : preferred({}))
-        due.insert(entry);
-    for (auto &[entry, to] : m_listeners) {
-        if (!due.contains(entry)) {
-            to.everSent = false; // its silence from now on means nothing
+    const auto currentTargets = targets();
+    std::set<std::string> dueEntries(currentTargets.begin(), currentTargets.end());
+    for (const auto &entry : preferredTargets({}))
+        dueEntries.insert(entry);
+    for (auto &[entry, target] : m_targets) {
+        if (!dueEntries.contains(entry)) {
+            target.hasSent = false; // its silence from now on means nothing
             continue;
         }
-        const bool done = m_self.state == upstream_state::Leaving && to.knowsWhole;
-        if (to.nextAt <= now && !done)
-            messages.push_back(messageFor(entry, to, now));
+        const bool isDone = m_self.state == upstream_state::Leaving && target.isAnnouncementAcked;
+        if (target.nextSendAt <= now && !isDone)
+            messages.push_back(makeMessage(entry, target, now));
     }
     return messages;
 }
@@ -86,79 +88,84 @@
 // An entry that is gone answers nothing. If the agent kept to it, and the other entries that hear
 // the agent went too, a healthy upstream would leave routing everywhere. Heartbeats may go without
 // an answer and answers may be lost, so whole announcements, each of which is answered, go first.
-void announcer::noteSilence(listener &to, time_point now) const
+void announcer::checkUnresponsive(announce_target &target, time_point now) const
 {
-    if (!to.everSent || to.deaf || to.answeredAt + to.period * m_settings.askAfter > now)
+    if (!target.hasSent || target.isUnresponsive
+        || target.lastReplyAt + target.period * m_settings.requestReplyAfterPeriods > now)
         return;
-    if (to.knowsWhole)
-        to.nextAt = now;
-    to.knowsWhole = false;
-    to.deaf = to.answeredAt + to.period * m_settings.unansweredLimit <= now;
+    if (target.isAnnouncementAcked)
+        target.nextSendAt = now;
+    target.isAnnouncementAcked = false;
+    target.isUnresponsive =
+            target.lastReplyAt + target.period * m_settings.replaceAfterPeriods <= now;
 }
 
-announcer::send announcer::messageFor(const std::string &entry, listener &to, time_point now)
+announcer::outgoing_message announcer::makeMessage(const std::string &entry,
+                                                   announce_target &target, time_point now)
 {
     ++m_self.sequence;
-    if (!to.everSent) {
-        to.everSent = true;
-        to.answeredAt = now;
+    if (!target.hasSent) {
+        target.hasSent = true;
+        target.lastReplyAt = now;
     }
-    if (to.knowsWhole) {
-        to.nextAt = now + to.period;
+    if (target.isAnnouncementAcked) {
+        target.nextSendAt = now + target.period;
         return {entry, heartbeatOf(m_self)};
     }
-    to.nextAt = now + (to.deaf ? m_settings.tryAgainAfter : m_settings.repeatWhole);
+    target.nextSendAt = now
+                        + (target.isUnresponsive ? m_settings.unresponsiveRetryInterval
+                                                 : m_settings.announcementRetryInterval);
     return {entry, m_self};
 }
 
-void announcer::answered(const std::string &entry, const announce_reply &reply, time_point now)
+void announcer::handleReply(const std::string &entry, const announce_reply &reply, time_point now)
 {
-    const auto found = m_listeners.find(entry);
-    if (found == m_listeners.end())
+    const auto found = m_targets.find(entry);
+    if (found == m_targets.end())
         return;
-    auto &to = found->second;
-    to.answeredAt = now;
-    to.deaf = false;
+    auto &target = found->second;
+    target.lastReplyAt = now;
+    target.isUnresponsive = false;
     if (reply.period.count() > 0)
-        to.period = reply.period;
-    if (reply.refused == error_kind::StaleIncarnation) {
+        target.period = reply.period;
+    if (reply.refusalKind == error_kind::StaleIncarnation) {
         // Before the first acceptance the clock may have stepped back since an earlier process:
         // step over what the entries remember. Afterwards it is this process that is the old one
         // (it was paused and has been replaced): to outbid its successor would have two agents
         // take turns on one worker.
-        if (!m_accepted && reply.knownIncarnation >= m_self.incarnation) {
+        if (!m_wasAccepted && reply.knownIncarnation >= m_self.incarnation) {
             m_self.incarnation = reply.knownIncarnation + 1;
-            forgetAnswers();
+            resetAcks();
         } else if (reply.knownIncarnation > m_self.incarnation) {
-            m_superseded = true;
+            m_isSuperseded = true;
         }
         return;
     }
-    if (reply.refused) {
-        to.nextAt = now + to.period;
+    if (reply.refusalKind) {
+        target.nextSendAt = now + target.period;
         return;
     }
     if (reply.knownIncarnation != m_self.incarnation)
         return;
-    if (reply.sendWhole) {
-        to.knowsWhole = false;
-        to.nextAt = now;
+    if (reply.needsFullAnnouncement) {
+        target.isAnnouncementAcked = false;
+        target.nextSendAt = now;
         return;
     }
-    m_accepted = true;
+    m_wasAccepted = true;
     // The answer to an earlier message does not show that the entry knows of the Leaving: it would
     // not be repeated, and the entry would go on sending requests.
-    if (to.knowsWhole || reply.sequence < to.wholeSince)
+    if (target.isAnnouncementAcked || reply.sequence < target.ackableFromSequence)
         return;
-    to.knowsWhole = true;
-    to.nextAt = now + to.period;
+    target.isAnnouncementAcked = true;
+    target.nextSendAt = now + target.period;
 }
 
-bool announcer::leftEverywhere() const
+bool announcer::isLeaveComplete() const
 {
     return m_self.state == upstream_state::Leaving
-           && std::all_of(m_listeners.begin(), m_listeners.end(), [&](const auto &item) {
-                  return item.second.knowsWhole || item.second.deaf;
+           && std::all_of(m_targets.begin(), m_targets.end(), [&](const auto &item) {
+                  return item.second.isAnnouncementAcked || item.second.isUnresponsive;
               });
 }
 
--- a/libs/request/latency_window.cpp
+++ b/libs/request/latency_window.cpp
@@ -5,27 +5,29 @@
 
 namespace zinniabarrow::request {
 
-void latency_window::add(duration took, time_point endedAt)
+void latency_window::add(duration latency, time_point endedAt)
 {
-    m_answers.push_back({took, endedAt});
+    m_answers.push_back({latency, endedAt});
 }
 
 std::optional<latency_reading> latency_window::read(time_point now) const
 {
-    std::vector<duration> times;
-    duration age{0};
-    for (const auto &[took, endedAt] : m_answers) {
-        if (endedAt + m_length < now)
+    std::vector<duration> latencies;
+    duration totalAge{0};
+    for (const auto &[latency, endedAt] : m_answers) {
+        if (endedAt + m_windowLength < now)
             continue;
-        times.push_back(took);
-        age += now - endedAt + took / 2;
+        latencies.push_back(latency);
+        totalAge += now - endedAt + latency / 2;
     }
-    if (times.empty())
+    if (latencies.empty())
         return std::nullopt;
-    const auto tail = times.begin() + static_cast<std::ptrdiff_t>(times.size() * 99 / 100);
-    std::nth_element(times.begin(), tail, times.end());
-    const auto count = static_cast<duration::rep>(times.size());
-    return latency_reading{std::chrono::duration_cast<microseconds>(*tail), now - age / count};
+    const auto p99Position =
+            latencies.begin() + static_cast<std::ptrdiff_t>(latencies.size() * 99 / 100);
+    std::nth_element(latencies.begin(), p99Position, latencies.end());
+    const auto count = static_cast<duration::rep>(latencies.size());
+    return latency_reading{std::chrono::duration_cast<microseconds>(*p99Position),
+                           now - totalAge / count};
 }
 
 } // namespace zinniabarrow::request
--- a/libs/request/latency_window.h
+++ b/libs/request/latency_window.h
@@ -22,24 +22,24 @@
 {
 public:
     explicit latency_window(duration length)
-        : m_length(length)
-        , m_answers(MostAnswers)
+        : m_windowLength(length)
+        , m_answers(MaxAnswers)
     { }
 
-    void add(duration took, time_point endedAt);
+    void add(duration latency, time_point endedAt);
     // Absent without an answer in the window: that says nothing about the service.
     std::optional<latency_reading> read(time_point now) const;
 
 private:
-    static constexpr std::size_t MostAnswers = 1024; // the newest
+    static constexpr std::size_t MaxAnswers = 1024; // the newest
 
     struct answer
     {
-        duration took;
+        duration latency;
         time_point endedAt;
     };
 
-    duration m_length;
+    duration m_windowLength;
     boost::circular_buffer<answer> m_answers; // oldest first
 };
 
--- a/libs/request/membership.h
+++ b/libs/request/membership.h
@@ -25,22 +25,23 @@
 
 struct membership_settings
 {
-    std::string entryId;                      // of this entry
-    std::uint64_t incarnation = 0;            // of this process, newer ones are higher
-    milliseconds shortestPeriod{1000};        // between heartbeats, when agents are few
-    milliseconds longestPeriod{15 * 1000};    // between heartbeats, when they are many
-    int announceBytes = 105;                  // of one heartbeat and its part of an answer, as sent
-    int announceBytesPerSecond = 1300;        // share of the control budget
-    int missedPeriods = 3;                    // without a heartbeat, until an agent is silent
-    milliseconds shortestDigestPeriod{1000};  // between digests to a peer without news
-    int digestBytes = 80;                     // of one digest without news, as sent
-    int digestBytesPerSecond = 500;           // share of the control budget, both directions
-    int rehomePeriods = 10;                   // that agents need to find another entry
-    int missedDigests = 3;                    // until a peer's word counts no more
-    milliseconds rememberFor{10 * 60 * 1000}; // upstreams that are gone, to know late messages
-    std::size_t memberLimit = 4096;           // remembered ones included
-    std::size_t peerLimit = 64;
-    std::size_t recordsPerDigest = 16; // bound on one digest; the rest follows
+    std::string entryId;                // of this entry
+    std::uint64_t incarnation = 0;      // of this process, newer ones are higher
+    milliseconds minPeriod{1000};       // between heartbeats, when agents are few
+    milliseconds maxPeriod{15 * 1000};  // between heartbeats, when they are many
+    int heartbeatBytes = 105;           // of one heartbeat and its part of an answer, as sent
+    int heartbeatBytesPerSecond = 1300; // share of the control budget
+    int missedHeartbeatLimit = 3;       // without a heartbeat, until an agent is silent
+    milliseconds minDigestPeriod{1000}; // between digests to a peer without news
+    int digestBytes = 80;               // of one digest without news, as sent
+    int digestBytesPerSecond = 500;     // share of the control budget, both directions
+    int reannouncePeriods = 10;         // that agents need to find another entry
+    int missedDigestLimit = 3;          // until a peer's word counts no more
+    milliseconds departedRetention{10 * 60
+                                   * 1000}; // upstreams that are gone, to know late messages
+    std::size_t maxMembers = 4096;          // remembered ones included
+    std::size_t maxPeers = 64;
+    std::size_t maxDigestRecords = 16; // bound on one digest; the rest follows
 };
 
 struct upstream_joined
@@ -75,7 +76,7 @@
 struct announce_outcome
 {
     announce_reply reply;
-    bool replyDue = true; // false: the agent would learn nothing new, no answer is needed
+    bool shouldReply = true; // false: the agent would learn nothing new, no answer is needed
     std::vector<membership_change> changes;
 };
 
@@ -87,10 +88,10 @@
 
 struct membership_counters
 {
-    std::uint64_t accepted = 0;  // announcements and heartbeats
-    std::uint64_t late = 0;      // old incarnation or sequence
-    std::uint64_t overLimit = 0; // refused for the bound on members or peers
-    std::uint64_t lateDigests = 0;
+    std::uint64_t accepted = 0;      // announcements and heartbeats
+    std::uint64_t staleMessages = 0; // old incarnation or sequence
+    std::uint64_t overLimit = 0;     // refused for the bound on members or peers
+    std::uint64_t staleDigests = 0;
     std::uint64_t resyncs = 0; // peers that had to start from the beginning
     std::map<leave_reason, std::uint64_t> left;
 };
@@ -100,10 +101,10 @@
 public:
     explicit membership(membership_settings settings);
 
-    announce_outcome heard(const announcement &message, time_point now);
-    announce_outcome heard(const heartbeat &message, time_point now);
-    digest_outcome heard(const digest &message, time_point now);
-    void heard(const digest_ack &message);
+    announce_outcome handleMessage(const announcement &message, time_point now);
+    announce_outcome handleMessage(const heartbeat &message, time_point now);
+    digest_outcome handleMessage(const digest &message, time_point now);
+    void handleMessage(const digest_ack &message);
 
     // What went silent meanwhile. Call it several times in the shortest period.
     std::vector<membership_change> tick(time_point now);
@@ -114,59 +115,59 @@
     // Between digests to a peer without news; by the number of peers.
     milliseconds digestPeriod() const;
 
-    std::vector<announcement> routable() const;
-    std::vector<announcement> known() const; // silent and left ones included
+    std::vector<announcement> routableUpstreams() const;
+    std::vector<announcement> knownUpstreams() const; // silent and left ones included
     std::size_t size() const { return m_members.size(); }
     const membership_counters &counters() const { return m_counters; }
 
 private:
     struct member
     {
-        announcement last;
-        time_point heardAt{};           // directly, by this entry
-        milliseconds period{};          // promised to the agent
-        duration interval{};            // between its last two heartbeats
-        int unanswered = 0;             // heartbeats since the last answer
-        bool heard = false;             // directly, and not silent since
-        bool everHeard = false;         // directly, in this incarnation
-        std::set<std::string> vouchers; // peers that hear it
-        std::uint64_t version = 0;      // of this entry's table, at the last change
-        bool isRoutable = false;        // as last told to the router
-        time_point goneAt = Never;      // since when nobody hears it or it is leaving
+        announcement lastMessage;
+        time_point lastHeartbeatAt{};          // directly, by this entry
+        milliseconds period{};                 // promised to the agent
+        duration lastInterval{};               // between its last two heartbeats
+        int unansweredHeartbeats = 0;          // heartbeats since the last answer
+        bool hasDirectHeartbeats = false;      // directly, and not silent since
+        bool hadDirectHeartbeat = false;       // directly, in this incarnation
+        std::set<std::string> monitoringPeers; // peers that hear it
+        std::uint64_t version = 0;             // of this entry's table, at the last change
+        bool isRoutable = false;               // as last told to the router
+        time_point departedAt = Never;         // since when nobody hears it or it is leaving
     };
     struct peer
     {
         std::uint64_t incarnation = 0;
-        std::uint64_t sequence = 0; // of its last digest
-        std::uint64_t applied = 0;  // version of its table that is applied here
-        time_point heardAt{};
-        bool everHeard = false;
-        std::uint64_t acked = 0; // version of this table that it has applied
-        std::uint64_t sent = 0;  // version last sent
-        time_point sentAt{};
-        bool everSent = false;
+        std::uint64_t sequence = 0;       // of its last digest
+        std::uint64_t appliedVersion = 0; // version of its table that is applied here
+        time_point lastDigestAt{};
+        bool hasReceivedDigest = false;
+        std::uint64_t ackedVersion = 0; // version of this table that it has applied
+        std::uint64_t sentVersion = 0;  // version last sent
+        time_point digestSentAt{};
+        bool hasSent = false;
     };
     using changes = std::vector<membership_change>;
 
-    member *memberFor(const announcement &message);
-    bool isLate(const member &known, const announcement &message) const;
-    void adopt(member &known, const announcement &message, changes &out);
-    void noteHeard(member &known, time_point now);
+    member *findOrAddMember(const announcement &message);
+    bool isStale(const member &known, const announcement &message) const;
+    void applyAnnouncement(member &known, const announcement &message, changes &out);
+    void recordHeartbeat(member &known, time_point now);
     void applyRecord(const digest_record &record, const std::string &from, changes &out,
                      time_point now);
-    void evaluate(member &known, changes &out, time_point now);
-    bool isVouched(const member &known, time_point now) const;
-    bool isShared(const member &known) const;
-    bool makeRoom();
-    peer *peerNamed(const std::string &id);
-    void forgetVouchesOf(const std::string &peerId);
-    announce_outcome accept(const announcement &message, bool whole, time_point now);
-    announce_outcome refusal(error_kind kind, const announcement &message);
-    void forgetGone(time_point now);
+    void updateRoutability(member &known, changes &out, time_point now);
+    bool isMonitoredByPeer(const member &known, time_point now) const;
+    bool shouldShare(const member &known) const;
+    bool evictOldestDeparted();
+    peer *findOrAddPeer(const std::string &id);
+    void removeMonitoringPeer(const std::string &peerId);
+    announce_outcome acceptMessage(const announcement &message, bool isFull, time_point now);
+    announce_outcome makeRefusal(error_kind kind, const announcement &message);
+    void removeDeparted(time_point now);
     milliseconds grantedPeriod() const;
-    duration silentAfter(const member &known) const;
-    duration peerSilentAfter() const;
-    void touch(member &known) { known.version = ++m_version; }
+    duration heartbeatTimeout(const member &known) const;
+    duration peerTimeout() const;
+    void bumpVersion(member &known) { known.version = ++m_version; }
 
     membership_settings m_settings;
     membership_counters m_counters;
@@ -174,8 +175,8 @@
     std::map<std::string, peer> m_peers;     // by entry id
     std::uint64_t m_version = 0;
     std::uint64_t m_digestSequence = 0;
-    std::size_t m_heardDirectly = 0;
-    bool m_acknowledged = false; // by any peer, in this incarnation
+    std::size_t m_directMemberCount = 0;
+    bool m_wasAcknowledged = false; // by any peer, in this incarnation
 };
 
 // The entries that `agentId` announces to: all of them when there are at most `count`, else the
--- a/libs/request/retry_budget.cpp
+++ b/libs/request/retry_budget.cpp
@@ -10,7 +10,7 @@
 
 constexpr name_table<retry_denial, 5> DenialNames{{
         {retry_denial::MayHaveRun, "may_have_run"},
-        {retry_denial::NoUse, "no_use"},
+        {retry_denial::SameElsewhere, "no_use"},
         {retry_denial::NoTimeLeft, "no_time_left"},
         {retry_denial::AttemptLimit, "attempt_limit"},
         {retry_denial::BudgetSpent, "budget_spent"},
@@ -25,20 +25,20 @@
 
 retry_budget::retry_budget(retry_budget_settings settings, time_point now)
     : m_settings(settings)
-    , m_tokens(settings.floorPerSecond)
-    , m_floorAt(now)
+    , m_tokens(settings.minRetriesPerSecond)
+    , m_floorAddedAt(now)
 { }
 
 void retry_budget::requestStarted(time_point now)
 {
     ++m_counters.requests;
-    earnFloor(now);
-    earn(m_settings.share);
+    addFloorTokens(now);
+    addTokens(m_settings.retriesPerRequest);
 }
 
-retry_verdict retry_budget::mayRetry(const failed_attempt &failed, time_point now)
+retry_verdict retry_budget::requestRetry(const failed_attempt &failed, time_point now)
 {
-    earnFloor(now);
+    addFloorTokens(now);
     const auto denial = denialOf(failed, now);
     if (!denial) {
         m_tokens -= 1.0;
@@ -46,8 +46,8 @@
         return retry_now{};
     }
     ++m_counters.denied[*denial];
-    const bool spent = *denial == retry_denial::BudgetSpent;
-    return give_up{*denial, spent ? error_kind::RetryBudgetSpent : failed.kind};
+    const bool isBudgetSpent = *denial == retry_denial::BudgetSpent;
+    return give_up{*denial, isBudgetSpent ? error_kind::RetryBudgetSpent : failed.kind};
 }
 
 std::optional<retry_denial> retry_budget::denialOf(const failed_attempt &failed,
@@ -57,10 +57,10 @@
     if (answer.ran != executed::No)
         return retry_denial::MayHaveRun;
     if (!answer.retryElsewhere)
-        return retry_denial::NoUse;
+        return retry_denial::SameElsewhere;
     if (now + failed.expectedTime >= failed.deadline)
         return retry_denial::NoTimeLeft;
-    if (failed.attempts >= m_settings.attemptLimit)
+    if (failed.attempts >= m_settings.maxAttempts)
         return retry_denial::AttemptLimit;
     // When every upstream fails, unlimited retries multiply the load by the attempt limit and keep
     // the upstreams down. Retries bounded by a share of the requests add at most that share.
@@ -69,18 +69,18 @@
     return std::nullopt;
 }
 
-void retry_budget::earn(double tokens)
+void retry_budget::addTokens(double tokens)
 {
-    m_tokens = std::min(m_tokens + tokens, m_settings.burst);
+    m_tokens = std::min(m_tokens + tokens, m_settings.maxSavedRetries);
 }
 
-void retry_budget::earnFloor(time_point now)
+void retry_budget::addFloorTokens(time_point now)
 {
-    if (now <= m_floorAt)
+    if (now <= m_floorAddedAt)
         return;
-    const std::chrono::duration<double> passed = now - m_floorAt;
-    earn(passed.count() * m_settings.floorPerSecond);
-    m_floorAt = now;
+    const std::chrono::duration<double> passed = now - m_floorAddedAt;
+    addTokens(passed.count() * m_settings.minRetriesPerSecond);
+    m_floorAddedAt = now;
 }
 
 } // namespace zinniabarrow::request
--- a/libs/request/retry_budget.h
+++ b/libs/request/retry_budget.h
@@ -18,19 +18,19 @@
 
 struct retry_budget_settings
 {
-    double share = 0.1;          // retries earned by each request
-    double floorPerSecond = 1.0; // retries earned with no traffic at all
-    double burst = 20.0;         // retries that can be saved up
-    int attemptLimit = 3;        // attempts for one request, the first included
+    double retriesPerRequest = 0.1;   // retries earned by each request
+    double minRetriesPerSecond = 1.0; // retries earned with no traffic at all
+    double maxSavedRetries = 20.0;    // retries that can be saved up
+    int maxAttempts = 3;              // attempts for one request, the first included
 };
 
 // Why an attempt is not repeated.
 enum class retry_denial {
-    MayHaveRun,   // the first try is not known not to have run
-    NoUse,        // it did not run, and another upstream would say the same
-    NoTimeLeft,   // another attempt could not end before the deadline
-    AttemptLimit, // this request has had its attempts
-    BudgetSpent,  // too many retries among the recent requests
+    MayHaveRun,    // the first try is not known not to have run
+    SameElsewhere, // it did not run, and another upstream would say the same
+    NoTimeLeft,    // another attempt could not end before the deadline
+    AttemptLimit,  // this request has had its attempts
+    BudgetSpent,   // too many retries among the recent requests
 };
 std::string_view nameOf(retry_denial denial);
 
@@ -38,7 +38,7 @@
 { };
 struct give_up
 {
-    retry_denial why = retry_denial::MayHaveRun;
+    retry_denial denialReason = retry_denial::MayHaveRun;
     error_kind kind = error_kind::Internal; // what to answer
 };
 using retry_verdict = std::variant<retry_now, give_up>;
@@ -67,20 +67,20 @@
     void requestStarted(time_point now);
 
     // Takes one retry out of the budget when the answer is retry_now.
-    retry_verdict mayRetry(const failed_attempt &failed, time_point now);
+    retry_verdict requestRetry(const failed_attempt &failed, time_point now);
 
-    double available() const { return m_tokens; }
+    double availableRetries() const { return m_tokens; }
     const retry_counters &counters() const { return m_counters; }
 
 private:
     std::optional<retry_denial> denialOf(const failed_attempt &failed, time_point now) const;
-    void earn(double tokens);
-    void earnFloor(time_point now);
+    void addTokens(double tokens);
+    void addFloorTokens(time_point now);
 
     retry_budget_settings m_settings;
     retry_counters m_counters;
     double m_tokens;
-    time_point m_floorAt; // floor earned up to here
+    time_point m_floorAddedAt; // floor earned up to here
 };
 
 } // namespace zinniabarrow::request
