--- a/libs/request/router.cpp
+++ b/libs/request/router.cpp
@@ -53,30 +53,30 @@
     const bool first = m_byService[about.service].empty();
     auto &joined = m_upstreams[about.agentId];
     joined = upstream{};
-    joined.about = about;
-    joined.where = localityOf(about);
-    joined.serviceTime = m_settings.firstServiceTime;
-    joined.usualOthers = about.load.inFlight + about.load.queued;
+    joined.announced = about;
+    joined.proximity = localityOf(about);
+    joined.serviceTime = m_settings.initialServiceTime;
+    joined.averageOthersLoad = about.load.inFlight + about.load.queued;
     // With nobody there to compare with, there is no share to start slowly from.
-    joined.warmSince = first ? now - m_settings.slowStart : now;
-    noteLoad(joined, about.load, now);
+    joined.slowStartedAt = first ? now - m_settings.slowStartTime : now;
+    recordLoad(joined, about.load, now);
     m_byService[about.service].insert(about.agentId);
 }
 
 void router::on(const upstream_left &change, time_point)
 {
     const auto found = m_upstreams.find(change.agentId);
-    if (found == m_upstreams.end() || found->second.about.incarnation != change.incarnation)
+    if (found == m_upstreams.end() || found->second.announced.incarnation != change.incarnation)
         return;
-    m_byService[found->second.about.service].erase(change.agentId);
+    m_byService[found->second.announced.service].erase(change.agentId);
     m_upstreams.erase(found);
 }
 
 void router::on(const upstream_reported &change, time_point now)
 {
     if (upstream *known = find(change.agentId, change.incarnation)) {
-        known->leaving = false;
-        noteLoad(*known, change.load, now);
+        known->isLeaving = false;
+        recordLoad(*known, change.load, now);
     }
 }
 
@@ -90,7 +90,7 @@
 router::upstream *router::find(const std::string &agentId, std::uint64_t incarnation)
 {
     const auto found = m_upstreams.find(agentId);
-    if (found == m_upstreams.end() || found->second.about.incarnation != incarnation)
+    if (found == m_upstreams.end() || found->second.announced.incarnation != incarnation)
         return nullptr;
     return &found->second;
 }
@@ -99,34 +99,35 @@
                                 time_point now)
 {
     bool anyBackingOff = false;
-    const auto all = eligible(service, excluded, now, anyBackingOff);
+    const auto all = eligibleUpstreams(service, excluded, now, anyBackingOff);
     if (all.empty())
-        return refusal(anyBackingOff ? error_kind::Overloaded : error_kind::NoUpstream);
+        return makeRefusal(anyBackingOff ? error_kind::Overloaded : error_kind::NoUpstream);
     upstream *chosen = nullptr;
     for (const auto where : {locality::OwnZone, locality::OwnRegion, locality::OtherRegion}) {
-        candidates near;
+        candidates sameLocality;
         for (upstream *candidate : all) {
-            if (candidate->where == where)
-                near.push_back(candidate);
+            if (candidate->proximity == where)
+                sameLocality.push_back(candidate);
         }
-        if (near.empty())
+        if (sameLocality.empty())
             continue;
-        upstream *best = pick(service, near, now);
+        upstream *best = pick(service, sameLocality, now);
         // A zone further away is taken only when it is less loaded: else two full zones would
         // send each other their requests, and each would pay the way for nothing.
-        if (!chosen || knownLoad(*best, now) < knownLoad(*chosen, now))
+        if (!chosen || estimatedLoad(*best, now) < estimatedLoad(*chosen, now))
             chosen = best;
-        if (knownLoad(*chosen, now) <= m_settings.spillAt)
+        if (estimatedLoad(*chosen, now) <= m_settings.spillAboveLoad)
             break;
     }
     countChoice(*chosen);
-    return route{chosen->about.agentId, chosen->about.address, chosen->about.incarnation};
+    return route{chosen->announced.agentId, chosen->announced.address,
+                 chosen->announced.incarnation};
 }
 
 // The upstreams that may be taken now.
-router::candidates router::eligible(const std::string &service,
-                                    const std::set<std::string> &excluded, time_point now,
-                                    bool &anyBackingOff)
+router::candidates router::eligibleUpstreams(const std::string &service,
+                                             const std::set<std::string> &excluded, time_point now,
+                                             bool &anyBackingOff)
 {
     candidates result;
     const auto ids = m_byService.find(service);
@@ -134,13 +135,13 @@
         return result;
     for (const auto &id : ids->second) {
         auto &candidate = m_upstreams.at(id);
-        if (excluded.contains(id) || candidate.leaving)
+        if (excluded.contains(id) || candidate.isLeaving)
             continue;
         if (candidate.state == health::Ejected && candidate.ejectedUntil <= now)
             candidate.state = health::Probing;
         // After the cool-down one attempt at a time shows whether the upstream has recovered.
-        const bool probed = candidate.state == health::Probing && candidate.own > 0;
-        if (candidate.state == health::Ejected || probed)
+        const bool isProbeRunning = candidate.state == health::Probing && candidate.ownAttempts > 0;
+        if (candidate.state == health::Ejected || isProbeRunning)
             continue;
         if (candidate.backOffUntil > now) {
             anyBackingOff = true;
@@ -165,17 +166,17 @@
         return from[first];
     std::size_t second = pickIndex(m_random, from.size() - 1);
     second += second >= first ? 1 : 0;
-    return knownLoad(*from[second], now) < knownLoad(*from[first], now) ? from[second]
-                                                                        : from[first];
+    return estimatedLoad(*from[second], now) < estimatedLoad(*from[first], now) ? from[second]
+                                                                                : from[first];
 }
 
 router::upstream *router::pickBy(round_robin, const std::string &service, const candidates &from,
                                  time_point now)
 {
-    auto &turn = m_turns[service];
+    auto &turn = m_nextTurn[service];
     for (std::size_t tries = 0; tries < from.size(); ++tries) {
         upstream *next = from[turn++ % from.size()];
-        if (pickUnit(m_random) < share(*next, now))
+        if (pickUnit(m_random) < slowStartFactor(*next, now))
             return next;
     }
     return from[turn++ % from.size()];
@@ -189,7 +190,7 @@
     upstream *best = from[offset];
     for (std::size_t i = 1; i < from.size(); ++i) {
         upstream *other = from[(offset + i) % from.size()];
-        if (knownLoad(*other, now) < knownLoad(*best, now))
+        if (estimatedLoad(*other, now) < estimatedLoad(*best, now))
             best = other;
     }
     return best;
@@ -197,13 +198,13 @@
 
 // The part of a full share that a newcomer gets. A cold upstream that looked idle would draw every
 // request of every entry at once.
-double router::share(const upstream &of, time_point now) const
+double router::slowStartFactor(const upstream &target, time_point now) const
 {
-    const std::chrono::duration<double> warm = now - of.warmSince;
-    const std::chrono::duration<double> needed = m_settings.slowStart;
-    if (warm >= needed)
+    const std::chrono::duration<double> elapsed = now - target.slowStartedAt;
+    const std::chrono::duration<double> needed = m_settings.slowStartTime;
+    if (elapsed >= needed)
         return 1.0;
-    const double progress = warm / needed;
+    const double progress = elapsed / needed;
     return m_settings.slowStartShare + (1.0 - m_settings.slowStartShare) * progress;
 }
 
@@ -211,24 +212,25 @@
 // date, and then the upstream's usual load says more. With a longer life, or with nothing in place
 // of an old report, all entries run after the upstream that last reported little, together, until
 // it refuses and the next one is overrun.
-double router::othersLoad(const upstream &of, time_point now) const
+double router::estimatedOthersLoad(const upstream &target, time_point now) const
 {
-    const std::chrono::duration<double> age = now - of.reportedAt;
-    const std::chrono::duration<double> halfLife = of.serviceTime;
-    return of.usualOthers + (of.others - of.usualOthers) * std::exp2(-age / halfLife);
+    const std::chrono::duration<double> age = now - target.reportedAt;
+    const std::chrono::duration<double> halfLife = target.serviceTime;
+    return target.averageOthersLoad
+           + (target.reportedOthersLoad - target.averageOthersLoad) * std::exp2(-age / halfLife);
 }
 
 // Requests for each slot with one more there, as far as this entry knows.
-double router::knownLoad(const upstream &of, time_point now) const
+double router::estimatedLoad(const upstream &target, time_point now) const
 {
-    const double slots = std::max(1, of.about.slots) * share(of, now);
-    return (of.own + othersLoad(of, now) + 1.0) / slots;
+    const double slots = std::max(1, target.announced.slots) * slowStartFactor(target, now);
+    return (target.ownAttempts + estimatedOthersLoad(target, now) + 1.0) / slots;
 }
 
 void router::attemptStarted(const route &to, time_point)
 {
     if (upstream *known = find(to.agentId, to.incarnation))
-        ++known->own;
+        ++known->ownAttempts;
 }
 
 void router::attemptEnded(const attempt_ended &attempt, time_point now)
@@ -237,90 +239,93 @@
     upstream *known = find(attempt.upstream.agentId, attempt.upstream.incarnation);
     if (!known)
         return;
-    known->own = std::max(0, known->own - 1);
+    known->ownAttempts = std::max(0, known->ownAttempts - 1);
     if (attempt.load)
-        noteLoad(*known, *attempt.load, now);
+        recordLoad(*known, *attempt.load, now);
     switch (attempt.outcome) {
     case attempt_outcome::Answered: {
-        auto &latency = m_latency[known->about.service];
+        auto &latency = m_averageLatency[known->announced.service];
         latency += (attempt.latency - latency) / (latency.count() == 0 ? 1 : LatencySmoothing);
-        noteSuccess(*known, now);
+        recordSuccess(*known, now);
         break;
     }
     case attempt_outcome::Refused:
-        noteSuccess(*known, now);
-        known->backOffUntil = now + std::min(attempt.retryAfter, m_settings.longestBackOff);
+        recordSuccess(*known, now);
+        known->backOffUntil = now + std::min(attempt.retryAfter, m_settings.maxBackoff);
         break;
     case attempt_outcome::Leaving:
-        known->leaving = true;
+        known->isLeaving = true;
         break;
     case attempt_outcome::Failed:
-        noteFailure(*known, now);
+        recordFailure(*known, now);
         break;
     }
 }
 
-void router::noteLoad(upstream &of, const upstream_load &load, time_point now)
+void router::recordLoad(upstream &target, const upstream_load &load, time_point now)
 {
-    of.others = std::max(0, load.inFlight + load.queued - of.own);
-    of.usualOthers += (of.others - of.usualOthers) / LoadSmoothing;
-    of.reportedAt = now;
+    target.reportedOthersLoad = std::max(0, load.inFlight + load.queued - target.ownAttempts);
+    target.averageOthersLoad +=
+            (target.reportedOthersLoad - target.averageOthersLoad) / LoadSmoothing;
+    target.reportedAt = now;
     if (load.latency.count() > 0)
-        of.serviceTime = load.latency;
+        target.serviceTime = load.latency;
 }
 
-void router::noteFailure(upstream &of, time_point now)
+void router::recordFailure(upstream &target, time_point now)
 {
-    ++of.failures;
-    if (of.state == health::Probing)
-        return eject(of, now);
-    if (of.state == health::Ejected || of.failures < m_settings.failuresToEject)
+    ++target.consecutiveFailures;
+    if (target.state == health::Probing)
+        return eject(target, now);
+    if (target.state == health::Ejected
+        || target.consecutiveFailures < m_settings.ejectAfterFailures)
         return;
-    if (!mayEject(of.about.service)) {
+    if (!canEject(target.announced.service)) {
         ++m_counters.ejectionsCapped;
         return;
     }
-    eject(of, now);
+    eject(target, now);
 }
 
-void router::noteSuccess(upstream &of, time_point now)
+void router::recordSuccess(upstream &target, time_point now)
 {
-    of.failures = 0;
-    if (of.state != health::Probing)
+    target.consecutiveFailures = 0;
+    if (target.state != health::Probing)
         return;
-    of.state = health::Admitted;
-    of.ejections = 0;
-    of.warmSince = now;
+    target.state = health::Admitted;
+    target.consecutiveEjections = 0;
+    target.slowStartedAt = now;
     ++m_counters.readmitted;
 }
 
 // Without the cap, a fault of the entry's own network would eject everyone, and the few that were
 // left would be overrun by the traffic of all.
-bool router::mayEject(const std::string &service) const
+bool router::canEject(const std::string &service) const
 {
-    const int all = upstreams(service);
-    const int share = static_cast<int>(all * m_settings.ejectedShare);
+    const int all = upstreamCount(service);
+    const int share = static_cast<int>(all * m_settings.maxEjectedShare);
     const int limit = all > 1 ? std::max(share, 1) : 0;
-    return ejected(service) < limit;
+    return ejectedCount(service) < limit;
 }
 
-void router::eject(upstream &of, time_point now)
+void router::eject(upstream &target, time_point now)
 {
     constexpr int LargestShift = 10;
-    const auto coolDown = m_settings.coolDown * (1 << std::min(of.ejections, LargestShift));
-    of.ejectedUntil = now + std::min<duration>(coolDown, m_settings.longestCoolDown);
-    of.state = health::Ejected;
-    ++of.ejections;
+    const auto coolDown =
+            m_settings.initialCoolDown * (1 << std::min(target.consecutiveEjections, LargestShift));
+    target.ejectedUntil = now + std::min<duration>(coolDown, m_settings.maxCoolDown);
+    target.state = health::Ejected;
+    ++target.consecutiveEjections;
     ++m_counters.ejected;
 }
 
-int router::upstreams(const std::string &service) const
+int router::upstreamCount(const std::string &service) const
 {
     const auto found = m_byService.find(service);
     return found == m_byService.end() ? 0 : static_cast<int>(found->second.size());
 }
 
-int router::ejected(const std::string &service) const
+int router::ejectedCount(const std::string &service) const
 {
     const auto found = m_byService.find(service);
     if (found == m_byService.end())
@@ -333,13 +338,13 @@
 
 duration router::expectedLatency(const std::string &service) const
 {
-    const auto found = m_latency.find(service);
-    return found == m_latency.end() ? duration{} : found->second;
+    const auto found = m_averageLatency.find(service);
+    return found == m_averageLatency.end() ? duration{} : found->second;
 }
 
 void router::countChoice(const upstream &chosen)
 {
-    switch (chosen.where) {
+    switch (chosen.proximity) {
     case locality::OwnZone:
         ++m_counters.ownZone;
         break;
@@ -352,7 +357,7 @@
     }
 }
 
-routing_decision router::refusal(error_kind kind)
+routing_decision router::makeRefusal(error_kind kind)
 {
     ++m_counters.refused[kind];
     return kind;
--- a/libs/request/router.h
+++ b/libs/request/router.h
@@ -24,17 +24,18 @@
 
 struct router_settings
 {
-    std::string zone;                  // of this entry
-    std::string region;                // of this entry
-    double spillAt = 1.0;              // known load for each slot above which other zones are asked
-    milliseconds firstServiceTime{20}; // until an upstream reports one
-    milliseconds slowStart{10 * 1000}; // until a newcomer gets its whole share
-    double slowStartShare = 0.1;       // at the start
-    int failuresToEject = 5;           // in a row
-    double ejectedShare = 0.3; // at most, of a service's upstreams; one may be out if there are two
-    milliseconds coolDown{2000}; // of the first ejection, doubled by each further one
-    milliseconds longestCoolDown{60 * 1000};
-    milliseconds longestBackOff{20}; // after an upstream refused for its load
+    std::string zone;            // of this entry
+    std::string region;          // of this entry
+    double spillAboveLoad = 1.0; // known load for each slot above which other zones are asked
+    milliseconds initialServiceTime{20};   // until an upstream reports one
+    milliseconds slowStartTime{10 * 1000}; // until a newcomer gets its whole share
+    double slowStartShare = 0.1;           // at the start
+    int ejectAfterFailures = 5;            // in a row
+    double maxEjectedShare =
+            0.3; // at most, of a service's upstreams; one may be out if there are two
+    milliseconds initialCoolDown{2000}; // of the first ejection, doubled by each further one
+    milliseconds maxCoolDown{60 * 1000};
+    milliseconds maxBackoff{20}; // after an upstream refused for its load
 };
 
 // Takes the less loaded of two upstreams drawn at random.
@@ -104,8 +105,8 @@
     // Moving average of the answered attempts of a service; zero while unknown.
     duration expectedLatency(const std::string &service) const;
 
-    int upstreams(const std::string &service) const;
-    int ejected(const std::string &service) const;
+    int upstreamCount(const std::string &service) const;
+    int ejectedCount(const std::string &service) const;
     const router_counters &counters() const { return m_counters; }
 
 private:
@@ -113,19 +114,19 @@
     enum class locality { OwnZone, OwnRegion, OtherRegion };
     struct upstream
     {
-        announcement about;
-        locality where = locality::OwnZone;
-        int own = 0;            // attempts of this entry
-        int others = 0;         // reported load that is not this entry's
-        double usualOthers = 0; // moving average of `others`
+        announcement announced;
+        locality proximity = locality::OwnZone;
+        int ownAttempts = 0;          // attempts of this entry
+        int reportedOthersLoad = 0;   // reported load that is not this entry's
+        double averageOthersLoad = 0; // moving average of `others`
         time_point reportedAt{};
-        duration serviceTime{};    // reported
-        time_point warmSince{};    // slow start counts from here
-        time_point backOffUntil{}; // refused for its load
-        bool leaving = false;      // said so in an answer
+        duration serviceTime{};     // reported
+        time_point slowStartedAt{}; // slow start counts from here
+        time_point backOffUntil{};  // refused for its load
+        bool isLeaving = false;     // said so in an answer
         health state = health::Admitted;
-        int failures = 0;  // in a row
-        int ejections = 0; // without a success in between
+        int consecutiveFailures = 0;  // in a row
+        int consecutiveEjections = 0; // without a success in between
         time_point ejectedUntil{};
     };
     using candidates = std::vector<upstream *>;
@@ -136,8 +137,8 @@
 
     locality localityOf(const announcement &about) const;
     upstream *find(const std::string &agentId, std::uint64_t incarnation);
-    candidates eligible(const std::string &service, const std::set<std::string> &excluded,
-                        time_point now, bool &anyBackingOff);
+    candidates eligibleUpstreams(const std::string &service, const std::set<std::string> &excluded,
+                                 time_point now, bool &anyBackingOff);
     upstream *pick(const std::string &service, const candidates &from, time_point now);
     upstream *pickBy(two_choices, const std::string &service, const candidates &from,
                      time_point now);
@@ -145,16 +146,16 @@
                      time_point now);
     upstream *pickBy(least_known_load, const std::string &service, const candidates &from,
                      time_point now);
-    double share(const upstream &of, time_point now) const;
-    double othersLoad(const upstream &of, time_point now) const;
-    double knownLoad(const upstream &of, time_point now) const;
-    void noteLoad(upstream &of, const upstream_load &load, time_point now);
-    void noteFailure(upstream &of, time_point now);
-    void noteSuccess(upstream &of, time_point now);
-    bool mayEject(const std::string &service) const;
-    void eject(upstream &of, time_point now);
+    double slowStartFactor(const upstream &target, time_point now) const;
+    double estimatedOthersLoad(const upstream &target, time_point now) const;
+    double estimatedLoad(const upstream &target, time_point now) const;
+    void recordLoad(upstream &target, const upstream_load &load, time_point now);
+    void recordFailure(upstream &target, time_point now);
+    void recordSuccess(upstream &target, time_point now);
+    bool canEject(const std::string &service) const;
+    void eject(upstream &target, time_point now);
     void countChoice(const upstream &chosen);
-    routing_decision refusal(error_kind kind);
+    routing_decision makeRefusal(error_kind kind);
 
     router_settings m_settings;
     routing_policy m_policy;
@@ -162,8 +163,8 @@
     router_counters m_counters;
     std::map<std::string, upstream> m_upstreams; // by agent id
     std::map<std::string, std::set<std::string>> m_byService;
-    std::map<std::string, duration> m_latency;    // by service
-    std::map<std::string, std::uint64_t> m_turns; // of round_robin, by service
+    std::map<std::string, duration> m_averageLatency; // by service
+    std::map<std::string, std::uint64_t> m_nextTurn;  // of round_robin, by service
 };
 
 } // namespace zinniabarrow::request
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -15,17 +15,17 @@
 namespace {
 
 // An admission with a clock that is set by hand; keeps what was started and refused.
-struct gate_at
+struct admission_fixture
 {
-    explicit gate_at(admission_settings settings = {})
-        : gate(settings)
+    explicit admission_fixture(admission_settings settings = {})
+        : controller(settings)
     { }
 
-    void handle(const admission::event &what)
+    void handle(const admission::event &newEvent)
     {
-        for (const auto &action : gate.handle(what, now)) {
-            if (const auto *begun = std::get_if<admission::start>(&action))
-                started.push_back(begun->id);
+        for (const auto &action : controller.handle(newEvent, now)) {
+            if (const auto *startOf = std::get_if<admission::start>(&action))
+                started.push_back(startOf->id);
             if (const auto *refusal = std::get_if<admission::refuse>(&action))
                 refused[refusal->id] = *refusal;
         }
@@ -45,10 +45,10 @@
             arrive(prefix + std::to_string(i), timeout, team);
     }
 
-    void finish(const std::string &id, milliseconds took, milliseconds callerTime = {},
-                bool whole = true)
+    void finish(const std::string &id, milliseconds took, milliseconds slowCallerTime = {},
+                bool isComplete = true)
     {
-        handle(admission::finished{id, took, callerTime, whole});
+        handle(admission::finished{id, took, slowCallerTime, isComplete});
     }
 
     bool hasStarted(const std::string &id) const
@@ -59,10 +59,10 @@
     bool wasRefused(const std::string &id, error_kind kind) const
     {
         const auto found = refused.find(id);
-        return found != refused.end() && found->second.kind == kind;
+        return found != refused.end() && found->second.errorKind == kind;
     }
 
-    admission gate;
+    admission controller;
     time_point now{seconds(100)};
     std::vector<std::string> started;
     std::map<std::string, admission::refuse> refused;
@@ -75,41 +75,42 @@
 Test(admission, limits)
 {
     section("eight slots are given, never a ninth", [] {
-        gate_at at;
-        at.arriveMany("r", 20, Patient);
-        check(at.started.size() == 8);
-        check(at.gate.waiting() == 12);
+        admission_fixture fixture;
+        fixture.arriveMany("r", 20, Patient);
+        check(fixture.started.size() == 8);
+        check(fixture.controller.waitingCount() == 12);
         section("a finished request frees one", [&] {
-            at.finish("r0", milliseconds(20));
-            check(at.started.size() == 9);
+            fixture.finish("r0", milliseconds(20));
+            check(fixture.started.size() == 9);
         });
         section("the same finish told twice frees no second one", [&] {
-            at.finish("r0", milliseconds(20));
-            check(at.started.size() == 9);
-            check(at.gate.counters().ignored == 1);
+            fixture.finish("r0", milliseconds(20));
+            check(fixture.started.size() == 9);
+            check(fixture.controller.counters().ignored == 1);
         });
         section("an arrival delivered twice starts no second time", [&] {
-            at.arrive("r1", Patient);
-            check(at.gate.running() == 8 && at.gate.waiting() == 11);
+            fixture.arrive("r1", Patient);
+            check(fixture.controller.runningCount() == 8
+                  && fixture.controller.waitingCount() == 11);
         });
         section("a cancelled request that runs keeps its slot", [&] {
-            at.handle(admission::cancelled{"r1"});
-            check(at.started.size() == 9 && at.gate.running() == 8);
+            fixture.handle(admission::cancelled{"r1"});
+            check(fixture.started.size() == 9 && fixture.controller.runningCount() == 8);
         });
     });
     section("connections in doubt count against the limit of 64", [] {
-        gate_at at;
-        at.handle(admission::connections_changed{60});
-        at.arriveMany("r", 8, Patient);
-        check(at.started.size() == 4);
-        at.handle(admission::connections_changed{59});
-        check(at.started.size() == 5);
+        admission_fixture fixture;
+        fixture.handle(admission::connections_changed{60});
+        fixture.arriveMany("r", 8, Patient);
+        check(fixture.started.size() == 4);
+        fixture.handle(admission::connections_changed{59});
+        check(fixture.started.size() == 5);
     });
     section("the queue is bounded", [] {
-        gate_at at;
-        at.arriveMany("r", 8 + 16 + 1, Patient);
-        check(at.gate.waiting() == 16);
-        check(at.wasRefused("r24", error_kind::QueueFull));
+        admission_fixture fixture;
+        fixture.arriveMany("r", 8 + 16 + 1, Patient);
+        check(fixture.controller.waitingCount() == 16);
+        check(fixture.wasRefused("r24", error_kind::QueueFull));
     });
 }
 
@@ -118,26 +119,26 @@
 // after 40 ms and needs 10 ms of margin, one for the second turn 20 ms more.
 Test(admission, deadlinesByPosition)
 {
-    gate_at at;
-    at.arriveMany("running", 8, Patient);
+    admission_fixture fixture;
+    fixture.arriveMany("running", 8, Patient);
     section("the first turn needs 50 ms", [&] {
-        at.arrive("a", milliseconds(49));
-        check(at.wasRefused("a", error_kind::DeadlineTooClose));
-        check(at.refused["a"].retryAfter >= milliseconds(20));
-        at.arrive("b", milliseconds(50));
-        check(!at.refused.contains("b"));
+        fixture.arrive("a", milliseconds(49));
+        check(fixture.wasRefused("a", error_kind::DeadlineTooClose));
+        check(fixture.refused["a"].retryAfter >= milliseconds(20));
+        fixture.arrive("b", milliseconds(50));
+        check(!fixture.refused.contains("b"));
     });
     section("the second turn needs 70 ms", [&] {
-        at.arriveMany("first", 7, milliseconds(50));
-        at.arrive("c", milliseconds(69));
-        check(at.wasRefused("c", error_kind::DeadlineTooClose));
-        at.arrive("d", milliseconds(70));
-        check(!at.refused.contains("d"));
+        fixture.arriveMany("first", 7, milliseconds(50));
+        fixture.arrive("c", milliseconds(69));
+        check(fixture.wasRefused("c", error_kind::DeadlineTooClose));
+        fixture.arrive("d", milliseconds(70));
+        check(!fixture.refused.contains("d"));
     });
     section("one that is past its deadline is told so, and not to come back", [&] {
-        at.arrive("e", milliseconds(0));
-        check(at.wasRefused("e", error_kind::DeadlinePassed));
-        check(at.refused["e"].retryAfter.count() == 0);
+        fixture.arrive("e", milliseconds(0));
+        check(fixture.wasRefused("e", error_kind::DeadlinePassed));
+        check(fixture.refused["e"].retryAfter.count() == 0);
     });
 }
 
@@ -146,20 +147,20 @@
 // what is overdue is expected to take as long again. It is not held until its deadline.
 Test(admission, frozenUpstream)
 {
-    gate_at at;
-    at.arriveMany("running", 8, Patient);
-    at.arrive("waiting", milliseconds(1000));
-    const time_point begun = at.now;
-    while (at.refused.empty() && at.now < begun + seconds(2)) {
-        at.now += milliseconds(10);
-        at.handle(admission::tick{});
+    admission_fixture fixture;
+    fixture.arriveMany("running", 8, Patient);
+    fixture.arrive("waiting", milliseconds(1000));
+    const time_point startOf = fixture.now;
+    while (fixture.refused.empty() && fixture.now < startOf + seconds(2)) {
+        fixture.now += milliseconds(10);
+        fixture.handle(admission::tick{});
     }
-    check(at.wasRefused("waiting", error_kind::DeadlineTooClose));
-    check(at.now - begun == milliseconds(500));
+    check(fixture.wasRefused("waiting", error_kind::DeadlineTooClose));
+    check(fixture.now - startOf == milliseconds(500));
     section("later callers with a second to go are refused at once", [&] {
-        at.now = begun + seconds(2);
-        at.arrive("later", milliseconds(1000));
-        check(at.wasRefused("later", error_kind::DeadlineTooClose));
+        fixture.now = startOf + seconds(2);
+        fixture.arrive("later", milliseconds(1000));
+        check(fixture.wasRefused("later", error_kind::DeadlineTooClose));
     });
 }
 
@@ -167,21 +168,21 @@
 // every caller were refused, nothing would run and nothing better would ever be learned.
 Test(admission, recoversFromOneSlowSpell)
 {
-    gate_at at;
+    admission_fixture fixture;
     for (int i = 0; i < 30; ++i) {
-        at.arrive("slow" + std::to_string(i), Patient * 10);
-        at.finish("slow" + std::to_string(i), milliseconds(5000));
+        fixture.arrive("slow" + std::to_string(i), Patient * 10);
+        fixture.finish("slow" + std::to_string(i), milliseconds(5000));
     }
     int answered = 0;
     for (int i = 0; i < 200; ++i) {
         const auto id = "quick" + std::to_string(i);
-        at.arrive(id, milliseconds(400));
-        answered += at.hasStarted(id) ? 1 : 0;
-        if (at.hasStarted(id))
-            at.finish(id, milliseconds(20));
+        fixture.arrive(id, milliseconds(400));
+        answered += fixture.hasStarted(id) ? 1 : 0;
+        if (fixture.hasStarted(id))
+            fixture.finish(id, milliseconds(20));
     }
     check(answered == 200);
-    check(at.gate.serviceTime("tickets") < milliseconds(30));
+    check(fixture.controller.serviceTime("tickets") < milliseconds(30));
 }
 
 // A school's bulk booking floods the queue of one upstream, then a parent at the gate sends one
@@ -189,70 +190,70 @@
 // Callers with short deadlines are refused, because another one took its large answer slowly.
 Test(admission, callersThatReadSlowly)
 {
-    const auto takesShortDeadlines = [](gate_at &gate) {
-        gate.arrive("long", Patient);
-        gate.arrive("short", milliseconds(1500));
-        return gate.hasStarted("long") && gate.hasStarted("short");
+    const auto takesShortDeadlines = [](admission_fixture &slowFixture) {
+        slowFixture.arrive("long", Patient);
+        slowFixture.arrive("short", milliseconds(1500));
+        return slowFixture.hasStarted("long") && slowFixture.hasStarted("short");
     };
-    const auto afterAnswers = [](milliseconds took, milliseconds callerTime, bool whole) {
-        gate_at gate;
+    const auto afterAnswers = [](milliseconds took, milliseconds slowCallerTime, bool isComplete) {
+        admission_fixture slowFixture;
         for (int index = 0; index < 20; ++index) {
             const auto id = "before" + std::to_string(index);
-            gate.arrive(id, Patient);
-            gate.finish(id, took, callerTime, whole);
+            slowFixture.arrive(id, Patient);
+            slowFixture.finish(id, took, slowCallerTime, isComplete);
         }
-        return gate;
+        return slowFixture;
     };
     section("their time is not the service's", [&] {
-        auto gate = afterAnswers(milliseconds(9000), milliseconds(8900), true);
-        check(takesShortDeadlines(gate));
+        auto slowFixture = afterAnswers(milliseconds(9000), milliseconds(8900), true);
+        check(takesShortDeadlines(slowFixture));
     });
     section("a service that is slow itself is known as that", [&] {
-        auto gate = afterAnswers(milliseconds(9000), milliseconds(1000), true);
-        check(!takesShortDeadlines(gate));
+        auto slowFixture = afterAnswers(milliseconds(9000), milliseconds(1000), true);
+        check(!takesShortDeadlines(slowFixture));
     });
     section("nor is a cut answer's, but what its upstream took until then is", [&] {
-        auto gate = afterAnswers(milliseconds(20), milliseconds(0), true);
+        auto slowFixture = afterAnswers(milliseconds(20), milliseconds(0), true);
         for (int index = 0; index < 20; ++index) {
             const auto id = "cut" + std::to_string(index);
-            gate.arrive(id, Patient);
-            gate.finish(id, milliseconds(9000), milliseconds(1), false);
+            slowFixture.arrive(id, Patient);
+            slowFixture.finish(id, milliseconds(9000), milliseconds(1), false);
         }
-        check(!takesShortDeadlines(gate));
+        check(!takesShortDeadlines(slowFixture));
     });
     section("an answer that its caller left teaches no shorter time than it would have had", [&] {
-        auto gate = afterAnswers(milliseconds(4000), milliseconds(0), true);
+        auto slowFixture = afterAnswers(milliseconds(4000), milliseconds(0), true);
         for (int index = 0; index < 20; ++index) {
             const auto id = "left" + std::to_string(index);
-            gate.arrive(id, Patient);
-            gate.finish(id, milliseconds(2000), milliseconds(1990), false);
+            slowFixture.arrive(id, Patient);
+            slowFixture.finish(id, milliseconds(2000), milliseconds(1990), false);
         }
-        check(!takesShortDeadlines(gate));
+        check(!takesShortDeadlines(slowFixture));
     });
 }
 
 Test(admission, teams)
 {
     section("one request of another team gets into a full queue, and goes first", [] {
-        gate_at at;
-        at.arriveMany("flood", 24, Patient, "school");
-        at.arrive("gate", Patient, "parent");
-        check(at.wasRefused("flood23", error_kind::FairShareExceeded));
-        at.finish("flood0", milliseconds(20));
-        check(at.started.back() == "gate");
+        admission_fixture fixture;
+        fixture.arriveMany("flood", 24, Patient, "school");
+        fixture.arrive("gate", Patient, "parent");
+        check(fixture.wasRefused("flood23", error_kind::FairShareExceeded));
+        fixture.finish("flood0", milliseconds(20));
+        check(fixture.started.back() == "gate");
     });
     section("a team that comes back after a long silence has saved up no credit", [] {
-        gate_at at;
+        admission_fixture fixture;
         for (int i = 0; i < 1000; ++i) {
-            at.arrive("busy" + std::to_string(i), Patient, "school");
-            at.finish("busy" + std::to_string(i), milliseconds(20));
+            fixture.arrive("busy" + std::to_string(i), Patient, "school");
+            fixture.finish("busy" + std::to_string(i), milliseconds(20));
         }
-        at.arriveMany("s", 16, Patient, "school");
-        at.arriveMany("p", 8, Patient, "parent");
-        at.started.clear();
+        fixture.arriveMany("s", 16, Patient, "school");
+        fixture.arriveMany("p", 8, Patient, "parent");
+        fixture.started.clear();
         for (int i = 0; i < 8; ++i)
-            at.finish("s" + std::to_string(i), milliseconds(20));
-        const auto parents = std::count_if(at.started.begin(), at.started.end(),
+            fixture.finish("s" + std::to_string(i), milliseconds(20));
+        const auto parents = std::count_if(fixture.started.begin(), fixture.started.end(),
                                            [](const auto &id) { return id[0] == 'p'; });
         check(parents >= 4 && parents <= 7);
     });
@@ -265,18 +266,18 @@
 
 Test(admission, priorities)
 {
-    gate_at at;
-    at.arriveMany("running", 8, Patient);
-    at.arriveMany("plain", 15, Patient);
-    at.arrive("urgent", Patient, "club", 5);
+    admission_fixture fixture;
+    fixture.arriveMany("running", 8, Patient);
+    fixture.arriveMany("plain", 15, Patient);
+    fixture.arrive("urgent", Patient, "club", 5);
     section("a full queue gives up what has the lowest priority and came last", [&] {
-        at.arrive("urgent2", Patient, "club", 5);
-        check(at.wasRefused("plain14", error_kind::QueueFull));
-        check(!at.refused.contains("urgent2"));
+        fixture.arrive("urgent2", Patient, "club", 5);
+        check(fixture.wasRefused("plain14", error_kind::QueueFull));
+        check(!fixture.refused.contains("urgent2"));
     });
     section("higher priority of the same team goes first", [&] {
-        at.finish("running0", milliseconds(20));
-        check(at.started.back() == "urgent");
+        fixture.finish("running0", milliseconds(20));
+        check(fixture.started.back() == "urgent");
     });
 }
 
@@ -300,10 +301,10 @@
 // would come back together and be refused together; each gets a place of its own.
 Test(admission, retryAfterSpreadsCallers)
 {
-    gate_at at;
-    at.arriveMany("r", 8 + 16 + 200, Patient);
+    admission_fixture fixture;
+    fixture.arriveMany("r", 8 + 16 + 200, Patient);
     std::vector<milliseconds> times;
-    for (const auto &[id, refusal] : at.refused)
+    for (const auto &[id, refusal] : fixture.refused)
         times.push_back(refusal.retryAfter);
     std::sort(times.begin(), times.end());
     check(times.size() == 200);
@@ -316,17 +317,17 @@
 // request that was accepted before runs to its end, also those that still waited.
 Test(admission, drain)
 {
-    gate_at at;
-    at.arriveMany("r", 12, Patient);
-    at.handle(admission::drain_started{});
-    at.arrive("new", Patient);
-    check(at.wasRefused("new", error_kind::Draining));
+    admission_fixture fixture;
+    fixture.arriveMany("r", 12, Patient);
+    fixture.handle(admission::drain_started{});
+    fixture.arrive("new", Patient);
+    check(fixture.wasRefused("new", error_kind::Draining));
     for (int i = 0; i < 12; ++i) {
-        check(!at.gate.drained());
-        at.finish("r" + std::to_string(i), milliseconds(20));
+        check(!fixture.controller.isDrained());
+        fixture.finish("r" + std::to_string(i), milliseconds(20));
     }
-    check(at.started.size() == 12);
-    check(at.gate.drained());
+    check(fixture.started.size() == 12);
+    check(fixture.controller.isDrained());
 }
 
 // A service is slow for a while; then its callers go away. What the agent reports must be of the
--- a/tests/at_most_once_test.cpp
+++ b/tests/at_most_once_test.cpp
@@ -7,79 +7,82 @@
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::delivery;
-using tests::delivery_world;
+using tests::delivery_simulation;
 using tests::fault;
 using tests::section;
 
 namespace {
 
 // One order: the first try, and repeats through both entries, also long after everything is over.
-void sendOrder(delivery_world &world, const std::string &method, const std::string &key)
+void sendOrder(delivery_world &simulation, const std::string &method, const std::string &key)
 {
-    world.settings.claims.sweepGap = milliseconds(1000); // sweeps are steps too
+    simulation.settings.claims.sweepInterval = milliseconds(1000); // sweeps are steps too
     const std::vector<std::pair<std::string, int>> tries{
             {"e1", 0}, {"e2", 20}, {"e1", 300}, {"e2", 1500}, {"e1", 9000}, {"e2", 50'000}};
     for (std::size_t i = 0; i < tries.size(); ++i)
-        world.send(fmt::format("{}/r{}", tries[i].first, i), tries[i].first,
-                   milliseconds(100 + tries[i].second), method, key);
+        simulation.send(fmt::format("{}/r{}", tries[i].first, i), tries[i].first,
+                        milliseconds(100 + tries[i].second), method, key);
 }
 
 // What must hold after every run, whatever happened in it.
-void checkPromises(delivery_world &world, const std::string &what, bool mayRepeat)
+void checkGuarantees(delivery_world &simulation, const std::string &description, bool mayRepeat)
 {
-    for (const auto &[order, count] : world.runsOf)
-        cr_expect(mayRepeat || count <= 1, "%s: %s ran %d times", what.c_str(), order.c_str(),
-                  count);
-    cr_expect(world.overlapping.empty(), "%s: two attempts at once", what.c_str());
-    for (const auto &[id, refusals] : world.refusals) {
+    for (const auto &[order, count] : simulation.runsByOrder)
+        cr_expect(mayRepeat || count <= 1, "%s: %s ran %d times", description.c_str(),
+                  order.c_str(), count);
+    cr_expect(simulation.overlappingRequests.empty(), "%s: two attempts at once",
+              description.c_str());
+    for (const auto &[id, refusals] : simulation.refusals) {
         for (const auto &refusal : refusals) {
-            const bool truth = refusal.ran != executed::No || world.runs[id] == 0;
-            cr_expect(truth, "%s: %s ran, its answer says that it did not", what.c_str(),
-                      id.c_str());
+            const bool isTruthful = refusal.ran != executed::No || simulation.runs[id] == 0;
+            cr_expect(isTruthful, "%s: %s ran, its answer says that it did not",
+                      description.c_str(), id.c_str());
         }
     }
-    for (const auto &[id, entry] : world.entryOf) {
-        const auto count = world.answers[id].size();
-        cr_expect(count == 1 || (count == 0 && world.dead.contains(entry)),
-                  "%s: %s got %zu answers", what.c_str(), id.c_str(), count);
+    for (const auto &[id, entry] : simulation.entryOf) {
+        const auto count = simulation.answers[id].size();
+        cr_expect(count == 1 || (count == 0 && simulation.deadEntries.contains(entry)),
+                  "%s: %s got %zu answers", description.c_str(), id.c_str(), count);
     }
 }
 
 // A fault that proves nothing ran must not leave the order behind: some later repeat runs it.
-void checkProgress(delivery_world &world, const std::string &what, fault single)
+void checkProgress(delivery_world &simulation, const std::string &description, fault single)
 {
     using enum fault;
     for (const auto *entry : {"e1", "e2"}) {
-        const auto open = world.dead.contains(entry) ? 0 : world.flow(entry).openClaims();
-        cr_expect(open == 0, "%s: %s keeps %zu claims open", what.c_str(), entry, open);
+        const auto open =
+                simulation.deadEntries.contains(entry) ? 0 : simulation.flow(entry).openClaims();
+        cr_expect(open == 0, "%s: %s keeps %zu claims open", description.c_str(), entry, open);
     }
     const bool uncertain = single == EntryDies || single == AgentDies || single == AnswerLost;
-    cr_expect(uncertain || world.runsOf["k"] == 1, "%s: never ran", what.c_str());
+    cr_expect(uncertain || simulation.runsByOrder["k"] == 1, "%s: never ran", description.c_str());
 }
 
 void runFaults(const std::string &method, const std::string &key,
-               const std::map<int, fault> &faults, const std::string &what, bool streaming = false)
+               const std::map<int, fault> &faults, const std::string &description,
+               bool streaming = false)
 {
-    delivery_world world;
-    world.streaming = streaming;
-    world.faults = faults;
+    delivery_world simulation;
+    simulation.streaming = streaming;
+    simulation.faults = faults;
     if (key.empty())
-        world.send("e1/r0", "e1", milliseconds(100), method, key);
+        simulation.send("e1/r0", "e1", milliseconds(100), method, key);
     else
-        sendOrder(world, method, key);
-    world.runUntil(milliseconds(60'000));
-    checkPromises(world, what, isIdempotent(method));
+        sendOrder(simulation, method, key);
+    simulation.runUntil(milliseconds(60'000));
+    checkGuarantees(simulation, description, isIdempotent(method));
     if (faults.size() == 1 && key == "k" && !isIdempotent(method))
-        checkProgress(world, what, faults.begin()->second);
+        checkProgress(simulation, description, faults.begin()->second);
 }
 
 int stepsOf(const std::string &method, bool streaming = false)
 {
-    delivery_world world;
-    world.streaming = streaming;
-    sendOrder(world, method, "k");
-    world.runUntil(milliseconds(2500));
-    return world.step;
+    delivery_world simulation;
+    simulation.streaming = streaming;
+    sendOrder(simulation, method, "k");
+    simulation.runUntil(milliseconds(2500));
+    return simulation.step;
 }
 
 } // namespace
@@ -87,18 +90,18 @@
 Test(at_most_once, without_faults)
 {
     section("one order, repeated six times through two entries", [] {
-        delivery_world world;
-        sendOrder(world, "POST", "k");
-        world.runUntil(milliseconds(60'000));
+        delivery_world simulation;
+        sendOrder(simulation, "POST", "k");
+        simulation.runUntil(milliseconds(60'000));
         section("runs once and is answered whole", [&] {
-            check(world.runsOf["k"] == 1);
-            check(world.answers["e1/r0"] == std::vector<std::string>{"passed"});
+            check(simulation.runsByOrder["k"] == 1);
+            check(simulation.answers["e1/r0"] == std::vector<std::string>{"passed"});
         });
         section("a repeat in between learns that it is in progress",
-                [&] { check(world.answers["e2/r1"].front() == "key_in_progress"); });
+                [&] { check(simulation.answers["e2/r1"].front() == "key_in_progress"); });
         section("later repeats get the first answer, at either entry", [&] {
             for (const auto *id : {"e1/r2", "e2/r3", "e1/r4", "e2/r5"})
-                check(world.answers[id].front() == "replayed");
+                check(simulation.answers[id].front() == "replayed");
         });
     });
 }
@@ -108,15 +111,16 @@
 Test(at_most_once, entry_dies_while_it_runs)
 {
     for (const bool known : {false, true}) {
-        delivery_world world;
-        world.send("e1/1", "e1", milliseconds(100), "POST", "k");
-        world.runUntil(milliseconds(120));
-        check(world.runsOf["k"] == 1);
+        delivery_world simulation;
+        simulation.send("e1/1", "e1", milliseconds(100), "POST", "k");
+        simulation.runUntil(milliseconds(120));
+        check(simulation.runsByOrder["k"] == 1);
         if (known)
-            world.dead.insert("e1");
-        world.send("e2/2", "e2", milliseconds(121), "POST", "k");
-        world.runUntil(milliseconds(1000));
-        check(world.answers["e2/2"].front() == (known ? "outcome_unknown" : "key_in_progress"));
+            simulation.deadEntries.insert("e1");
+        simulation.send("e2/2", "e2", milliseconds(121), "POST", "k");
+        simulation.runUntil(milliseconds(1000));
+        check(simulation.answers["e2/2"].front()
+              == (known ? "outcome_unknown" : "key_in_progress"));
     }
 }
 
@@ -161,27 +165,27 @@
 Test(at_most_once, streamed_answers)
 {
     section("without faults", [] {
-        delivery_world world;
-        world.streaming = true;
-        sendOrder(world, "POST", "k");
-        world.runUntil(milliseconds(60'000));
-        check(world.runsOf["k"] == 1);
-        check(world.answers["e1/r0"] == std::vector<std::string>{"passed"});
-        check(world.answers["e2/r1"].front() == "key_in_progress");
+        delivery_world simulation;
+        simulation.streaming = true;
+        sendOrder(simulation, "POST", "k");
+        simulation.runUntil(milliseconds(60'000));
+        check(simulation.runsByOrder["k"] == 1);
+        check(simulation.answers["e1/r0"] == std::vector<std::string>{"passed"});
+        check(simulation.answers["e2/r1"].front() == "key_in_progress");
         for (const auto *id : {"e1/r2", "e2/r3", "e1/r4", "e2/r5"})
-            check(world.answers[id].front() == "already_executed");
+            check(simulation.answers[id].front() == "already_executed");
     });
     section("cut midway: nobody knows, at either entry", [] {
-        delivery_world world;
-        world.streaming = true;
-        world.refusing.clear();
-        world.cutting = {"a1"};
-        sendOrder(world, "POST", "k");
-        world.runUntil(milliseconds(60'000));
-        check(world.runsOf["k"] == 1);
-        check(world.answers["e1/r0"] == std::vector<std::string>{"passed"});
+        delivery_world simulation;
+        simulation.streaming = true;
+        simulation.refusingAgents.clear();
+        simulation.disconnectingAgents = {"a1"};
+        sendOrder(simulation, "POST", "k");
+        simulation.runUntil(milliseconds(60'000));
+        check(simulation.runsByOrder["k"] == 1);
+        check(simulation.answers["e1/r0"] == std::vector<std::string>{"passed"});
         for (const auto *id : {"e1/r2", "e2/r3", "e1/r4", "e2/r5"})
-            check(world.answers[id].front() == "outcome_unknown");
+            check(simulation.answers[id].front() == "outcome_unknown");
     });
     section("every step and fault", [] {
         const auto steps = stepsOf("POST", true);
--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -19,12 +19,12 @@
 
 bool isUnknown(const std::optional<guard_refusal> &refusal)
 {
-    return refusal && refusal->ran == executed::Unknown && !refusal->ended;
+    return refusal && refusal->ran == executed::Unknown && !refusal->hasEnded;
 }
 
 bool isNotRun(const std::optional<guard_refusal> &refusal)
 {
-    return refusal && refusal->ran == executed::No && refusal->ended;
+    return refusal && refusal->ran == executed::No && refusal->hasEnded;
 }
 
 } // namespace
@@ -35,34 +35,34 @@
 {
     section("a second copy never starts, whatever became of the first", [] {
         attempt_guard guard(1, {});
-        check(!guard.arrived(attemptOf(1), Start));
-        check(isUnknown(guard.arrived(attemptOf(1), Start)));
-        check(!guard.start("r", 1, Start));
-        check(isUnknown(guard.start("r", 1, Start)));
-        check(isUnknown(guard.arrived(attemptOf(1), Start)));
-        guard.ended("r", 1, executed::Yes, Start);
-        check(isUnknown(guard.arrived(attemptOf(1), Start)));
+        check(!guard.admitAttempt(attemptOf(1), Start));
+        check(isUnknown(guard.admitAttempt(attemptOf(1), Start)));
+        check(!guard.startAttempt("r", 1, Start));
+        check(isUnknown(guard.startAttempt("r", 1, Start)));
+        check(isUnknown(guard.admitAttempt(attemptOf(1), Start)));
+        guard.recordEnd("r", 1, executed::Yes, Start);
+        check(isUnknown(guard.admitAttempt(attemptOf(1), Start)));
     });
     section("a newer attempt waits for the end of the one before", [] {
         attempt_guard guard(1, {});
-        check(!guard.arrived(attemptOf(1), Start));
-        check(isUnknown(guard.arrived(attemptOf(2), Start)));
-        guard.ended("r", 1, executed::No, Start);
-        check(!guard.arrived(attemptOf(2), Start));
-        check(isUnknown(guard.arrived(attemptOf(1), Start)));
+        check(!guard.admitAttempt(attemptOf(1), Start));
+        check(isUnknown(guard.admitAttempt(attemptOf(2), Start)));
+        guard.recordEnd("r", 1, executed::No, Start);
+        check(!guard.admitAttempt(attemptOf(2), Start));
+        check(isUnknown(guard.admitAttempt(attemptOf(1), Start)));
     });
     section("after one that ran only an idempotent one may follow", [] {
         for (const bool idempotent : {false, true}) {
             attempt_guard guard(1, {});
-            guard.arrived(attemptOf(1), Start);
-            guard.start("r", 1, Start);
-            guard.ended("r", 1, executed::Yes, Start);
-            check(guard.arrived(attemptOf(2, idempotent), Start).has_value() != idempotent);
+            guard.admitAttempt(attemptOf(1), Start);
+            guard.startAttempt("r", 1, Start);
+            guard.recordEnd("r", 1, executed::Yes, Start);
+            check(guard.admitAttempt(attemptOf(2, idempotent), Start).has_value() != idempotent);
         }
     });
     section("meant for the agent before this one: that one may have started it", [] {
         attempt_guard guard(2, {});
-        check(isUnknown(guard.arrived(attemptOf(1), Start)));
+        check(isUnknown(guard.admitAttempt(attemptOf(1), Start)));
     });
 }
 
@@ -70,24 +70,24 @@
 {
     section("past its deadline it is refused as not run, on arrival and before the start", [] {
         attempt_guard guard(1, {});
-        check(isNotRun(guard.arrived(attemptOf(1), Start + seconds(1))));
-        check(isNotRun(guard.arrived(attemptOf(1), Start)));
-        check(!guard.arrived({"q", 1, 1, false, Start + milliseconds(500)}, Start));
-        check(isNotRun(guard.start("q", 1, Start + milliseconds(500))));
+        check(isNotRun(guard.admitAttempt(attemptOf(1), Start + seconds(1))));
+        check(isNotRun(guard.admitAttempt(attemptOf(1), Start)));
+        check(!guard.admitAttempt({"q", 1, 1, false, Start + milliseconds(500)}, Start));
+        check(isNotRun(guard.startAttempt("q", 1, Start + milliseconds(500))));
     });
     section("cancelled before the start it never starts, also when the cancel came first", [] {
         attempt_guard guard(1, {});
-        check(guard.cancelled("r", 1, Start));
-        check(isNotRun(guard.arrived(attemptOf(1), Start)));
-        check(!guard.arrived({"q", 1, 1, false, Start + seconds(1)}, Start));
-        check(guard.cancelled("q", 1, Start));
-        check(isNotRun(guard.start("q", 1, Start)));
+        check(guard.cancelAttempt("r", 1, Start));
+        check(isNotRun(guard.admitAttempt(attemptOf(1), Start)));
+        check(!guard.admitAttempt({"q", 1, 1, false, Start + seconds(1)}, Start));
+        check(guard.cancelAttempt("q", 1, Start));
+        check(isNotRun(guard.startAttempt("q", 1, Start)));
     });
     section("a running one is not called cancelled", [] {
         attempt_guard guard(1, {});
-        guard.arrived(attemptOf(1), Start);
-        guard.start("r", 1, Start);
-        check(!guard.cancelled("r", 1, Start));
+        guard.admitAttempt(attemptOf(1), Start);
+        guard.startAttempt("r", 1, Start);
+        check(!guard.cancelAttempt("r", 1, Start));
     });
 }
 
@@ -95,18 +95,18 @@
 {
     attempt_guard guard(1, {100, milliseconds(90'000)});
     for (int i = 0; i < 100; ++i)
-        guard.arrived({std::to_string(i), 1, 1, false, Start + seconds(1)}, Start);
+        guard.admitAttempt({std::to_string(i), 1, 1, false, Start + seconds(1)}, Start);
     section("full: new ones are refused and nothing is forgotten", [&] {
-        check(isUnknown(guard.arrived({"new", 1, 1, false, Start + seconds(1)}, Start)));
-        check(isUnknown(guard.arrived({"0", 1, 1, false, Start + seconds(1)}, Start)));
+        check(isUnknown(guard.admitAttempt({"new", 1, 1, false, Start + seconds(1)}, Start)));
+        check(isUnknown(guard.admitAttempt({"0", 1, 1, false, Start + seconds(1)}, Start)));
     });
     section("ended ones are forgotten after their time, running ones are not", [&] {
-        guard.start("0", 1, Start);
+        guard.startAttempt("0", 1, Start);
         for (int i = 1; i < 100; ++i)
-            guard.ended(std::to_string(i), 1, executed::No, Start);
-        check(!guard.arrived({"new", 1, 1, false, Start + seconds(100)}, Start + seconds(91)));
-        check(guard.remembered() == 2);
-        check(isUnknown(guard.arrived({"0", 1, 1, false, Start + seconds(100)}, Start)));
+            guard.recordEnd(std::to_string(i), 1, executed::No, Start);
+        check(!guard.admitAttempt({"new", 1, 1, false, Start + seconds(100)}, Start + seconds(91)));
+        check(guard.rememberedRequests() == 2);
+        check(isUnknown(guard.admitAttempt({"0", 1, 1, false, Start + seconds(100)}, Start)));
     });
 }
 
--- a/tests/config_simulation.h
+++ b/tests/config_simulation.h
@@ -25,7 +25,7 @@
     LostQuery, // never arrived; no answer
     LostReply, // took effect; no answer
     Unsure,    // took effect; the client says that it does not know
-    Late,      // takes effect and is answered long after the asker has given up
+    Delayed,   // takes effect and is answered long after the asker has given up
 };
 
 struct world_process
@@ -280,7 +280,7 @@
             reply(*noAnswerTo(action, write_outcome::Refused));
             return;
         }
-        after(what == fault::Late ? LateBy : Delay, [=, this] {
+        after(what == fault::Delayed ? LateBy : Delay, [=, this] {
             const auto answer = answerTo(action);
             if (what == fault::Unsure)
                 reply(*noAnswerTo(action, write_outcome::Unknown));
--- a/tests/delivery_simulation.h
+++ b/tests/delivery_simulation.h
@@ -23,32 +23,32 @@
 
 enum class fault {
     None,
-    EntryDies,      // the entry of this step: it and what is under way to it are gone
-    EntryFreezes,   // for three seconds, longer than every deadline here
-    AgentDies,      // all agents are replaced, their upstreams live on
-    AnswerLost,     // the step takes effect, its answer never comes
-    AnswerOfSecond, // a commit is sent twice by the network, the second answer arrives
-    Doubled,        // at once
-    Late,           // three seconds, longer than every deadline here
-    DoubledLate,    // again half a second later
-    TableRefuses,   // for two seconds
-    TableHangs,     // for two seconds: answers are Unknown, nothing applies
-    WriteDelayed,   // a commit is answered Unknown and applies 700 ms later
+    EntryDies,           // the entry of this step: it and what is under way to it are gone
+    EntryFreezes,        // for three seconds, longer than every deadline here
+    AgentDies,           // all agents are replaced, their upstreams live on
+    AnswerLost,          // the step takes effect, its answer never comes
+    SecondAnswerArrives, // a commit is sent twice by the network, the second answer arrives
+    Duplicated,          // at once
+    Delayed,             // three seconds, longer than every deadline here
+    DuplicatedLate,      // again half a second later
+    TableRefuses,        // for two seconds
+    TableHangs,          // for two seconds: answers are Unknown, nothing applies
+    WriteDelayed,        // a commit is answered Unknown and applies 700 ms later
     Last
 };
 
-class delivery_world
+class delivery_simulation
 {
 public:
     flow_settings settings;
-    std::map<int, fault> faults;          // by step
-    std::set<std::string> refusing{"a1"}; // agents that are full
-    std::set<std::string> cutting;        // agents whose connections break in the answer
-    bool streaming = false;               // answers are large: their head comes before their end
+    std::map<int, fault> faults;                // by step
+    std::set<std::string> refusingAgents{"a1"}; // agents that are full
+    std::set<std::string> disconnectingAgents;  // agents whose connections break in the answer
+    bool streaming = false; // answers are large: their head comes before their end
     memory_platform platform;
-    std::map<std::string, int> runs;   // by request id
-    std::map<std::string, int> runsOf; // by order: the key, or the request without one
-    std::set<std::string> overlapping; // requests that ran twice at once
+    std::map<std::string, int> runs;           // by request id
+    std::map<std::string, int> runsByOrder;    // by order: the key, or the request without one
+    std::set<std::string> overlappingRequests; // requests that ran twice at once
     std::map<std::string, std::vector<refuse_request>> refusals; // by request id
     std::map<std::string, std::vector<std::string>>
             answers; // by request id: "passed", "replayed" or the kind
@@ -58,12 +58,12 @@
     std::map<std::string, std::string> orderOf;  // by request id
     std::map<std::string, std::uint64_t> counts; // by name of the counter
     std::map<std::string, time_point> drainedAt; // by entry
-    std::set<std::string> dead;
+    std::set<std::string> deadEntries;
     std::uint64_t tableCalls = 0; // commits, reads and scans that were sent
     std::uint64_t transactions = 0;
     std::uint64_t rowsWritten = 0;
     std::vector<std::string> trace; // JSON lines of entry `traced`
-    std::string traced;
+    std::string tracedEntry;
     int step = 0;
     time_point now{};
 
@@ -83,7 +83,8 @@
 
     void drain(const std::string &entry, milliseconds when)
     {
-        post(entry, time_point(when) - now, [=, this](fault) { event(entry, flow_drain{}); });
+        post(entry, time_point(when) - now,
+             [=, this](fault) { event(entry, flow_drain_started{}); });
     }
 
     void runUntil(milliseconds end)
@@ -94,8 +95,8 @@
             if (std::min(wake.first, next) > time_point(end))
                 break;
             const auto last = std::exchange(now, std::max(now, std::min(wake.first, next)));
-            m_sameTime = now == last ? m_sameTime + 1 : 0;
-            if (m_sameTime > 10'000)
+            m_eventsAtSameTime = now == last ? m_eventsAtSameTime + 1 : 0;
+            if (m_eventsAtSameTime > 10'000)
                 throw error(error_kind::Internal, "time stands still: a wake that does nothing");
             if (wake.first < next)
                 event(wake.second, flow_tick{});
@@ -107,7 +108,7 @@
 
     request_flow &flow(const std::string &entry)
     {
-        const auto alive = [this](const std::string &id) { return !dead.contains(id); };
+        const auto alive = [this](const std::string &id) { return !deadEntries.contains(id); };
         return m_flows
                 .try_emplace(
                         entry, entry, settings, [](error_kind) { return true; }, alive)
@@ -127,7 +128,7 @@
         m_messages.emplace(now + delay, message{entry, std::move(deliver)});
     }
 
-    bool frozen(const std::string &entry) const
+    bool isFrozen(const std::string &entry) const
     {
         return m_frozenUntil.contains(entry) && now < m_frozenUntil.at(entry);
     }
@@ -137,9 +138,9 @@
         std::pair<time_point, std::string> first{Never, ""};
         for (auto &[entry, each] : m_flows) {
             auto wake = std::max(each.nextWake(), now);
-            if (frozen(entry))
+            if (isFrozen(entry))
                 wake = std::max(wake, m_frozenUntil.at(entry));
-            if (!dead.contains(entry) && wake < first.first)
+            if (!deadEntries.contains(entry) && wake < first.first)
                 first = {wake, entry};
         }
         return first;
@@ -150,44 +151,44 @@
         const auto item = m_messages.begin()->second;
         m_messages.erase(m_messages.begin());
         const auto found = faults.find(++step);
-        const auto hit = found == faults.end() ? fault::None : found->second;
-        if (hit == fault::EntryDies)
-            dead.insert(item.entry);
-        if (hit == fault::EntryFreezes)
+        const auto activeFault = found == faults.end() ? fault::None : found->second;
+        if (activeFault == fault::EntryDies)
+            deadEntries.insert(item.entry);
+        if (activeFault == fault::EntryFreezes)
             m_frozenUntil[item.entry] = now + seconds(3);
-        if (hit == fault::AgentDies) {
+        if (activeFault == fault::AgentDies) {
             m_guards.clear();
             ++m_incarnation;
         }
-        if (hit == fault::TableRefuses || hit == fault::TableHangs) {
-            m_tableFault = hit;
-            m_tableBackAt = now + seconds(2);
+        if (activeFault == fault::TableRefuses || activeFault == fault::TableHangs) {
+            m_tableFault = activeFault;
+            m_tableFaultUntil = now + seconds(2);
         }
-        if (hit == fault::Late)
+        if (activeFault == fault::Delayed)
             return post(item.entry, seconds(3), item.deliver);
-        if (hit == fault::DoubledLate)
+        if (activeFault == fault::DuplicatedLate)
             post(item.entry, milliseconds(500), item.deliver);
-        if (hit == fault::Doubled)
-            item.deliver(hit);
-        item.deliver(hit);
+        if (activeFault == fault::Duplicated)
+            item.deliver(activeFault);
+        item.deliver(activeFault);
     }
 
     void event(const std::string &entry, const flow_event &event)
     {
-        if (dead.contains(entry))
+        if (deadEntries.contains(entry))
             return;
-        if (frozen(entry)) {
+        if (isFrozen(entry)) {
             post(entry, m_frozenUntil.at(entry) - now,
                  [=, this](fault) { this->event(entry, event); });
             return;
         }
         const auto actions = flow(entry).handle(event, now);
-        if (entry == traced)
+        if (entry == tracedEntry)
             record(toJson(event, now));
         for (const auto &action : actions) {
-            if (entry == traced)
+            if (entry == tracedEntry)
                 record(toJson(action, now));
-            std::visit([&](const auto &each) { act(entry, each); }, action);
+            std::visit([&](const auto &each) { perform(entry, each); }, action);
         }
     }
 
@@ -197,55 +198,56 @@
         trace.push_back(compactJson(line));
     }
 
-    void act(const std::string &entry, const choose_upstream &action)
+    void perform(const std::string &entry, const choose_upstream &action)
     {
         std::vector<std::string> agents{"a1", "a2"};
         for (const auto &agent : action.excluded)
             std::erase(agents, agent);
-        const auto answer = agents.empty() ? flow_event(none_available{action.id})
+        const auto answer = agents.empty() ? flow_event(no_upstream_available{action.id})
                                            : upstream_chosen{action.id, agents.front()};
         post(entry, milliseconds(0), [=, this](fault) { event(entry, answer); });
     }
 
-    void act(const std::string &entry, const forward_request &action)
+    void perform(const std::string &entry, const forward_request &action)
     {
         const auto incarnation = m_incarnation;
         const auto remaining = milliseconds(millisecondsUntil(action.deadline, now));
-        post(entry, milliseconds(1), [=, this](fault hit) {
+        post(entry, milliseconds(1), [=, this](fault activeFault) {
             const auto ended = [=, this](const attempt_outcome &outcome) {
-                const bool lost = hit == fault::AnswerLost || incarnation != m_incarnation
-                                  || cutting.contains(action.agentId);
+                const bool lost = activeFault == fault::AnswerLost || incarnation != m_incarnation
+                                  || disconnectingAgents.contains(action.agentId);
                 const attempt_outcome seen = lost ? attempt_outcome(attempt_cut{}) : outcome;
                 post(entry, milliseconds(1), [=, this](fault) {
                     event(entry, attempt_ended{action.id, action.attempt, seen});
                 });
             };
             const auto refused = [=](const guard_refusal &refusal) {
-                ended(attempt_refused{refusal.kind, refusal.ran, refusal.ended, milliseconds(0)});
+                ended(attempt_refused{refusal.kind, refusal.ran, refusal.hasEnded,
+                                      milliseconds(0)});
             };
             // Entry and agent have each their own clock: what travels is the time that remains.
             const incoming_attempt incoming{action.id, action.attempt, incarnation, false,
                                             now + remaining};
-            if (const auto refusal = guard(action.agentId).arrived(incoming, now))
+            if (const auto refusal = guard(action.agentId).admitAttempt(incoming, now))
                 return refused(*refusal);
-            if (refusing.contains(action.agentId)) {
-                guard(action.agentId).ended(action.id, action.attempt, executed::No, now);
+            if (refusingAgents.contains(action.agentId)) {
+                guard(action.agentId).recordEnd(action.id, action.attempt, executed::No, now);
                 return refused({error_kind::QueueFull, executed::No, true});
             }
             post(entry, milliseconds(5), [=, this](fault) {
                 if (const auto refusal =
-                            guard(action.agentId).start(action.id, action.attempt, now))
+                            guard(action.agentId).startAttempt(action.id, action.attempt, now))
                     return refused(*refusal);
                 ++runs[action.id];
                 if (++m_running[action.id] > 1)
-                    overlapping.insert(action.id);
-                ++runsOf[orderOf[action.id]];
+                    overlappingRequests.insert(action.id);
+                ++runsByOrder[orderOf[action.id]];
                 post(entry, milliseconds(20), [=, this](fault) {
                     if (streaming)
                         return stream(entry, action, ended);
                     --m_running[action.id];
-                    guard(action.agentId).ended(action.id, action.attempt, executed::Yes, now);
-                    ended(whole_answer{201, {}, action.id.size(), action.id});
+                    guard(action.agentId).recordEnd(action.id, action.attempt, executed::Yes, now);
+                    ended(complete_answer{201, {}, action.id.size(), action.id});
                 });
             });
         });
@@ -256,22 +258,23 @@
     void stream(const std::string &entry, const forward_request &action, const Ended &ended)
     {
         post(entry, milliseconds(1), [=, this](fault) {
-            event(entry, answer_begun{action.id, action.attempt, 201});
+            event(entry, answer_started{action.id, action.attempt, 201});
         });
         post(entry, milliseconds(40), [=, this](fault) {
             --m_running[action.id];
-            guard(action.agentId).ended(action.id, action.attempt, executed::Yes, now);
-            ended(whole_answer{201, {}, 1U << 20U, std::nullopt});
+            guard(action.agentId).recordEnd(action.id, action.attempt, executed::Yes, now);
+            ended(complete_answer{201, {}, 1U << 20U, std::nullopt});
         });
     }
 
-    void act(const std::string &entry, const cancel_attempt &action)
+    void perform(const std::string &entry, const cancel_attempt &action)
     {
-        post(entry, milliseconds(1),
-             [=, this](fault) { guard(action.agentId).cancelled(action.id, action.attempt, now); });
+        post(entry, milliseconds(1), [=, this](fault) {
+            guard(action.agentId).cancelAttempt(action.id, action.attempt, now);
+        });
     }
 
-    void act(const std::string &, const answer_caller &action)
+    void perform(const std::string &, const answer_caller &action)
     {
         const auto *refusal = std::get_if<refuse_request>(&action.answer);
         if (refusal != nullptr)
@@ -283,21 +286,21 @@
         answeredAt[action.id] = now;
     }
 
-    void act(const std::string &entry, const commit_claims &action)
+    void perform(const std::string &entry, const commit_claims &action)
     {
         ++tableCalls;
-        post(entry, milliseconds(1), [=, this](fault hit) {
-            const bool down = now < m_tableBackAt;
+        post(entry, milliseconds(1), [=, this](fault activeFault) {
+            const bool down = now < m_tableFaultUntil;
             write_result result;
             if (down && m_tableFault == fault::TableRefuses)
                 result.outcome = write_outcome::Refused;
-            else if (hit == fault::WriteDelayed)
+            else if (activeFault == fault::WriteDelayed)
                 post(entry, milliseconds(700), [=, this](fault) { commit(action.transaction); });
             else if (!down)
                 result = commit(action.transaction);
-            if (hit == fault::AnswerOfSecond)
+            if (activeFault == fault::SecondAnswerArrives)
                 result = commit(action.transaction);
-            if (hit == fault::AnswerLost)
+            if (activeFault == fault::AnswerLost)
                 result = write_result{};
             const bool slow = result.outcome == write_outcome::Unknown;
             post(entry, milliseconds(slow ? 300 : 1), [=, this](fault) {
@@ -315,7 +318,7 @@
         return result;
     }
 
-    void act(const std::string &entry, const read_claims &action)
+    void perform(const std::string &entry, const read_claims &action)
     {
         answerRead(entry, action.readId, [=, this] {
             std::vector<table_row> rows;
@@ -327,7 +330,7 @@
         });
     }
 
-    void act(const std::string &entry, const scan_claims &action)
+    void perform(const std::string &entry, const scan_claims &action)
     {
         answerRead(entry, action.readId, [=, this] { return platform.scan(action.prefix); });
     }
@@ -336,19 +339,19 @@
                     const std::function<std::vector<table_row>()> &read)
     {
         ++tableCalls;
-        post(entry, milliseconds(1), [=, this](fault hit) {
-            const bool failed = now < m_tableBackAt || hit == fault::AnswerLost;
+        post(entry, milliseconds(1), [=, this](fault activeFault) {
+            const bool failed = now < m_tableFaultUntil || activeFault == fault::AnswerLost;
             const claims_read answer{readId, !failed, failed ? std::vector<table_row>() : read()};
             post(entry, milliseconds(failed ? 300 : 1), [=, this](fault) { event(entry, answer); });
         });
     }
 
-    void act(const std::string &, const count_flow &action)
+    void perform(const std::string &, const increment_counter &action)
     {
         counts[std::string(nameOf(action.counter))] += action.amount;
     }
 
-    void act(const std::string &entry, const flow_drained &) { drainedAt[entry] = now; }
+    void perform(const std::string &entry, const flow_drained &) { drainedAt[entry] = now; }
 
     attempt_guard &guard(const std::string &agent)
     {
@@ -361,9 +364,9 @@
     std::map<std::string, time_point> m_frozenUntil;
     std::uint64_t m_incarnation = 1;
     std::map<std::string, int> m_running; // by request id
-    int m_sameTime = 0;                   // events without time going on
+    int m_eventsAtSameTime = 0;           // events without time going on
     fault m_tableFault = fault::None;
-    time_point m_tableBackAt{};
+    time_point m_tableFaultUntil{};
 };
 
 } // namespace zinniabarrow::tests
--- a/tests/generations_test.cpp
+++ b/tests/generations_test.cpp
@@ -241,7 +241,7 @@
                 return fault::None;
             isSlowed = true;
             world.process("e2").isCutFromPlatform = false;
-            return fault::Late;
+            return fault::Delayed;
         };
         world.process("e2").isCutFromPlatform = true;
         world.put("tickets.json", service("tickets", 4));
@@ -524,7 +524,7 @@
             {"query lost", fault::LostQuery, [](auto &) {}},
             {"reply lost", fault::LostReply, [](auto &) {}},
             {"outcome unknown", fault::Unsure, [](auto &) {}},
-            {"late", fault::Late, [](auto &) {}},
+            {"late", fault::Delayed, [](auto &) {}},
             {"entry replaced", fault::None, restart("e1")},
             {"entry replaced, reply lost", fault::LostReply, restart("e2")},
             {"agent replaced", fault::None, restart("a1")},
@@ -539,7 +539,7 @@
                  world.isPlatformDown = true;
                  world.after(seconds(3), [&world] { world.isPlatformDown = false; });
              }},
-            {"entry cut off for 3 s", fault::Late,
+            {"entry cut off for 3 s", fault::Delayed,
              [](config_world &world) {
                  auto &entry = world.process("e2");
                  entry.isCutFromPlatform = entry.isCutFromPeers = true;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -12,8 +12,8 @@
 
 constexpr time_point Start{seconds(1000)};
 
-announcement upstream(std::uint64_t incarnation, std::uint64_t sequence,
-                      upstream_state state = upstream_state::Serving)
+announcement makeAnnouncement(std::uint64_t incarnation, std::uint64_t sequence,
+                              upstream_state state = upstream_state::Serving)
 {
     announcement message;
     message.agentId = "agent-7";
@@ -26,7 +26,7 @@
     return message;
 }
 
-membership entryNamed(const std::string &id, std::uint64_t incarnation = 1)
+membership makeEntry(const std::string &id, std::uint64_t incarnation = 1)
 {
     membership_settings settings;
     settings.entryId = id;
@@ -53,16 +53,16 @@
 }
 
 // One digest from `from` to `to`, with its answer. True when there was one to send.
-bool exchange(membership &from, const std::string &fromId, membership &to, const std::string &toId,
-              time_point now, bool answerLost = false)
+bool exchangeDigest(membership &from, const std::string &fromId, membership &to,
+                    const std::string &toId, time_point now, bool answerLost = false)
 {
     const auto message = from.digestFor(toId, now);
     if (!message)
         return false;
-    const auto outcome = to.heard(digestFromJson(toJson(*message)), now);
+    const auto outcome = to.handleMessage(digestFromJson(toJson(*message)), now);
     if (outcome.ack && !answerLost)
-        from.heard(*outcome.ack);
-    return message->from == fromId;
+        from.handleMessage(*outcome.ack);
+    return message->senderId == fromId;
 }
 
 mesh_settings meshOf(int agents, int entries)
@@ -79,39 +79,41 @@
 // counted, callers would be sent to an address where nobody listens, or to an upstream that leaves.
 Test(membership, lateMessagesChangeNothing)
 {
-    auto entry = entryNamed("e0");
-    entry.heard(upstream(2, 5), Start);
+    auto entry = makeEntry("e0");
+    entry.handleMessage(makeAnnouncement(2, 5), Start);
     const auto refused = [&](const announcement &message) {
-        const auto outcome = entry.heard(message, Start);
-        return outcome.reply.refused == error_kind::StaleIncarnation && outcome.changes.empty()
-               && outcome.reply.knownIncarnation == entry.known().front().incarnation;
+        const auto outcome = entry.handleMessage(message, Start);
+        return outcome.reply.refusalKind == error_kind::StaleIncarnation && outcome.changes.empty()
+               && outcome.reply.knownIncarnation == entry.knownUpstreams().front().incarnation;
     };
     section("of an old incarnation", [&] {
-        check(refused(upstream(1, 99)));
-        check(refused(upstream(1, 100, upstream_state::Leaving)));
+        check(refused(makeAnnouncement(1, 99)));
+        check(refused(makeAnnouncement(1, 100, upstream_state::Leaving)));
     });
     section("of an old sequence, or doubled", [&] {
-        check(refused(upstream(2, 4, upstream_state::Starting)));
-        check(refused(upstream(2, 5)));
+        check(refused(makeAnnouncement(2, 4, upstream_state::Starting)));
+        check(refused(makeAnnouncement(2, 5)));
     });
     section("serving after leaving", [&] {
         check(countOf<upstream_left>(
-                      entry.heard(upstream(2, 6, upstream_state::Leaving), Start).changes)
+                      entry.handleMessage(makeAnnouncement(2, 6, upstream_state::Leaving), Start)
+                              .changes)
               == 1);
-        check(refused(upstream(2, 7)));
-        check(entry.routable().empty());
+        check(refused(makeAnnouncement(2, 7)));
+        check(entry.routableUpstreams().empty());
     });
     section("while leaving may be said again, so that its repetition ends", [&] {
-        const auto outcome = entry.heard(upstream(2, 8, upstream_state::Leaving), Start);
-        check(!outcome.reply.refused);
+        const auto outcome =
+                entry.handleMessage(makeAnnouncement(2, 8, upstream_state::Leaving), Start);
+        check(!outcome.reply.refusalKind);
     });
     section("and a newer incarnation is welcome", [&] {
-        const auto outcome = entry.heard(upstream(3, 1), Start);
+        const auto outcome = entry.handleMessage(makeAnnouncement(3, 1), Start);
         check(countOf<upstream_joined>(outcome.changes) == 1);
-        check(entry.routable().front().address == "10.0.0.3:7100");
+        check(entry.routableUpstreams().front().address == "10.0.0.3:7100");
     });
     section("it replaces the old one even if that never said that it leaves", [&] {
-        const auto outcome = entry.heard(upstream(4, 1), Start);
+        const auto outcome = entry.handleMessage(makeAnnouncement(4, 1), Start);
         check(reasonOf(outcome.changes) == leave_reason::Replaced);
         check(countOf<upstream_joined>(outcome.changes) == 1);
     });
@@ -119,21 +121,22 @@
 
 Test(membership, silence)
 {
-    auto entry = entryNamed("e0");
-    entry.heard(upstream(1, 1), Start);
+    auto entry = makeEntry("e0");
+    entry.handleMessage(makeAnnouncement(1, 1), Start);
     section("an upstream leaves routing three and a half periods after its last message", [&] {
         check(entry.tick(Start + milliseconds(3499)).empty());
         const auto changes = entry.tick(Start + milliseconds(3500));
         check(reasonOf(changes) == leave_reason::Silent);
     });
     section("one heartbeat brings it back", [&] {
-        const auto outcome = entry.heard(heartbeatOf(upstream(1, 2)), Start + seconds(10));
+        const auto outcome =
+                entry.handleMessage(heartbeatOf(makeAnnouncement(1, 2)), Start + seconds(10));
         check(countOf<upstream_joined>(outcome.changes) == 1);
     });
     section("the heartbeat of an unknown one asks for the whole announcement", [&] {
-        auto other = entryNamed("e1");
-        const auto outcome = other.heard(heartbeatOf(upstream(1, 3)), Start);
-        check(outcome.reply.sendWhole && other.size() == 0);
+        auto other = makeEntry("e1");
+        const auto outcome = other.handleMessage(heartbeatOf(makeAnnouncement(1, 3)), Start);
+        check(outcome.reply.needsFullAnnouncement && other.size() == 0);
     });
 }
 
@@ -141,48 +144,49 @@
 // its old rhythm, and callers must not lose a healthy upstream for that.
 Test(membership, lostPeriod)
 {
-    auto entry = entryNamed("e0");
-    const auto hear = [&](int index, std::uint64_t sequence, upstream_state state, time_point now) {
-        auto message = upstream(1, sequence, state);
+    auto entry = makeEntry("e0");
+    const auto deliver = [&](int index, std::uint64_t sequence, upstream_state state,
+                             time_point now) {
+        auto message = makeAnnouncement(1, sequence, state);
         message.agentId = "agent-" + std::to_string(index);
-        return entry.heard(message, now).reply.period;
+        return entry.handleMessage(message, now).reply.period;
     };
     for (int i = 0; i < 50; ++i)
-        hear(i, 1, upstream_state::Serving, Start);
-    const auto before = hear(0, 2, upstream_state::Serving, Start);
+        deliver(i, 1, upstream_state::Serving, Start);
+    const auto before = deliver(0, 2, upstream_state::Serving, Start);
     require(before > milliseconds(4000));
     for (int i = 1; i < 50; ++i)
-        hear(i, 2, upstream_state::Leaving, Start);
-    const auto after = hear(0, 3, upstream_state::Serving, Start + before);
+        deliver(i, 2, upstream_state::Leaving, Start);
+    const auto after = deliver(0, 3, upstream_state::Serving, Start + before);
     check(after == milliseconds(1000));
     check(entry.tick(Start + 2 * before - milliseconds(1)).empty());
-    check(entry.routable().size() == 1);
+    check(entry.routableUpstreams().size() == 1);
 }
 
 // Entry c is cut off from the agent and from the only entry that hears it. The agent leaves; the
 // news reach c through b, and c sends nothing more there.
 Test(membership, leavingThroughAnyPeer)
 {
-    auto a = entryNamed("a");
-    auto b = entryNamed("b");
-    auto c = entryNamed("c");
-    a.heard(upstream(1, 1), Start);
-    exchange(a, "a", b, "b", Start);
-    exchange(a, "a", c, "c", Start);
-    require(c.routable().size() == 1);
+    auto a = makeEntry("a");
+    auto b = makeEntry("b");
+    auto c = makeEntry("c");
+    a.handleMessage(makeAnnouncement(1, 1), Start);
+    exchangeDigest(a, "a", b, "b", Start);
+    exchangeDigest(a, "a", c, "c", Start);
+    require(c.routableUpstreams().size() == 1);
     const time_point later = Start + milliseconds(100);
-    a.heard(upstream(1, 2, upstream_state::Leaving), later);
+    a.handleMessage(makeAnnouncement(1, 2, upstream_state::Leaving), later);
     section("a change is sent at once, not at the next period", [&] {
-        check(exchange(a, "a", b, "b", later));
-        check(b.routable().empty());
+        check(exchangeDigest(a, "a", b, "b", later));
+        check(b.routableUpstreams().empty());
     });
     section("b passes it on to c", [&] {
-        check(exchange(b, "b", c, "c", later));
-        check(c.routable().empty());
+        check(exchangeDigest(b, "b", c, "c", later));
+        check(c.routableUpstreams().empty());
         check(c.counters().left.at(leave_reason::Left) == 1);
     });
     section("and nothing else is said without news", [&] {
-        exchange(b, "b", c, "c", later + seconds(2));
+        exchangeDigest(b, "b", c, "c", later + seconds(2));
         const auto idle = b.digestFor("c", later + seconds(4));
         check(idle && idle->records.empty());
     });
@@ -192,17 +196,17 @@
 // itself is heard no more, b stops; when a is replaced, the word of the old process is void.
 Test(membership, wordOfPeers)
 {
-    auto a = entryNamed("a");
-    auto b = entryNamed("b");
-    a.heard(upstream(1, 1), Start);
-    exchange(a, "a", b, "b", Start);
+    auto a = makeEntry("a");
+    auto b = makeEntry("b");
+    a.handleMessage(makeAnnouncement(1, 1), Start);
+    exchangeDigest(a, "a", b, "b", Start);
     section("a hears silence", [&] {
         a.tick(Start + milliseconds(3500));
-        exchange(a, "a", b, "b", Start + milliseconds(3500));
-        check(b.routable().empty());
-        a.heard(upstream(1, 2), Start + seconds(4));
-        exchange(a, "a", b, "b", Start + seconds(4));
-        check(b.routable().size() == 1);
+        exchangeDigest(a, "a", b, "b", Start + milliseconds(3500));
+        check(b.routableUpstreams().empty());
+        a.handleMessage(makeAnnouncement(1, 2), Start + seconds(4));
+        exchangeDigest(a, "a", b, "b", Start + seconds(4));
+        check(b.routableUpstreams().size() == 1);
     });
     section("a is silent itself", [&] {
         const auto limit = 3 * b.digestPeriod() + milliseconds(10000);
@@ -211,29 +215,29 @@
     });
     section("a digest without news is enough to count again", [&] {
         const time_point later = Start + seconds(20);
-        a.heard(upstream(1, 3), later);
-        exchange(a, "a", b, "b", later);
+        a.handleMessage(makeAnnouncement(1, 3), later);
+        exchangeDigest(a, "a", b, "b", later);
         b.tick(later);
-        check(b.routable().size() == 1);
+        check(b.routableUpstreams().size() == 1);
     });
     section("a new process in the place of a vouches for nothing yet", [&] {
-        auto reborn = entryNamed("a", 2);
-        exchange(reborn, "a", b, "b", Start + seconds(21));
+        auto restarted = makeEntry("a", 2);
+        exchangeDigest(restarted, "a", b, "b", Start + seconds(21));
         b.tick(Start + seconds(21));
-        check(b.routable().empty());
-        exchange(a, "a", b, "b", Start + seconds(40));
+        check(b.routableUpstreams().empty());
+        exchangeDigest(a, "a", b, "b", Start + seconds(40));
         b.tick(Start + seconds(40));
-        check(b.routable().empty() && b.counters().lateDigests == 1);
+        check(b.routableUpstreams().empty() && b.counters().staleDigests == 1);
     });
     section("unless its clock stepped back: it steps over what b remembers", [&] {
-        auto behind = entryNamed("a", 1);
-        behind.heard(upstream(1, 4), Start + seconds(50));
-        exchange(behind, "a", b, "b", Start + seconds(50));
-        check(b.routable().empty());
-        exchange(behind, "a", b, "b", Start + seconds(55));
-        check(b.routable().size() == 1);
+        auto withOlderClock = makeEntry("a", 1);
+        withOlderClock.handleMessage(makeAnnouncement(1, 4), Start + seconds(50));
+        exchangeDigest(withOlderClock, "a", b, "b", Start + seconds(50));
+        check(b.routableUpstreams().empty());
+        exchangeDigest(withOlderClock, "a", b, "b", Start + seconds(55));
+        check(b.routableUpstreams().size() == 1);
         section("while a process that was acknowledged before gives way", [&] {
-            exchange(a, "a", b, "b", Start + seconds(60));
+            exchangeDigest(a, "a", b, "b", Start + seconds(60));
             check(a.digestFor("b", Start + seconds(70))->incarnation == 1);
         });
     });
@@ -241,37 +245,37 @@
 
 Test(membership, digests)
 {
-    auto a = entryNamed("a");
-    auto b = entryNamed("b");
-    const auto hear = [&](int count) {
+    auto a = makeEntry("a");
+    auto b = makeEntry("b");
+    const auto deliver = [&](int count) {
         for (int i = 0; i < count; ++i) {
-            auto message = upstream(1, 1);
+            auto message = makeAnnouncement(1, 1);
             message.agentId = "agent-" + std::to_string(i);
-            a.heard(message, Start);
+            a.handleMessage(message, Start);
         }
     };
-    hear(40);
+    deliver(40);
     section("are bounded, and the rest follows as soon as one is acknowledged", [&] {
         check(a.digestFor("b", Start)->records.size() == 16);
-        auto receiver = entryNamed("c");
+        auto receiver = makeEntry("c");
         int sent = 0;
-        while (exchange(a, "a", receiver, "c", Start))
+        while (exchangeDigest(a, "a", receiver, "c", Start))
             ++sent;
-        check(sent == 3 && receiver.routable().size() == 40);
+        check(sent == 3 && receiver.routableUpstreams().size() == 40);
     });
     section("are sent again when the answer was lost", [&] {
-        check(exchange(a, "a", b, "b", Start + seconds(5), true));
-        check(b.routable().size() == 16);
-        while (exchange(a, "a", b, "b", Start + seconds(10))) { }
-        check(b.routable().size() == 40);
-        check(b.counters().lateDigests == 0);
+        check(exchangeDigest(a, "a", b, "b", Start + seconds(5), true));
+        check(b.routableUpstreams().size() == 16);
+        while (exchangeDigest(a, "a", b, "b", Start + seconds(10))) { }
+        check(b.routableUpstreams().size() == 40);
+        check(b.counters().staleDigests == 0);
     });
     section("start from the beginning for a receiver that was replaced", [&] {
-        auto reborn = entryNamed("b", 2);
-        exchange(a, "a", reborn, "b", Start + seconds(20));
-        while (exchange(a, "a", reborn, "b", Start + seconds(20))) { }
+        auto restarted = makeEntry("b", 2);
+        exchangeDigest(a, "a", restarted, "b", Start + seconds(20));
+        while (exchangeDigest(a, "a", restarted, "b", Start + seconds(20))) { }
         check(a.counters().resyncs == 1);
-        check(reborn.routable().size() == 40);
+        check(restarted.routableUpstreams().size() == 40);
     });
 }
 
@@ -280,19 +284,19 @@
 Test(membership, bound)
 {
     membership_settings settings;
-    settings.memberLimit = 2;
+    settings.maxMembers = 2;
     membership entry(settings);
-    const auto hear = [&](const std::string &id, upstream_state state) {
-        auto message = upstream(1, 1, state);
+    const auto deliver = [&](const std::string &id, upstream_state state) {
+        auto message = makeAnnouncement(1, 1, state);
         message.agentId = id;
-        return entry.heard(message, Start).reply.refused;
+        return entry.handleMessage(message, Start).reply.refusalKind;
     };
-    hear("serving", upstream_state::Serving);
-    hear("gone", upstream_state::Leaving);
-    check(!hear("new", upstream_state::Serving));
-    check(hear("flood", upstream_state::Serving) == error_kind::OverCapacity);
+    deliver("serving", upstream_state::Serving);
+    deliver("gone", upstream_state::Leaving);
+    check(!deliver("new", upstream_state::Serving));
+    check(deliver("flood", upstream_state::Serving) == error_kind::OverCapacity);
     check(entry.counters().overLimit == 1);
-    check(entry.size() == 2 && entry.routable().size() == 2);
+    check(entry.size() == 2 && entry.routableUpstreams().size() == 2);
     section("peers that have been replaced make room as well", [&] {
         for (int i = 0; i < 64; ++i)
             check(entry.digestFor("peer-" + std::to_string(i), Start).has_value());
@@ -306,43 +310,44 @@
 // wakes up it must give way. A clock that stepped back must not lock a new process out.
 Test(membership, agentsReplaced)
 {
-    auto entry = entryNamed("e0");
+    auto entry = makeEntry("e0");
     announcer_settings settings;
     settings.entries = {"e0"};
-    const auto talk = [&](announcer &agent, time_point now) {
+    const auto exchangeMessages = [&](announcer &agent, time_point now) {
         for (const auto &sent : agent.tick(now)) {
             const auto outcome = std::visit(
-                    [&](const auto &message) { return entry.heard(message, now); }, sent.message);
-            agent.answered(sent.entry, outcome.reply, now);
+                    [&](const auto &message) { return entry.handleMessage(message, now); },
+                    sent.message);
+            agent.handleReply(sent.entry, outcome.reply, now);
         }
     };
-    announcer old(settings, upstream(5, 0));
-    talk(old, Start);
-    announcer fresh(settings, upstream(6, 0));
-    talk(fresh, Start + seconds(10));
+    announcer old(settings, makeAnnouncement(5, 0));
+    exchangeMessages(old, Start);
+    announcer fresh(settings, makeAnnouncement(6, 0));
+    exchangeMessages(fresh, Start + seconds(10));
     section("the one that woke up stops announcing", [&] {
-        talk(old, Start + seconds(11));
-        check(old.superseded() && old.tick(Start + seconds(20)).empty());
-        check(entry.known().front().incarnation == 6);
+        exchangeMessages(old, Start + seconds(11));
+        check(old.isSuperseded() && old.tick(Start + seconds(20)).empty());
+        check(entry.knownUpstreams().front().incarnation == 6);
     });
     section("a new one with an older clock steps over what is remembered", [&] {
-        announcer behind(settings, upstream(3, 0));
-        talk(behind, Start + seconds(12));
-        talk(behind, Start + seconds(12));
-        check(!behind.superseded() && behind.self().incarnation == 7);
-        check(entry.routable().front().incarnation == 7);
-        talk(fresh, Start + seconds(13));
-        check(fresh.superseded());
+        announcer withOlderClock(settings, makeAnnouncement(3, 0));
+        exchangeMessages(withOlderClock, Start + seconds(12));
+        exchangeMessages(withOlderClock, Start + seconds(12));
+        check(!withOlderClock.isSuperseded() && withOlderClock.self().incarnation == 7);
+        check(entry.routableUpstreams().front().incarnation == 7);
+        exchangeMessages(fresh, Start + seconds(13));
+        check(fresh.isSuperseded());
     });
     section("an answer to an earlier message does not end the repetition of leaving", [&] {
-        announcer leaving(settings, upstream(9, 0));
+        announcer leaving(settings, makeAnnouncement(9, 0));
         const auto before = leaving.tick(Start);
         leaving.setState(upstream_state::Leaving);
         const auto sequence = std::get<announcement>(before.front().message).sequence;
-        leaving.answered("e0", {sequence, std::nullopt, 9, false, milliseconds(1000)}, Start);
-        check(!leaving.leftEverywhere());
-        talk(leaving, Start);
-        check(leaving.leftEverywhere());
+        leaving.handleReply("e0", {sequence, std::nullopt, 9, false, milliseconds(1000)}, Start);
+        check(!leaving.isLeaveComplete());
+        exchangeMessages(leaving, Start);
+        check(leaving.isLeaveComplete());
     });
 }
 
@@ -456,21 +461,21 @@
 
 Test(membership, messages)
 {
-    const auto whole = upstream(3, 9);
+    const auto full = makeAnnouncement(3, 9);
     section("survive the way through text", [&] {
-        const auto again = announcementFromJson(parseJson(compactJson(toJson(whole))));
-        check(toJson(again) == toJson(whole));
-        const auto beat = heartbeatOf(whole);
-        check(toJson(heartbeatFromJson(toJson(beat))) == toJson(beat));
+        const auto again = announcementFromJson(parseJson(compactJson(toJson(full))));
+        check(toJson(again) == toJson(full));
+        const auto compact = heartbeatOf(full);
+        check(toJson(heartbeatFromJson(toJson(compact))) == toJson(compact));
         const announce_reply reply{4, error_kind::StaleIncarnation, 3, false, milliseconds(5)};
         check(toJson(announceReplyFromJson(toJson(reply))) == toJson(reply));
         const digest_ack ack{"a", 1, 2};
         check(toJson(digestAckFromJson(toJson(ack))) == toJson(ack));
     });
     section("are refused with the name of a missing or wrong member", [&] {
-        for (const auto &name : toJson(whole).getMemberNames()) {
+        for (const auto &name : toJson(full).getMemberNames()) {
             for (const bool missing : {true, false}) {
-                auto json = toJson(whole);
+                auto json = toJson(full);
                 json[name] = Json::Value(-1.5);
                 if (missing)
                     json.removeMember(name);
--- a/tests/request_flow_test.cpp
+++ b/tests/request_flow_test.cpp
@@ -51,7 +51,7 @@
     return answer == nullptr ? nullptr : std::get_if<refuse_request>(&answer->answer);
 }
 
-bool refusedAs(const std::vector<flow_action> &actions, error_kind kind, executed ran)
+bool isRefusedAs(const std::vector<flow_action> &actions, error_kind kind, executed ran)
 {
     const auto *refusal = refusalIn(actions);
     return refusal != nullptr && refusal->kind == kind && refusal->ran == ran;
@@ -87,28 +87,28 @@
                 check(!retries("GET", attempt_cut{false}));
                 check(retries("GET", attempt_cut{true}));
                 check(!retries("POST", refusalOf(error_kind::OutcomeUnknown, executed::Unknown)));
-                check(!retries("PUT", attempt_late{}));
+                check(!retries("PUT", attempt_timed_out{}));
                 check(!retries("PUT", attempt_too_large{}));
             });
     section("a refusal whose kind does not mean 'not run' is no proof of it", [] {
-        const auto doubtful = refusalOf(error_kind::AnswerCut, executed::No);
-        check(!retries("POST", doubtful));
-        check(refusedAs(forwarded_request("POST").end(doubtful), error_kind::OutcomeUnknown,
-                        executed::Unknown));
+        const auto contradictory = refusalOf(error_kind::AnswerCut, executed::No);
+        check(!retries("POST", contradictory));
+        check(isRefusedAs(forwarded_request("POST").end(contradictory), error_kind::OutcomeUnknown,
+                          executed::Unknown));
     });
     section("no retry without permission, time or attempts left", [] {
         const auto denied = forwarded_request("POST", false).end(attempt_unreachable{});
-        check(refusedAs(denied, error_kind::UpstreamUnreachable, executed::No));
+        check(isRefusedAs(denied, error_kind::UpstreamUnreachable, executed::No));
         const auto late =
                 forwarded_request("POST").end(attempt_unreachable{}, 1, milliseconds(490));
-        check(refusedAs(late, error_kind::UpstreamUnreachable, executed::No));
+        check(isRefusedAs(late, error_kind::UpstreamUnreachable, executed::No));
         forwarded_request request("POST");
         for (std::uint32_t attempt = 1; attempt < 3; ++attempt) {
             check(find<choose_upstream>(request.end(attempt_unreachable{}, attempt)));
             request.flow.handle(upstream_chosen{"r", "a"}, Start);
         }
-        check(refusedAs(request.end(attempt_unreachable{}, 3), error_kind::UpstreamUnreachable,
-                        executed::No));
+        check(isRefusedAs(request.end(attempt_unreachable{}, 3), error_kind::UpstreamUnreachable,
+                          executed::No));
     });
 }
 
@@ -120,37 +120,37 @@
     check(find<choose_upstream>(request.end(attempt_cut{true})));
     request.flow.handle(upstream_chosen{"r", "a2"}, Start);
     check(find<choose_upstream>(request.end(refusalOf(error_kind::QueueFull, executed::No), 2)));
-    const auto actions = request.flow.handle(none_available{"r"}, Start);
-    check(refusedAs(actions, error_kind::OutcomeUnknown, executed::Unknown));
+    const auto actions = request.flow.handle(no_upstream_available{"r"}, Start);
+    check(isRefusedAs(actions, error_kind::OutcomeUnknown, executed::Unknown));
 }
 
 Test(request_flow, answers)
 {
     section("a whole answer is passed on, once", [] {
         forwarded_request request("POST");
-        const auto actions = request.end(whole_answer{201, {}, 2, "ok"});
+        const auto actions = request.end(complete_answer{201, {}, 2, "ok"});
         check(std::get<pass_answer>(find<answer_caller>(actions)->answer).status == 201);
-        check(!find<answer_caller>(request.end(whole_answer{201, {}, 2, "ok"})));
+        check(!find<answer_caller>(request.end(complete_answer{201, {}, 2, "ok"})));
         check(request.flow.inFlight() == 0);
     });
     section("an outcome that is not known is answered as such at once", [] {
-        check(refusedAs(forwarded_request("POST").end(attempt_cut{}), error_kind::OutcomeUnknown,
-                        executed::Unknown));
-        check(refusedAs(forwarded_request("GET").end(attempt_cut{}), error_kind::AnswerCut,
-                        executed::Unknown));
+        check(isRefusedAs(forwarded_request("POST").end(attempt_cut{}), error_kind::OutcomeUnknown,
+                          executed::Unknown));
+        check(isRefusedAs(forwarded_request("GET").end(attempt_cut{}), error_kind::AnswerCut,
+                          executed::Unknown));
     });
     section("an answer of an earlier attempt is not the answer", [] {
         forwarded_request request("POST");
         request.end(attempt_unreachable{});
         request.flow.handle(upstream_chosen{"r", "a2"}, Start);
-        check(!find<answer_caller>(request.end(whole_answer{200, {}, 0, ""}, 1)));
-        check(find<answer_caller>(request.end(whole_answer{200, {}, 0, ""}, 2)));
+        check(!find<answer_caller>(request.end(complete_answer{200, {}, 0, ""}, 1)));
+        check(find<answer_caller>(request.end(complete_answer{200, {}, 0, ""}, 2)));
     });
     section("at the deadline: the final answer, and a cancel to the agent", [] {
         forwarded_request request("POST");
         check(request.flow.nextWake() == Start + milliseconds(500));
         const auto actions = request.flow.handle(flow_tick{}, Start + milliseconds(500));
-        check(refusedAs(actions, error_kind::AnswerLate, executed::Unknown));
+        check(isRefusedAs(actions, error_kind::AnswerLate, executed::Unknown));
         check(find<cancel_attempt>(actions)->agentId == "a1");
     });
     section("the agent's own Retry-After is kept when it is longer", [] {
@@ -166,7 +166,7 @@
                     Start);
         const auto actions = flow.handle(upstream_chosen{"r", "a1"}, Start + seconds(4));
         check(!find<forward_request>(actions));
-        check(refusedAs(actions, error_kind::DeadlinePassed, executed::No));
+        check(isRefusedAs(actions, error_kind::DeadlinePassed, executed::No));
     });
 }
 
@@ -175,14 +175,14 @@
 Test(request_flow, drain)
 {
     forwarded_request request("POST");
-    check(!find<flow_drained>(request.flow.handle(flow_drain{}, Start)));
+    check(!find<flow_drained>(request.flow.handle(flow_drain_started{}, Start)));
     const auto refused = request.flow.handle(
             request_arrived{"n", "tickets", "GET", "/", "", "", 1, Start + seconds(1)}, Start);
-    check(refusedAs(refused, error_kind::Draining, executed::No));
-    const auto last = request.end(whole_answer{200, {}, 0, ""});
+    check(isRefusedAs(refused, error_kind::Draining, executed::No));
+    const auto last = request.end(complete_answer{200, {}, 0, ""});
     check(find<answer_caller>(last));
     check(find<flow_drained>(last));
-    check(!find<flow_drained>(request.flow.handle(flow_drain{}, Start)));
+    check(!find<flow_drained>(request.flow.handle(flow_drain_started{}, Start)));
 }
 
 Test(request_flow, bounds)
@@ -196,11 +196,11 @@
         auto second = first;
         second.id = "r2";
         check(!find<answer_caller>(flow.handle(first, Start)));
-        check(refusedAs(flow.handle(second, Start), error_kind::Overloaded, executed::No));
+        check(isRefusedAs(flow.handle(second, Start), error_kind::Overloaded, executed::No));
     });
     section("settings under which a key could expire during its request are refused", [] {
         flow_settings settings;
-        settings.claims.eraLength = milliseconds(1000);
+        settings.claims.eraDuration = milliseconds(1000);
         try {
             const request_flow flow("e1", settings, {}, {});
             check(!"accepted");
@@ -216,7 +216,7 @@
 {
     const auto begin = [](forwarded_request &request, std::uint32_t attempt = 1,
                           milliseconds after = milliseconds(10)) {
-        return request.flow.handle(answer_begun{"r", attempt, 200}, Start + after);
+        return request.flow.handle(answer_started{"r", attempt, 200}, Start + after);
     };
     section("the head is passed on once, and the request stays in flight", [&] {
         forwarded_request request("GET");
@@ -229,7 +229,7 @@
         for (const attempt_outcome &outcome :
              {attempt_outcome(attempt_cut{true}), attempt_outcome(attempt_unreachable{}),
               attempt_outcome(refusalOf(error_kind::QueueFull, executed::No)),
-              attempt_outcome(whole_answer{})}) {
+              attempt_outcome(complete_answer{})}) {
             forwarded_request request("GET");
             begin(request);
             const auto actions = request.end(outcome);
@@ -241,7 +241,7 @@
     section("one that begins after the deadline is refused as late", [&] {
         forwarded_request request("POST");
         const auto actions = begin(request, 1, milliseconds(501));
-        check(refusedAs(actions, error_kind::AnswerLate, executed::Unknown));
+        check(isRefusedAs(actions, error_kind::AnswerLate, executed::Unknown));
     });
     section("one of an earlier attempt is not passed on", [&] {
         forwarded_request request("POST");
@@ -253,12 +253,13 @@
     section("a drain waits for the end of the body, but not for ever", [&] {
         forwarded_request request("GET");
         begin(request);
-        check(find<flow_drained>(request.flow.handle(flow_drain{}, Start + milliseconds(20)))
+        check(find<flow_drained>(
+                      request.flow.handle(flow_drain_started{}, Start + milliseconds(20)))
               == nullptr);
-        check(find<flow_drained>(request.end(whole_answer{}, 1, milliseconds(30))) != nullptr);
+        check(find<flow_drained>(request.end(complete_answer{}, 1, milliseconds(30))) != nullptr);
         forwarded_request lost("GET");
         begin(lost);
-        lost.flow.handle(flow_drain{}, Start + milliseconds(20));
+        lost.flow.handle(flow_drain_started{}, Start + milliseconds(20));
         check(find<flow_drained>(lost.flow.handle(flow_tick{}, Start + seconds(60))) != nullptr);
     });
 }
--- a/tests/retry_budget_test.cpp
+++ b/tests/retry_budget_test.cpp
@@ -22,8 +22,8 @@
 
 bool denied(const retry_verdict &verdict, retry_denial why)
 {
-    const auto *over = std::get_if<give_up>(&verdict);
-    return over && over->why == why;
+    const auto *givenUp = std::get_if<give_up>(&verdict);
+    return givenUp && givenUp->denialReason == why;
 }
 
 } // namespace
@@ -33,7 +33,7 @@
     section("no error that may have run is ever retried", [] {
         for (const auto &row : errorAnswers()) {
             retry_budget budget({}, Start);
-            const auto verdict = budget.mayRetry(failedBy(row.kind), Start);
+            const auto verdict = budget.requestRetry(failedBy(row.kind), Start);
             check(granted(verdict) == row.retryElsewhere);
             check(row.ran == executed::No || denied(verdict, retry_denial::MayHaveRun));
         }
@@ -42,15 +42,15 @@
         retry_budget budget({}, Start);
         auto failed = failedBy(error_kind::UpstreamUnreachable);
         failed.deadline = Start + milliseconds(20);
-        check(denied(budget.mayRetry(failed, Start), retry_denial::NoTimeLeft));
+        check(denied(budget.requestRetry(failed, Start), retry_denial::NoTimeLeft));
         failed.deadline += milliseconds(1);
-        check(granted(budget.mayRetry(failed, Start)));
+        check(granted(budget.requestRetry(failed, Start)));
     });
     section("nor one that has had its attempts", [] {
         retry_budget budget({}, Start);
         auto failed = failedBy(error_kind::QueueFull);
         failed.attempts = 3;
-        check(denied(budget.mayRetry(failed, Start), retry_denial::AttemptLimit));
+        check(denied(budget.requestRetry(failed, Start), retry_denial::AttemptLimit));
     });
 }
 
@@ -67,7 +67,7 @@
         budget.requestStarted(now);
         auto failed = failedBy(error_kind::UpstreamUnreachable);
         failed.deadline = now + seconds(5);
-        for (; granted(budget.mayRetry(failed, now)); ++failed.attempts)
+        for (; granted(budget.requestRetry(failed, now)); ++failed.attempts)
             ++retries;
     }
     section("a tenth of the requests and one a second, no more", [&] {
@@ -75,7 +75,7 @@
         check(retries >= Requests / 10);
     });
     section("the answer and the counters say why", [&] {
-        const auto verdict = budget.mayRetry(failedBy(error_kind::UpstreamUnreachable), Start);
+        const auto verdict = budget.requestRetry(failedBy(error_kind::UpstreamUnreachable), Start);
         check(std::get<give_up>(verdict).kind == error_kind::RetryBudgetSpent);
         check(budget.counters().denied.at(retry_denial::BudgetSpent) > 8000);
         check(budget.counters().retried.at(error_kind::UpstreamUnreachable)
@@ -83,7 +83,7 @@
     });
     section("a long quiet time saves up a bounded burst", [&] {
         budget.requestStarted(now + std::chrono::hours(1));
-        check(budget.available() <= 20.0);
+        check(budget.availableRetries() <= 20.0);
     });
 }
 
@@ -97,6 +97,6 @@
         budget.requestStarted(now);
         auto failed = failedBy(error_kind::UpstreamUnreachable);
         failed.deadline = now + seconds(5);
-        check(granted(budget.mayRetry(failed, now)));
+        check(granted(budget.requestRetry(failed, now)));
     }
 }
