--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -23,7 +23,7 @@
 namespace zinniabarrow::tests {
 
 // What is on its way.
-enum class way {
+enum class delivery_kind {
     Order,
     OrderAnswer,
     Report,
@@ -31,21 +31,21 @@
     Start,
     StartAnswer,
     Stop,
-    Look,
+    Poll,
     Write,
     WriteAnswer,
     Feed,
     Thaw, // what came while a process was frozen is worked through in any order
 };
 
-struct passage
+struct delivery
 {
-    milliseconds takes{2};
+    milliseconds delay{2};
     bool isLost = false;
 };
-using passage_source = std::function<passage(way)>;
+using delivery_planner = std::function<delivery(delivery_kind)>;
 
-inline passage promptPassage(way /*what*/)
+inline delivery promptDelivery(delivery_kind /*what*/)
 {
     return {};
 }
@@ -60,257 +60,261 @@
 
 // Of the first kind, entries are told of each epoch and never say whose a job isn't. Fuller, they
 // look at the lease of a worker that is silent, and answer for each end, as the daemons do.
-enum class model_kind { First, Fuller };
+enum class model_kind { Basic, Complete };
 
-struct modelled_entry
+struct simulated_entry
 {
     std::string name;
     std::int64_t incarnation = 0;
-    bool lives = false;
-    bool leaving = false;
+    bool isAlive = false;
+    bool isLeaving = false;
     time_point frozenUntil{};
     time_point cutOffUntil{}; // from the store, from agents and from the others
     std::unique_ptr<jobs::worker_pool> pool;
-    std::unique_ptr<jobs::job_controller> book;
-    std::map<std::int64_t, std::function<void(bool)>> waits;
+    std::unique_ptr<jobs::job_controller> controller;
+    std::map<std::int64_t, std::function<void(bool)>> writeCallbacks;
     std::int64_t nextToken = 1;
-    std::map<std::string, job_row> view;
-    std::map<std::string, time_point> heard; // other entries
-    time_point beganAt{};
-    time_point lookAtLeasesAt{};
-    bool freezesAsWritten = false; // as the next answer to a write is on its way
-    milliseconds freezesFor{};
+    std::map<std::string, job_row> knownRows;
+    std::map<std::string, time_point> lastHeartbeatAt; // other entries
+    time_point startedAt{};
+    time_point nextLeaseCheckAt{};
+    bool shouldFreezeOnCommit = false; // as the next answer to a write is on its way
+    milliseconds freezeDuration{};
 };
 
-struct modelled_agent
+struct simulated_agent
 {
     std::string name; // of its worker
-    bool lives = false;
-    int life = 0;
+    bool isAlive = false;
+    int startNumber = 0;
     time_point frozenUntil{};
-    bool leaving = false;   // its worker, which says so
-    int workerLife = 1;     // that it knows of
-    bool owesEpoch = false; // the end of that life is not in the store yet
+    bool isLeaving = false;         // its worker, which says so
+    int knownBootNumber = 1;        // that it knows of
+    bool isEpochEndPending = false; // the end of that life is not in the store yet
     std::int64_t fence = 0;
     std::int64_t leaseEpoch = 0; // that it holds; 0: none
     time_point leaseUntil{};
-    bool fenceSeen = false;        // by the worker
-    time_point cutOffUntil{};      // from entries
-    time_point storeCutOffUntil{}; // from the store
+    bool isFenceAcknowledged = false; // by the worker
+    time_point cutOffUntil{};         // from entries
+    time_point storeCutOffUntil{};    // from the store
     jobs::task_size capacity{16'000, 64'000, 0};
     jobs::run_table table;
 };
 
 // The lease of a worker, as the store has it.
-struct modelled_lease
+struct simulated_lease
 {
     std::int64_t epoch = 1;
-    time_point until{};
-    bool isOver = false;
+    time_point expiresAt{};
+    bool isEpochEnded = false;
 };
 
-class order_model
+class cluster_simulation
 {
 public:
-    order_model(int entries, int workers, run_planner planner,
-                passage_source passages = promptPassage, bool keepsTrace = true,
-                model_kind kind = model_kind::First)
-        : m_passages(std::move(passages))
+    cluster_simulation(int entryCount, int workerCount, run_planner planner,
+                       delivery_planner planDelivery = promptDelivery, bool keepsTrace = true,
+                       model_kind kind = model_kind::Basic)
+        : m_planDelivery(std::move(planDelivery))
         , m_keepsTrace(keepsTrace)
         , m_kind(kind)
     {
-        for (int at = 0; at < workers; ++at) {
-            const auto name = fmt::format("w{}", at + 1);
-            m_workers.push_back(std::make_unique<modelled_worker>(name, planner));
-            m_agents.push_back(std::make_unique<modelled_agent>());
+        for (int index = 0; index < workerCount; ++index) {
+            const auto name = fmt::format("w{}", index + 1);
+            m_workers.push_back(std::make_unique<simulated_worker>(name, planner));
+            m_agents.push_back(std::make_unique<simulated_agent>());
             m_agents.back()->name = name;
             m_leases[name] = {};
         }
-        for (int at = 0; at < entries; ++at) {
-            m_entries.push_back(std::make_unique<modelled_entry>());
-            m_entries.back()->name = fmt::format("entry-{}", at + 1);
+        for (int index = 0; index < entryCount; ++index) {
+            m_entries.push_back(std::make_unique<simulated_entry>());
+            m_entries.back()->name = fmt::format("entry-{}", index + 1);
         }
         for (auto &agent : m_agents)
-            beginAgentLife(*agent);
+            startAgent(*agent);
         for (auto &entry : m_entries)
-            beginEntryLife(*entry);
-        watchLeases();
+            startEntry(*entry);
+        expireLeases();
     }
 
     // --- what a test plants
 
     // Asked for each order that is sent: none, it travels as all do.
-    std::function<std::optional<milliseconds>(const jobs::send_order &)> holdUpOrder;
-    std::function<void(modelled_entry &, const std::string &, const jobs::job_record &)>
+    std::function<std::optional<milliseconds>(const jobs::send_order &)> delayOrder;
+    std::function<void(simulated_entry &, const std::string &, const jobs::job_record &)>
             onRowStored;
-    std::function<void(const jobs::send_order &, const jobs::order_answer &)> onOrderTaken;
+    std::function<void(const jobs::send_order &, const jobs::order_answer &)> onOrderHandled;
 
     void submit(const std::string &id, const jobs::job_spec &spec)
     {
         for (auto &entry : m_entries) {
-            if (!isInTouch(*entry) || entry->leaving)
+            if (!isReachable(*entry) || entry->isLeaving)
                 continue;
             jobs::queue_policy policy;
             policy.queue = "holds";
             policy.service = "tickets";
             policy.maxAttempts = 50;
-            entry->book->submit(id, spec, policy, clockOf(m_now), m_now, entry->nextToken++);
-            return pump(*entry);
+            entry->controller->submit(id, spec, policy, clockOf(m_now), m_now, entry->nextToken++);
+            return planAndExecute(*entry);
         }
     }
 
     // A row that is there before anything happens.
-    void plantRow(const std::string &id, jobs::job_record record)
+    void insertRow(const std::string &id, jobs::job_record record)
     {
         record.owner = {"entry-0", 1};
         commitRow(id, toText(record));
     }
 
-    void kill(modelled_entry &entry) { killAs(entry.name, entry); }
+    void kill(simulated_entry &entry) { killProcess(entry.name, entry); }
 
-    void beginEntryLife(modelled_entry &entry)
+    void startEntry(simulated_entry &entry)
     {
-        entry.lives = true;
-        entry.leaving = false;
+        entry.isAlive = true;
+        entry.isLeaving = false;
         entry.frozenUntil = {};
         entry.pool = std::make_unique<jobs::worker_pool>();
-        entry.book = std::make_unique<jobs::job_controller>(
+        entry.controller = std::make_unique<jobs::job_controller>(
                 jobs::owner_id{entry.name, ++entry.incarnation}, *entry.pool);
-        entry.waits.clear();
-        entry.beganAt = m_now;
-        entry.view = m_rows;
-        std::erase_if(entry.view, [](const auto &one) { return one.second.version == 0; });
-        entry.heard.clear();
+        entry.writeCallbacks.clear();
+        entry.startedAt = m_now;
+        entry.knownRows = m_rows;
+        std::erase_if(entry.knownRows, [](const auto &one) { return one.second.version == 0; });
+        entry.lastHeartbeatAt.clear();
         for (const auto &other : m_entries)
-            entry.heard[other->name] = m_now;
-        say("{} lives, incarnation {}", entry.name, entry.incarnation);
+            entry.lastHeartbeatAt[other->name] = m_now;
+        addToTrace("{} lives, incarnation {}", entry.name, entry.incarnation);
         tick(entry, entry.incarnation);
     }
 
-    void cutOff(modelled_entry &entry, milliseconds span)
+    void cutOff(simulated_entry &entry, milliseconds span)
     {
         entry.cutOffUntil = m_now + span;
-        say("{} is cut off for {} ms", entry.name, span.count());
+        addToTrace("{} is cut off for {} ms", entry.name, span.count());
     }
 
-    void freeze(modelled_entry &entry, milliseconds span) { freezeAs(entry.name, entry, span); }
+    void freeze(simulated_entry &entry, milliseconds span)
+    {
+        freezeProcess(entry.name, entry, span);
+    }
 
     // A planned stop: the others take its jobs over, and it ends once it owns none that isn't over.
-    void leave(modelled_entry &entry)
+    void leave(simulated_entry &entry)
     {
-        if (!entry.lives || std::exchange(entry.leaving, true))
+        if (!entry.isAlive || std::exchange(entry.isLeaving, true))
             return;
-        say("{} leaves as planned", entry.name);
-        leaveOn(entry, entry.incarnation);
+        addToTrace("{} leaves as planned", entry.name);
+        continueShutdown(entry, entry.incarnation);
     }
 
-    void kill(modelled_agent &agent) { killAs("agent of " + agent.name, agent); }
+    void kill(simulated_agent &agent) { killProcess("agent of " + agent.name, agent); }
 
-    void beginAgentLife(modelled_agent &agent)
+    void startAgent(simulated_agent &agent)
     {
-        agent.lives = true;
+        agent.isAlive = true;
         agent.frozenUntil = {};
-        seeWorkerLife(agent);
-        ++agent.life;
+        detectReboot(agent);
+        ++agent.startNumber;
         ++agent.fence;
         agent.leaseEpoch = 0;
-        agent.fenceSeen = false;
+        agent.isFenceAcknowledged = false;
         agent.table = jobs::run_table();
-        tellLife(agent);
-        say("agent of {} lives, life {}", agent.name, agent.fence);
-        look(agent, agent.life);
-        reportRegularly(agent, agent.life);
+        updateTableIncarnation(agent);
+        addToTrace("agent of {} lives, life {}", agent.name, agent.fence);
+        schedulePoll(agent, agent.startNumber);
+        scheduleReports(agent, agent.startNumber);
     }
 
-    void cutOff(modelled_agent &agent, milliseconds span)
+    void cutOff(simulated_agent &agent, milliseconds span)
     {
         agent.cutOffUntil = m_now + span;
-        say("agent of {} is cut off from entries for {} ms", agent.name, span.count());
+        addToTrace("agent of {} is cut off from entries for {} ms", agent.name, span.count());
     }
 
-    void cutOffLink(const modelled_agent &agent, const modelled_entry &entry, milliseconds span)
+    void cutOffLink(const simulated_agent &agent, const simulated_entry &entry, milliseconds span)
     {
-        m_links[{agent.name, entry.name}] = m_now + span;
-        say("agent of {} and {} are cut off from each other for {} ms", agent.name, entry.name,
-            span.count());
+        m_linkCutUntil[{agent.name, entry.name}] = m_now + span;
+        addToTrace("agent of {} and {} are cut off from each other for {} ms", agent.name,
+                   entry.name, span.count());
     }
 
-    void cutOffFromAll(modelled_agent &agent, milliseconds span)
+    void cutOffFromEntriesAndStore(simulated_agent &agent, milliseconds span)
     {
         cutOff(agent, span);
         agent.storeCutOffUntil = m_now + span;
-        say("agent of {} is cut off from the store as well", agent.name);
+        addToTrace("agent of {} is cut off from the store as well", agent.name);
     }
 
-    void freeze(modelled_agent &agent, milliseconds span)
+    void freeze(simulated_agent &agent, milliseconds span)
     {
-        freezeAs("agent of " + agent.name, agent, span);
+        freezeProcess("agent of " + agent.name, agent, span);
     }
 
-    void freezeAsWritten(modelled_entry &entry, milliseconds span)
+    void freezeOnCommit(simulated_entry &entry, milliseconds span)
     {
-        entry.freezesAsWritten = true;
-        entry.freezesFor = span;
+        entry.shouldFreezeOnCommit = true;
+        entry.freezeDuration = span;
     }
 
-    void bootAnew(modelled_worker &worker)
+    void reboot(simulated_worker &worker)
     {
-        worker.bootAnew();
-        agentOf(worker.name()).leaving = false;
-        say("{} lives anew", worker.name());
+        worker.reboot();
+        agentOf(worker.name()).isLeaving = false;
+        addToTrace("{} lives anew", worker.name());
     }
 
     // It takes no new runs, and is gone after `drains`; another life follows after `away`.
-    void leave(modelled_worker &worker, milliseconds drains, milliseconds away)
+    void leave(simulated_worker &worker, milliseconds drainTime, milliseconds downTime)
     {
-        agentOf(worker.name()).leaving = true;
-        say("{} leaves", worker.name());
-        after(drains, [this, &worker, away] {
-            if (m_isWell)
+        agentOf(worker.name()).isLeaving = true;
+        addToTrace("{} leaves", worker.name());
+        schedule(drainTime, [this, &worker, downTime] {
+            if (m_areFaultsCleared)
                 return;
             kill(agentOf(worker.name()));
-            worker.bootAnew();
-            worker.turnAwayUntil(m_now + away);
-            say("{} is gone for {} ms", worker.name(), away.count());
+            worker.reboot();
+            worker.rejectStartsUntil(m_now + downTime);
+            addToTrace("{} is gone for {} ms", worker.name(), downTime.count());
         });
-        after(drains + away, [this, &worker] { agentOf(worker.name()).leaving = false; });
+        schedule(drainTime + downTime,
+                 [this, &worker] { agentOf(worker.name()).isLeaving = false; });
     }
 
     // No more trouble: all live, are reached and well from now on, and nothing is slow or lost.
     // What is frozen thaws in its time.
-    void endTrouble()
+    void clearFaults()
     {
-        m_isWell = true;
-        m_passages = promptPassage;
-        holdUpOrder = nullptr;
+        m_areFaultsCleared = true;
+        m_planDelivery = promptDelivery;
+        delayOrder = nullptr;
         m_storeDownUntil = {};
-        m_links.clear();
+        m_linkCutUntil.clear();
         for (auto &worker : m_workers) {
-            worker->turnAwayUntil({});
-            worker->refuseNoMore();
+            worker->rejectStartsUntil({});
+            worker->clearRefusal();
         }
         for (auto &agent : m_agents)
-            endTrouble(*agent);
+            clearFaults(*agent);
         for (auto &entry : m_entries)
-            endTrouble(*entry);
-        say("no more trouble");
+            clearFaults(*entry);
+        addToTrace("no more trouble");
     }
 
     void stopStore(milliseconds span)
     {
         m_storeDownUntil = m_now + span;
-        say("the store is down for {} ms", span.count());
+        addToTrace("the store is down for {} ms", span.count());
     }
 
-    void turnAway(modelled_worker &worker, milliseconds span)
+    void rejectStarts(simulated_worker &worker, milliseconds span)
     {
-        worker.turnAwayUntil(m_now + span);
-        say("{} turns starts away for {} ms", worker.name(), span.count());
+        worker.rejectStartsUntil(m_now + span);
+        addToTrace("{} turns starts away for {} ms", worker.name(), span.count());
     }
 
-    void after(milliseconds span, std::function<void()> happen)
+    void schedule(milliseconds span, std::function<void()> callback)
     {
-        m_events.push({m_now + span, m_nextEvent++, std::move(happen)});
+        m_events.push({m_now + span, m_nextEventNumber++, std::move(callback)});
     }
 
     // --- time
@@ -318,217 +322,220 @@
     void run(milliseconds span)
     {
         const auto until = m_now + span;
-        while (!m_events.empty() && m_events.top().at <= until)
-            step();
+        while (!m_events.empty() && m_events.top().dueAt <= until)
+            runNextEvent();
         m_now = until;
     }
 
     // False: not within `most`.
-    bool runUntil(const std::function<bool()> &holds, milliseconds most)
+    bool runUntil(const std::function<bool()> &condition, milliseconds limit)
     {
-        const auto until = m_now + most;
-        while (!holds() && !m_events.empty() && m_events.top().at <= until)
-            step();
-        return holds();
+        const auto until = m_now + limit;
+        while (!condition() && !m_events.empty() && m_events.top().dueAt <= until)
+            runNextEvent();
+        return condition();
     }
 
     // --- what is seen
 
     time_point now() const { return m_now; }
-    const run_rules &rules() const { return m_rules; }
+    const run_checker &runChecker() const { return m_runChecker; }
     const std::map<std::string, job_row> &rows() const { return m_rows; }
-    modelled_entry &entry(std::size_t at) { return *m_entries.at(at); }
-    modelled_agent &agent(std::size_t at) { return *m_agents.at(at); }
-    modelled_worker &worker(std::size_t at) { return *m_workers.at(at); }
-    std::size_t entries() const { return m_entries.size(); }
-    std::size_t workers() const { return m_workers.size(); }
-    std::size_t indexOf(const std::string &worker) const
+    simulated_entry &entry(std::size_t index) { return *m_entries.at(index); }
+    simulated_agent &agent(std::size_t index) { return *m_agents.at(index); }
+    simulated_worker &worker(std::size_t index) { return *m_workers.at(index); }
+    std::size_t entryCount() const { return m_entries.size(); }
+    std::size_t workerCount() const { return m_workers.size(); }
+    std::size_t workerIndex(const std::string &worker) const
     {
         return static_cast<std::size_t>(std::stoul(worker.substr(1))) - 1;
     }
-    modelled_entry *ownerOf(const std::string &job)
+    simulated_entry *ownerOf(const std::string &job)
     {
         for (auto &entry : m_entries) {
-            if (entry->lives && entry->book->owns(job))
+            if (entry->isAlive && entry->controller->owns(job))
                 return entry.get();
         }
         return nullptr;
     }
-    std::size_t jobsOver() const
+    std::size_t finishedJobCount() const
     {
         return static_cast<std::size_t>(std::count_if(m_rows.begin(), m_rows.end(), [](auto &one) {
             return one.second.record && jobs::isFinal(one.second.record->state());
         }));
     }
     const std::vector<std::string> &trace() const { return m_trace; }
-    template <typename... Words>
-    void say(fmt::format_string<Words...> text, Words &&...words)
+    template <typename... Args>
+    void addToTrace(fmt::format_string<Args...> text, Args &&...args)
     {
         if (m_keepsTrace)
-            m_trace.push_back(fmt::format("{:>7} {}", clockOf(m_now) - clockOf(m_begin),
-                                          fmt::format(text, std::forward<Words>(words)...)));
+            m_trace.push_back(fmt::format("{:>7} {}", clockOf(m_now) - clockOf(m_startTime),
+                                          fmt::format(text, std::forward<Args>(args)...)));
     }
 
 private:
-    static constexpr milliseconds Tick{50};
-    static constexpr milliseconds LookEvery{40};
-    static constexpr milliseconds ReportEvery{1000};
+    static constexpr milliseconds TickInterval{50};
+    static constexpr milliseconds PollInterval{40};
+    static constexpr milliseconds ReportInterval{1000};
     static constexpr milliseconds ReportTimeout{1000};
     static constexpr milliseconds OrderTimeout{800};
     static constexpr milliseconds CallTimeout{1000};
-    static constexpr milliseconds LateFrom{100}; // a start that is carried out then
-    static constexpr milliseconds StartWithin{1500};
-    static constexpr milliseconds LeaseLength{5000};
+    static constexpr milliseconds LateStartThreshold{100}; // a start that is carried out then
+    static constexpr milliseconds MaxStartDelay{1500};
+    static constexpr milliseconds LeaseDuration{5000};
     static constexpr milliseconds LeaseMargin{600}; // clocks are 2% slow at most
-    static constexpr milliseconds WriteRetry{300};
-    static constexpr milliseconds SilentAfter{1600};
-    static constexpr milliseconds LeavesWithin{3000};
-    static constexpr milliseconds LookAtLeasesEvery{700};
-    static constexpr milliseconds SilentWorker{3000};
+    static constexpr milliseconds WriteRetryDelay{300};
+    static constexpr milliseconds HeartbeatTimeout{1600};
+    static constexpr milliseconds ShutdownTimeout{3000};
+    static constexpr milliseconds LeaseCheckInterval{700};
+    static constexpr milliseconds WorkerSilentAfter{3000};
 
-    struct event
+    struct scheduled_event
     {
-        time_point at{};
-        std::uint64_t number = 0;
-        std::function<void()> happen;
+        time_point dueAt{};
+        std::uint64_t sequence = 0;
+        std::function<void()> callback;
     };
-    struct later
+    struct fires_later
     {
-        bool operator()(const event &one, const event &other) const
+        bool operator()(const scheduled_event &one, const scheduled_event &other) const
         {
-            return one.at != other.at ? one.at > other.at : one.number > other.number;
+            return one.dueAt != other.dueAt ? one.dueAt > other.dueAt
+                                            : one.sequence > other.sequence;
         }
     };
 
-    void step()
+    void runNextEvent()
     {
         auto next = m_events.top();
         m_events.pop();
-        m_now = next.at;
-        next.happen();
+        m_now = next.dueAt;
+        next.callback();
     }
 
-    bool storeUp() const { return m_now >= m_storeDownUntil; }
-    bool isFrozen(const modelled_entry &entry) const { return m_now < entry.frozenUntil; }
-    bool isInTouch(const modelled_entry &entry) const
+    bool isStoreUp() const { return m_now >= m_storeDownUntil; }
+    bool isFrozen(const simulated_entry &entry) const { return m_now < entry.frozenUntil; }
+    bool isReachable(const simulated_entry &entry) const
     {
-        return entry.lives && !isFrozen(entry) && m_now >= entry.cutOffUntil;
+        return entry.isAlive && !isFrozen(entry) && m_now >= entry.cutOffUntil;
     }
-    bool reachesStore(const modelled_entry &entry) const
+    bool reachesStore(const simulated_entry &entry) const
     {
-        return storeUp() && m_now >= entry.cutOffUntil;
+        return isStoreUp() && m_now >= entry.cutOffUntil;
     }
-    bool reachesStore(const modelled_agent &agent) const
+    bool reachesStore(const simulated_agent &agent) const
     {
-        return storeUp() && m_now >= agent.storeCutOffUntil;
+        return isStoreUp() && m_now >= agent.storeCutOffUntil;
     }
 
-    template <typename modelled_process>
-    void killAs(const std::string &name, modelled_process &process)
+    template <typename simulated_process>
+    void killProcess(const std::string &name, simulated_process &process)
     {
-        if (std::exchange(process.lives, false))
-            say("{} is killed", name);
+        if (std::exchange(process.isAlive, false))
+            addToTrace("{} is killed", name);
     }
 
-    template <typename modelled_process>
-    void freezeAs(const std::string &name, modelled_process &process, milliseconds span)
+    template <typename simulated_process>
+    void freezeProcess(const std::string &name, simulated_process &process, milliseconds span)
     {
-        if (!process.lives)
+        if (!process.isAlive)
             return;
         process.frozenUntil = m_now + span;
-        say("{} is frozen for {} ms", name, span.count());
+        addToTrace("{} is frozen for {} ms", name, span.count());
     }
 
-    bool isLinked(const modelled_agent &agent, const modelled_entry &entry) const
+    bool isLinked(const simulated_agent &agent, const simulated_entry &entry) const
     {
-        const auto link = m_links.find({agent.name, entry.name});
+        const auto link = m_linkCutUntil.find({agent.name, entry.name});
         return m_now >= agent.cutOffUntil && m_now >= entry.cutOffUntil
-               && (link == m_links.end() || m_now >= link->second);
+               && (link == m_linkCutUntil.end() || m_now >= link->second);
     }
 
     // In that life of the entry, and not before it thaws.
-    void atEntry(modelled_entry &entry, std::int64_t incarnation, std::function<void()> happen)
+    void runAtEntry(simulated_entry &entry, std::int64_t incarnation,
+                    std::function<void()> callback)
     {
-        if (!entry.lives || entry.incarnation != incarnation)
+        if (!entry.isAlive || entry.incarnation != incarnation)
             return;
         if (!isFrozen(entry))
-            return happen();
-        after(std::chrono::ceil<milliseconds>(entry.frozenUntil - m_now) + thawTakes(),
-              [this, &entry, incarnation, happen = std::move(happen)]() mutable {
-                  atEntry(entry, incarnation, std::move(happen));
-              });
+            return callback();
+        schedule(std::chrono::ceil<milliseconds>(entry.frozenUntil - m_now) + drawThawDelay(),
+                 [this, &entry, incarnation, callback = std::move(callback)]() mutable {
+                     runAtEntry(entry, incarnation, std::move(callback));
+                 });
     }
 
-    milliseconds thawTakes()
+    milliseconds drawThawDelay()
     {
-        return m_kind == model_kind::First ? milliseconds(0) : m_passages(way::Thaw).takes;
+        return m_kind == model_kind::Basic ? milliseconds(0)
+                                           : m_planDelivery(delivery_kind::Thaw).delay;
     }
 
     // The same of an agent.
-    void atAgent(modelled_agent &agent, int life, std::function<void()> happen)
+    void runAtAgent(simulated_agent &agent, int startNumber, std::function<void()> callback)
     {
-        if (!agent.lives || agent.life != life)
+        if (!agent.isAlive || agent.startNumber != startNumber)
             return;
         if (m_now >= agent.frozenUntil)
-            return happen();
-        after(std::chrono::ceil<milliseconds>(agent.frozenUntil - m_now) + thawTakes(),
-              [this, &agent, life, happen = std::move(happen)]() mutable {
-                  atAgent(agent, life, std::move(happen));
-              });
+            return callback();
+        schedule(std::chrono::ceil<milliseconds>(agent.frozenUntil - m_now) + drawThawDelay(),
+                 [this, &agent, startNumber, callback = std::move(callback)]() mutable {
+                     runAtAgent(agent, startNumber, std::move(callback));
+                 });
     }
 
-    void endTrouble(modelled_agent &agent)
+    void clearFaults(simulated_agent &agent)
     {
         agent.cutOffUntil = {};
         agent.storeCutOffUntil = {};
-        agent.leaving = false;
+        agent.isLeaving = false;
         agent.capacity = {16'000, 64'000, 0};
-        if (!agent.lives)
-            beginAgentLife(agent);
+        if (!agent.isAlive)
+            startAgent(agent);
     }
 
-    void endTrouble(modelled_entry &entry)
+    void clearFaults(simulated_entry &entry)
     {
         entry.cutOffUntil = {};
-        entry.freezesAsWritten = false;
-        if (entry.leaving)
+        entry.shouldFreezeOnCommit = false;
+        if (entry.isLeaving)
             kill(entry);
-        if (!entry.lives)
-            beginEntryLife(entry);
+        if (!entry.isAlive)
+            startEntry(entry);
     }
 
     // --- entries
 
-    void tick(modelled_entry &entry, std::int64_t incarnation)
+    void tick(simulated_entry &entry, std::int64_t incarnation)
     {
-        after(Tick, [this, &entry, incarnation] {
-            atEntry(entry, incarnation, [this, &entry, incarnation] {
-                hearOthers(entry);
-                takeOver(entry);
-                lookAtLeases(entry);
-                pump(entry);
+        schedule(TickInterval, [this, &entry, incarnation] {
+            runAtEntry(entry, incarnation, [this, &entry, incarnation] {
+                recordHeartbeats(entry);
+                adoptJobs(entry);
+                checkLeases(entry);
+                planAndExecute(entry);
                 tick(entry, incarnation);
             });
         });
     }
 
-    void hearOthers(modelled_entry &entry)
+    void recordHeartbeats(simulated_entry &entry)
     {
         if (m_now < entry.cutOffUntil)
             return;
         for (const auto &other : m_entries) {
-            if (isInTouch(*other))
-                entry.heard[other->name] = m_now;
+            if (isReachable(*other))
+                entry.lastHeartbeatAt[other->name] = m_now;
         }
     }
 
-    bool isHeard(const modelled_entry &entry, const std::string &other) const
+    bool isReporting(const simulated_entry &entry, const std::string &other) const
     {
-        const auto found = entry.heard.find(other);
-        return found != entry.heard.end() && m_now - found->second <= SilentAfter;
+        const auto found = entry.lastHeartbeatAt.find(other);
+        return found != entry.lastHeartbeatAt.end() && m_now - found->second <= HeartbeatTimeout;
     }
 
-    modelled_entry *entryNamed(const std::string &name)
+    simulated_entry *findEntry(const std::string &name)
     {
         for (auto &entry : m_entries) {
             if (entry->name == name)
@@ -537,96 +544,100 @@
         return nullptr;
     }
 
-    bool isGone(const modelled_entry &by, const jobs::owner_id &owner)
+    bool isOwnerGone(const simulated_entry &observer, const jobs::owner_id &owner)
     {
-        const auto *other = entryNamed(owner.entry);
-        if (other == nullptr || !isHeard(by, owner.entry))
+        const auto *other = findEntry(owner.entry);
+        if (other == nullptr || !isReporting(observer, owner.entry))
             return true;
-        const bool told = isInTouch(*other) && m_now >= by.cutOffUntil;
-        return told && (other->leaving || other->incarnation != owner.incarnation);
+        const bool canSeeState = isReachable(*other) && m_now >= observer.cutOffUntil;
+        return canSeeState && (other->isLeaving || other->incarnation != owner.incarnation);
     }
 
-    bool isHeir(const modelled_entry &entry)
+    bool isSuccessor(const simulated_entry &entry)
     {
         for (const auto &other : m_entries) {
             if (other.get() == &entry)
                 return true;
-            if (isHeard(entry, other->name) && !other->leaving)
+            if (isReporting(entry, other->name) && !other->isLeaving)
                 return false;
         }
         return true;
     }
 
-    void takeOver(modelled_entry &entry)
+    void adoptJobs(simulated_entry &entry)
     {
-        if (entry.leaving || !isHeir(entry) || !reachesStore(entry))
+        if (entry.isLeaving || !isSuccessor(entry) || !reachesStore(entry))
             return;
-        for (const auto &[job, row] : entry.view) {
-            if (entry.book->owns(job))
+        for (const auto &[job, row] : entry.knownRows) {
+            if (entry.controller->owns(job))
                 continue;
-            if (row.record->needsOwner() && isGone(entry, row.record->owner))
-                entry.book->adopt(job, *row.record, row.version, "payload");
+            if (row.record->needsOwner() && isOwnerGone(entry, row.record->owner))
+                entry.controller->adopt(job, *row.record, row.version, "payload");
         }
     }
 
     // Of workers that nobody has heard of for a while.
-    void lookAtLeases(modelled_entry &entry)
+    void checkLeases(simulated_entry &entry)
     {
-        if (m_kind == model_kind::First || m_now < entry.lookAtLeasesAt || !reachesStore(entry))
+        if (m_kind == model_kind::Basic || m_now < entry.nextLeaseCheckAt || !reachesStore(entry))
             return;
-        entry.lookAtLeasesAt = m_now + LookAtLeasesEvery;
-        for (const auto &worker : entry.book->workersWithPlacements()) {
+        entry.nextLeaseCheckAt = m_now + LeaseCheckInterval;
+        for (const auto &worker : entry.controller->workersWithPlacements()) {
             const auto *view = entry.pool->find(worker);
-            const auto heardAt = view == nullptr ? entry.beganAt : view->lastReportAt;
-            if (m_now - heardAt >= SilentWorker)
-                entry.book->epochSeen(worker, m_leases[worker].epoch);
+            const auto reportedAt = view == nullptr ? entry.startedAt : view->lastReportAt;
+            if (m_now - reportedAt >= WorkerSilentAfter)
+                entry.controller->epochSeen(worker, m_leases[worker].epoch);
         }
     }
 
-    void leaveOn(modelled_entry &entry, std::int64_t incarnation, milliseconds spent = {})
+    void continueShutdown(simulated_entry &entry, std::int64_t incarnation,
+                          milliseconds elapsed = {})
     {
-        after(Tick, [this, &entry, incarnation, spent] {
-            atEntry(entry, incarnation, [this, &entry, incarnation, spent] {
-                if (entry.book->unfinishedJobCount() > 0 && spent < LeavesWithin)
-                    return leaveOn(entry, incarnation, spent + Tick);
-                entry.lives = false;
-                say("{} has ended", entry.name);
+        schedule(TickInterval, [this, &entry, incarnation, elapsed] {
+            runAtEntry(entry, incarnation, [this, &entry, incarnation, elapsed] {
+                if (entry.controller->unfinishedJobCount() > 0 && elapsed < ShutdownTimeout)
+                    return continueShutdown(entry, incarnation, elapsed + TickInterval);
+                entry.isAlive = false;
+                addToTrace("{} has ended", entry.name);
             });
         });
     }
 
-    void pump(modelled_entry &entry)
+    void planAndExecute(simulated_entry &entry)
     {
-        entry.book->plan(m_now, clockOf(m_now));
-        for (auto &action : entry.book->takeActions())
-            std::visit([&](const auto &one) { carryOut(entry, one); }, action);
+        entry.controller->plan(m_now, clockOf(m_now));
+        for (auto &action : entry.controller->takeActions())
+            std::visit([&](const auto &one) { execute(entry, one); }, action);
     }
 
-    void carryOut(modelled_entry &entry, const jobs::write_row &write)
+    void execute(simulated_entry &entry, const jobs::write_row &write)
     {
         tryWrite(entry, entry.incarnation, write);
     }
 
-    void carryOut(modelled_entry &entry, const jobs::send_order &given) { send(entry, given); }
+    void execute(simulated_entry &entry, const jobs::send_order &sentOrder)
+    {
+        sendOrder(entry, sentOrder);
+    }
 
-    void carryOut(modelled_entry &entry, const jobs::change_stored &done)
+    void execute(simulated_entry &entry, const jobs::change_stored &done)
     {
-        resolve(entry, done.token, true);
+        completeWrite(entry, done.token, true);
     }
 
-    void carryOut(modelled_entry &entry, const jobs::ownership_lost &lost)
+    void execute(simulated_entry &entry, const jobs::ownership_lost &lost)
     {
-        resolve(entry, lost.token, false);
+        completeWrite(entry, lost.token, false);
     }
 
-    void carryOut(modelled_entry &entry, const jobs::log_event &line)
+    void execute(simulated_entry &entry, const jobs::log_event &line)
     {
-        say("{} notes {} {} {}", entry.name, line.event, line.job, line.detail);
+        addToTrace("{} notes {} {} {}", entry.name, line.event, line.job, line.detail);
     }
 
-    static void resolve(modelled_entry &entry, std::int64_t token, bool isStored)
+    static void completeWrite(simulated_entry &entry, std::int64_t token, bool isStored)
     {
-        auto found = entry.waits.extract(token);
+        auto found = entry.writeCallbacks.extract(token);
         if (!found.empty())
             found.mapped()(isStored);
     }
@@ -634,36 +645,36 @@
     // --- the store
 
     // Repeated unchanged until its outcome is known.
-    void tryWrite(modelled_entry &entry, std::int64_t incarnation, const jobs::write_row &write)
-    {
-        const auto there = m_passages(way::Write);
-        const bool arrives = !there.isLost && reachesStore(entry);
-        if (!arrives)
-            return repeatWrite(entry, incarnation, write);
-        after(there.takes, [this, &entry, incarnation, write] {
-            const bool holds = m_rows[write.job].version == write.expectedVersion;
-            if (holds)
-                commitBy(entry, write);
-            if (std::exchange(entry.freezesAsWritten, false))
-                freeze(entry, entry.freezesFor);
-            answerWrite(entry, incarnation, write, holds);
+    void tryWrite(simulated_entry &entry, std::int64_t incarnation, const jobs::write_row &write)
+    {
+        const auto outbound = m_planDelivery(delivery_kind::Write);
+        const bool isDelivered = !outbound.isLost && reachesStore(entry);
+        if (!isDelivered)
+            return retryWrite(entry, incarnation, write);
+        schedule(outbound.delay, [this, &entry, incarnation, write] {
+            const bool isVersionCurrent = m_rows[write.job].version == write.expectedVersion;
+            if (isVersionCurrent)
+                commitWrite(entry, write);
+            if (std::exchange(entry.shouldFreezeOnCommit, false))
+                freeze(entry, entry.freezeDuration);
+            answerWrite(entry, incarnation, write, isVersionCurrent);
         });
     }
 
-    void repeatWrite(modelled_entry &entry, std::int64_t incarnation, const jobs::write_row &write)
+    void retryWrite(simulated_entry &entry, std::int64_t incarnation, const jobs::write_row &write)
     {
-        after(WriteRetry, [this, &entry, incarnation, write] {
-            atEntry(entry, incarnation,
-                    [this, &entry, incarnation, write] { tryWrite(entry, incarnation, write); });
+        schedule(WriteRetryDelay, [this, &entry, incarnation, write] {
+            runAtEntry(entry, incarnation,
+                       [this, &entry, incarnation, write] { tryWrite(entry, incarnation, write); });
         });
     }
 
-    void commitBy(modelled_entry &entry, const jobs::write_row &write)
+    void commitWrite(simulated_entry &entry, const jobs::write_row &write)
     {
         commitRow(write.job, write.content);
         const auto tasks = write.content.find("\"t\":");
-        say("row {} by {}: {}", write.job, entry.name,
-            tasks == std::string::npos ? "" : write.content.substr(tasks));
+        addToTrace("row {} by {}: {}", write.job, entry.name,
+                   tasks == std::string::npos ? "" : write.content.substr(tasks));
         if (onRowStored)
             onRowStored(entry, write.job, *m_rows[write.job].record);
     }
@@ -673,180 +684,195 @@
         auto &row = m_rows[job];
         row.content = content;
         row.record = std::make_shared<const jobs::job_record>(jobs::recordFrom(content));
-        row.version = ++m_version;
-        m_rules.stored(job, *row.record, m_now);
+        row.version = ++m_lastVersion;
+        m_runChecker.noteCommit(job, *row.record, m_now);
         for (auto &entry : m_entries)
-            feed(*entry, entry->incarnation, job, row);
+            sendRowChange(*entry, entry->incarnation, job, row);
     }
 
-    void answerWrite(modelled_entry &entry, std::int64_t incarnation, const jobs::write_row &write,
-                     bool holds)
+    void answerWrite(simulated_entry &entry, std::int64_t incarnation, const jobs::write_row &write,
+                     bool isVersionCurrent)
     {
-        const auto back = m_passages(way::WriteAnswer);
-        if (back.isLost || !reachesStore(entry))
-            return repeatWrite(entry, incarnation, write);
+        const auto inbound = m_planDelivery(delivery_kind::WriteAnswer);
+        if (inbound.isLost || !reachesStore(entry))
+            return retryWrite(entry, incarnation, write);
         const auto row = m_rows[write.job];
-        after(back.takes, [this, &entry, incarnation, write, holds, row] {
-            atEntry(entry, incarnation, [this, &entry, write, holds, row] {
-                if (holds)
-                    entry.book->rowWritten(write.job, row.version);
+        schedule(inbound.delay, [this, &entry, incarnation, write, isVersionCurrent, row] {
+            runAtEntry(entry, incarnation, [this, &entry, write, isVersionCurrent, row] {
+                if (isVersionCurrent)
+                    entry.controller->rowWritten(write.job, row.version);
                 else if (row.version == 0)
-                    entry.book->rowConflict(write.job, 0, std::nullopt);
+                    entry.controller->rowConflict(write.job, 0, std::nullopt);
                 else
-                    entry.book->rowConflict(write.job, row.version, row.content);
-                pump(entry);
+                    entry.controller->rowConflict(write.job, row.version, row.content);
+                planAndExecute(entry);
             });
         });
     }
 
-    void feed(modelled_entry &entry, std::int64_t incarnation, const std::string &job,
-              const job_row &row)
+    void sendRowChange(simulated_entry &entry, std::int64_t incarnation, const std::string &job,
+                       const job_row &row)
     {
-        after(m_passages(way::Feed).takes, [this, &entry, incarnation, job, row] {
+        schedule(m_planDelivery(delivery_kind::Feed).delay, [this, &entry, incarnation, job, row] {
             if (!reachesStore(entry)) {
                 if (entry.incarnation == incarnation)
-                    feed(entry, incarnation, job, row);
+                    sendRowChange(entry, incarnation, job, row);
                 return;
             }
-            atEntry(entry, incarnation, [this, &entry, job, row] { rowSeen(entry, job, row); });
+            runAtEntry(entry, incarnation, [this, &entry, job, row] { applyRow(entry, job, row); });
         });
     }
 
-    void rowSeen(modelled_entry &entry, const std::string &job, const job_row &row)
+    void applyRow(simulated_entry &entry, const std::string &job, const job_row &row)
     {
-        auto &known = entry.view[job];
+        auto &known = entry.knownRows[job];
         if (known.version >= row.version)
             return;
         known = row;
-        if (entry.book->owns(job))
-            entry.book->rowChanged(job, *row.record, row.version);
-        pump(entry);
+        if (entry.controller->owns(job))
+            entry.controller->rowChanged(job, *row.record, row.version);
+        planAndExecute(entry);
     }
 
     // Ends the epoch of a worker whose lease is over for certain, and tells the entries.
-    void watchLeases()
+    void expireLeases()
     {
-        after(milliseconds(200), [this] {
+        schedule(milliseconds(200), [this] {
             for (auto &[worker, lease] : m_leases) {
-                const bool lapsed = lease.until != time_point{} && !lease.isOver
-                                    && m_now > lease.until + LeaseMargin;
-                if (lapsed && storeUp())
+                const bool hasExpired = lease.expiresAt != time_point{} && !lease.isEpochEnded
+                                        && m_now > lease.expiresAt + LeaseMargin;
+                if (hasExpired && isStoreUp())
                     endEpoch(worker, lease);
             }
-            watchLeases();
+            expireLeases();
         });
     }
 
-    void endEpoch(const std::string &worker, modelled_lease &lease)
+    void endEpoch(const std::string &worker, simulated_lease &lease)
     {
-        lease.isOver = true;
+        lease.isEpochEnded = true;
         ++lease.epoch;
-        say("{} has epoch {}", worker, lease.epoch);
-        if (m_kind == model_kind::Fuller)
+        addToTrace("{} has epoch {}", worker, lease.epoch);
+        if (m_kind == model_kind::Complete)
             return;
         for (auto &entry : m_entries)
-            tellEpoch(*entry, entry->incarnation, worker, lease.epoch);
+            announceEpoch(*entry, entry->incarnation, worker, lease.epoch);
     }
 
-    void tellEpoch(modelled_entry &entry, std::int64_t incarnation, const std::string &worker,
-                   std::int64_t epoch)
+    void announceEpoch(simulated_entry &entry, std::int64_t incarnation, const std::string &worker,
+                       std::int64_t epoch)
     {
-        after(m_passages(way::Feed).takes, [this, &entry, incarnation, worker, epoch] {
-            if (!reachesStore(entry)) {
-                if (entry.incarnation == incarnation)
-                    tellEpoch(entry, incarnation, worker, epoch);
-                return;
-            }
-            atEntry(entry, incarnation, [this, &entry, worker, epoch] {
-                entry.book->workerRestarted(worker, epoch, m_now);
-                pump(entry);
-            });
-        });
+        schedule(m_planDelivery(delivery_kind::Feed).delay,
+                 [this, &entry, incarnation, worker, epoch] {
+                     if (!reachesStore(entry)) {
+                         if (entry.incarnation == incarnation)
+                             announceEpoch(entry, incarnation, worker, epoch);
+                         return;
+                     }
+                     runAtEntry(entry, incarnation, [this, &entry, worker, epoch] {
+                         entry.controller->workerRestarted(worker, epoch, m_now);
+                         planAndExecute(entry);
+                     });
+                 });
     }
 
     // --- orders
 
-    modelled_agent &agentOf(const std::string &worker) { return *m_agents[indexOf(worker)]; }
-
-    void send(modelled_entry &entry, const jobs::send_order &given)
-    {
-        if (entry.pool->find(given.worker) == nullptr) // its agent's address is not known
-            return entry.book->orderUnanswered(given.worker, given.order.task, given.order.run,
-                                               m_now);
-        auto there = m_passages(way::Order);
-        if (const auto held = holdUpOrder ? holdUpOrder(given) : std::nullopt)
-            there.takes = *held;
-        const auto heard = std::make_shared<bool>(false);
-        if (!there.isLost) {
-            after(there.takes, [this, &entry, given, heard, incarnation = entry.incarnation,
-                                agentLife = lifeTold(entry, given.worker)] {
-                arrive(entry, incarnation, given, agentLife, heard);
+    simulated_agent &agentOf(const std::string &worker) { return *m_agents[workerIndex(worker)]; }
+
+    void sendOrder(simulated_entry &entry, const jobs::send_order &sentOrder)
+    {
+        if (entry.pool->find(sentOrder.worker) == nullptr) // its agent's address is not known
+            return entry.controller->orderUnanswered(sentOrder.worker, sentOrder.order.task,
+                                                     sentOrder.order.run, m_now);
+        auto outbound = m_planDelivery(delivery_kind::Order);
+        if (const auto held = delayOrder ? delayOrder(sentOrder) : std::nullopt)
+            outbound.delay = *held;
+        const auto isAnswered = std::make_shared<bool>(false);
+        if (!outbound.isLost) {
+            schedule(outbound.delay, [this, &entry, sentOrder, isAnswered,
+                                      incarnation = entry.incarnation,
+                                      expectedAgentIncarnation =
+                                              reportedAgentIncarnation(entry, sentOrder.worker)] {
+                deliverOrder(entry, incarnation, sentOrder, expectedAgentIncarnation, isAnswered);
             });
         }
-        after(OrderTimeout, [this, &entry, given, heard, incarnation = entry.incarnation] {
-            atEntry(entry, incarnation, [this, &entry, given, heard] {
-                if (std::exchange(*heard, true))
-                    return;
-                entry.book->orderUnanswered(given.worker, given.order.task, given.order.run, m_now);
-                pump(entry);
-            });
-        });
+        schedule(OrderTimeout,
+                 [this, &entry, sentOrder, isAnswered, incarnation = entry.incarnation] {
+                     runAtEntry(entry, incarnation, [this, &entry, sentOrder, isAnswered] {
+                         if (std::exchange(*isAnswered, true))
+                             return;
+                         entry.controller->orderUnanswered(sentOrder.worker, sentOrder.order.task,
+                                                           sentOrder.order.run, m_now);
+                         planAndExecute(entry);
+                     });
+                 });
     }
 
     // Of the agent, by its reports.
-    static std::int64_t lifeTold(const modelled_entry &entry, const std::string &worker)
+    static std::int64_t reportedAgentIncarnation(const simulated_entry &entry,
+                                                 const std::string &worker)
     {
         const auto *view = entry.pool->find(worker);
         return view == nullptr ? 0 : view->lastReport.agentIncarnation;
     }
 
-    void arrive(modelled_entry &entry, std::int64_t incarnation, const jobs::send_order &given,
-                std::int64_t agentLife, const std::shared_ptr<bool> &heard)
+    void deliverOrder(simulated_entry &entry, std::int64_t incarnation,
+                      const jobs::send_order &sentOrder, std::int64_t expectedAgentIncarnation,
+                      const std::shared_ptr<bool> &isAnswered)
     {
-        auto &agent = agentOf(given.worker);
+        auto &agent = agentOf(sentOrder.worker);
         if (!isLinked(agent, entry))
             return;
-        atAgent(agent, agent.life, [this, &entry, &agent, incarnation, given, agentLife, heard] {
-            takeOrder(entry, agent, incarnation, given, agentLife, heard);
-        });
+        runAtAgent(agent, agent.startNumber,
+                   [this, &entry, &agent, incarnation, sentOrder, expectedAgentIncarnation,
+                    isAnswered] {
+                       receiveOrder(entry, agent, incarnation, sentOrder, expectedAgentIncarnation,
+                                    isAnswered);
+                   });
     }
 
-    void takeOrder(modelled_entry &entry, modelled_agent &agent, std::int64_t incarnation,
-                   const jobs::send_order &given, std::int64_t agentLife,
-                   const std::shared_ptr<bool> &heard)
+    void receiveOrder(simulated_entry &entry, simulated_agent &agent, std::int64_t incarnation,
+                      const jobs::send_order &sentOrder, std::int64_t expectedAgentIncarnation,
+                      const std::shared_ptr<bool> &isAnswered)
     {
         agent.table.setWorker(agent.capacity, readinessOf(agent));
         const auto answer =
-                agent.table.handleOrder(onModelClock(agent, given.order), entry.name, m_now);
-        say("agent of {} takes {} of {} run {} from {}: {}", agent.name,
-            given.order.kind == jobs::order_kind::Start ? "start" : "stop",
-            toText(given.order.task), given.order.run, entry.name, nameOf(answer.outcome));
-        act(agent);
-        if (onOrderTaken)
-            onOrderTaken(given, answer);
-        const auto back = m_passages(way::OrderAnswer);
-        if (back.isLost)
+                agent.table.handleOrder(toAgentClock(agent, sentOrder.order), entry.name, m_now);
+        addToTrace("agent of {} takes {} of {} run {} from {}: {}", agent.name,
+                   sentOrder.order.kind == jobs::order_kind::Start ? "start" : "stop",
+                   toText(sentOrder.order.task), sentOrder.order.run, entry.name,
+                   nameOf(answer.outcome));
+        executeDueActions(agent);
+        if (onOrderHandled)
+            onOrderHandled(sentOrder, answer);
+        const auto inbound = m_planDelivery(delivery_kind::OrderAnswer);
+        if (inbound.isLost)
             return;
-        after(back.takes, [this, &entry, incarnation, given, answer, agentLife, heard] {
-            atEntry(entry, incarnation, [this, &entry, given, answer, agentLife, heard] {
-                if (std::exchange(*heard, true))
-                    return;
-                entry.book->orderAnswered(given.worker, answer, m_now, agentLife);
-                pump(entry);
-            });
+        schedule(inbound.delay, [this, &entry, incarnation, sentOrder, answer,
+                                 expectedAgentIncarnation, isAnswered] {
+            runAtEntry(entry, incarnation,
+                       [this, &entry, sentOrder, answer, expectedAgentIncarnation, isAnswered] {
+                           if (std::exchange(*isAnswered, true))
+                               return;
+                           entry.controller->orderAnswered(sentOrder.worker, answer, m_now,
+                                                           expectedAgentIncarnation);
+                           planAndExecute(entry);
+                       });
         });
     }
 
     // --- agents
 
     // Each life of an agent has a clock of its own.
-    static std::int64_t clockOffset(const modelled_agent &agent)
+    static std::int64_t clockOffset(const simulated_agent &agent)
     {
-        constexpr std::int64_t Apart = 7'000'000;
-        return agent.life % 2 == 0 ? Apart * agent.life : -Apart / (agent.life + 2);
+        constexpr std::int64_t ClockSpacingMs = 7'000'000;
+        return agent.startNumber % 2 == 0 ? ClockSpacingMs * agent.startNumber
+                                          : -ClockSpacingMs / (agent.startNumber + 2);
     }
 
-    static jobs::run_order onModelClock(const modelled_agent &agent, jobs::run_order order)
+    static jobs::run_order toAgentClock(const simulated_agent &agent, jobs::run_order order)
     {
         if (order.startDeadlineMs != 0)
             order.startDeadlineMs -= clockOffset(agent);
@@ -854,333 +880,351 @@
     }
 
     // What a life of an agent is told of itself before it takes anything.
-    static void tellLife(modelled_agent &agent) { agent.table.setAgentIncarnation(agent.fence); }
+    static void updateTableIncarnation(simulated_agent &agent)
+    {
+        agent.table.setAgentIncarnation(agent.fence);
+    }
 
-    jobs::start_readiness readinessOf(const modelled_agent &agent) const
+    jobs::start_readiness readinessOf(const simulated_agent &agent) const
     {
-        if (agent.leaving)
+        if (agent.isLeaving)
             return jobs::start_readiness::Unavailable;
         const bool isOpen = agent.table.epoch() > 0 && m_now < agent.leaseUntil;
         return isOpen ? jobs::start_readiness::Ready : jobs::start_readiness::RetryLater;
     }
 
     // Renews the lease, or begins the epoch that the store has by now.
-    void keepLease(modelled_agent &agent)
+    void renewLease(simulated_agent &agent)
     {
         if (!reachesStore(agent))
             return;
         auto &lease = m_leases[agent.name];
-        if (agent.owesEpoch && !endedWithLife(agent, lease))
+        if (agent.isEpochEndPending && !tryEndEpoch(agent, lease))
             return;
         if (agent.leaseEpoch != 0 && agent.leaseEpoch != lease.epoch) {
             ++agent.fence;
-            tellLife(agent);
-            agent.fenceSeen = false;
+            updateTableIncarnation(agent);
+            agent.isFenceAcknowledged = false;
             agent.leaseEpoch = 0;
             agent.table.setEpoch(0);
             agent.table.stopAll(m_now);
         }
-        const bool mayBegin = agent.leaseEpoch != 0 || !lease.isOver
-                              || (agent.fenceSeen && agent.table.activeRunCount() == 0);
-        if (!mayBegin)
+        const bool canAcquire = agent.leaseEpoch != 0 || !lease.isEpochEnded
+                                || (agent.isFenceAcknowledged && agent.table.activeRunCount() == 0);
+        if (!canAcquire)
             return;
         agent.leaseEpoch = lease.epoch;
-        lease.isOver = false;
-        lease.until = m_now + LeaseLength;
-        agent.leaseUntil = lease.until;
+        lease.isEpochEnded = false;
+        lease.expiresAt = m_now + LeaseDuration;
+        agent.leaseUntil = lease.expiresAt;
     }
 
     // False: what the worker's new life was told to start by orders of before has to end first.
-    bool endedWithLife(modelled_agent &agent, modelled_lease &lease)
+    bool tryEndEpoch(simulated_agent &agent, simulated_lease &lease)
     {
-        if (!agent.fenceSeen)
+        if (!agent.isFenceAcknowledged)
             return false;
         if (agent.table.activeRunCount() > 0) {
             agent.table.stopAll(m_now);
             return false;
         }
-        agent.owesEpoch = false;
+        agent.isEpochEndPending = false;
         endEpoch(agent.name, lease);
         return true;
     }
 
-    void look(modelled_agent &agent, int life)
+    void schedulePoll(simulated_agent &agent, int startNumber)
     {
-        after(LookEvery, [this, &agent, life] {
-            atAgent(agent, life, [this, &agent, life] {
-                keepLease(agent);
-                readList(agent, life);
-                look(agent, life);
+        schedule(PollInterval, [this, &agent, startNumber] {
+            runAtAgent(agent, startNumber, [this, &agent, startNumber] {
+                renewLease(agent);
+                pollWorker(agent, startNumber);
+                schedulePoll(agent, startNumber);
             });
         });
     }
 
     // Its worker lives anew: what ran there has ended, and the epoch with it.
-    void seeWorkerLife(modelled_agent &agent)
+    void detectReboot(simulated_agent &agent)
     {
-        const auto life = m_workers[indexOf(agent.name)]->life();
-        if (std::exchange(agent.workerLife, life) == life)
+        const auto startNumber = m_workers[workerIndex(agent.name)]->bootNumber();
+        if (std::exchange(agent.knownBootNumber, startNumber) == startNumber)
             return;
-        say("agent of {} knows that its worker lives anew", agent.name);
+        addToTrace("agent of {} knows that its worker lives anew", agent.name);
         agent.table.clearRuns();
         ++agent.fence;
-        tellLife(agent);
-        agent.fenceSeen = false;
+        updateTableIncarnation(agent);
+        agent.isFenceAcknowledged = false;
         agent.leaseEpoch = 0;
-        agent.owesEpoch = true;
+        agent.isEpochEndPending = true;
     }
 
-    void readList(modelled_agent &agent, int life)
+    void pollWorker(simulated_agent &agent, int startNumber)
     {
-        auto &worker = *m_workers[indexOf(agent.name)];
+        auto &worker = *m_workers[workerIndex(agent.name)];
         std::optional<std::int64_t> deadline;
         if (agent.leaseEpoch != 0 && m_now < agent.leaseUntil)
             deadline = clockOf(agent.leaseUntil);
         const auto listing =
-                worker.hold(deadline, agent.table.acknowledgedThrough(), agent.fence, m_now);
-        const auto back = m_passages(way::Look);
-        if (!listing || back.isLost)
+                worker.renewHold(deadline, agent.table.acknowledgedThrough(), agent.fence, m_now);
+        const auto inbound = m_planDelivery(delivery_kind::Poll);
+        if (!listing || inbound.isLost)
             return;
-        after(back.takes, [this, &agent, life, listing = *listing, fence = agent.fence,
-                           workerLife = worker.life()] {
-            atAgent(agent, life, [this, &agent, listing, fence, workerLife] {
+        schedule(inbound.delay, [this, &agent, startNumber, listing = *listing, fence = agent.fence,
+                                 bootNumberThen = worker.bootNumber()] {
+            runAtAgent(agent, startNumber, [this, &agent, listing, fence, bootNumberThen] {
                 if (agent.fence == fence)
-                    looked(agent, listing, workerLife);
+                    handleListing(agent, listing, bootNumberThen);
             });
         });
     }
 
-    void looked(modelled_agent &agent, const jobs::run_listing &listing, int workerLife)
+    void handleListing(simulated_agent &agent, const jobs::run_listing &listing, int bootNumberThen)
     {
-        if (workerLife != agent.workerLife)
-            return seeWorkerLife(agent);
-        const auto before = agent.table.newEndCount();
-        agent.fenceSeen = true;
+        if (bootNumberThen != agent.knownBootNumber)
+            return detectReboot(agent);
+        const auto endCountBefore = agent.table.newEndCount();
+        agent.isFenceAcknowledged = true;
         agent.table.applyListing(listing, m_now);
-        const bool settles = agent.leaseEpoch != 0 && agent.table.epoch() != agent.leaseEpoch;
-        if (settles)
+        const bool isNewEpoch = agent.leaseEpoch != 0 && agent.table.epoch() != agent.leaseEpoch;
+        if (isNewEpoch)
             agent.table.setEpoch(agent.leaseEpoch);
-        act(agent);
-        if (settles || agent.table.newEndCount() != before)
-            reportAll(agent);
+        executeDueActions(agent);
+        if (isNewEpoch || agent.table.newEndCount() != endCountBefore)
+            sendReports(agent);
     }
 
-    void act(modelled_agent &agent)
+    void executeDueActions(simulated_agent &agent)
     {
-        const bool mayStart = agent.fenceSeen && agent.leaseEpoch != 0 && m_now < agent.leaseUntil;
-        for (const auto &action : agent.table.takeDueActions(m_now, mayStart))
-            std::visit([&](const auto &one) { carryOut(agent, one); }, action);
+        const bool canStart =
+                agent.isFenceAcknowledged && agent.leaseEpoch != 0 && m_now < agent.leaseUntil;
+        for (const auto &action : agent.table.takeDueActions(m_now, canStart))
+            std::visit([&](const auto &one) { execute(agent, one); }, action);
     }
 
-    void carryOut(modelled_agent &agent, const jobs::start_run &start)
+    void execute(simulated_agent &agent, const jobs::start_run &start)
     {
-        const auto deadline = clockOf(std::min<time_point>(agent.leaseUntil, m_now + StartWithin));
+        const auto deadline =
+                clockOf(std::min<time_point>(agent.leaseUntil, m_now + MaxStartDelay));
         agent.table.startCalled(start.task, start.run, deadline);
-        const auto there = m_passages(way::Start);
-        const auto heard = std::make_shared<bool>(false);
-        const auto life = agent.life;
-        if (!there.isLost) {
-            const bool late = there.takes >= LateFrom;
-            after(there.takes,
-                  [this, &agent, life, start, deadline, late, heard, fence = agent.fence,
-                   workerLife = m_workers[indexOf(agent.name)]->life()] {
-                      // A connection ends with the worker's life.
-                      if (m_workers[indexOf(agent.name)]->life() == workerLife)
-                          startAt(agent, life, start, deadline, fence, late, heard);
-                  });
+        const auto outbound = m_planDelivery(delivery_kind::Start);
+        const auto isAnswered = std::make_shared<bool>(false);
+        const auto startNumber = agent.startNumber;
+        if (!outbound.isLost) {
+            const bool isLate = outbound.delay >= LateStartThreshold;
+            schedule(outbound.delay, [this, &agent, startNumber, start, deadline, isLate,
+                                      isAnswered, fence = agent.fence,
+                                      bootNumberThen =
+                                              m_workers[workerIndex(agent.name)]->bootNumber()] {
+                // A connection ends with the worker's life.
+                if (m_workers[workerIndex(agent.name)]->bootNumber() == bootNumberThen)
+                    deliverStart(agent, startNumber, start, deadline, fence, isLate, isAnswered);
+            });
         }
-        after(CallTimeout, [this, &agent, life, start, heard] {
-            startHeard(agent, life, start, jobs::start_answer::Unanswered, heard);
+        schedule(CallTimeout, [this, &agent, startNumber, start, isAnswered] {
+            handleStartAnswer(agent, startNumber, start, jobs::start_answer::Unanswered,
+                              isAnswered);
         });
     }
 
-    void startAt(modelled_agent &agent, int life, const jobs::start_run &start,
-                 std::int64_t deadline, std::int64_t fence, bool late,
-                 const std::shared_ptr<bool> &heard)
+    void deliverStart(simulated_agent &agent, int startNumber, const jobs::start_run &start,
+                      std::int64_t deadline, std::int64_t fence, bool isLate,
+                      const std::shared_ptr<bool> &isAnswered)
     {
-        auto &worker = *m_workers[indexOf(agent.name)];
-        bool begun = false;
-        const auto answer = worker.start(start, deadline, fence, m_now, begun);
-        if (begun) {
-            say("{} STARTS {} run {}{}", agent.name, toText(start.task), start.run,
-                late ? ", late" : "");
-            m_rules.started(start.task, start.run, m_workers, late, m_now);
+        auto &worker = *m_workers[workerIndex(agent.name)];
+        bool hasStarted = false;
+        const auto answer = worker.start(start, deadline, fence, m_now, hasStarted);
+        if (hasStarted) {
+            addToTrace("{} STARTS {} run {}{}", agent.name, toText(start.task), start.run,
+                       isLate ? ", late" : "");
+            m_runChecker.noteStart(start.task, start.run, m_workers, isLate, m_now);
         }
-        const auto back = m_passages(way::StartAnswer);
-        if (back.isLost)
+        const auto inbound = m_planDelivery(delivery_kind::StartAnswer);
+        if (inbound.isLost)
             return;
-        after(back.takes, [this, &agent, life, start, answer, heard] {
-            startHeard(agent, life, start, answer, heard);
+        schedule(inbound.delay, [this, &agent, startNumber, start, answer, isAnswered] {
+            handleStartAnswer(agent, startNumber, start, answer, isAnswered);
         });
     }
 
-    void startHeard(modelled_agent &agent, int life, const jobs::start_run &start,
-                    jobs::start_answer answer, const std::shared_ptr<bool> &heard)
+    void handleStartAnswer(simulated_agent &agent, int startNumber, const jobs::start_run &start,
+                           jobs::start_answer answer, const std::shared_ptr<bool> &isAnswered)
     {
-        if (std::exchange(*heard, true))
+        if (std::exchange(*isAnswered, true))
             return;
-        atAgent(agent, life, [this, &agent, start, answer] {
-            const auto before = agent.table.newEndCount();
+        runAtAgent(agent, startNumber, [this, &agent, start, answer] {
+            const auto endCountBefore = agent.table.newEndCount();
             agent.table.startAnswered(start.task, start.run, answer, m_now);
-            if (agent.table.newEndCount() != before)
-                reportAll(agent);
+            if (agent.table.newEndCount() != endCountBefore)
+                sendReports(agent);
         });
     }
 
-    void carryOut(modelled_agent &agent, const jobs::stop_run &stop)
+    void execute(simulated_agent &agent, const jobs::stop_run &stop)
     {
-        const auto there = m_passages(way::Stop);
-        if (there.isLost)
+        const auto outbound = m_planDelivery(delivery_kind::Stop);
+        if (outbound.isLost)
             return;
-        after(there.takes, [this, &agent, stop, fence = agent.fence,
-                            workerLife = m_workers[indexOf(agent.name)]->life()] {
-            auto &worker = *m_workers[indexOf(agent.name)];
-            if (worker.life() == workerLife && worker.stop(stop, fence, m_now))
-                say("{} stops {} run {}", agent.name, toText(stop.task), stop.run);
-        });
+        schedule(outbound.delay,
+                 [this, &agent, stop, fence = agent.fence,
+                  bootNumberThen = m_workers[workerIndex(agent.name)]->bootNumber()] {
+                     auto &worker = *m_workers[workerIndex(agent.name)];
+                     if (worker.bootNumber() == bootNumberThen && worker.stop(stop, fence, m_now))
+                         addToTrace("{} stops {} run {}", agent.name, toText(stop.task), stop.run);
+                 });
     }
 
     // --- reports
 
-    void reportRegularly(modelled_agent &agent, int life)
+    void scheduleReports(simulated_agent &agent, int startNumber)
     {
-        after(ReportEvery, [this, &agent, life] {
-            atAgent(agent, life, [this, &agent, life] {
-                reportAll(agent);
-                reportRegularly(agent, life);
+        schedule(ReportInterval, [this, &agent, startNumber] {
+            runAtAgent(agent, startNumber, [this, &agent, startNumber] {
+                sendReports(agent);
+                scheduleReports(agent, startNumber);
             });
         });
     }
 
-    void reportAll(modelled_agent &agent)
+    void sendReports(simulated_agent &agent)
     {
         for (auto &entry : m_entries)
-            report(agent, *entry);
+            sendReport(agent, *entry);
     }
 
-    jobs::worker_report reportOf(const modelled_agent &agent, const std::string &entry) const
+    jobs::worker_report makeReport(const simulated_agent &agent, const std::string &entry) const
     {
-        jobs::worker_report told;
-        told.worker = agent.name;
-        told.agentIncarnation = agent.fence;
-        told.epoch = agent.table.epoch();
-        told.clockMs = clockOf(m_now) + clockOffset(agent);
-        told.service = "tickets";
-        told.isAccepting = readinessOf(agent) == jobs::start_readiness::Ready;
-        told.capacity = agent.capacity;
-        told.used = agent.table.used();
-        told.ends = agent.table.endsFor(entry);
-        told.started = agent.table.startsFor(entry);
-        return told;
+        jobs::worker_report statusReport;
+        statusReport.worker = agent.name;
+        statusReport.agentIncarnation = agent.fence;
+        statusReport.epoch = agent.table.epoch();
+        statusReport.clockMs = clockOf(m_now) + clockOffset(agent);
+        statusReport.service = "tickets";
+        statusReport.isAccepting = readinessOf(agent) == jobs::start_readiness::Ready;
+        statusReport.capacity = agent.capacity;
+        statusReport.used = agent.table.used();
+        statusReport.ends = agent.table.endsFor(entry);
+        statusReport.started = agent.table.startsFor(entry);
+        return statusReport;
     }
 
-    void report(modelled_agent &agent, modelled_entry &entry)
+    void sendReport(simulated_agent &agent, simulated_entry &entry)
     {
-        const auto there = m_passages(way::Report);
-        const auto answered = std::make_shared<bool>(false);
-        const auto life = agent.life;
-        after(ReportTimeout, [&agent, &entry, life, answered] {
-            if (!std::exchange(*answered, true) && agent.lives && agent.life == life)
+        const auto outbound = m_planDelivery(delivery_kind::Report);
+        const auto isReportAnswered = std::make_shared<bool>(false);
+        const auto startNumber = agent.startNumber;
+        schedule(ReportTimeout, [&agent, &entry, startNumber, isReportAnswered] {
+            if (!std::exchange(*isReportAnswered, true) && agent.isAlive
+                && agent.startNumber == startNumber)
                 agent.table.noteOwnerSilent(entry.name);
         });
-        if (there.isLost)
+        if (outbound.isLost)
             return;
-        after(there.takes, [this, &agent, &entry, life, answered,
-                            told = reportOf(agent, entry.name), incarnation = entry.incarnation] {
+        schedule(outbound.delay, [this, &agent, &entry, startNumber, isReportAnswered,
+                                  statusReport = makeReport(agent, entry.name),
+                                  incarnation = entry.incarnation] {
             if (!isLinked(agent, entry))
                 return;
-            atEntry(entry, incarnation, [this, &agent, &entry, life, answered, told] {
-                takeReport(entry, agent, life, told, answered);
-            });
+            runAtEntry(entry, incarnation,
+                       [this, &agent, &entry, startNumber, isReportAnswered, statusReport] {
+                           receiveReport(entry, agent, startNumber, statusReport, isReportAnswered);
+                       });
         });
     }
 
-    void takeReport(modelled_entry &entry, modelled_agent &agent, int life,
-                    const jobs::worker_report &told, const std::shared_ptr<bool> &answered)
+    void receiveReport(simulated_entry &entry, simulated_agent &agent, int startNumber,
+                       const jobs::worker_report &statusReport,
+                       const std::shared_ptr<bool> &isReportAnswered)
     {
-        const bool livesAnew = entry.pool->update(told, m_now) && told.epoch > 0;
-        for (const auto &run : told.started)
-            entry.book->runStarted(run, m_now);
-        const bool inTime = !std::exchange(*answered, true);
-        for (const auto &end : told.ends)
-            takeEnd(entry, agent, life, end, inTime);
-        if (livesAnew)
-            entry.book->workerRestarted(told.worker, told.epoch, m_now);
-        if (entry.pool->find(told.worker)->lastReport.agentIncarnation == told.agentIncarnation)
-            entry.book->workerReported(told.worker, m_now);
-        if (inTime && agent.lives && agent.life == life)
-            agent.table.noteStartsReported(told.started, entry.name);
-        pump(entry);
+        const bool isEpochChanged =
+                entry.pool->update(statusReport, m_now) && statusReport.epoch > 0;
+        for (const auto &run : statusReport.started)
+            entry.controller->runStarted(run, m_now);
+        const bool isOnTime = !std::exchange(*isReportAnswered, true);
+        for (const auto &end : statusReport.ends)
+            handleEnd(entry, agent, startNumber, end, isOnTime);
+        if (isEpochChanged)
+            entry.controller->workerRestarted(statusReport.worker, statusReport.epoch, m_now);
+        if (entry.pool->find(statusReport.worker)->lastReport.agentIncarnation
+            == statusReport.agentIncarnation)
+            entry.controller->workerReported(statusReport.worker, m_now);
+        if (isOnTime && agent.isAlive && agent.startNumber == startNumber)
+            agent.table.noteStartsReported(statusReport.started, entry.name);
+        planAndExecute(entry);
     }
 
-    void takeEnd(modelled_entry &entry, modelled_agent &agent, int life, const jobs::run_end &end,
-                 bool inTime)
+    void handleEnd(simulated_entry &entry, simulated_agent &agent, int startNumber,
+                   const jobs::run_end &end, bool isOnTime)
     {
         const auto token = entry.nextToken++;
-        entry.waits[token] = [this, &entry, &agent, life, end, inTime](bool isStored) {
-            if (isStored && inTime)
-                acknowledge(entry, agent, life, end);
-            if (!isStored && inTime && m_kind == model_kind::Fuller)
-                sayNotOwned(entry, agent, life, end);
+        entry.writeCallbacks[token] = [this, &entry, &agent, startNumber, end,
+                                       isOnTime](bool isStored) {
+            if (isStored && isOnTime)
+                sendEndAck(entry, agent, startNumber, end);
+            if (!isStored && isOnTime && m_kind == model_kind::Complete)
+                sendNotOwned(entry, agent, startNumber, end);
         };
-        if (entry.book->runEnded(agent.name, end, m_now, token))
+        if (entry.controller->runEnded(agent.name, end, m_now, token))
             return;
-        const auto known = entry.view.find(end.task.job);
-        resolve(entry, token, known != entry.view.end() && isSettled(*known->second.record));
+        const auto known = entry.knownRows.find(end.task.job);
+        completeWrite(entry, token,
+                      known != entry.knownRows.end()
+                              && canAcknowledgeUnowned(*known->second.record));
     }
 
-    bool isSettled(const jobs::job_record &record) const
+    bool canAcknowledgeUnowned(const jobs::job_record &record) const
     {
-        return m_kind == model_kind::First ? jobs::isFinal(record.state()) : !record.needsOwner();
+        return m_kind == model_kind::Basic ? jobs::isFinal(record.state()) : !record.needsOwner();
     }
 
-    void sayNotOwned(modelled_entry &entry, modelled_agent &agent, int life,
-                     const jobs::run_end &end)
+    void sendNotOwned(simulated_entry &entry, simulated_agent &agent, int startNumber,
+                      const jobs::run_end &end)
     {
-        answerReport(entry, agent, life, [this, &entry, &agent, end] {
+        sendReportAnswer(entry, agent, startNumber, [this, &entry, &agent, end] {
             if (agent.table.noteNotOwned({end.task, end.run, end.endKind}, entry.name))
-                reportAll(agent);
+                sendReports(agent);
         });
     }
 
-    void acknowledge(modelled_entry &entry, modelled_agent &agent, int life,
-                     const jobs::run_end &end)
+    void sendEndAck(simulated_entry &entry, simulated_agent &agent, int startNumber,
+                    const jobs::run_end &end)
     {
-        answerReport(entry, agent, life, [this, &agent, end] {
+        sendReportAnswer(entry, agent, startNumber, [this, &agent, end] {
             agent.table.acknowledgeEnd({end.task, end.run, end.endKind}, m_now);
         });
     }
 
     // What the agent's life does with one part of an entry's answer to its report.
-    void answerReport(const modelled_entry &entry, modelled_agent &agent, int life,
-                      std::function<void()> take)
+    void sendReportAnswer(const simulated_entry &entry, simulated_agent &agent, int startNumber,
+                          std::function<void()> handler)
     {
-        const auto back = m_passages(way::ReportAnswer);
-        if (back.isLost)
+        const auto inbound = m_planDelivery(delivery_kind::ReportAnswer);
+        if (inbound.isLost)
             return;
-        after(back.takes, [this, &entry, &agent, life, take = std::move(take)] {
+        schedule(inbound.delay, [this, &entry, &agent, startNumber, handler = std::move(handler)] {
             if (isLinked(agent, entry))
-                atAgent(agent, life, take);
+                runAtAgent(agent, startNumber, handler);
         });
     }
 
-    passage_source m_passages;
+    delivery_planner m_planDelivery;
     bool m_keepsTrace = true;
-    model_kind m_kind = model_kind::First;
-    time_point m_begin{std::chrono::hours(1)};
-    time_point m_now{m_begin};
-    std::priority_queue<event, std::vector<event>, later> m_events;
-    std::uint64_t m_nextEvent = 0;
-    std::vector<std::unique_ptr<modelled_entry>> m_entries;
-    std::vector<std::unique_ptr<modelled_agent>> m_agents;
-    std::vector<std::unique_ptr<modelled_worker>> m_workers;
+    model_kind m_kind = model_kind::Basic;
+    time_point m_startTime{std::chrono::hours(1)};
+    time_point m_now{m_startTime};
+    std::priority_queue<scheduled_event, std::vector<scheduled_event>, fires_later> m_events;
+    std::uint64_t m_nextEventNumber = 0;
+    std::vector<std::unique_ptr<simulated_entry>> m_entries;
+    std::vector<std::unique_ptr<simulated_agent>> m_agents;
+    std::vector<std::unique_ptr<simulated_worker>> m_workers;
     std::map<std::string, job_row> m_rows;
-    std::map<std::string, modelled_lease> m_leases;
-    std::map<std::pair<std::string, std::string>, time_point> m_links; // agent and entry: cut until
-    std::int64_t m_version = 0;
+    std::map<std::string, simulated_lease> m_leases;
+    std::map<std::pair<std::string, std::string>, time_point>
+            m_linkCutUntil; // agent and entry: cut until
+    std::int64_t m_lastVersion = 0;
     time_point m_storeDownUntil{};
-    bool m_isWell = false; // no more trouble
-    run_rules m_rules;
+    bool m_areFaultsCleared = false; // no more trouble
+    run_checker m_runChecker;
     std::vector<std::string> m_trace;
 };
 
--- a/tests/order_of_events_test.cpp
+++ b/tests/order_of_events_test.cpp
@@ -21,8 +21,8 @@
 
 const std::string Job = "j";
 const task_id Task{Job, 0, 0, 0};
-constexpr milliseconds Settled{1500};
-constexpr milliseconds Watched{15'000}; // longer than anything that is on its way
+constexpr milliseconds StartupTime{1500};
+constexpr milliseconds ObservationTime{15'000}; // longer than anything that is on its way
 
 step_spec smallStep(int count)
 {
@@ -67,106 +67,113 @@
     return {milliseconds(run == 1 ? 300 : 6000)};
 }
 
-void checkRules(const order_model &model)
+void checkNoViolations(const cluster_simulation &simulation)
 {
-    const auto &broken = model.rules().broken();
-    if (!broken.empty()) {
-        for (const auto &line : model.trace())
+    const auto &violations = simulation.runChecker().violations();
+    if (!violations.empty()) {
+        for (const auto &line : simulation.trace())
             fmt::print(stderr, "    {}\n", line);
     }
-    const auto first = broken.empty() ? std::string() : broken.front();
-    cr_expect(broken.empty(), "%s: %s", sectionName().c_str(), first.c_str());
+    const auto first = violations.empty() ? std::string() : violations.front();
+    cr_expect(violations.empty(), "%s: %s", sectionName().c_str(), first.c_str());
 }
 
 // Run 1 is done on a worker that is out of touch; its epoch ends, and run 2 is accepted by another
 // agent, whose worker turns starts away. Then the end of run 1 is told.
-struct late_end
+struct late_end_scenario
 {
-    using fault = std::function<void(late_end &)>;
+    using fault = std::function<void(late_end_scenario &)>;
 
-    explicit late_end(const job_spec &spec, std::size_t workers = 2)
-        : model(3, workers, firstShortOthersLong)
-        , tasks(spec.steps.front().count)
+    explicit late_end_scenario(const job_spec &spec, std::size_t workers = 2)
+        : simulation(3, workers, firstShortOthersLong)
+        , taskCount(spec.steps.front().count)
     {
-        model.onOrderTaken = [this](const send_order &given, const order_answer &answer) {
+        simulation.onOrderHandled = [this](const send_order &sentOrder,
+                                           const order_answer &answer) {
             if (answer.outcome == order_outcome::Accepted)
-                accepted(given);
+                noteAccepted(sentOrder);
         };
-        model.onRowStored = [this](modelled_entry &entry, const std::string &, const job_record &) {
-            if (model.rules().isDone(Task) && !std::exchange(isDone, true)) {
+        simulation.onRowStored = [this](simulated_entry &entry, const std::string &,
+                                        const job_record &) {
+            if (simulation.runChecker().isDone(Task) && !std::exchange(isDone, true)) {
                 owner = &entry;
-                doneStored();
+                handleDoneStored();
             }
         };
-        model.run(Settled);
-        model.submit(Job, spec);
+        simulation.run(StartupTime);
+        simulation.submit(Job, spec);
     }
 
-    void accepted(const send_order &given)
+    void noteAccepted(const send_order &sentOrder)
     {
-        if (given.order.kind != order_kind::Start || given.order.task.step > 0)
+        if (sentOrder.order.kind != order_kind::Start || sentOrder.order.task.step > 0)
             return;
-        auto &agent = model.agent(model.indexOf(given.worker));
-        if (given.order.run == 1)
-            firstAt.insert(&agent);
-        else if (given.order.task == Task)
-            secondAt = &agent;
+        auto &agent = simulation.agent(simulation.workerIndex(sentOrder.worker));
+        if (sentOrder.order.run == 1)
+            firstAgents.insert(&agent);
+        else if (sentOrder.order.task == Task)
+            secondAgent = &agent;
     }
 
-    modelled_worker &secondWorker() { return model.worker(model.indexOf(secondAt->name)); }
+    simulated_worker &secondWorker()
+    {
+        return simulation.worker(simulation.workerIndex(secondAgent->name));
+    }
 
-    void doneStored()
+    void handleDoneStored()
     {
-        for (std::size_t at = 0; at < workers(); ++at)
-            model.turnAway(model.worker(at), recovers);
-        if (atDone)
-            atDone(*this);
+        for (std::size_t index = 0; index < workerCount(); ++index)
+            simulation.rejectStarts(simulation.worker(index), rejectionTime);
+        if (onDone)
+            onDone(*this);
     }
 
-    std::size_t workers() const { return model.workers(); }
+    std::size_t workerCount() const { return simulation.workerCount(); }
 
     // The story up to the moment when the row says that the task is done, and on.
-    void play()
+    void simulate()
     {
-        const bool begun = model.runUntil([this] { return model.rules().starts() == tasks; },
-                                          milliseconds(3000));
-        require(begun);
-        for (auto *agent : firstAt)
-            model.cutOffFromAll(*agent, milliseconds(9000));
-        for (std::size_t at = 0; at < workers(); ++at) {
-            if (!firstAt.contains(&model.agent(at)))
-                model.turnAway(model.worker(at), milliseconds(20'000));
+        const bool haveStarted = simulation.runUntil(
+                [this] { return simulation.runChecker().startCount() == taskCount; },
+                milliseconds(3000));
+        require(haveStarted);
+        for (auto *agent : firstAgents)
+            simulation.cutOffFromEntriesAndStore(*agent, milliseconds(9000));
+        for (std::size_t index = 0; index < workerCount(); ++index) {
+            if (!firstAgents.contains(&simulation.agent(index)))
+                simulation.rejectStarts(simulation.worker(index), milliseconds(20'000));
         }
-        require(model.runUntil([this] { return secondAt != nullptr; }, milliseconds(8500)));
+        require(simulation.runUntil([this] { return secondAgent != nullptr; }, milliseconds(8500)));
         check(!isDone);
         if (beforeDone)
             beforeDone(*this);
-        require(model.runUntil([this] { return isDone; }, milliseconds(10'000)));
-        check(model.rules().starts() == tasks);
-        model.run(Watched);
-        checkRules(model);
+        require(simulation.runUntil([this] { return isDone; }, milliseconds(10'000)));
+        check(simulation.runChecker().startCount() == taskCount);
+        simulation.run(ObservationTime);
+        checkNoViolations(simulation);
     }
 
-    order_model model;
-    int tasks = 1;
-    milliseconds recovers{3000}; // after the end is stored the workers take starts again
-    std::set<modelled_agent *> firstAt;
-    modelled_agent *secondAt = nullptr;
-    modelled_entry *owner = nullptr;
+    cluster_simulation simulation;
+    int taskCount = 1;
+    milliseconds rejectionTime{3000}; // after the end is stored the workers take starts again
+    std::set<simulated_agent *> firstAgents;
+    simulated_agent *secondAgent = nullptr;
+    simulated_entry *owner = nullptr;
     bool isDone = false;
     fault beforeDone;
-    fault atDone;
+    fault onDone;
 };
 
-void playLateEnd(const job_spec &spec, late_end::fault atDone, late_end::fault beforeDone = {})
+void runLateEnd(const job_spec &spec, late_end_scenario::fault onDone,
+                late_end_scenario::fault beforeDone = {})
 {
-    late_end scene(spec);
-    scene.atDone = std::move(atDone);
-    scene.beforeDone = std::move(beforeDone);
-    scene.play();
+    late_end_scenario scenario(spec);
+    scenario.onDone = std::move(onDone);
+    scenario.beforeDone = std::move(beforeDone);
+    scenario.simulate();
 }
 
-const milliseconds Away{6000};
+const milliseconds OutageTime{6000};
 
 } // namespace
 
@@ -174,41 +181,49 @@
 // the newer run is lost with what it knew. The job goes on:
 Test(order_of_events, late_end_and_nothing_is_lost)
 {
-    section("the owner stops the newer run", [] { playLateEnd(twoSteps(), {}); });
+    section("the owner stops the newer run", [] { runLateEnd(twoSteps(), {}); });
 }
 
 Test(order_of_events, late_end_and_the_owner_dies)
 {
-    section("as the row says done",
-            [] { playLateEnd(twoSteps(), [](late_end &on) { on.model.kill(*on.owner); }); });
+    section("as the row says done", [] {
+        runLateEnd(twoSteps(),
+                   [](late_end_scenario &current) { current.simulation.kill(*current.owner); });
+    });
 }
 
 Test(order_of_events, late_end_and_the_owner_is_cut_off)
 {
     section("as the row says done", [] {
-        playLateEnd(twoSteps(), [](late_end &on) { on.model.cutOff(*on.owner, Away); });
+        runLateEnd(twoSteps(), [](late_end_scenario &current) {
+            current.simulation.cutOff(*current.owner, OutageTime);
+        });
     });
 }
 
 Test(order_of_events, late_end_and_the_owner_is_frozen)
 {
     section("as the row says done", [] {
-        playLateEnd(twoSteps(), [](late_end &on) { on.model.freeze(*on.owner, Away); });
+        runLateEnd(twoSteps(), [](late_end_scenario &current) {
+            current.simulation.freeze(*current.owner, OutageTime);
+        });
     });
 }
 
 Test(order_of_events, late_end_and_the_owner_hands_over)
 {
-    section("with all others in touch",
-            [] { playLateEnd(twoSteps(), [](late_end &on) { on.model.leave(*on.owner); }); });
+    section("with all others in touch", [] {
+        runLateEnd(twoSteps(),
+                   [](late_end_scenario &current) { current.simulation.leave(*current.owner); });
+    });
 }
 
 Test(order_of_events, late_end_and_the_owner_hands_over_beside_a_lost_stop)
 {
     section("the heir has to give the stop again", [] {
-        playLateEnd(twoSteps(), [](late_end &on) {
-            on.model.leave(*on.owner);
-            on.model.cutOff(*on.secondAt, milliseconds(900));
+        runLateEnd(twoSteps(), [](late_end_scenario &current) {
+            current.simulation.leave(*current.owner);
+            current.simulation.cutOff(*current.secondAgent, milliseconds(900));
         });
     });
 }
@@ -216,39 +231,49 @@
 // The same, and the job is over with it: nobody takes it over.
 Test(order_of_events, late_end_of_a_job_that_is_over)
 {
-    section("the owner stops the newer run", [] { playLateEnd(oneTask(), {}); });
+    section("the owner stops the newer run", [] { runLateEnd(oneTask(), {}); });
 }
 
 Test(order_of_events, late_end_of_a_job_that_is_over_and_its_owner_dies)
 {
-    section("as the row says done",
-            [] { playLateEnd(oneTask(), [](late_end &on) { on.model.kill(*on.owner); }); });
+    section("as the row says done", [] {
+        runLateEnd(oneTask(),
+                   [](late_end_scenario &current) { current.simulation.kill(*current.owner); });
+    });
 }
 
 Test(order_of_events, late_end_of_a_job_that_is_over_and_its_owner_is_cut_off)
 {
-    section("as the row says done",
-            [] { playLateEnd(oneTask(), [](late_end &on) { on.model.cutOff(*on.owner, Away); }); });
+    section("as the row says done", [] {
+        runLateEnd(oneTask(), [](late_end_scenario &current) {
+            current.simulation.cutOff(*current.owner, OutageTime);
+        });
+    });
 }
 
 Test(order_of_events, late_end_of_a_job_that_is_over_and_its_owner_is_frozen)
 {
-    section("as the row says done",
-            [] { playLateEnd(oneTask(), [](late_end &on) { on.model.freeze(*on.owner, Away); }); });
+    section("as the row says done", [] {
+        runLateEnd(oneTask(), [](late_end_scenario &current) {
+            current.simulation.freeze(*current.owner, OutageTime);
+        });
+    });
 }
 
 Test(order_of_events, late_end_of_a_job_that_is_over_and_its_owner_leaves)
 {
-    section("with all others in touch",
-            [] { playLateEnd(oneTask(), [](late_end &on) { on.model.leave(*on.owner); }); });
+    section("with all others in touch", [] {
+        runLateEnd(oneTask(),
+                   [](late_end_scenario &current) { current.simulation.leave(*current.owner); });
+    });
 }
 
 Test(order_of_events, late_end_of_a_job_that_is_over_and_its_owner_leaves_beside_a_lost_stop)
 {
     section("nobody gives the stop again", [] {
-        playLateEnd(oneTask(), [](late_end &on) {
-            on.model.leave(*on.owner);
-            on.model.cutOff(*on.secondAt, milliseconds(900));
+        runLateEnd(oneTask(), [](late_end_scenario &current) {
+            current.simulation.leave(*current.owner);
+            current.simulation.cutOff(*current.secondAgent, milliseconds(900));
         });
     });
 }
@@ -257,30 +282,38 @@
 Test(order_of_events, late_end_and_the_agent_is_cut_off_from_all_entries)
 {
     section("the job goes on", [] {
-        playLateEnd(twoSteps(), [](late_end &on) { on.model.cutOff(*on.secondAt, Away); });
+        runLateEnd(twoSteps(), [](late_end_scenario &current) {
+            current.simulation.cutOff(*current.secondAgent, OutageTime);
+        });
     });
 }
 
 Test(order_of_events, late_end_of_a_job_that_is_over_and_the_agent_is_cut_off)
 {
     section("from all entries", [] {
-        playLateEnd(oneTask(), [](late_end &on) { on.model.cutOff(*on.secondAt, Away); });
+        runLateEnd(oneTask(), [](late_end_scenario &current) {
+            current.simulation.cutOff(*current.secondAgent, OutageTime);
+        });
     });
 }
 
 Test(order_of_events, late_end_and_the_agent_is_cut_off_from_the_store_as_well)
 {
     section("its worker takes starts again within the lease", [] {
-        playLateEnd(twoSteps(), [](late_end &on) { on.model.cutOffFromAll(*on.secondAt, Away); });
+        runLateEnd(twoSteps(), [](late_end_scenario &current) {
+            current.simulation.cutOffFromEntriesAndStore(*current.secondAgent, OutageTime);
+        });
     });
 }
 
 Test(order_of_events, late_end_and_the_agent_lives_anew)
 {
     section("its next life is told nothing of the run", [] {
-        playLateEnd(twoSteps(), [](late_end &on) {
-            on.model.kill(*on.secondAt);
-            on.model.after(milliseconds(500), [&on] { on.model.beginAgentLife(*on.secondAt); });
+        runLateEnd(twoSteps(), [](late_end_scenario &current) {
+            current.simulation.kill(*current.secondAgent);
+            current.simulation.schedule(milliseconds(500), [&current] {
+                current.simulation.startAgent(*current.secondAgent);
+            });
         });
     });
 }
@@ -288,12 +321,14 @@
 Test(order_of_events, late_end_and_both_agent_and_owner_live_anew)
 {
     section("the run was accepted again by the agent's next life", [] {
-        playLateEnd(
-                twoSteps(), [](late_end &on) { on.model.kill(*on.owner); },
-                [](late_end &on) {
-                    on.model.kill(*on.secondAt);
-                    on.model.after(milliseconds(200),
-                                   [&on] { on.model.beginAgentLife(*on.secondAt); });
+        runLateEnd(
+                twoSteps(),
+                [](late_end_scenario &current) { current.simulation.kill(*current.owner); },
+                [](late_end_scenario &current) {
+                    current.simulation.kill(*current.secondAgent);
+                    current.simulation.schedule(milliseconds(200), [&current] {
+                        current.simulation.startAgent(*current.secondAgent);
+                    });
                 });
     });
 }
@@ -301,31 +336,38 @@
 namespace {
 
 // The stop of run 2 is settled in one life of its agent, and a start of it arrives in the next.
-void playStartAfterStop(bool acceptedBefore)
-{
-    late_end scene(twoSteps());
-    bool isHeldUp = false;
-    scene.model.holdUpOrder = [&](const send_order &given) -> std::optional<milliseconds> {
-        if (given.order.kind != order_kind::Start || given.order.task != Task
-            || given.order.run != 2)
+void runStartAfterStop(bool acceptedBefore)
+{
+    late_end_scenario scenario(twoSteps());
+    bool isDelayed = false;
+    scenario.simulation.delayOrder =
+            [&](const send_order &sentOrder) -> std::optional<milliseconds> {
+        if (sentOrder.order.kind != order_kind::Start || sentOrder.order.task != Task
+            || sentOrder.order.run != 2)
             return std::nullopt;
-        scene.secondAt = &scene.model.agent(scene.model.indexOf(given.worker));
-        if (!std::exchange(isHeldUp, true))
+        scenario.secondAgent =
+                &scenario.simulation.agent(scenario.simulation.workerIndex(sentOrder.worker));
+        if (!std::exchange(isDelayed, true))
             return milliseconds(6000);
         return acceptedBefore ? std::nullopt : std::optional(milliseconds(60'000));
     };
-    scene.atDone = [](late_end &on) {
-        on.model.after(milliseconds(2000), [&on] { on.model.kill(*on.secondAt); });
-        on.model.after(milliseconds(2300), [&on] { on.model.beginAgentLife(*on.secondAt); });
+    scenario.onDone = [](late_end_scenario &current) {
+        current.simulation.schedule(milliseconds(2000),
+                                    [&current] { current.simulation.kill(*current.secondAgent); });
+        current.simulation.schedule(milliseconds(2300), [&current] {
+            current.simulation.startAgent(*current.secondAgent);
+        });
     };
     int arrived = 0;
-    scene.model.onOrderTaken = [&](const send_order &given, const order_answer &answer) {
-        if (scene.isDone && given.order.kind == order_kind::Start && given.order.task == Task)
+    scenario.simulation.onOrderHandled = [&](const send_order &sentOrder,
+                                             const order_answer &answer) {
+        if (scenario.isDone && sentOrder.order.kind == order_kind::Start
+            && sentOrder.order.task == Task)
             ++arrived;
         if (answer.outcome == order_outcome::Accepted)
-            scene.accepted(given);
+            scenario.noteAccepted(sentOrder);
     };
-    scene.play();
+    scenario.simulate();
     check(arrived == 1);
 }
 
@@ -333,56 +375,59 @@
 
 Test(order_of_events, a_start_held_up_past_the_life_that_stopped_it_at_its_worker)
 {
-    section("the worker remembers the stop", [] { playStartAfterStop(true); });
+    section("the worker remembers the stop", [] { runStartAfterStop(true); });
 }
 
 // A run that the agent had not heard of when it was told to stop it: only that life remembers.
 Test(order_of_events, a_start_held_up_past_the_life_that_was_told_to_stop_it)
 {
-    section("the worker was told nothing", [] { playStartAfterStop(false); });
+    section("the worker was told nothing", [] { runStartAfterStop(false); });
 }
 
 namespace {
 
 // Run 1 is ordered, and the order is held up; repeated, it is turned down, and a later run is
 // placed. The held-up order arrives `arrivesAfter` it was given.
-struct held_up_order
+struct delayed_order
 {
-    explicit held_up_order(int workers, milliseconds heldUp = milliseconds(4500))
-        : model(3, workers, [](const task_id &, int) { return run_plan{milliseconds(8000)}; })
+    explicit delayed_order(int workers, milliseconds delay = milliseconds(4500))
+        : simulation(3, workers, [](const task_id &, int) { return run_plan{milliseconds(8000)}; })
     {
-        model.holdUpOrder = [this, heldUp](const send_order &given) -> std::optional<milliseconds> {
-            if (given.order.run != 1 || std::exchange(isHeldUp, true))
+        simulation.delayOrder =
+                [this, delay](const send_order &sentOrder) -> std::optional<milliseconds> {
+            if (sentOrder.order.run != 1 || std::exchange(isDelayed, true))
                 return std::nullopt;
-            agent = &model.agent(model.indexOf(given.worker));
-            return heldUp;
+            agent = &simulation.agent(simulation.workerIndex(sentOrder.worker));
+            return delay;
         };
-        model.onOrderTaken = [this](const send_order &given, const order_answer &answer) {
-            if (given.order.run == 1)
+        simulation.onOrderHandled = [this](const send_order &sentOrder,
+                                           const order_answer &answer) {
+            if (sentOrder.order.run == 1)
                 answers.push_back(answer.outcome);
         };
-        model.run(Settled);
-        model.submit(Job, oneTask());
-        require(model.runUntil([this] { return agent != nullptr; }, milliseconds(500)));
+        simulation.run(StartupTime);
+        simulation.submit(Job, oneTask());
+        require(simulation.runUntil([this] { return agent != nullptr; }, milliseconds(500)));
     }
 
-    void loseRoom() const { agent->capacity = {100, 100, 0}; }
-    void regainRoom() const { agent->capacity = {16'000, 64'000, 0}; }
+    void reduceCapacity() const { agent->capacity = {100, 100, 0}; }
+    void restoreCapacity() const { agent->capacity = {16'000, 64'000, 0}; }
 
-    void liveAnew()
+    void restartAgent()
     {
-        model.kill(*agent);
-        model.after(milliseconds(200), [this] { model.beginAgentLife(*agent); });
+        simulation.kill(*agent);
+        simulation.schedule(milliseconds(200), [this] { simulation.startAgent(*agent); });
     }
 
-    void untilStarted()
+    void runUntilStarted()
     {
-        require(model.runUntil([this] { return model.rules().starts() == 1; }, milliseconds(3800)));
+        require(simulation.runUntil([this] { return simulation.runChecker().startCount() == 1; },
+                                    milliseconds(3800)));
     }
 
-    order_model model;
-    modelled_agent *agent = nullptr; // that was to run 1
-    bool isHeldUp = false;
+    cluster_simulation simulation;
+    simulated_agent *agent = nullptr; // that was to run 1
+    bool isDelayed = false;
     std::vector<order_outcome> answers; // to orders of run 1
 };
 
@@ -393,91 +438,97 @@
 Test(order_of_events, an_order_held_up_past_the_life_that_refused_it)
 {
     section("for want of room", [] {
-        held_up_order scene(2);
-        scene.loseRoom();
-        scene.untilStarted();
-        require(scene.answers == std::vector{order_outcome::NoRoom});
-        scene.regainRoom();
-        scene.liveAnew();
-        scene.model.run(Watched);
-        check(scene.answers.size() == 2);
-        checkRules(scene.model);
+        delayed_order scenario(2);
+        scenario.reduceCapacity();
+        scenario.runUntilStarted();
+        require(scenario.answers == std::vector{order_outcome::NoRoom});
+        scenario.restoreCapacity();
+        scenario.restartAgent();
+        scenario.simulation.run(ObservationTime);
+        check(scenario.answers.size() == 2);
+        checkNoViolations(scenario.simulation);
     });
 }
 
 Test(order_of_events, an_order_held_up_past_the_life_whose_worker_refused_it)
 {
     section("the run was told as never started", [] {
-        held_up_order scene(2);
-        scene.model.worker(scene.model.indexOf(scene.agent->name)).refuseNext();
-        require(scene.model.runUntil([&] { return !scene.answers.empty(); }, milliseconds(3000)));
-        require(scene.answers == std::vector{order_outcome::Accepted});
-        scene.loseRoom(); // so that run 2 goes elsewhere
-        scene.untilStarted();
-        check(scene.model.worker(scene.model.indexOf(scene.agent->name)).runsOf(Task).empty());
-        scene.regainRoom();
-        scene.liveAnew();
-        scene.model.run(Watched);
-        check(scene.answers.size() == 2);
-        checkRules(scene.model);
+        delayed_order scenario(2);
+        scenario.simulation.worker(scenario.simulation.workerIndex(scenario.agent->name))
+                .refuseNextStart();
+        require(scenario.simulation.runUntil([&] { return !scenario.answers.empty(); },
+                                             milliseconds(3000)));
+        require(scenario.answers == std::vector{order_outcome::Accepted});
+        scenario.reduceCapacity(); // so that run 2 goes elsewhere
+        scenario.runUntilStarted();
+        check(scenario.simulation.worker(scenario.simulation.workerIndex(scenario.agent->name))
+                      .runsOf(Task)
+                      .empty());
+        scenario.restoreCapacity();
+        scenario.restartAgent();
+        scenario.simulation.run(ObservationTime);
+        check(scenario.answers.size() == 2);
+        checkNoViolations(scenario.simulation);
     });
 }
 
 Test(order_of_events, an_order_held_up_within_the_life_that_refused_it)
 {
     section("the refusal is remembered", [] {
-        held_up_order scene(2);
-        scene.loseRoom();
-        scene.untilStarted();
-        scene.regainRoom();
-        scene.model.run(Watched);
-        check(scene.answers.back() == order_outcome::Superseded);
-        checkRules(scene.model);
+        delayed_order scenario(2);
+        scenario.reduceCapacity();
+        scenario.runUntilStarted();
+        scenario.restoreCapacity();
+        scenario.simulation.run(ObservationTime);
+        check(scenario.answers.back() == order_outcome::Superseded);
+        checkNoViolations(scenario.simulation);
     });
 }
 
 // A task that is done runs again: its start was held up, and the stop that overtook it was lost.
 Test(order_of_events, a_start_held_up_within_one_life_while_its_stop_is_lost)
 {
-    order_model model(3, 2, firstShortOthersLong);
-    modelled_agent *firstAt = nullptr;
-    modelled_agent *secondAt = nullptr;
+    cluster_simulation simulation(3, 2, firstShortOthersLong);
+    simulated_agent *firstAgent = nullptr;
+    simulated_agent *secondAgent = nullptr;
     std::vector<order_outcome> afterDone;
-    model.holdUpOrder = [&](const send_order &given) -> std::optional<milliseconds> {
-        if (given.order.task != Task || given.order.run != 2)
+    simulation.delayOrder = [&](const send_order &sentOrder) -> std::optional<milliseconds> {
+        if (sentOrder.order.task != Task || sentOrder.order.run != 2)
             return std::nullopt;
-        if (given.order.kind == order_kind::Stop)
+        if (sentOrder.order.kind == order_kind::Stop)
             return milliseconds(60'000);
-        if (secondAt == nullptr) {
-            secondAt = &model.agent(model.indexOf(given.worker));
-            model.cutOff(*secondAt, milliseconds(20'000));
+        if (secondAgent == nullptr) {
+            secondAgent = &simulation.agent(simulation.workerIndex(sentOrder.worker));
+            simulation.cutOff(*secondAgent, milliseconds(20'000));
         }
         return milliseconds(2500);
     };
-    model.onOrderTaken = [&](const send_order &given, const order_answer &answer) {
-        if (given.order.task == Task && given.order.run == 1)
-            firstAt = &model.agent(model.indexOf(given.worker));
-        if (given.order.task == Task && given.order.run == 2 && model.rules().isDone(Task))
+    simulation.onOrderHandled = [&](const send_order &sentOrder, const order_answer &answer) {
+        if (sentOrder.order.task == Task && sentOrder.order.run == 1)
+            firstAgent = &simulation.agent(simulation.workerIndex(sentOrder.worker));
+        if (sentOrder.order.task == Task && sentOrder.order.run == 2
+            && simulation.runChecker().isDone(Task))
             afterDone.push_back(answer.outcome);
     };
     bool isDone = false;
-    model.onRowStored = [&](modelled_entry &, const std::string &, const job_record &) {
-        if (model.rules().isDone(Task) && !std::exchange(isDone, true))
-            model.cutOff(*secondAt, milliseconds(1300));
+    simulation.onRowStored = [&](simulated_entry &, const std::string &, const job_record &) {
+        if (simulation.runChecker().isDone(Task) && !std::exchange(isDone, true))
+            simulation.cutOff(*secondAgent, milliseconds(1300));
     };
-    model.run(Settled);
-    model.submit(Job, twoSteps());
-    require(model.runUntil([&] { return model.rules().starts() == 1; }, milliseconds(3000)));
-    model.cutOffFromAll(*firstAt, milliseconds(9000));
-    require(model.runUntil([&] { return secondAt != nullptr; }, milliseconds(8500)));
-    check(!model.rules().isDone(Task));
-    require(model.runUntil([&] { return isDone; }, milliseconds(10'000)));
+    simulation.run(StartupTime);
+    simulation.submit(Job, twoSteps());
+    require(simulation.runUntil([&] { return simulation.runChecker().startCount() == 1; },
+                                milliseconds(3000)));
+    simulation.cutOffFromEntriesAndStore(*firstAgent, milliseconds(9000));
+    require(simulation.runUntil([&] { return secondAgent != nullptr; }, milliseconds(8500)));
+    check(!simulation.runChecker().isDone(Task));
+    require(simulation.runUntil([&] { return isDone; }, milliseconds(10'000)));
     section("it arrives in the life of the agent that it was placed in", [&] {
-        model.run(Watched);
+        simulation.run(ObservationTime);
         require(!afterDone.empty());
         for (const auto outcome : afterDone)
             check(outcome == order_outcome::DeadlineExceeded);
-        checkRules(model);
+        checkNoViolations(simulation);
     });
 }
 
@@ -485,29 +536,29 @@
 Test(order_of_events, an_order_of_an_older_run_where_a_newer_one_is_known)
 {
     section("in the life that refused the older one", [] {
-        held_up_order scene(1);
-        scene.loseRoom();
-        scene.model.run(milliseconds(1500));
-        scene.regainRoom();
-        scene.untilStarted();
-        scene.model.run(Watched);
-        check(scene.answers.back() == order_outcome::Superseded);
-        checkRules(scene.model);
+        delayed_order scenario(1);
+        scenario.reduceCapacity();
+        scenario.simulation.run(milliseconds(1500));
+        scenario.restoreCapacity();
+        scenario.runUntilStarted();
+        scenario.simulation.run(ObservationTime);
+        check(scenario.answers.back() == order_outcome::Superseded);
+        checkNoViolations(scenario.simulation);
     });
 }
 
 Test(order_of_events, an_order_of_an_older_run_where_the_next_life_knows_a_newer_one)
 {
     section("the newer one runs on that very worker", [] {
-        held_up_order scene(1);
-        scene.loseRoom();
-        scene.model.run(milliseconds(1500));
-        scene.regainRoom();
-        scene.untilStarted();
-        scene.liveAnew();
-        scene.model.run(Watched);
-        check(scene.answers.size() == 2);
-        checkRules(scene.model);
+        delayed_order scenario(1);
+        scenario.reduceCapacity();
+        scenario.simulation.run(milliseconds(1500));
+        scenario.restoreCapacity();
+        scenario.runUntilStarted();
+        scenario.restartAgent();
+        scenario.simulation.run(ObservationTime);
+        check(scenario.answers.size() == 2);
+        checkNoViolations(scenario.simulation);
     });
 }
 
@@ -516,35 +567,37 @@
 Test(order_of_events, an_order_of_a_newer_run_where_an_older_one_is_known)
 {
     section("both are for the same worker", [] {
-        held_up_order scene(1);
-        const auto passes = scene.model.now() + milliseconds(5000);
-        scene.model.holdUpOrder = [&, first = scene.model.holdUpOrder](const send_order &given) {
-            const bool isLost = given.order.run == 2 && scene.model.now() < passes;
-            return isLost ? std::optional(milliseconds(60'000)) : first(given);
+        delayed_order scenario(1);
+        const auto lostUntil = scenario.simulation.now() + milliseconds(5000);
+        scenario.simulation.delayOrder = [&, first = scenario.simulation.delayOrder](
+                                                 const send_order &sentOrder) {
+            const bool isLost = sentOrder.order.run == 2 && scenario.simulation.now() < lostUntil;
+            return isLost ? std::optional(milliseconds(60'000)) : first(sentOrder);
         };
-        scene.loseRoom();
-        scene.model.run(milliseconds(1500));
-        scene.regainRoom();
-        scene.model.run(milliseconds(800));
-        scene.liveAnew();
-        scene.model.run(Watched);
-        require(scene.answers.size() == 2);
-        checkRules(scene.model);
+        scenario.reduceCapacity();
+        scenario.simulation.run(milliseconds(1500));
+        scenario.restoreCapacity();
+        scenario.simulation.run(milliseconds(800));
+        scenario.restartAgent();
+        scenario.simulation.run(ObservationTime);
+        require(scenario.answers.size() == 2);
+        checkNoViolations(scenario.simulation);
     });
 }
 
 Test(order_of_events, an_order_held_up_past_its_epoch)
 {
     section("the epoch that it names tells it, in the next life as well", [] {
-        held_up_order scene(2, milliseconds(10'500));
-        scene.model.cutOffFromAll(*scene.agent, milliseconds(7500));
-        require(scene.model.runUntil([&] { return scene.model.rules().starts() == 1; },
-                                     milliseconds(8000)));
-        scene.model.run(milliseconds(2500));
-        scene.liveAnew();
-        scene.model.run(Watched);
-        check(scene.answers == std::vector{order_outcome::WrongEpoch});
-        checkRules(scene.model);
+        delayed_order scenario(2, milliseconds(10'500));
+        scenario.simulation.cutOffFromEntriesAndStore(*scenario.agent, milliseconds(7500));
+        require(scenario.simulation.runUntil(
+                [&] { return scenario.simulation.runChecker().startCount() == 1; },
+                milliseconds(8000)));
+        scenario.simulation.run(milliseconds(2500));
+        scenario.restartAgent();
+        scenario.simulation.run(ObservationTime);
+        check(scenario.answers == std::vector{order_outcome::WrongEpoch});
+        checkNoViolations(scenario.simulation);
     });
 }
 
@@ -553,33 +606,36 @@
 Test(order_of_events, an_order_of_an_owner_that_thaws)
 {
     section("after the life of the agent that refused it", [] {
-        order_model model(3, 2, [](const task_id &, int) { return run_plan{milliseconds(600)}; });
-        model.run(Settled);
-        modelled_entry *owner = nullptr;
-        modelled_agent *agent = nullptr;
-        model.onRowStored = [&](modelled_entry &entry, const std::string &,
-                                const job_record &record) {
+        cluster_simulation simulation(
+                3, 2, [](const task_id &, int) { return run_plan{milliseconds(600)}; });
+        simulation.run(StartupTime);
+        simulated_entry *owner = nullptr;
+        simulated_agent *agent = nullptr;
+        simulation.onRowStored = [&](simulated_entry &entry, const std::string &,
+                                     const job_record &record) {
             if (std::exchange(owner, &entry) != nullptr)
                 return;
-            agent = &model.agent(model.indexOf(record.find(Task)->placements.front().worker));
+            agent = &simulation.agent(
+                    simulation.workerIndex(record.find(Task)->placements.front().worker));
             agent->capacity = {100, 100, 0};
-            model.freeze(entry, milliseconds(7000));
-            model.onRowStored = {};
+            simulation.freeze(entry, milliseconds(7000));
+            simulation.onRowStored = {};
         };
         std::vector<order_outcome> answers; // to orders of run 1
-        model.onOrderTaken = [&](const send_order &given, const order_answer &answer) {
-            if (given.order.run == 1)
+        simulation.onOrderHandled = [&](const send_order &sentOrder, const order_answer &answer) {
+            if (sentOrder.order.run == 1)
                 answers.push_back(answer.outcome);
         };
-        model.submit(Job, oneTask());
-        require(model.runUntil([&] { return model.rules().isDone(Task); }, milliseconds(5000)));
+        simulation.submit(Job, oneTask());
+        require(simulation.runUntil([&] { return simulation.runChecker().isDone(Task); },
+                                    milliseconds(5000)));
         require(answers == std::vector{order_outcome::NoRoom});
         agent->capacity = {16'000, 64'000, 0};
-        model.kill(*agent);
-        model.after(milliseconds(200), [&] { model.beginAgentLife(*agent); });
-        model.run(Watched);
+        simulation.kill(*agent);
+        simulation.schedule(milliseconds(200), [&] { simulation.startAgent(*agent); });
+        simulation.run(ObservationTime);
         check(answers.size() == 2);
-        checkRules(model);
+        checkNoViolations(simulation);
     });
 }
 
@@ -588,23 +644,27 @@
 Test(order_of_events, a_start_of_an_overtaken_owner_that_thaws)
 {
     section("its task is done and its job is over", [] {
-        late_end scene(oneTask());
-        scene.model.holdUpOrder = [&](const send_order &given) -> std::optional<milliseconds> {
-            if (given.order.run == 1 || scene.secondAt != nullptr)
+        late_end_scenario scenario(oneTask());
+        scenario.simulation.delayOrder =
+                [&](const send_order &sentOrder) -> std::optional<milliseconds> {
+            if (sentOrder.order.run == 1 || scenario.secondAgent != nullptr)
                 return std::nullopt;
-            scene.secondAt = &scene.model.agent(scene.model.indexOf(given.worker));
-            scene.model.kill(*scene.secondAt);
+            scenario.secondAgent =
+                    &scenario.simulation.agent(scenario.simulation.workerIndex(sentOrder.worker));
+            scenario.simulation.kill(*scenario.secondAgent);
             // Its next try is due as it thaws, before it has read that it was overtaken.
-            scene.model.after(milliseconds(900), [&] {
-                scene.model.freeze(*scene.model.ownerOf(Job), milliseconds(7000));
+            scenario.simulation.schedule(milliseconds(900), [&] {
+                scenario.simulation.freeze(*scenario.simulation.ownerOf(Job), milliseconds(7000));
             });
             return std::nullopt;
         };
-        scene.atDone = [](late_end &on) {
-            on.model.leave(*on.owner);
-            on.model.after(milliseconds(500), [&on] { on.model.beginAgentLife(*on.secondAt); });
+        scenario.onDone = [](late_end_scenario &current) {
+            current.simulation.leave(*current.owner);
+            current.simulation.schedule(milliseconds(500), [&current] {
+                current.simulation.startAgent(*current.secondAgent);
+            });
         };
-        scene.play();
+        scenario.simulate();
     });
 }
 
@@ -612,31 +672,34 @@
 Test(order_of_events, an_end_told_late_to_an_owner_that_was_overtaken)
 {
     section("it is frozen with the end unread, and thaws after a newer run was placed", [] {
-        order_model model(3, 2, firstShortOthersLong);
-        model.run(Settled);
-        model.submit(Job, twoSteps());
-        require(model.runUntil([&] { return model.rules().starts() == 1; }, milliseconds(2000)));
-        auto *owner = model.ownerOf(Job);
+        cluster_simulation simulation(3, 2, firstShortOthersLong);
+        simulation.run(StartupTime);
+        simulation.submit(Job, twoSteps());
+        require(simulation.runUntil([&] { return simulation.runChecker().startCount() == 1; },
+                                    milliseconds(2000)));
+        auto *owner = simulation.ownerOf(Job);
         require(owner != nullptr);
-        model.freeze(*owner, milliseconds(11'000));
-        model.run(milliseconds(150));
+        simulation.freeze(*owner, milliseconds(11'000));
+        simulation.run(milliseconds(150));
         std::optional<std::size_t> worker;
-        for (std::size_t at = 0; at < model.workers(); ++at) {
-            if (!model.worker(at).runsOf(Task).empty())
-                worker = at;
+        for (std::size_t index = 0; index < simulation.workerCount(); ++index) {
+            if (!simulation.worker(index).runsOf(Task).empty())
+                worker = index;
         }
         require(worker);
         // The end is sent, and reaches the frozen owner only.
-        for (std::size_t at = 0; at < model.entries(); ++at) {
-            if (&model.entry(at) != owner)
-                model.cutOffLink(model.agent(*worker), model.entry(at), milliseconds(9000));
+        for (std::size_t index = 0; index < simulation.entryCount(); ++index) {
+            if (&simulation.entry(index) != owner)
+                simulation.cutOffLink(simulation.agent(*worker), simulation.entry(index),
+                                      milliseconds(9000));
         }
-        model.run(milliseconds(600));
-        model.cutOffFromAll(model.agent(*worker), milliseconds(8500));
-        require(model.runUntil([&] { return model.rules().starts() == 2; }, milliseconds(9500)));
-        model.run(Watched);
-        require(model.rules().isDone(Task));
-        checkRules(model);
+        simulation.run(milliseconds(600));
+        simulation.cutOffFromEntriesAndStore(simulation.agent(*worker), milliseconds(8500));
+        require(simulation.runUntil([&] { return simulation.runChecker().startCount() == 2; },
+                                    milliseconds(9500)));
+        simulation.run(ObservationTime);
+        require(simulation.runChecker().isDone(Task));
+        checkNoViolations(simulation);
     });
 }
 
@@ -644,9 +707,11 @@
 Test(order_of_events, late_end_of_a_gang_and_the_owner_dies)
 {
     section("its members are to run again elsewhere", [] {
-        late_end scene(gangOfTwo(), 4);
-        scene.atDone = [](late_end &on) { on.model.kill(*on.owner); };
-        scene.play();
+        late_end_scenario scenario(gangOfTwo(), 4);
+        scenario.onDone = [](late_end_scenario &current) {
+            current.simulation.kill(*current.owner);
+        };
+        scenario.simulate();
     });
 }
 
@@ -654,15 +719,16 @@
 Test(order_of_events, a_copy_that_lost_and_the_owner_dies)
 {
     section("while the other copy's worker turns starts away", [] {
-        order_model model(3, 2, firstShortOthersLong);
-        model.run(Settled);
-        model.turnAway(model.worker(1), milliseconds(20'000));
-        model.onRowStored = [&](modelled_entry &entry, const std::string &, const job_record &) {
-            if (!model.rules().isDone(Task))
+        cluster_simulation simulation(3, 2, firstShortOthersLong);
+        simulation.run(StartupTime);
+        simulation.rejectStarts(simulation.worker(1), milliseconds(20'000));
+        simulation.onRowStored = [&](simulated_entry &entry, const std::string &,
+                                     const job_record &) {
+            if (!simulation.runChecker().isDone(Task))
                 return;
-            model.onRowStored = {};
-            model.turnAway(model.worker(1), milliseconds(3000));
-            model.kill(entry);
+            simulation.onRowStored = {};
+            simulation.rejectStarts(simulation.worker(1), milliseconds(3000));
+            simulation.kill(entry);
         };
         queue_policy policy;
         policy.service = "tickets";
@@ -671,10 +737,11 @@
         auto &task = *record.find(Task);
         task.lastRun = 2;
         task.placements = {{"w1", 1, 1}, {"w2", 1, 2}};
-        model.plantRow(Job, record);
-        require(model.runUntil([&] { return model.rules().isDone(Task); }, milliseconds(8000)));
-        check(model.rules().starts() == 1);
-        model.run(Watched);
-        checkRules(model);
+        simulation.insertRow(Job, record);
+        require(simulation.runUntil([&] { return simulation.runChecker().isDone(Task); },
+                                    milliseconds(8000)));
+        check(simulation.runChecker().startCount() == 1);
+        simulation.run(ObservationTime);
+        checkNoViolations(simulation);
     });
 }
--- a/tests/order_search.cpp
+++ b/tests/order_search.cpp
@@ -34,12 +34,12 @@
     return {first, last};
 }
 
-struct search_sum
+struct search_totals
 {
-    std::vector<std::uint64_t> broken;
-    std::uint64_t seeds = 0;
-    std::int64_t starts = 0;
-    std::size_t jobsOver = 0;
+    std::vector<std::uint64_t> failedSeeds;
+    std::uint64_t seedCount = 0;
+    std::int64_t startCount = 0;
+    std::size_t finishedJobCount = 0;
 };
 
 void printTrace(std::uint64_t seed, search_kind kind)
@@ -49,46 +49,48 @@
         fmt::print("    {}\n", line);
 }
 
-void searchSeed(std::uint64_t seed, search_kind kind, bool printsTrace, search_sum &sum)
+void searchSeed(std::uint64_t seed, search_kind kind, bool printsTrace, search_totals &totals)
 {
     const auto result = order_search(seed, false, kind).run();
-    ++sum.seeds;
-    sum.starts += result.starts;
-    sum.jobsOver += result.jobsOver;
+    ++totals.seedCount;
+    totals.startCount += result.startCount;
+    totals.finishedJobCount += result.finishedJobCount;
     if (printsTrace)
         printTrace(seed, kind);
-    if (result.broken.empty())
+    if (result.violations.empty())
         return;
-    sum.broken.push_back(seed);
-    for (const auto &rule : result.broken)
+    totals.failedSeeds.push_back(seed);
+    for (const auto &rule : result.violations)
         fmt::print("seed {}: {}\n", seed, rule);
 }
 
 int search(const std::vector<std::string> &ranges, search_kind kind, bool printsTrace)
 {
-    search_sum sum;
+    search_totals totals;
     for (const auto &text : ranges) {
         const auto range = rangeFrom(text);
         for (auto seed = range.first; seed <= range.last; ++seed)
-            searchSeed(seed, kind, printsTrace, sum);
+            searchSeed(seed, kind, printsTrace, totals);
     }
-    fmt::print("{} seeds, {} broken, {} starts, {} jobs over\n", sum.seeds, sum.broken.size(),
-               sum.starts, sum.jobsOver);
-    return sum.broken.empty() ? ExitDone : ExitFailed;
+    fmt::print("{} seeds, {} broken, {} starts, {} jobs over\n", totals.seedCount,
+               totals.failedSeeds.size(), totals.startCount, totals.finishedJobCount);
+    return totals.failedSeeds.empty() ? ExitDone : ExitFailed;
 }
 
 } // namespace
 
-int main(int count, char **words)
+int main(int argumentCount, char **arguments)
 {
     try {
         TCLAP::CmdLine command("order_search", ' ', "1");
         command.setExceptionHandling(false);
         TCLAP::MultiArg<std::string> seeds("", "seeds", "seeds to run", true, "A-B", command);
         TCLAP::SwitchArg trace("", "trace", "prints what happened in each", command);
-        TCLAP::SwitchArg standing("", "standing", "looks for tasks that stand still", command);
-        command.parse(count, words);
-        const auto kind = standing.getValue() ? search_kind::Standing : search_kind::Doubled;
+        TCLAP::SwitchArg searchesStalls("", "standing", "looks for tasks that stand still",
+                                        command);
+        command.parse(argumentCount, arguments);
+        const auto kind =
+                searchesStalls.getValue() ? search_kind::StalledTasks : search_kind::DuplicateRuns;
         return search(seeds.getValue(), kind, trace.getValue());
     } catch (const TCLAP::ExitException &exit) {
         return exit.getExitStatus() == 0 ? ExitDone : ExitUsage;
--- a/tests/order_search.h
+++ b/tests/order_search.h
@@ -23,87 +23,92 @@
     EntryKilled,
     EntryCutOff,
     EntryFrozen,
-    EntryLeaves,
+    EntryShutdown,
     AgentKilled,
     AgentCutOff,
-    AgentCutOffFromAll,
+    AgentCutOffFromEntriesAndStore,
     StoreStopped,
-    StartsTurnedAway,
+    StartsRejected,
     StartRefused,
-    RoomTaken,
+    CapacityReduced,
     // In a search for tasks that stand still only:
     AgentFrozen,
-    EntryFrozenAsWritten,
+    EntryFrozenOnCommit,
     LinkCut,
-    WorkerLeaves,
-    WorkerBootsAnew,
+    WorkerDrained,
+    WorkerRebooted,
 };
-constexpr std::size_t FirstFaultKinds = 12;
-constexpr std::size_t FaultKinds = 17;
+constexpr std::size_t BasicFaultKindCount = 12;
+constexpr std::size_t FaultKindCount = 17;
 
-enum class search_kind { Doubled, Standing };
+enum class search_kind { DuplicateRuns, StalledTasks };
 
 struct search_result
 {
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
     std::vector<std::string> trace;
-    int starts = 0;
-    std::size_t jobsOver = 0;
+    int startCount = 0;
+    std::size_t finishedJobCount = 0;
 };
 
 class order_search
 {
 public:
-    order_search(std::uint64_t seed, bool keepsTrace, search_kind kind = search_kind::Doubled)
+    order_search(std::uint64_t seed, bool keepsTrace, search_kind kind = search_kind::DuplicateRuns)
         : m_kind(kind)
         , m_random(seed)
-        , m_model(
-                  Entries, Workers, [this](const auto &task, int) { return drawRun(task); },
-                  [this](way what) { return drawPassage(what); }, keepsTrace,
-                  kind == search_kind::Doubled ? model_kind::First : model_kind::Fuller)
+        , m_simulation(
+                  EntryCount, WorkerCount, [this](const auto &task, int) { return drawRun(task); },
+                  [this](delivery_kind what) { return drawDelivery(what); }, keepsTrace,
+                  kind == search_kind::DuplicateRuns ? model_kind::Basic : model_kind::Complete)
     {
-        const auto kinds = kind == search_kind::Doubled ? FirstFaultKinds : FaultKinds;
-        for (std::size_t which = 0; which < kinds; ++which)
-            m_weights[which] = between(0, 3);
-        m_holdsUpOrders = between(0, 1) == 1;
-        m_model.say("orders are {}held up", m_holdsUpOrders ? "" : "not ");
+        const auto kinds =
+                kind == search_kind::DuplicateRuns ? BasicFaultKindCount : FaultKindCount;
+        for (std::size_t index = 0; index < kinds; ++index)
+            m_weights[index] = randomBetween(0, 3);
+        m_delaysOrders = randomBetween(0, 1) == 1;
+        m_simulation.addToTrace("orders are {}held up", m_delaysOrders ? "" : "not ");
     }
 
     search_result run()
     {
-        for (int job = 0; job < Jobs; ++job)
-            m_model.after(milliseconds(1500 + job * between(100, 500)),
-                          [this, job] { m_model.submit(fmt::format("j{}", job), drawJob()); });
-        if (m_kind == search_kind::Standing)
-            submitLasting();
-        drawFaults();
-        for (milliseconds spent{}; spent < Length && m_model.rules().broken().empty();
-             spent += FaultEvery)
-            m_model.run(FaultEvery);
-        if (m_kind == search_kind::Standing)
-            calmDown();
-        return {broken(), m_model.trace(), m_model.rules().starts(), m_model.jobsOver()};
+        for (int job = 0; job < JobCount; ++job)
+            m_simulation.schedule(milliseconds(1500 + job * randomBetween(100, 500)), [this, job] {
+                m_simulation.submit(fmt::format("j{}", job), drawJob());
+            });
+        if (m_kind == search_kind::StalledTasks)
+            submitLongRunning();
+        scheduleFaults();
+        for (milliseconds elapsed{};
+             elapsed < FaultPeriod && m_simulation.runChecker().violations().empty();
+             elapsed += FaultInterval)
+            m_simulation.run(FaultInterval);
+        if (m_kind == search_kind::StalledTasks)
+            checkForStalls();
+        return {violations(), m_simulation.trace(), m_simulation.runChecker().startCount(),
+                m_simulation.finishedJobCount()};
     }
 
 private:
-    std::vector<std::string> broken() const
+    std::vector<std::string> violations() const
     {
-        auto all = m_model.rules().broken();
-        const auto &standing = m_standing.broken();
-        all.insert(all.end(), standing.begin(), standing.end());
+        auto all = m_simulation.runChecker().violations();
+        const auto &stalls = m_stallChecker.violations();
+        all.insert(all.end(), stalls.begin(), stalls.end());
         return all;
     }
 
-    void submitLasting()
+    void submitLongRunning()
     {
-        for (int job = 0; job < LastingJobs; ++job)
-            m_model.after(milliseconds(1500 + job * between(100, 2000)),
-                          [this, job] { m_model.submit(lastingName(job), lastingJob()); });
+        for (int job = 0; job < LongRunningJobCount; ++job)
+            m_simulation.schedule(milliseconds(1500 + job * randomBetween(100, 2000)), [this, job] {
+                m_simulation.submit(longRunningJobName(job), longRunningJob());
+            });
     }
 
-    static std::string lastingName(int job) { return fmt::format("lasts{}", job); }
+    static std::string longRunningJobName(int job) { return fmt::format("lasts{}", job); }
 
-    static jobs::job_spec lastingJob()
+    static jobs::job_spec longRunningJob()
     {
         auto spec = drawJob();
         spec.steps.resize(1);
@@ -113,58 +118,61 @@
     }
 
     // A task that lasts has to run within 10 s of calm, and a while later too.
-    void calmDown()
+    void checkForStalls()
     {
-        m_isCalm = true;
-        m_model.endTrouble();
-        lookFor(LongestFreeze);
-        m_model.say("calm");
-        lookFor(milliseconds(10'000));
-        m_standing.judge(m_model);
-        lookFor(milliseconds(4000));
-        m_standing.judge(m_model);
+        m_areFaultsOver = true;
+        m_simulation.clearFaults();
+        runAndObserve(MaxFreeze);
+        m_simulation.addToTrace("calm");
+        runAndObserve(milliseconds(10'000));
+        m_stallChecker.check(m_simulation);
+        runAndObserve(milliseconds(4000));
+        m_stallChecker.check(m_simulation);
     }
 
-    void lookFor(milliseconds span)
+    void runAndObserve(milliseconds span)
     {
-        constexpr milliseconds LookEvery{50};
-        for (milliseconds spent{}; spent < span; spent += LookEvery) {
-            m_model.run(LookEvery);
-            m_standing.look(m_model);
+        constexpr milliseconds ObserveInterval{50};
+        for (milliseconds elapsed{}; elapsed < span; elapsed += ObserveInterval) {
+            m_simulation.run(ObserveInterval);
+            m_stallChecker.observe(m_simulation);
         }
     }
 
-    static constexpr int LastingJobs = 6;
-    static constexpr milliseconds LongestFreeze{5000};
-    static constexpr int Entries = 3;
-    static constexpr int Workers = 3;
-    static constexpr int Jobs = 40;
-    static constexpr milliseconds Length{25'000};
-    static constexpr milliseconds FaultEvery{250};
+    static constexpr int LongRunningJobCount = 6;
+    static constexpr milliseconds MaxFreeze{5000};
+    static constexpr int EntryCount = 3;
+    static constexpr int WorkerCount = 3;
+    static constexpr int JobCount = 40;
+    static constexpr milliseconds FaultPeriod{25'000};
+    static constexpr milliseconds FaultInterval{250};
 
-    int between(int lowest, int highest)
+    int randomBetween(int lowest, int highest)
     {
         return lowest
                + static_cast<int>(
                        pickIndex(m_random, static_cast<std::size_t>(highest - lowest + 1)));
     }
-    bool inPercent(int percent) { return between(1, 100) <= percent; }
-    milliseconds span(int lowest, int highest) { return milliseconds(between(lowest, highest)); }
+    bool drawChance(int percent) { return randomBetween(1, 100) <= percent; }
+    milliseconds randomSpan(int lowest, int highest)
+    {
+        return milliseconds(randomBetween(lowest, highest));
+    }
 
     run_plan drawRun(const jobs::task_id &task)
     {
         if (task.job.starts_with("lasts"))
-            return drawLastingRun();
-        const auto how = inPercent(90) ? jobs::end_kind::Done : jobs::end_kind::Failed;
-        return {span(100, 900), how};
+            return drawLongRunningRun();
+        const auto endKind = drawChance(90) ? jobs::end_kind::Done : jobs::end_kind::Failed;
+        return {randomSpan(100, 900), endKind};
     }
 
-    run_plan drawLastingRun()
+    run_plan drawLongRunningRun()
     {
-        if (m_isCalm)
+        if (m_areFaultsOver)
             return {milliseconds(60'000), jobs::end_kind::Done};
-        const auto how = inPercent(50) ? jobs::end_kind::Done : jobs::end_kind::Failed;
-        return {span(300, 15'000), how};
+        const auto endKind = drawChance(50) ? jobs::end_kind::Done : jobs::end_kind::Failed;
+        return {randomSpan(300, 15'000), endKind};
     }
 
     static jobs::job_spec drawJob()
@@ -183,67 +191,67 @@
     }
 
     // How often, in per cent, something on its way is lost or slow, and how slow.
-    struct odds
+    struct delivery_odds
     {
-        int lost = 0;
-        int slow = 0;
-        int slowest = 0; // ms
-        int heldUp = 0;  // for seconds
+        int lostPercent = 0;
+        int slowPercent = 0;
+        int maxSlowDelayMs = 0;   // ms
+        int longDelayPercent = 0; // for seconds
     };
 
-    odds oddsOf(way what) const
+    delivery_odds oddsOf(delivery_kind what) const
     {
         switch (what) {
-        case way::Order:
-            return {3, 10, 700, m_holdsUpOrders ? 2 : 0};
-        case way::OrderAnswer:
+        case delivery_kind::Order:
+            return {3, 10, 700, m_delaysOrders ? 2 : 0};
+        case delivery_kind::OrderAnswer:
             return {5, 10, 300, 0};
-        case way::Report:
+        case delivery_kind::Report:
             return {3, 10, 800, 0};
-        case way::ReportAnswer:
+        case delivery_kind::ReportAnswer:
             return {3, 10, 300, 0};
-        case way::Start:
+        case delivery_kind::Start:
             return {2, 12, 1400, 0};
-        case way::StartAnswer:
+        case delivery_kind::StartAnswer:
             return {4, 5, 300, 0};
-        case way::Stop:
+        case delivery_kind::Stop:
             return {3, 10, 300, 0};
-        case way::Look:
+        case delivery_kind::Poll:
             return {3, 5, 100, 0};
-        case way::Write:
+        case delivery_kind::Write:
             return {5, 10, 200, 0};
-        case way::WriteAnswer:
+        case delivery_kind::WriteAnswer:
             return {8, 10, 100, 0};
-        case way::Feed:
+        case delivery_kind::Feed:
             return {0, 50, 60, 0};
-        case way::Thaw:
+        case delivery_kind::Thaw:
             return {0, 50, 20, 0};
         }
         return {};
     }
 
-    passage drawPassage(way what)
+    delivery drawDelivery(delivery_kind what)
     {
         const auto chances = oddsOf(what);
-        if (inPercent(chances.lost))
+        if (drawChance(chances.lostPercent))
             return {milliseconds(0), true};
-        if (inPercent(chances.heldUp))
-            return {span(1000, 6000), false};
-        if (inPercent(chances.slow))
-            return {span(10, chances.slowest), false};
-        return {span(1, 4), false};
+        if (drawChance(chances.longDelayPercent))
+            return {randomSpan(1000, 6000), false};
+        if (drawChance(chances.slowPercent))
+            return {randomSpan(10, chances.maxSlowDelayMs), false};
+        return {randomSpan(1, 4), false};
     }
 
-    void drawFaults()
+    void scheduleFaults()
     {
-        m_model.after(FaultEvery, [this] {
-            if (m_isCalm)
+        m_simulation.schedule(FaultInterval, [this] {
+            if (m_areFaultsOver)
                 return;
-            if (m_model.now() >= m_begin + milliseconds(1000)) {
-                revive();
-                plant(drawFault());
+            if (m_simulation.now() >= m_begin + milliseconds(1000)) {
+                restartProcesses();
+                injectFault(drawFault());
             }
-            drawFaults();
+            scheduleFaults();
         });
     }
 
@@ -252,86 +260,91 @@
         int sum = 0;
         for (const auto weight : m_weights)
             sum += weight;
-        auto at = between(0, sum);
-        for (std::size_t which = 0; which < FaultKinds; ++which) {
-            at -= m_weights[which];
+        auto at = randomBetween(0, sum);
+        for (std::size_t index = 0; index < FaultKindCount; ++index) {
+            at -= m_weights[index];
             if (at < 0)
-                return static_cast<fault>(which);
+                return static_cast<fault>(index);
         }
         return fault::None;
     }
 
-    void revive()
+    void restartProcesses()
     {
-        for (std::size_t at = 0; at < Entries; ++at) {
-            if (!m_model.entry(at).lives && inPercent(20))
-                m_model.beginEntryLife(m_model.entry(at));
+        for (std::size_t at = 0; at < EntryCount; ++at) {
+            if (!m_simulation.entry(at).isAlive && drawChance(20))
+                m_simulation.startEntry(m_simulation.entry(at));
         }
-        for (std::size_t at = 0; at < Workers; ++at) {
-            if (!m_model.agent(at).lives && inPercent(25))
-                m_model.beginAgentLife(m_model.agent(at));
+        for (std::size_t at = 0; at < WorkerCount; ++at) {
+            if (!m_simulation.agent(at).isAlive && drawChance(25))
+                m_simulation.startAgent(m_simulation.agent(at));
         }
     }
 
-    modelled_entry &anyEntry() { return m_model.entry(pickIndex(m_random, Entries)); }
-    modelled_agent &anyAgent() { return m_model.agent(pickIndex(m_random, Workers)); }
-    modelled_worker &anyWorker() { return m_model.worker(pickIndex(m_random, Workers)); }
+    simulated_entry &randomEntry() { return m_simulation.entry(pickIndex(m_random, EntryCount)); }
+    simulated_agent &randomAgent() { return m_simulation.agent(pickIndex(m_random, WorkerCount)); }
+    simulated_worker &randomWorker()
+    {
+        return m_simulation.worker(pickIndex(m_random, WorkerCount));
+    }
 
-    void plant(fault what)
+    void injectFault(fault what)
     {
         switch (what) {
         case fault::None:
             return;
         case fault::EntryKilled:
-            return m_model.kill(anyEntry());
+            return m_simulation.kill(randomEntry());
         case fault::EntryCutOff:
-            return m_model.cutOff(anyEntry(), span(200, 4000));
+            return m_simulation.cutOff(randomEntry(), randomSpan(200, 4000));
         case fault::EntryFrozen:
-            return m_model.freeze(anyEntry(), span(200, 5000));
-        case fault::EntryLeaves:
-            return m_model.leave(anyEntry());
+            return m_simulation.freeze(randomEntry(), randomSpan(200, 5000));
+        case fault::EntryShutdown:
+            return m_simulation.leave(randomEntry());
         case fault::AgentKilled:
-            return m_model.kill(anyAgent());
+            return m_simulation.kill(randomAgent());
         case fault::AgentCutOff:
-            return m_model.cutOff(anyAgent(), span(200, 4000));
-        case fault::AgentCutOffFromAll:
-            return m_model.cutOffFromAll(anyAgent(), span(4000, 9000));
+            return m_simulation.cutOff(randomAgent(), randomSpan(200, 4000));
+        case fault::AgentCutOffFromEntriesAndStore:
+            return m_simulation.cutOffFromEntriesAndStore(randomAgent(), randomSpan(4000, 9000));
         case fault::StoreStopped:
-            return m_model.stopStore(span(100, 4000));
-        case fault::StartsTurnedAway:
-            return m_model.turnAway(anyWorker(), span(200, 4000));
+            return m_simulation.stopStore(randomSpan(100, 4000));
+        case fault::StartsRejected:
+            return m_simulation.rejectStarts(randomWorker(), randomSpan(200, 4000));
         case fault::StartRefused:
-            return anyWorker().refuseNext();
-        case fault::RoomTaken:
-            return takeRoom();
+            return randomWorker().refuseNextStart();
+        case fault::CapacityReduced:
+            return reduceCapacity();
         case fault::AgentFrozen:
-            return m_model.freeze(anyAgent(), span(200, 5000));
-        case fault::EntryFrozenAsWritten:
-            return m_model.freezeAsWritten(anyEntry(), span(200, 5000));
+            return m_simulation.freeze(randomAgent(), randomSpan(200, 5000));
+        case fault::EntryFrozenOnCommit:
+            return m_simulation.freezeOnCommit(randomEntry(), randomSpan(200, 5000));
         case fault::LinkCut:
-            return m_model.cutOffLink(anyAgent(), anyEntry(), span(200, 5000));
-        case fault::WorkerLeaves:
-            return m_model.leave(anyWorker(), span(200, 3000), span(200, 3000));
-        case fault::WorkerBootsAnew:
-            return m_model.bootAnew(anyWorker());
+            return m_simulation.cutOffLink(randomAgent(), randomEntry(), randomSpan(200, 5000));
+        case fault::WorkerDrained:
+            return m_simulation.leave(randomWorker(), randomSpan(200, 3000), randomSpan(200, 3000));
+        case fault::WorkerRebooted:
+            return m_simulation.reboot(randomWorker());
         }
     }
 
-    void takeRoom()
+    void reduceCapacity()
     {
-        auto &agent = anyAgent();
+        auto &agent = randomAgent();
         agent.capacity = {1000, 1000, 0};
-        m_model.after(span(200, 3000), [&agent] { agent.capacity = {16'000, 64'000, 0}; });
+        m_simulation.schedule(randomSpan(200, 3000), [&agent] {
+            agent.capacity = {16'000, 64'000, 0};
+        });
     }
 
     search_kind m_kind;
     random_generator m_random;
-    order_model m_model;
-    standing_rules m_standing;
-    bool m_isCalm = false;
-    time_point m_begin{m_model.now()};
-    std::array<int, FaultKinds> m_weights{}; // drawn: each seed has faults of its own
-    bool m_holdsUpOrders = false;            // for seconds, past the lives that they were for
+    cluster_simulation m_simulation;
+    stall_checker m_stallChecker;
+    bool m_areFaultsOver = false;
+    time_point m_begin{m_simulation.now()};
+    std::array<int, FaultKindCount> m_weights{}; // drawn: each seed has faults of its own
+    bool m_delaysOrders = false;                 // for seconds, past the lives that they were for
 };
 
 } // namespace zinniabarrow::tests
--- a/tests/run_checker.h
+++ b/tests/run_checker.h
@@ -14,11 +14,11 @@
 
 namespace zinniabarrow::tests {
 
-class run_rules
+class run_checker
 {
 public:
     // A row that was committed.
-    void stored(const std::string &job, const jobs::job_record &record, time_point now)
+    void noteCommit(const std::string &job, const jobs::job_record &record, time_point now)
     {
         for (std::size_t occurrence = 0; occurrence < record.tasks.size(); ++occurrence) {
             const auto &steps = record.tasks[occurrence];
@@ -35,34 +35,35 @@
     }
 
     // A worker has begun a run; `late`: by an order that it carried out late.
-    void started(const jobs::task_id &task, int run,
-                 const std::vector<std::unique_ptr<modelled_worker>> &workers, bool late,
-                 time_point now)
+    void noteStart(const jobs::task_id &task, int run,
+                   const std::vector<std::unique_ptr<simulated_worker>> &workers, bool isLate,
+                   time_point now)
     {
-        ++m_starts;
-        int present = 0;
+        ++m_startCount;
+        int activeRuns = 0;
         for (const auto &worker : workers) {
-            worker->pass(now);
-            present += static_cast<int>(worker->runsOf(task).size());
+            worker->advance(now);
+            activeRuns += static_cast<int>(worker->runsOf(task).size());
         }
-        if (present > 1)
-            m_broken.push_back(fmt::format("two runs at once: {} run {}", toText(task), run));
+        if (activeRuns > 1)
+            m_violations.push_back(fmt::format("two runs at once: {} run {}", toText(task), run));
         const auto done = m_doneAt.find(task);
-        constexpr milliseconds Slack{1000};
-        if (late || done == m_doneAt.end() || now - done->second <= Slack)
+        constexpr milliseconds DoneSlack{1000};
+        if (isLate || done == m_doneAt.end() || now - done->second <= DoneSlack)
             return;
-        m_broken.push_back(fmt::format("started {} ms after it was done: {} run {}",
-                                       clockOf(now) - clockOf(done->second), toText(task), run));
+        m_violations.push_back(fmt::format("started {} ms after it was done: {} run {}",
+                                           clockOf(now) - clockOf(done->second), toText(task),
+                                           run));
     }
 
     bool isDone(const jobs::task_id &task) const { return m_doneAt.contains(task); }
-    const std::vector<std::string> &broken() const { return m_broken; }
-    int starts() const { return m_starts; }
+    const std::vector<std::string> &violations() const { return m_violations; }
+    int startCount() const { return m_startCount; }
 
 private:
     std::map<jobs::task_id, time_point> m_doneAt; // as the store has it
-    std::vector<std::string> m_broken;
-    int m_starts = 0;
+    std::vector<std::string> m_violations;
+    int m_startCount = 0;
 };
 
 } // namespace zinniabarrow::tests
--- a/tests/simulated_worker.h
+++ b/tests/simulated_worker.h
@@ -18,8 +18,8 @@
 // How long a run takes, and how it ends.
 struct run_plan
 {
-    milliseconds lasts{300};
-    jobs::end_kind how = jobs::end_kind::Done;
+    milliseconds duration{300};
+    jobs::end_kind endKind = jobs::end_kind::Done;
 };
 using run_planner = std::function<run_plan(const jobs::task_id &task, int run)>;
 
@@ -28,12 +28,12 @@
     return std::chrono::duration_cast<milliseconds>(now.time_since_epoch()).count();
 }
 
-class modelled_worker
+class simulated_worker
 {
 public:
     using run_key = std::pair<jobs::task_id, int>;
 
-    modelled_worker(std::string name, run_planner planner)
+    simulated_worker(std::string name, run_planner planner)
         : m_name(std::move(name))
         , m_planner(std::move(planner))
     { }
@@ -41,97 +41,99 @@
     const std::string &name() const { return m_name; }
 
     // Starts are answered 429 until then: nothing was done.
-    void turnAwayUntil(time_point until) { m_turnsAwayUntil = until; }
+    void rejectStartsUntil(time_point until) { m_rejectsStartsUntil = until; }
     // The next start is answered 409, `room`.
-    void refuseNext() { m_refusesNext = true; }
-    void refuseNoMore() { m_refusesNext = false; }
+    void refuseNextStart() { m_refusesNextStart = true; }
+    void clearRefusal() { m_refusesNextStart = false; }
 
     // Under the same name: nothing of before runs or is listed, and ends are counted anew.
-    void bootAnew()
+    void reboot()
     {
         m_running.clear();
         m_ended.clear();
-        m_highest.clear();
-        m_nextEnd = 1;
+        m_highestFinished.clear();
+        m_nextEndSequence = 1;
         m_fence = 0;
         m_deadlineMs = 0;
-        ++m_life;
+        ++m_bootNumber;
     }
-    int life() const { return m_life; }
+    int bootNumber() const { return m_bootNumber; }
 
     // True in `begun` when the call has begun a run.
     jobs::start_answer start(const jobs::start_run &order, std::int64_t deadlineMs,
-                             std::int64_t fence, time_point now, bool &begun)
+                             std::int64_t fence, time_point now, bool &hasStarted)
     {
-        begun = false;
-        if (!takeFence(fence))
+        hasStarted = false;
+        if (!acceptFence(fence))
             return jobs::start_answer::Refused;
-        if (now < m_turnsAwayUntil)
+        if (now < m_rejectsStartsUntil)
             return jobs::start_answer::NotExecuted;
-        pass(now);
+        advance(now);
         const run_key key{order.task, order.run};
         if (m_running.contains(key))
             return jobs::start_answer::Started;
-        if (clockOf(now) > deadlineMs || std::exchange(m_refusesNext, false))
+        if (clockOf(now) > deadlineMs || std::exchange(m_refusesNextStart, false))
             return jobs::start_answer::Refused;
-        extend(deadlineMs);
-        if (order.run <= highest(order.task))
+        extendDeadline(deadlineMs);
+        if (order.run <= highestFinishedRun(order.task))
             return jobs::start_answer::Refused;
         const auto plan = m_planner(order.task, order.run);
-        m_running[key] = {now + plan.lasts, plan.how};
-        begun = true;
+        m_running[key] = {now + plan.duration, plan.endKind};
+        hasStarted = true;
         return jobs::start_answer::Started;
     }
 
     // True when it ended a run.
     bool stop(const jobs::stop_run &order, std::int64_t fence, time_point now)
     {
-        if (!takeFence(fence))
+        if (!acceptFence(fence))
             return false;
-        pass(now);
+        advance(now);
         const run_key key{order.task, order.run};
         const bool ran = m_running.erase(key) > 0;
         if (ran)
-            list(key, jobs::end_kind::Stopped);
-        remember(key);
+            addEnded(key, jobs::end_kind::Stopped);
+        recordFinished(key);
         return ran;
     }
 
     // None: the fence is too low.
-    std::optional<jobs::run_listing> hold(std::optional<std::int64_t> deadlineMs,
-                                          std::int64_t lastSeen, std::int64_t fence, time_point now)
+    std::optional<jobs::run_listing> renewHold(std::optional<std::int64_t> deadlineMs,
+                                               std::int64_t acknowledgedThrough, std::int64_t fence,
+                                               time_point now)
     {
-        if (!takeFence(fence))
+        if (!acceptFence(fence))
             return std::nullopt;
-        pass(now);
+        advance(now);
         if (deadlineMs)
-            extend(*deadlineMs);
-        std::erase_if(m_ended, [&](const auto &end) { return end.sequence <= lastSeen; });
+            extendDeadline(*deadlineMs);
+        std::erase_if(m_ended,
+                      [&](const auto &end) { return end.sequence <= acknowledgedThrough; });
         jobs::run_listing listing;
         listing.clockMs = clockOf(now);
         for (const auto &[key, run] : m_running)
             listing.running.push_back({key.first, key.second, "", 0});
-        constexpr std::size_t MostListed = 500;
-        const auto listed = std::min(m_ended.size(), MostListed);
+        constexpr std::size_t MaxListed = 500;
+        const auto listed = std::min(m_ended.size(), MaxListed);
         listing.ended.assign(m_ended.begin(),
                              m_ended.begin() + static_cast<std::ptrdiff_t>(listed));
         return listing;
     }
 
     // What ends by itself up to `now`: runs that are through, and all when the lease is over.
-    void pass(time_point now)
+    void advance(time_point now)
     {
-        const bool isOver = m_deadlineMs > 0 && clockOf(now) > m_deadlineMs;
+        const bool isLeaseExpired = m_deadlineMs > 0 && clockOf(now) > m_deadlineMs;
         for (auto at = m_running.begin(); at != m_running.end();) {
             const auto &[key, run] = *at;
-            const bool isThrough =
-                    run.endsAt <= now && (!isOver || clockOf(run.endsAt) <= m_deadlineMs);
-            if (!isThrough && !isOver) {
+            const bool isFinished =
+                    run.endsAt <= now && (!isLeaseExpired || clockOf(run.endsAt) <= m_deadlineMs);
+            if (!isFinished && !isLeaseExpired) {
                 ++at;
                 continue;
             }
-            list(key, isThrough ? run.how : jobs::end_kind::HoldExpired);
-            remember(key);
+            addEnded(key, isFinished ? run.endKind : jobs::end_kind::HoldExpired);
+            recordFinished(key);
             at = m_running.erase(at);
         }
     }
@@ -146,7 +148,7 @@
         return runs;
     }
 
-    std::vector<jobs::task_id> atWork() const
+    std::vector<jobs::task_id> runningTasks() const
     {
         std::vector<jobs::task_id> tasks;
         for (const auto &[key, run] : m_running)
@@ -155,13 +157,13 @@
     }
 
 private:
-    struct present_run
+    struct active_run
     {
         time_point endsAt{};
-        jobs::end_kind how = jobs::end_kind::Done;
+        jobs::end_kind endKind = jobs::end_kind::Done;
     };
 
-    bool takeFence(std::int64_t fence)
+    bool acceptFence(std::int64_t fence)
     {
         if (fence < m_fence)
             return false;
@@ -169,36 +171,39 @@
         return true;
     }
 
-    void extend(std::int64_t deadlineMs) { m_deadlineMs = std::max(m_deadlineMs, deadlineMs); }
+    void extendDeadline(std::int64_t deadlineMs)
+    {
+        m_deadlineMs = std::max(m_deadlineMs, deadlineMs);
+    }
 
-    int highest(const jobs::task_id &task) const
+    int highestFinishedRun(const jobs::task_id &task) const
     {
-        const auto found = m_highest.find(task);
-        return found == m_highest.end() ? 0 : found->second;
+        const auto found = m_highestFinished.find(task);
+        return found == m_highestFinished.end() ? 0 : found->second;
     }
 
-    void remember(const run_key &key)
+    void recordFinished(const run_key &key)
     {
-        auto &run = m_highest[key.first];
+        auto &run = m_highestFinished[key.first];
         run = std::max(run, key.second);
     }
 
-    void list(const run_key &key, jobs::end_kind how)
+    void addEnded(const run_key &key, jobs::end_kind endKind)
     {
-        m_ended.push_back({m_nextEnd++, key.first, key.second, how, ""});
+        m_ended.push_back({m_nextEndSequence++, key.first, key.second, endKind, ""});
     }
 
     std::string m_name;
     run_planner m_planner;
-    std::map<run_key, present_run> m_running;
+    std::map<run_key, active_run> m_running;
     std::vector<jobs::run_end> m_ended;
-    std::map<jobs::task_id, int> m_highest; // run that was stopped or ended
-    std::int64_t m_nextEnd = 1;
+    std::map<jobs::task_id, int> m_highestFinished; // run that was stopped or ended
+    std::int64_t m_nextEndSequence = 1;
     std::int64_t m_fence = 0;
     std::int64_t m_deadlineMs = 0;
-    time_point m_turnsAwayUntil{};
-    bool m_refusesNext = false;
-    int m_life = 1;
+    time_point m_rejectsStartsUntil{};
+    bool m_refusesNextStart = false;
+    int m_bootNumber = 1;
 };
 
 } // namespace zinniabarrow::tests
