--- a/app/admission_actor.cpp
+++ b/app/admission_actor.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 8192;
-constexpr seconds TailWindow{2}; // answers that the tail latency is taken from
-constexpr milliseconds TickEvery{20};
+constexpr seconds TailLatencyWindow{2}; // answers that the tail latency is taken from
+constexpr milliseconds TickInterval{20};
 
 request::admission_settings admissionSettings(const config::agent_settings &settings)
 {
@@ -70,28 +70,28 @@
 
 } // namespace
 
-admission_duty::admission_duty(duty_system &system, const config::agent_settings &settings,
-                               std::uint64_t incarnation, metrics &counters,
-                               std::function<void()> unreachable)
+admission_actor::admission_actor(duty_system &system, const config::agent_settings &settings,
+                                 std::uint64_t incarnation, metrics &counters,
+                                 std::function<void()> onUnreachable)
     : m_settings(settings)
     , m_metrics(counters)
-    , m_unreachable(std::move(unreachable))
+    , m_onUnreachable(std::move(onUnreachable))
     , m_upstream({settings.upstream.address.address, settings.upstream.address.port},
                  upstreamLimits(settings))
-    , m_newestTimes(TailWindow)
+    , m_answerTimes(TailLatencyWindow)
     , m_admission(admissionSettings(settings))
     , m_guard(incarnation, {})
 {
-    m_duty = std::make_unique<duty<event>>(
-            system, RingCapacity, [this](event &what) { handle(what); },
+    m_actor = std::make_unique<duty<event>>(
+            system, RingCapacity, [this](event &newEvent) { handle(newEvent); },
             tick_plan{[this] { return nextTick(); }, [this] { tick(); }});
 }
 
-admission_duty::~admission_duty() = default;
+admission_actor::~admission_actor() = default;
 
 // --- On HTTP threads ----------------------------------------------------------------------------
 
-http_response admission_duty::serve(const http_request &request)
+http_response admission_actor::serve(const http_request &request)
 {
     const auto now = monotonic_clock::now();
     delivery::incoming_attempt attempt;
@@ -101,27 +101,27 @@
             static_cast<std::uint64_t>(std::atoll(request.header(IncarnationHeader).c_str()));
     attempt.idempotent = delivery::isIdempotent(request.method);
     attempt.deadline = now + milliseconds(std::atoll(request.header(DeadlineHeader).c_str()));
-    ++m_inside;
+    ++m_openRequests;
     auto response = admitAndRun(request, attempt);
     response.headers[RequestIdHeader] = attempt.requestId;
     const auto current = load();
     response.headers[LoadHeader] =
             std::to_string(current.inFlight) + "," + std::to_string(current.queued);
-    --m_inside;
+    --m_openRequests;
     return response;
 }
 
-http_response admission_duty::admitAndRun(const http_request &request,
-                                          const delivery::incoming_attempt &attempt)
+http_response admission_actor::admitAndRun(const http_request &request,
+                                           const delivery::incoming_attempt &attempt)
 {
     const auto key = keyOf(attempt.requestId, attempt.attempt);
     auto decided = std::make_shared<std::promise<verdict>>();
     auto decision = decided->get_future();
-    arrival arriving{
+    arrival newArrival{
             {key, request.header(ServiceHeader), request.header(TeamHeader), 0, attempt.deadline},
             attempt,
             decided};
-    if (!m_duty->post(std::move(arriving)))
+    if (!m_actor->post(std::move(newArrival)))
         return refuse(
                 {key, error_kind::Overloaded, answerFor(error_kind::Overloaded).comeBackAfter});
     const auto chosen = decision.get();
@@ -139,42 +139,43 @@
     http_response response = startedAt < attempt.deadline
                                      ? runAtUpstream(request, attempt.deadline)
                                      : refusalAnswer(error_kind::DeadlinePassed);
-    ending over{{key, duration(0), duration(0), true},
-                attempt.requestId,
-                attempt.attempt,
-                executed::Unknown,
-                monotonic_clock::now() - startedAt};
+    attempt_end attemptEnd{{key, duration(0), duration(0), true},
+                           attempt.requestId,
+                           attempt.attempt,
+                           executed::Unknown,
+                           monotonic_clock::now() - startedAt};
     if (response.stream) {
         // The upstream works until its last byte has come: the slot is held as long.
-        response.stream->observeEnd([this, over, startedAt](body_end end, duration waited) mutable {
-            if (end)
-                m_metrics.count("streams_cut_total", nameOf(*end));
-            else
-                over.ran = executed::Yes;
-            over.event.slowCallerTime = waited;
-            over.event.isComplete = !end;
-            reportEnd(over, startedAt);
-        });
+        response.stream->observeEnd(
+                [this, attemptEnd, startedAt](body_end end, duration waited) mutable {
+                    if (end)
+                        m_metrics.count("streams_cut_total", nameOf(*end));
+                    else
+                        attemptEnd.ran = executed::Yes;
+                    attemptEnd.event.slowCallerTime = waited;
+                    attemptEnd.event.isComplete = !end;
+                    reportEnd(attemptEnd, startedAt);
+                });
         return response;
     }
     if (response.header(ExecutedHeader) == nameOf(executed::No))
-        over.ran = executed::No;
+        attemptEnd.ran = executed::No;
     else if (response.header(ErrorHeader).empty())
-        over.ran = executed::Yes;
-    over.late = response.header(ErrorHeader) == nameOf(error_kind::AnswerLate);
-    reportEnd(over, startedAt);
+        attemptEnd.ran = executed::Yes;
+    attemptEnd.isLate = response.header(ErrorHeader) == nameOf(error_kind::AnswerLate);
+    reportEnd(attemptEnd, startedAt);
     return response;
 }
 
-void admission_duty::reportEnd(ending over, time_point startedAt)
+void admission_actor::reportEnd(attempt_end attemptEnd, time_point startedAt)
 {
-    over.event.elapsedTime = monotonic_clock::now() - startedAt;
+    attemptEnd.event.elapsedTime = monotonic_clock::now() - startedAt;
     // A slot that is never given back would be lost: the ring is sized for every connection.
-    while (!m_duty->post(over))
+    while (!m_actor->post(attemptEnd))
         m_metrics.count("ring_full_total", "finished");
 }
 
-http_response admission_duty::runAtUpstream(const http_request &request, time_point deadline)
+http_response admission_actor::runAtUpstream(const http_request &request, time_point deadline)
 {
     const auto id = request.header(RequestIdHeader);
     const auto result = m_upstream.open(requestForUpstream(request, id), deadline, {}, m_receivers);
@@ -182,7 +183,7 @@
         const auto kind = kindOf(*failure);
         m_metrics.count("upstream_failures_total", nameOf(kind));
         if (kind == error_kind::UpstreamUnreachable)
-            m_unreachable();
+            m_onUnreachable();
         return refusalAnswer(kind);
     }
     http_response response = std::get<http_response>(result);
@@ -191,7 +192,7 @@
     return response;
 }
 
-http_response admission_duty::refuse(const request::admission::refuse &refusal)
+http_response admission_actor::refuse(const request::admission::refuse &refusal)
 {
     m_metrics.count("refusals_total", nameOf(refusal.errorKind));
     auto response = refusalAnswer(refusal.errorKind, executed::No, refusal.retryAfter);
@@ -199,18 +200,18 @@
     return response;
 }
 
-void admission_duty::cancel(const std::string &requestId, std::uint32_t attempt)
+void admission_actor::cancel(const std::string &requestId, std::uint32_t attempt)
 {
-    m_duty->post(cancelling{requestId, attempt});
+    m_actor->post(cancel_requested{requestId, attempt});
 }
 
-void admission_duty::drain()
+void admission_actor::drain()
 {
-    while (!m_duty->post(request::admission::drain_started{}))
-        std::this_thread::sleep_for(TickEvery);
+    while (!m_actor->post(request::admission::drain_started{}))
+        std::this_thread::sleep_for(TickInterval);
 }
 
-request::upstream_load admission_duty::load() const
+request::upstream_load admission_actor::load() const
 {
     request::upstream_load load;
     load.inFlight = m_running;
@@ -219,51 +220,51 @@
     return load;
 }
 
-std::optional<request::latency_reading> admission_duty::tailLatency() const
+std::optional<request::latency_reading> admission_actor::tailLatency() const
 {
-    const std::lock_guard lock(m_timesMutex);
-    return m_newestTimes.read(monotonic_clock::now());
+    const std::lock_guard lock(m_answerTimesMutex);
+    return m_answerTimes.read(monotonic_clock::now());
 }
 
-void admission_duty::stop()
+void admission_actor::stop()
 {
     m_receivers.stop();
-    m_duty->stop();
+    m_actor->stop();
 }
 
 // --- On the duty's thread -----------------------------------------------------------------------
 
-void admission_duty::handle(event &what)
+void admission_actor::handle(event &newEvent)
 {
     const auto now = monotonic_clock::now();
-    std::visit([&](auto &each) { on(each, now); }, what);
+    std::visit([&](auto &each) { on(each, now); }, newEvent);
 }
 
-void admission_duty::on(arrival &what, time_point now)
+void admission_actor::on(arrival &newEvent, time_point now)
 {
     // A doubled, late or misdirected forward must not run.
-    if (const auto refusal = m_guard.admitAttempt(what.attempt, now)) {
-        what.decided->set_value(*refusal);
+    if (const auto refusal = m_guard.admitAttempt(newEvent.attempt, now)) {
+        newEvent.decisionPromise->set_value(*refusal);
         return;
     }
-    m_attempts[what.event.id] = {what.attempt, what.decided};
-    feed(what.event);
+    m_attempts[newEvent.event.id] = {newEvent.attempt, newEvent.decisionPromise};
+    feed(newEvent.event);
 }
 
-void admission_duty::on(const ending &what, time_point now)
+void admission_actor::on(const attempt_end &newEvent, time_point now)
 {
-    m_guard.recordEnd(what.requestId, what.attempt, what.ran, now);
+    m_guard.recordEnd(newEvent.requestId, newEvent.attempt, newEvent.ran, now);
     // One that was late took at least so long: an upstream that answers nothing in time is slow.
-    if (what.ran == executed::Yes || what.late)
-        noteTime(what.answeredAfter, now);
-    feed(what.event);
+    if (newEvent.ran == executed::Yes || newEvent.isLate)
+        recordAnswerTime(newEvent.answeredAfter, now);
+    feed(newEvent.event);
 }
 
-void admission_duty::on(const cancelling &what, time_point now)
+void admission_actor::on(const cancel_requested &newEvent, time_point now)
 {
-    if (!m_guard.cancelAttempt(what.requestId, what.attempt, now))
+    if (!m_guard.cancelAttempt(newEvent.requestId, newEvent.attempt, now))
         return; // it runs, or was never here: its end decides
-    const auto key = keyOf(what.requestId, what.attempt);
+    const auto key = keyOf(newEvent.requestId, newEvent.attempt);
     feed(request::admission::cancelled{key});
     const auto waiting = m_attempts.find(key);
     if (waiting == m_attempts.end())
@@ -273,40 +274,40 @@
     m_attempts.erase(waiting);
 }
 
-void admission_duty::on(const request::admission::drain_started &what, time_point /*now*/)
+void admission_actor::on(const request::admission::drain_started &newEvent, time_point /*now*/)
 {
-    feed(what);
+    feed(newEvent);
 }
 
-void admission_duty::noteTime(duration took, time_point now)
+void admission_actor::recordAnswerTime(duration took, time_point now)
 {
-    const std::lock_guard lock(m_timesMutex);
-    m_newestTimes.add(took, now);
+    const std::lock_guard lock(m_answerTimesMutex);
+    m_answerTimes.add(took, now);
 }
 
 // Only what waits can come to nothing by time alone.
-time_point admission_duty::nextTick() const
+time_point admission_actor::nextTick() const
 {
-    return m_admission.waitingCount() == 0 ? Never : m_tickedAt + TickEvery;
+    return m_admission.waitingCount() == 0 ? Never : m_lastTickAt + TickInterval;
 }
 
-void admission_duty::tick()
+void admission_actor::tick()
 {
-    m_tickedAt = monotonic_clock::now();
+    m_lastTickAt = monotonic_clock::now();
     feed(request::admission::tick{});
 }
 
-void admission_duty::feed(const request::admission::event &what)
+void admission_actor::feed(const request::admission::event &newEvent)
 {
     const auto now = monotonic_clock::now();
-    for (const auto &action : m_admission.handle(what, now))
-        decide(action, now);
+    for (const auto &action : m_admission.handle(newEvent, now))
+        applyDecision(action, now);
     m_running = m_admission.runningCount();
     m_waiting = m_admission.waitingCount();
     m_latencyMicroseconds = m_admission.serviceTime(m_settings.upstream.service).count();
 }
 
-void admission_duty::decide(const request::admission::action &action, time_point now)
+void admission_actor::applyDecision(const request::admission::action &action, time_point now)
 {
     const auto &key =
             std::visit([](const auto &each) -> const std::string & { return each.id; }, action);
--- a/app/admission_actor.h
+++ b/app/admission_actor.h
@@ -20,13 +20,14 @@
 
 namespace zinniabarrow {
 
-class admission_duty
+class admission_actor
 {
 public:
     // `unreachable` is called when the upstream refused a connection.
-    admission_duty(duty_system &system, const config::agent_settings &settings,
-                   std::uint64_t incarnation, metrics &counters, std::function<void()> unreachable);
-    ~admission_duty();
+    admission_actor(duty_system &system, const config::agent_settings &settings,
+                    std::uint64_t incarnation, metrics &counters,
+                    std::function<void()> onUnreachable);
+    ~admission_actor();
 
     // Runs on the HTTP thread of an entry's connection until the request's end.
     http_response serve(const http_request &request);
@@ -34,7 +35,7 @@
     void cancel(const std::string &requestId, std::uint32_t attempt);
 
     void drain();
-    bool drained() const { return m_running == 0 && m_waiting == 0 && m_inside == 0; }
+    bool isDrained() const { return m_running == 0 && m_waiting == 0 && m_openRequests == 0; }
     request::upstream_load load() const;
     // Of the upstream's newest answers; absent while there are none.
     std::optional<request::latency_reading> tailLatency() const;
@@ -47,23 +48,24 @@
     {
         request::admission::arrived event; // its id is the key: request id and attempt
         delivery::incoming_attempt attempt;
-        std::shared_ptr<std::promise<verdict>> decided;
+        std::shared_ptr<std::promise<verdict>> decisionPromise;
     };
-    struct ending
+    struct attempt_end
     {
         request::admission::finished event;
         std::string requestId;
         std::uint32_t attempt = 0;
         executed ran = executed::Unknown;
         duration answeredAfter{0}; // until the answer, or its first part, was there
-        bool late = false;         // no answer by the deadline
+        bool isLate = false;       // no answer by the deadline
     };
-    struct cancelling
+    struct cancel_requested
     {
         std::string requestId;
         std::uint32_t attempt = 0;
     };
-    using event = std::variant<arrival, ending, cancelling, request::admission::drain_started>;
+    using event =
+            std::variant<arrival, attempt_end, cancel_requested, request::admission::drain_started>;
     struct waiting_attempt
     {
         delivery::incoming_attempt attempt;
@@ -73,38 +75,38 @@
     http_response admitAndRun(const http_request &request,
                               const delivery::incoming_attempt &attempt);
     http_response runAtUpstream(const http_request &request, time_point deadline);
-    void reportEnd(ending over, time_point startedAt);
+    void reportEnd(attempt_end attemptEnd, time_point startedAt);
     http_response refuse(const request::admission::refuse &refusal);
-    void handle(event &what);
-    void on(arrival &what, time_point now);
-    void on(const ending &what, time_point now);
-    void on(const cancelling &what, time_point now);
-    void on(const request::admission::drain_started &what, time_point now);
-    void noteTime(duration took, time_point now);
-    void decide(const request::admission::action &action, time_point now);
+    void handle(event &newEvent);
+    void on(arrival &newEvent, time_point now);
+    void on(const attempt_end &newEvent, time_point now);
+    void on(const cancel_requested &newEvent, time_point now);
+    void on(const request::admission::drain_started &newEvent, time_point now);
+    void recordAnswerTime(duration took, time_point now);
+    void applyDecision(const request::admission::action &action, time_point now);
     time_point nextTick() const;
     void tick();
-    void feed(const request::admission::event &what);
+    void feed(const request::admission::event &newEvent);
 
     const config::agent_settings m_settings;
     metrics &m_metrics;
-    std::function<void()> m_unreachable;
+    std::function<void()> m_onUnreachable;
     http_pool m_upstream;
     std::atomic<int> m_running{0};
     std::atomic<int> m_waiting{0};
-    std::atomic<int> m_inside{0}; // requests between their arrival and their answer
+    std::atomic<int> m_openRequests{0}; // requests between their arrival and their answer
     std::atomic<std::int64_t> m_latencyMicroseconds{0};
-    mutable std::mutex m_timesMutex; // of the next
-    request::latency_window m_newestTimes;
+    mutable std::mutex m_answerTimesMutex; // of the next
+    request::latency_window m_answerTimes;
 
     // Touched by the duty's thread alone.
     request::admission m_admission;
-    time_point m_tickedAt{};
+    time_point m_lastTickAt{};
     delivery::attempt_guard m_guard;
     std::map<std::string, waiting_attempt> m_attempts; // that wait, by key
 
-    std::unique_ptr<duty<event>> m_duty; // its thread uses all of the above
-    receivers m_receivers;               // last: its threads post to the duty
+    std::unique_ptr<duty<event>> m_actor; // its thread uses all of the above
+    receivers m_receivers;                // last: its threads post to the duty
 };
 
 } // namespace zinniabarrow
--- a/app/agent.cpp
+++ b/app/agent.cpp
@@ -19,8 +19,9 @@
 namespace {
 
 constexpr milliseconds RpcTimeout{500};
-constexpr milliseconds PollEvery{10};
-constexpr milliseconds LeaveAtLeast{1500}; // entries that were not reached hear it from the others
+constexpr milliseconds PollInterval{10};
+constexpr milliseconds MinLeavingTime{
+        1500}; // entries that were not reached hear it from the others
 constexpr std::size_t EntryConnections = 192;
 
 class agent_daemon
@@ -31,11 +32,11 @@
         , m_settings(settings)
         , m_self(identityFor(settings.id))
         , m_log("agent", settings.id, settings.logLevel)
-        , m_sender(m_duties, RpcTimeout, m_metrics)
-        , m_admission(m_duties, settings, m_self.incarnation, m_metrics,
+        , m_sender(m_actorRuntime, RpcTimeout, m_metrics)
+        , m_admission(m_actorRuntime, settings, m_self.incarnation, m_metrics,
                       [this] { m_probe->noteUnreachable(); })
-        , m_follow(m_duties, settings, m_sender, m_metrics, m_log)
-        , m_endpoint(m_metrics, [this] { return m_ready.load(); })
+        , m_configFollower(m_actorRuntime, settings, m_sender, m_metrics, m_log)
+        , m_endpoint(m_metrics, [this] { return m_isReady.load(); })
         , m_server(addressOf(settings.listen), {EntryConnections, settings.maxBodyBytes},
                    [this](const http_request &request) { return serve(request); })
     {
@@ -46,14 +47,15 @@
     {
         m_server.start();
         m_announce.emplace(
-                m_duties, m_settings, m_self, advertised(), m_sender,
-                [this] { return m_admission.load(); }, [this] { return m_follow.report(); },
-                [this] { giveWay(); });
-        m_keeper.emplace(m_duties, m_settings, m_self, advertised(), m_sender, m_metrics,
-                         [this] { return m_admission.tailLatency(); });
-        m_probe.emplace(m_duties, upstreamAddress(), [this](bool up) { upstreamChanged(up); });
-        m_started = true;
-        m_ready = true;
+                m_actorRuntime, m_settings, m_self, advertisedAddress(), m_sender,
+                [this] { return m_admission.load(); }, [this] { return m_configFollower.report(); },
+                [this] { stopSuperseded(); });
+        m_supervisor.emplace(m_actorRuntime, m_settings, m_self, advertisedAddress(), m_sender,
+                             m_metrics, [this] { return m_admission.tailLatency(); });
+        m_probe.emplace(m_actorRuntime, upstreamAddress(),
+                        [this](bool up) { handleUpstreamChange(up); });
+        m_isStarted = true;
+        m_isReady = true;
         Json::Value fields(Json::objectValue);
         fields["address"] = toText(m_server.address());
         m_log.info("agent_started", fields);
@@ -63,35 +65,35 @@
     {
         const auto startedAt = monotonic_clock::now();
         m_log.info("drain_started");
-        m_ready = false;
+        m_isReady = false;
         m_probe->stop();
         m_announce->setState(request::upstream_state::Leaving);
-        m_keeper->setServing(false);
+        m_supervisor->setServing(false);
         m_admission.drain();
         const auto giveUpAt = startedAt + m_settings.drain;
         const auto done = [&](time_point now) {
-            return m_admission.drained() && m_server.inFlight() == 0 && m_announce->leftEverywhere()
-                   && now - startedAt >= LeaveAtLeast;
+            return m_admission.isDrained() && m_server.inFlight() == 0
+                   && m_announce->isLeaveComplete() && now - startedAt >= MinLeavingTime;
         };
         while (!done(monotonic_clock::now()) && monotonic_clock::now() < giveUpAt)
-            std::this_thread::sleep_for(PollEvery);
+            std::this_thread::sleep_for(PollInterval);
         m_server.stop();
         m_announce->stop();
-        m_keeper->stop();
-        m_follow.stop();
+        m_supervisor->stop();
+        m_configFollower.stop();
         m_admission.stop();
         m_sender.stop();
         m_log.info("agent_stopped");
     }
 
 private:
-    void giveWay()
+    void stopSuperseded()
     {
         m_log.warn("superseded");
         m_signals.request();
     }
 
-    std::string advertised() const
+    std::string advertisedAddress() const
     {
         const auto &other = m_settings.listen.advertise;
         return other ? config::toText(*other) : toText(m_server.address());
@@ -102,7 +104,7 @@
         return {m_settings.upstream.address.address, m_settings.upstream.address.port};
     }
 
-    void upstreamChanged(bool up)
+    void handleUpstreamChange(bool up)
     {
         Json::Value fields(Json::objectValue);
         fields["reachable"] = up;
@@ -123,19 +125,20 @@
             return Json::Value(Json::objectValue);
         });
         m_endpoint.bind("generation", [this](const Json::Value &parameters) {
-            return m_follow.generationPushed(parameters);
+            return m_configFollower.handleGenerationPush(parameters);
         });
         m_endpoint.bind("grant",
-                        [this](const auto &parameters) { return keeper().grant(parameters); });
-        m_endpoint.bind("throttle",
-                        [this](const auto &parameters) { return keeper().throttle(parameters); });
+                        [this](const auto &parameters) { return supervisor().grant(parameters); });
+        m_endpoint.bind("throttle", [this](const auto &parameters) {
+            return supervisor().throttle(parameters);
+        });
     }
 
-    keeper_duty &keeper()
+    supervisor_actor &supervisor()
     {
-        if (!m_ready)
+        if (!m_isReady)
             throw rpc_refusal(std::string(nameOf(error_kind::Starting)), "try again later");
-        return *m_keeper;
+        return *m_supervisor;
     }
 
     http_response serve(const http_request &request)
@@ -144,7 +147,7 @@
             if (auto answer = m_endpoint.serve(request))
                 return *answer;
         }
-        if (!m_started) { // an entry that still knows an earlier life of this agent
+        if (!m_isStarted) { // an entry that still knows an earlier life of this agent
             auto answer = refusalAnswer(error_kind::Starting);
             answer.headers[RequestIdHeader] = request.header(RequestIdHeader);
             return answer;
@@ -157,15 +160,15 @@
     process_identity m_self;
     logger m_log;
     metrics m_metrics;
-    duty_system m_duties;
+    duty_system m_actorRuntime;
     rpc_sender m_sender;
-    admission_duty m_admission;
-    follow_duty m_follow;
-    std::atomic<bool> m_started{false}; // every duty stands
-    std::atomic<bool> m_ready{false};   // and no stop was asked for
+    admission_actor m_admission;
+    config_follower_actor m_configFollower;
+    std::atomic<bool> m_isStarted{false}; // every duty stands
+    std::atomic<bool> m_isReady{false};   // and no stop was asked for
     rpc_endpoint m_endpoint;
-    std::optional<announce_duty> m_announce;
-    std::optional<keeper_duty> m_keeper;
+    std::optional<announcement_actor> m_announce;
+    std::optional<supervisor_actor> m_supervisor;
     std::optional<upstream_probe> m_probe;
     http_server m_server;
 };
--- a/app/announcement_actor.cpp
+++ b/app/announcement_actor.cpp
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 1024;
-constexpr milliseconds TickEvery{100};
-constexpr milliseconds RepeatReport{4000}; // two may be lost before operators are told of silence
+constexpr milliseconds TickInterval{100};
+constexpr milliseconds ReportRepeatInterval{
+        4000}; // two may be lost before operators are told of silence
 
-request::announcement selfOf(const config::agent_settings &settings, const process_identity &self,
-                             const std::string &ownAddress)
+request::announcement ownAnnouncement(const config::agent_settings &settings,
+                                      const process_identity &self, const std::string &ownAddress)
 {
     request::announcement out;
     out.agentId = settings.id;
@@ -41,79 +42,81 @@
 
 } // namespace
 
-announce_duty::announce_duty(duty_system &system, const config::agent_settings &settings,
-                             const process_identity &self, const std::string &ownAddress,
-                             rpc_sender &sender, std::function<request::upstream_load()> load,
-                             std::function<config::generation_report()> generationReport,
-                             std::function<void()> superseded)
+announcement_actor::announcement_actor(duty_system &system, const config::agent_settings &settings,
+                                       const process_identity &self, const std::string &ownAddress,
+                                       rpc_sender &sender,
+                                       std::function<request::upstream_load()> load,
+                                       std::function<config::generation_report()> generationReport,
+                                       std::function<void()> onSuperseded)
     : m_sender(sender)
     , m_load(std::move(load))
     , m_generationReport(std::move(generationReport))
-    , m_superseded(std::move(superseded))
-    , m_announcer(announcerSettings(settings), selfOf(settings, self, ownAddress))
-    , m_reports(RepeatReport)
+    , m_onSuperseded(std::move(onSuperseded))
+    , m_announcer(announcerSettings(settings), ownAnnouncement(settings, self, ownAddress))
+    , m_reportThrottle(ReportRepeatInterval)
 {
-    m_duty = std::make_unique<duty<event>>(
-            system, RingCapacity, [this](event &what) { handle(what); }, TickEvery,
+    m_actor = std::make_unique<duty<event>>(
+            system, RingCapacity, [this](event &newEvent) { handle(newEvent); }, TickInterval,
             [this] { tick(); });
 }
 
-announce_duty::~announce_duty() = default;
+announcement_actor::~announcement_actor() = default;
 
-void announce_duty::setState(request::upstream_state state)
+void announcement_actor::setState(request::upstream_state state)
 {
-    while (!m_duty->post(state))
-        std::this_thread::sleep_for(TickEvery);
+    while (!m_actor->post(state))
+        std::this_thread::sleep_for(TickInterval);
 }
 
-void announce_duty::stop()
+void announcement_actor::stop()
 {
-    m_duty->stop();
+    m_actor->stop();
 }
 
-void announce_duty::handle(event &what)
+void announcement_actor::handle(event &newEvent)
 {
-    if (const auto *state = std::get_if<request::upstream_state>(&what)) {
+    if (const auto *state = std::get_if<request::upstream_state>(&newEvent)) {
         m_announcer.setState(*state);
         tick();
         return;
     }
-    const auto &heard = std::get<reply_heard>(what);
-    if (!heard.reply)
+    const auto &answer = std::get<announce_reply>(newEvent);
+    if (!answer.reply)
         return; // the announcer repeats, and turns to another entry when one stays silent
     try {
-        answered(heard);
+        handleReply(answer);
     } catch (const error &) {
         return; // the same as no reply
     }
-    m_leftEverywhere = m_announcer.isLeaveComplete();
+    m_isLeaveComplete = m_announcer.isLeaveComplete();
     // An agent that was replaced while it was paused must not go on beside its successor.
-    if (m_announcer.isSuperseded() && !m_toldSuperseded) {
-        m_toldSuperseded = true;
-        m_superseded();
+    if (m_announcer.isSuperseded() && !m_isSupersededReported) {
+        m_isSupersededReported = true;
+        m_onSuperseded();
     }
 }
 
-void announce_duty::answered(const reply_heard &heard)
+void announcement_actor::handleReply(const announce_reply &answer)
 {
     const auto now = monotonic_clock::now();
-    const auto reply = request::announceReplyFromJson(*heard.reply);
-    m_announcer.handleReply(heard.entry, reply, now);
+    const auto reply = request::announceReplyFromJson(*answer.reply);
+    m_announcer.handleReply(answer.entry, reply, now);
     if (reply.needsFullAnnouncement)
-        m_reports.startAgain(heard.entry); // it was replaced, and knows no generations either
-    else if (heard.told)
-        m_reports.answered(heard.entry, *heard.told, now);
+        m_reportThrottle.startAgain(
+                answer.entry); // it was replaced, and knows no generations either
+    else if (answer.sentReport)
+        m_reportThrottle.answered(answer.entry, *answer.sentReport, now);
 }
 
-void announce_duty::tick()
+void announcement_actor::tick()
 {
     m_announcer.setLoad(m_load());
     for (const auto &message : m_announcer.tick(monotonic_clock::now()))
         send(message);
-    m_leftEverywhere = m_announcer.isLeaveComplete();
+    m_isLeaveComplete = m_announcer.isLeaveComplete();
 }
 
-void announce_duty::send(const request::announcer::outgoing_message &message)
+void announcement_actor::send(const request::announcer::outgoing_message &message)
 {
     Json::Value parameters(Json::objectValue);
     if (const auto *whole = std::get_if<request::announcement>(&message.message))
@@ -121,14 +124,14 @@
     else
         parameters["beat"] = toJson(std::get<request::heartbeat>(message.message));
     const auto entry = message.entry;
-    std::optional<config::generation_report> told = m_generationReport();
-    if (m_reports.isDue(entry, *told, monotonic_clock::now()))
-        parameters["config"] = toJson(*told);
+    std::optional<config::generation_report> sentReport = m_generationReport();
+    if (m_reportThrottle.isDue(entry, *sentReport, monotonic_clock::now()))
+        parameters["config"] = toJson(*sentReport);
     else
-        told.reset();
+        sentReport.reset();
     m_sender.call(entry, "announce", parameters,
-                  [this, entry, told](std::optional<Json::Value> reply) {
-                      m_duty->post(reply_heard{entry, told, std::move(reply)});
+                  [this, entry, sentReport](std::optional<Json::Value> reply) {
+                      m_actor->post(announce_reply{entry, sentReport, std::move(reply)});
                   });
 }
 
--- a/app/announcement_actor.h
+++ b/app/announcement_actor.h
@@ -15,47 +15,47 @@
 
 namespace zinniabarrow {
 
-class announce_duty
+class announcement_actor
 {
 public:
-    announce_duty(duty_system &system, const config::agent_settings &settings,
-                  const process_identity &self, const std::string &ownAddress, rpc_sender &sender,
-                  std::function<request::upstream_load()> load,
-                  std::function<config::generation_report()> generationReport,
-                  std::function<void()> superseded);
-    ~announce_duty();
+    announcement_actor(duty_system &system, const config::agent_settings &settings,
+                       const process_identity &self, const std::string &ownAddress,
+                       rpc_sender &sender, std::function<request::upstream_load()> load,
+                       std::function<config::generation_report()> generationReport,
+                       std::function<void()> onSuperseded);
+    ~announcement_actor();
 
     // Leaving goes to every entry at once, and again until each has answered or was given up.
     void setState(request::upstream_state state);
-    bool leftEverywhere() const { return m_leftEverywhere; }
+    bool isLeaveComplete() const { return m_isLeaveComplete; }
     void stop();
 
 private:
-    struct reply_heard
+    struct announce_reply
     {
         std::string entry;
-        std::optional<config::generation_report> told; // by the message that is answered
+        std::optional<config::generation_report> sentReport; // by the message that is answered
         std::optional<Json::Value> reply;
     };
-    using event = std::variant<request::upstream_state, reply_heard>;
+    using event = std::variant<request::upstream_state, announce_reply>;
 
-    void handle(event &what);
+    void handle(event &newEvent);
     void tick();
-    void answered(const reply_heard &heard);
+    void handleReply(const announce_reply &answer);
     void send(const request::announcer::outgoing_message &message);
 
     rpc_sender &m_sender;
     std::function<request::upstream_load()> m_load;
     std::function<config::generation_report()> m_generationReport;
-    std::atomic<bool> m_leftEverywhere{false};
-    std::function<void()> m_superseded; // a newer process announces under this id: stop
-    bool m_toldSuperseded = false;
+    std::atomic<bool> m_isLeaveComplete{false};
+    std::function<void()> m_onSuperseded; // a newer process announces under this id: stop
+    bool m_isSupersededReported = false;
 
     // Touched by the duty's thread alone.
     request::announcer m_announcer;
-    config::report_pace m_reports;
+    config::report_pace m_reportThrottle;
 
-    std::unique_ptr<duty<event>> m_duty; // last: its thread uses all of the above
+    std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/config_actor.cpp
+++ b/app/config_actor.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 8192;
-constexpr milliseconds TickEvery{100};
-constexpr milliseconds ReplyWithin{2000};
+constexpr milliseconds TickInterval{100};
+constexpr milliseconds PlatformReplyTimeout{2000};
 // A process that was not heard for so long is named as silent: three of the longest periods
 // between announcements of a fleet of today's size.
-constexpr milliseconds SilentAfter{10'000};
+constexpr milliseconds SilenceTimeout{10'000};
 constexpr std::uint64_t OperationSeedStream = 11;
 
-config::keeper_settings keeperSettings(const config::entry_settings &settings,
-                                       const process_identity &self)
+config::keeper_settings managerSettings(const config::entry_settings &settings,
+                                        const process_identity &self)
 {
     config::keeper_settings out;
     out.process = self.id;
@@ -48,117 +48,117 @@
 
 } // namespace
 
-config_duty::config_duty(duty_system &system, const config::entry_settings &settings,
-                         const process_identity &self, platform_lane &platform, rpc_sender &sender,
-                         metrics &counters, const logger &log,
-                         std::function<void(adopted_configuration)> adopted)
+config_actor::config_actor(duty_system &system, const config::entry_settings &settings,
+                           const process_identity &self, platform_executor &platform,
+                           rpc_sender &sender, metrics &counters, const logger &log,
+                           std::function<void(adopted_configuration)> adopted)
     : m_settings(settings)
     , m_self(self)
     , m_platform(platform)
     , m_sender(sender)
     , m_metrics(counters)
     , m_log(log)
-    , m_adopted(std::move(adopted))
-    , m_keeper(keeperSettings(settings, self),
-               random_generator(self.incarnation, OperationSeedStream), monotonic_clock::now())
+    , m_onAdopted(std::move(adopted))
+    , m_manager(managerSettings(settings, self),
+                random_generator(self.incarnation, OperationSeedStream), monotonic_clock::now())
 {
-    m_report = toJson(m_keeper.report());
-    m_duty = std::make_unique<duty<event>>(
-            system, RingCapacity, [this](event &what) { handle(what); }, TickEvery,
+    m_report = toJson(m_manager.report());
+    m_actor = std::make_unique<duty<event>>(
+            system, RingCapacity, [this](event &newEvent) { handle(newEvent); }, TickInterval,
             [this] { feed(config::tick{}); });
 }
 
-config_duty::~config_duty() = default;
+config_actor::~config_actor() = default;
 
-void config_duty::stop()
+void config_actor::stop()
 {
-    m_duty->stop();
+    m_actor->stop();
 }
 
 // --- On other threads ---------------------------------------------------------------------------
 
-void config_duty::post(config::generation_event what)
+void config_actor::post(config::generation_event newEvent)
 {
     // A lost answer is like one that the platform never gave: the keeper asks again.
-    if (!m_duty->post(std::move(what)))
+    if (!m_actor->post(std::move(newEvent)))
         m_metrics.count("ring_full_total", "configuration");
 }
 
-void config_duty::hear(const config::generation_report &report)
+void config_actor::receiveReport(const config::generation_report &report)
 {
     post(config::report_heard{report});
 }
 
-Json::Value config_duty::report() const
+Json::Value config_actor::ownReport() const
 {
     const std::lock_guard lock(m_mutex);
     return m_report;
 }
 
-void config_duty::membersChanged(const members_snapshot &snapshot)
+void config_actor::membersChanged(const members_snapshot &snapshot)
 {
-    members_known known;
+    process_addresses known;
     for (const auto &agent : snapshot.agents)
         known.addresses[agent.agentId] = agent.address;
     for (const auto &[id, address] : snapshot.entryAddresses)
         known.addresses[id] = address;
-    m_duty->post(std::move(known));
+    m_actor->post(std::move(known));
 }
 
-Json::Value
-config_duty::ask(std::function<Json::Value(const config::generation_keeper &, time_point)> how)
+Json::Value config_actor::queryAndWait(
+        std::function<Json::Value(const config::generation_keeper &, time_point)> how)
 {
     return postAndAwaitReply([&](const reply_promise &reply) {
-        return m_duty->post(question{how, reply});
+        return m_actor->post(manager_query{how, reply});
     });
 }
 
-Json::Value config_duty::generationPushed(const Json::Value &parameters)
+Json::Value config_actor::handleGenerationPush(const Json::Value &parameters)
 {
-    hear(config::generationReportFromJson(objectMember(parameters, "report")));
-    return ask([](const config::generation_keeper &keeper, time_point) {
-        return toJson(keeper.report());
+    receiveReport(config::generationReportFromJson(objectMember(parameters, "report")));
+    return queryAndWait([](const config::generation_keeper &manager, time_point) {
+        return toJson(manager.report());
     });
 }
 
-Json::Value config_duty::content(const Json::Value &parameters)
+Json::Value config_actor::readContent(const Json::Value &parameters)
 {
     const auto wanted = config::readContentFromJson(parameters);
-    return ask([wanted](const config::generation_keeper &keeper, time_point) {
-        return contentAnswer(keeper.follower(), wanted);
+    return queryAndWait([wanted](const config::generation_keeper &manager, time_point) {
+        return contentAnswer(manager.follower(), wanted);
     });
 }
 
-Json::Value config_duty::view()
+Json::Value config_actor::folderView()
 {
-    return ask([](const config::generation_keeper &keeper, time_point now) {
-        return toJson(config::folderViewOf(keeper, now, SilentAfter));
+    return queryAndWait([](const config::generation_keeper &manager, time_point now) {
+        return toJson(config::folderViewOf(manager, now, SilenceTimeout));
     });
 }
 
-Json::Value config_duty::fileStatus(const Json::Value &parameters)
+Json::Value config_actor::fileStatus(const Json::Value &parameters)
 {
     const auto name = stringMember(parameters, "name");
     const auto version = countMember(parameters, "version");
-    return ask([name, version](const config::generation_keeper &keeper, time_point now) {
-        const auto status = keeper.statusOf(name, version);
+    return queryAndWait([name, version](const config::generation_keeper &manager, time_point now) {
+        const auto status = manager.statusOf(name, version);
         Json::Value answer(Json::objectValue);
         answer["status"] = toJson(status);
         answer["follow"] = std::string(nameOf(
-                config::followState(config::folderViewOf(keeper, now, SilentAfter), status)));
+                config::followState(config::folderViewOf(manager, now, SilenceTimeout), status)));
         return answer;
     });
 }
 
-Json::Value config_duty::writeFile(std::function<write_result(platform_client &)> write)
+Json::Value config_actor::writeFile(std::function<write_result(platform_client &)> write)
 {
     auto reply = std::make_shared<std::promise<write_result>>();
     auto answer = reply->get_future();
     const bool queued =
-            m_platform.run([write = std::move(write), reply](platform_client &platform) {
+            m_platform.enqueue([write = std::move(write), reply](platform_client &platform) {
                 reply->set_value(write(platform));
             });
-    if (!queued || answer.wait_for(ReplyWithin) != std::future_status::ready)
+    if (!queued || answer.wait_for(PlatformReplyTimeout) != std::future_status::ready)
         throw rpc_refusal(std::string(nameOf(error_kind::PlatformUnavailable)),
                           "the platform did not answer: whether the file was written is unknown");
     const auto result = answer.get();
@@ -172,7 +172,7 @@
     return toJson(result);
 }
 
-Json::Value config_duty::putFile(const Json::Value &parameters)
+Json::Value config_actor::putFile(const Json::Value &parameters)
 {
     const auto name = folderName(parameters);
     const auto text = stringMember(parameters, "content");
@@ -182,7 +182,7 @@
     });
 }
 
-Json::Value config_duty::removeFile(const Json::Value &parameters)
+Json::Value config_actor::removeFile(const Json::Value &parameters)
 {
     const auto name = folderName(parameters);
     const auto expected = expectedVersion(parameters);
@@ -193,27 +193,27 @@
 
 // --- On the duty's thread -----------------------------------------------------------------------
 
-void config_duty::handle(event &what)
+void config_actor::handle(event &newEvent)
 {
-    if (auto *asked = std::get_if<question>(&what)) {
-        asked->reply->set_value(asked->answer(m_keeper, monotonic_clock::now()));
-    } else if (auto *known = std::get_if<members_known>(&what)) {
+    if (auto *asked = std::get_if<manager_query>(&newEvent)) {
+        asked->reply->set_value(asked->answer(m_manager, monotonic_clock::now()));
+    } else if (auto *known = std::get_if<process_addresses>(&newEvent)) {
         m_addresses = std::move(known->addresses);
     } else {
-        feed(std::get<config::generation_event>(what));
+        feed(std::get<config::generation_event>(newEvent));
     }
 }
 
-void config_duty::feed(const config::generation_event &what)
+void config_actor::feed(const config::generation_event &newEvent)
 {
-    for (const auto &action : m_keeper.handle(what, monotonic_clock::now()))
+    for (const auto &action : m_manager.handle(newEvent, monotonic_clock::now()))
         std::visit([this](const auto &each) { perform(each); }, action);
-    m_ready = m_keeper.isReady();
+    m_ready = m_manager.isReady();
 }
 
-void config_duty::perform(const config::read_accepted &action)
+void config_actor::perform(const config::read_accepted &action)
 {
-    m_platform.run([this, action](platform_client &platform) {
+    m_platform.enqueue([this, action](platform_client &platform) {
         const std::string key(config::AcceptedRowKey);
         const auto reading = platform.read({key}, {});
         config::accepted_read read{action.request, reading.has_value(), {}};
@@ -224,9 +224,9 @@
     });
 }
 
-void config_duty::perform(const config::list_folder &action)
+void config_actor::perform(const config::list_folder &action)
 {
-    m_platform.run([this, action](platform_client &platform) {
+    m_platform.enqueue([this, action](platform_client &platform) {
         const auto objects = platform.listObjects(std::string(config::FolderPrefix));
         config::folder_listed listed{action.request, objects.has_value(), {}};
         if (objects)
@@ -235,9 +235,9 @@
     });
 }
 
-void config_duty::perform(const config::read_files &action)
+void config_actor::perform(const config::read_files &action)
 {
-    m_platform.run([this, action](platform_client &platform) {
+    m_platform.enqueue([this, action](platform_client &platform) {
         config::files_read read{action.request, true, {}};
         for (const auto &name : action.names) {
             const auto object = platform.getObject(name);
@@ -249,32 +249,32 @@
     });
 }
 
-void config_duty::perform(const config::write_content &action)
+void config_actor::perform(const config::write_content &action)
 {
-    m_platform.run([this, action](platform_client &platform) {
+    m_platform.enqueue([this, action](platform_client &platform) {
         post(config::content_written{
                 action.request, platform.putObject(action.name, action.content, std::nullopt)});
     });
 }
 
-void config_duty::perform(const config::commit_generation &action)
+void config_actor::perform(const config::commit_generation &action)
 {
-    m_platform.run([this, action](platform_client &platform) {
+    m_platform.enqueue([this, action](platform_client &platform) {
         post(config::generation_committed{action.request, platform.commit(action.transaction)});
     });
 }
 
-void config_duty::perform(const config::remove_content &action)
+void config_actor::perform(const config::remove_content &action)
 {
-    m_platform.run([action](platform_client &platform) {
+    m_platform.enqueue([action](platform_client &platform) {
         platform.removeObject(action.name, std::nullopt);
     });
 }
 
-void config_duty::perform(const config::read_content &action)
+void config_actor::perform(const config::read_content &action)
 {
     if (action.peer.empty()) {
-        m_platform.run([this, action](platform_client &platform) {
+        m_platform.enqueue([this, action](platform_client &platform) {
             const auto object =
                     platform.getObject(std::string(config::MergedPrefix) + action.digest);
             const bool found = object && object->version != 0;
@@ -289,7 +289,7 @@
                   });
 }
 
-void config_duty::perform(const config::adopt_generation &action)
+void config_actor::perform(const config::adopt_generation &action)
 {
     m_generation = action.generation;
     m_metrics.set("configuration_generation", static_cast<double>(action.generation));
@@ -299,12 +299,12 @@
     m_log.info("generation_in_force", fields);
     {
         const std::lock_guard lock(m_mutex);
-        m_report = toJson(m_keeper.report());
+        m_report = toJson(m_manager.report());
     }
-    m_adopted({action.generation, action.whole});
+    m_onAdopted({action.generation, action.whole});
 }
 
-void config_duty::perform(const config::push_generation &action)
+void config_actor::perform(const config::push_generation &action)
 {
     if (action.processes.empty()) {
         for (const auto &[id, address] : m_addresses)
@@ -318,7 +318,7 @@
     }
 }
 
-void config_duty::push(const std::string &address, const config::generation_report &report)
+void config_actor::push(const std::string &address, const config::generation_report &report)
 {
     Json::Value parameters(Json::objectValue);
     parameters["report"] = toJson(report);
@@ -328,7 +328,7 @@
                       if (!answer)
                           return;
                       try {
-                          hear(config::generationReportFromJson(*answer));
+                          receiveReport(config::generationReportFromJson(*answer));
                       } catch (const error &) {
                           m_metrics.count("reports_refused_total", "bad_request");
                       }
--- a/app/config_actor.h
+++ b/app/config_actor.h
@@ -25,30 +25,31 @@
 struct adopted_configuration
 {
     std::uint64_t generation = 0;
-    std::shared_ptr<const config::configuration> whole;
+    std::shared_ptr<const config::configuration> mergedConfig;
 };
 
-class config_duty
+class config_actor
 {
 public:
-    config_duty(duty_system &system, const config::entry_settings &settings,
-                const process_identity &self, platform_lane &platform, rpc_sender &sender,
-                metrics &counters, const logger &log,
-                std::function<void(adopted_configuration)> adopted);
-    ~config_duty();
+    config_actor(duty_system &system, const config::entry_settings &settings,
+                 const process_identity &self, platform_executor &platform, rpc_sender &sender,
+                 metrics &counters, const logger &log,
+                 std::function<void(adopted_configuration)> adopted);
+    ~config_actor();
 
     // May this entry serve callers? Not before it knows the highest generation in force.
     bool isReady() const { return m_ready; }
     std::uint64_t generation() const { return m_generation; }
 
-    void hear(const config::generation_report &report);
-    Json::Value report() const; // this entry's own
+    void receiveReport(const config::generation_report &report);
+    Json::Value ownReport() const; // this entry's own
     void membersChanged(const members_snapshot &snapshot);
 
     // JSON-RPC bodies; they wait for the duty or for the platform.
-    Json::Value generationPushed(const Json::Value &parameters); // {report}; answers the own report
-    Json::Value content(const Json::Value &parameters);          // {digest}
-    Json::Value view();
+    Json::Value
+    handleGenerationPush(const Json::Value &parameters);    // {report}; answers the own report
+    Json::Value readContent(const Json::Value &parameters); // {digest}
+    Json::Value folderView();
     Json::Value fileStatus(const Json::Value &parameters); // {name, version}
     Json::Value putFile(const Json::Value &parameters);    // {name, content, version?}
     Json::Value removeFile(const Json::Value &parameters); // {name, version?}
@@ -56,22 +57,23 @@
     void stop();
 
 private:
-    struct question
+    struct manager_query
     {
         std::function<Json::Value(const config::generation_keeper &, time_point)> answer;
         reply_promise reply;
     };
-    struct members_known
+    struct process_addresses
     {
         std::map<std::string, std::string> addresses; // by process id
     };
-    using event = std::variant<config::generation_event, question, members_known>;
+    using event = std::variant<config::generation_event, manager_query, process_addresses>;
 
-    Json::Value ask(std::function<Json::Value(const config::generation_keeper &, time_point)> how);
+    Json::Value
+    queryAndWait(std::function<Json::Value(const config::generation_keeper &, time_point)> how);
     Json::Value writeFile(std::function<write_result(platform_client &)> write);
 
-    void handle(event &what);
-    void feed(const config::generation_event &what);
+    void handle(event &newEvent);
+    void feed(const config::generation_event &newEvent);
     void perform(const config::read_accepted &action);
     void perform(const config::list_folder &action);
     void perform(const config::read_files &action);
@@ -82,15 +84,15 @@
     void perform(const config::adopt_generation &action);
     void perform(const config::push_generation &action);
     void push(const std::string &address, const config::generation_report &report);
-    void post(config::generation_event what);
+    void post(config::generation_event newEvent);
 
     const config::entry_settings m_settings;
     const process_identity m_self;
-    platform_lane &m_platform;
+    platform_executor &m_platform;
     rpc_sender &m_sender;
     metrics &m_metrics;
     const logger &m_log;
-    std::function<void(adopted_configuration)> m_adopted;
+    std::function<void(adopted_configuration)> m_onAdopted;
     std::atomic<bool> m_ready{false};
     std::atomic<std::uint64_t> m_generation{0};
 
@@ -98,10 +100,10 @@
     Json::Value m_report; // under m_mutex
 
     // Touched by the duty's thread alone.
-    config::generation_keeper m_keeper;
+    config::generation_keeper m_manager;
     std::map<std::string, std::string> m_addresses; // by process id
 
-    std::unique_ptr<duty<event>> m_duty; // last: its thread uses all of the above
+    std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/config_follower_actor.cpp
+++ b/app/config_follower_actor.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 256;
-constexpr milliseconds TickEvery{250};
+constexpr milliseconds TickInterval{250};
 
 config::follower_settings followerSettings(const config::agent_settings &settings)
 {
@@ -23,53 +23,55 @@
 
 } // namespace
 
-follow_duty::follow_duty(duty_system &system, const config::agent_settings &settings,
-                         rpc_sender &sender, metrics &counters, const logger &log)
+config_follower_actor::config_follower_actor(duty_system &system,
+                                             const config::agent_settings &settings,
+                                             rpc_sender &sender, metrics &counters,
+                                             const logger &log)
     : m_sender(sender)
     , m_metrics(counters)
     , m_log(log)
     , m_follower(followerSettings(settings))
 {
     m_report = m_follower.report();
-    m_duty = std::make_unique<duty<event>>(
-            system, RingCapacity, [this](event &what) { handle(what); }, TickEvery,
+    m_actor = std::make_unique<duty<event>>(
+            system, RingCapacity, [this](event &newEvent) { handle(newEvent); }, TickInterval,
             [this] { feed(config::tick{}); });
 }
 
-follow_duty::~follow_duty() = default;
+config_follower_actor::~config_follower_actor() = default;
 
-void follow_duty::stop()
+void config_follower_actor::stop()
 {
-    m_duty->stop();
+    m_actor->stop();
 }
 
-Json::Value follow_duty::generationPushed(const Json::Value &parameters)
+Json::Value config_follower_actor::handleGenerationPush(const Json::Value &parameters)
 {
     const auto report = config::generationReportFromJson(objectMember(parameters, "report"));
     const auto address = stringMember(parameters, "address");
     return postAndAwaitReply([&](const reply_promise &reply) {
-        return m_duty->post(pushed{report, address, reply});
+        return m_actor->post(generation_push{report, address, reply});
     });
 }
 
-void follow_duty::handle(event &what)
+void config_follower_actor::handle(event &newEvent)
 {
-    if (const auto *read = std::get_if<config::content_read>(&what)) {
+    if (const auto *read = std::get_if<config::content_read>(&newEvent)) {
         feed(*read);
         return;
     }
-    auto &told = std::get<pushed>(what);
-    m_addresses[told.report.process] = told.address;
-    m_lastAddress = told.address;
-    feed(config::report_heard{told.report});
-    told.reply->set_value(toJson(m_follower.report()));
+    auto &push = std::get<generation_push>(newEvent);
+    m_entryAddresses[push.report.process] = push.address;
+    m_lastEntryAddress = push.address;
+    feed(config::report_heard{push.report});
+    push.reply->set_value(toJson(m_follower.report()));
 }
 
-void follow_duty::feed(const config::generation_event &what)
+void config_follower_actor::feed(const config::generation_event &newEvent)
 {
-    for (const auto &action : m_follower.handle(what, monotonic_clock::now())) {
+    for (const auto &action : m_follower.handle(newEvent, monotonic_clock::now())) {
         if (const auto *read = std::get_if<config::read_content>(&action)) {
-            fetch(*read);
+            fetchContent(*read);
         } else if (const auto *adopted = std::get_if<config::adopt_generation>(&action)) {
             m_metrics.set("configuration_generation", static_cast<double>(adopted->generation));
             Json::Value fields(Json::objectValue);
@@ -81,21 +83,21 @@
     }
 }
 
-config::generation_report follow_duty::report() const
+config::generation_report config_follower_actor::report() const
 {
     const std::lock_guard lock(m_mutex);
     return m_report;
 }
 
 // An agent has no business with the object store: whatever the source, an entry is asked.
-void follow_duty::fetch(const config::read_content &action)
+void config_follower_actor::fetchContent(const config::read_content &action)
 {
-    const auto known = m_addresses.find(action.peer);
-    const auto address = known == m_addresses.end() ? m_lastAddress : known->second;
+    const auto known = m_entryAddresses.find(action.peer);
+    const auto address = known == m_entryAddresses.end() ? m_lastEntryAddress : known->second;
     const auto request = action.request;
     m_sender.call(address, "generation_content", toJson(action),
                   [this, request](const std::optional<Json::Value> &answer) {
-                      m_duty->post(config::contentReadFromJson(request, answer));
+                      m_actor->post(config::contentReadFromJson(request, answer));
                   });
 }
 
--- a/app/config_follower_actor.h
+++ b/app/config_follower_actor.h
@@ -17,31 +17,31 @@
 
 namespace zinniabarrow {
 
-class follow_duty
+class config_follower_actor
 {
 public:
-    follow_duty(duty_system &system, const config::agent_settings &settings, rpc_sender &sender,
-                metrics &counters, const logger &log);
-    ~follow_duty();
+    config_follower_actor(duty_system &system, const config::agent_settings &settings,
+                          rpc_sender &sender, metrics &counters, const logger &log);
+    ~config_follower_actor();
 
     // JSON-RPC body: {report, address}; answers this process's own report.
-    Json::Value generationPushed(const Json::Value &parameters);
+    Json::Value handleGenerationPush(const Json::Value &parameters);
     // Goes with every announcement, so that entries know who works by which generation.
     config::generation_report report() const;
     void stop();
 
 private:
-    struct pushed
+    struct generation_push
     {
         config::generation_report report;
         std::string address; // of the entry that tells
         reply_promise reply;
     };
-    using event = std::variant<pushed, config::content_read>;
+    using event = std::variant<generation_push, config::content_read>;
 
-    void handle(event &what);
-    void feed(const config::generation_event &what);
-    void fetch(const config::read_content &action);
+    void handle(event &newEvent);
+    void feed(const config::generation_event &newEvent);
+    void fetchContent(const config::read_content &action);
 
     rpc_sender &m_sender;
     metrics &m_metrics;
@@ -52,10 +52,10 @@
 
     // Touched by the duty's thread alone.
     config::generation_follower m_follower;
-    std::map<std::string, std::string> m_addresses; // of entries, by id
-    std::string m_lastAddress;                      // of the entry that told last
+    std::map<std::string, std::string> m_entryAddresses; // of entries, by id
+    std::string m_lastEntryAddress;                      // of the entry that told last
 
-    std::unique_ptr<duty<event>> m_duty; // last: its thread uses all of the above
+    std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/entry.cpp
+++ b/app/entry.cpp
@@ -16,8 +16,9 @@
 namespace {
 
 constexpr milliseconds RpcTimeout{500};
-constexpr milliseconds PollEvery{10};
-constexpr milliseconds UnreadyFirst{500}; // the balancer sees /readyz fail before anything closes
+constexpr milliseconds PollInterval{10};
+constexpr milliseconds UnreadyBeforeDrain{
+        500}; // the balancer sees /readyz fail before anything closes
 constexpr std::size_t RpcConnections = 128;
 
 class entry_daemon
@@ -27,29 +28,30 @@
         : m_settings(settings)
         , m_self(identityFor(settings.id))
         , m_log("entry", settings.id, settings.logLevel)
-        , m_sender(m_duties, RpcTimeout, m_metrics)
-        , m_claims(m_duties, platformAddress(settings), settings.platform.timeout)
-        , m_work(m_duties, platformAddress(settings), settings.platform.timeout)
-        , m_folder(m_duties, platformAddress(settings), settings.platform.timeout)
-        , m_schedule(m_duties, settings, m_self, m_work, m_sender, m_metrics, m_log)
-        , m_configuration(m_duties, settings, m_self, m_folder, m_sender, m_metrics, m_log,
+        , m_sender(m_actorRuntime, RpcTimeout, m_metrics)
+        , m_claimsPlatform(m_actorRuntime, platformAddress(settings), settings.platform.timeout)
+        , m_workPlatform(m_actorRuntime, platformAddress(settings), settings.platform.timeout)
+        , m_folderPlatform(m_actorRuntime, platformAddress(settings), settings.platform.timeout)
+        , m_scheduling(m_actorRuntime, settings, m_self, m_workPlatform, m_sender, m_metrics, m_log)
+        , m_configuration(m_actorRuntime, settings, m_self, m_folderPlatform, m_sender, m_metrics,
+                          m_log,
                           [this](adopted_configuration adopted) {
-                              m_schedule.configurationAdopted(std::move(adopted));
+                              m_scheduling.configurationAdopted(std::move(adopted));
                           })
         , m_requests(
-                  m_duties, settings, m_self, m_claims, m_sender, m_metrics, m_log,
+                  m_actorRuntime, settings, m_self, m_claimsPlatform, m_sender, m_metrics, m_log,
                   [this](const members_snapshot &members) {
                       m_configuration.membersChanged(members);
-                      m_schedule.membersChanged(members);
+                      m_scheduling.membersChanged(members);
                   },
-                  [this] { return m_configuration.report(); })
-        , m_endpoint(m_metrics, [this] { return m_serving && m_configuration.isReady(); })
-        , m_callers(
+                  [this] { return m_configuration.ownReport(); })
+        , m_endpoint(m_metrics, [this] { return m_isServing && m_configuration.isReady(); })
+        , m_callerServer(
                   addressOf(settings.listen), callerLimits(settings),
                   [this](const http_request &request) { return serveCaller(request); },
-                  [this](connection_event event) { note(event); })
-        , m_processes(addressOf(settings.rpc), {RpcConnections, settings.maxBodyBytes},
-                      [this](const http_request &request) { return serveProcess(request); })
+                  [this](connection_event event) { countRefusedConnection(event); })
+        , m_rpcServer(addressOf(settings.rpc), {RpcConnections, settings.maxBodyBytes},
+                      [this](const http_request &request) { return serveRpc(request); })
     {
         for (const auto event : connectionEvents())
             m_metrics.count("connections_refused_total", nameOf(event), 0);
@@ -58,12 +60,12 @@
 
     void start()
     {
-        m_processes.start();
-        m_callers.start();
-        m_serving = true;
+        m_rpcServer.start();
+        m_callerServer.start();
+        m_isServing = true;
         Json::Value fields(Json::objectValue);
-        fields["callers"] = toText(m_callers.address());
-        fields["rpc"] = toText(m_processes.address());
+        fields["callers"] = toText(m_callerServer.address());
+        fields["rpc"] = toText(m_rpcServer.address());
         m_log.info("entry_started", fields);
     }
 
@@ -71,25 +73,26 @@
     {
         const auto startedAt = monotonic_clock::now();
         m_log.info("drain_started");
-        m_serving = false;
-        m_callers.announceClose(true);
-        std::this_thread::sleep_for(UnreadyFirst);
+        m_isServing = false;
+        m_callerServer.announceClose(true);
+        std::this_thread::sleep_for(UnreadyBeforeDrain);
         m_requests.drain();
-        m_schedule.drain();
+        m_scheduling.drain();
         const auto giveUpAt = startedAt + m_settings.drain;
         const auto done = [&] {
-            return m_requests.drained() && m_schedule.drained() && m_callers.inFlight() == 0;
+            return m_requests.isDrained() && m_scheduling.isDrained()
+                   && m_callerServer.inFlight() == 0;
         };
         while (!done() && monotonic_clock::now() < giveUpAt)
-            std::this_thread::sleep_for(PollEvery);
-        m_callers.stop();
-        m_processes.stop();
+            std::this_thread::sleep_for(PollInterval);
+        m_callerServer.stop();
+        m_rpcServer.stop();
         m_requests.stop();
-        m_schedule.stop();
+        m_scheduling.stop();
         m_configuration.stop();
-        m_claims.stop();
-        m_work.stop();
-        m_folder.stop();
+        m_claimsPlatform.stop();
+        m_workPlatform.stop();
+        m_folderPlatform.stop();
         m_sender.stop();
         m_log.info("entry_stopped");
     }
@@ -111,7 +114,7 @@
         return limits;
     }
 
-    void note(connection_event event)
+    void countRefusedConnection(connection_event event)
     {
         m_metrics.count("connections_refused_total", nameOf(event));
         if (event == connection_event::AllInUse || event == connection_event::AddressShare)
@@ -121,26 +124,28 @@
     void bindMethods()
     {
         m_endpoint.bind("announce", [this](const auto &parameters) {
-            hearGeneration(parameters);
+            receiveGenerationReport(parameters);
             return m_requests.announce(parameters);
         });
         m_endpoint.bind("digest", [this](const auto &parameters) {
-            hearGeneration(parameters);
+            receiveGenerationReport(parameters);
             return m_requests.digest(parameters);
         });
         m_endpoint.bind("report",
-                        [this](const auto &parameters) { return m_schedule.report(parameters); });
+                        [this](const auto &parameters) { return m_scheduling.report(parameters); });
         m_endpoint.bind("usage",
-                        [this](const auto &parameters) { return m_schedule.usage(parameters); });
-        m_endpoint.bind("explain",
-                        [this](const auto &parameters) { return m_schedule.explain(parameters); });
+                        [this](const auto &parameters) { return m_scheduling.usage(parameters); });
+        m_endpoint.bind("explain", [this](const auto &parameters) {
+            return m_scheduling.explain(parameters);
+        });
         m_endpoint.bind("generation", [this](const auto &parameters) {
-            return m_configuration.generationPushed(parameters);
+            return m_configuration.handleGenerationPush(parameters);
         });
         m_endpoint.bind("generation_content", [this](const auto &parameters) {
-            return m_configuration.content(parameters);
+            return m_configuration.readContent(parameters);
         });
-        m_endpoint.bind("folder_view", [this](const auto &) { return m_configuration.view(); });
+        m_endpoint.bind("folder_view",
+                        [this](const auto &) { return m_configuration.folderView(); });
         m_endpoint.bind("file_status", [this](const auto &parameters) {
             return m_configuration.fileStatus(parameters);
         });
@@ -154,17 +159,17 @@
     }
 
     // Announcements and digests carry the sender's generation.
-    void hearGeneration(const Json::Value &parameters)
+    void receiveGenerationReport(const Json::Value &parameters)
     {
         if (parameters.isMember("config"))
-            m_configuration.hear(config::generationReportFromJson(parameters["config"]));
+            m_configuration.receiveReport(config::generationReportFromJson(parameters["config"]));
     }
 
     Json::Value status()
     {
         auto status = m_requests.status();
-        status["scheduling"] = m_schedule.status();
-        status["configuration"] = m_configuration.view();
+        status["scheduling"] = m_scheduling.status();
+        status["configuration"] = m_configuration.folderView();
         return status;
     }
 
@@ -176,7 +181,7 @@
         return m_requests.serve(request);
     }
 
-    http_response serveProcess(const http_request &request)
+    http_response serveRpc(const http_request &request)
     {
         if (auto answer = m_endpoint.serve(request))
             return *answer;
@@ -187,18 +192,18 @@
     process_identity m_self;
     logger m_log;
     metrics m_metrics;
-    duty_system m_duties;
+    duty_system m_actorRuntime;
     rpc_sender m_sender;
-    platform_lane m_claims;
-    platform_lane m_work;
-    platform_lane m_folder;
-    schedule_duty m_schedule;
-    config_duty m_configuration;
-    request_duty m_requests;
-    std::atomic<bool> m_serving{false};
+    platform_executor m_claimsPlatform;
+    platform_executor m_workPlatform;
+    platform_executor m_folderPlatform;
+    scheduling_actor m_scheduling;
+    config_actor m_configuration;
+    request_actor m_requests;
+    std::atomic<bool> m_isServing{false};
     rpc_endpoint m_endpoint;
-    http_server m_callers;
-    http_server m_processes;
+    http_server m_callerServer;
+    http_server m_rpcServer;
 };
 
 } // namespace
--- a/app/forwarding.cpp
+++ b/app/forwarding.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t StoredAnswerBytes = 4096; // larger ones are not kept with a claim
+constexpr std::size_t MaxStoredAnswerBytes = 4096; // larger ones are not kept with a claim
 
 std::optional<request::upstream_load> loadOf(const http_response &response)
 {
@@ -49,7 +49,7 @@
     const auto type = response.header("Content-Type");
     if (!type.empty())
         whole.headers["Content-Type"] = type;
-    if (!response.stream && response.body.size() <= StoredAnswerBytes)
+    if (!response.stream && response.body.size() <= MaxStoredAnswerBytes)
         whole.body = response.body;
     return whole;
 }
@@ -89,7 +89,7 @@
     const auto target = splitTarget(from.target);
     http_request out;
     out.method = from.method;
-    out.target = target.rest;
+    out.target = target.pathAndQuery;
     out.body = from.body;
     for (const auto &[name, value] : from.headers) {
         if (!isReservedHeader(name) || strcasecmp(name.c_str(), TeamHeader) == 0)
@@ -123,16 +123,16 @@
     return {target.substr(1, end - 1), rest};
 }
 
-forwarded_attempt endOfStream(forwarded_attempt begun, body_end end)
+forwarded_attempt finishStreamedAttempt(forwarded_attempt started, body_end end)
 {
-    begun.answer = {};
+    started.answer = {};
     if (!end)
-        return begun;
-    begun.outcome = delivery::outcomeOf(*end);
+        return started;
+    started.outcome = delivery::outcomeOf(*end);
     // A caller that went away says nothing about the upstream.
     if (*end != error_kind::OutcomeUnknown)
-        begun.routing.outcome = request::attempt_outcome::Failed;
-    return begun;
+        started.routingResult.outcome = request::attempt_outcome::Failed;
+    return started;
 }
 
 forwarder::forwarder(std::size_t maxAnswerBytes)
@@ -149,18 +149,18 @@
                                 .open(requestForAgent(request, id, attempt, upstream, remaining),
                                       deadline, {RequestIdHeader, id}, threads);
     forwarded_attempt sent;
-    sent.routing.upstream = upstream;
-    sent.routing.latency = monotonic_clock::now() - startedAt;
+    sent.routingResult.upstream = upstream;
+    sent.routingResult.latency = monotonic_clock::now() - startedAt;
     if (const auto *response = std::get_if<http_response>(&result)) {
         sent.answer = *response;
         sent.outcome = outcomeOf(sent.answer);
-        sent.routing.load = loadOf(sent.answer);
+        sent.routingResult.load = loadOf(sent.answer);
         if (!std::holds_alternative<delivery::complete_answer>(sent.outcome))
             sent.answer.stream.reset(); // a refusal is never passed on as it is
     } else {
         sent.outcome = outcomeOf(std::get<call_failure>(result));
     }
-    sent.routing.outcome = routingOutcome(sent.outcome);
+    sent.routingResult.outcome = routingOutcome(sent.outcome);
     return sent;
 }
 
--- a/app/forwarding.h
+++ b/app/forwarding.h
@@ -15,7 +15,7 @@
 struct service_target
 {
     std::string service;
-    std::string rest;
+    std::string pathAndQuery;
 };
 service_target splitTarget(const std::string &target);
 
@@ -23,12 +23,12 @@
 struct forwarded_attempt
 {
     delivery::attempt_outcome outcome; // of a streamed answer: once its rest has come whole
-    request::attempt_ended routing;
+    request::attempt_ended routingResult;
     http_response answer; // meant for the caller only when the outcome is a whole answer
 };
 
 // How a streamed answer's attempt ended, once its receiving has.
-forwarded_attempt endOfStream(forwarded_attempt begun, body_end end);
+forwarded_attempt finishStreamedAttempt(forwarded_attempt begun, body_end end);
 
 class forwarder
 {
--- a/app/main.cpp
+++ b/app/main.cpp
@@ -45,36 +45,36 @@
     fmt::print(to, "zinniabarrow {}\n{}", Version, Help);
 }
 
-std::string settingsFile(const std::string &role, int count, char **words)
+std::string settingsFile(const std::string &role, int count, char **arguments)
 {
     TCLAP::CmdLine command("zinniabarrow " + role, ' ', Version);
     command.setExceptionHandling(false);
     TCLAP::ValueArg<std::string> file("s", "settings", "JSON settings of the process", true, "",
                                       "FILE", command);
-    command.parse(count, words);
+    command.parse(count, arguments);
     return file.getValue();
 }
 
-int dispatch(const std::string &name, int count, char **words)
+int dispatch(const std::string &name, int count, char **arguments)
 {
     if (name == "entry") {
-        const auto file = settingsFile(name, count, words);
+        const auto file = settingsFile(name, count, arguments);
         return runEntry(config::entrySettingsFrom(file, readTextFile(file)));
     }
     if (name == "agent") {
-        const auto file = settingsFile(name, count, words);
+        const auto file = settingsFile(name, count, arguments);
         return runAgent(config::agentSettingsFrom(file, readTextFile(file)));
     }
     if (name == "job-entry") {
-        const auto file = settingsFile(name, count, words);
+        const auto file = settingsFile(name, count, arguments);
         return runJobEntry(jobEntrySettingsFrom(file, readTextFile(file)));
     }
     if (name == "job-agent") {
-        const auto file = settingsFile(name, count, words);
+        const auto file = settingsFile(name, count, arguments);
         return runJobAgent(jobAgentSettingsFrom(file, readTextFile(file)));
     }
     if (isOperatorCommand(name))
-        return runOperatorCommand(name, count, words);
+        return runOperatorCommand(name, count, arguments);
     if (name == "--help" || name == "help") {
         printHelp(stdout);
         return ExitDone;
@@ -90,14 +90,14 @@
 
 } // namespace
 
-int main(int count, char **words)
+int main(int count, char **arguments)
 {
     if (count < 2) {
         printHelp(stderr);
         return ExitUsage;
     }
     try {
-        return dispatch(words[1], count - 1, words + 1);
+        return dispatch(arguments[1], count - 1, arguments + 1);
     } catch (const TCLAP::ExitException &exit) {
         return exit.getExitStatus() == 0 ? ExitDone : ExitUsage;
     } catch (const TCLAP::ArgException &problem) {
--- a/app/operator_commands.cpp
+++ b/app/operator_commands.cpp
@@ -24,10 +24,10 @@
 
 namespace {
 
-constexpr milliseconds CallWithin{3000};
-constexpr milliseconds PollEvery{50};
+constexpr milliseconds CallTimeout{3000};
+constexpr milliseconds PollInterval{50};
 constexpr int DefaultFollowMs = 10'000;
-struct command_entry
+struct operator_command
 {
     const char *name;
     int (*run)(int count, char **words);
@@ -46,7 +46,7 @@
     }
 
     TCLAP::CmdLine &parser() { return m_command; }
-    void parse(int count, char **words) { m_command.parse(count, words); }
+    void parse(int count, char **arguments) { m_command.parse(count, arguments); }
     const std::string &entry() { return m_entry.getValue(); }
     bool json() { return m_json.getValue(); }
 
@@ -63,7 +63,7 @@
     http_pool pool(parseAddress(address));
     const auto transport = [&](const std::string &text) {
         const auto result =
-                pool.call({"POST", "/rpc", {}, text}, monotonic_clock::now() + CallWithin);
+                pool.call({"POST", "/rpc", {}, text}, monotonic_clock::now() + CallTimeout);
         const auto *response = std::get_if<http_response>(&result);
         if (response == nullptr || response->status != 200)
             throw std::runtime_error("no answer from " + address + ": ask another entry");
@@ -93,14 +93,14 @@
     return files;
 }
 
-int check(int count, char **words)
+int check(int count, char **arguments)
 {
     TCLAP::CmdLine command("zinniabarrow check", ' ', Version);
     command.setExceptionHandling(false);
     TCLAP::SwitchArg json("", "json", "print JSON for programs", command);
     TCLAP::UnlabeledValueArg<std::string> folder("folder", "folder to check", true, "", "DIR",
                                                  command);
-    command.parse(count, words);
+    command.parse(count, arguments);
     const auto result = config::checkFolder(readFolder(folder.getValue()));
     if (json.getValue()) {
         fmt::print("{}\n", prettyJson(config::problemList(result.problems)));
@@ -123,20 +123,20 @@
     std::vector<std::string> unreachable; // addresses
 };
 
-system_status askAll(const std::string &address)
+system_status collectStatus(const std::string &address)
 {
-    system_status all;
-    all.entries.push_back(callProcess(address, "status", Json::Value(Json::objectValue)));
-    const Json::Value peers = all.entries.front()["peers"];
+    system_status collected;
+    collected.entries.push_back(callProcess(address, "status", Json::Value(Json::objectValue)));
+    const Json::Value peers = collected.entries.front()["peers"];
     for (const auto &peer : peers) {
         try {
-            all.entries.push_back(
+            collected.entries.push_back(
                     callProcess(peer.asString(), "status", Json::Value(Json::objectValue)));
         } catch (const error &) {
-            all.unreachable.push_back(peer.asString());
+            collected.unreachable.push_back(peer.asString());
         }
     }
-    return all;
+    return collected;
 }
 
 void printUpstreams(const Json::Value &entry)
@@ -171,42 +171,42 @@
         fmt::print("refused {}: {}\n", task, shard["refused"][task].asString());
 }
 
-void printStatus(const system_status &all)
+void printStatus(const system_status &collected)
 {
-    fmt::print("{}\n",
-               config::toTable(config::folderViewFromJson(all.entries.front()["configuration"])));
-    printUpstreams(all.entries.front());
-    for (const auto &entry : all.entries) {
+    fmt::print("{}\n", config::toTable(config::folderViewFromJson(
+                               collected.entries.front()["configuration"])));
+    printUpstreams(collected.entries.front());
+    for (const auto &entry : collected.entries) {
         for (const auto &shard : entry["scheduling"]["shards"])
             printShard(shard, entry["entry"].asString());
     }
     fmt::print("\n{:<14}{:>10}  {}\n", "ENTRY", "IN FLIGHT", "REFUSED, BY REASON");
-    for (const auto &entry : all.entries) {
+    for (const auto &entry : collected.entries) {
         fmt::print("{:<14}{:>10}  {}{}\n", entry["entry"].asString(), entry["in_flight"].asUInt(),
                    compactJson(entry["refusals"]), entry["draining"].asBool() ? "  DRAINING" : "");
     }
-    for (const auto &address : all.unreachable)
+    for (const auto &address : collected.unreachable)
         fmt::print("could not reach the entry at {}\n", address);
 }
 
-int status(int count, char **words)
+int status(int count, char **arguments)
 {
-    command_line line("status");
-    line.parse(count, words);
-    const auto all = askAll(line.entry());
-    if (line.json()) {
+    command_line commandLine("status");
+    commandLine.parse(count, arguments);
+    const auto collected = collectStatus(commandLine.entry());
+    if (commandLine.json()) {
         Json::Value json(Json::objectValue);
         json["entries"] = Json::Value(Json::arrayValue);
-        for (const auto &entry : all.entries)
+        for (const auto &entry : collected.entries)
             json["entries"].append(entry);
         json["unreachable"] = Json::Value(Json::arrayValue);
-        for (const auto &address : all.unreachable)
+        for (const auto &address : collected.unreachable)
             json["unreachable"].append(address);
         fmt::print("{}\n", prettyJson(json));
     } else {
-        printStatus(all);
+        printStatus(collected);
     }
-    return all.unreachable.empty() ? ExitDone : ExitFailed;
+    return collected.unreachable.empty() ? ExitDone : ExitFailed;
 }
 
 // --- put, remove, follow -------------------------------------------------------------------------
@@ -233,52 +233,53 @@
         fmt::print("{}\n", config::problemTable(file.problems));
 }
 
-int followUntilSettled(const follow_request &what)
+int followUntilFinished(const follow_request &followRequest)
 {
     Json::Value parameters(Json::objectValue);
-    parameters["name"] = what.name;
-    parameters["version"] = Json::UInt64(what.version);
+    parameters["name"] = followRequest.name;
+    parameters["version"] = Json::UInt64(followRequest.version);
     const auto startedAt = monotonic_clock::now();
     Json::Value answer;
     while (true) {
-        answer = callProcess(what.entry, "file_status", parameters);
+        answer = callProcess(followRequest.entry, "file_status", parameters);
         const auto state = answer["follow"].asString();
         if (state != nameOf(config::follow_state::Waiting)) {
             const bool isEverywhere = state == nameOf(config::follow_state::Everywhere);
             const auto waited = millisecondsUntil(monotonic_clock::now(), startedAt);
             answer["waited_ms"] = Json::Int64(waited);
-            printFileStatus(answer, what.json);
-            if (isEverywhere && !what.json)
+            printFileStatus(answer, followRequest.json);
+            if (isEverywhere && !followRequest.json)
                 fmt::print("in force everywhere after {} ms\n", waited);
             return isEverywhere ? ExitDone : ExitFailed;
         }
-        if (monotonic_clock::now() > what.giveUpAt)
+        if (monotonic_clock::now() > followRequest.giveUpAt)
             break;
-        std::this_thread::sleep_for(PollEvery);
+        std::this_thread::sleep_for(PollInterval);
     }
-    printFileStatus(answer, what.json);
+    printFileStatus(answer, followRequest.json);
     fmt::print(stderr, "not in force everywhere yet: run follow again, or status\n");
     return ExitFailed;
 }
 
-int write(const std::string &name, const std::string &method, int count, char **words)
+int write(const std::string &name, const std::string &method, int count, char **arguments)
 {
-    command_line line(name);
-    TCLAP::SwitchArg follow("f", "follow", "wait until it is in force everywhere", line.parser());
+    command_line commandLine(name);
+    TCLAP::SwitchArg follow("f", "follow", "wait until it is in force everywhere",
+                            commandLine.parser());
     TCLAP::ValueArg<int> timeout("", "timeout-ms", "give up following after", false,
-                                 DefaultFollowMs, "ms", line.parser());
+                                 DefaultFollowMs, "ms", commandLine.parser());
     TCLAP::ValueArg<std::uint64_t> expected("", "if-version", "write only over this version", false,
-                                            0, "version", line.parser());
+                                            0, "version", commandLine.parser());
     TCLAP::UnlabeledValueArg<std::string> file("file", "file of the folder", true, "", "FILE",
-                                               line.parser());
-    line.parse(count, words);
+                                               commandLine.parser());
+    commandLine.parse(count, arguments);
     Json::Value parameters(Json::objectValue);
     parameters["name"] = std::filesystem::path(file.getValue()).filename().string();
     if (method == "file_put")
         parameters["content"] = readTextFile(file.getValue());
     if (expected.isSet())
         parameters["version"] = Json::UInt64(expected.getValue());
-    const auto result = callProcess(line.entry(), method, parameters);
+    const auto result = callProcess(commandLine.entry(), method, parameters);
     // A removal's own version is 0: what is followed is the file's absence.
     const auto version = method == "file_put" ? countMember(result, "sequence") : 0;
     if (!follow.getValue()) {
@@ -286,56 +287,58 @@
                    result["outcome"].asString());
         return result["outcome"] == "applied" ? ExitDone : ExitFailed;
     }
-    return followUntilSettled({line.entry(), parameters["name"].asString(), version,
-                               monotonic_clock::now() + milliseconds(timeout.getValue()),
-                               line.json()});
+    return followUntilFinished({commandLine.entry(), parameters["name"].asString(), version,
+                                monotonic_clock::now() + milliseconds(timeout.getValue()),
+                                commandLine.json()});
 }
 
-int put(int count, char **words)
+int put(int count, char **arguments)
 {
-    return write("put", "file_put", count, words);
+    return write("put", "file_put", count, arguments);
 }
 
-int removeFile(int count, char **words)
+int removeFile(int count, char **arguments)
 {
-    return write("remove", "file_remove", count, words);
+    return write("remove", "file_remove", count, arguments);
 }
 
-int follow(int count, char **words)
+int follow(int count, char **arguments)
 {
-    command_line line("follow");
+    command_line commandLine("follow");
     TCLAP::ValueArg<std::uint64_t> version("", "file-version", "of the file; 0: its absence", true,
-                                           0, "version", line.parser());
+                                           0, "version", commandLine.parser());
     TCLAP::ValueArg<int> timeout("", "timeout-ms", "give up after", false, DefaultFollowMs, "ms",
-                                 line.parser());
+                                 commandLine.parser());
     TCLAP::UnlabeledValueArg<std::string> name("name", "file of the folder", true, "", "NAME",
-                                               line.parser());
-    line.parse(count, words);
-    return followUntilSettled({line.entry(), name.getValue(), version.getValue(),
-                               monotonic_clock::now() + milliseconds(timeout.getValue()),
-                               line.json()});
+                                               commandLine.parser());
+    commandLine.parse(count, arguments);
+    return followUntilFinished({commandLine.entry(), name.getValue(), version.getValue(),
+                                monotonic_clock::now() + milliseconds(timeout.getValue()),
+                                commandLine.json()});
 }
 
 // --- explain, drain, check-trace -----------------------------------------------------------------
 
-int explain(int count, char **words)
+int explain(int count, char **arguments)
 {
-    command_line line("explain");
+    command_line commandLine("explain");
     TCLAP::UnlabeledValueArg<std::string> task("task", "task", true, "", "JOB/INDEX",
-                                               line.parser());
-    line.parse(count, words);
+                                               commandLine.parser());
+    commandLine.parse(count, arguments);
     Json::Value parameters(Json::objectValue);
     parameters["task"] = task.getValue();
-    auto addresses = std::vector<std::string>{line.entry()};
-    const auto here = callProcess(line.entry(), "status", Json::Value(Json::objectValue));
-    for (const auto &peer : here["peers"])
+    auto addresses = std::vector<std::string>{commandLine.entry()};
+    const auto localStatus =
+            callProcess(commandLine.entry(), "status", Json::Value(Json::objectValue));
+    for (const auto &peer : localStatus["peers"])
         addresses.push_back(peer.asString());
     for (const auto &address : addresses) {
         try {
             const auto answer = callProcess(address, "explain", parameters);
             if (!answer.isMember("reason"))
                 continue;
-            fmt::print("{}\n", line.json() ? prettyJson(answer) : answer["reason"].asString());
+            fmt::print("{}\n",
+                       commandLine.json() ? prettyJson(answer) : answer["reason"].asString());
             return ExitDone;
         } catch (const error &problem) {
             if (problem.kind() == error_kind::BadRequest)
@@ -347,14 +350,15 @@
     return ExitFailed;
 }
 
-int drain(int count, char **words)
+int drain(int count, char **arguments)
 {
-    command_line line("drain");
+    command_line commandLine("drain");
     TCLAP::UnlabeledValueArg<std::string> agent("agent", "agent beside the upstream", true, "",
-                                                "AGENT", line.parser());
-    line.parse(count, words);
-    const auto here = callProcess(line.entry(), "status", Json::Value(Json::objectValue));
-    for (const auto &upstream : here["upstreams"]) {
+                                                "AGENT", commandLine.parser());
+    commandLine.parse(count, arguments);
+    const auto localStatus =
+            callProcess(commandLine.entry(), "status", Json::Value(Json::objectValue));
+    for (const auto &upstream : localStatus["upstreams"]) {
         if (upstream["agentId"].asString() != agent.getValue())
             continue;
         callProcess(upstream["address"].asString(), "drain", Json::Value(Json::objectValue));
@@ -365,13 +369,13 @@
     return ExitFailed;
 }
 
-int checkTrace(int count, char **words)
+int checkTrace(int count, char **arguments)
 {
     TCLAP::CmdLine command("zinniabarrow check-trace", ' ', Version);
     command.setExceptionHandling(false);
     TCLAP::SwitchArg complete("", "complete", "the system was given time to finish", command);
     TCLAP::UnlabeledValueArg<std::string> file("file", "JSON lines", true, "", "FILE", command);
-    command.parse(count, words);
+    command.parse(count, arguments);
     std::ifstream lines(file.getValue());
     if (!lines)
         throw error(error_kind::BadRequest, file.getValue() + ": cannot be read");
@@ -383,13 +387,13 @@
 }
 
 constexpr std::array Commands{
-        command_entry{"check", check},   command_entry{"status", status},
-        command_entry{"put", put},       command_entry{"remove", removeFile},
-        command_entry{"follow", follow}, command_entry{"explain", explain},
-        command_entry{"drain", drain},   command_entry{"check-trace", checkTrace},
+        operator_command{"check", check},   operator_command{"status", status},
+        operator_command{"put", put},       operator_command{"remove", removeFile},
+        operator_command{"follow", follow}, operator_command{"explain", explain},
+        operator_command{"drain", drain},   operator_command{"check-trace", checkTrace},
 };
 
-const command_entry *commandNamed(const std::string &name)
+const operator_command *findCommand(const std::string &name)
 {
     const auto found = std::find_if(Commands.begin(), Commands.end(),
                                     [&](const auto &command) { return name == command.name; });
@@ -400,12 +404,12 @@
 
 bool isOperatorCommand(const std::string &name)
 {
-    return commandNamed(name) != nullptr;
+    return findCommand(name) != nullptr;
 }
 
-int runOperatorCommand(const std::string &name, int count, char **words)
+int runOperatorCommand(const std::string &name, int count, char **arguments)
 {
-    return commandNamed(name)->run(count, words);
+    return findCommand(name)->run(count, arguments);
 }
 
 } // namespace zinniabarrow
--- a/app/operator_commands.h
+++ b/app/operator_commands.h
@@ -18,6 +18,6 @@
 
 // `words[0]` is the command's name. Returns the exit code; throws TCLAP exceptions for wrong usage
 // and error for what failed.
-int runOperatorCommand(const std::string &name, int count, char **words);
+int runOperatorCommand(const std::string &name, int count, char **arguments);
 
 } // namespace zinniabarrow
--- a/app/outbound_calls.cpp
+++ b/app/outbound_calls.cpp
@@ -8,29 +8,29 @@
 
 namespace {
 
-constexpr std::size_t LaneCapacity = 4096;
+constexpr std::size_t CallCapacity = 4096;
 constexpr send_queue_limits SenderLimits;
 constexpr duration NoTick{0};
 
 } // namespace
 
-platform_lane::platform_lane(duty_system &system, const socket_address &platform,
-                             milliseconds timeout)
+platform_executor::platform_executor(duty_system &system, const socket_address &platform,
+                                     milliseconds timeout)
     : m_client(platform, timeout)
-    , m_duty(std::make_unique<duty<job>>(
-              system, LaneCapacity, [this](job &work) { work(m_client); }, NoTick, [] {}))
+    , m_actor(std::make_unique<duty<platform_call>>(
+              system, CallCapacity, [this](platform_call &work) { work(m_client); }, NoTick, [] {}))
 { }
 
-platform_lane::~platform_lane() = default;
+platform_executor::~platform_executor() = default;
 
-bool platform_lane::run(job work)
+bool platform_executor::enqueue(platform_call work)
 {
-    return m_duty->post(std::move(work));
+    return m_actor->post(std::move(work));
 }
 
-void platform_lane::stop()
+void platform_executor::stop()
 {
-    m_duty->stop();
+    m_actor->stop();
 }
 
 rpc_sender::rpc_sender(duty_system &system, milliseconds timeout, metrics &counters)
@@ -40,9 +40,9 @@
 {
     const std::lock_guard lock(m_mutex); // until all of them stand
     for (std::size_t index = 0; index < SenderLimits.threads; ++index) {
-        m_resting.push_back(index);
+        m_idleThreads.push_back(index);
         m_threads.push_back(std::make_unique<duty_thread>(
-                system, [this, index] { drain(index); }, everyPeriod(NoTick, {})));
+                system, [this, index] { sendQueuedCalls(index); }, everyPeriod(NoTick, {})));
     }
 }
 
@@ -52,16 +52,16 @@
 }
 
 bool rpc_sender::call(const std::string &target, const std::string &method,
-                      const Json::Value &parameters, answer done)
+                      const Json::Value &parameters, answer_callback onAnswer)
 {
     const std::lock_guard lock(m_mutex);
     if (m_stopped)
         return false;
-    if (!m_queue.push({target, method, parameters, std::move(done)})) {
+    if (!m_queue.push({target, method, parameters, std::move(onAnswer)})) {
         m_metrics.count("rpc_dropped_total", method);
         return false;
     }
-    wakeOne();
+    wakeIdleThread();
     return true;
 }
 
@@ -76,33 +76,33 @@
         thread->stop();
 }
 
-void rpc_sender::drain(std::size_t thread)
+void rpc_sender::sendQueuedCalls(std::size_t thread)
 {
-    while (auto message = takeOrRest(thread)) {
+    while (auto message = takeOrGoIdle(thread)) {
         const bool answered = send(*message);
         const std::lock_guard lock(m_mutex);
         m_queue.completeCall(message->target, answered);
     }
 }
 
-std::optional<rpc_call> rpc_sender::takeOrRest(std::size_t thread)
+std::optional<rpc_call> rpc_sender::takeOrGoIdle(std::size_t thread)
 {
     const std::lock_guard lock(m_mutex);
-    std::erase(m_resting, thread);
+    std::erase(m_idleThreads, thread);
     auto message = m_queue.take();
     if (message)
-        wakeOne(); // one answer may let several calls go out
+        wakeIdleThread(); // one answer may let several calls go out
     else
-        m_resting.push_back(thread);
+        m_idleThreads.push_back(thread);
     return message;
 }
 
-void rpc_sender::wakeOne()
+void rpc_sender::wakeIdleThread()
 {
-    if (m_stopped || m_resting.empty() || !m_queue.canTake())
+    if (m_stopped || m_idleThreads.empty() || !m_queue.canTake())
         return;
-    const auto thread = m_resting.back();
-    m_resting.pop_back();
+    const auto thread = m_idleThreads.back();
+    m_idleThreads.pop_back();
     m_threads[thread]->wake();
 }
 
--- a/app/outbound_calls.h
+++ b/app/outbound_calls.h
@@ -21,21 +21,21 @@
 
 // One thread that talks to the platform. Claims, work and configuration each have their own lane:
 // a slow scan in one must not delay a claim.
-class platform_lane
+class platform_executor
 {
 public:
-    using job = std::function<void(platform_client &)>;
+    using platform_call = std::function<void(platform_client &)>;
 
-    platform_lane(duty_system &system, const socket_address &platform, milliseconds timeout);
-    ~platform_lane();
+    platform_executor(duty_system &system, const socket_address &platform, milliseconds timeout);
+    ~platform_executor();
 
     // False when the lane is full: the job will not run.
-    bool run(job work);
+    bool enqueue(platform_call work);
     void stop();
 
 private:
     platform_client m_client;
-    std::unique_ptr<duty<job>> m_duty;
+    std::unique_ptr<duty<platform_call>> m_actor;
 };
 
 // Calls JSON-RPC methods of other processes. Calls to one target keep their order; targets that do
@@ -43,7 +43,8 @@
 class rpc_sender
 {
 public:
-    using answer = std::function<void(std::optional<Json::Value>)>; // nothing: no result came
+    using answer_callback =
+            std::function<void(std::optional<Json::Value>)>; // nothing: no result came
 
     rpc_sender(duty_system &system, milliseconds timeout, metrics &counters);
     ~rpc_sender();
@@ -51,13 +52,13 @@
     // `done` runs on the sender's thread; it only posts to a ring. False when too many calls wait,
     // or the sender was stopped: `done` will not run.
     bool call(const std::string &target, const std::string &method, const Json::Value &parameters,
-              answer done);
+              answer_callback onAnswer);
     void stop();
 
 private:
-    void drain(std::size_t thread);
-    std::optional<rpc_call> takeOrRest(std::size_t thread);
-    void wakeOne();
+    void sendQueuedCalls(std::size_t thread);
+    std::optional<rpc_call> takeOrGoIdle(std::size_t thread);
+    void wakeIdleThread();
     bool send(const rpc_call &message);
 
     milliseconds m_timeout;
@@ -65,7 +66,7 @@
     http_pools m_pools;
     std::mutex m_mutex; // of the queue and of who rests
     send_queue m_queue;
-    std::vector<std::size_t> m_resting; // threads, to be woken
+    std::vector<std::size_t> m_idleThreads; // threads, to be woken
     bool m_stopped = false;
     std::vector<std::unique_ptr<duty_thread>> m_threads;
 };
--- a/app/request_actor.cpp
+++ b/app/request_actor.cpp
@@ -17,10 +17,10 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 32768;
-constexpr milliseconds UpkeepEvery{100}; // membership's silences and digests without news
-constexpr milliseconds NewsAfter{10};    // digests with news, others that come at once with them
+constexpr milliseconds MaintenanceInterval{100}; // membership's silences and digests without news
+constexpr milliseconds DigestDelay{10}; // digests with news, others that come at once with them
 constexpr milliseconds RingFullPause{10};
-constexpr milliseconds ShareEvery{500};
+constexpr milliseconds PublishInterval{500};
 constexpr std::uint64_t RouterSeedStream = 7;
 
 request::membership_settings membershipSettings(const config::entry_settings &settings,
@@ -64,11 +64,11 @@
     return out;
 }
 
-milliseconds remainingOf(const http_request &request, milliseconds unset)
+milliseconds remainingTime(const http_request &request, milliseconds defaultTime)
 {
     const auto text = request.header(DeadlineHeader);
     if (text.empty())
-        return unset;
+        return defaultTime;
     std::int64_t value = 0;
     const auto read = std::from_chars(text.data(), text.data() + text.size(), value);
     if (read.ec != std::errc() || read.ptr != text.data() + text.size() || value < 0)
@@ -79,14 +79,14 @@
 
 } // namespace
 
-void caller_call::push(call_step step)
+void waiting_request::push(call_step step)
 {
     const std::lock_guard lock(m_mutex);
     m_steps.push_back(std::move(step));
     m_changed.notify_one();
 }
 
-call_step caller_call::next()
+call_step waiting_request::waitForStep()
 {
     std::unique_lock lock(m_mutex);
     m_changed.wait(lock, [this] { return !m_steps.empty(); });
@@ -95,14 +95,14 @@
     return step;
 }
 
-request_duty::request_duty(duty_system &system, const config::entry_settings &settings,
-                           const process_identity &self, platform_lane &claims, rpc_sender &sender,
-                           metrics &counters, const logger &log,
-                           std::function<void(members_snapshot)> membersChanged,
-                           std::function<Json::Value()> generationReport)
+request_actor::request_actor(duty_system &system, const config::entry_settings &settings,
+                             const process_identity &self, platform_executor &claims,
+                             rpc_sender &sender, metrics &counters, const logger &log,
+                             std::function<void(members_snapshot)> membersChanged,
+                             std::function<Json::Value()> generationReport)
     : m_settings(settings)
     , m_self(self)
-    , m_claims(claims)
+    , m_claimsPlatform(claims)
     , m_sender(sender)
     , m_metrics(counters)
     , m_log(log)
@@ -113,42 +113,42 @@
     , m_router(routerSettings(settings), routingPolicy(settings.routing.policy),
                random_generator(self.incarnation, RouterSeedStream))
     , m_flow(
-              self.unique(), {}, [this](error_kind kind) { return permitRetry(kind); },
-              [this](const std::string &id) { return entryAlive(id); })
+              self.fullId(), {}, [this](error_kind kind) { return isRetryPermitted(kind); },
+              [this](const std::string &id) { return isEntryAlive(id); })
 {
     for (const auto &peer : settings.peers)
         m_peers.push_back({config::toText(peer), {}, 0, {}});
-    m_duty = std::make_unique<duty<event>>(
-            system, RingCapacity, [this](event &what) { handle(what); },
+    m_actor = std::make_unique<duty<event>>(
+            system, RingCapacity, [this](event &newEvent) { handle(newEvent); },
             tick_plan{[this] { return nextTick(); }, [this] { tick(); }});
 }
 
-request_duty::~request_duty() = default;
+request_actor::~request_actor() = default;
 
 // --- On HTTP threads ----------------------------------------------------------------------------
 
-http_response request_duty::serve(const http_request &request)
+http_response request_actor::serve(const http_request &request)
 {
     const auto now = monotonic_clock::now();
     const auto target = splitTarget(request.target);
-    auto call = std::make_shared<caller_call>(request);
+    auto call = std::make_shared<waiting_request>(request);
     delivery::request_arrived arrived;
-    arrived.id = m_self.unique() + "-" + std::to_string(m_nextRequest++);
+    arrived.id = m_self.fullId() + "-" + std::to_string(m_nextRequest++);
     arrived.service = target.service;
     arrived.method = request.method;
-    arrived.path = target.rest;
+    arrived.path = target.pathAndQuery;
     arrived.team = request.header(TeamHeader);
     arrived.idempotencyKey = request.header(KeyHeader);
     arrived.bodyHash = stableHash(request.body);
-    arrived.deadline = now + remainingOf(request, m_settings.requestDeadline);
+    arrived.deadline = now + remainingTime(request, m_settings.requestDeadline);
     const std::string id = arrived.id;
-    if (!m_duty->post(arrival{std::move(arrived), call})) {
+    if (!m_actor->post(request_arrival{std::move(arrived), call})) {
         m_metrics.count("refusals_total", "ring_full");
         return refusalAnswer(error_kind::Overloaded);
     }
     http_response lastAnswer;
     while (true) {
-        const auto step = call->next();
+        const auto step = call->waitForStep();
         if (const auto *answer = std::get_if<answer_step>(&step)) {
             m_metrics.observeMilliseconds("request_ms", std::chrono::duration<double, std::milli>(
                                                                 monotonic_clock::now() - now)
@@ -159,14 +159,14 @@
     }
 }
 
-http_response request_duty::forwardAndReport(const caller_call &call, const std::string &id,
-                                             const forward_step &step)
+http_response request_actor::forwardAndReport(const waiting_request &call, const std::string &id,
+                                              const forward_step &step)
 {
     auto sent = m_forwarder.send(call.request(), id, step.attempt, step.upstream, step.deadline,
                                  m_receivers);
     if (sent.answer.stream) {
         auto head = sent.answer; // its body is still to come
-        reportStream(id, step.attempt, std::move(sent));
+        reportStreamedAnswer(id, step.attempt, std::move(sent));
         return head;
     }
     auto answer = std::move(sent.answer);
@@ -175,31 +175,31 @@
 }
 
 // The end is reported by whichever thread sees the receiving end; always after the begin.
-void request_duty::reportStream(const std::string &id, std::uint32_t attempt,
-                                forwarded_attempt begun)
+void request_actor::reportStreamedAnswer(const std::string &id, std::uint32_t attempt,
+                                         forwarded_attempt startedAttempt)
 {
-    if (!m_duty->post(delivery::answer_started{id, attempt, begun.answer.status}))
+    if (!m_actor->post(delivery::answer_started{id, attempt, startedAttempt.answer.status}))
         m_metrics.count("ring_full_total", "answer_begun");
-    const auto stream = std::move(begun.answer.stream);
-    stream->observeEnd(
-            [this, id, attempt, begun = std::move(begun)](body_end end, duration /*waited*/) {
-                if (end)
-                    m_metrics.count("streams_cut_total", nameOf(*end));
-                reportEnd(id, attempt, endOfStream(begun, end));
-            });
+    const auto stream = std::move(startedAttempt.answer.stream);
+    stream->observeEnd([this, id, attempt, startedAttempt = std::move(startedAttempt)](
+                               body_end end, duration /*waited*/) {
+        if (end)
+            m_metrics.count("streams_cut_total", nameOf(*end));
+        reportEnd(id, attempt, finishStreamedAttempt(startedAttempt, end));
+    });
 }
 
-void request_duty::reportEnd(const std::string &id, std::uint32_t attempt, forwarded_attempt sent)
+void request_actor::reportEnd(const std::string &id, std::uint32_t attempt, forwarded_attempt sent)
 {
-    attempt_result ended{{id, attempt, std::move(sent.outcome)}, std::move(sent.routing)};
+    attempt_result ended{{id, attempt, std::move(sent.outcome)}, std::move(sent.routingResult)};
     // The ring holds more than all requests in flight can post; were it full all the same, the
     // request would end by its deadline.
-    if (!m_duty->post(std::move(ended)))
+    if (!m_actor->post(std::move(ended)))
         m_metrics.count("ring_full_total", "attempt_ended");
 }
 
-http_response request_duty::finalAnswer(const answer_step &step,
-                                        const http_response &lastAnswer) const
+http_response request_actor::finalAnswer(const answer_step &step,
+                                         const http_response &lastAnswer) const
 {
     if (const auto *refusal = std::get_if<delivery::refuse_request>(&step.answer))
         return refusalAnswer(refusal->kind, refusal->ran, refusal->retryAfter);
@@ -219,110 +219,110 @@
     return answer;
 }
 
-Json::Value request_duty::announce(const Json::Value &parameters)
+Json::Value request_actor::announce(const Json::Value &parameters)
 {
     return postAndAwaitReply([&](const reply_promise &reply) {
-        return m_duty->post(announced{parameters, reply});
+        return m_actor->post(announce_received{parameters, reply});
     });
 }
 
-Json::Value request_duty::digest(const Json::Value &parameters)
+Json::Value request_actor::digest(const Json::Value &parameters)
 {
     const auto message = request::digestFromJson(arrayMember(parameters, "digest"));
     return postAndAwaitReply([&](const reply_promise &reply) {
-        return m_duty->post(digest_heard{message, reply});
+        return m_actor->post(digest_received{message, reply});
     });
 }
 
-Json::Value request_duty::status()
+Json::Value request_actor::status()
 {
     return postAndAwaitReply(
-            [&](const reply_promise &reply) { return m_duty->post(status_asked{reply}); });
+            [&](const reply_promise &reply) { return m_actor->post(status_requested{reply}); });
 }
 
-void request_duty::drain()
+void request_actor::drain()
 {
-    while (!m_duty->post(delivery::flow_drain_started{}))
+    while (!m_actor->post(delivery::flow_drain_started{}))
         std::this_thread::sleep_for(RingFullPause);
 }
 
-void request_duty::stop()
+void request_actor::stop()
 {
     m_receivers.stop();
-    m_duty->stop();
+    m_actor->stop();
 }
 
 // --- On the duty's thread -----------------------------------------------------------------------
 
-void request_duty::handle(event &what)
+void request_actor::handle(event &newEvent)
 {
     m_now = monotonic_clock::now();
-    std::visit([this](auto &each) { on(each, m_now); }, what);
+    std::visit([this](auto &each) { on(each, m_now); }, newEvent);
 }
 
-void request_duty::on(arrival &what, time_point now)
+void request_actor::on(request_arrival &newEvent, time_point now)
 {
-    const auto &service = what.event.service;
-    auto budget = m_budgets.find(service);
-    if (budget == m_budgets.end() && m_router.upstreamCount(service) > 0)
-        budget = m_budgets.try_emplace(service, budgetSettings(m_settings.retry), now).first;
-    if (budget != m_budgets.end())
+    const auto &service = newEvent.event.service;
+    auto budget = m_retryBudgets.find(service);
+    if (budget == m_retryBudgets.end() && m_router.upstreamCount(service) > 0)
+        budget = m_retryBudgets.try_emplace(service, budgetSettings(m_settings.retry), now).first;
+    if (budget != m_retryBudgets.end())
         budget->second.requestStarted(now);
-    m_calls[what.event.id] = what.call;
-    m_services[what.event.id] = service;
-    feed(what.event, now);
+    m_waitingRequests[newEvent.event.id] = newEvent.call;
+    m_serviceByRequest[newEvent.event.id] = service;
+    feed(newEvent.event, now);
 }
 
-void request_duty::on(delivery::answer_started &what, time_point now)
+void request_actor::on(delivery::answer_started &newEvent, time_point now)
 {
-    feed(what, now);
+    feed(newEvent, now);
 }
 
-void request_duty::on(attempt_result &what, time_point now)
+void request_actor::on(attempt_result &newEvent, time_point now)
 {
-    m_router.attemptEnded(what.routing, now);
-    const auto service = m_services.find(what.event.id);
-    m_retryService = service == m_services.end() ? std::string() : service->second;
-    feed(what.event, now);
+    m_router.attemptEnded(newEvent.routing, now);
+    const auto service = m_serviceByRequest.find(newEvent.event.id);
+    m_retryService = service == m_serviceByRequest.end() ? std::string() : service->second;
+    feed(newEvent.event, now);
 }
 
-void request_duty::on(delivery::claims_committed &what, time_point now)
+void request_actor::on(delivery::claims_committed &newEvent, time_point now)
 {
-    feed(what, now);
+    feed(newEvent, now);
 }
 
-void request_duty::on(delivery::claims_read &what, time_point now)
+void request_actor::on(delivery::claims_read &newEvent, time_point now)
 {
-    feed(what, now);
+    feed(newEvent, now);
 }
 
-void request_duty::on(announced &what, time_point now)
+void request_actor::on(announce_received &newEvent, time_point now)
 {
-    m_upkeepAt = std::min(m_upkeepAt, now + NewsAfter);
+    m_nextMaintenanceAt = std::min(m_nextMaintenanceAt, now + DigestDelay);
     try {
-        const bool whole = what.parameters.isMember("whole");
+        const bool whole = newEvent.parameters.isMember("whole");
         const auto outcome =
                 whole ? m_membership.handleMessage(
-                        request::announcementFromJson(what.parameters["whole"]), now)
+                        request::announcementFromJson(newEvent.parameters["whole"]), now)
                       : m_membership.handleMessage(
-                              request::heartbeatFromJson(what.parameters["beat"]), now);
-        apply(outcome.changes, now);
-        what.reply->set_value(toJson(outcome.reply));
+                              request::heartbeatFromJson(newEvent.parameters["beat"]), now);
+        applyMembershipChanges(outcome.changes, now);
+        newEvent.reply->set_value(toJson(outcome.reply));
     } catch (const error &) {
         m_metrics.count("announcements_refused_total", "bad_request");
-        what.reply->set_exception(std::current_exception());
+        newEvent.reply->set_exception(std::current_exception());
     }
 }
 
-void request_duty::on(digest_heard &what, time_point now)
+void request_actor::on(digest_received &newEvent, time_point now)
 {
-    m_upkeepAt = std::min(m_upkeepAt, now + NewsAfter);
-    const auto outcome = m_membership.handleMessage(what.message, now);
-    apply(outcome.changes, now);
+    m_nextMaintenanceAt = std::min(m_nextMaintenanceAt, now + DigestDelay);
+    const auto outcome = m_membership.handleMessage(newEvent.message, now);
+    applyMembershipChanges(outcome.changes, now);
     for (auto &peer : m_peers) {
-        if (peer.id == what.message.senderId) {
-            peer.incarnation = std::max(peer.incarnation, what.message.incarnation);
-            peer.heardAt = now;
+        if (peer.id == newEvent.message.senderId) {
+            peer.incarnation = std::max(peer.incarnation, newEvent.message.incarnation);
+            peer.lastHeardAt = now;
         }
     }
     Json::Value reply(Json::objectValue);
@@ -330,26 +330,26 @@
         reply["ack"] = toJson(*outcome.ack);
     reply["entry"] = m_self.id;
     reply["incarnation"] = Json::UInt64(m_self.incarnation);
-    what.reply->set_value(reply);
+    newEvent.reply->set_value(reply);
 }
 
-void request_duty::on(digest_answered &what, time_point now)
+void request_actor::on(digest_answered &newEvent, time_point now)
 {
-    m_upkeepAt = std::min(m_upkeepAt, now + NewsAfter);
+    m_nextMaintenanceAt = std::min(m_nextMaintenanceAt, now + DigestDelay);
     const auto peer = std::find_if(m_peers.begin(), m_peers.end(), [&](const peer_entry &each) {
-        return each.address == what.peer;
+        return each.address == newEvent.peer;
     });
     try {
-        if (!what.ack) {
+        if (!newEvent.ack) {
             m_metrics.count("digests_failed_total", "no_answer");
             return;
         }
-        peer->id = stringMember(*what.ack, "entry");
-        peer->incarnation = countMember(*what.ack, "incarnation");
-        peer->heardAt = now;
-        if (what.ack->isMember("ack")) {
-            auto ack = request::digestAckFromJson((*what.ack)["ack"]);
-            ack.senderId = what.peer; // digests are kept by the address they are sent to
+        peer->id = stringMember(*newEvent.ack, "entry");
+        peer->incarnation = countMember(*newEvent.ack, "incarnation");
+        peer->lastHeardAt = now;
+        if (newEvent.ack->isMember("ack")) {
+            auto ack = request::digestAckFromJson((*newEvent.ack)["ack"]);
+            ack.senderId = newEvent.peer; // digests are kept by the address they are sent to
             m_membership.handleMessage(ack);
         }
     } catch (const error &) {
@@ -357,7 +357,7 @@
     }
 }
 
-void request_duty::on(status_asked &what, time_point /*now*/)
+void request_actor::on(status_requested &newEvent, time_point /*now*/)
 {
     Json::Value status(Json::objectValue);
     status["entry"] = m_self.id;
@@ -373,46 +373,46 @@
     status["upstreams"] = Json::Value(Json::arrayValue);
     for (const auto &upstream : m_membership.routableUpstreams())
         status["upstreams"].append(toJson(upstream));
-    what.reply->set_value(status);
+    newEvent.reply->set_value(status);
 }
 
-void request_duty::on(delivery::flow_drain_started &what, time_point now)
+void request_actor::on(delivery::flow_drain_started &newEvent, time_point now)
 {
-    feed(what, now);
+    feed(newEvent, now);
 }
 
 // The flow's deadlines to the microsecond, the rest as seldom as it allows.
-time_point request_duty::nextTick() const
+time_point request_actor::nextTick() const
 {
-    return std::min({m_flow.nextWake(), m_upkeepAt, m_shareAt});
+    return std::min({m_flow.nextWake(), m_nextMaintenanceAt, m_nextPublishAt});
 }
 
-void request_duty::tick()
+void request_actor::tick()
 {
     const auto now = monotonic_clock::now();
     m_now = now;
     if (m_flow.nextWake() <= now)
         feed(delivery::flow_tick{}, now);
-    if (now >= m_upkeepAt)
-        upkeep(now);
-    if (now >= m_shareAt)
-        shareMembers(now);
+    if (now >= m_nextMaintenanceAt)
+        runMaintenance(now);
+    if (now >= m_nextPublishAt)
+        publishMembers(now);
 }
 
-void request_duty::upkeep(time_point now)
+void request_actor::runMaintenance(time_point now)
 {
-    m_upkeepAt = now + UpkeepEvery;
-    apply(m_membership.tick(now), now);
+    m_nextMaintenanceAt = now + MaintenanceInterval;
+    applyMembershipChanges(m_membership.tick(now), now);
     sendDigests(now);
 }
 
-void request_duty::feed(const delivery::flow_event &what, time_point now)
+void request_actor::feed(const delivery::flow_event &newEvent, time_point now)
 {
-    for (const auto &action : m_flow.handle(what, now))
+    for (const auto &action : m_flow.handle(newEvent, now))
         std::visit([&](const auto &each) { perform(each, now); }, action);
 }
 
-void request_duty::perform(const delivery::choose_upstream &action, time_point now)
+void request_actor::perform(const delivery::choose_upstream &action, time_point now)
 {
     const std::set<std::string> excluded(action.excluded.begin(), action.excluded.end());
     const auto decision = m_router.choose(action.service, excluded, now);
@@ -421,27 +421,27 @@
         return;
     }
     const auto &chosen = std::get<request::route>(decision);
-    m_routes[action.id] = chosen;
+    m_routeByRequest[action.id] = chosen;
     feed(delivery::upstream_chosen{action.id, chosen.agentId}, now);
 }
 
-void request_duty::perform(const delivery::forward_request &action, time_point now)
+void request_actor::perform(const delivery::forward_request &action, time_point now)
 {
-    const auto &route = m_routes[action.id];
+    const auto &route = m_routeByRequest[action.id];
     m_router.attemptStarted(route, now);
-    m_calls.at(action.id)->push(forward_step{action.attempt, route, action.deadline});
+    m_waitingRequests.at(action.id)->push(forward_step{action.attempt, route, action.deadline});
 }
 
-void request_duty::perform(const delivery::cancel_attempt &action, time_point /*now*/)
+void request_actor::perform(const delivery::cancel_attempt &action, time_point /*now*/)
 {
     Json::Value parameters(Json::objectValue);
     parameters["id"] = action.id;
     parameters["attempt"] = action.attempt;
-    m_sender.call(m_routes[action.id].address, "cancel", parameters,
+    m_sender.call(m_routeByRequest[action.id].address, "cancel", parameters,
                   [](const std::optional<Json::Value> &) {});
 }
 
-void request_duty::perform(const delivery::answer_caller &action, time_point /*now*/)
+void request_actor::perform(const delivery::answer_caller &action, time_point /*now*/)
 {
     if (const auto *refusal = std::get_if<delivery::refuse_request>(&action.answer))
         m_metrics.count("refusals_total", nameOf(refusal->kind));
@@ -450,63 +450,65 @@
         m_metrics.count("answers_total", "streamed");
     else
         m_metrics.count("answers_total", "whole");
-    m_calls.at(action.id)->push(answer_step{action.answer});
-    m_calls.erase(action.id);
-    m_services.erase(action.id);
-    m_routes.erase(action.id);
+    m_waitingRequests.at(action.id)->push(answer_step{action.answer});
+    m_waitingRequests.erase(action.id);
+    m_serviceByRequest.erase(action.id);
+    m_routeByRequest.erase(action.id);
 }
 
-void request_duty::perform(const delivery::commit_claims &action, time_point /*now*/)
+void request_actor::perform(const delivery::commit_claims &action, time_point /*now*/)
 {
-    const bool queued = m_claims.run([this, action](platform_client &platform) {
-        m_duty->post(delivery::claims_committed{action.transaction.operationId,
-                                                platform.commit(action.transaction)});
+    const bool queued = m_claimsPlatform.enqueue([this, action](platform_client &platform) {
+        m_actor->post(delivery::claims_committed{action.transaction.operationId,
+                                                 platform.commit(action.transaction)});
     });
     if (!queued)
-        m_duty->post(delivery::claims_committed{action.transaction.operationId,
-                                                {write_outcome::Refused, 0, {}}});
+        m_actor->post(delivery::claims_committed{action.transaction.operationId,
+                                                 {write_outcome::Refused, 0, {}}});
 }
 
-void request_duty::perform(const delivery::read_claims &action, time_point /*now*/)
+void request_actor::perform(const delivery::read_claims &action, time_point /*now*/)
 {
     readClaims(action.readId, action.keys, {});
 }
 
-void request_duty::perform(const delivery::scan_claims &action, time_point /*now*/)
+void request_actor::perform(const delivery::scan_claims &action, time_point /*now*/)
 {
     readClaims(action.readId, {}, {action.prefix});
 }
 
-void request_duty::readClaims(const std::string &readId, std::vector<std::string> keys,
-                              std::vector<std::string> prefixes)
+void request_actor::readClaims(const std::string &readId, std::vector<std::string> keys,
+                               std::vector<std::string> prefixes)
 {
-    const bool queued = m_claims.run([this, readId, keys = std::move(keys),
+    const bool queued =
+            m_claimsPlatform.enqueue([this, readId, keys = std::move(keys),
                                       prefixes = std::move(prefixes)](platform_client &platform) {
-        const auto reading = platform.read(keys, prefixes);
-        delivery::claims_read read{readId, reading.has_value(), {}};
-        if (reading)
-            read.rows = reading->rows;
-        m_duty->post(std::move(read));
-    });
+                const auto reading = platform.read(keys, prefixes);
+                delivery::claims_read read{readId, reading.has_value(), {}};
+                if (reading)
+                    read.rows = reading->rows;
+                m_actor->post(std::move(read));
+            });
     if (!queued)
-        m_duty->post(delivery::claims_read{readId, false, {}});
+        m_actor->post(delivery::claims_read{readId, false, {}});
 }
 
-void request_duty::perform(const delivery::increment_counter &action, time_point /*now*/)
+void request_actor::perform(const delivery::increment_counter &action, time_point /*now*/)
 {
     m_metrics.count("flow_" + std::string(nameOf(action.counter)) + "_total",
                     action.kind ? nameOf(*action.kind) : "all", static_cast<double>(action.amount));
 }
 
-void request_duty::perform(const delivery::flow_drained &action, time_point /*now*/)
+void request_actor::perform(const delivery::flow_drained &action, time_point /*now*/)
 {
     if (action.recordsLost > 0)
         m_metrics.count("claim_records_lost_total", "drain",
                         static_cast<double>(action.recordsLost));
-    m_drained = true;
+    m_isDrained = true;
 }
 
-void request_duty::apply(const std::vector<request::membership_change> &changes, time_point now)
+void request_actor::applyMembershipChanges(const std::vector<request::membership_change> &changes,
+                                           time_point now)
 {
     for (const auto &change : changes) {
         m_router.apply(change, now);
@@ -521,10 +523,10 @@
         }
     }
     if (!changes.empty())
-        m_shareAt = std::min(m_shareAt, now);
+        m_nextPublishAt = std::min(m_nextPublishAt, now);
 }
 
-void request_duty::sendDigests(time_point now)
+void request_actor::sendDigests(time_point now)
 {
     for (const auto &peer : m_peers) {
         const auto digest = m_membership.digestFor(peer.address, now);
@@ -536,32 +538,32 @@
         wrapped["config"] = m_generationReport();
         const bool queued = m_sender.call(
                 address, "digest", wrapped, [this, address](std::optional<Json::Value> ack) {
-                    m_duty->post(digest_answered{address, std::move(ack)});
+                    m_actor->post(digest_answered{address, std::move(ack)});
                 });
         if (!queued)
             m_metrics.count("digests_failed_total", "ring_full");
     }
 }
 
-void request_duty::shareMembers(time_point now)
+void request_actor::publishMembers(time_point now)
 {
-    m_shareAt = now + ShareEvery;
+    m_nextPublishAt = now + PublishInterval;
     members_snapshot snapshot;
     snapshot.agents = m_membership.knownUpstreams();
     snapshot.liveEntries.push_back(m_self.id);
     for (const auto &peer : m_peers) {
         if (!peer.id.empty())
             snapshot.entryAddresses[peer.id] = peer.address;
-        if (!peer.id.empty() && now - peer.heardAt < m_settings.announceSilence * 2)
+        if (!peer.id.empty() && now - peer.lastHeardAt < m_settings.announceSilence * 2)
             snapshot.liveEntries.push_back(peer.id);
     }
     m_membersChanged(std::move(snapshot));
 }
 
-bool request_duty::permitRetry(error_kind kind)
+bool request_actor::isRetryPermitted(error_kind kind)
 {
-    const auto budget = m_budgets.find(m_retryService);
-    if (budget == m_budgets.end())
+    const auto budget = m_retryBudgets.find(m_retryService);
+    if (budget == m_retryBudgets.end())
         return false;
     request::failed_attempt failed;
     failed.kind = kind;
@@ -575,13 +577,13 @@
     return true;
 }
 
-bool request_duty::entryAlive(const std::string &uniqueId) const
+bool request_actor::isEntryAlive(const std::string &uniqueId) const
 {
-    if (uniqueId == m_self.unique())
+    if (uniqueId == m_self.fullId())
         return true;
     return std::any_of(m_peers.begin(), m_peers.end(), [&](const peer_entry &peer) {
-        return process_identity{peer.id, peer.incarnation}.unique() == uniqueId
-               && m_now - peer.heardAt < m_settings.announceSilence * 2;
+        return process_identity{peer.id, peer.incarnation}.fullId() == uniqueId
+               && m_now - peer.lastHeardAt < m_settings.announceSilence * 2;
     });
 }
 
--- a/app/request_actor.h
+++ b/app/request_actor.h
@@ -41,16 +41,16 @@
 using call_step = std::variant<forward_step, answer_step>;
 
 // One caller's request while its HTTP thread waits.
-class caller_call
+class waiting_request
 {
 public:
-    explicit caller_call(const http_request &request)
+    explicit waiting_request(const http_request &request)
         : m_request(request)
     { }
 
     const http_request &request() const { return m_request; }
     void push(call_step step);
-    call_step next(); // waits
+    call_step waitForStep(); // waits
 
 private:
     const http_request &m_request;
@@ -65,7 +65,7 @@
     std::string id;                // from the settings
     std::uint64_t incarnation = 0; // higher for each start
 
-    std::string unique() const { return id + "@" + std::to_string(incarnation); }
+    std::string fullId() const { return id + "@" + std::to_string(incarnation); }
 };
 
 // What the scheduler has to know of the others.
@@ -76,15 +76,15 @@
     std::map<std::string, std::string> entryAddresses; // rpc address by id, of peers once heard
 };
 
-class request_duty
+class request_actor
 {
 public:
-    request_duty(duty_system &system, const config::entry_settings &settings,
-                 const process_identity &self, platform_lane &claims, rpc_sender &sender,
-                 metrics &counters, const logger &log,
-                 std::function<void(members_snapshot)> membersChanged,
-                 std::function<Json::Value()> generationReport);
-    ~request_duty();
+    request_actor(duty_system &system, const config::entry_settings &settings,
+                  const process_identity &self, platform_executor &claims, rpc_sender &sender,
+                  metrics &counters, const logger &log,
+                  std::function<void(members_snapshot)> membersChanged,
+                  std::function<Json::Value()> generationReport);
+    ~request_actor();
 
     // Runs on the caller's HTTP thread until the final answer is there.
     http_response serve(const http_request &request);
@@ -95,26 +95,26 @@
     Json::Value status();
 
     void drain();
-    bool drained() const { return m_drained; }
+    bool isDrained() const { return m_isDrained; }
     void stop();
 
 private:
-    struct arrival
+    struct request_arrival
     {
         delivery::request_arrived event;
-        std::shared_ptr<caller_call> call;
+        std::shared_ptr<waiting_request> call;
     };
     struct attempt_result
     {
         delivery::attempt_ended event;
         request::attempt_ended routing;
     };
-    struct announced
+    struct announce_received
     {
         Json::Value parameters;
         reply_promise reply;
     };
-    struct digest_heard
+    struct digest_received
     {
         request::digest message;
         reply_promise reply;
@@ -124,45 +124,46 @@
         std::string peer;
         std::optional<Json::Value> ack;
     };
-    struct status_asked
+    struct status_requested
     {
         reply_promise reply;
     };
-    using event =
-            std::variant<arrival, delivery::answer_started, attempt_result,
-                         delivery::claims_committed, delivery::claims_read, announced, digest_heard,
-                         digest_answered, status_asked, delivery::flow_drain_started>;
+    using event = std::variant<request_arrival, delivery::answer_started, attempt_result,
+                               delivery::claims_committed, delivery::claims_read, announce_received,
+                               digest_received, digest_answered, status_requested,
+                               delivery::flow_drain_started>;
 
     struct peer_entry
     {
         std::string address;           // ip:port
         std::string id;                // once heard
         std::uint64_t incarnation = 0; // once heard
-        time_point heardAt{};
+        time_point lastHeardAt{};
     };
 
     // On HTTP threads.
-    http_response forwardAndReport(const caller_call &call, const std::string &id,
+    http_response forwardAndReport(const waiting_request &call, const std::string &id,
                                    const forward_step &step);
-    void reportStream(const std::string &id, std::uint32_t attempt, forwarded_attempt begun);
+    void reportStreamedAnswer(const std::string &id, std::uint32_t attempt,
+                              forwarded_attempt startedAttempt);
     void reportEnd(const std::string &id, std::uint32_t attempt, forwarded_attempt sent);
     http_response finalAnswer(const answer_step &step, const http_response &lastAnswer) const;
     // On the duty's thread.
-    void handle(event &what);
-    void on(arrival &what, time_point now);
-    void on(delivery::answer_started &what, time_point now);
-    void on(attempt_result &what, time_point now);
-    void on(delivery::claims_committed &what, time_point now);
-    void on(delivery::claims_read &what, time_point now);
-    void on(announced &what, time_point now);
-    void on(digest_heard &what, time_point now);
-    void on(digest_answered &what, time_point now);
-    void on(status_asked &what, time_point now);
-    void on(delivery::flow_drain_started &what, time_point now);
+    void handle(event &newEvent);
+    void on(request_arrival &newEvent, time_point now);
+    void on(delivery::answer_started &newEvent, time_point now);
+    void on(attempt_result &newEvent, time_point now);
+    void on(delivery::claims_committed &newEvent, time_point now);
+    void on(delivery::claims_read &newEvent, time_point now);
+    void on(announce_received &newEvent, time_point now);
+    void on(digest_received &newEvent, time_point now);
+    void on(digest_answered &newEvent, time_point now);
+    void on(status_requested &newEvent, time_point now);
+    void on(delivery::flow_drain_started &newEvent, time_point now);
     time_point nextTick() const;
     void tick();
-    void upkeep(time_point now);
-    void feed(const delivery::flow_event &what, time_point now);
+    void runMaintenance(time_point now);
+    void feed(const delivery::flow_event &newEvent, time_point now);
     void perform(const delivery::choose_upstream &action, time_point now);
     void perform(const delivery::forward_request &action, time_point now);
     void perform(const delivery::cancel_attempt &action, time_point now);
@@ -174,15 +175,16 @@
     void perform(const delivery::flow_drained &action, time_point now);
     void readClaims(const std::string &readId, std::vector<std::string> keys,
                     std::vector<std::string> prefixes);
-    void apply(const std::vector<request::membership_change> &changes, time_point now);
+    void applyMembershipChanges(const std::vector<request::membership_change> &changes,
+                                time_point now);
     void sendDigests(time_point now);
-    void shareMembers(time_point now);
-    bool permitRetry(error_kind kind);
-    bool entryAlive(const std::string &uniqueId) const;
+    void publishMembers(time_point now);
+    bool isRetryPermitted(error_kind kind);
+    bool isEntryAlive(const std::string &uniqueId) const;
 
     const config::entry_settings m_settings;
     const process_identity m_self;
-    platform_lane &m_claims;
+    platform_executor &m_claimsPlatform;
     rpc_sender &m_sender;
     metrics &m_metrics;
     const logger &m_log;
@@ -190,24 +192,24 @@
     std::function<void(members_snapshot)> m_membersChanged;
     std::function<Json::Value()> m_generationReport; // goes with every digest
     std::atomic<std::uint64_t> m_nextRequest{0};
-    std::atomic<bool> m_drained{false};
+    std::atomic<bool> m_isDrained{false};
 
     // Touched by the duty's thread alone.
     request::membership m_membership;
     request::router m_router;
     delivery::request_flow m_flow;
-    std::map<std::string, request::retry_budget> m_budgets;      // by service
-    std::map<std::string, std::shared_ptr<caller_call>> m_calls; // by request id
-    std::map<std::string, std::string> m_services;               // by request id
-    std::map<std::string, request::route> m_routes;              // chosen, by request id
+    std::map<std::string, request::retry_budget> m_retryBudgets;               // by service
+    std::map<std::string, std::shared_ptr<waiting_request>> m_waitingRequests; // by request id
+    std::map<std::string, std::string> m_serviceByRequest;                     // by request id
+    std::map<std::string, request::route> m_routeByRequest; // chosen, by request id
     std::vector<peer_entry> m_peers;
     std::string m_retryService; // of the attempt being handled
     time_point m_now{};         // of the event being handled
-    time_point m_shareAt{};
-    time_point m_upkeepAt{};
+    time_point m_nextPublishAt{};
+    time_point m_nextMaintenanceAt{};
 
-    std::unique_ptr<duty<event>> m_duty; // its thread uses all of the above
-    receivers m_receivers;               // last: its threads post to the duty
+    std::unique_ptr<duty<event>> m_actor; // its thread uses all of the above
+    receivers m_receivers;                // last: its threads post to the duty
 };
 
 } // namespace zinniabarrow
--- a/app/rpc_endpoint.cpp
+++ b/app/rpc_endpoint.cpp
@@ -13,7 +13,7 @@
 
 rpc_endpoint::rpc_endpoint(metrics &counters, std::function<bool()> ready)
     : m_metrics(counters)
-    , m_ready(std::move(ready))
+    , m_isReady(std::move(ready))
 {
     // Each reason has its counter from the start: an alarm on a rate needs the zero before the one.
     for (const auto &row : errorAnswers()) {
@@ -55,7 +55,7 @@
     if (path == "/healthz")
         return http_response{200, {}, R"({"status":"alive"})"};
     if (path == "/readyz") {
-        const bool ready = m_ready();
+        const bool ready = m_isReady();
         return http_response{ready ? 200 : 503,
                              {},
                              ready ? R"({"status":"ready"})" : R"({"status":"not ready"})"};
--- a/app/rpc_endpoint.h
+++ b/app/rpc_endpoint.h
@@ -25,7 +25,7 @@
     http_response answerCall(const http_request &request) const;
 
     metrics &m_metrics;
-    std::function<bool()> m_ready;
+    std::function<bool()> m_isReady;
     rpc_server m_methods;
 };
 
--- a/app/scheduling_actor.cpp
+++ b/app/scheduling_actor.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 32768;
-constexpr milliseconds TickEvery{100};
-const write_result NotSent{write_outcome::Refused, 0, {}}; // the lane to the platform is full
+constexpr milliseconds TickInterval{100};
+const write_result NotSentResult{write_outcome::Refused, 0, {}}; // the lane to the platform is full
 
 work::lease_settings leaseSettings(const config::entry_settings &settings)
 {
@@ -55,9 +55,9 @@
 
 } // namespace
 
-schedule_duty::schedule_duty(duty_system &system, const config::entry_settings &settings,
-                             const process_identity &self, platform_lane &platform,
-                             rpc_sender &sender, metrics &counters, const logger &log)
+scheduling_actor::scheduling_actor(duty_system &system, const config::entry_settings &settings,
+                                   const process_identity &self, platform_executor &platform,
+                                   rpc_sender &sender, metrics &counters, const logger &log)
     : m_settings(settings)
     , m_self(self)
     , m_platform(platform)
@@ -65,137 +65,138 @@
     , m_metrics(counters)
     , m_log(log)
     , m_shardInfos(shardInfos(settings.shards))
-    , m_owner({self.id, {}}, self.unique() + "/own", m_shardInfos, ownershipSettings(settings))
+    , m_ownership({self.id, {}}, self.fullId() + "/own", m_shardInfos, ownershipSettings(settings))
 {
-    m_duty = std::make_unique<duty<event>>(
-            system, RingCapacity, [this](event &what) { handle(what); }, TickEvery,
+    m_actor = std::make_unique<duty<event>>(
+            system, RingCapacity, [this](event &newEvent) { handle(newEvent); }, TickInterval,
             [this] { tick(); });
 }
 
-schedule_duty::~schedule_duty() = default;
+scheduling_actor::~scheduling_actor() = default;
 
-void schedule_duty::stop()
+void scheduling_actor::stop()
 {
-    m_duty->stop();
+    m_actor->stop();
 }
 
 // --- On other threads ---------------------------------------------------------------------------
 
-void schedule_duty::membersChanged(members_snapshot snapshot)
+void scheduling_actor::membersChanged(members_snapshot snapshot)
 {
-    m_duty->post(std::move(snapshot)); // the next one follows soon when the ring is full
+    m_actor->post(std::move(snapshot)); // the next one follows soon when the ring is full
 }
 
-void schedule_duty::configurationAdopted(adopted_configuration adopted)
+void scheduling_actor::configurationAdopted(adopted_configuration adopted)
 {
-    while (!m_duty->post(adopted))
-        std::this_thread::sleep_for(TickEvery);
+    while (!m_actor->post(adopted))
+        std::this_thread::sleep_for(TickInterval);
 }
 
-Json::Value schedule_duty::report(const Json::Value &parameters)
+Json::Value scheduling_actor::report(const Json::Value &parameters)
 {
     const auto message = work::agentReportFromJson(objectMember(parameters, "report"));
-    const worker_place place{placement::workerInfoFromJson(objectMember(parameters, "worker")),
-                             stringMember(parameters, "agent"), boolMember(parameters, "serving")};
+    const reported_worker place{placement::workerInfoFromJson(objectMember(parameters, "worker")),
+                                stringMember(parameters, "agent"),
+                                boolMember(parameters, "serving")};
     return postAndAwaitReply([&](const reply_promise &reply) {
-        return m_duty->post(report_heard{message, place, reply});
+        return m_actor->post(report_request{message, place, reply});
     });
 }
 
-Json::Value schedule_duty::usage(const Json::Value &parameters)
+Json::Value scheduling_actor::usage(const Json::Value &parameters)
 {
     return postAndAwaitReply([&](const reply_promise &reply) {
-        return m_duty->post(usage_heard{parameters, reply});
+        return m_actor->post(usage_request{parameters, reply});
     });
 }
 
-Json::Value schedule_duty::status()
+Json::Value scheduling_actor::status()
 {
     return postAndAwaitReply(
-            [&](const reply_promise &reply) { return m_duty->post(status_asked{reply}); });
+            [&](const reply_promise &reply) { return m_actor->post(status_request{reply}); });
 }
 
-Json::Value schedule_duty::explain(const Json::Value &parameters)
+Json::Value scheduling_actor::explain(const Json::Value &parameters)
 {
     const auto task = work::taskIdFromText(stringMember(parameters, "task"));
     return postAndAwaitReply([&](const reply_promise &reply) {
-        return m_duty->post(explain_asked{task, reply});
+        return m_actor->post(explain_request{task, reply});
     });
 }
 
-void schedule_duty::drain()
+void scheduling_actor::drain()
 {
-    while (!m_duty->post(work::release_shards{}))
-        std::this_thread::sleep_for(TickEvery);
+    while (!m_actor->post(work::release_shards{}))
+        std::this_thread::sleep_for(TickInterval);
 }
 
 // --- On the duty's thread -----------------------------------------------------------------------
 
-void schedule_duty::handle(event &what)
+void scheduling_actor::handle(event &newEvent)
 {
-    std::visit([this](auto &each) { on(each); }, what);
+    std::visit([this](auto &each) { on(each); }, newEvent);
 }
 
-void schedule_duty::on(members_snapshot &what)
+void scheduling_actor::on(members_snapshot &newEvent)
 {
     std::vector<work::entry_info> entries;
-    for (const auto &id : what.liveEntries)
+    for (const auto &id : newEvent.liveEntries)
         entries.push_back({id, {}});
-    feedOwner(work::peers_changed{entries});
+    feedOwnership(work::peers_changed{entries});
 }
 
-void schedule_duty::on(adopted_configuration &what)
+void scheduling_actor::on(adopted_configuration &newEvent)
 {
-    m_configuration = what;
+    m_configuration = newEvent;
 }
 
-void schedule_duty::on(work::shard_rows_read &what)
+void scheduling_actor::on(work::shard_rows_read &newEvent)
 {
-    feedOwner(what);
+    feedOwnership(newEvent);
 }
 
-void schedule_duty::on(work::shard_write_answered &what)
+void scheduling_actor::on(work::shard_write_answered &newEvent)
 {
-    feedOwner(what);
+    feedOwnership(newEvent);
 }
 
-void schedule_duty::on(table_answer &what)
+void scheduling_actor::on(coordinator_answer &newEvent)
 {
-    const auto shard = m_shards.find(what.shard);
-    if (shard == m_shards.end() || shard->second->epoch() != what.epoch)
+    const auto shard = m_shards.find(newEvent.shard);
+    if (shard == m_shards.end() || shard->second->epoch() != newEvent.epoch)
         return; // of a table that was discarded
-    performAll(*shard->second, shard->second->handle(what.answer, monotonic_clock::now()));
+    performActions(*shard->second, shard->second->handle(newEvent.answer, monotonic_clock::now()));
 }
 
-void schedule_duty::on(report_heard &what)
+void scheduling_actor::on(report_request &newEvent)
 {
     Json::Value answer(Json::objectValue);
-    auto *shard = shardOf(what.report.worker);
+    auto *shard = findOwnedShard(newEvent.report.worker);
     answer["owner"] = shard != nullptr;
     if (shard != nullptr) {
-        m_handling = what.report;
-        m_workers[what.report.worker] = what.place;
-        performAll(*shard,
-                   shard->handle(work::report_received{what.report}, monotonic_clock::now()));
-        m_handling.reset();
+        m_currentReport = newEvent.report;
+        m_reportedWorkers[newEvent.report.worker] = newEvent.place;
+        performActions(*shard, shard->handle(work::report_received{newEvent.report},
+                                             monotonic_clock::now()));
+        m_currentReport.reset();
         if (m_replyGrant)
             answer["grant"] = toJson(*m_replyGrant);
         m_replyGrant.reset();
     }
-    what.reply->set_value(answer);
+    newEvent.reply->set_value(answer);
 }
 
-void schedule_duty::on(usage_heard &what)
+void scheduling_actor::on(usage_request &newEvent)
 {
     const auto now = monotonic_clock::now();
     try {
-        const auto worker = stringMember(what.parameters, "worker");
-        const auto measuredAt = now - milliseconds(integerMember(what.parameters, "age_ms"));
-        const auto report = work::usageReportFromJson(what.parameters);
-        auto *shard = shardOf(worker);
+        const auto worker = stringMember(newEvent.parameters, "worker");
+        const auto measuredAt = now - milliseconds(integerMember(newEvent.parameters, "age_ms"));
+        const auto report = work::usageReportFromJson(newEvent.parameters);
+        auto *shard = findOwnedShard(worker);
         if (shard == nullptr)
-            m_usage.forgetWorker(worker);
-        else if (const auto usage = m_usage.applyReport(worker, report)) {
+            m_usageTracker.forgetWorker(worker);
+        else if (const auto usage = m_usageTracker.applyReport(worker, report)) {
             for (const auto &[task, used] : *usage) {
                 placement::usage_sample sample;
                 sample.task = {task.job, static_cast<std::int32_t>(task.index)};
@@ -204,59 +205,59 @@
                 sample.measuredAt = measuredAt;
                 shard->usageSampled(sample, now);
             }
-            const auto service = stringMember(what.parameters, "service");
-            const microseconds p99(integerMember(what.parameters, "p99_us"));
+            const auto service = stringMember(newEvent.parameters, "service");
+            const microseconds p99(integerMember(newEvent.parameters, "p99_us"));
             // Requests and usage are not measured together; agents of earlier versions gave one
             // age.
-            const bool own = what.parameters.isMember("p99_age_ms");
-            const auto servedAt =
-                    own ? now - milliseconds(integerMember(what.parameters, "p99_age_ms"))
-                        : measuredAt;
-            shard->latencySampled(worker, service, p99, servedAt, now);
+            const bool hasOwnAge = newEvent.parameters.isMember("p99_age_ms");
+            const auto latencyMeasuredAt =
+                    hasOwnAge ? now - milliseconds(integerMember(newEvent.parameters, "p99_age_ms"))
+                              : measuredAt;
+            shard->latencySampled(worker, service, p99, latencyMeasuredAt, now);
         }
-        what.reply->set_value(Json::Value(Json::objectValue));
+        newEvent.reply->set_value(Json::Value(Json::objectValue));
     } catch (const error &) {
         m_metrics.count("usage_refused_total", "bad_request");
-        what.reply->set_exception(std::current_exception());
+        newEvent.reply->set_exception(std::current_exception());
     }
 }
 
-void schedule_duty::on(status_asked &what)
+void scheduling_actor::on(status_request &newEvent)
 {
     Json::Value status(Json::objectValue);
     status["generation"] = Json::UInt64(m_configuration.generation);
     status["shards"] = Json::Value(Json::arrayValue);
     for (const auto &[number, shard] : m_shards)
         status["shards"].append(shard->status(monotonic_clock::now()));
-    what.reply->set_value(status);
+    newEvent.reply->set_value(status);
 }
 
-void schedule_duty::on(explain_asked &what)
+void scheduling_actor::on(explain_request &newEvent)
 {
     Json::Value answer(Json::objectValue);
     for (const auto &[number, shard] : m_shards) {
-        if (shard->knows(what.task))
-            answer["reason"] = shard->explain(what.task, monotonic_clock::now());
+        if (shard->containsTask(newEvent.task))
+            answer["reason"] = shard->explain(newEvent.task, monotonic_clock::now());
     }
-    what.reply->set_value(answer);
+    newEvent.reply->set_value(answer);
 }
 
-void schedule_duty::on(work::release_shards &what)
+void scheduling_actor::on(work::release_shards &newEvent)
 {
-    m_releasing = true;
-    what.unresponsive = quietWorkers();
-    feedOwner(what);
+    m_isReleasing = true;
+    newEvent.unresponsive = listUnresponsiveWorkers();
+    feedOwnership(newEvent);
 }
 
-void schedule_duty::tick()
+void scheduling_actor::tick()
 {
     // Half a tick early: a tick that comes a little sooner than the last must not cost a round.
     const auto now = monotonic_clock::now();
-    const bool isPlanDue = now + TickEvery / 2 >= m_planAt;
+    const bool isPlanDue = now + TickInterval / 2 >= m_nextPlanAt;
     if (isPlanDue)
-        m_planAt = now + m_settings.placement.tick;
-    feedOwner(work::ownership_tick{quietWorkers()});
-    m_drained = m_releasing && m_owner.isReleased();
+        m_nextPlanAt = now + m_settings.placement.tick;
+    feedOwnership(work::ownership_tick{listUnresponsiveWorkers()});
+    m_isDrained = m_isReleasing && m_ownership.isReleased();
     // `handle` may discard a shard: walk over the numbers, not over the map.
     std::vector<int> numbers;
     for (const auto &[number, shard] : m_shards)
@@ -265,54 +266,56 @@
         const auto feed = [&](const work::coordinator_event &input) {
             const auto found = m_shards.find(number);
             if (found != m_shards.end())
-                performAll(*found->second, found->second->handle(input, monotonic_clock::now()));
+                performActions(*found->second,
+                               found->second->handle(input, monotonic_clock::now()));
         };
-        feed(work::grant_deadline_changed{m_owner.mayGrantUntil(number)});
+        feed(work::grant_deadline_changed{m_ownership.mayGrantUntil(number)});
         feed(work::coordinator_tick{});
         const auto found = m_shards.find(number);
-        if (found == m_shards.end() || m_releasing)
+        if (found == m_shards.end() || m_isReleasing)
             continue;
         auto &shard = *found->second;
-        performAll(shard, shard.follow(m_configuration, m_workers, monotonic_clock::now()));
+        performActions(shard,
+                       shard.reconcile(m_configuration, m_reportedWorkers, monotonic_clock::now()));
         if (isPlanDue)
-            performAll(shard, shard.plan(monotonic_clock::now()));
+            performActions(shard, shard.plan(monotonic_clock::now()));
     }
 }
 
-std::map<int, work::unresponsive_workers> schedule_duty::quietWorkers() const
+std::map<int, work::unresponsive_workers> scheduling_actor::listUnresponsiveWorkers() const
 {
     std::map<int, work::unresponsive_workers> quiet;
     for (const auto &[number, shard] : m_shards)
-        quiet[number] = shard->quietWorkers(monotonic_clock::now());
+        quiet[number] = shard->currentUnresponsiveWorkers(monotonic_clock::now());
     return quiet;
 }
 
-void schedule_duty::feedOwner(const work::ownership_event &what)
+void scheduling_actor::feedOwnership(const work::ownership_event &newEvent)
 {
-    for (const auto &action : m_owner.handle(what, monotonic_clock::now()))
+    for (const auto &action : m_ownership.handle(newEvent, monotonic_clock::now()))
         std::visit([this](const auto &each) { perform(each); }, action);
 }
 
-void schedule_duty::perform(const work::commit_shard &action)
+void scheduling_actor::perform(const work::commit_shard &action)
 {
-    const bool queued = m_platform.run([this, action](platform_client &platform) {
+    const bool queued = m_platform.enqueue([this, action](platform_client &platform) {
         const auto result = platform.commit(action.transaction);
-        m_duty->post(work::shard_write_answered{action.transaction.operationId, result});
+        m_actor->post(work::shard_write_answered{action.transaction.operationId, result});
     });
     if (!queued)
-        m_duty->post(work::shard_write_answered{action.transaction.operationId, NotSent});
+        m_actor->post(work::shard_write_answered{action.transaction.operationId, NotSentResult});
 }
 
-void schedule_duty::perform(const work::scan_shards & /*action*/)
+void scheduling_actor::perform(const work::scan_shards & /*action*/)
 {
-    m_platform.run([this](platform_client &platform) {
+    m_platform.enqueue([this](platform_client &platform) {
         const auto startedAt = monotonic_clock::now();
         if (const auto reading = platform.read({}, {work::ShardPrefix}))
-            m_duty->post(work::shard_rows_read{reading->rows, startedAt});
+            m_actor->post(work::shard_rows_read{reading->rows, startedAt});
     });
 }
 
-void schedule_duty::perform(const work::became_owner &action)
+void scheduling_actor::perform(const work::became_owner &action)
 {
     Json::Value fields(Json::objectValue);
     fields["shard"] = action.shard;
@@ -326,14 +329,14 @@
     settings.startsBacklogWhenDown = false; // the placer counts each start
     const work::shard_tenure owner{action.shard, action.epoch, action.shardVersion,
                                    action.earlierLeasesEndAt, action.unresponsive};
-    const auto prefix = m_self.unique() + "/work-" + std::to_string(action.shard) + "-"
+    const auto prefix = m_self.fullId() + "/work-" + std::to_string(action.shard) + "-"
                         + std::to_string(action.epoch);
     m_shards[action.shard] =
             std::make_unique<owned_shard>(owner, prefix, settings, placerSettings(m_settings),
                                           m_settings.shards, m_metrics, m_log);
 }
 
-void schedule_duty::perform(const work::lost_shard &action)
+void scheduling_actor::perform(const work::lost_shard &action)
 {
     Json::Value fields(Json::objectValue);
     fields["shard"] = action.shard;
@@ -341,8 +344,8 @@
     m_shards.erase(action.shard);
 }
 
-void schedule_duty::performAll(owned_shard &shard,
-                               const std::vector<work::coordinator_action> &actions)
+void scheduling_actor::performActions(owned_shard &shard,
+                                      const std::vector<work::coordinator_action> &actions)
 {
     for (const auto &action : actions) {
         if (const auto *commit = std::get_if<work::commit_rows>(&action))
@@ -358,7 +361,7 @@
     }
 }
 
-void schedule_duty::commitRows(const owned_shard &shard, const work::commit_rows &action)
+void scheduling_actor::commitRows(const owned_shard &shard, const work::commit_rows &action)
 {
     const auto number = shard.number();
     const auto epoch = shard.epoch();
@@ -366,43 +369,43 @@
                     static_cast<double>(action.transaction.writes.size()));
     const auto answer = [this, id = action.transaction.operationId, number,
                          epoch](const write_result &result) {
-        m_duty->post(table_answer{number, epoch, work::write_answered{id, result}});
+        m_actor->post(coordinator_answer{number, epoch, work::write_answered{id, result}});
     };
-    const bool queued = m_platform.run([action, answer](platform_client &platform) {
+    const bool queued = m_platform.enqueue([action, answer](platform_client &platform) {
         answer(platform.commit(action.transaction));
     });
     if (!queued)
-        answer(NotSent);
+        answer(NotSentResult);
 }
 
-void schedule_duty::readRows(const owned_shard &shard, std::vector<std::string> keys,
-                             std::string prefix)
+void scheduling_actor::readRows(const owned_shard &shard, std::vector<std::string> keys,
+                                std::string prefix)
 {
     const auto number = shard.number();
     const auto epoch = shard.epoch();
-    m_platform.run([this, keys = std::move(keys), prefix = std::move(prefix), number,
-                    epoch](platform_client &platform) {
+    m_platform.enqueue([this, keys = std::move(keys), prefix = std::move(prefix), number,
+                        epoch](platform_client &platform) {
         const std::vector<std::string> prefixes =
                 prefix.empty() ? std::vector<std::string>{} : std::vector<std::string>{prefix};
         if (const auto reading = platform.read(keys, prefixes))
-            m_duty->post(table_answer{number, epoch, work::rows_read{keys, reading->rows}});
+            m_actor->post(coordinator_answer{number, epoch, work::rows_read{keys, reading->rows}});
     });
 }
 
-void schedule_duty::sendGrant(const work::worker_grant &grant)
+void scheduling_actor::sendGrant(const work::worker_grant &grant)
 {
-    if (m_handling && m_handling->worker == grant.worker && !m_replyGrant) {
+    if (m_currentReport && m_currentReport->worker == grant.worker && !m_replyGrant) {
         m_replyGrant = grant;
         return;
     }
-    const auto agent = m_workers.find(grant.worker);
-    if (agent == m_workers.end())
+    const auto agent = m_reportedWorkers.find(grant.worker);
+    if (agent == m_reportedWorkers.end())
         return;
     m_sender.call(agent->second.agentAddress, "grant", toJson(grant),
                   [](const std::optional<Json::Value> &) {});
 }
 
-owned_shard *schedule_duty::shardOf(const std::string &worker)
+owned_shard *scheduling_actor::findOwnedShard(const std::string &worker)
 {
     const auto number = work::shardOfWorker(worker, {}, m_shardInfos);
     const auto found = m_shards.find(number);
--- a/app/scheduling_actor.h
+++ b/app/scheduling_actor.h
@@ -23,13 +23,13 @@
 
 namespace zinniabarrow {
 
-class schedule_duty
+class scheduling_actor
 {
 public:
-    schedule_duty(duty_system &system, const config::entry_settings &settings,
-                  const process_identity &self, platform_lane &platform, rpc_sender &sender,
-                  metrics &counters, const logger &log);
-    ~schedule_duty();
+    scheduling_actor(duty_system &system, const config::entry_settings &settings,
+                     const process_identity &self, platform_executor &platform, rpc_sender &sender,
+                     metrics &counters, const logger &log);
+    ~scheduling_actor();
 
     void membersChanged(members_snapshot snapshot);
     void configurationAdopted(adopted_configuration adopted);
@@ -41,86 +41,87 @@
     Json::Value explain(const Json::Value &parameters); // {task}
 
     void drain(); // hands the shards over
-    bool drained() const { return m_drained; }
+    bool isDrained() const { return m_isDrained; }
     void stop();
 
 private:
-    struct report_heard
+    struct report_request
     {
         work::agent_report report;
-        worker_place place;
+        reported_worker place;
         reply_promise reply;
     };
-    struct usage_heard
+    struct usage_request
     {
         Json::Value parameters;
         reply_promise reply;
     };
-    struct status_asked
+    struct status_request
     {
         reply_promise reply;
     };
-    struct explain_asked
+    struct explain_request
     {
         work::task_id task;
         reply_promise reply;
     };
-    struct table_answer // for the task table that was owned under `epoch`
+    struct coordinator_answer // for the task table that was owned under `epoch`
     {
         int shard = 0;
         std::uint64_t epoch = 0;
         work::coordinator_event answer;
     };
-    using event = std::variant<members_snapshot, adopted_configuration, work::shard_rows_read,
-                               work::shard_write_answered, table_answer, report_heard, usage_heard,
-                               status_asked, explain_asked, work::release_shards>;
+    using event =
+            std::variant<members_snapshot, adopted_configuration, work::shard_rows_read,
+                         work::shard_write_answered, coordinator_answer, report_request,
+                         usage_request, status_request, explain_request, work::release_shards>;
 
-    void handle(event &what);
-    void on(members_snapshot &what);
-    void on(adopted_configuration &what);
-    void on(work::shard_rows_read &what);
-    void on(work::shard_write_answered &what);
-    void on(table_answer &what);
-    void on(report_heard &what);
-    void on(usage_heard &what);
-    void on(status_asked &what);
-    void on(explain_asked &what);
-    void on(work::release_shards &what);
+    void handle(event &newEvent);
+    void on(members_snapshot &newEvent);
+    void on(adopted_configuration &newEvent);
+    void on(work::shard_rows_read &newEvent);
+    void on(work::shard_write_answered &newEvent);
+    void on(coordinator_answer &newEvent);
+    void on(report_request &newEvent);
+    void on(usage_request &newEvent);
+    void on(status_request &newEvent);
+    void on(explain_request &newEvent);
+    void on(work::release_shards &newEvent);
     void tick();
 
-    std::map<int, work::unresponsive_workers> quietWorkers() const;
-    void feedOwner(const work::ownership_event &what);
+    std::map<int, work::unresponsive_workers> listUnresponsiveWorkers() const;
+    void feedOwnership(const work::ownership_event &newEvent);
     void perform(const work::commit_shard &action);
     void perform(const work::scan_shards &action);
     void perform(const work::became_owner &action);
     void perform(const work::lost_shard &action);
-    void performAll(owned_shard &shard, const std::vector<work::coordinator_action> &actions);
+    void performActions(owned_shard &shard, const std::vector<work::coordinator_action> &actions);
     void commitRows(const owned_shard &shard, const work::commit_rows &action);
     void readRows(const owned_shard &shard, std::vector<std::string> keys, std::string prefix);
     void sendGrant(const work::worker_grant &grant);
-    owned_shard *shardOf(const std::string &worker);
+    owned_shard *findOwnedShard(const std::string &worker);
 
     const config::entry_settings m_settings;
     const process_identity m_self;
-    platform_lane &m_platform;
+    platform_executor &m_platform;
     rpc_sender &m_sender;
     metrics &m_metrics;
     const logger &m_log;
-    std::atomic<bool> m_drained{false};
+    std::atomic<bool> m_isDrained{false};
 
     // Touched by the duty's thread alone.
     std::vector<work::shard_info> m_shardInfos;
-    work::shard_ownership m_owner;
+    work::shard_ownership m_ownership;
     std::map<int, std::unique_ptr<owned_shard>> m_shards;
-    std::map<std::string, worker_place> m_workers; // by worker id
-    work::usage_tracker m_usage;                   // of the workers of the own shards
+    std::map<std::string, reported_worker> m_reportedWorkers; // by worker id
+    work::usage_tracker m_usageTracker;                       // of the workers of the own shards
     adopted_configuration m_configuration;
-    std::optional<work::worker_grant> m_replyGrant; // to the report being handled
-    std::optional<work::agent_report> m_handling;   // the report being handled
-    bool m_releasing = false;
-    time_point m_planAt{}; // next round of placement
+    std::optional<work::worker_grant> m_replyGrant;    // to the report being handled
+    std::optional<work::agent_report> m_currentReport; // the report being handled
+    bool m_isReleasing = false;
+    time_point m_nextPlanAt{}; // next round of placement
 
-    std::unique_ptr<duty<event>> m_duty; // last: its thread uses all of the above
+    std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/supervisor_actor.cpp
+++ b/app/supervisor_actor.cpp
@@ -11,11 +11,11 @@
 constexpr std::size_t RingCapacity = 8192;
 constexpr milliseconds WorkerTimeout{1000};
 // After a report was due: every entry is asked for the owner.
-constexpr milliseconds OwnerSilence{2000};
-constexpr milliseconds UsageEvery{2000};
+constexpr milliseconds OwnerSilenceLimit{2000};
+constexpr milliseconds UsageInterval{2000};
 constexpr int ConflictStatus = 409;
 
-work::supervisor_settings keeperSettings(const config::agent_settings &settings)
+work::supervisor_settings supervisorSettings(const config::agent_settings &settings)
 {
     work::supervisor_settings out;
     out.leases.taskLease = settings.lease.taskLease;
@@ -36,138 +36,140 @@
 
 } // namespace
 
-keeper_duty::keeper_duty(duty_system &system, const config::agent_settings &settings,
-                         const process_identity &self, const std::string &ownAddress,
-                         rpc_sender &sender, metrics &counters, latency_source tailLatency)
+supervisor_actor::supervisor_actor(duty_system &system, const config::agent_settings &settings,
+                                   const process_identity &self, const std::string &ownAddress,
+                                   rpc_sender &sender, metrics &counters,
+                                   latency_source tailLatency)
     : m_settings(settings)
     , m_ownAddress(ownAddress)
     , m_sender(sender)
     , m_metrics(counters)
     , m_tailLatency(std::move(tailLatency))
     , m_worker({settings.worker.address.address, settings.worker.address.port})
-    , m_keeper(settings.worker.id, self.unique(), keeperSettings(settings),
-               [this](const work::task_id &task, const resources &amount) {
-                   return fits(task, amount);
-               })
-    , m_usage(self.unique(), {})
+    , m_supervisor(settings.worker.id, self.fullId(), supervisorSettings(settings),
+                   [this](const work::task_id &task, const resources &amount) {
+                       return hasRoom(task, amount);
+                   })
+    , m_usageReporter(self.fullId(), {})
 {
-    m_workerLane = std::make_unique<duty<std::function<void()>>>(
+    m_workerCalls = std::make_unique<duty<std::function<void()>>>(
             system, RingCapacity, [](std::function<void()> &work) { work(); }, duration(0), [] {});
-    m_duty = std::make_unique<duty<event>>(
-            system, RingCapacity, [this](event &what) { handle(what); },
-            tick_plan{[this] { return std::min(m_keeper.nextTick(), m_usageAt); },
+    m_actor = std::make_unique<duty<event>>(
+            system, RingCapacity, [this](event &newEvent) { handle(newEvent); },
+            tick_plan{[this] { return std::min(m_supervisor.nextTick(), m_nextUsageAt); },
                       [this] { tick(); }});
 }
 
-keeper_duty::~keeper_duty() = default;
+supervisor_actor::~supervisor_actor() = default;
 
-void keeper_duty::stop()
+void supervisor_actor::stop()
 {
-    m_duty->stop();
-    m_workerLane->stop();
+    m_actor->stop();
+    m_workerCalls->stop();
 }
 
-Json::Value keeper_duty::grant(const Json::Value &parameters)
+Json::Value supervisor_actor::grant(const Json::Value &parameters)
 {
-    if (!m_duty->post(work::supervisor_event{
+    if (!m_actor->post(work::supervisor_event{
                 work::grant_received{work::workerGrantFromJson(parameters)}}))
         m_metrics.count("ring_full_total", "grant");
     return Json::Value(Json::objectValue);
 }
 
-Json::Value keeper_duty::throttle(const Json::Value &parameters)
+Json::Value supervisor_actor::throttle(const Json::Value &parameters)
 {
-    m_duty->post(throttle_asked{work::taskIdFromText(stringMember(parameters, "task")),
-                                integerMember(parameters, "millicores")});
+    m_actor->post(throttle_requested{work::taskIdFromText(stringMember(parameters, "task")),
+                                     integerMember(parameters, "millicores")});
     return Json::Value(Json::objectValue);
 }
 
 // --- On the duty's thread -----------------------------------------------------------------------
 
-void keeper_duty::handle(event &what)
+void supervisor_actor::handle(event &newEvent)
 {
-    if (const auto *input = std::get_if<work::supervisor_event>(&what))
+    if (const auto *input = std::get_if<work::supervisor_event>(&newEvent))
         feed(*input);
-    else if (const auto *answer = std::get_if<report_answered>(&what))
-        answered(*answer);
-    else if (const auto *asked = std::get_if<throttle_asked>(&what))
+    else if (const auto *answer = std::get_if<report_answered>(&newEvent))
+        handleReportAnswer(*answer);
+    else if (const auto *asked = std::get_if<throttle_requested>(&newEvent))
         throttle(*asked);
-    else if (const auto *measured = std::get_if<usage_measured>(&what))
+    else if (const auto *measured = std::get_if<usage_measured>(&newEvent))
         sendUsage(*measured);
     else
-        m_usage.requestFullReport();
+        m_usageReporter.requestFullReport();
 }
 
-void keeper_duty::throttle(const throttle_asked &what)
+void supervisor_actor::throttle(const throttle_requested &newEvent)
 {
-    for (const auto &running : m_keeper.occupyingTasks()) {
-        if (running.attempt.task == what.task)
-            limitWorker(running.attempt, what.millicores);
+    for (const auto &running : m_supervisor.occupyingTasks()) {
+        if (running.attempt.task == newEvent.task)
+            sendCpuLimit(running.attempt, newEvent.millicores);
     }
 }
 
-void keeper_duty::perform(const work::worker_cpu_limit &action)
+void supervisor_actor::perform(const work::worker_cpu_limit &action)
 {
-    limitWorker(action.attempt, action.millicores);
+    sendCpuLimit(action.attempt, action.millicores);
 }
 
-void keeper_duty::limitWorker(const work::task_attempt &attempt, std::int64_t millicores)
+void supervisor_actor::sendCpuLimit(const work::task_attempt &attempt, std::int64_t millicores)
 {
     constexpr std::int64_t Percent = 100;
-    for (const auto &running : m_keeper.occupyingTasks()) {
+    for (const auto &running : m_supervisor.occupyingTasks()) {
         if (running.attempt != attempt)
             continue;
-        const auto whole = std::max<std::int64_t>(work::declaredSize(running.spec).millicores, 1);
-        const auto part = std::min(millicores * Percent / whole, Percent);
+        const auto reservedMillicores =
+                std::max<std::int64_t>(work::declaredSize(running.spec).millicores, 1);
+        const auto percent = std::min(millicores * Percent / reservedMillicores, Percent);
         auto body = attemptJson(attempt);
-        body["percent"] = Json::Int64(millicores == 0 ? Percent : part);
+        body["percent"] = Json::Int64(millicores == 0 ? Percent : percent);
         callWorker("/throttle", body, [this, attempt] {
-            m_duty->post(work::supervisor_event{work::cpu_limit_unconfirmed{attempt}});
+            m_actor->post(work::supervisor_event{work::cpu_limit_unconfirmed{attempt}});
         });
     }
 }
 
-void keeper_duty::tick()
+void supervisor_actor::tick()
 {
     feed(work::supervisor_tick{});
     const auto now = monotonic_clock::now();
-    if (now >= m_usageAt)
-        askUsage(now);
+    if (now >= m_nextUsageAt)
+        requestUsage(now);
 }
 
-void keeper_duty::feed(const work::supervisor_event &what)
+void supervisor_actor::feed(const work::supervisor_event &newEvent)
 {
-    for (const auto &action : m_keeper.handle(what, monotonic_clock::now()))
+    for (const auto &action : m_supervisor.handle(newEvent, monotonic_clock::now()))
         std::visit([this](const auto &each) { perform(each); }, action);
     flushRenewals();
 }
 
-void keeper_duty::callWorker(const std::string &path, const Json::Value &body,
-                             std::function<void()> failed)
+void supervisor_actor::callWorker(const std::string &path, const Json::Value &body,
+                                  std::function<void()> onFailure)
 {
     const auto text = compactJson(body);
-    const bool queued = m_workerLane->post([this, path, text, failed] {
+    const bool queued = m_workerCalls->post([this, path, text, onFailure] {
         const auto result =
                 m_worker.call({"POST", path, {}, text}, monotonic_clock::now() + WorkerTimeout);
         const auto *response = std::get_if<http_response>(&result);
         if (response == nullptr)
             m_metrics.count("worker_calls_failed_total", path.substr(1));
-        if (failed && (response == nullptr || response->status != 200))
-            failed();
+        if (onFailure && (response == nullptr || response->status != 200))
+            onFailure();
     });
     if (queued)
         return;
     m_metrics.count("ring_full_total", "worker");
-    if (failed) // without it a task would stay throttled, or at full speed, for good
-        failed();
+    if (onFailure) // without it a task would stay throttled, or at full speed, for good
+        onFailure();
 }
 
-void keeper_duty::perform(const work::worker_list &action)
+void supervisor_actor::perform(const work::worker_list &action)
 {
     Json::Value body(Json::objectValue);
     body["epoch"] = Json::UInt64(action.epoch);
     const auto text = compactJson(body);
-    m_workerLane->post([this, text] {
+    m_workerCalls->post([this, text] {
         const auto result =
                 m_worker.call({"POST", "/list", {}, text}, monotonic_clock::now() + WorkerTimeout);
         const auto *response = std::get_if<http_response>(&result);
@@ -177,14 +179,14 @@
         }
         try {
             const auto listing = work::workerListingFromJson(parseJson(response->body));
-            m_duty->post(work::supervisor_event{work::listing_received{listing}});
+            m_actor->post(work::supervisor_event{work::listing_received{listing}});
         } catch (const error &) {
             m_metrics.count("worker_calls_failed_total", "bad_listing");
         }
     });
 }
 
-void keeper_duty::perform(const work::worker_start &action)
+void supervisor_actor::perform(const work::worker_start &action)
 {
     auto body = attemptJson({action.task.task, action.task.attempt});
     body["failover"] = std::string(nameOf(action.task.failover));
@@ -196,7 +198,7 @@
     body["incarnation"] = Json::UInt64(action.incarnation);
     const work::task_attempt attempt{action.task.task, action.task.attempt};
     const auto text = compactJson(body);
-    m_workerLane->post([this, attempt, text] {
+    m_workerCalls->post([this, attempt, text] {
         const auto result =
                 m_worker.call({"POST", "/start", {}, text}, monotonic_clock::now() + WorkerTimeout);
         const auto *response = std::get_if<http_response>(&result);
@@ -208,20 +210,20 @@
             return;
         try {
             const auto listing = countMember(parseJson(response->body), "listing");
-            m_duty->post(work::supervisor_event{work::start_refused{attempt, listing}});
+            m_actor->post(work::supervisor_event{work::start_refused{attempt, listing}});
         } catch (const error &) {
             m_metrics.count("worker_calls_failed_total", "bad_refusal");
         }
     });
 }
 
-void keeper_duty::perform(const work::worker_renew &action)
+void supervisor_actor::perform(const work::worker_renew &action)
 {
     m_renewals.push_back(action);
 }
 
 // All renewals of one event refer to the same listing: one call carries them.
-void keeper_duty::flushRenewals()
+void supervisor_actor::flushRenewals()
 {
     if (m_renewals.empty())
         return;
@@ -238,29 +240,29 @@
     callWorker("/renew", body);
 }
 
-void keeper_duty::perform(const work::worker_stop &action)
+void supervisor_actor::perform(const work::worker_stop &action)
 {
     callWorker("/stop", attemptJson(action.attempt));
 }
 
-void keeper_duty::perform(const work::worker_checkpoint &action)
+void supervisor_actor::perform(const work::worker_checkpoint &action)
 {
     auto body = attemptJson(action.attempt);
     body["checkpoint"] = action.checkpoint;
     callWorker("/checkpoint", body);
 }
 
-void keeper_duty::perform(const work::worker_forget &action)
+void supervisor_actor::perform(const work::worker_forget &action)
 {
     callWorker("/forget", attemptJson(action.attempt));
 }
 
-void keeper_duty::perform(const work::send_report &action)
+void supervisor_actor::perform(const work::send_report &action)
 {
     Json::Value parameters(Json::objectValue);
     parameters["report"] = toJson(action.report);
     parameters["agent"] = m_ownAddress;
-    parameters["serving"] = m_serving.load();
+    parameters["serving"] = m_isServing.load();
     const auto &size = m_settings.worker.size;
     parameters["worker"] =
             toJson(placement::worker_info{m_settings.worker.id,
@@ -268,58 +270,58 @@
                                           m_settings.rack,
                                           m_settings.worker.pool,
                                           {size.millicores, size.bytes, size.accelerators}});
-    if (monotonic_clock::now() < m_askOwnerUntil) {
-        sendReport(m_owner, parameters);
+    if (monotonic_clock::now() < m_ownerKnownUntil) {
+        sendReport(m_ownerEntry, parameters);
         return;
     }
     for (std::size_t entry = 0; entry < m_settings.entries.size(); ++entry)
         sendReport(entry, parameters);
 }
 
-void keeper_duty::sendReport(std::size_t entry, const Json::Value &parameters)
+void supervisor_actor::sendReport(std::size_t entry, const Json::Value &parameters)
 {
     m_sender.call(config::toText(m_settings.entries[entry]), "report", parameters,
                   [this, entry](std::optional<Json::Value> answer) {
-                      m_duty->post(report_answered{entry, std::move(answer)});
+                      m_actor->post(report_answered{entry, std::move(answer)});
                   });
 }
 
-void keeper_duty::answered(const report_answered &what)
+void supervisor_actor::handleReportAnswer(const report_answered &newEvent)
 {
-    if (!what.answer || !(*what.answer)["owner"].asBool()) {
-        if (what.entry == m_owner)
-            m_askOwnerUntil = {}; // it owns the shard no more: ask them all
+    if (!newEvent.answer || !(*newEvent.answer)["owner"].asBool()) {
+        if (newEvent.entry == m_ownerEntry)
+            m_ownerKnownUntil = {}; // it owns the shard no more: ask them all
         return;
     }
-    m_owner = what.entry;
-    m_askOwnerUntil = monotonic_clock::now() + m_settings.lease.report + OwnerSilence;
-    if (!what.answer->isMember("grant"))
+    m_ownerEntry = newEvent.entry;
+    m_ownerKnownUntil = monotonic_clock::now() + m_settings.lease.report + OwnerSilenceLimit;
+    if (!newEvent.answer->isMember("grant"))
         return;
     try {
-        feed(work::grant_received{work::workerGrantFromJson((*what.answer)["grant"])});
+        feed(work::grant_received{work::workerGrantFromJson((*newEvent.answer)["grant"])});
     } catch (const error &) {
         m_metrics.count("grants_refused_total", "bad_request");
     }
 }
 
-void keeper_duty::perform(const work::increment_counter &action)
+void supervisor_actor::perform(const work::increment_counter &action)
 {
     m_metrics.count("tasks_kept_total", nameOf(action.reason));
 }
 
-void keeper_duty::askUsage(time_point now)
+void supervisor_actor::requestUsage(time_point now)
 {
-    m_usageAt = now + UsageEvery;
-    if (m_keeper.occupyingTasks().empty())
+    m_nextUsageAt = now + UsageInterval;
+    if (m_supervisor.occupyingTasks().empty())
         return;
-    m_workerLane->post([this] {
-        const auto askedAt = monotonic_clock::now();
-        const auto result = m_worker.call({"GET", "/usage", {}, {}}, askedAt + WorkerTimeout);
+    m_workerCalls->post([this] {
+        const auto requestedAt = monotonic_clock::now();
+        const auto result = m_worker.call({"GET", "/usage", {}, {}}, requestedAt + WorkerTimeout);
         const auto *response = std::get_if<http_response>(&result);
         if (response == nullptr || response->status != 200)
             return;
         try {
-            m_duty->post(usage_measured{parseJson(response->body), askedAt});
+            m_actor->post(usage_measured{parseJson(response->body), requestedAt});
         } catch (const error &) {
             m_metrics.count("worker_calls_failed_total", "bad_usage");
         }
@@ -327,18 +329,18 @@
 }
 
 // What the worker measured goes to the owner with its age; the owner attributes it to that time.
-void keeper_duty::sendUsage(const usage_measured &what)
+void supervisor_actor::sendUsage(const usage_measured &newEvent)
 {
     try {
         const auto now = monotonic_clock::now();
-        const auto measured = work::usageReportFromJson(what.answer);
-        if (m_usageOwner != m_owner)
-            m_usage.requestFullReport();
-        m_usageOwner = m_owner;
+        const auto measured = work::usageReportFromJson(newEvent.answer);
+        if (m_usageEntry != m_ownerEntry)
+            m_usageReporter.requestFullReport();
+        m_usageEntry = m_ownerEntry;
         Json::Value parameters(Json::objectValue);
-        addToJson(parameters, m_usage.nextReport(measured.tasks, now));
-        const auto age = milliseconds(integerMember(what.answer, "age_ms"))
-                         + std::chrono::duration_cast<milliseconds>(now - what.askedAt);
+        addToJson(parameters, m_usageReporter.nextReport(measured.tasks, now));
+        const auto age = milliseconds(integerMember(newEvent.answer, "age_ms"))
+                         + std::chrono::duration_cast<milliseconds>(now - newEvent.requestedAt);
         parameters["age_ms"] = Json::Int64(age.count());
         parameters["worker"] = m_settings.worker.id;
         parameters["service"] = m_settings.upstream.service;
@@ -349,10 +351,10 @@
                     std::chrono::duration_cast<milliseconds>(now - latency->measuredAt);
             parameters["p99_age_ms"] = Json::Int64(latencyAge.count());
         }
-        m_sender.call(config::toText(m_settings.entries[m_owner]), "usage", parameters,
+        m_sender.call(config::toText(m_settings.entries[m_ownerEntry]), "usage", parameters,
                       [this](const std::optional<Json::Value> &answer) {
                           if (!answer)
-                              m_duty->post(usage_unanswered{});
+                              m_actor->post(usage_unanswered{});
                       });
     } catch (const error &) {
         m_metrics.count("worker_calls_failed_total", "bad_usage");
@@ -360,10 +362,10 @@
 }
 
 // The last check before a start: workers start whatever they are given, whether it fits or not.
-bool keeper_duty::fits(const work::task_id &task, const resources &amount) const
+bool supervisor_actor::hasRoom(const work::task_id &task, const resources &amount) const
 {
     const auto &size = m_settings.worker.size;
-    return (m_keeper.occupiedByOthers(task) + amount)
+    return (m_supervisor.occupiedByOthers(task) + amount)
             .fitsIn({size.millicores, size.bytes, size.accelerators});
 }
 
--- a/app/supervisor_actor.h
+++ b/app/supervisor_actor.h
@@ -20,22 +20,22 @@
 
 namespace zinniabarrow {
 
-class keeper_duty
+class supervisor_actor
 {
 public:
     using latency_source = std::function<std::optional<request::latency_reading>()>;
 
-    keeper_duty(duty_system &system, const config::agent_settings &settings,
-                const process_identity &self, const std::string &ownAddress, rpc_sender &sender,
-                metrics &counters, latency_source tailLatency);
-    ~keeper_duty();
+    supervisor_actor(duty_system &system, const config::agent_settings &settings,
+                     const process_identity &self, const std::string &ownAddress,
+                     rpc_sender &sender, metrics &counters, latency_source tailLatency);
+    ~supervisor_actor();
 
     // JSON-RPC bodies.
     Json::Value grant(const Json::Value &parameters);
     // {task, millicores}, from owners of earlier versions; others name limits in their grants.
     Json::Value throttle(const Json::Value &parameters);
 
-    void setServing(bool serving) { m_serving = serving; }
+    void setServing(bool serving) { m_isServing = serving; }
     void stop();
 
 private:
@@ -44,7 +44,7 @@
         std::size_t entry;
         std::optional<Json::Value> answer;
     };
-    struct throttle_asked
+    struct throttle_requested
     {
         work::task_id task;
         std::int64_t millicores;
@@ -52,16 +52,16 @@
     struct usage_measured
     {
         Json::Value answer; // of the worker
-        time_point askedAt;
+        time_point requestedAt;
     };
     struct usage_unanswered // by the owner
     { };
-    using event = std::variant<work::supervisor_event, report_answered, throttle_asked,
+    using event = std::variant<work::supervisor_event, report_answered, throttle_requested,
                                usage_measured, usage_unanswered>;
 
-    void handle(event &what);
+    void handle(event &newEvent);
     void tick();
-    void feed(const work::supervisor_event &what);
+    void feed(const work::supervisor_event &newEvent);
     void perform(const work::worker_list &action);
     void perform(const work::worker_start &action);
     void perform(const work::worker_renew &action);
@@ -71,36 +71,36 @@
     void perform(const work::worker_forget &action);
     void perform(const work::send_report &action);
     void perform(const work::increment_counter &action);
-    void answered(const report_answered &what);
+    void handleReportAnswer(const report_answered &newEvent);
     void sendReport(std::size_t entry, const Json::Value &parameters);
-    void throttle(const throttle_asked &what);
-    void askUsage(time_point now);
-    void sendUsage(const usage_measured &what);
+    void throttle(const throttle_requested &newEvent);
+    void requestUsage(time_point now);
+    void sendUsage(const usage_measured &newEvent);
     void callWorker(const std::string &path, const Json::Value &body,
-                    std::function<void()> failed = {});
-    void limitWorker(const work::task_attempt &attempt, std::int64_t millicores);
+                    std::function<void()> onFailure = {});
+    void sendCpuLimit(const work::task_attempt &attempt, std::int64_t millicores);
     void flushRenewals();
-    bool fits(const work::task_id &task, const resources &amount) const;
+    bool hasRoom(const work::task_id &task, const resources &amount) const;
 
     const config::agent_settings m_settings;
     const std::string m_ownAddress;
     rpc_sender &m_sender;
     metrics &m_metrics;
     latency_source m_tailLatency;
-    std::atomic<bool> m_serving{true};
+    std::atomic<bool> m_isServing{true};
     http_pool m_worker;
 
     // Touched by the duty's thread alone.
-    work::task_supervisor m_keeper;
-    std::size_t m_owner = 0;                    // index of the entry that answered as owner
-    time_point m_askOwnerUntil{};               // then every entry is asked
+    work::task_supervisor m_supervisor;
+    std::size_t m_ownerEntry = 0;               // index of the entry that answered as owner
+    time_point m_ownerKnownUntil{};             // then every entry is asked
     std::vector<work::worker_renew> m_renewals; // of the event being handled
-    time_point m_usageAt{};
-    work::usage_reporter m_usage;
-    std::size_t m_usageOwner = 0; // entry that was sent the last report of usage
+    time_point m_nextUsageAt{};
+    work::usage_reporter m_usageReporter;
+    std::size_t m_usageEntry = 0; // entry that was sent the last report of usage
 
-    std::unique_ptr<duty<std::function<void()>>> m_workerLane; // blocking calls to the worker
-    std::unique_ptr<duty<event>> m_duty; // last: its thread uses all of the above
+    std::unique_ptr<duty<std::function<void()>>> m_workerCalls; // blocking calls to the worker
+    std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/upstream_probe.cpp
+++ b/app/upstream_probe.cpp
@@ -4,19 +4,19 @@
 
 namespace {
 
-constexpr milliseconds LookEvery{100};
-constexpr milliseconds ConnectWithin{300};
+constexpr milliseconds ProbeInterval{100};
+constexpr milliseconds ConnectTimeout{300};
 
 } // namespace
 
 upstream_probe::upstream_probe(duty_system &system, socket_address upstream,
-                               std::function<void(bool)> changed)
+                               std::function<void(bool)> onChanged)
     : m_upstream(std::move(upstream))
-    , m_changed(std::move(changed))
+    , m_onChanged(std::move(onChanged))
 {
     m_thread = std::make_unique<duty_thread>(
-            system, [this] { m_changed(false); },
-            tick_plan{[this] { return m_isUp ? Never : m_lookAt; }, [this] { look(); }});
+            system, [this] { m_onChanged(false); },
+            tick_plan{[this] { return m_isUp ? Never : m_nextProbeAt; }, [this] { probe(); }});
 }
 
 upstream_probe::~upstream_probe() = default;
@@ -32,13 +32,13 @@
     m_thread->stop();
 }
 
-void upstream_probe::look()
+void upstream_probe::probe()
 {
-    m_lookAt = monotonic_clock::now() + LookEvery;
-    if (m_isUp || !canConnect(m_upstream, ConnectWithin))
+    m_nextProbeAt = monotonic_clock::now() + ProbeInterval;
+    if (m_isUp || !canConnect(m_upstream, ConnectTimeout))
         return;
     m_isUp = true;
-    m_changed(true);
+    m_onChanged(true);
 }
 
 } // namespace zinniabarrow
--- a/app/upstream_probe.h
+++ b/app/upstream_probe.h
@@ -18,7 +18,8 @@
 {
 public:
     // `changed` runs on the probe's thread, first when the upstream accepts a connection.
-    upstream_probe(duty_system &system, socket_address upstream, std::function<void(bool)> changed);
+    upstream_probe(duty_system &system, socket_address upstream,
+                   std::function<void(bool)> onChanged);
     ~upstream_probe();
 
     // From any thread: a request could not connect.
@@ -26,13 +27,13 @@
     void stop();
 
 private:
-    void look();
+    void probe();
 
     const socket_address m_upstream;
-    std::function<void(bool)> m_changed;
+    std::function<void(bool)> m_onChanged;
     std::atomic<bool> m_isUp{false};
 
-    time_point m_lookAt{}; // touched by the probe's thread alone
+    time_point m_nextProbeAt{}; // touched by the probe's thread alone
 
     std::unique_ptr<duty_thread> m_thread; // last: it uses all of the above
 };
--- a/tests/control_bytes_test.cpp
+++ b/tests/control_bytes_test.cpp
@@ -37,8 +37,8 @@
     http_server server({"127.0.0.1", 0}, {},
                        [&](const http_request &request) { return *endpoint.serve(request); });
     server.start();
-    duty_system duties;
-    rpc_sender sender(duties, seconds(10), atClient);
+    duty_system runtime;
+    rpc_sender sender(runtime, seconds(10), atClient);
     const auto target = toText(server.address());
     Json::Value parameters(Json::objectValue);
     parameters["text"] = std::string(1000, 'x');
--- a/tests/fleet_scenario.h
+++ b/tests/fleet_scenario.h
@@ -14,7 +14,7 @@
 
 using namespace zinniabarrow::standins;
 
-constexpr milliseconds SoonEnough{45'000}; // a bound on waits for conditions, not a measurement
+constexpr milliseconds WaitLimit{45'000}; // a bound on waits for conditions, not a measurement
 
 inline fleet_options smallFleet()
 {
@@ -38,11 +38,11 @@
                 }
                 return true;
             },
-            SoonEnough);
+            WaitLimit);
 }
 
 // Starts everything; returns when every entry routes to every upstream.
-inline void startWhole(fleet &system)
+inline void startAndWait(fleet &system)
 {
     system.startAll();
     require(waitForUpstreams(system, system.options().workers));
@@ -50,17 +50,17 @@
 
 // Runs the load on a thread of its own while `story` happens.
 template <typename Story>
-void underLoad(fleet &system, const load_options &options, load_result &result, Story &&story)
+void runUnderLoad(fleet &system, const load_options &options, load_result &result, Story &&scenario)
 {
     load_generator load(system, options, result);
     std::thread callers([&] { load.run(); });
-    waitUntil([&] { return load.done() >= options.requests / 6; }, SoonEnough);
-    story();
+    waitUntil([&] { return load.done() >= options.requests / 6; }, WaitLimit);
+    scenario();
     callers.join();
 }
 
 // The refusals by reason, for the message of a failed check.
-inline std::string reasonsOf(const load_result &result)
+inline std::string describeRefusals(const load_result &result)
 {
     std::string text;
     for (const auto &[reason, count] : result.refused)
@@ -97,7 +97,7 @@
                 return countTraced(system, "started", batch.job)
                        == static_cast<unsigned>(batch.tasks);
             },
-            SoonEnough);
+            WaitLimit);
 }
 
 inline void startWithBatch(fleet &system, const batch_options &batch)
@@ -105,7 +105,7 @@
     system.startAll();
     system.putFolderFile("10-base.json", baseFolder(system.options()));
     system.putFolderFile("20-batch.json", batchFolder(batch));
-    require(waitUntil([&] { return countTraced(system, "started", batch.job) > 0; }, SoonEnough));
+    require(waitUntil([&] { return countTraced(system, "started", batch.job) > 0; }, WaitLimit));
 }
 
 inline bool waitForEnds(const fleet &system, const batch_options &batch)
@@ -115,7 +115,7 @@
                 return countTraced(system, "ended", batch.job)
                        == static_cast<unsigned>(batch.tasks);
             },
-            SoonEnough);
+            WaitLimit);
 }
 
 inline void checkEachEndedOnce(const fleet &system, const batch_options &batch)
