--- a/tests/outbound_calls_test.cpp
+++ b/tests/outbound_calls_test.cpp
@@ -18,18 +18,18 @@
 
 namespace {
 
-constexpr milliseconds Timeout{500};       // of a call
-constexpr milliseconds SoonEnough{60'000}; // a bound on waits for conditions, not a measurement
-constexpr unsigned Processes = 8;          // that are silent, and as many that answer
-constexpr unsigned CallsToEach = 8;        // of the silent ones
+constexpr milliseconds Timeout{500};      // of a call
+constexpr milliseconds WaitLimit{60'000}; // a bound on waits for conditions, not a measurement
+constexpr unsigned Processes = 8;         // that are silent, and as many that answer
+constexpr unsigned CallsToEach = 8;       // of the silent ones
 
 template <typename Condition>
-bool waitFor(Condition holds)
+bool waitFor(Condition isTrue)
 {
-    const auto giveUpAt = monotonic_clock::now() + SoonEnough;
-    while (!holds() && monotonic_clock::now() < giveUpAt)
+    const auto giveUpAt = monotonic_clock::now() + WaitLimit;
+    while (!isTrue() && monotonic_clock::now() < giveUpAt)
         std::this_thread::sleep_for(milliseconds(5));
-    return holds();
+    return isTrue();
 }
 
 // One port under several addresses, as so many processes.
@@ -39,10 +39,10 @@
 }
 
 // Takes connections in and never answers.
-class silent_port
+class silent_server
 {
 public:
-    silent_port()
+    silent_server()
         : m_socket(::socket(AF_INET, SOCK_STREAM, 0))
     {
         sockaddr_in any{};
@@ -54,9 +54,9 @@
         require(listens);
         m_port = ntohs(any.sin_port);
     }
-    ~silent_port() { ::close(m_socket); }
-    silent_port(const silent_port &) = delete;
-    silent_port &operator=(const silent_port &) = delete;
+    ~silent_server() { ::close(m_socket); }
+    silent_server(const silent_server &) = delete;
+    silent_server &operator=(const silent_server &) = delete;
 
     int port() const { return m_port; }
 
@@ -78,14 +78,14 @@
         return http_response{200, {}, methods.handle(request.body)};
     });
     answering.start();
-    const silent_port silent;
+    const silent_server silent;
     duty_system system;
     metrics counters;
     std::atomic<unsigned> answered{0};
-    std::atomic<unsigned> inVain{0};
+    std::atomic<unsigned> failedCalls{0};
     rpc_sender sender(system, Timeout, counters);
     const auto count = [&](const std::optional<Json::Value> &result) {
-        ++(result ? answered : inVain);
+        ++(result ? answered : failedCalls);
     };
     for (unsigned call = 0; call < CallsToEach; ++call) {
         for (unsigned index = 0; index < Processes; ++index)
@@ -96,10 +96,10 @@
             sender.call(addressOf(index, answering.address().port), "report", Json::objectValue,
                         count);
         check(waitFor([&] { return answered == Processes; }));
-        check(inVain < Processes * CallsToEach / 2);
+        check(failedCalls < Processes * CallsToEach / 2);
     });
     section("every call comes back", [&] {
-        check(waitFor([&] { return answered + inVain == Processes * (CallsToEach + 1); }));
+        check(waitFor([&] { return answered + failedCalls == Processes * (CallsToEach + 1); }));
         check(answered == Processes);
     });
 }
@@ -109,12 +109,14 @@
 {
     duty_system system;
     metrics counters;
-    std::atomic<unsigned> inVain{0};
+    std::atomic<unsigned> failedCalls{0};
     rpc_sender sender(system, Timeout, counters);
-    const auto count = [&](const std::optional<Json::Value> &result) { inVain += result ? 0 : 1; };
+    const auto count = [&](const std::optional<Json::Value> &result) {
+        failedCalls += result ? 0 : 1;
+    };
     sender.call("", "generation_content", Json::objectValue, count);
     sender.call("", "generation_content", Json::objectValue, count);
-    check(waitFor([&] { return inVain == 2; }));
+    check(waitFor([&] { return failedCalls == 2; }));
 }
 
 // Duties call from threads of their own while the sender's threads go to rest and wake. A wake that
@@ -131,21 +133,21 @@
     answering.start();
     duty_system system;
     metrics counters;
-    std::atomic<unsigned> back{0};
-    rpc_sender sender(system, SoonEnough, counters);
+    std::atomic<unsigned> completedCalls{0};
+    rpc_sender sender(system, WaitLimit, counters);
     std::vector<std::thread> callers;
     for (unsigned caller = 0; caller < Callers; ++caller) {
         callers.emplace_back([&, caller] {
             for (unsigned call = 0; call < Calls; ++call) {
-                const auto before = back.load();
+                const auto before = completedCalls.load();
                 sender.call(addressOf((caller + call) % Processes, answering.address().port),
-                            "report", Json::objectValue, [&](const auto &) { ++back; });
+                            "report", Json::objectValue, [&](const auto &) { ++completedCalls; });
                 if (call % Callers == caller) // so that some calls find all threads at rest
-                    waitFor([&] { return back > before; });
+                    waitFor([&] { return completedCalls > before; });
             }
         });
     }
     for (auto &caller : callers)
         caller.join();
-    check(waitFor([&] { return back == Callers * Calls; }));
+    check(waitFor([&] { return completedCalls == Callers * Calls; }));
 }
--- a/tests/process_config_test.cpp
+++ b/tests/process_config_test.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-class operator_seat
+class operator_client
 {
 public:
-    explicit operator_seat(fleet &system)
+    explicit operator_client(fleet &system)
         : m_system(system)
     { }
 
@@ -33,7 +33,7 @@
 
     command_result put(unsigned entry, const std::string &name, const Json::Value &content)
     {
-        return run(entry, {"put", "--follow", "--timeout-ms", std::to_string(SoonEnough.count()),
+        return run(entry, {"put", "--follow", "--timeout-ms", std::to_string(WaitLimit.count()),
                            file(name, content)});
     }
 
@@ -60,14 +60,14 @@
 Test(process_config, edits)
 {
     fleet system(smallFleet());
-    startWhole(system);
-    operator_seat seat(system);
+    startAndWait(system);
+    operator_client operatorClient(system);
     section("a whole folder is accepted", [&] {
-        check(seat.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
+        check(operatorClient.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
         check(generationAt(system, 2) == 1);
     });
     section("an edit through another entry is in force everywhere", [&] {
-        const auto result = seat.put(1, "20-batch.json", batchFolder({}));
+        const auto result = operatorClient.put(1, "20-batch.json", batchFolder({}));
         check(result.exitCode == 0);
         check(contains(result.output, "in force everywhere after "));
         for (unsigned entry = 0; entry < 3; ++entry)
@@ -76,7 +76,7 @@
     section("an edit that asks too much is refused, the generation stays", [&] {
         batch_options huge;
         huge.millicores = 99'000'000;
-        const auto result = seat.put(2, "20-batch.json", batchFolder(huge));
+        const auto result = operatorClient.put(2, "20-batch.json", batchFolder(huge));
         check(result.exitCode == 1);
         check(contains(result.output, "refused"));
         check(contains(result.output, "20-batch.json:"));
@@ -85,11 +85,11 @@
     section("its repair is taken up", [&] {
         batch_options repaired;
         repaired.tasks = 41;
-        check(seat.put(0, "20-batch.json", batchFolder(repaired)).exitCode == 0);
+        check(operatorClient.put(0, "20-batch.json", batchFolder(repaired)).exitCode == 0);
         check(generationAt(system, 1) == 3);
     });
     section("a removal is in force everywhere", [&] {
-        check(seat.run(1, {"remove", "--follow", "20-batch.json"}).exitCode == 0);
+        check(operatorClient.run(1, {"remove", "--follow", "20-batch.json"}).exitCode == 0);
         check(generationAt(system, 0) == 4);
     });
 }
@@ -99,9 +99,9 @@
 Test(process_config, race)
 {
     fleet system(smallFleet());
-    startWhole(system);
-    operator_seat seat(system);
-    require(seat.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
+    startAndWait(system);
+    operator_client operatorClient(system);
+    require(operatorClient.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
     std::vector<command_result> results(2);
     std::vector<std::thread> operators;
     for (unsigned index = 0; index < 2; ++index) {
@@ -109,13 +109,13 @@
         batch.tasks = static_cast<int>(10 + index);
         operators.emplace_back([&, index, batch] {
             const auto name = "20-batch.json";
-            operator_seat own(system);
+            operator_client ownClient(system);
             const auto folder = system.scratch() + "/operator-" + std::to_string(index);
             check(runCommand({"/bin/mkdir", "-p", folder}, folder.substr(0, folder.rfind('/')))
                           .exitCode
                   == 0);
             std::ofstream(folder + "/" + name) << prettyJson(batchFolder(batch));
-            results[index] = own.run(
+            results[index] = ownClient.run(
                     index, {"put", "--follow", "--timeout-ms", "10000", folder + "/" + name});
         });
     }
@@ -124,9 +124,9 @@
     section("each is told what became of its file", [&] {
         unsigned inForce = 0;
         for (const auto &result : results) {
-            const bool told =
+            const bool isReported =
                     contains(result.output, "in force") || contains(result.output, "superseded");
-            check(told);
+            check(isReported);
             inForce += contains(result.output, "in force") ? 1 : 0;
         }
         check(inForce >= 1);
@@ -137,7 +137,7 @@
                     .asString();
         };
         check(waitUntil([&] { return digestAt(0) == digestAt(1) && digestAt(1) == digestAt(2); },
-                        SoonEnough));
+                        WaitLimit));
     });
 }
 
@@ -146,22 +146,22 @@
 Test(process_config, outage_in_mid_change)
 {
     fleet system(smallFleet());
-    startWhole(system);
-    operator_seat seat(system);
-    require(seat.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
+    startAndWait(system);
+    operator_client operatorClient(system);
+    require(operatorClient.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
     Json::Value fault(Json::objectValue);
     section("the edit is written, then the platform goes down", [&] {
         system.putFolderFile("20-batch.json", batchFolder({}));
         fault["down"] = true;
         system.setFault(system.platformAddress(), fault);
     });
-    const auto atLeast = generationAt(system, 1);
+    const auto minGeneration = generationAt(system, 1);
     section("an entry replaced during the outage serves by what its peers know", [&] {
         system.entry(0)->signal(SIGKILL);
-        system.entry(0)->waitForExit(SoonEnough);
+        system.entry(0)->waitForExit(WaitLimit);
         system.startEntry(0);
         system.waitForEntry(0);
-        check(generationAt(system, 0) >= atLeast);
+        check(generationAt(system, 0) >= minGeneration);
     });
     section("the platform comes back: the edit is in force at every entry", [&] {
         fault["down"] = false;
@@ -171,7 +171,7 @@
                     return generationAt(system, 0) == 2 && generationAt(system, 1) == 2
                            && generationAt(system, 2) == 2;
                 },
-                SoonEnough));
+                WaitLimit));
     });
 }
 
@@ -179,27 +179,29 @@
 Test(process_config, commands)
 {
     fleet system(smallFleet());
-    startWhole(system);
-    operator_seat seat(system);
+    startAndWait(system);
+    operator_client operatorClient(system);
     batch_options batch;
     batch.runMs = 60'000;
-    require(seat.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
+    require(operatorClient.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
     section("put prints the version that follow waits for", [&] {
-        const auto put = seat.run(1, {"put", seat.file("20-batch.json", batchFolder(batch))});
+        const auto put = operatorClient.run(
+                1, {"put", operatorClient.file("20-batch.json", batchFolder(batch))});
         check(put.exitCode == 0);
         const auto from = put.output.find("version ") + 8;
         const auto version = put.output.substr(from, put.output.find(':') - from);
-        const auto followed = seat.run(2, {"follow", "--file-version", version, "20-batch.json"});
+        const auto followed =
+                operatorClient.run(2, {"follow", "--file-version", version, "20-batch.json"});
         check(followed.exitCode == 0);
         check(contains(followed.output, "in force"));
     });
-    require(waitUntil([&] { return countTraced(system, "started", batch.job) > 0; }, SoonEnough));
+    require(waitUntil([&] { return countTraced(system, "started", batch.job) > 0; }, WaitLimit));
     section("status as a table and as JSON", [&] {
-        const auto table = seat.run(0, {"status"});
+        const auto table = operatorClient.run(0, {"status"});
         check(table.exitCode == 0);
         for (const auto *part : {"20-batch.json", "agent-3", "worker-3", "season@", "entry-2"})
             check(contains(table.output, part));
-        const auto json = parseJson(seat.run(0, {"status", "--json"}).output);
+        const auto json = parseJson(operatorClient.run(0, {"status", "--json"}).output);
         check(json["entries"].size() == 3);
         check(json["unreachable"].empty());
     });
@@ -211,20 +213,20 @@
             if (line["event"] == "started" && contains(line["task"].asString(), "season@"))
                 job = line["task"].asString();
         }
-        const auto known = seat.run(1, {"explain", job});
+        const auto known = operatorClient.run(1, {"explain", job});
         check(known.exitCode == 0);
         check(contains(known.output, "worker-"));
-        check(seat.run(1, {"explain", "nothing@1/0"}).exitCode == 1);
+        check(operatorClient.run(1, {"explain", "nothing@1/0"}).exitCode == 1);
     });
     section("drain takes an agent out", [&] {
-        check(seat.run(2, {"drain", "agent-3"}).exitCode == 0);
-        check(system.agent(3)->waitForExit(SoonEnough) == 0);
-        check(seat.run(2, {"drain", "nobody"}).exitCode == 1);
+        check(operatorClient.run(2, {"drain", "agent-3"}).exitCode == 0);
+        check(system.agent(3)->waitForExit(WaitLimit) == 0);
+        check(operatorClient.run(2, {"drain", "nobody"}).exitCode == 1);
     });
     section("status names an entry that it could not reach", [&] {
         system.entry(2)->signal(SIGKILL);
-        system.entry(2)->waitForExit(SoonEnough);
-        const auto status = seat.run(0, {"status"});
+        system.entry(2)->waitForExit(WaitLimit);
+        const auto status = operatorClient.run(0, {"status"});
         check(status.exitCode == 1);
         check(contains(status.output, "could not reach the entry at " + system.entryRpcAddress(2)));
     });
--- a/tests/process_evict_test.cpp
+++ b/tests/process_evict_test.cpp
@@ -32,17 +32,17 @@
 }
 
 // A fleet whose workers are full of running batch tasks.
-void startFull(fleet &system)
+void startFullFleet(fleet &system)
 {
-    startWhole(system);
+    startAndWait(system);
     system.putFolderFile("10-base.json", baseFolder(system.options()));
     system.putFolderFile("20-batch.json", batchFolder(batchJob()));
     require(waitUntil([&] { return countTraced(system, "started", batchJob().job) == BatchTasks; },
-                      SoonEnough));
+                      WaitLimit));
 }
 
 // Of a team of its own: the batch has used up its own team's quota.
-void putUrgent(fleet &system)
+void submitUrgent(fleet &system)
 {
     auto folder = batchFolder(urgentJob());
     auto &quota = folder["teams"]["gates"]["quota"];
@@ -53,28 +53,28 @@
 }
 
 // Returns when the first batch task has been evicted for the urgent ones, and others are about to.
-void startMidEviction(fleet &system)
+void startUntilEviction(fleet &system)
 {
-    startFull(system);
-    putUrgent(system);
+    startFullFleet(system);
+    submitUrgent(system);
     require(waitUntil([&] { return countTraced(system, "evicted", batchJob().job) > 0; },
-                      SoonEnough));
+                      WaitLimit));
 }
 
-void checkAllWentOn(fleet &system)
+void checkAllTasksCompleted(fleet &system)
 {
     const auto batch = batchJob().job;
     section("the urgent tasks ran, each once", [&] {
         check(waitUntil(
                 [&] { return countTraced(system, "ended", urgentJob().job) == UrgentTasks; },
-                SoonEnough));
+                WaitLimit));
         check(countTraced(system, "started", urgentJob().job) == UrgentTasks);
     });
     section("every batch task ended once", [&] {
         check(waitUntil([&] { return countTraced(system, "ended", batch) == BatchTasks; },
-                        SoonEnough));
+                        WaitLimit));
         check(waitUntil([&] { return taskStates(system, batch)["done"] == BatchTasks; },
-                        SoonEnough));
+                        WaitLimit));
         check(countTraced(system, "ended", batch) == BatchTasks);
     });
     section("each eviction was resumed once, from its checkpoint; nothing began anew", [&] {
@@ -101,18 +101,18 @@
 Test(process_evict, urgent_work_takes_room)
 {
     fleet system(smallFleet());
-    startFull(system);
-    putUrgent(system);
-    checkAllWentOn(system);
+    startFullFleet(system);
+    submitUrgent(system);
+    checkAllTasksCompleted(system);
 }
 
 // The same by a club whose own batch has used up its team's quota: its own tasks make way.
 Test(process_evict, urgent_work_of_a_team_at_its_quota)
 {
     fleet system(smallFleet());
-    startFull(system);
+    startFullFleet(system);
     system.putFolderFile("30-gate.json", batchFolder(urgentJob()));
-    checkAllWentOn(system);
+    checkAllTasksCompleted(system);
 }
 
 // The owner is killed when the first batch task has been evicted. Its successor finds in the table
@@ -120,7 +120,7 @@
 Test(process_evict, owner_killed_in_mid_eviction)
 {
     fleet system(smallFleet());
-    startMidEviction(system);
+    startUntilEviction(system);
     section("the owner is killed", [&] {
         for (unsigned entry = 0; entry < system.options().entries; ++entry) {
             const auto status = system.rpc(entry, "status", Json::objectValue);
@@ -128,7 +128,7 @@
                 system.entry(entry)->signal(SIGKILL);
         }
     });
-    checkAllWentOn(system);
+    checkAllTasksCompleted(system);
 }
 
 // Every agent is killed when the first batch task has been evicted, and replaced. What its worker
@@ -136,16 +136,16 @@
 Test(process_evict, agents_killed_in_mid_eviction)
 {
     fleet system(smallFleet());
-    startMidEviction(system);
+    startUntilEviction(system);
     section("the agents are killed and replaced", [&] {
         for (unsigned index = 0; index < system.options().workers; ++index)
             system.agent(index)->signal(SIGKILL);
         for (unsigned index = 0; index < system.options().workers; ++index) {
-            system.agent(index)->waitForExit(SoonEnough);
+            system.agent(index)->waitForExit(WaitLimit);
             system.startAgent(index);
         }
     });
-    checkAllWentOn(system);
+    checkAllTasksCompleted(system);
 }
 
 // The next answers of the table and of every worker are lost after their effect: an evict request
@@ -153,12 +153,12 @@
 Test(process_evict, answers_lost_in_mid_eviction)
 {
     fleet system(smallFleet());
-    startFull(system);
+    startFullFleet(system);
     Json::Value lose(Json::objectValue);
     lose["lose_answers"] = 10;
     setFaultEverywhere(system, lose);
-    putUrgent(system);
-    checkAllWentOn(system);
+    submitUrgent(system);
+    checkAllTasksCompleted(system);
 }
 
 // The table goes away when the first batch task has been evicted. What was evicted stays so, and is
@@ -166,7 +166,7 @@
 Test(process_evict, table_down_in_mid_eviction)
 {
     fleet system(smallFleet());
-    startMidEviction(system);
+    startUntilEviction(system);
     Json::Value fault(Json::objectValue);
     section("the table is down while the eviction is written", [&] {
         fault["down"] = true;
@@ -175,5 +175,5 @@
         fault["down"] = false;
         system.setFault(system.platformAddress(), fault);
     });
-    checkAllWentOn(system);
+    checkAllTasksCompleted(system);
 }
--- a/tests/process_input_test.cpp
+++ b/tests/process_input_test.cpp
@@ -87,7 +87,7 @@
     auto options = smallFleet();
     options.entrySettings["max_body_bytes"] = 65'536;
     fleet system(options);
-    startWhole(system);
+    startAndWait(system);
     const auto entry = system.entryAddress(0);
     section("a request over the size limit", [&] {
         const auto answer = send(entry, {"POST", "/tickets/hold", {}, std::string(100'000, 'x')});
--- a/tests/process_interference_test.cpp
+++ b/tests/process_interference_test.cpp
@@ -16,7 +16,7 @@
 constexpr unsigned Answers = 120;  // that are counted for a share
 constexpr unsigned PerSecond = 36; // over all upstreams: two thirds of one's slots at its slowest
 
-fleet_options disturbedFleet()
+fleet_options interferenceFleet()
 {
     auto options = smallFleet();
     options.workers = Workers;
@@ -84,7 +84,7 @@
 }
 
 // The worker that makes the most noise.
-unsigned noisiest(fleet &system)
+unsigned findNoisiestWorker(fleet &system)
 {
     unsigned most = 0;
     for (unsigned index = 1; index < Workers; ++index)
@@ -94,8 +94,8 @@
 
 struct answer_counts
 {
-    unsigned within = 0; // the target, by the upstream's own service time
-    unsigned beyond = 0;
+    unsigned withinTarget = 0; // the target, by the upstream's own service time
+    unsigned beyondTarget = 0;
 };
 
 // Counts anew, until the upstream has answered enough.
@@ -104,15 +104,15 @@
     Json::Value target(Json::objectValue);
     target["target_ms"] = TargetMs;
     system.setFault(system.upstreamAddress(index), target);
-    answer_counts counts;
+    answer_counts answers;
     check(waitUntil(
             [&] {
-                const auto told = system.getJson(system.upstreamAddress(index), "/executions");
-                counts = {told["within_target"].asUInt(), told["beyond_target"].asUInt()};
-                return counts.within + counts.beyond >= Answers;
+                const auto stats = system.getJson(system.upstreamAddress(index), "/executions");
+                answers = {stats["within_target"].asUInt(), stats["beyond_target"].asUInt()};
+                return answers.withinTarget + answers.beyondTarget >= Answers;
             },
-            SoonEnough));
-    return counts;
+            WaitLimit));
+    return answers;
 }
 
 double evictionsByEntries(fleet &system, const std::string &reason)
@@ -146,8 +146,8 @@
 // its target again; nothing had to be evicted.
 Test(process_interference, noisy_batch_is_throttled)
 {
-    fleet system(disturbedFleet());
-    startWhole(system);
+    fleet system(interferenceFleet());
+    startAndWait(system);
     Json::Value noise(Json::objectValue);
     noise["noise"]["noisy"] = Noise;
     for (unsigned index = 0; index < Workers; ++index)
@@ -157,23 +157,23 @@
     steady_load load(system);
     section("beside quiet batch alone the service meets its target", [&] {
         require(waitUntil([&] { return countTraced(system, "started", "quiet") == Workers; },
-                          SoonEnough));
+                          WaitLimit));
         require(waitUntil([&] { return countTraced(system, "started", "tickets") == Workers; },
-                          SoonEnough));
+                          WaitLimit));
         for (unsigned index = 0; index < Workers; ++index)
-            check(countAnswers(system, index).beyond == 0);
+            check(countAnswers(system, index).beyondTarget == 0);
     });
     system.putFolderFile("30-noisy.json", batchFolder(batchOf("noisy", 1, 8000)));
-    require(waitUntil([&] { return countTraced(system, "started", "noisy") == 1; }, SoonEnough));
-    const auto disturbed = noisiest(system);
+    require(waitUntil([&] { return countTraced(system, "started", "noisy") == 1; }, WaitLimit));
+    const auto noisiestWorker = findNoisiestWorker(system);
     section("the noisy task is throttled", [&] {
-        check(noiseOn(system, disturbed) > 0);
-        check(waitUntil([&] { return throttlesOf(system, "noisy") > 0; }, SoonEnough));
+        check(noiseOn(system, noisiestWorker) > 0);
+        check(waitUntil([&] { return throttlesOf(system, "noisy") > 0; }, WaitLimit));
     });
     section("the service is below its target again", [&] {
-        const auto counts = countAnswers(system, disturbed);
-        check(counts.within * 20 >= (counts.within + counts.beyond) * 19);
-        check(noiseOn(system, disturbed) < Noise);
+        const auto answers = countAnswers(system, noisiestWorker);
+        check(answers.withinTarget * 20 >= (answers.withinTarget + answers.beyondTarget) * 19);
+        check(noiseOn(system, noisiestWorker) < Noise);
     });
     section("quiet batch was left alone, and nothing was evicted", [&] {
         check(throttlesOf(system, "quiet") == 0);
--- a/tests/process_links_test.cpp
+++ b/tests/process_links_test.cpp
@@ -29,13 +29,13 @@
     return links;
 }
 
-void setAll(fleet &system, link_state state)
+void setAllLinks(fleet &system, link_state state)
 {
     for (const auto &ends : system.options().links)
         system.linkBetween(ends.from, ends.to).set(state);
 }
 
-void setAgents(fleet &system, const std::set<unsigned> &agents, link_state state)
+void setAgentLinks(fleet &system, const std::set<unsigned> &agents, link_state state)
 {
     for (const auto agent : agents) {
         for (const auto &ends : linksOf("agent-" + std::to_string(agent), system.options().entries))
@@ -107,16 +107,16 @@
                    : static_cast<unsigned>(std::stod(text.substr(at + name.size())));
 }
 
-constexpr std::size_t Stalled = 300;
+constexpr std::size_t StalledCallers = 300;
 
 // Keeps 300 callers stalling at entry 0: silent ones, half a head, half a body.
-void stall(stalled_callers &callers, bool ownAddresses)
+void keepStalled(stalled_callers &callers, bool ownAddresses)
 {
     static const char *const parts[] = {
             "", "POST /tickets/hold HTTP/1.1\r\nX-Ha",
             "POST /tickets/hold HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"};
     static unsigned next = 0;
-    for (auto count = callers.stalling(); count < Stalled; ++count) {
+    for (auto count = callers.stalling(); count < StalledCallers; ++count) {
         ++next;
         const auto from = ownAddresses ? "127.0." + std::to_string(1 + next / 250 % 100) + "."
                                                  + std::to_string(2 + next % 250)
@@ -138,7 +138,7 @@
     options.agentSettings["drain_ms"] = 120'000;           // they wait for entry 0's answer so long
     options.entrySettings["announce_silence_ms"] = 60'000; // silence alone would come too late
     fleet system(options);
-    startWhole(system);
+    startAndWait(system);
     load_result result;
     load_generator callers(system, {}, result);
     section("the links break, the agents are asked to stop", [&] {
@@ -177,21 +177,21 @@
     options.entrySettings["lease_ms"] = 6000;
     options.entrySettings["agent_lease_ms"] = 3000;
     fleet system(options);
-    startWhole(system);
+    startAndWait(system);
     system.putFolderFile("10-base.json", baseFolder(system.options()));
     batch_options batch;
     batch.runMs = 1500;
     system.putFolderFile("20-batch.json", batchFolder(batch));
-    require(waitUntil([&] { return countTraced(system, "started", batch.job) > 0; }, SoonEnough));
+    require(waitUntil([&] { return countTraced(system, "started", batch.job) > 0; }, WaitLimit));
     load_result result;
     load_options load;
     load.requests = 1200;
     load.perSecond = 120;
     load.deadline = milliseconds(2000);
     std::uint64_t highest = generationAt(system, 0);
-    underLoad(system, load, result, [&] {
+    runUnderLoad(system, load, result, [&] {
         section("the entry is partitioned; the others accept a configuration", [&] {
-            setAll(system, link_state::Silent);
+            setAllLinks(system, link_state::Silent);
             batch_options more;
             more.job = "late";
             more.tasks = 20;
@@ -205,10 +205,10 @@
                         return generationAt(system, 1) > before && generationAt(system, 2) > before
                                && countTraced(system, "started", "late") > 0;
                     },
-                    SoonEnough));
+                    WaitLimit));
         });
         section("the links heal: the entry catches up", [&] {
-            setAll(system, link_state::Passing);
+            setAllLinks(system, link_state::Passing);
             check(waitUntil(
                     [&] {
                         const auto here = generationAt(system, 0);
@@ -216,16 +216,16 @@
                         highest = std::max(highest, here);
                         return here == generationAt(system, 1) && here == generationAt(system, 2);
                     },
-                    SoonEnough));
+                    WaitLimit));
         });
     });
     section("it serves keyed purchases again", [&] {
         load_generator callers(system, {}, result);
         const http_request keyed{"POST", "/tickets/hold", {{"Idempotency-Key", "healed"}}, "seat"};
-        check(waitUntil([&] { return callers.ask(0, keyed, "healed").empty(); }, SoonEnough));
+        check(waitUntil([&] { return callers.ask(0, keyed, "healed").empty(); }, WaitLimit));
     });
     section("partitioned again: purchases that are repeated elsewhere run once", [&] {
-        setAll(system, link_state::Silent);
+        setAllLinks(system, link_state::Silent);
         load_generator callers(system, {}, result);
         for (unsigned turn = 0; turn < 4; ++turn) {
             const auto operation = "again-" + std::to_string(turn);
@@ -234,7 +234,7 @@
             check(!callers.ask(0, keyed, operation).empty());
             callers.ask(1, keyed, operation);
         }
-        setAll(system, link_state::Passing);
+        setAllLinks(system, link_state::Passing);
     });
     section("every promise was kept", [&] { checkPromisesKept(system, result); });
     section("every task ended once", [&] {
@@ -243,7 +243,7 @@
                     return countTraced(system, "ended", batch.job) == 40
                            && countTraced(system, "ended", "late") == 20;
                 },
-                SoonEnough));
+                WaitLimit));
         checkTraceClean(system);
     });
 }
@@ -265,7 +265,7 @@
     }
     options.entrySettings["agent_lease_ms"] = 4000;
     fleet system(options);
-    startWhole(system);
+    startAndWait(system);
     system.putFolderFile("10-base.json", baseFolder(system.options()));
     batch_options watchers;
     watchers.job = "watch";
@@ -282,16 +282,15 @@
                 return countTraced(system, "started", batch.job) == 12
                        && countTraced(system, "started", "watch") == 8;
             },
-            SoonEnough));
+            WaitLimit));
     const std::set<unsigned> silent{busiestWorker(system, batch.job),
                                     busiestWorker(system, "watch")};
     const auto others = options.workers - static_cast<unsigned>(silent.size());
     load_result result;
     load_generator callers(system, {}, result);
     section("the agents go silent; their batch tasks start elsewhere, their watchers do not", [&] {
-        setAgents(system, silent, link_state::Silent);
-        check(waitUntil([&] { return countTraced(system, "started", batch.job) > 12; },
-                        SoonEnough));
+        setAgentLinks(system, silent, link_state::Silent);
+        check(waitUntil([&] { return countTraced(system, "started", batch.job) > 12; }, WaitLimit));
         check(countTraced(system, "started", "watch") == 8);
     });
     section("requests go to the others", [&] {
@@ -302,13 +301,13 @@
         check(operationsAt(system, silent) == before);
     });
     section("the links heal: it is routed to again", [&] {
-        setAgents(system, silent, link_state::Passing);
+        setAgentLinks(system, silent, link_state::Passing);
         check(waitForUpstreams(system, 4));
         for (const auto agent : silent)
             check(system.agent(agent)->running());
     });
     section("every batch task ends once, no watcher was started twice", [&] {
-        check(waitUntil([&] { return countTraced(system, "ended", batch.job) == 12; }, SoonEnough));
+        check(waitUntil([&] { return countTraced(system, "ended", batch.job) == 12; }, WaitLimit));
         std::this_thread::sleep_for(milliseconds(1000)); // late grants would show now
         check(countTraced(system, "started", "watch") == 8);
         checkTraceClean(system);
@@ -330,13 +329,13 @@
     }
     options.entrySettings["agent_lease_ms"] = 4000;
     fleet system(options);
-    startWhole(system);
+    startAndWait(system);
     system.putFolderFile("10-base.json", baseFolder(system.options()));
     batch_options batch;
     batch.tasks = 16;
     batch.runMs = 15'000;
     system.putFolderFile("20-batch.json", batchFolder(batch));
-    require(waitUntil([&] { return countTraced(system, "started", batch.job) == 16; }, SoonEnough));
+    require(waitUntil([&] { return countTraced(system, "started", batch.job) == 16; }, WaitLimit));
     section("both entries that own nothing stop answering the agents", [&] {
         for (unsigned entry = 0; entry < 3; ++entry) {
             const auto status = system.rpc(entry, "status", Json::objectValue);
@@ -349,7 +348,7 @@
         }
     });
     section("every task ends once, with one start each", [&] {
-        check(waitUntil([&] { return countTraced(system, "ended", batch.job) == 16; }, SoonEnough));
+        check(waitUntil([&] { return countTraced(system, "ended", batch.job) == 16; }, WaitLimit));
         const auto starts = countTraced(system, "started", batch.job);
         check(starts == 16);
         if (starts != 16)
@@ -371,7 +370,7 @@
     for (unsigned agent = 0; agent < 4; ++agent)
         options.links.push_back({"entries", "agent-" + std::to_string(agent)});
     fleet system(options);
-    startWhole(system);
+    startAndWait(system);
     load_result result;
     load_options load;
     load.deadline = milliseconds(1000);
@@ -385,7 +384,7 @@
     };
     http_request keyed{"POST", "/tickets/hold", {{"Idempotency-Key", "lost"}}, "seat"};
     section("answers are lost: unknown, and ran once", [&] {
-        setAll(system, link_state::AnswersLost);
+        setAllLinks(system, link_state::AnswersLost);
         for (unsigned turn = 0; turn < 6; ++turn) {
             const auto operation = "lost-" + std::to_string(turn);
             check(isUnknown(buy(turn % 3, operation), operation));
@@ -396,29 +395,29 @@
         check(executionsOf(system)["lost-keyed"] == 1);
     });
     section("a repeat of the keyed one elsewhere does not run it again", [&] {
-        setAll(system, link_state::Passing);
+        setAllLinks(system, link_state::Passing);
         const auto repeated = callers.ask(1, keyed, "lost-keyed");
         cr_expect(!repeated.empty(), "the repeat was answered");
         check(executionsOf(system)["lost-keyed"] == 1);
     });
     section("links are silent: unknown, and held-back forwards run at most once", [&] {
-        setAll(system, link_state::Silent);
+        setAllLinks(system, link_state::Silent);
         for (unsigned turn = 0; turn < 3; ++turn) {
             const auto operation = "silent-" + std::to_string(turn);
             check(isUnknown(buy(turn, operation), operation));
         }
-        setAll(system, link_state::Passing);
-        check(waitUntil([&] { return buy(0, "after-silence").empty(); }, SoonEnough));
+        setAllLinks(system, link_state::Passing);
+        check(waitUntil([&] { return buy(0, "after-silence").empty(); }, WaitLimit));
     });
     section("links are cut: refused as not run", [&] {
-        setAll(system, link_state::Cut);
+        setAllLinks(system, link_state::Cut);
         for (unsigned turn = 0; turn < 6; ++turn)
             buy(turn % 3, "cut-" + std::to_string(turn));
         check(result.refusedFor("upstream_unreachable") + result.refusedFor("no_upstream")
                       + result.refusedFor("retry_budget_spent")
               > 0);
-        setAll(system, link_state::Passing);
-        check(waitUntil([&] { return buy(1, "after-cut").empty(); }, SoonEnough));
+        setAllLinks(system, link_state::Passing);
+        check(waitUntil([&] { return buy(1, "after-cut").empty(); }, WaitLimit));
     });
     section("every promise was kept", [&] { checkPromisesKept(system, result); });
 }
@@ -431,20 +430,20 @@
     auto options = smallFleet();
     options.entrySettings["max_connections_per_address"] = 32;
     fleet system(options);
-    startWhole(system);
+    startAndWait(system);
     load_result result;
     load_generator load(system, {}, result);
     stalled_callers stalled(system.entryAddress(0));
     for (unsigned round = 0; round < 10; ++round) {
-        stall(stalled, false);
+        keepStalled(stalled, false);
         check(answeredReads(load, 0, 20, "stalled-" + std::to_string(round)) == 20);
     }
-    cr_expect(result.refusals() == 0, "refused: %s", reasonsOf(result).c_str());
+    cr_expect(result.refusals() == 0, "refused: %s", describeRefusals(result).c_str());
     check(connectionsRefused(system, "address_share") > 0);
     check(connectionsRefused(system, "all_in_use") == 0);
     section("a planned stop does not wait for them without end", [&] {
         system.entry(0)->signal(SIGTERM);
-        check(system.entry(0)->waitForExit(SoonEnough) == 0);
+        check(system.entry(0)->waitForExit(WaitLimit) == 0);
     });
 }
 
@@ -455,11 +454,11 @@
     auto options = smallFleet();
     options.entrySettings["request_read_ms"] = 600'000; // deadlines alone would come too late
     fleet system(options);
-    startWhole(system);
+    startAndWait(system);
     load_result result;
     stalled_callers stalled(system.entryAddress(0));
     for (unsigned round = 0; round < 2; ++round) {
-        stall(stalled, true);
+        keepStalled(stalled, true);
         std::this_thread::sleep_for(milliseconds(1500)); // they stall
         for (unsigned caller = 0; caller < 15; ++caller) {
             load_generator load(system, {}, result); // with a connection of its own
@@ -467,7 +466,7 @@
                      "stalled-" + std::to_string(round) + "-" + std::to_string(caller));
         }
     }
-    cr_expect(result.refusals() == 0, "refused: %s", reasonsOf(result).c_str());
+    cr_expect(result.refusals() == 0, "refused: %s", describeRefusals(result).c_str());
     check(result.answered == 30);
     check(connectionsRefused(system, "made_room") > 0);
     checkPromisesKept(system, result);
--- a/tests/process_requests_test.cpp
+++ b/tests/process_requests_test.cpp
@@ -13,12 +13,12 @@
 Test(process_requests, agents_die_and_freeze)
 {
     fleet system(smallFleet());
-    startWhole(system);
+    startAndWait(system);
     load_result result;
     load_options options;
     options.requests = 900;
     options.deadline = milliseconds(2000);
-    underLoad(system, options, result, [&] {
+    runUnderLoad(system, options, result, [&] {
         section("an agent is killed", [&] { system.agent(0)->signal(SIGKILL); });
         section("another freezes for longer than the silence", [&] {
             system.agent(1)->signal(SIGSTOP);
@@ -39,12 +39,12 @@
 Test(process_requests, entries_die_and_freeze)
 {
     fleet system(smallFleet());
-    startWhole(system);
+    startAndWait(system);
     load_result result;
     load_options options;
     options.requests = 900;
     options.deadline = milliseconds(2000);
-    underLoad(system, options, result, [&] {
+    runUnderLoad(system, options, result, [&] {
         section("an entry is killed", [&] { system.entry(0)->signal(SIGKILL); });
         section("another freezes and wakes", [&] {
             system.entry(1)->signal(SIGSTOP);
@@ -67,20 +67,20 @@
     auto options = smallFleet();
     options.upstreamWorkMs = 100; // so that requests are in flight when the signal comes
     fleet system(options);
-    startWhole(system);
+    startAndWait(system);
     load_result result;
     load_options callers;
     callers.requests = 600;
     callers.perSecond = 100;
-    underLoad(system, callers, result, [&] {
+    runUnderLoad(system, callers, result, [&] {
         section("an entry is stopped, twice", [&] {
             system.entry(0)->signal(SIGTERM);
             system.entry(0)->signal(SIGTERM);
-            check(system.entry(0)->waitForExit(SoonEnough) == 0);
+            check(system.entry(0)->waitForExit(WaitLimit) == 0);
         });
         section("an agent is stopped", [&] {
             system.agent(0)->signal(SIGTERM);
-            check(system.agent(0)->waitForExit(SoonEnough) == 0);
+            check(system.agent(0)->waitForExit(WaitLimit) == 0);
         });
         section("its upstream gets no new work", [&] {
             const auto count = [&] {
@@ -107,7 +107,7 @@
 Test(process_requests, requests_that_reach_a_leaving_process_which_is_behind)
 {
     fleet system(smallFleet());
-    startWhole(system);
+    startAndWait(system);
     const auto stopBehind = [](child_process &process, const std::string &address,
                                const std::string &path) {
         std::vector<std::unique_ptr<kept_caller>> callers;
@@ -134,7 +134,7 @@
         for (const auto &caller : callers)
             cutOff += caller->fate() == request_fate::CutOff ? 1 : 0;
         check(cutOff == 0);
-        check(process.waitForExit(SoonEnough) == 0);
+        check(process.waitForExit(WaitLimit) == 0);
     };
     section("an entry",
             [&] { stopBehind(*system.entry(0), system.entryAddress(0), "/tickets/seats"); });
@@ -147,7 +147,7 @@
 Test(process_requests, platform_down)
 {
     fleet system(smallFleet());
-    startWhole(system);
+    startAndWait(system);
     load_result result;
     load_generator callers(system, {}, result);
     http_request keyed{"POST", "/tickets/hold", {{"Idempotency-Key", "k1"}}, "seat"};
@@ -163,7 +163,7 @@
     section("the table comes back, and the same key runs", [&] {
         fault["down"] = false;
         system.setFault(system.platformAddress(), fault);
-        check(waitUntil([&] { return callers.ask(2, keyed, "keyed").empty(); }, SoonEnough));
+        check(waitUntil([&] { return callers.ask(2, keyed, "keyed").empty(); }, WaitLimit));
         check(executionsOf(system)["keyed"] == 1);
     });
     section("a lost answer to the claim is settled by reading back", [&] {
@@ -183,7 +183,7 @@
 Test(process_requests, upstreams_cut_refuse_and_hang)
 {
     fleet system(smallFleet());
-    startWhole(system);
+    startAndWait(system);
     load_result result;
     load_options options;
     options.deadline = milliseconds(1000);
@@ -209,12 +209,12 @@
     });
     section("one upstream refuses connections: others answer", [&] {
         system.upstream(0)->signal(SIGKILL);
-        system.upstream(0)->waitForExit(SoonEnough);
+        system.upstream(0)->waitForExit(WaitLimit);
         const auto before = result.refusals();
         for (unsigned turn = 0; turn < 30; ++turn)
             callers.ask(turn % 3, {"GET", "/tickets/seats", {}, {}},
                         "refuse-" + std::to_string(turn));
-        cr_expect(result.refusals() == before, "refused: %s", reasonsOf(result).c_str());
+        cr_expect(result.refusals() == before, "refused: %s", describeRefusals(result).c_str());
     });
     section("one upstream hangs: its requests end by their deadline, as unknown", [&] {
         system.upstream(1)->signal(SIGSTOP);
@@ -246,9 +246,9 @@
                     return false;
                 }
             },
-            SoonEnough));
+            WaitLimit));
     system.startEntry(0);
     std::this_thread::sleep_for(milliseconds(300));
     system.entry(0)->signal(SIGTERM);
-    check(system.entry(0)->waitForExit(SoonEnough) == 0);
+    check(system.entry(0)->waitForExit(WaitLimit) == 0);
 }
--- a/tests/process_shards_test.cpp
+++ b/tests/process_shards_test.cpp
@@ -22,7 +22,7 @@
 }
 
 // The entry that owns each shard, by index.
-std::map<int, unsigned> owners(fleet &system)
+std::map<int, unsigned> shardOwners(fleet &system)
 {
     std::map<int, unsigned> found;
     for (unsigned entry = 0; entry < system.options().entries; ++entry) {
@@ -39,23 +39,23 @@
     return found;
 }
 
-bool waitForOwnersBut(fleet &system, unsigned entry)
+bool waitForOwnersExcept(fleet &system, unsigned entry)
 {
     return waitUntil(
             [&] {
-                const auto found = owners(system);
+                const auto found = shardOwners(system);
                 return found.size() == Shards
                        && std::none_of(found.begin(), found.end(),
                                        [&](const auto &item) { return item.second == entry; });
             },
-            SoonEnough);
+            WaitLimit);
 }
 
 // The entry that owns the first shard; every shard has an owner by then.
-unsigned someOwner(fleet &system)
+unsigned ownerOfFirstShard(fleet &system)
 {
-    require(waitUntil([&] { return owners(system).size() == Shards; }, SoonEnough));
-    return owners(system).begin()->second;
+    require(waitUntil([&] { return shardOwners(system).size() == Shards; }, WaitLimit));
+    return shardOwners(system).begin()->second;
 }
 
 // Workers on which tasks of the job started.
@@ -70,7 +70,7 @@
 }
 
 // Tasks of the job that ran at the same time, by the workers' traces.
-int mostAtOnce(const fleet &system, const std::string &job)
+int maxConcurrentTasks(const fleet &system, const std::string &job)
 {
     std::vector<std::pair<std::int64_t, int>> changes;
     for (const auto &line : system.workerTrace()) {
@@ -101,10 +101,10 @@
     const auto batch = batchOf(96, 1500);
     fleet system(shardedFleet());
     startWithBatch(system, batch);
-    const auto owner = someOwner(system);
+    const auto owner = ownerOfFirstShard(system);
     section("an owner is killed, others take its shards", [&] {
         system.entry(owner)->signal(SIGKILL);
-        check(waitForOwnersBut(system, owner));
+        check(waitForOwnersExcept(system, owner));
     });
     section("every task ends once, with one start each, on all workers", [&] {
         check(waitForEnds(system, batch));
@@ -121,9 +121,9 @@
     const auto batch = batchOf(96, 1500);
     fleet system(shardedFleet());
     startWithBatch(system, batch);
-    const auto owner = someOwner(system);
+    const auto owner = ownerOfFirstShard(system);
     system.entry(owner)->signal(SIGSTOP);
-    section("others take its shards", [&] { check(waitForOwnersBut(system, owner)); });
+    section("others take its shards", [&] { check(waitForOwnersExcept(system, owner)); });
     system.entry(owner)->signal(SIGCONT);
     section("every task ends once", [&] {
         check(waitForEnds(system, batch));
@@ -140,12 +140,12 @@
     const auto batch = batchOf(96, 3000);
     fleet system(shardedFleet());
     startWithBatch(system, batch);
-    require(waitUntil([&] { return owners(system).size() == Shards; }, SoonEnough));
+    require(waitUntil([&] { return shardOwners(system).size() == Shards; }, WaitLimit));
     std::this_thread::sleep_for(milliseconds(1500));
-    const auto before = owners(system);
+    const auto before = shardOwners(system);
     setPlatformDown(system, true);
     std::this_thread::sleep_for(milliseconds(10'000));
-    check(owners(system) == before);
+    check(shardOwners(system) == before);
     setPlatformDown(system, false);
     section("every task ends once, with one start each", [&] {
         check(waitForEnds(system, batch));
@@ -178,7 +178,7 @@
         watch.tasks = 1;
         system.putFolderFile("30-watch.json", batchFolder(watch));
         check(waitUntil([&] { return countTraced(system, "stopped", watch.job) == 11; },
-                        SoonEnough));
+                        WaitLimit));
         check(taskStates(system, watch.job)["running"] == 1);
         checkTraceClean(system);
     });
@@ -200,17 +200,18 @@
                         + 8 * batch.millicores);
     system.putFolderFile("10-base.json", base);
     require(waitUntil([&] { return countTraced(system, "started", system.options().service) == 8; },
-                      SoonEnough));
+                      WaitLimit));
     system.putFolderFile("20-batch.json", batchFolder(batch));
-    require(waitUntil([&] { return countTraced(system, "ended", batch.job) >= 8; }, SoonEnough));
-    const auto owner = someOwner(system);
+    require(waitUntil([&] { return countTraced(system, "ended", batch.job) >= 8; }, WaitLimit));
+    const auto owner = ownerOfFirstShard(system);
     section("an owner is killed, others take its shards", [&] {
         system.entry(owner)->signal(SIGKILL);
-        check(waitForOwnersBut(system, owner));
+        check(waitForOwnersExcept(system, owner));
     });
     section("every task ends once, at most 8 at the same time", [&] {
         check(waitForEnds(system, batch));
-        cr_expect(mostAtOnce(system, batch.job) <= 8, "%d", mostAtOnce(system, batch.job));
+        cr_expect(maxConcurrentTasks(system, batch.job) <= 8, "%d",
+                  maxConcurrentTasks(system, batch.job));
         checkEachEndedOnce(system, batch);
     });
 }
--- a/tests/process_stream_test.cpp
+++ b/tests/process_stream_test.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint64_t LargeBytes = 32 * MiB;
 constexpr milliseconds LongDeadline{50'000}; // below the longest that an entry allows
 
-fleet_options onePath()
+fleet_options singlePathFleet()
 {
     auto options = smallFleet();
     options.entries = 1;
@@ -28,12 +28,12 @@
     return options;
 }
 
-std::string large(std::uint64_t bytes, const std::string &more = {})
+std::string largeTarget(std::uint64_t bytes, const std::string &more = {})
 {
     return "/tickets/large?bytes=" + std::to_string(bytes) + more;
 }
 
-struct received
+struct received_answer
 {
     std::string failure; // empty: the answer came whole
     http_response head;
@@ -49,34 +49,35 @@
         : m_pool(parseAddress(system.entryAddress(0)), limits())
     { }
 
-    received fetch(http_request request, milliseconds deadline = LongDeadline,
-                   const std::function<void(std::uint64_t)> &afterPart = {})
+    received_answer fetch(http_request request, milliseconds deadline = LongDeadline,
+                          const std::function<void(std::uint64_t)> &afterPart = {})
     {
         request.headers["Zb-Deadline-Ms"] = std::to_string(deadline.count());
         const auto until = monotonic_clock::now() + deadline + seconds(5);
         const auto result = m_pool.open(std::move(request), until, {}, m_threads);
-        received got;
+        received_answer answer;
         if (!std::holds_alternative<http_response>(result)) {
-            got.failure = "no answer";
-            return got;
+            answer.failure = "no answer";
+            return answer;
         }
-        got.head = std::get<http_response>(result);
-        if (!got.head.stream) {
-            got.bytes = got.head.body.size();
-            got.equal = got.head.body == patternBytes(0, got.bytes);
-            got.failure = got.head.header("Zb-Error");
-            return got;
+        answer.head = std::get<http_response>(result);
+        if (!answer.head.stream) {
+            answer.bytes = answer.head.body.size();
+            answer.equal = answer.head.body == patternBytes(0, answer.bytes);
+            answer.failure = answer.head.header("Zb-Error");
+            return answer;
         }
-        for (auto part = got.head.stream->take(); !part.empty(); part = got.head.stream->take()) {
-            got.equal = got.equal && part == patternBytes(got.bytes, part.size());
-            got.bytes += part.size();
+        for (auto part = answer.head.stream->take(); !part.empty();
+             part = answer.head.stream->take()) {
+            answer.equal = answer.equal && part == patternBytes(answer.bytes, part.size());
+            answer.bytes += part.size();
             if (afterPart)
-                afterPart(got.bytes);
+                afterPart(answer.bytes);
         }
-        if (const auto end = got.head.stream->end())
-            got.failure = nameOf(*end);
-        got.head.stream.reset();
-        return got;
+        if (const auto end = answer.head.stream->end())
+            answer.failure = nameOf(*end);
+        answer.head.stream.reset();
+        return answer;
     }
 
 private:
@@ -103,32 +104,32 @@
     paused_caller(const paused_caller &) = delete;
     paused_caller &operator=(const paused_caller &) = delete;
 
-    bool begun() const { return m_begun; }
+    bool hasBegun() const { return m_hasBegun; }
     // Reads the rest; true when the answer was whole.
     bool finish()
     {
-        m_released = true;
+        m_isReleased = true;
         if (m_thread.joinable())
             m_thread.join();
-        return m_whole;
+        return m_isWhole;
     }
 
 private:
     void read(std::uint64_t bytes)
     {
-        const auto got =
-                m_caller.fetch({"GET", large(bytes), {}, {}}, LongDeadline, [this](std::uint64_t) {
-                    m_begun = true;
-                    waitUntil([this] { return m_released.load(); }, SoonEnough);
+        const auto answer = m_caller.fetch(
+                {"GET", largeTarget(bytes), {}, {}}, LongDeadline, [this](std::uint64_t) {
+                    m_hasBegun = true;
+                    waitUntil([this] { return m_isReleased.load(); }, WaitLimit);
                 });
-        m_begun = true;
-        m_whole = got.failure.empty() && got.bytes == bytes && got.equal;
+        m_hasBegun = true;
+        m_isWhole = answer.failure.empty() && answer.bytes == bytes && answer.equal;
     }
 
     large_caller m_caller;
-    std::atomic<bool> m_begun{false};
-    std::atomic<bool> m_released{false};
-    std::atomic<bool> m_whole{false};
+    std::atomic<bool> m_hasBegun{false};
+    std::atomic<bool> m_isReleased{false};
+    std::atomic<bool> m_isWhole{false};
     std::thread m_thread; // last: it uses all of the above
 };
 
@@ -142,9 +143,10 @@
     return {"POST", target, {{"Idempotency-Key", key}, {"Operation", key}}, "seat"};
 }
 
-bool isWhole(const received &got, std::uint64_t bytes)
+bool isWhole(const received_answer &answer, std::uint64_t bytes)
 {
-    return got.failure.empty() && got.head.status == 200 && got.bytes == bytes && got.equal;
+    return answer.failure.empty() && answer.head.status == 200 && answer.bytes == bytes
+           && answer.equal;
 }
 
 // The value of a counter at the entry; 0 while it has not been counted.
@@ -168,48 +170,48 @@
 // that, since the answer is too large to be kept. One above the setting is refused, not cut short.
 Test(process_stream, whole)
 {
-    auto options = onePath();
+    auto options = singlePathFleet();
     options.entrySettings["max_answer_bytes"] = Json::UInt64(LargeBytes);
     fleet system(options);
-    startWhole(system);
+    startAndWait(system);
     large_caller caller(system);
     section("with a declared length", [&] {
-        const auto got = caller.fetch(get(large(LargeBytes)));
-        check(isWhole(got, LargeBytes));
-        check(got.head.header("Content-Length") == std::to_string(LargeBytes));
-        check(got.head.header("Zb-Executed") == "yes");
+        const auto answer = caller.fetch(get(largeTarget(LargeBytes)));
+        check(isWhole(answer, LargeBytes));
+        check(answer.head.header("Content-Length") == std::to_string(LargeBytes));
+        check(answer.head.header("Zb-Executed") == "yes");
     });
     section("in chunks", [&] {
-        const auto got = caller.fetch(get(large(LargeBytes, "&framing=chunked")));
-        check(isWhole(got, LargeBytes));
-        check(got.head.header("Transfer-Encoding") == "chunked");
+        const auto answer = caller.fetch(get(largeTarget(LargeBytes, "&framing=chunked")));
+        check(isWhole(answer, LargeBytes));
+        check(answer.head.header("Transfer-Encoding") == "chunked");
     });
     section("around the size from which answers are streamed", [&] {
         for (const auto bytes : {WholeAnswerBytes - 1, WholeAnswerBytes, WholeAnswerBytes + 1}) {
-            const auto got = caller.fetch(get(large(bytes)));
-            check(isWhole(got, bytes));
+            const auto answer = caller.fetch(get(largeTarget(bytes)));
+            check(isWhole(answer, bytes));
         }
     });
     section("a range and an encoding are the upstream's to heed", [&] {
-        auto request = get(large(MiB));
+        auto request = get(largeTarget(MiB));
         request.headers["Range"] = "bytes=10-19";
         request.headers["Accept-Encoding"] = "gzip";
-        const auto got = caller.fetch(request);
-        check(got.head.status == 206);
-        check(got.head.header("Content-Range") == "bytes 10-19/1048576");
-        check(got.head.header("Content-Encoding").empty());
-        check(got.head.body == patternBytes(10, 10));
+        const auto answer = caller.fetch(request);
+        check(answer.head.status == 206);
+        check(answer.head.header("Content-Range") == "bytes 10-19/1048576");
+        check(answer.head.header("Content-Encoding").empty());
+        check(answer.head.body == patternBytes(10, 10));
     });
     section("a keyed purchase runs once, and its repeat is told so", [&] {
-        const auto request = purchase(large(LargeBytes), "once");
+        const auto request = purchase(largeTarget(LargeBytes), "once");
         check(isWhole(caller.fetch(request), LargeBytes));
         check(caller.fetch(request).failure == "already_executed");
         check(executionsOf(system)["once"] == 1);
     });
     section("above the bound nothing is passed on", [&] {
-        const auto got = caller.fetch(get(large(LargeBytes + 1)));
-        check(got.failure == "answer_too_large");
-        check(got.head.header("Zb-Executed") == "yes");
+        const auto answer = caller.fetch(get(largeTarget(LargeBytes + 1)));
+        check(answer.failure == "answer_too_large");
+        check(answer.head.header("Zb-Executed") == "yes");
     });
 }
 
@@ -219,8 +221,8 @@
 // That suffices because neither the declared length nor the last chunk ever comes.
 Test(process_stream, cut_midway)
 {
-    fleet system(onePath());
-    startWhole(system);
+    fleet system(singlePathFleet());
+    startAndWait(system);
     large_caller caller(system);
     const auto cutNext = [&] {
         Json::Value fault(Json::objectValue);
@@ -231,10 +233,10 @@
     for (const auto *framing : {"", "&framing=chunked"}) {
         section(std::string("cut") + framing, [&] {
             cutNext();
-            const auto got = caller.fetch(get(large(LargeBytes, framing)));
-            check(got.failure == "answer_cut");
-            check(got.equal);
-            check(got.bytes <= LargeBytes / 2);
+            const auto answer = caller.fetch(get(largeTarget(LargeBytes, framing)));
+            check(answer.failure == "answer_cut");
+            check(answer.equal);
+            check(answer.bytes <= LargeBytes / 2);
             ++cuts;
             check(waitUntil(
                     [&] {
@@ -242,12 +244,12 @@
                                          R"(zinniabarrow_flow_stream_cut_total{reason="all"})")
                                == cuts;
                     },
-                    SoonEnough));
+                    WaitLimit));
         });
     }
     section("a keyed purchase that was cut never runs again", [&] {
         cutNext();
-        const auto request = purchase(large(LargeBytes), "cut");
+        const auto request = purchase(largeTarget(LargeBytes), "cut");
         check(caller.fetch(request).failure == "answer_cut");
         std::string repeated;
         check(waitUntil(
@@ -255,12 +257,12 @@
                     repeated = caller.fetch(request).failure;
                     return repeated != "key_in_progress";
                 },
-                SoonEnough));
+                WaitLimit));
         check(repeated == "outcome_unknown");
         check(executionsOf(system)["cut"] == 1);
     });
     section("the next answer is whole",
-            [&] { check(isWhole(caller.fetch(get(large(LargeBytes))), LargeBytes)); });
+            [&] { check(isWhole(caller.fetch(get(largeTarget(LargeBytes))), LargeBytes)); });
 }
 
 // A caller gets its own answer although the upstream sends more than it declares.
@@ -268,14 +270,14 @@
 // would seem to be. A connection with bytes before its request is dropped.
 Test(process_stream, false_length)
 {
-    fleet system(onePath());
-    startWhole(system);
+    fleet system(singlePathFleet());
+    startAndWait(system);
     large_caller caller(system);
     load_result result;
     load_generator callers(system, {}, result);
     for (unsigned turn = 0; turn < 10; ++turn) {
         section("turn " + std::to_string(turn), [&] {
-            check(isWhole(caller.fetch(get(large(MiB, "&extra=100"))), MiB));
+            check(isWhole(caller.fetch(get(largeTarget(MiB, "&extra=100"))), MiB));
             check(callers.ask(0, get("/tickets/seats"), "after-" + std::to_string(turn)).empty());
         });
     }
@@ -287,10 +289,10 @@
 Test(process_stream, bounded_memory)
 {
     constexpr unsigned Callers = 8;
-    constexpr std::size_t HeldBytes = StreamRingBytes + 2 * StreamPartBytes; // of one answer
+    constexpr std::size_t BufferedBytes = StreamRingBytes + 2 * StreamPartBytes; // of one answer
     constexpr std::size_t Slack = 8 * MiB; // threads, their allocator's arenas
-    fleet system(onePath());
-    startWhole(system);
+    fleet system(singlePathFleet());
+    startAndWait(system);
     std::vector<std::unique_ptr<large_caller>> callers;
     for (unsigned index = 0; index < Callers; ++index)
         callers.push_back(std::make_unique<large_caller>(system));
@@ -300,7 +302,7 @@
     std::vector<std::thread> threads;
     for (auto &caller : callers) {
         threads.emplace_back([&] {
-            if (isWhole(caller->fetch(get(large(LargeBytes))), LargeBytes))
+            if (isWhole(caller->fetch(get(largeTarget(LargeBytes))), LargeBytes))
                 ++whole;
         });
     }
@@ -310,8 +312,8 @@
     const auto agentGrown = system.agent(0)->peakMemoryBytes() - agentBefore;
     fmt::print("grown: entry {} bytes, agent {} bytes\n", entryGrown, agentGrown);
     check(whole == Callers);
-    cr_expect(entryGrown <= Callers * HeldBytes + Slack, "the entry grew by %zu", entryGrown);
-    cr_expect(agentGrown <= Callers * HeldBytes + Slack, "the agent grew by %zu", agentGrown);
+    cr_expect(entryGrown <= Callers * BufferedBytes + Slack, "the entry grew by %zu", entryGrown);
+    cr_expect(agentGrown <= Callers * BufferedBytes + Slack, "the agent grew by %zu", agentGrown);
 }
 
 // A caller that reads slowly slows its own answer and no other caller's.
@@ -321,61 +323,62 @@
 Test(process_stream, slow_readers)
 {
     constexpr unsigned Slots = 8;
-    constexpr unsigned Askers = 12;
+    constexpr unsigned CallerCount = 12;
     // Well beyond what one answer takes beside the others: callers with less are refused.
     constexpr milliseconds StoppedDeadline{8000};
-    fleet system(onePath());
-    startWhole(system);
+    fleet system(singlePathFleet());
+    startAndWait(system);
     load_result result;
     load_generator others(system, {}, result);
     section("others are answered while one reader pauses", [&] {
         large_caller caller(system);
         unsigned answered = 0;
-        const auto got = caller.fetch(get(large(LargeBytes)), LongDeadline, [&](std::uint64_t) {
-            if (answered < 20)
-                answered += others.ask(0, get("/tickets/seats"), "beside").empty() ? 1 : 0;
-        });
-        check(isWhole(got, LargeBytes));
+        const auto answer =
+                caller.fetch(get(largeTarget(LargeBytes)), LongDeadline, [&](std::uint64_t) {
+                    if (answered < 20)
+                        answered += others.ask(0, get("/tickets/seats"), "beside").empty() ? 1 : 0;
+                });
+        check(isWhole(answer, LargeBytes));
         check(answered == 20);
     });
     section("never more than the upstream's slots", [&] {
         std::atomic<unsigned> whole{0};
         std::vector<std::thread> threads;
-        for (unsigned index = 0; index < Askers; ++index) {
+        for (unsigned index = 0; index < CallerCount; ++index) {
             threads.emplace_back([&] {
                 large_caller caller(system);
-                const auto got = caller.fetch(get(large(LargeBytes)));
-                if (isWhole(got, LargeBytes))
+                const auto answer = caller.fetch(get(largeTarget(LargeBytes)));
+                if (isWhole(answer, LargeBytes))
                     ++whole;
             });
         }
         for (auto &thread : threads)
             thread.join();
-        check(whole == Askers);
+        check(whole == CallerCount);
         check(system.getJson(system.upstreamAddress(0), "/executions")["overruns"].asUInt() == 0);
     });
     section("readers that stop lose their answers at the deadline, not the slots", [&] {
         std::atomic<unsigned> cut{0};
-        std::atomic<bool> released{false};
+        std::atomic<bool> isReleased{false};
         std::vector<std::thread> threads;
         for (unsigned index = 0; index < Slots; ++index) {
             threads.emplace_back([&] {
                 large_caller caller(system);
-                const auto got =
-                        caller.fetch(get(large(LargeBytes)), StoppedDeadline, [&](std::uint64_t) {
-                            waitUntil([&] { return released.load(); }, SoonEnough);
+                const auto answer = caller.fetch(
+                        get(largeTarget(LargeBytes)), StoppedDeadline, [&](std::uint64_t) {
+                            waitUntil([&] { return isReleased.load(); }, WaitLimit);
                         });
-                if (!got.failure.empty())
+                if (!answer.failure.empty())
                     ++cut;
             });
         }
         const auto atOnce = [&] {
             return system.getJson(system.upstreamAddress(0), "/executions")["at_once"].asUInt();
         };
-        check(waitUntil([&] { return atOnce() == Slots; }, SoonEnough));
-        check(waitUntil([&] { return atOnce() == 0; }, SoonEnough));
+        check(waitUntil([&] { return atOnce() == Slots; }, WaitLimit));
+        check(waitUntil([&] { return atOnce() == 0; }, WaitLimit));
         check(others.ask(0, get("/tickets/seats"), "again").empty());
-        released = true;
+        isReleased = true;
         for (auto &thread : threads)
             thread.join();
         check(cut == Slots);
@@ -389,20 +392,21 @@
 {
     const auto stopDuring = [](const std::string &what, auto &&processOf) {
         section(what, [&] {
-            fleet system(onePath());
-            startWhole(system);
+            fleet system(singlePathFleet());
+            startAndWait(system);
             large_caller caller(system);
             auto &process = processOf(system);
             bool stopped = false;
-            const auto got = caller.fetch(get(large(LargeBytes)), LongDeadline, [&](std::uint64_t) {
-                if (std::exchange(stopped, true))
-                    return;
-                process->signal(SIGTERM);
-                std::this_thread::sleep_for(milliseconds(3000)); // room to stop too early
-                check(process->running());
-            });
-            check(isWhole(got, LargeBytes));
-            check(process->waitForExit(SoonEnough) == 0);
+            const auto answer =
+                    caller.fetch(get(largeTarget(LargeBytes)), LongDeadline, [&](std::uint64_t) {
+                        if (std::exchange(stopped, true))
+                            return;
+                        process->signal(SIGTERM);
+                        std::this_thread::sleep_for(milliseconds(3000)); // room to stop too early
+                        check(process->running());
+                    });
+            check(isWhole(answer, LargeBytes));
+            check(process->waitForExit(WaitLimit) == 0);
         });
     };
     stopDuring(
@@ -418,23 +422,23 @@
 {
     constexpr std::uint64_t Step = 128 * 1024; // half of a ring: some answer ends within it
     constexpr unsigned Most = 32;
-    fleet system(onePath());
-    startWhole(system);
+    fleet system(singlePathFleet());
+    startAndWait(system);
     std::vector<std::unique_ptr<paused_caller>> callers;
-    const auto received = [&] {
+    const auto isReceived = [&] {
         return system.rpc(0, "status", Json::objectValue)["in_flight"].asUInt() == 0;
     };
-    bool held = true; // by the buffers on the way and the entry's ring, whole
-    for (unsigned index = 1; held && index <= Most; ++index) {
+    bool isFullyBuffered = true; // by the buffers on the way and the entry's ring, whole
+    for (unsigned index = 1; isFullyBuffered && index <= Most; ++index) {
         callers.push_back(std::make_unique<paused_caller>(system, index * Step));
-        check(waitUntil([&] { return callers.back()->begun(); }, SoonEnough));
-        held = waitUntil(received, milliseconds(500));
+        check(waitUntil([&] { return callers.back()->hasBegun(); }, WaitLimit));
+        isFullyBuffered = waitUntil(isReceived, milliseconds(500));
     }
     section("an answer larger than all that lies on the way is read to its end", [&] {
-        require(!held);
+        require(!isFullyBuffered);
         check(callers.back()->finish());
         callers.pop_back();
-        check(waitUntil(received, SoonEnough));
+        check(waitUntil(isReceived, WaitLimit));
     });
     section("the entry is stopped while the others' rest is in its ring", [&] {
         system.entry(0)->signal(SIGTERM);
@@ -442,6 +446,6 @@
         check(system.entry(0)->running());
         for (auto &caller : callers)
             check(caller->finish());
-        check(system.entry(0)->waitForExit(SoonEnough) == 0);
+        check(system.entry(0)->waitForExit(WaitLimit) == 0);
     });
 }
--- a/tests/process_work_test.cpp
+++ b/tests/process_work_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // The shards' owner, by index of its entry; the number of entries when there is none.
-unsigned ownerOf(fleet &system)
+unsigned findShardOwner(fleet &system)
 {
     for (unsigned entry = 0; entry < system.options().entries; ++entry) {
         if (!system.entry(entry)->running())
@@ -23,18 +23,18 @@
     return system.options().entries;
 }
 
-bool waitForOtherOwner(fleet &system, unsigned than)
+bool waitForOtherOwner(fleet &system, unsigned previousOwner)
 {
     return waitUntil(
             [&] {
-                const auto next = ownerOf(system);
-                return next != than && next < system.options().entries;
+                const auto next = findShardOwner(system);
+                return next != previousOwner && next < system.options().entries;
             },
-            SoonEnough);
+            WaitLimit);
 }
 
 // Tasks placed ahead on all workers, as their owners tell.
-unsigned backlogs(fleet &system)
+unsigned countBacklogTasks(fleet &system)
 {
     unsigned tasks = 0;
     for (unsigned entry = 0; entry < system.options().entries; ++entry) {
@@ -72,7 +72,7 @@
     const auto batch = batchOf(60, 1500);
     fleet system(smallFleet());
     startWithBatch(system, batch);
-    const auto owner = ownerOf(system);
+    const auto owner = findShardOwner(system);
     require(owner < system.options().entries);
     section("the owner is killed", [&] { system.entry(owner)->signal(SIGKILL); });
     section("another owns the shard", [&] { check(waitForOtherOwner(system, owner)); });
@@ -90,7 +90,7 @@
     const auto batch = batchOf(60, 1500);
     fleet system(smallFleet());
     startWithBatch(system, batch);
-    const auto owner = ownerOf(system);
+    const auto owner = findShardOwner(system);
     require(owner < system.options().entries);
     system.entry(owner)->signal(SIGSTOP);
     section("another owns the shard", [&] { check(waitForOtherOwner(system, owner)); });
@@ -113,7 +113,7 @@
     section("every agent is killed and replaced", [&] {
         for (unsigned index = 0; index < 4; ++index) {
             system.agent(index)->signal(SIGKILL);
-            system.agent(index)->waitForExit(SoonEnough);
+            system.agent(index)->waitForExit(WaitLimit);
             system.startAgent(index);
         }
     });
@@ -138,7 +138,7 @@
     std::this_thread::sleep_for(milliseconds(2500)); // the twin announces and is accepted
     system.agent(0)->signal(SIGCONT);
     section("the old one gives way", [&] {
-        check(system.agent(0)->waitForExit(SoonEnough) == 0);
+        check(system.agent(0)->waitForExit(WaitLimit) == 0);
         check(twin->running());
     });
     section("the tasks end once, with one start each", [&] {
@@ -158,7 +158,7 @@
     require(waitForStarts(system, batch));
     const auto victim = workerThatStarted(system, batch);
     system.worker(victim)->signal(SIGKILL);
-    system.worker(victim)->waitForExit(SoonEnough);
+    system.worker(victim)->waitForExit(WaitLimit);
     system.startWorker(victim);
     section("what ran there runs again, everything ends once", [&] {
         check(waitForEnds(system, batch));
@@ -180,7 +180,7 @@
     watchers.runMs = 3'600'000;
     watchers.failover = "proof";
     startWithBatch(system, watchers);
-    require(waitUntil([&] { return countTraced(system, "started", "watch") == 8; }, SoonEnough));
+    require(waitUntil([&] { return countTraced(system, "started", "watch") == 8; }, WaitLimit));
     batch_options batch;
     batch.tasks = 8;
     batch.runMs = 5000;
@@ -195,7 +195,7 @@
     });
     section("the table comes back: the ends are recorded, nothing ran twice", [&] {
         setPlatformDown(system, false);
-        check(waitUntil([&] { return taskStates(system, batch.job)["done"] == 8; }, SoonEnough));
+        check(waitUntil([&] { return taskStates(system, batch.job)["done"] == 8; }, WaitLimit));
         check(countTraced(system, "started", "watch") == 8);
         checkEachEndedOnce(system, batch);
     });
@@ -212,15 +212,15 @@
         options.entrySettings["placement"]["backlog_per_worker"] = perWorker;
         fleet system(options);
         startWithBatch(system, batch);
-        require(waitUntil([&] { return backlogs(system) == perWorker * options.workers; },
-                          SoonEnough));
+        require(waitUntil([&] { return countBacklogTasks(system) == perWorker * options.workers; },
+                          WaitLimit));
         setPlatformDown(system, true);
         std::this_thread::sleep_for(milliseconds(1000)); // what was granted before has started
         const auto before = countTraced(system, "started", batch.job);
         std::this_thread::sleep_for(milliseconds(9000));
         const auto started = countTraced(system, "started", batch.job) - before;
         setPlatformDown(system, false);
-        check(waitUntil([&] { return taskStates(system, batch.job)["done"] == 60; }, SoonEnough));
+        check(waitUntil([&] { return taskStates(system, batch.job)["done"] == 60; }, WaitLimit));
         checkEachEndedOnce(system, batch);
         return started;
     };
@@ -269,7 +269,7 @@
                     return states.count("running") == 0 && states.count("placed") == 0
                            && states.count("pending") == 0 && states.count("cancelling") == 0;
                 },
-                SoonEnough));
+                WaitLimit));
         const auto started = countTraced(system, "started", batch.job);
         std::this_thread::sleep_for(milliseconds(1500));
         check(countTraced(system, "started", batch.job) == started);
--- a/tests/shard_simulation.h
+++ b/tests/shard_simulation.h
@@ -25,31 +25,31 @@
 {
     std::string id;
     resources size;
-    std::unique_ptr<work::task_supervisor> keeper;
+    std::unique_ptr<work::task_supervisor> supervisor;
     std::unique_ptr<work::worker_tasks> worker;
-    int session = 0;    // raised when the agent is replaced
-    unsigned kills = 0; // running tasks that were stopped without a checkpoint
-    bool alive = true;
-    int limitsToLose = 0;                              // calls that the worker does not hear
-    std::map<work::task_attempt, std::int64_t> limits; // that the worker was told; 0: lifted
+    int session = 0;          // raised when the agent is replaced
+    unsigned killedTasks = 0; // running tasks that were stopped without a checkpoint
+    bool isAlive = true;
+    int cpuLimitsToLose = 0;                              // calls that the worker does not hear
+    std::map<work::task_attempt, std::int64_t> cpuLimits; // that the worker was told; 0: lifted
 
     void startAgent()
     {
-        keeper = std::make_unique<work::task_supervisor>(
+        supervisor = std::make_unique<work::task_supervisor>(
                 id, id + "#" + std::to_string(++session), work::supervisor_settings(),
                 [this](const work::task_id &task, const resources &amount) {
-                    return (keeper->occupiedByOthers(task) + amount).fitsIn(size);
+                    return (supervisor->occupiedByOthers(task) + amount).fitsIn(size);
                 });
     }
 };
 
-class shard_world
+class shard_simulation
 {
 public:
-    explicit shard_world(int workers, resources size = {16'000, 60 * Gigabyte, 0})
+    explicit shard_simulation(int workers, resources size = {16'000, 60 * Gigabyte, 0})
     {
-        folder.pools["shared"].worker = size;
-        folder.teams["rinks"];
+        configuredFolder.pools["shared"].worker = size;
+        configuredFolder.teams["rinks"];
         for (int index = 0; index < workers; ++index) {
             const auto id = "w" + std::to_string(index);
             auto &host = hosts[id];
@@ -57,33 +57,34 @@
             host.size = size;
             host.worker = std::make_unique<work::worker_tasks>(1);
             host.startAgent();
-            m_places[id] = {{id, "kartli-a", "r" + std::to_string(index), "shared", size}, id};
+            m_reportedWorkers[id] = {{id, "kartli-a", "r" + std::to_string(index), "shared", size},
+                                     id};
         }
-        own(1);
+        startOwner(1);
     }
 
     // Another entry owns the shard; it has not read the configuration yet.
     void takeOver()
     {
-        own(++m_epoch);
+        startOwner(++m_epoch);
         m_adopted = {};
     }
 
     // The folder as it stands is accepted as the next generation.
-    void accept()
+    void acceptFolder()
     {
         ++m_generation;
-        m_adopted = {m_generation, std::make_shared<config::configuration>(folder)};
+        m_adopted = {m_generation, std::make_shared<config::configuration>(configuredFolder)};
     }
 
-    void pass(milliseconds length, milliseconds step = milliseconds(200))
+    void advance(milliseconds length, milliseconds step = milliseconds(200))
     {
         for (const auto until = now + length; now < until;) {
             now += step;
             for (auto &[id, host] : hosts)
                 tickHost(host);
             feed(work::coordinator_tick{});
-            perform(owner->follow(m_adopted, m_places, now));
+            perform(owner->reconcile(m_adopted, m_reportedWorkers, now));
             perform(owner->plan(now));
         }
     }
@@ -99,7 +100,7 @@
         std::vector<work::running_task> found;
         for (const auto &[id, host] : hosts) {
             for (const auto &task : host.worker->running()) {
-                if (host.alive && task.attempt.task.job.rfind(job + "@", 0) == 0)
+                if (host.isAlive && task.attempt.task.job.rfind(job + "@", 0) == 0)
                     found.push_back(task);
             }
         }
@@ -114,10 +115,10 @@
     }
 
     // Of the service beside the worker, in parts of its target; 0: it had no answers.
-    void sampleLatency(const std::string &worker, const std::string &service, double ofTarget)
+    void sampleLatency(const std::string &worker, const std::string &service, double targetRatio)
     {
-        const microseconds target = folder.services.at(service).latencyTarget;
-        const auto p99 = static_cast<double>(target.count()) * ofTarget;
+        const microseconds target = configuredFolder.services.at(service).latencyTarget;
+        const auto p99 = static_cast<double>(target.count()) * targetRatio;
         owner->latencySampled(worker, service, microseconds(static_cast<std::int64_t>(p99)), now,
                               now);
     }
@@ -134,21 +135,21 @@
     }
     static resources countedByAgent(const shard_host &host)
     {
-        return host.keeper->occupiedByOthers({});
+        return host.supervisor->occupiedByOthers({});
     }
 
     time_point now{std::chrono::hours(1)};
-    config::configuration folder;
+    config::configuration configuredFolder;
     std::map<std::string, shard_host> hosts;
     random_generator random{1};
-    double lossPart = 0; // of the grants
+    double grantLossRate = 0; // of the grants
 
     metrics counters;
     logger log{"test", "shard", log_level::Error};
     std::unique_ptr<owned_shard> owner;
 
 private:
-    void own(std::uint64_t epoch)
+    void startOwner(std::uint64_t epoch)
     {
         const auto row = m_platform.read(work::shardKey(0));
         m_platform.commit({"own-" + std::to_string(epoch),
@@ -188,63 +189,70 @@
     void deliver(const work::worker_grant &grant)
     {
         auto &host = hosts.at(grant.worker);
-        if (!host.alive || pickUnit(random) < lossPart)
+        if (!host.isAlive || pickUnit(random) < grantLossRate)
             return;
         const auto parsed = work::workerGrantFromJson(toJson(grant)); // as it goes over the wire
-        run(host, host.keeper->handle(work::grant_received{parsed}, now));
+        performAll(host, host.supervisor->handle(work::grant_received{parsed}, now));
     }
 
     void tickHost(shard_host &host)
     {
-        if (!host.alive)
+        if (!host.isAlive)
             return;
         host.worker->endLapsedTasks(now);
-        run(host, host.keeper->handle(work::supervisor_tick{}, now));
+        performAll(host, host.supervisor->handle(work::supervisor_tick{}, now));
     }
 
-    void run(shard_host &host, const std::vector<work::supervisor_action> &actions)
+    void performAll(shard_host &host, const std::vector<work::supervisor_action> &actions)
     {
         for (const auto &action : actions)
-            std::visit([&](const auto &one) { act(host, one); }, action);
+            std::visit([&](const auto &one) { performForHost(host, one); }, action);
     }
-    void act(shard_host &host, const work::worker_list &action)
+    void performForHost(shard_host &host, const work::worker_list &action)
     {
         const auto listing = host.worker->list(action, now);
-        run(host, host.keeper->handle(work::listing_received{listing}, now));
+        performAll(host, host.supervisor->handle(work::listing_received{listing}, now));
     }
-    void act(shard_host &host, const work::worker_start &action)
+    void performForHost(shard_host &host, const work::worker_start &action)
     {
         host.worker->start(action, now);
     }
-    void act(shard_host &host, const work::worker_renew &action) { host.worker->renew(action); }
-    void act(shard_host &host, const work::worker_stop &action)
+    void performForHost(shard_host &host, const work::worker_renew &action)
     {
-        host.kills += host.worker->stop(action) ? 1 : 0;
+        host.worker->renew(action);
     }
-    void act(shard_host &host, const work::worker_checkpoint &action)
+    void performForHost(shard_host &host, const work::worker_stop &action)
+    {
+        host.killedTasks += host.worker->stop(action) ? 1 : 0;
+    }
+    void performForHost(shard_host &host, const work::worker_checkpoint &action)
     {
         host.worker->recordEnd(
                 {action.attempt, work::task_outcome::Evicted, action.checkpoint, {}});
     }
-    void act(shard_host &host, const work::worker_forget &action) { host.worker->forget(action); }
-    void act(shard_host &host, const work::worker_cpu_limit &action)
+    void performForHost(shard_host &host, const work::worker_forget &action)
+    {
+        host.worker->forget(action);
+    }
+    void performForHost(shard_host &host, const work::worker_cpu_limit &action)
     {
-        if (host.limitsToLose > 0 && host.limitsToLose-- > 0)
-            run(host, host.keeper->handle(work::cpu_limit_unconfirmed{action.attempt}, now));
+        if (host.cpuLimitsToLose > 0 && host.cpuLimitsToLose-- > 0)
+            performAll(host,
+                       host.supervisor->handle(work::cpu_limit_unconfirmed{action.attempt}, now));
         else
-            host.limits[action.attempt] = action.millicores;
+            host.cpuLimits[action.attempt] = action.millicores;
     }
-    void act(shard_host &, const work::send_report &action)
+    void performForHost(shard_host &, const work::send_report &action)
     {
         feed(work::report_received{work::agentReportFromJson(toJson(action.report))});
     }
-    void act(shard_host &, const work::increment_counter &action)
+    void performForHost(shard_host &, const work::increment_counter &action)
     {
         counters.count("tasks_kept_total", nameOf(action.reason));
     }
 
     memory_platform m_platform;
-    std::map<std::string, worker_place> m_places;
+    std::map<std::string, reported_worker> m_reportedWorkers;
     adopted_configuration m_adopted;
     std::uint64_t m_generation = 0;
     std::uint64_t m_epoch = 1;
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -21,9 +21,9 @@
     return job;
 }
 
-std::string hostOf(const shard_world &world, const work::task_attempt &attempt)
+std::string hostOf(const shard_simulation &simulation, const work::task_attempt &attempt)
 {
-    for (const auto &[id, host] : world.hosts) {
+    for (const auto &[id, host] : simulation.hosts) {
         if (host.worker->runs(attempt))
             return id;
     }
@@ -32,11 +32,11 @@
 
 // No worker above its size, in the owner's ledger, in the agent's, and in what the worker was told;
 // the agent never counts less than was declared.
-void checkNoExcess(const shard_world &world)
+void checkNoExcess(const shard_simulation &simulation)
 {
-    for (const auto &[id, host] : world.hosts) {
-        check(world.reservedByOwner(id).fitsIn(host.size));
-        check(shard_world::countedByAgent(host).fitsIn(host.size));
+    for (const auto &[id, host] : simulation.hosts) {
+        check(simulation.reservedByOwner(id).fitsIn(host.size));
+        check(shard_simulation::countedByAgent(host).fitsIn(host.size));
         resources declared;
         for (const auto &task : host.worker->running())
             declared += work::declaredSize(task.spec);
@@ -51,37 +51,37 @@
 // it, and the worker would run out of memory.
 Test(shard, raised_reservations_reach_the_agent)
 {
-    shard_world world(1);
-    auto &host = world.hosts.at("w0");
-    world.folder.jobs["season"] = batchJob(1, {1000, 10 * Gigabyte, 0});
-    world.accept();
-    world.pass(seconds(5));
-    require(world.running("season").size() == 1);
-    const auto attempt = world.running("season")[0].attempt;
-    world.sampleUsage("w0", attempt.task, 30 * Gigabyte);
+    shard_simulation simulation(1);
+    auto &host = simulation.hosts.at("w0");
+    simulation.configuredFolder.jobs["season"] = batchJob(1, {1000, 10 * Gigabyte, 0});
+    simulation.acceptFolder();
+    simulation.advance(seconds(5));
+    require(simulation.running("season").size() == 1);
+    const auto attempt = simulation.running("season")[0].attempt;
+    simulation.sampleUsage("w0", attempt.task, 30 * Gigabyte);
     const resources raised{1000, 36 * Gigabyte, 0};
     section("within two reports the agent counts what the owner counts", [&] {
-        world.pass(seconds(4));
-        check(world.reservedByOwner("w0") == raised);
-        check(shard_world::countedByAgent(host) == raised);
+        simulation.advance(seconds(4));
+        check(simulation.reservedByOwner("w0") == raised);
+        check(shard_simulation::countedByAgent(host) == raised);
     });
     section("a replaced agent is told again", [&] {
         host.startAgent();
-        world.pass(seconds(5));
-        check(shard_world::countedByAgent(host) == raised);
+        simulation.advance(seconds(5));
+        check(shard_simulation::countedByAgent(host) == raised);
     });
     section("the next configuration takes no raise back", [&] {
-        world.folder.jobs["other"] = batchJob(1, {1000, 10 * Gigabyte, 0});
-        world.accept();
-        world.pass(seconds(5));
+        simulation.configuredFolder.jobs["other"] = batchJob(1, {1000, 10 * Gigabyte, 0});
+        simulation.acceptFolder();
+        simulation.advance(seconds(5));
         const resources both{2000, 46 * Gigabyte, 0};
-        check(world.reservedByOwner("w0") == both);
-        check(shard_world::countedByAgent(host) == world.reservedByOwner("w0"));
+        check(simulation.reservedByOwner("w0") == both);
+        check(shard_simulation::countedByAgent(host) == simulation.reservedByOwner("w0"));
     });
     section("a start that does not fit beside it is refused by the agent alone", [&] {
         const resources next{0, 15 * Gigabyte, 0};
-        check(!(host.keeper->occupiedByOthers({}) + next).fitsIn(host.size));
-        check(host.kills == 0);
+        check(!(host.supervisor->occupiedByOthers({}) + next).fitsIn(host.size));
+        check(host.killedTasks == 0);
     });
 }
 
@@ -92,30 +92,30 @@
     double evictions = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         section("seed " + std::to_string(seed), [&] {
-            shard_world world(3);
-            world.random.seed(seed);
-            world.lossPart = 0.3;
-            world.folder.jobs["season"] = batchJob(30, {1000, 5 * Gigabyte, 0});
-            world.accept();
+            shard_simulation simulation(3);
+            simulation.random.seed(seed);
+            simulation.grantLossRate = 0.3;
+            simulation.configuredFolder.jobs["season"] = batchJob(30, {1000, 5 * Gigabyte, 0});
+            simulation.acceptFolder();
             for (int step = 0; step < 60; ++step) {
-                world.pass(milliseconds(600));
-                checkNoExcess(world);
-                const auto tasks = world.running("season");
+                simulation.advance(milliseconds(600));
+                checkNoExcess(simulation);
+                const auto tasks = simulation.running("season");
                 if (tasks.empty())
                     continue;
-                const auto &task = tasks[pickIndex(world.random, tasks.size())].attempt;
-                const auto bytes = static_cast<std::int64_t>(4 + pickIndex(world.random, 16));
-                world.sampleUsage(hostOf(world, task), task.task, bytes * Gigabyte);
-                if (pickIndex(world.random, 20) == 0)
-                    world.hosts.at("w0").startAgent();
+                const auto &task = tasks[pickIndex(simulation.random, tasks.size())].attempt;
+                const auto bytes = static_cast<std::int64_t>(4 + pickIndex(simulation.random, 16));
+                simulation.sampleUsage(hostOf(simulation, task), task.task, bytes * Gigabyte);
+                if (pickIndex(simulation.random, 20) == 0)
+                    simulation.hosts.at("w0").startAgent();
             }
-            world.lossPart = 0;
-            world.pass(seconds(12));
-            for (const auto &[id, host] : world.hosts) {
-                check(host.kills == 0);
-                check(shard_world::countedByAgent(host) == world.reservedByOwner(id));
+            simulation.grantLossRate = 0;
+            simulation.advance(seconds(12));
+            for (const auto &[id, host] : simulation.hosts) {
+                check(host.killedTasks == 0);
+                check(shard_simulation::countedByAgent(host) == simulation.reservedByOwner(id));
             }
-            evictions += world.counters.value("evictions_total", "memory_pressure");
+            evictions += simulation.counters.value("evictions_total", "memory_pressure");
         });
     }
     check(evictions > 0);
@@ -126,22 +126,22 @@
 // evicted, and the worker would run out of memory.
 Test(shard, tasks_taken_over_can_be_evicted)
 {
-    shard_world world(1);
-    world.folder.jobs["season"] = batchJob(5, {1000, 10 * Gigabyte, 0});
-    world.accept();
-    world.pass(seconds(5));
-    require(world.running("season").size() == 5);
-    const auto task = world.running("season")[0].attempt.task;
-    world.takeOver();
-    world.pass(seconds(5));
-    world.accept();
-    world.pass(seconds(5));
-    check(world.running("season").size() == 5);
-    world.sampleUsage("w0", task, 25 * Gigabyte);
-    world.pass(seconds(5));
-    check(world.counters.value("evictions_total", "memory_pressure") == 1);
-    checkNoExcess(world);
-    check(world.hosts.at("w0").kills == 0);
+    shard_simulation simulation(1);
+    simulation.configuredFolder.jobs["season"] = batchJob(5, {1000, 10 * Gigabyte, 0});
+    simulation.acceptFolder();
+    simulation.advance(seconds(5));
+    require(simulation.running("season").size() == 5);
+    const auto task = simulation.running("season")[0].attempt.task;
+    simulation.takeOver();
+    simulation.advance(seconds(5));
+    simulation.acceptFolder();
+    simulation.advance(seconds(5));
+    check(simulation.running("season").size() == 5);
+    simulation.sampleUsage("w0", task, 25 * Gigabyte);
+    simulation.advance(seconds(5));
+    check(simulation.counters.value("evictions_total", "memory_pressure") == 1);
+    checkNoExcess(simulation);
+    check(simulation.hosts.at("w0").killedTasks == 0);
 }
 
 // A noisy batch task is throttled for the service beside it. The worker does not hear it, its agent
@@ -149,48 +149,48 @@
 // at full speed nor throttled for the rest of its life by an owner that nobody remembers.
 Test(shard, limits_reach_the_worker_and_are_lifted)
 {
-    shard_world world(1);
-    auto &host = world.hosts.at("w0");
-    auto &service = world.folder.services["tickets"];
+    shard_simulation simulation(1);
+    auto &host = simulation.hosts.at("w0");
+    auto &service = simulation.configuredFolder.services["tickets"];
     service.team = "rinks";
     service.pool = "shared";
     service.size = {4000, 8 * Gigabyte, 0};
-    world.accept();
-    const auto samples = [&](int count, double ofTarget) {
+    simulation.acceptFolder();
+    const auto samples = [&](int count, double targetRatio) {
         for (int sample = 0; sample < count; ++sample) {
-            world.pass(seconds(2));
-            world.sampleLatency("w0", "tickets", ofTarget);
+            simulation.advance(seconds(2));
+            simulation.sampleLatency("w0", "tickets", targetRatio);
         }
     };
     samples(10, 0.5);
-    world.folder.jobs["noisy"] = batchJob(1, {8000, 8 * Gigabyte, 0});
-    world.accept();
-    world.pass(seconds(2));
-    require(world.running("noisy").size() == 1);
-    const auto attempt = world.running("noisy")[0].attempt;
-    world.lossPart = 0.7;
-    host.limitsToLose = 2;
+    simulation.configuredFolder.jobs["noisy"] = batchJob(1, {8000, 8 * Gigabyte, 0});
+    simulation.acceptFolder();
+    simulation.advance(seconds(2));
+    require(simulation.running("noisy").size() == 1);
+    const auto attempt = simulation.running("noisy")[0].attempt;
+    simulation.grantLossRate = 0.7;
+    host.cpuLimitsToLose = 2;
     samples(6, 1.5);
-    world.lossPart = 0;
-    world.pass(seconds(6));
+    simulation.grantLossRate = 0;
+    simulation.advance(seconds(6));
     section("told again until the worker has heard it", [&] {
-        check(world.counters.value("throttles_total", "interference") == 1);
-        check(host.limits[attempt] == 4000);
+        check(simulation.counters.value("throttles_total", "interference") == 1);
+        check(host.cpuLimits[attempt] == 4000);
     });
     section("a replaced agent tells it again", [&] {
-        host.limits.clear();
+        host.cpuLimits.clear();
         host.startAgent();
-        world.pass(seconds(6));
-        check(host.limits[attempt] == 4000);
+        simulation.advance(seconds(6));
+        check(host.cpuLimits[attempt] == 4000);
     });
     section("no answers are no measurement: they lift nothing", [&] {
         samples(100, 0);
-        check(world.counters.value("throttles_total", "lifted") == 0);
+        check(simulation.counters.value("throttles_total", "lifted") == 0);
     });
     section("a new owner, which knows of no limit, lifts it", [&] {
-        world.takeOver();
-        world.pass(seconds(6));
-        check(host.limits[attempt] == 0);
+        simulation.takeOver();
+        simulation.advance(seconds(6));
+        check(host.cpuLimits[attempt] == 0);
         check(host.worker->runs(attempt));
     });
 }
