--- a/app/agent.cpp
+++ b/app/agent.cpp
@@ -70,7 +70,7 @@
         m_announce->setState(request::upstream_state::Leaving);
         m_supervisor->setServing(false);
         m_admission.drain();
-        const auto giveUpAt = startedAt + m_settings.drain;
+        const auto giveUpAt = startedAt + m_settings.drainTimeout;
         const auto done = [&](time_point now) {
             return m_admission.isDrained() && m_server.inFlight() == 0
                    && m_announce->isLeaveComplete() && now - startedAt >= MinLeavingTime;
--- a/app/announcement_actor.cpp
+++ b/app/announcement_actor.cpp
@@ -36,7 +36,7 @@
     request::announcer_settings out;
     for (const auto &entry : settings.entries)
         out.entries.push_back(config::toText(entry));
-    out.initialPeriod = settings.announce;
+    out.initialPeriod = settings.announceInterval;
     return out;
 }
 
@@ -102,10 +102,10 @@
     const auto reply = request::announceReplyFromJson(*answer.reply);
     m_announcer.handleReply(answer.entry, reply, now);
     if (reply.needsFullAnnouncement)
-        m_reportThrottle.startAgain(
+        m_reportThrottle.resetReceiver(
                 answer.entry); // it was replaced, and knows no generations either
     else if (answer.sentReport)
-        m_reportThrottle.answered(answer.entry, *answer.sentReport, now);
+        m_reportThrottle.recordAnswer(answer.entry, *answer.sentReport, now);
 }
 
 void announcement_actor::tick()
--- a/app/announcement_actor.h
+++ b/app/announcement_actor.h
@@ -53,7 +53,7 @@
 
     // Touched by the duty's thread alone.
     request::announcer m_announcer;
-    config::report_pace m_reportThrottle;
+    config::report_throttle m_reportThrottle;
 
     std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
 };
--- a/app/config_actor.cpp
+++ b/app/config_actor.cpp
@@ -19,13 +19,13 @@
 constexpr milliseconds SilenceTimeout{10'000};
 constexpr std::uint64_t OperationSeedStream = 11;
 
-config::keeper_settings managerSettings(const config::entry_settings &settings,
-                                        const process_identity &self)
+config::generation_manager_settings managerSettings(const config::entry_settings &settings,
+                                                    const process_identity &self)
 {
-    config::keeper_settings out;
+    config::generation_manager_settings out;
     out.process = self.id;
-    out.peers = settings.peers.size();
-    out.poll = settings.configPoll;
+    out.peerCount = settings.peers.size();
+    out.pollInterval = settings.configPollInterval;
     out.answerTimeout = settings.platform.timeout * 2;
     return out;
 }
@@ -86,7 +86,7 @@
 
 void config_actor::receiveReport(const config::generation_report &report)
 {
-    post(config::report_heard{report});
+    post(config::report_received{report});
 }
 
 Json::Value config_actor::ownReport() const
@@ -106,7 +106,7 @@
 }
 
 Json::Value config_actor::queryAndWait(
-        std::function<Json::Value(const config::generation_keeper &, time_point)> how)
+        std::function<Json::Value(const config::generation_manager &, time_point)> how)
 {
     return postAndAwaitReply([&](const reply_promise &reply) {
         return m_actor->post(manager_query{how, reply});
@@ -116,7 +116,7 @@
 Json::Value config_actor::handleGenerationPush(const Json::Value &parameters)
 {
     receiveReport(config::generationReportFromJson(objectMember(parameters, "report")));
-    return queryAndWait([](const config::generation_keeper &manager, time_point) {
+    return queryAndWait([](const config::generation_manager &manager, time_point) {
         return toJson(manager.report());
     });
 }
@@ -124,14 +124,14 @@
 Json::Value config_actor::readContent(const Json::Value &parameters)
 {
     const auto wanted = config::readContentFromJson(parameters);
-    return queryAndWait([wanted](const config::generation_keeper &manager, time_point) {
-        return contentAnswer(manager.follower(), wanted);
+    return queryAndWait([wanted](const config::generation_manager &manager, time_point) {
+        return answerReadContent(manager.follower(), wanted);
     });
 }
 
 Json::Value config_actor::folderView()
 {
-    return queryAndWait([](const config::generation_keeper &manager, time_point now) {
+    return queryAndWait([](const config::generation_manager &manager, time_point now) {
         return toJson(config::folderViewOf(manager, now, SilenceTimeout));
     });
 }
@@ -140,12 +140,12 @@
 {
     const auto name = stringMember(parameters, "name");
     const auto version = countMember(parameters, "version");
-    return queryAndWait([name, version](const config::generation_keeper &manager, time_point now) {
+    return queryAndWait([name, version](const config::generation_manager &manager, time_point now) {
         const auto status = manager.statusOf(name, version);
         Json::Value answer(Json::objectValue);
         answer["status"] = toJson(status);
-        answer["follow"] = std::string(nameOf(
-                config::followState(config::folderViewOf(manager, now, SilenceTimeout), status)));
+        answer["follow"] = std::string(nameOf(config::rolloutStateOf(
+                config::folderViewOf(manager, now, SilenceTimeout), status)));
         return answer;
     });
 }
@@ -168,7 +168,7 @@
     if (result.outcome == write_outcome::Refused)
         throw rpc_refusal(std::string(nameOf(error_kind::PlatformUnavailable)),
                           "the platform refused: nothing was written, try again later");
-    post(config::look_now{}); // the operator waits for this file: do not wait for the next round
+    post(config::scan_now{}); // the operator waits for this file: do not wait for the next round
     return toJson(result);
 }
 
@@ -211,12 +211,12 @@
     m_ready = m_manager.isReady();
 }
 
-void config_actor::perform(const config::read_accepted &action)
+void config_actor::perform(const config::read_accepted_row &action)
 {
     m_platform.enqueue([this, action](platform_client &platform) {
         const std::string key(config::AcceptedRowKey);
         const auto reading = platform.read({key}, {});
-        config::accepted_read read{action.request, reading.has_value(), {}};
+        config::accepted_row_read read{action.request, reading.has_value(), {}};
         read.row.key = key;
         if (reading && !reading->rows.empty())
             read.row = reading->rows.front();
@@ -301,7 +301,7 @@
         const std::lock_guard lock(m_mutex);
         m_report = toJson(m_manager.report());
     }
-    m_onAdopted({action.generation, action.whole});
+    m_onAdopted({action.generation, action.mergedConfig});
 }
 
 void config_actor::perform(const config::push_generation &action)
--- a/app/config_actor.h
+++ b/app/config_actor.h
@@ -59,7 +59,7 @@
 private:
     struct manager_query
     {
-        std::function<Json::Value(const config::generation_keeper &, time_point)> answer;
+        std::function<Json::Value(const config::generation_manager &, time_point)> answer;
         reply_promise reply;
     };
     struct process_addresses
@@ -69,12 +69,12 @@
     using event = std::variant<config::generation_event, manager_query, process_addresses>;
 
     Json::Value
-    queryAndWait(std::function<Json::Value(const config::generation_keeper &, time_point)> how);
+    queryAndWait(std::function<Json::Value(const config::generation_manager &, time_point)> how);
     Json::Value writeFile(std::function<write_result(platform_client &)> write);
 
     void handle(event &newEvent);
     void feed(const config::generation_event &newEvent);
-    void perform(const config::read_accepted &action);
+    void perform(const config::read_accepted_row &action);
     void perform(const config::list_folder &action);
     void perform(const config::read_files &action);
     void perform(const config::write_content &action);
@@ -100,7 +100,7 @@
     Json::Value m_report; // under m_mutex
 
     // Touched by the duty's thread alone.
-    config::generation_keeper m_manager;
+    config::generation_manager m_manager;
     std::map<std::string, std::string> m_addresses; // by process id
 
     std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
--- a/app/config_follower_actor.cpp
+++ b/app/config_follower_actor.cpp
@@ -63,7 +63,7 @@
     auto &push = std::get<generation_push>(newEvent);
     m_entryAddresses[push.report.process] = push.address;
     m_lastEntryAddress = push.address;
-    feed(config::report_heard{push.report});
+    feed(config::report_received{push.report});
     push.reply->set_value(toJson(m_follower.report()));
 }
 
--- a/app/entry.cpp
+++ b/app/entry.cpp
@@ -78,7 +78,7 @@
         std::this_thread::sleep_for(UnreadyBeforeDrain);
         m_requests.drain();
         m_scheduling.drain();
-        const auto giveUpAt = startedAt + m_settings.drain;
+        const auto giveUpAt = startedAt + m_settings.drainTimeout;
         const auto done = [&] {
             return m_requests.isDrained() && m_scheduling.isDrained()
                    && m_callerServer.inFlight() == 0;
@@ -109,8 +109,8 @@
         limits.connections = settings.maxConnections;
         limits.bodyBytes = settings.maxBodyBytes;
         limits.perAddress = settings.maxConnectionsPerAddress;
-        limits.readWithin = settings.requestRead;
-        limits.writeWithin = settings.answerWrite;
+        limits.readWithin = settings.requestReadTimeout;
+        limits.writeWithin = settings.answerWriteTimeout;
         return limits;
     }
 
--- a/app/operator_commands.cpp
+++ b/app/operator_commands.cpp
@@ -103,11 +103,11 @@
     command.parse(count, arguments);
     const auto result = config::checkFolder(readFolder(folder.getValue()));
     if (json.getValue()) {
-        fmt::print("{}\n", prettyJson(config::problemList(result.problems)));
+        fmt::print("{}\n", prettyJson(config::problemsToJson(result.problems)));
     } else if (result.isAcceptable()) {
         fmt::print("acceptable: {} services, {} jobs, {} pools, {} teams\n",
-                   result.whole.services.size(), result.whole.jobs.size(),
-                   result.whole.pools.size(), result.whole.teams.size());
+                   result.mergedConfig.services.size(), result.mergedConfig.jobs.size(),
+                   result.mergedConfig.pools.size(), result.mergedConfig.teams.size());
     } else {
         fmt::print("{}\n", config::problemTable(result.problems));
     }
@@ -243,8 +243,8 @@
     while (true) {
         answer = callProcess(followRequest.entry, "file_status", parameters);
         const auto state = answer["follow"].asString();
-        if (state != nameOf(config::follow_state::Waiting)) {
-            const bool isEverywhere = state == nameOf(config::follow_state::Everywhere);
+        if (state != nameOf(config::rollout_state::Waiting)) {
+            const bool isEverywhere = state == nameOf(config::rollout_state::InForceEverywhere);
             const auto waited = millisecondsUntil(monotonic_clock::now(), startedAt);
             answer["waited_ms"] = Json::Int64(waited);
             printFileStatus(answer, followRequest.json);
--- a/app/owned_shard.cpp
+++ b/app/owned_shard.cpp
@@ -212,7 +212,7 @@
             m_teamLimits[name] = team.quota;
     }
     for (const auto &[name, pool] : adopted.mergedConfig->pools)
-        m_placer.setPool({name, pool.worker}, now);
+        m_placer.setPool({name, pool.workerSize}, now);
     std::set<std::string> wantedJobs;
     for (const auto &[name, service] : adopted.mergedConfig->services) {
         work::job_spec job;
--- a/app/request_actor.cpp
+++ b/app/request_actor.cpp
@@ -29,7 +29,7 @@
     request::membership_settings out;
     out.entryId = self.id;
     out.incarnation = self.incarnation;
-    out.minPeriod = std::max<milliseconds>(settings.announceSilence / out.missedHeartbeatLimit,
+    out.minPeriod = std::max<milliseconds>(settings.announceTimeout / out.missedHeartbeatLimit,
                                            milliseconds(100));
     return out;
 }
@@ -39,7 +39,7 @@
     request::router_settings out;
     out.zone = settings.zone;
     out.region = settings.region;
-    out.spillAboveLoad = settings.routing.spill;
+    out.spillAboveLoad = settings.routing.spillThreshold;
     return out;
 }
 
@@ -59,8 +59,8 @@
 request::retry_budget_settings budgetSettings(const config::retry_settings &settings)
 {
     request::retry_budget_settings out;
-    out.retriesPerRequest = settings.share;
-    out.minRetriesPerSecond = settings.floor;
+    out.retriesPerRequest = settings.budgetShare;
+    out.minRetriesPerSecond = settings.minPerSecond;
     return out;
 }
 
@@ -140,7 +140,7 @@
     arrived.team = request.header(TeamHeader);
     arrived.idempotencyKey = request.header(KeyHeader);
     arrived.bodyHash = stableHash(request.body);
-    arrived.deadline = now + remainingTime(request, m_settings.requestDeadline);
+    arrived.deadline = now + remainingTime(request, m_settings.defaultRequestDeadline);
     const std::string id = arrived.id;
     if (!m_actor->post(request_arrival{std::move(arrived), call})) {
         m_metrics.count("refusals_total", "ring_full");
@@ -554,7 +554,7 @@
     for (const auto &peer : m_peers) {
         if (!peer.id.empty())
             snapshot.entryAddresses[peer.id] = peer.address;
-        if (!peer.id.empty() && now - peer.lastHeardAt < m_settings.announceSilence * 2)
+        if (!peer.id.empty() && now - peer.lastHeardAt < m_settings.announceTimeout * 2)
             snapshot.liveEntries.push_back(peer.id);
     }
     m_membersChanged(std::move(snapshot));
@@ -583,7 +583,7 @@
         return true;
     return std::any_of(m_peers.begin(), m_peers.end(), [&](const peer_entry &peer) {
         return process_identity{peer.id, peer.incarnation}.fullId() == uniqueId
-               && m_now - peer.lastHeardAt < m_settings.announceSilence * 2;
+               && m_now - peer.lastHeardAt < m_settings.announceTimeout * 2;
     });
 }
 
--- a/app/scheduling_actor.cpp
+++ b/app/scheduling_actor.cpp
@@ -17,7 +17,7 @@
 work::lease_settings leaseSettings(const config::entry_settings &settings)
 {
     work::lease_settings leases;
-    leases.grantPeriod = settings.lease;
+    leases.grantPeriod = settings.shardLease;
     leases.grantLease = settings.agentLease;
     leases.safetyMargin = settings.clockMargin;
     return leases;
@@ -36,8 +36,8 @@
     out.weights.tailLatency = settings.weights.tailLatency;
     out.weights.throughput = settings.weights.throughput;
     out.weights.evictions = settings.weights.evictions;
-    out.quarantine.jobWorkerLimit = settings.placement.quarantineWorkers;
-    out.quarantine.workerJobLimit = settings.placement.setAsideJobs;
+    out.quarantine.jobWorkerLimit = settings.placement.jobQuarantineWorkers;
+    out.quarantine.workerJobLimit = settings.placement.workerQuarantineJobs;
     out.relief.evictionsPerMinute = static_cast<double>(settings.placement.evictionsPerMinute);
     // Agents count what their worker was told, the declared size: with smaller reservations of
     // processors here, they would refuse starts. Memory is only ever reserved above it.
@@ -255,7 +255,7 @@
     const auto now = monotonic_clock::now();
     const bool isPlanDue = now + TickInterval / 2 >= m_nextPlanAt;
     if (isPlanDue)
-        m_nextPlanAt = now + m_settings.placement.tick;
+        m_nextPlanAt = now + m_settings.placement.tickInterval;
     feedOwnership(work::ownership_tick{listUnresponsiveWorkers()});
     m_isDrained = m_isReleasing && m_ownership.isReleased();
     // `handle` may discard a shard: walk over the numbers, not over the map.
--- a/app/supervisor_actor.cpp
+++ b/app/supervisor_actor.cpp
@@ -20,9 +20,9 @@
     work::supervisor_settings out;
     out.leases.taskLease = settings.lease.taskLease;
     out.leases.safetyMargin = settings.lease.clockMargin;
-    out.reportInterval = std::max(settings.lease.report, settings.lease.renew);
-    out.repeatInterval = settings.lease.renew;
-    out.listInterval = settings.lease.renew;
+    out.reportInterval = std::max(settings.lease.ownerReportInterval, settings.lease.renewInterval);
+    out.repeatInterval = settings.lease.renewInterval;
+    out.listInterval = settings.lease.renewInterval;
     return out;
 }
 
@@ -294,7 +294,8 @@
         return;
     }
     m_ownerEntry = newEvent.entry;
-    m_ownerKnownUntil = monotonic_clock::now() + m_settings.lease.report + OwnerSilenceLimit;
+    m_ownerKnownUntil =
+            monotonic_clock::now() + m_settings.lease.ownerReportInterval + OwnerSilenceLimit;
     if (!newEvent.answer->isMember("grant"))
         return;
     try {
--- a/bench/config_bench.cpp
+++ b/bench/config_bench.cpp
@@ -50,7 +50,7 @@
 void takeUpContent(benchmark::State &state)
 {
     const auto checked = checkFolder(folderOf(state.range(0)));
-    const auto text = contentText({checked.whole, {}, {}});
+    const auto text = contentText({checked.mergedConfig, {}, {}});
     for (auto round : state) {
         std::ignore = round;
         benchmark::DoNotOptimize(contentFromText(text));
--- a/libs/config/content_slice.cpp
+++ b/libs/config/content_slice.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 template <typename Items>
-void copyOne(Items &to, const Items &from, const std::string &name)
+void copyNamed(Items &to, const Items &from, const std::string &name)
 {
     const auto found = from.find(name);
     if (found != from.end())
@@ -17,53 +17,53 @@
 
 } // namespace
 
-generation_content sliceOf(const generation_content &whole, const content_scope &scope)
+generation_content makeSlice(const generation_content &wholeContent, const content_scope &scope)
 {
     generation_content slice;
-    copyOne(slice.whole.services, whole.whole.services, scope.service);
-    copyOne(slice.whole.pools, whole.whole.pools, scope.pool);
+    copyNamed(slice.mergedConfig.services, wholeContent.mergedConfig.services, scope.service);
+    copyNamed(slice.mergedConfig.pools, wholeContent.mergedConfig.pools, scope.pool);
     return slice;
 }
 
-Json::Value toJson(const read_content &question)
+Json::Value toJson(const read_content &query)
 {
     Json::Value value(Json::objectValue);
-    value["digest"] = question.digest;
-    if (!question.scope)
+    value["digest"] = query.digest;
+    if (!query.scope)
         return value;
-    value["scope"]["service"] = question.scope->service;
-    value["scope"]["pool"] = question.scope->pool;
-    if (!question.have.empty())
-        value["have"] = question.have;
+    value["scope"]["service"] = query.scope->service;
+    value["scope"]["pool"] = query.scope->pool;
+    if (!query.heldSliceDigest.empty())
+        value["have"] = query.heldSliceDigest;
     return value;
 }
 
 read_content readContentFromJson(const Json::Value &value)
 {
-    read_content question;
-    question.digest = stringMember(value, "digest");
+    read_content query;
+    query.digest = stringMember(value, "digest");
     if (!value.isMember("scope"))
-        return question;
+        return query;
     const auto &scope = objectMember(value, "scope");
-    question.scope = content_scope{stringMember(scope, "service"), stringMember(scope, "pool")};
-    question.have = stringMemberOr(value, "have", "");
-    return question;
+    query.scope = content_scope{stringMember(scope, "service"), stringMember(scope, "pool")};
+    query.heldSliceDigest = stringMemberOr(value, "have", "");
+    return query;
 }
 
-Json::Value contentAnswer(const generation_follower &source, const read_content &question)
+Json::Value answerReadContent(const generation_follower &source, const read_content &query)
 {
     Json::Value answer(Json::objectValue);
-    const auto text = source.textFor(question.digest);
+    const auto text = source.contentTextFor(query.digest);
     if (!text)
         return answer;
-    if (!question.scope) {
+    if (!query.scope) {
         answer["content"] = *text;
         return answer;
     }
-    const auto slice = contentText(sliceOf(source.content(), *question.scope));
+    const auto slice = contentText(makeSlice(source.content(), *query.scope));
     const auto digest = digestOf(slice);
     answer["slice_digest"] = digest;
-    if (question.have != digest)
+    if (query.heldSliceDigest != digest)
         answer["slice"] = slice;
     return answer;
 }
--- a/libs/config/content_slice.h
+++ b/libs/config/content_slice.h
@@ -17,15 +17,15 @@
 
 class generation_follower;
 
-generation_content sliceOf(const generation_content &whole, const content_scope &scope);
+generation_content makeSlice(const generation_content &wholeContent, const content_scope &scope);
 
 // {digest, scope?, have?}: what a process asks for, and the answer of one that works by that
 // generation: {content}, {slice, slice_digest}, {slice_digest} when the asker has it, or {} when it
 // works by another generation.
 // The reader throws error BadRequest: call it before the question reaches a duty.
-Json::Value toJson(const read_content &question);
+Json::Value toJson(const read_content &query);
 read_content readContentFromJson(const Json::Value &value);
-Json::Value contentAnswer(const generation_follower &source, const read_content &question);
+Json::Value answerReadContent(const generation_follower &source, const read_content &query);
 
 // The answer as an event; nothing when none came.
 content_read contentReadFromJson(std::uint64_t request, const std::optional<Json::Value> &answer);
--- a/libs/config/endpoint.cpp
+++ b/libs/config/endpoint.cpp
@@ -16,12 +16,12 @@
     return !hasNul && inet_pton(family, text.c_str(), &number) == 1;
 }
 
-bool isVersion6(const std::string &text)
+bool isIpv6(const std::string &text)
 {
     return isNumber<in6_addr>(AF_INET6, text);
 }
 
-bool isVersion4(const std::string &text)
+bool isIpv4(const std::string &text)
 {
     return isNumber<in_addr>(AF_INET, text);
 }
@@ -31,12 +31,12 @@
 std::string toText(const endpoint &endpoint)
 {
     const auto port = std::to_string(endpoint.port);
-    if (isVersion6(endpoint.address))
+    if (isIpv6(endpoint.address))
         return '[' + endpoint.address + "]:" + port;
     return endpoint.address + ':' + port;
 }
 
-std::optional<endpoint> endpointFrom(std::string_view text)
+std::optional<endpoint> parseEndpoint(std::string_view text)
 {
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos)
@@ -46,7 +46,7 @@
     const bool isBracketed = address.size() > 2 && address.front() == '[' && address.back() == ']';
     if (isBracketed)
         address = address.substr(1, address.size() - 2);
-    if (isBracketed ? !isVersion6(address) : !isVersion4(address))
+    if (isBracketed ? !isIpv6(address) : !isIpv4(address))
         return std::nullopt;
     endpoint result{address, 0};
     const auto [end, failure] =
@@ -56,9 +56,9 @@
     return result;
 }
 
-bool isAddress(const std::string &text)
+bool isIpAddress(const std::string &text)
 {
-    return isVersion4(text) || isVersion6(text);
+    return isIpv4(text) || isIpv6(text);
 }
 
 } // namespace zinniabarrow::config
--- a/libs/config/endpoint.h
+++ b/libs/config/endpoint.h
@@ -19,8 +19,8 @@
 std::string toText(const endpoint &endpoint);
 
 // Empty if `text` is no IP number with a port above 0.
-std::optional<endpoint> endpointFrom(std::string_view text);
+std::optional<endpoint> parseEndpoint(std::string_view text);
 
-bool isAddress(const std::string &text);
+bool isIpAddress(const std::string &text);
 
 } // namespace zinniabarrow::config
--- a/libs/config/fields.h
+++ b/libs/config/fields.h
@@ -20,7 +20,7 @@
 
 // The enumerator of a name; throws BadRequest where the table lacks it.
 template <typename Enum, std::size_t Size>
-Enum valueNamed(const name_table<Enum, Size> &table, const std::string &name)
+Enum enumFromName(const name_table<Enum, Size> &table, const std::string &name)
 {
     const auto value = valueOf(table, name);
     if (!value)
@@ -50,7 +50,7 @@
             read(*value, member);
         } catch (const Json::Exception &wrongType) {
             throw error(error_kind::BadRequest,
-                        std::string("member ") + name + ": " + wrongType.what());
+                        std::string("member ") + name + ": " + conversionError.what());
         } catch (const error &inner) {
             throw error(error_kind::BadRequest,
                         std::string("member ") + name + ": " + inner.what());
@@ -96,7 +96,7 @@
     }
     static void read(const Json::Value &value, endpoint &member)
     {
-        const auto parsed = endpointFrom(value.asString());
+        const auto parsed = parseEndpoint(value.asString());
         if (!parsed)
             throw error(error_kind::BadRequest, "expected an IP address and port");
         member = *parsed;
@@ -151,7 +151,7 @@
             m_object[name] = written(*member);
     }
 
-    Json::Value take() { return std::move(m_object); }
+    Json::Value takeObject() { return std::move(m_object); }
 
 private:
     static Json::Value written(const std::string &member) { return member; }
@@ -188,7 +188,7 @@
         } else {
             field_writer writer;
             describe(writer, const_cast<T &>(member)); // the writer only reads
-            return writer.take();
+            return writer.takeObject();
         }
     }
 
@@ -196,15 +196,15 @@
 };
 
 template <typename T>
-Json::Value written(const T &object)
+Json::Value membersToJson(const T &object)
 {
     field_writer writer;
     describe(writer, const_cast<T &>(object)); // the writer only reads
-    return writer.take();
+    return writer.takeObject();
 }
 
 template <typename T>
-T readFrom(const Json::Value &value)
+T readMembers(const Json::Value &value)
 {
     T object;
     field_reader reader(value);
--- a/libs/config/folder.cpp
+++ b/libs/config/folder.cpp
@@ -28,7 +28,7 @@
 // Found by argument-dependent look-up from fields.h, so not in the unnamed namespace.
 static void fromName(const std::string &name, priority_class &priority)
 {
-    priority = valueNamed(PriorityNames, name);
+    priority = enumFromName(PriorityNames, name);
 }
 
 template <typename Archive>
@@ -64,7 +64,7 @@
 {
     archive("zones", pool.zones);
     archive("workers", pool.workers);
-    archive("worker", pool.worker);
+    archive("worker", pool.workerSize);
 }
 
 template <typename Archive>
@@ -75,22 +75,22 @@
 }
 
 template <typename Archive>
-void describe(Archive &archive, configuration &whole)
+void describe(Archive &archive, configuration &mergedConfiguration)
 {
-    archive("services", whole.services);
-    archive("jobs", whole.jobs);
-    archive("pools", whole.pools);
-    archive("teams", whole.teams);
+    archive("services", mergedConfiguration.services);
+    archive("jobs", mergedConfiguration.jobs);
+    archive("pools", mergedConfiguration.pools);
+    archive("teams", mergedConfiguration.teams);
 }
 
 Json::Value toJson(const configuration &configuration)
 {
-    return written(configuration);
+    return membersToJson(configuration);
 }
 
 configuration configurationFromJson(const Json::Value &value)
 {
-    return readFrom<configuration>(value);
+    return readMembers<configuration>(value);
 }
 
 bool isFolderFile(std::string_view name)
@@ -98,13 +98,13 @@
     return !name.empty() && name.front() != '.' && name.ends_with(".json");
 }
 
-text_place merged_folder::placeOf(const std::string &pointer) const
+text_location merged_folder::locationOf(const std::string &pointer) const
 {
-    for (auto part = pointer;; part.resize(part.rfind('/'))) {
-        const auto found = sources.find(part);
-        if (found != sources.end())
+    for (auto prefixPointer = pointer;; prefixPointer.resize(prefixPointer.rfind('/'))) {
+        const auto found = valueLocations.find(prefixPointer);
+        if (found != valueLocations.end())
             return found->second;
-        if (part.empty())
+        if (prefixPointer.empty())
             return {};
     }
 }
@@ -115,81 +115,81 @@
 class folder_merger
 {
 public:
-    merged_folder take()
+    merged_folder takeMerged()
     {
-        for (const auto &[file, replacer] : m_lastReplacer) {
-            if (m_values[file] == 0)
-                m_merged.overridden[file] = replacer;
+        for (const auto &[file, replacingFile] : m_lastReplacer) {
+            if (m_valueCounts[file] == 0)
+                m_merged.overriddenBy[file] = replacingFile;
         }
         return std::move(m_merged);
     }
 
-    void apply(const json_text &file)
+    void applyFile(const json_text &file)
     {
         m_file = &file;
-        patch(m_merged.value, file.root(), "");
+        applyPatch(m_merged.value, file.root(), "");
     }
 
 private:
-    void patch(Json::Value &target, const Json::Value &change, const std::string &pointer)
+    void applyPatch(Json::Value &target, const Json::Value &change, const std::string &pointer)
     {
         if (!change.isObject()) {
-            forget(pointer);
+            eraseReplacedValues(pointer);
             target = change;
-            m_merged.sources[pointer] = placeHere(change);
-            countValue(pointer);
+            m_merged.valueLocations[pointer] = locationHere(change);
+            recordValue(pointer);
             return;
         }
-        if (!target.isObject() || !m_merged.sources.contains(pointer)) {
-            forget(pointer);
+        if (!target.isObject() || !m_merged.valueLocations.contains(pointer)) {
+            eraseReplacedValues(pointer);
             target = Json::Value(Json::objectValue);
-            m_merged.sources[pointer] = placeHere(change);
+            m_merged.valueLocations[pointer] = locationHere(change);
         }
         for (const auto &name : change.getMemberNames())
-            patchMember(target, name, change[name], childPointer(pointer, name));
+            applyMemberPatch(target, name, change[name], childPointer(pointer, name));
     }
 
-    void patchMember(Json::Value &target, const std::string &name, const Json::Value &change,
-                     const std::string &pointer)
+    void applyMemberPatch(Json::Value &target, const std::string &name, const Json::Value &change,
+                          const std::string &pointer)
     {
         if (!change.isNull()) {
-            patch(target[name], change, pointer);
+            applyPatch(target[name], change, pointer);
             return;
         }
-        forget(pointer);
+        eraseReplacedValues(pointer);
         target.removeMember(name);
-        countValue(pointer); // a deletion is in force until a later file gives the member again
+        recordValue(pointer); // a deletion is in force until a later file gives the member again
     }
 
-    text_place placeHere(const Json::Value &value) const
+    text_location locationHere(const Json::Value &value) const
     {
         return {m_file->file(), m_file->lineOf(value)};
     }
 
-    void countValue(const std::string &pointer)
+    void recordValue(const std::string &pointer)
     {
-        m_owners[pointer] = m_file->file();
-        ++m_values[m_file->file()];
+        m_fileOfValue[pointer] = m_file->file();
+        ++m_valueCounts[m_file->file()];
     }
 
     // What stood at `pointer` and below it is replaced by the file at hand.
-    void forget(const std::string &pointer)
+    void eraseReplacedValues(const std::string &pointer)
     {
-        eraseBelow(m_merged.sources, pointer, [](const auto &) {});
-        eraseBelow(m_owners, pointer, [&](const std::string &owner) {
-            --m_values[owner];
+        eraseSubtree(m_merged.valueLocations, pointer, [](const auto &) {});
+        eraseSubtree(m_fileOfValue, pointer, [&](const std::string &owner) {
+            --m_valueCounts[owner];
             if (owner != m_file->file())
                 m_lastReplacer[owner] = m_file->file();
         });
     }
 
     template <typename Map, typename Visit>
-    static void eraseBelow(Map &map, const std::string &pointer, Visit &&visit)
+    static void eraseSubtree(Map &map, const std::string &pointer, Visit &&visit)
     {
-        const auto itself = map.find(pointer);
-        if (itself != map.end()) {
-            visit(itself->second);
-            map.erase(itself);
+        const auto exact = map.find(pointer);
+        if (exact != map.end()) {
+            visit(exact->second);
+            map.erase(exact);
         }
         const auto prefix = pointer + '/';
         auto it = map.lower_bound(prefix);
@@ -201,8 +201,8 @@
 
     const json_text *m_file = nullptr;
     merged_folder m_merged;
-    std::map<std::string, std::string> m_owners; // file of each value or deletion, by pointer
-    std::map<std::string, int> m_values;         // how many of them a file still has
+    std::map<std::string, std::string> m_fileOfValue; // file of each value or deletion, by pointer
+    std::map<std::string, int> m_valueCounts;         // how many of them a file still has
     std::map<std::string, std::string> m_lastReplacer;
 };
 
@@ -214,8 +214,8 @@
               [](const json_text &a, const json_text &b) { return a.file() < b.file(); });
     folder_merger merger;
     for (const auto &file : files)
-        merger.apply(file);
-    return merger.take();
+        merger.applyFile(file);
+    return merger.takeMerged();
 }
 
 const json_schema &folderSchema()
@@ -224,16 +224,16 @@
     return schema;
 }
 
-static Json::Value fileDefinition()
+static Json::Value fileSchemaDefinition()
 {
-    auto definition = patchOf(folderSchema().definition());
+    auto definition = patchSchemaOf(folderSchema().definition());
     definition["type"] = "object"; // a file that is null as a whole would delete the folder
     return definition;
 }
 
 const json_schema &folderFileSchema()
 {
-    static const json_schema schema{fileDefinition()};
+    static const json_schema schema{fileSchemaDefinition()};
     return schema;
 }
 
--- a/libs/config/folder.h
+++ b/libs/config/folder.h
@@ -57,7 +57,7 @@
 {
     std::vector<std::string> zones; // availability zones of its workers
     std::int64_t workers = 1;       // how many it has
-    resources worker;               // size of the largest one
+    resources workerSize;           // size of the largest one
     bool operator==(const pool_spec &) const = default;
 };
 
@@ -93,12 +93,12 @@
 
 struct merged_folder
 {
-    Json::Value value{Json::objectValue};          // defaults are not filled in
-    std::map<std::string, text_place> sources;     // where each value in force was written
-    std::map<std::string, std::string> overridden; // file without a value left: by which file
+    Json::Value value{Json::objectValue};                // defaults are not filled in
+    std::map<std::string, text_location> valueLocations; // where each value in force was written
+    std::map<std::string, std::string> overriddenBy;     // file without a value left: by which file
 
     // Where `pointer`, or its nearest parent that was written, stands.
-    text_place placeOf(const std::string &pointer) const;
+    text_location locationOf(const std::string &pointer) const;
 };
 
 // `files` may come in any order; the result is the same.
--- a/libs/config/generation_events.cpp
+++ b/libs/config/generation_events.cpp
@@ -54,7 +54,7 @@
 }
 
 template <typename Archive>
-void describe(Archive &archive, look_now &event)
+void describe(Archive &archive, scan_now &event)
 {
     std::ignore = archive;
     std::ignore = event;
@@ -69,7 +69,7 @@
 }
 
 template <typename Archive>
-void describe(Archive &archive, accepted_read &event)
+void describe(Archive &archive, accepted_row_read &event)
 {
     archive("request", event.request);
     archive("answered", event.isAnswered);
@@ -107,7 +107,7 @@
 }
 
 template <typename Archive>
-void describe(Archive &archive, read_accepted &action)
+void describe(Archive &archive, read_accepted_row &action)
 {
     archive("request", action.request);
 }
@@ -162,10 +162,10 @@
 template <typename Record>
 Json::Value bodyOf(const Record &record)
 {
-    return written(record);
+    return membersToJson(record);
 }
 
-Json::Value bodyOf(const report_heard &event)
+Json::Value bodyOf(const report_received &event)
 {
     Json::Value body(Json::objectValue);
     body["report"] = toJson(event.report);
@@ -178,7 +178,7 @@
     body["request"] = Json::UInt64(action.request);
     body["operation_id"] = action.transaction.operationId;
     for (const auto &condition : action.transaction.conditions)
-        body["conditions"].append(written(condition));
+        body["conditions"].append(membersToJson(condition));
     for (const auto &write : action.transaction.writes)
         body["writes"][write.key] = write.value.value_or(Json::Value());
     return body;
@@ -205,10 +205,10 @@
 template <typename Event>
 void readBody(const Json::Value &value, Event &event)
 {
-    event = readFrom<Event>(value);
+    event = readMembers<Event>(value);
 }
 
-void readBody(const Json::Value &value, report_heard &event)
+void readBody(const Json::Value &value, report_received &event)
 {
     event.report = generationReportFromJson(value["report"]);
 }
@@ -231,14 +231,14 @@
 
 namespace {
 
-struct no_answer_visitor
+struct failure_event_visitor
 {
     using answer = std::optional<generation_event>;
     write_result result;
 
-    answer operator()(const read_accepted &action) const
+    answer operator()(const read_accepted_row &action) const
     {
-        return accepted_read{action.request, false, {}};
+        return accepted_row_read{action.request, false, {}};
     }
     answer operator()(const list_folder &action) const
     {
@@ -265,9 +265,10 @@
 
 } // namespace
 
-std::optional<generation_event> noAnswerTo(const generation_action &action, write_outcome outcome)
+std::optional<generation_event> failureEventFor(const generation_action &action,
+                                                write_outcome outcome)
 {
-    return std::visit(no_answer_visitor{{outcome, 0, {}}}, action);
+    return std::visit(failure_event_visitor{{outcome, 0, {}}}, action);
 }
 
 Json::Value toJson(const generation_event &event)
--- a/libs/config/generation_events.h
+++ b/libs/config/generation_events.h
@@ -23,7 +23,7 @@
 { };
 
 // A report of another process, by announcement or by `push_generation`.
-struct report_heard
+struct report_received
 {
     generation_report report;
 };
@@ -39,7 +39,7 @@
 };
 
 // Answer to `read_accepted`.
-struct accepted_read
+struct accepted_row_read
 {
     std::uint64_t request = 0;
     bool isAnswered = false;
@@ -77,17 +77,17 @@
 };
 
 // An operator has changed the folder, or asks what became of a file: look at once.
-struct look_now
+struct scan_now
 { };
 
 using generation_event =
-        std::variant<tick, report_heard, content_read, accepted_read, folder_listed, files_read,
-                     content_written, generation_committed, look_now>;
+        std::variant<tick, report_received, content_read, accepted_row_read, folder_listed,
+                     files_read, content_written, generation_committed, scan_now>;
 
 // --- Actions
 
 // Read the row AcceptedRowKey.
-struct read_accepted
+struct read_accepted_row
 {
     std::uint64_t request = 0;
 };
@@ -140,7 +140,7 @@
     std::string digest;
     std::string peer;
     std::optional<content_scope> scope{}; // enough where the peer knows slices
-    std::string have{};                   // digest of the slice that is in force here
+    std::string heldSliceDigest{};        // digest of the slice that is in force here
 };
 
 // This process works by this generation from now on.
@@ -148,7 +148,7 @@
 {
     std::uint64_t generation = 0;
     std::string digest;
-    std::shared_ptr<const configuration> whole;
+    std::shared_ptr<const configuration> mergedConfig;
 };
 
 // Tell `report` to these processes; none named: to all that are known.
@@ -159,14 +159,15 @@
 };
 
 using generation_action =
-        std::variant<read_accepted, list_folder, read_files, write_content, commit_generation,
+        std::variant<read_accepted_row, list_folder, read_files, write_content, commit_generation,
                      remove_content, read_content, adopt_generation, push_generation>;
 
 using generation_actions = std::vector<generation_action>;
 
 // The event for a question that the platform or the peer did not answer, or whose write has this
 // outcome; none for actions that expect no answer.
-std::optional<generation_event> noAnswerTo(const generation_action &action, write_outcome outcome);
+std::optional<generation_event> failureEventFor(const generation_action &action,
+                                                write_outcome outcome);
 
 // One JSON object with the member "event" or "action": for logs and golden files.
 Json::Value toJson(const generation_event &event);
--- a/libs/config/generation_follower.cpp
+++ b/libs/config/generation_follower.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t MostSources = 16;
+constexpr std::size_t MaxSources = 16;
 
 } // namespace
 
@@ -19,29 +19,30 @@
 
 generation_actions generation_follower::handle(const generation_event &event, time_point now)
 {
-    if (const auto *heard = std::get_if<report_heard>(&event))
-        return hear(heard->report, now);
+    if (const auto *heard = std::get_if<report_received>(&event))
+        return receiveReport(heard->report, now);
     if (const auto *answer = std::get_if<content_read>(&event))
-        return take(*answer, now);
+        return handleContentRead(*answer, now);
     if (std::holds_alternative<tick>(event))
-        return checkTime(now);
+        return checkDeadline(now);
     return {};
 }
 
-generation_actions generation_follower::offerStored(std::uint64_t generation,
-                                                    const std::string &digest, time_point now)
+generation_actions generation_follower::considerStored(std::uint64_t generation,
+                                                       const std::string &digest, time_point now)
 {
-    return offer(generation, digest, "", now);
+    return considerGeneration(generation, digest, "", now);
 }
 
-generation_actions generation_follower::adoptHeld(std::uint64_t generation, const std::string &text)
+generation_actions generation_follower::adoptContent(std::uint64_t generation,
+                                                     const std::string &text)
 {
     // Answers come late and in any order: an older generation that arrives after a newer one
     // would take the configuration back, so it is dropped here, the only place that adopts.
     if (generation <= m_generation)
         return {};
     m_content = std::make_shared<generation_content>(contentFromText(text));
-    m_text = text;
+    m_contentText = text;
     m_sliceDigest.clear();
     return adopt(generation, digestOf(text));
 }
@@ -49,17 +50,17 @@
 generation_actions generation_follower::adopt(std::uint64_t generation, const std::string &digest)
 {
     m_generation = generation;
-    m_highest = std::max(m_highest, generation);
+    m_highestKnown = std::max(m_highestKnown, generation);
     m_digest = digest;
     if (m_fetch && m_fetch->generation <= generation)
         m_fetch.reset();
-    ++m_counters.adopted;
-    return {adopt_generation{generation, m_digest, whole()}, push_generation{report(), {}}};
+    ++m_counters.adoptedGenerations;
+    return {adopt_generation{generation, m_digest, mergedConfig()}, push_generation{report(), {}}};
 }
 
-std::shared_ptr<const configuration> generation_follower::whole() const
+std::shared_ptr<const configuration> generation_follower::mergedConfig() const
 {
-    return {m_content, &m_content->whole};
+    return {m_content, &m_content->mergedConfig};
 }
 
 generation_report generation_follower::report() const
@@ -67,119 +68,125 @@
     return {m_settings.process, m_settings.role, m_generation, m_digest};
 }
 
-std::optional<std::string> generation_follower::textFor(const std::string &digest) const
+std::optional<std::string> generation_follower::contentTextFor(const std::string &digest) const
 {
-    if (m_generation == 0 || digest != m_digest || m_text.empty())
+    if (m_generation == 0 || digest != m_digest || m_contentText.empty())
         return std::nullopt;
-    return m_text;
+    return m_contentText;
 }
 
-generation_actions generation_follower::hear(const generation_report &report, time_point now)
+generation_actions generation_follower::receiveReport(const generation_report &report,
+                                                      time_point now)
 {
     if (report.process == m_settings.process)
         return {};
-    return offer(report.generation, report.digest, report.process, now);
+    return considerGeneration(report.generation, report.digest, report.process, now);
 }
 
-generation_actions generation_follower::offer(std::uint64_t generation, const std::string &digest,
-                                              const std::string &source, time_point now)
+generation_actions generation_follower::considerGeneration(std::uint64_t generation,
+                                                           const std::string &digest,
+                                                           const std::string &source,
+                                                           time_point now)
 {
-    m_highest = std::max(m_highest, generation);
+    m_highestKnown = std::max(m_highestKnown, generation);
     if (generation > 0 && generation == m_generation && digest != m_digest)
-        ++m_counters.forks;
+        ++m_counters.digestConflicts;
     if (generation <= m_generation)
         return {};
     if (m_fetch && generation < m_fetch->generation)
         return {};
     if (!m_fetch || generation > m_fetch->generation) {
-        m_fetch = fetch{generation, digest, {source}, 0, 0, now};
-        return askNext(now);
+        m_fetch = content_fetch{generation, digest, {source}, 0, 0, now};
+        return requestFromNextSource(now);
     }
     auto &sources = m_fetch->sources;
     if (digest != m_fetch->digest)
-        ++m_counters.forks;
-    else if (sources.size() < MostSources
+        ++m_counters.digestConflicts;
+    else if (sources.size() < MaxSources
              && std::find(sources.begin(), sources.end(), source) == sources.end())
         sources.push_back(source);
     return {};
 }
 
-generation_actions generation_follower::askNext(time_point now)
+generation_actions generation_follower::requestFromNextSource(time_point now)
 {
-    auto &wanted = *m_fetch;
-    const auto &source = wanted.sources[wanted.next % wanted.sources.size()];
-    ++wanted.next;
-    wanted.request = ++m_lastRequest;
-    wanted.deadline = now + m_settings.readTimeout;
-    return {read_content{wanted.request, wanted.digest, source, m_settings.scope, m_sliceDigest}};
+    auto &currentFetch = *m_fetch;
+    const auto &source =
+            currentFetch.sources[currentFetch.nextSource % currentFetch.sources.size()];
+    ++currentFetch.nextSource;
+    currentFetch.pendingRequest = ++m_lastRequest;
+    currentFetch.deadline = now + m_settings.readTimeout;
+    return {read_content{currentFetch.pendingRequest, currentFetch.digest, source, m_settings.scope,
+                         m_sliceDigest}};
 }
 
 // The next source is asked at once, but after a whole round of failures only after a pause: all
 // sources down must not become a storm of questions.
-void generation_follower::giveUpSource(time_point now)
+void generation_follower::markSourceFailed(time_point now)
 {
-    ++m_counters.readsFailed;
-    m_fetch->request = 0;
-    const bool hasAskedAll = m_fetch->next % m_fetch->sources.size() == 0;
+    ++m_counters.failedReads;
+    m_fetch->pendingRequest = 0;
+    const bool hasAskedAll = m_fetch->nextSource % m_fetch->sources.size() == 0;
     m_fetch->deadline = hasAskedAll ? now + m_settings.readTimeout : now;
 }
 
-generation_actions generation_follower::take(const content_read &answer, time_point now)
+generation_actions generation_follower::handleContentRead(const content_read &answer,
+                                                          time_point now)
 {
-    if (!m_fetch || answer.request != m_fetch->request)
+    if (!m_fetch || answer.request != m_fetch->pendingRequest)
         return {};
     if (answer.isFound) {
         try {
-            const auto taken =
-                    answer.sliceDigest.empty() ? takeWhole(answer.content) : takeSlice(answer);
-            if (taken)
-                return *taken;
+            const auto adoptActions = answer.sliceDigest.empty() ? applyWholeContent(answer.content)
+                                                                 : applySlice(answer);
+            if (adoptActions)
+                return *adoptActions;
         } catch (const error &) { // does not parse
         }
-        ++m_counters.badContents;
+        ++m_counters.invalidContents;
     }
-    giveUpSource(now);
-    return checkTime(now);
+    markSourceFailed(now);
+    return checkDeadline(now);
 }
 
 // A cut or mixed-up content under the right name would put a wrong configuration in force at this
 // process alone; its digest shows it, and the next source is asked.
-std::optional<generation_actions> generation_follower::takeWhole(const std::string &text)
+std::optional<generation_actions> generation_follower::applyWholeContent(const std::string &text)
 {
     if (digestOf(text) != m_fetch->digest)
         return std::nullopt;
-    return adoptHeld(m_fetch->generation, text);
+    return adoptContent(m_fetch->generation, text);
 }
 
 // The digest of the whole can't be checked by its slice: the source answers only for a generation
 // that it works by, and the slice's own digest shows a cut. "You have it" is believed only for the
 // very slice in force here: a newcomer would otherwise work by nothing and report the generation.
-std::optional<generation_actions> generation_follower::takeSlice(const content_read &answer)
+std::optional<generation_actions> generation_follower::applySlice(const content_read &answer)
 {
     if (!m_settings.scope)
         return std::nullopt;
     if (m_fetch->generation <= m_generation)
         return generation_actions();
-    const bool hasIt = answer.content.empty() && answer.sliceDigest == m_sliceDigest;
-    if (!hasIt) {
+    const bool isHeldAlready = answer.content.empty() && answer.sliceDigest == m_sliceDigest;
+    if (!isHeldAlready) {
         if (digestOf(answer.content) != answer.sliceDigest)
             return std::nullopt;
         m_content = std::make_shared<generation_content>(contentFromText(answer.content));
-        m_text.clear();
+        m_contentText.clear();
         m_sliceDigest = answer.sliceDigest;
     }
     return adopt(m_fetch->generation, m_fetch->digest);
 }
 
-generation_actions generation_follower::checkTime(time_point now)
+generation_actions generation_follower::checkDeadline(time_point now)
 {
     if (!m_fetch || now < m_fetch->deadline)
         return {};
-    if (m_fetch->request != 0) {
-        giveUpSource(now);
-        return checkTime(now);
+    if (m_fetch->pendingRequest != 0) {
+        markSourceFailed(now);
+        return checkDeadline(now);
     }
-    return askNext(now);
+    return requestFromNextSource(now);
 }
 
 } // namespace zinniabarrow::config
--- a/libs/config/generation_follower.h
+++ b/libs/config/generation_follower.h
@@ -23,10 +23,10 @@
 
 struct follower_counters
 {
-    std::uint64_t adopted = 0;     // generations taken up
-    std::uint64_t readsFailed = 0; // contents that a source did not give in time
-    std::uint64_t badContents = 0; // contents that did not match their digest or did not parse
-    std::uint64_t forks = 0;       // reports of the same generation with another content
+    std::uint64_t adoptedGenerations = 0; // generations taken up
+    std::uint64_t failedReads = 0;        // contents that a source did not give in time
+    std::uint64_t invalidContents = 0; // contents that did not match their digest or did not parse
+    std::uint64_t digestConflicts = 0; // reports of the same generation with another content
 };
 
 class generation_follower
@@ -39,53 +39,56 @@
     generation_actions handle(const generation_event &event, time_point now);
 
     // A generation that the table names: its content lies in the object store.
-    generation_actions offerStored(std::uint64_t generation, const std::string &digest,
-                                   time_point now);
+    generation_actions considerStored(std::uint64_t generation, const std::string &digest,
+                                      time_point now);
     // A generation whose content is at hand.
-    generation_actions adoptHeld(std::uint64_t generation, const std::string &text);
+    generation_actions adoptContent(std::uint64_t generation, const std::string &text);
 
     std::uint64_t generation() const { return m_generation; } // in force here; 0: none yet
-    std::uint64_t highestKnown() const { return m_highest; }  // here, at peers or in the table
+    std::uint64_t highestKnownGeneration() const
+    {
+        return m_highestKnown;
+    } // here, at peers or in the table
     const std::string &digest() const { return m_digest; }
     const generation_content &content() const { return *m_content; }
-    std::shared_ptr<const configuration> whole() const;
+    std::shared_ptr<const configuration> mergedConfig() const;
     generation_report report() const;
     const follower_counters &counters() const { return m_counters; }
 
     // For a peer that asks; empty unless it is the whole content in force.
-    std::optional<std::string> textFor(const std::string &digest) const;
+    std::optional<std::string> contentTextFor(const std::string &digest) const;
 
 private:
     // The generation being fetched, and who may have its content.
-    struct fetch
+    struct content_fetch
     {
         std::uint64_t generation = 0;
         std::string digest;
         std::vector<std::string> sources; // process ids; "": the object store
-        std::size_t next = 0;             // source to ask next, round and round
-        std::uint64_t request = 0;        // being waited for; 0: none
+        std::size_t nextSource = 0;       // source to ask next, round and round
+        std::uint64_t pendingRequest = 0; // being waited for; 0: none
         time_point deadline{};            // of that request, or of the pause before the next
     };
 
-    generation_actions hear(const generation_report &report, time_point now);
-    generation_actions offer(std::uint64_t generation, const std::string &digest,
-                             const std::string &source, time_point now);
-    generation_actions take(const content_read &answer, time_point now);
+    generation_actions receiveReport(const generation_report &report, time_point now);
+    generation_actions considerGeneration(std::uint64_t generation, const std::string &digest,
+                                          const std::string &source, time_point now);
+    generation_actions handleContentRead(const content_read &answer, time_point now);
     generation_actions adopt(std::uint64_t generation, const std::string &digest);
-    std::optional<generation_actions> takeWhole(const std::string &text);
-    std::optional<generation_actions> takeSlice(const content_read &answer);
-    generation_actions askNext(time_point now);
-    generation_actions checkTime(time_point now);
-    void giveUpSource(time_point now);
+    std::optional<generation_actions> applyWholeContent(const std::string &text);
+    std::optional<generation_actions> applySlice(const content_read &answer);
+    generation_actions requestFromNextSource(time_point now);
+    generation_actions checkDeadline(time_point now);
+    void markSourceFailed(time_point now);
 
     follower_settings m_settings;
     std::uint64_t m_generation = 0;
-    std::uint64_t m_highest = 0;
+    std::uint64_t m_highestKnown = 0;
     std::string m_digest;
-    std::string m_text;        // empty where a slice is in force
+    std::string m_contentText; // empty where a slice is in force
     std::string m_sliceDigest; // empty where the whole is in force
     std::shared_ptr<const generation_content> m_content;
-    std::optional<fetch> m_fetch;
+    std::optional<content_fetch> m_fetch;
     std::uint64_t m_lastRequest = 0;
     follower_counters m_counters;
 };
--- a/libs/config/generation_records.cpp
+++ b/libs/config/generation_records.cpp
@@ -39,7 +39,7 @@
 // Found by argument-dependent look-up from fields.h, so not in the unnamed namespace.
 static void fromName(const std::string &name, file_state &state)
 {
-    state = valueNamed(FileStateNames, name);
+    state = enumFromName(FileStateNames, name);
 }
 
 template <typename Archive>
@@ -57,9 +57,9 @@
 {
     archive("generation", row.generation);
     archive("digest", row.digest);
-    archive("folder", row.folder);
+    archive("folder", row.folderDigest);
     archive("operation_id", row.operationId);
-    archive("previous", row.previous);
+    archive("previous", row.previousDigests);
 }
 
 template <typename Archive>
@@ -85,7 +85,7 @@
 namespace {
 
 // A member that must be there: its absence means another kind of message, not a default.
-void demandMember(const Json::Value &value, const char *name)
+void requireMember(const Json::Value &value, const char *name)
 {
     if (!value.isObject() || !value.isMember(name))
         throw error(error_kind::BadRequest, fmt::format("member {} is missing", name));
@@ -96,13 +96,13 @@
 std::string contentText(const generation_content &content)
 {
     Json::Value value(Json::objectValue);
-    value["configuration"] = toJson(content.whole);
+    value["configuration"] = toJson(content.mergedConfig);
     value["files"] = Json::Value(Json::objectValue);
     for (const auto &[name, version] : content.files)
         value["files"][name] = Json::UInt64(version);
     value["overridden"] = Json::Value(Json::objectValue);
-    for (const auto &[name, by] : content.overridden)
-        value["overridden"][name] = by;
+    for (const auto &[name, overridingFile] : content.overriddenBy)
+        value["overridden"][name] = overridingFile;
     return compactJson(value);
 }
 
@@ -110,12 +110,12 @@
 {
     const auto value = parseJson(text);
     for (const auto *name : {"configuration", "files", "overridden"})
-        demandMember(value, name);
+        requireMember(value, name);
     generation_content content;
-    content.whole = configurationFromJson(value["configuration"]);
+    content.mergedConfig = configurationFromJson(value["configuration"]);
     field_reader reader(value);
     reader("files", content.files);
-    reader("overridden", content.overridden);
+    reader("overridden", content.overriddenBy);
     return content;
 }
 
@@ -134,29 +134,29 @@
 
 Json::Value toJson(const accepted_row &row)
 {
-    return written(row);
+    return membersToJson(row);
 }
 
 accepted_row acceptedRowFromJson(const Json::Value &value)
 {
     for (const auto *name : {"generation", "digest", "folder", "operation_id"})
-        demandMember(value, name);
-    return readFrom<accepted_row>(value);
+        requireMember(value, name);
+    return readMembers<accepted_row>(value);
 }
 
 Json::Value toJson(const generation_report &report)
 {
-    return written(report);
+    return membersToJson(report);
 }
 
 generation_report generationReportFromJson(const Json::Value &value)
 {
     for (const auto *name : {"process", "role", "generation", "digest"})
-        demandMember(value, name);
-    return readFrom<generation_report>(value);
+        requireMember(value, name);
+    return readMembers<generation_report>(value);
 }
 
-Json::Value toJson(const laggard &laggard)
+Json::Value toJson(const lagging_process &laggard)
 {
     auto value = toJson(laggard.report);
     value["reason"] = std::string(nameOf(laggard.reason));
@@ -164,30 +164,31 @@
     return value;
 }
 
-std::vector<laggard> laggards(const std::vector<heard_report> &reports, std::uint64_t generation,
-                              time_point now, milliseconds silence)
+std::vector<lagging_process> findLaggingProcesses(const std::vector<received_report> &reports,
+                                                  std::uint64_t generation, time_point now,
+                                                  milliseconds silenceLimit)
 {
-    std::vector<laggard> found;
+    std::vector<lagging_process> found;
     for (const auto &[report, heardAt] : reports) {
-        const auto silent = std::chrono::duration_cast<milliseconds>(now - heardAt);
+        const auto sinceLastReport = std::chrono::duration_cast<milliseconds>(now - heardAt);
         if (report.generation < generation)
-            found.push_back({report, lag_reason::Behind, silent});
-        else if (silent > silence)
-            found.push_back({report, lag_reason::Silent, silent});
+            found.push_back({report, lag_reason::Behind, sinceLastReport});
+        else if (sinceLastReport > silenceLimit)
+            found.push_back({report, lag_reason::Silent, sinceLastReport});
     }
     return found;
 }
 
 Json::Value toJson(const file_status &status)
 {
-    return written(status);
+    return membersToJson(status);
 }
 
 file_status fileStatusFromJson(const Json::Value &value)
 {
     for (const auto *name : {"file", "version", "state"})
-        demandMember(value, name);
-    return readFrom<file_status>(value);
+        requireMember(value, name);
+    return readMembers<file_status>(value);
 }
 
 } // namespace zinniabarrow::config
--- a/libs/config/generation_records.h
+++ b/libs/config/generation_records.h
@@ -28,9 +28,9 @@
 // a row of the table must stay small however large the folder grows.
 struct generation_content
 {
-    configuration whole;                           //
-    file_versions files;                           // that it was merged from
-    std::map<std::string, std::string> overridden; // file without a value left: by which file
+    configuration mergedConfig;                      //
+    file_versions files;                             // that it was merged from
+    std::map<std::string, std::string> overriddenBy; // file without a value left: by which file
 };
 
 std::string contentText(const generation_content &content);  // canonical
@@ -41,11 +41,11 @@
 // The row that makes a generation the accepted one.
 struct accepted_row
 {
-    std::uint64_t generation = 0;      // from 1; only rises
-    std::string digest;                // of the content
-    std::string folder;                // digest of the file versions that it was merged from
-    std::string operationId;           // of the transaction that wrote it
-    std::vector<std::string> previous; // digests of the generations before, newest first
+    std::uint64_t generation = 0;             // from 1; only rises
+    std::string digest;                       // of the content
+    std::string folderDigest;                 // digest of the file versions that it was merged from
+    std::string operationId;                  // of the transaction that wrote it
+    std::vector<std::string> previousDigests; // digests of the generations before, newest first
 };
 
 Json::Value toJson(const accepted_row &row);
@@ -65,10 +65,10 @@
 Json::Value toJson(const generation_report &report);
 generation_report generationReportFromJson(const Json::Value &value); // throws BadRequest
 
-struct heard_report
+struct received_report
 {
     generation_report report;
-    time_point heardAt;
+    time_point receivedAt;
 };
 
 enum class lag_reason {
@@ -77,18 +77,19 @@
 };
 std::string_view nameOf(lag_reason reason);
 
-struct laggard
+struct lagging_process
 {
     generation_report report;
     lag_reason reason = lag_reason::Behind;
     milliseconds silence{0}; // since its last report
 };
 
-Json::Value toJson(const laggard &laggard);
+Json::Value toJson(const lagging_process &laggard);
 
 // The processes that do not work by `generation`, or may not: silent for longer than `silence`.
-std::vector<laggard> laggards(const std::vector<heard_report> &reports, std::uint64_t generation,
-                              time_point now, milliseconds silence = milliseconds(3000));
+std::vector<lagging_process> findLaggingProcesses(const std::vector<received_report> &reports,
+                                                  std::uint64_t generation, time_point now,
+                                                  milliseconds silenceLimit = milliseconds(3000));
 
 enum class file_state {
     InForce,    // part of the generation in force
--- a/libs/config/generations.cpp
+++ b/libs/config/generations.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::size_t KeptContents = 8; // of earlier generations, for processes that lag
-constexpr std::size_t MostReports = 10'000;
+constexpr std::size_t MaxKeptContents = 8; // of earlier generations, for processes that lag
+constexpr std::size_t MaxReports = 10'000;
 
 void append(generation_actions &actions, generation_actions more)
 {
@@ -43,8 +43,8 @@
 
 } // namespace
 
-generation_keeper::generation_keeper(keeper_settings settings, random_generator random,
-                                     time_point now)
+generation_manager::generation_manager(generation_manager_settings settings,
+                                       random_generator random, time_point now)
     : m_settings(std::move(settings))
     , m_random(random)
     , m_follower(follower_settings{m_settings.process, "entry", m_settings.contentTimeout})
@@ -53,74 +53,80 @@
     , m_nextPush(now)
 { }
 
-generation_actions generation_keeper::handle(const generation_event &event, time_point now)
+generation_actions generation_manager::handle(const generation_event &event, time_point now)
 {
     struct visitor
     {
-        generation_keeper &keeper;
+        generation_manager &manager;
         time_point now;
-        generation_actions operator()(const tick &) { return keeper.onTick(now); }
-        generation_actions operator()(const report_heard &e) { return keeper.onReport(e, now); }
-        generation_actions operator()(const look_now &) { return keeper.onLook(now); }
+        generation_actions operator()(const tick &) { return manager.onTick(now); }
+        generation_actions operator()(const report_received &e) { return manager.onReport(e, now); }
+        generation_actions operator()(const scan_now &) { return manager.onScanNow(now); }
         generation_actions operator()(const content_read &e)
         {
-            return keeper.m_follower.handle(e, now);
+            return manager.m_follower.handle(e, now);
+        }
+        generation_actions operator()(const accepted_row_read &e)
+        {
+            return manager.onAcceptedRow(e, now);
+        }
+        generation_actions operator()(const folder_listed &e) { return manager.onListed(e, now); }
+        generation_actions operator()(const files_read &e) { return manager.onFiles(e, now); }
+        generation_actions operator()(const content_written &e)
+        {
+            return manager.onContent(e, now);
         }
-        generation_actions operator()(const accepted_read &e) { return keeper.onAccepted(e, now); }
-        generation_actions operator()(const folder_listed &e) { return keeper.onListed(e, now); }
-        generation_actions operator()(const files_read &e) { return keeper.onFiles(e, now); }
-        generation_actions operator()(const content_written &e) { return keeper.onContent(e, now); }
         generation_actions operator()(const generation_committed &e)
         {
-            return keeper.onCommitted(e, now);
+            return manager.onCommitted(e, now);
         }
     };
     auto actions = std::visit(visitor{*this, now}, event);
-    learnReady(now);
+    updateReadiness(now);
     return actions;
 }
 
 // --- Questions and rounds ------------------------------------------------------------------------
 
 template <typename Question>
-generation_actions generation_keeper::ask(phase next, Question question, time_point now)
+generation_actions generation_manager::sendQuery(phase next, Question query, time_point now)
 {
     m_phase = next;
     m_deadline = now + m_settings.answerTimeout;
-    question.request = ++m_lastRequest;
-    return {std::move(question)};
+    query.request = ++m_lastRequest;
+    return {std::move(query)};
 }
 
-bool generation_keeper::isAwaited(phase expected, std::uint64_t request) const
+bool generation_manager::isAwaited(phase expected, std::uint64_t request) const
 {
     return m_phase == expected && m_lastRequest == request;
 }
 
-generation_actions generation_keeper::endRound(time_point nextRound)
+generation_actions generation_manager::endRound(time_point nextRound)
 {
     m_phase = phase::Idle;
     m_nextRound = nextRound;
     return {};
 }
 
-generation_actions generation_keeper::failRound(time_point now)
+generation_actions generation_manager::failRound(time_point now)
 {
     ++m_counters.platformFailures;
-    m_nextList = now;
-    return endRound(now + m_settings.poll);
+    m_nextListing = now;
+    return endRound(now + m_settings.pollInterval);
 }
 
 // The folder changed while it was read: what was read is a mixture that no operator wrote.
-generation_actions generation_keeper::restartRound(time_point now)
+generation_actions generation_manager::restartRound(time_point now)
 {
-    ++m_counters.listingsChanged;
-    m_nextList = now;
-    return endRound(now + m_settings.poll);
+    ++m_counters.changedListings;
+    m_nextListing = now;
+    return endRound(now + m_settings.pollInterval);
 }
 
 // --- Time ----------------------------------------------------------------------------------------
 
-generation_actions generation_keeper::onTick(time_point now)
+generation_actions generation_manager::onTick(time_point now)
 {
     generation_actions actions;
     if (m_phase != phase::Idle && now >= m_deadline) {
@@ -130,84 +136,87 @@
     if (m_phase == phase::Idle && now >= m_nextRound)
         append(actions, beginRound(now));
     append(actions, m_follower.handle(tick{}, now));
-    append(actions, pushToLaggards(now));
+    append(actions, pushToLaggingProcesses(now));
     return actions;
 }
 
 // Operators and their scripts may ask often: one look in `poll` is enough for all of them.
-generation_actions generation_keeper::onLook(time_point now)
+generation_actions generation_manager::onScanNow(time_point now)
 {
-    if (now < m_nextLook)
+    if (now < m_nextScan)
         return {};
-    m_nextLook = now + m_settings.poll;
-    m_nextList = now;
+    m_nextScan = now + m_settings.pollInterval;
+    m_nextListing = now;
     if (m_phase != phase::Idle)
         return {};
     return beginRound(now);
 }
 
-bool generation_keeper::isListingDue(time_point now) const
+bool generation_manager::isListingDue(time_point now) const
 {
-    return now >= m_nextList || isRowBehind();
+    return now >= m_nextListing || isRowOutdated();
 }
 
 // The listing of a large folder, fetched in every round by every entry, would take more of the
 // network than all other control. Larger folders are listed less often; operators' tools say
 // `look_now`.
-void generation_keeper::paceListing(const file_versions &listing, time_point now)
+void generation_manager::scheduleListing(const file_versions &listing, time_point now)
 {
-    constexpr std::size_t BytesBesideName = 40;
+    constexpr std::size_t ListingOverheadBytes = 40;
     std::size_t bytes = 0;
     for (const auto &[name, version] : listing)
-        bytes += FolderPrefix.size() + name.size() + BytesBesideName;
-    const milliseconds pause(1000 * bytes / m_settings.listBytes);
-    m_nextList = now + std::max(pause, m_settings.poll);
+        bytes += FolderPrefix.size() + name.size() + ListingOverheadBytes;
+    const milliseconds pause(1000 * bytes / m_settings.maxListBytesPerSecond);
+    m_nextListing = now + std::max(pause, m_settings.pollInterval);
 }
 
-generation_actions generation_keeper::beginRound(time_point now)
+generation_actions generation_manager::beginRound(time_point now)
 {
     ++m_counters.rounds;
-    m_highestAtAsking = m_follower.highestKnown();
-    return ask(phase::ReadingRow, read_accepted{}, now);
+    m_highestKnownAtRead = m_follower.highestKnownGeneration();
+    return sendQuery(phase::ReadingRow, read_accepted_row{}, now);
 }
 
 // --- One round, step by step ---------------------------------------------------------------------
 
-generation_actions generation_keeper::onAccepted(const accepted_read &event, time_point now)
+generation_actions generation_manager::onAcceptedRow(const accepted_row_read &event, time_point now)
 {
     if (!isAwaited(phase::ReadingRow, event.request))
         return {};
     if (!event.isAnswered)
         return failRound(now);
     try {
-        m_row = event.row.version == 0 ? accepted_row{} : acceptedRowFromJson(event.row.value);
+        m_acceptedRow =
+                event.row.version == 0 ? accepted_row{} : acceptedRowFromJson(event.row.value);
     } catch (const error &) {
-        ++m_counters.badRows;
-        return endRound(now + m_settings.poll);
+        ++m_counters.invalidRows;
+        return endRound(now + m_settings.pollInterval);
     }
     m_rowVersion = event.row.version;
     m_isRowRead = true;
     generation_actions actions;
     // The answer to a write was lost: the row tells whether it took effect. Without this an entry
     // would report its own accepted edit as lost to somebody else.
-    if (m_proposal && !m_unsettledOperation.empty() && m_row.operationId == m_unsettledOperation) {
-        m_unsettledOperation.clear();
-        ++m_counters.settledByReadBack;
-        append(actions, m_follower.adoptHeld(m_row.generation, m_proposal->text));
+    if (m_proposal && !m_unconfirmedOperation.empty()
+        && m_acceptedRow.operationId == m_unconfirmedOperation) {
+        m_unconfirmedOperation.clear();
+        ++m_counters.confirmedByReadBack;
+        append(actions, m_follower.adoptContent(m_acceptedRow.generation, m_proposal->text));
     }
-    append(actions, m_follower.offerStored(m_row.generation, m_row.digest, now));
-    const bool holdsHighest =
-            m_follower.generation() > 0 && m_follower.generation() >= m_highestAtAsking;
+    append(actions, m_follower.considerStored(m_acceptedRow.generation, m_acceptedRow.digest, now));
+    const bool hasHighestKnown =
+            m_follower.generation() > 0 && m_follower.generation() >= m_highestKnownAtRead;
     // A newcomer that knows no more than a row restored from an older copy would give a number
     // anew that another entry already works by; so it accepts nothing before it has listened.
-    if (!hasListened(now) || !isListingDue(now)) {
-        append(actions, endRound(now + m_settings.poll));
-    } else if (isRowBehind() && holdsHighest) {
-        ++m_counters.raisedAgain;
-        const auto folder = digestOf(m_follower.content().files);
-        append(actions, propose(*m_follower.textFor(m_follower.digest()), folder, now));
+    if (!hasHeardPeers(now) || !isListingDue(now)) {
+        append(actions, endRound(now + m_settings.pollInterval));
+    } else if (isRowOutdated() && hasHighestKnown) {
+        ++m_counters.rewrittenRows;
+        const auto folderDigest = digestOf(m_follower.content().files);
+        append(actions, proposeGeneration(*m_follower.contentTextFor(m_follower.digest()),
+                                          folderDigest, now));
     } else {
-        append(actions, ask(phase::ListingBefore, list_folder{}, now));
+        append(actions, sendQuery(phase::FirstListing, list_folder{}, now));
     }
     return actions;
 }
@@ -216,65 +225,67 @@
 // another content for the same one. Taking it would revert an accepted configuration; so what is
 // in force is written again under a higher number, or, where its content is lost, the folder as it
 // stands now.
-bool generation_keeper::isRowBehind() const
+bool generation_manager::isRowOutdated() const
 {
-    if (m_row.generation < m_highestAtAsking)
+    if (m_acceptedRow.generation < m_highestKnownAtRead)
         return true;
-    return m_row.generation > 0 && m_row.generation == m_follower.generation()
-           && m_row.digest != m_follower.digest();
+    return m_acceptedRow.generation > 0 && m_acceptedRow.generation == m_follower.generation()
+           && m_acceptedRow.digest != m_follower.digest();
 }
 
-generation_actions generation_keeper::onListed(const folder_listed &event, time_point now)
+generation_actions generation_manager::onListed(const folder_listed &event, time_point now)
 {
-    const bool isFirst = isAwaited(phase::ListingBefore, event.request);
-    if (!isFirst && !isAwaited(phase::ListingAfter, event.request))
+    const bool isFirst = isAwaited(phase::FirstListing, event.request);
+    if (!isFirst && !isAwaited(phase::SecondListing, event.request))
         return {};
     if (!event.isAnswered)
         return failRound(now);
     const auto listing = versionsOf(event.objects);
     rememberListing(listing);
-    return isFirst ? listBefore(listing, now) : listAfter(listing, now);
+    return isFirst ? handleFirstListing(listing, now) : handleSecondListing(listing, now);
 }
 
-generation_actions generation_keeper::listBefore(const file_versions &listing, time_point now)
+generation_actions generation_manager::handleFirstListing(const file_versions &listing,
+                                                          time_point now)
 {
     m_listing = listing;
-    paceListing(listing, now);
-    const auto folder = digestOf(listing);
-    const bool isAccepted = m_row.generation > 0 && m_row.folder == folder && !isRowBehind();
-    if (isAccepted || (listing.empty() && m_row.generation == 0)) {
+    scheduleListing(listing, now);
+    const auto folderDigest = digestOf(listing);
+    const bool isAccepted = m_acceptedRow.generation > 0
+                            && m_acceptedRow.folderDigest == folderDigest && !isRowOutdated();
+    if (isAccepted || (listing.empty() && m_acceptedRow.generation == 0)) {
         m_refusal = {};
-        return endRound(now + m_settings.poll);
+        return endRound(now + m_settings.pollInterval);
     }
-    if (m_refusal.folder == folder)
-        return endRound(now + m_settings.poll);
+    if (m_refusal.folderDigest == folderDigest)
+        return endRound(now + m_settings.pollInterval);
     // An object store that comes back empty looks like an operator who removed every file, and
     // would stop every service. Removing all takes a file that says so.
     if (listing.empty()) {
-        ++m_counters.refused;
-        m_refusal = {folder,
+        ++m_counters.refusedFolders;
+        m_refusal = {folderDigest,
                      {{"", 0, "", "no file at all",
                        "one file or more; an empty configuration is a file with {}"}}};
-        return endRound(now + m_settings.poll);
+        return endRound(now + m_settings.pollInterval);
     }
-    return readMissing(now);
+    return readChangedFiles(now);
 }
 
-generation_actions generation_keeper::readMissing(time_point now)
+generation_actions generation_manager::readChangedFiles(time_point now)
 {
-    read_files question;
+    read_files query;
     for (const auto &[name, version] : m_listing) {
-        const auto cached = m_cache.find(name);
-        const bool isHeld = cached != m_cache.end() && cached->second.version == version;
-        if (!isHeld && question.names.size() < m_settings.filesPerRead)
-            question.names.push_back(std::string(FolderPrefix) + name);
+        const auto cached = m_cachedFiles.find(name);
+        const bool isHeld = cached != m_cachedFiles.end() && cached->second.version == version;
+        if (!isHeld && query.names.size() < m_settings.maxFilesPerRead)
+            query.names.push_back(std::string(FolderPrefix) + name);
     }
-    if (question.names.empty())
-        return ask(phase::ListingAfter, list_folder{}, now);
-    return ask(phase::ReadingFiles, std::move(question), now);
+    if (query.names.empty())
+        return sendQuery(phase::SecondListing, list_folder{}, now);
+    return sendQuery(phase::ReadingFiles, std::move(query), now);
 }
 
-generation_actions generation_keeper::onFiles(const files_read &event, time_point now)
+generation_actions generation_manager::onFiles(const files_read &event, time_point now)
 {
     if (!isAwaited(phase::ReadingFiles, event.request))
         return {};
@@ -287,67 +298,72 @@
         const auto name = object.name.substr(FolderPrefix.size());
         if (object.version != versionIn(m_listing, name))
             return restartRound(now);
-        m_cache[name] = {object.version, object.content};
+        m_cachedFiles[name] = {object.version, object.content};
         ++held;
     }
     if (held == 0)
         return restartRound(now);
-    return readMissing(now);
+    return readChangedFiles(now);
 }
 
-generation_actions generation_keeper::listAfter(const file_versions &listing, time_point now)
+generation_actions generation_manager::handleSecondListing(const file_versions &listing,
+                                                           time_point now)
 {
     if (listing != m_listing)
         return restartRound(now);
-    return judge(now);
+    return validateFolder(now);
 }
 
-std::vector<folder_file> generation_keeper::filesOfListing()
+std::vector<folder_file> generation_manager::filesOfListing()
 {
-    std::erase_if(m_cache, [&](const auto &cached) { return !m_listing.contains(cached.first); });
+    std::erase_if(m_cachedFiles,
+                  [&](const auto &cached) { return !m_listing.contains(cached.first); });
     std::vector<folder_file> files;
-    for (const auto &[name, cached] : m_cache)
+    for (const auto &[name, cached] : m_cachedFiles)
         files.push_back({name, cached.content});
     return files;
 }
 
-generation_actions generation_keeper::judge(time_point now)
+generation_actions generation_manager::validateFolder(time_point now)
 {
     auto checked = checkFolder(filesOfListing(), m_settings.limits);
-    const auto folder = digestOf(m_listing);
+    const auto folderDigest = digestOf(m_listing);
     if (!checked.isAcceptable()) {
-        ++m_counters.refused;
-        m_refusal = {folder, std::move(checked.problems)};
-        return endRound(now + m_settings.poll);
+        ++m_counters.refusedFolders;
+        m_refusal = {folderDigest, std::move(checked.problems)};
+        return endRound(now + m_settings.pollInterval);
     }
     m_refusal = {};
-    generation_content content{std::move(checked.whole), m_listing,
-                               std::move(checked.merged.overridden)};
-    return propose(contentText(content), folder, now);
+    generation_content content{std::move(checked.mergedConfig), m_listing,
+                               std::move(checked.merged.overriddenBy)};
+    return proposeGeneration(contentText(content), folderDigest, now);
 }
 
-generation_actions generation_keeper::propose(std::string text, std::string folder, time_point now)
+generation_actions generation_manager::proposeGeneration(std::string text, std::string folderDigest,
+                                                         time_point now)
 {
     proposal next;
     next.text = std::move(text);
-    next.row.generation = std::max(m_row.generation, m_follower.highestKnown()) + 1;
+    next.row.generation =
+            std::max(m_acceptedRow.generation, m_follower.highestKnownGeneration()) + 1;
     next.row.digest = digestOf(next.text);
-    next.row.folder = std::move(folder);
+    next.row.folderDigest = std::move(folderDigest);
     next.row.operationId = newOperationId();
-    auto earlier = m_row.previous;
-    if (m_row.generation > 0)
-        earlier.insert(earlier.begin(), m_row.digest);
+    auto earlier = m_acceptedRow.previousDigests;
+    if (m_acceptedRow.generation > 0)
+        earlier.insert(earlier.begin(), m_acceptedRow.digest);
     std::erase(earlier, next.row.digest);
-    const auto kept = std::min(earlier.size(), KeptContents);
-    next.row.previous.assign(earlier.begin(), earlier.begin() + static_cast<std::ptrdiff_t>(kept));
-    next.dropped.assign(earlier.begin() + static_cast<std::ptrdiff_t>(kept), earlier.end());
+    const auto kept = std::min(earlier.size(), MaxKeptContents);
+    next.row.previousDigests.assign(earlier.begin(),
+                                    earlier.begin() + static_cast<std::ptrdiff_t>(kept));
+    next.unneededDigests.assign(earlier.begin() + static_cast<std::ptrdiff_t>(kept), earlier.end());
     m_proposal = std::move(next);
     // The content goes first: a row whose content is missing could not be taken up by anyone.
     const auto name = std::string(MergedPrefix) + m_proposal->row.digest;
-    return ask(phase::WritingContent, write_content{0, name, m_proposal->text}, now);
+    return sendQuery(phase::WritingContent, write_content{0, name, m_proposal->text}, now);
 }
 
-generation_actions generation_keeper::onContent(const content_written &event, time_point now)
+generation_actions generation_manager::onContent(const content_written &event, time_point now)
 {
     if (!isAwaited(phase::WritingContent, event.request))
         return {};
@@ -357,11 +373,12 @@
     commit.transaction.operationId = m_proposal->row.operationId;
     commit.transaction.conditions = {{std::string(AcceptedRowKey), m_rowVersion}};
     commit.transaction.writes = {{std::string(AcceptedRowKey), toJson(m_proposal->row)}};
-    m_unsettledOperation = m_proposal->row.operationId;
-    return ask(phase::Committing, std::move(commit), now);
+    m_unconfirmedOperation = m_proposal->row.operationId;
+    return sendQuery(phase::Committing, std::move(commit), now);
 }
 
-generation_actions generation_keeper::onCommitted(const generation_committed &event, time_point now)
+generation_actions generation_manager::onCommitted(const generation_committed &event,
+                                                   time_point now)
 {
     if (!isAwaited(phase::Committing, event.request))
         return {};
@@ -370,30 +387,30 @@
         break;
     case write_outcome::Conflict:
         ++m_counters.conflicts;
-        m_unsettledOperation.clear();
-        m_nextList = now;
+        m_unconfirmedOperation.clear();
+        m_nextListing = now;
         return endRound(now);
     case write_outcome::Refused:
-        m_unsettledOperation.clear();
+        m_unconfirmedOperation.clear();
         return failRound(now);
     case write_outcome::Unknown:
         // Neither taken as done nor tried again: the next round begins by reading the row back.
         ++m_counters.unknownWrites;
-        m_nextList = now;
+        m_nextListing = now;
         return endRound(now);
     }
-    ++m_counters.accepted;
-    m_unsettledOperation.clear();
-    auto actions = m_follower.adoptHeld(m_proposal->row.generation, m_proposal->text);
-    for (const auto &digest : m_proposal->dropped)
+    ++m_counters.acceptedGenerations;
+    m_unconfirmedOperation.clear();
+    auto actions = m_follower.adoptContent(m_proposal->row.generation, m_proposal->text);
+    for (const auto &digest : m_proposal->unneededDigests)
         actions.push_back(remove_content{std::string(MergedPrefix) + digest});
-    endRound(now + m_settings.poll);
+    endRound(now + m_settings.pollInterval);
     return actions;
 }
 
 // Never the same twice, also across restarts under the same id: an operation of an earlier life
 // must not pass for one of this life.
-std::string generation_keeper::newOperationId()
+std::string generation_manager::newOperationId()
 {
     const auto high = static_cast<std::uint64_t>(m_random()) << 32U;
     return fmt::format("{}-{:016x}", m_settings.process, high | m_random());
@@ -401,27 +418,27 @@
 
 // --- Reports of other processes ------------------------------------------------------------------
 
-generation_actions generation_keeper::onReport(const report_heard &event, time_point now)
+generation_actions generation_manager::onReport(const report_received &event, time_point now)
 {
     const auto &process = event.report.process;
     if (process == m_settings.process)
         return {};
-    if (m_reports.contains(process) || m_reports.size() < MostReports)
+    if (m_reports.contains(process) || m_reports.size() < MaxReports)
         m_reports[process] = {event.report, now};
     return m_follower.handle(event, now);
 }
 
-generation_actions generation_keeper::pushToLaggards(time_point now)
+generation_actions generation_manager::pushToLaggingProcesses(time_point now)
 {
     if (now < m_nextPush)
         return {};
-    m_nextPush = now + m_settings.pushAgain;
+    m_nextPush = now + m_settings.pushInterval;
     std::erase_if(m_reports, [&](const auto &known) {
-        return known.second.heardAt + m_settings.forgetAfter < now;
+        return known.second.receivedAt + m_settings.reportRetention < now;
     });
     push_generation push{report(), {}};
-    for (const auto &[process, heard] : m_reports) {
-        if (heard.report.generation < generation())
+    for (const auto &[process, received] : m_reports) {
+        if (received.report.generation < generation())
             push.processes.push_back(process);
     }
     if (push.processes.empty())
@@ -429,53 +446,53 @@
     return {std::move(push)};
 }
 
-std::vector<heard_report> generation_keeper::reports() const
+std::vector<received_report> generation_manager::reports() const
 {
-    std::vector<heard_report> all;
-    for (const auto &[process, heard] : m_reports)
-        all.push_back(heard);
+    std::vector<received_report> all;
+    for (const auto &[process, received] : m_reports)
+        all.push_back(received);
     return all;
 }
 
-bool generation_keeper::hasListened(time_point now) const
+bool generation_manager::hasHeardPeers(time_point now) const
 {
-    if (now >= m_startedAt + m_settings.peerWait)
+    if (now >= m_startedAt + m_settings.peerListenTime)
         return true;
     const auto entries = std::count_if(m_reports.begin(), m_reports.end(), [](const auto &known) {
         return known.second.report.role == "entry";
     });
-    const bool haveAllSpoken = static_cast<std::size_t>(entries) >= m_settings.peers;
+    const bool haveAllReported = static_cast<std::size_t>(entries) >= m_settings.peerCount;
     // Without the table the whole wait is used: one lost answer must not pass for an outage, in
     // which the peers would be all there is to ask.
-    return haveAllSpoken && m_isRowRead;
+    return haveAllReported && m_isRowRead;
 }
 
 // A newcomer that served at once would work by nothing, or by a generation that the others have
 // left: callers would be sent to services that are gone.
-void generation_keeper::learnReady(time_point now)
+void generation_manager::updateReadiness(time_point now)
 {
-    if (m_isReady || generation() < m_follower.highestKnown() || !hasListened(now))
+    if (m_isReady || generation() < m_follower.highestKnownGeneration() || !hasHeardPeers(now))
         return;
-    const bool isNewSystem = m_isRowRead && m_row.generation == 0;
+    const bool isNewSystem = m_isRowRead && m_acceptedRow.generation == 0;
     m_isReady = generation() > 0 || isNewSystem;
 }
 
-void generation_keeper::rememberListing(const file_versions &listing)
+void generation_manager::rememberListing(const file_versions &listing)
 {
     const auto &before = m_latestListing ? *m_latestListing : m_follower.content().files;
-    if (m_removed.size() > m_settings.limits.maxFiles)
-        m_removed.clear();
+    if (m_removedVersions.size() > m_settings.limits.maxFiles)
+        m_removedVersions.clear();
     for (const auto &[name, version] : before) {
         if (!listing.contains(name))
-            m_removed[name] = version;
+            m_removedVersions[name] = version;
     }
     m_latestListing = listing;
-    m_latestFolder = digestOf(listing);
+    m_latestFolderDigest = digestOf(listing);
 }
 
 // --- For operators -------------------------------------------------------------------------------
 
-file_status generation_keeper::statusOf(const std::string &name, std::uint64_t version) const
+file_status generation_manager::statusOf(const std::string &name, std::uint64_t version) const
 {
     file_status status;
     status.name = name;
@@ -484,8 +501,8 @@
     const auto &content = m_follower.content();
     const auto inForce = versionIn(content.files, name);
     const auto listed = m_latestListing ? versionIn(*m_latestListing, name) : inForce;
-    const auto overridden = content.overridden.find(name);
-    if (inForce == version && overridden != content.overridden.end()) {
+    const auto overridden = content.overriddenBy.find(name);
+    if (inForce == version && overridden != content.overriddenBy.end()) {
         status.state = file_state::Superseded;
         status.reason = "every value is replaced by " + overridden->second;
     } else if (inForce == version && generation() > 0) {
@@ -493,7 +510,7 @@
     } else if (version > 0 && std::max(inForce, listed) > version) {
         status.state = file_state::Superseded;
         status.reason = fmt::format("version {} has taken its place", std::max(inForce, listed));
-    } else if (version > 0 && listed == 0 && versionIn(m_removed, name) >= version) {
+    } else if (version > 0 && listed == 0 && versionIn(m_removedVersions, name) >= version) {
         status.state = file_state::Superseded;
         status.reason = "the file was removed";
     } else if (listed == version && !problems().empty()) {
@@ -504,13 +521,13 @@
 
 // A refusal speaks of the folder as it was judged. Until a later listing is judged too, the reasons
 // against the earlier one would be told of its repair.
-const std::vector<problem> &generation_keeper::problems() const
+const std::vector<problem> &generation_manager::problems() const
 {
     static const std::vector<problem> none;
-    return m_refusal.folder == m_latestFolder ? m_refusal.problems : none;
+    return m_refusal.folderDigest == m_latestFolderDigest ? m_refusal.problems : none;
 }
 
-file_status generation_keeper::refusedStatus(file_status status) const
+file_status generation_manager::refusedStatus(file_status status) const
 {
     status.state = file_state::Refused;
     status.problems = problems();
@@ -520,7 +537,7 @@
     return status;
 }
 
-std::vector<file_status> generation_keeper::files() const
+std::vector<file_status> generation_manager::files() const
 {
     auto versions = m_latestListing.value_or(file_versions{});
     for (const auto &[name, version] : m_follower.content().files) {
--- a/libs/config/json_text.cpp
+++ b/libs/config/json_text.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-constexpr std::size_t LongestShown = 80;
+constexpr std::size_t MaxShownLength = 80;
 
 // The parser names the line only in its message: "* Line 3, Column 5".
 int lineInMessage(const std::string &message)
 {
     constexpr std::string_view Mark = "Line ";
-    const auto at = message.find(Mark);
-    if (at == std::string::npos)
+    const auto position = message.find(Mark);
+    if (position == std::string::npos)
         return 1;
-    return std::max(1, std::atoi(message.c_str() + at + Mark.size()));
+    return std::max(1, std::atoi(message.c_str() + position + Mark.size()));
 }
 
 std::string reasonInMessage(std::string message)
@@ -87,8 +87,8 @@
     try {
         m_root = parseJson(text);
     } catch (const error &broken) {
-        throw syntax_error{{m_file, lineInMessage(broken.what()), "",
-                            reasonInMessage(broken.what()),
+        throw syntax_error{{m_file, lineInMessage(syntaxError.what()), "",
+                            reasonInMessage(syntaxError.what()),
                             "one whole JSON object without comments or duplicate keys"}};
     }
 }
@@ -128,8 +128,8 @@
     if (value.isArray())
         return fmt::format("an array of {} elements", value.size());
     auto text = valueText(value);
-    if (text.size() > LongestShown)
-        text = text.substr(0, LongestShown) + "…";
+    if (text.size() > MaxShownLength)
+        text = text.substr(0, MaxShownLength) + "…";
     return text;
 }
 
--- a/libs/config/json_text.h
+++ b/libs/config/json_text.h
@@ -45,7 +45,7 @@
 // The text is no JSON: half-written, duplicate keys, or a slip.
 struct syntax_error
 {
-    problem where;
+    problem detail;
 };
 
 // The pointer of a member or an element inside `parent` (RFC 6901).
--- a/libs/config/operator_view.cpp
+++ b/libs/config/operator_view.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr name_table<follow_state, 4> FollowNames{{
-        {follow_state::Waiting, "waiting"},
-        {follow_state::Everywhere, "in force everywhere"},
-        {follow_state::Refused, "refused"},
-        {follow_state::Superseded, "superseded"},
+constexpr name_table<rollout_state, 4> RolloutStateNames{{
+        {rollout_state::Waiting, "waiting"},
+        {rollout_state::InForceEverywhere, "in force everywhere"},
+        {rollout_state::Refused, "refused"},
+        {rollout_state::Superseded, "superseded"},
 }};
 
 template <typename Records>
-Json::Value listOf(const Records &records)
+Json::Value toJsonArray(const Records &records)
 {
     Json::Value list(Json::arrayValue);
     for (const auto &record : records)
@@ -25,16 +25,16 @@
     return list;
 }
 
-const Json::Value &listIn(const Json::Value &value, const char *name)
+const Json::Value &arrayMember(const Json::Value &value, const char *name)
 {
     if (!value.isObject() || !value[name].isArray())
         throw error(error_kind::BadRequest, fmt::format("member {} must be an array", name));
     return value[name];
 }
 
-laggard laggardFromJson(const Json::Value &value)
+lagging_process laggingProcessFromJson(const Json::Value &value)
 {
-    laggard result;
+    lagging_process result;
     result.report = generationReportFromJson(value);
     if (!value["silence_ms"].isInt64() || !value["reason"].isString())
         throw error(error_kind::BadRequest, "members reason and silence_ms are missing");
@@ -46,58 +46,59 @@
 
 } // namespace
 
-folder_view folderViewOf(const generation_keeper &keeper, time_point now, milliseconds silence)
+folder_view folderViewOf(const generation_manager &manager, time_point now,
+                         milliseconds silenceLimit)
 {
-    const auto reports = keeper.reports();
+    const auto reports = manager.reports();
     folder_view view;
-    view.here = keeper.report();
-    view.isReady = keeper.isReady();
-    view.processes = reports.size();
-    view.lagging = laggards(reports, keeper.generation(), now, silence);
-    view.files = keeper.files();
-    view.problems = keeper.problems();
+    view.localReport = manager.report();
+    view.isReady = manager.isReady();
+    view.otherProcessCount = reports.size();
+    view.lagging = findLaggingProcesses(reports, manager.generation(), now, silenceLimit);
+    view.files = manager.files();
+    view.problems = manager.problems();
     return view;
 }
 
 Json::Value toJson(const folder_view &view)
 {
     Json::Value value(Json::objectValue);
-    value["here"] = toJson(view.here);
+    value["here"] = toJson(view.localReport);
     value["ready"] = view.isReady;
-    value["processes"] = Json::UInt64(view.processes);
-    value["lagging"] = listOf(view.lagging);
-    value["files"] = listOf(view.files);
-    value["problems"] = listOf(view.problems);
+    value["processes"] = Json::UInt64(view.otherProcessCount);
+    value["lagging"] = toJsonArray(view.lagging);
+    value["files"] = toJsonArray(view.files);
+    value["problems"] = toJsonArray(view.problems);
     return value;
 }
 
 folder_view folderViewFromJson(const Json::Value &value)
 {
     folder_view view;
-    for (const auto &lagging : listIn(value, "lagging"))
-        view.lagging.push_back(laggardFromJson(lagging));
-    for (const auto &file : listIn(value, "files"))
+    for (const auto &lagging : arrayMember(value, "lagging"))
+        view.lagging.push_back(laggingProcessFromJson(lagging));
+    for (const auto &file : arrayMember(value, "files"))
         view.files.push_back(fileStatusFromJson(file));
-    for (const auto &problem : listIn(value, "problems"))
+    for (const auto &problem : arrayMember(value, "problems"))
         view.problems.push_back(problemFromJson(problem));
     if (!value["ready"].isBool() || !value["processes"].isUInt64())
         throw error(error_kind::BadRequest, "members ready and processes are missing");
-    view.here = generationReportFromJson(value["here"]);
+    view.localReport = generationReportFromJson(value["here"]);
     view.isReady = value["ready"].asBool();
-    view.processes = value["processes"].asUInt64();
+    view.otherProcessCount = value["processes"].asUInt64();
     return view;
 }
 
 std::string toTable(const folder_view &view)
 {
-    auto table =
-            fmt::format("generation {} in force at {} ({}), {} other processes, {} lagging\n",
-                        view.here.generation, view.here.process,
-                        view.isReady ? "ready" : "not ready", view.processes, view.lagging.size());
-    for (const auto &[report, reason, silence] : view.lagging) {
+    auto table = fmt::format("generation {} in force at {} ({}), {} other processes, {} lagging\n",
+                             view.localReport.generation, view.localReport.process,
+                             view.isReady ? "ready" : "not ready", view.otherProcessCount,
+                             view.lagging.size());
+    for (const auto &[report, reason, silenceLimit] : view.lagging) {
         table += fmt::format("  {:<24} {:<6} generation {:<8} {:<7} last heard {} ms ago\n",
                              report.process, report.role, report.generation, nameOf(reason),
-                             silence.count());
+                             silenceLimit.count());
     }
     table += fmt::format("{:<32} {:>10}  {:<10}  {}\n", "FILE", "VERSION", "STATE", "REASON");
     for (const auto &file : view.files)
@@ -116,24 +117,25 @@
     return table;
 }
 
-Json::Value problemList(const std::vector<problem> &problems)
+Json::Value problemsToJson(const std::vector<problem> &problems)
 {
-    return listOf(problems);
+    return toJsonArray(problems);
 }
 
-std::string_view nameOf(follow_state state)
+std::string_view nameOf(rollout_state state)
 {
-    return nameOf(FollowNames, state);
+    return nameOf(RolloutStateNames, state);
 }
 
-follow_state followState(const folder_view &view, const file_status &file)
+rollout_state rolloutStateOf(const folder_view &view, const file_status &file)
 {
     if (file.state == file_state::Refused)
-        return follow_state::Refused;
+        return rollout_state::Refused;
     if (file.state == file_state::Superseded)
-        return follow_state::Superseded;
+        return rollout_state::Superseded;
     const bool isInForceHere = file.state == file_state::InForce;
-    return isInForceHere && view.lagging.empty() ? follow_state::Everywhere : follow_state::Waiting;
+    return isInForceHere && view.lagging.empty() ? rollout_state::InForceEverywhere
+                                                 : rollout_state::Waiting;
 }
 
 } // namespace zinniabarrow::config
--- a/libs/config/operator_view.h
+++ b/libs/config/operator_view.h
@@ -16,33 +16,33 @@
 // The configuration as one entry knows it.
 struct folder_view
 {
-    generation_report here;         // of the entry that answers
-    bool isReady = false;           // it may serve
-    std::size_t processes = 0;      // others that it has heard of
-    std::vector<laggard> lagging;   // of these, at an older generation or silent
-    std::vector<file_status> files; //
-    std::vector<problem> problems;  // why the folder as it stands is refused
+    generation_report localReport;        // of the entry that answers
+    bool isReady = false;                 // it may serve
+    std::size_t otherProcessCount = 0;    // others that it has heard of
+    std::vector<lagging_process> lagging; // of these, at an older generation or silent
+    std::vector<file_status> files;       //
+    std::vector<problem> problems;        // why the folder as it stands is refused
 };
 
-folder_view folderViewOf(const generation_keeper &keeper, time_point now,
-                         milliseconds silence = milliseconds(3000));
+folder_view folderViewOf(const generation_manager &manager, time_point now,
+                         milliseconds silenceLimit = milliseconds(3000));
 Json::Value toJson(const folder_view &view);
 folder_view folderViewFromJson(const Json::Value &value); // throws BadRequest
 std::string toTable(const folder_view &view);
 
 // Result of the offline check of a folder.
 std::string problemTable(const std::vector<problem> &problems);
-Json::Value problemList(const std::vector<problem> &problems);
+Json::Value problemsToJson(const std::vector<problem> &problems);
 
 // How far one version of a file has come.
-enum class follow_state {
-    Waiting,    // not judged, or some process still lags: look again
-    Everywhere, // in force at every process that was heard of
+enum class rollout_state {
+    Waiting,           // not judged, or some process still lags: look again
+    InForceEverywhere, // in force at every process that was heard of
     Refused,
     Superseded,
 };
-std::string_view nameOf(follow_state state);
+std::string_view nameOf(rollout_state state);
 
-follow_state followState(const folder_view &view, const file_status &file);
+rollout_state rolloutStateOf(const folder_view &view, const file_status &file);
 
 } // namespace zinniabarrow::config
--- a/libs/config/report_throttle.cpp
+++ b/libs/config/report_throttle.cpp
@@ -2,19 +2,19 @@
 
 namespace zinniabarrow::config {
 
-bool report_pace::isDue(const std::string &receiver, const generation_report &report,
-                        time_point now) const
+bool report_throttle::isDue(const std::string &receiver, const generation_report &report,
+                            time_point now) const
 {
-    const auto known = m_known.find(receiver);
-    return known == m_known.end() || now >= known->second.repeatAt
+    const auto known = m_acknowledged.find(receiver);
+    return known == m_acknowledged.end() || now >= known->second.repeatAt
            || known->second.generation != report.generation
            || known->second.digest != report.digest;
 }
 
-void report_pace::answered(const std::string &receiver, const generation_report &report,
-                           time_point now)
+void report_throttle::recordAnswer(const std::string &receiver, const generation_report &report,
+                                   time_point now)
 {
-    m_known[receiver] = {report.generation, report.digest, now + m_repeatEvery};
+    m_acknowledged[receiver] = {report.generation, report.digest, now + m_repeatInterval};
 }
 
 } // namespace zinniabarrow::config
--- a/libs/config/report_throttle.h
+++ b/libs/config/report_throttle.h
@@ -13,28 +13,29 @@
 // A report is most of a heartbeat's bytes and rarely news. It goes with every message until that
 // one was answered, and then again after a while: the receiver forgets reports that it does not
 // hear for `generation_settings::forgetAfter`.
-class report_pace
+class report_throttle
 {
 public:
-    explicit report_pace(milliseconds repeatEvery)
-        : m_repeatEvery(repeatEvery)
+    explicit report_throttle(milliseconds repeatInterval)
+        : m_repeatInterval(repeatInterval)
     { }
 
     bool isDue(const std::string &receiver, const generation_report &report, time_point now) const;
-    void answered(const std::string &receiver, const generation_report &report, time_point now);
+    void recordAnswer(const std::string &receiver, const generation_report &report, time_point now);
     // The receiver was replaced, or says that it knows nothing.
-    void startAgain(const std::string &receiver) { m_known.erase(receiver); }
+    void resetReceiver(const std::string &receiver) { m_acknowledged.erase(receiver); }
 
 private:
-    struct known_report
+    struct acknowledged_report
     {
         std::uint64_t generation = 0;
         std::string digest;
         time_point repeatAt;
     };
 
-    const milliseconds m_repeatEvery;
-    std::map<std::string, known_report> m_known; // by receiver; bounded by the settings' entries
+    const milliseconds m_repeatInterval;
+    std::map<std::string, acknowledged_report>
+            m_acknowledged; // by receiver; bounded by the settings' entries
 };
 
 } // namespace zinniabarrow::config
--- a/libs/config/schema.cpp
+++ b/libs/config/schema.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr std::size_t LongestName = 63;
+constexpr std::size_t MaxNameLength = 63;
 
 bool hasType(const Json::Value &value, const std::string &type)
 {
@@ -56,8 +56,8 @@
     if (format == "name")
         return isName(text);
     if (format == "ip")
-        return isAddress(text);
-    return endpointFrom(text).has_value();
+        return isIpAddress(text);
+    return parseEndpoint(text).has_value();
 }
 
 bool isInRange(const Json::Value &value, const Json::Value &definition)
@@ -95,7 +95,7 @@
     return true;
 }
 
-bool isAllowedItself(const Json::Value &value, const Json::Value &definition)
+bool isValueAllowed(const Json::Value &value, const Json::Value &definition)
 {
     return hasAllowedType(value, definition["type"]) && isInRange(value, definition)
            && isAllowedText(value, definition) && isEnumerated(value, definition)
@@ -108,19 +108,19 @@
 }
 
 // Walks text and schema together and names each fault where it lies.
-class fault_finder
+class schema_checker
 {
 public:
-    explicit fault_finder(const place_finder &placeOf)
-        : m_placeOf(placeOf)
+    explicit schema_checker(const location_finder &locationOf)
+        : m_locationOf(locationOf)
     { }
 
     std::vector<problem> takeProblems() { return std::move(m_problems); }
 
     void visit(const Json::Value &value, const Json::Value &definition, const std::string &pointer)
     {
-        if (!isAllowedItself(value, definition)) {
-            report(value, pointer, shortText(value), allowedBy(definition));
+        if (!isValueAllowed(value, definition)) {
+            report(value, pointer, shortText(value), describeAllowed(definition));
             return;
         }
         if (value.isObject())
@@ -136,7 +136,7 @@
         for (const auto &name : definition["required"]) {
             if (!object.isMember(name.asString()))
                 report(object, childPointer(pointer, name.asString()), "nothing",
-                       allowedBy(definition["properties"][name.asString()]));
+                       describeAllowed(definition["properties"][name.asString()]));
         }
         for (const auto &name : object.getMemberNames())
             visitMember(object[name], name, definition, pointer);
@@ -172,11 +172,11 @@
     void report(const Json::Value &value, const std::string &pointer, const std::string &found,
                 const std::string &allowed)
     {
-        const auto place = m_placeOf(pointer, value);
-        m_problems.push_back({place.file, place.line, pointer, found, allowed});
+        const auto location = m_locationOf(pointer, value);
+        m_problems.push_back({location.file, location.line, pointer, found, allowed});
     }
 
-    const place_finder &m_placeOf;
+    const location_finder &m_locationOf;
     std::vector<problem> m_problems;
 };
 
@@ -186,29 +186,29 @@
     return std::find(names.begin(), names.end(), Json::Value(name)) != names.end();
 }
 
-void describeRows(std::string &table, const std::string &prefix, const Json::Value &definition);
+void appendRows(std::string &table, const std::string &prefix, const Json::Value &definition);
 
-void describeMember(std::string &table, const std::string &key, const Json::Value &member,
-                    bool isNeeded)
+void appendMemberRow(std::string &table, const std::string &key, const Json::Value &member,
+                     bool isRequiredMember)
 {
     if (member["type"] == "object") {
-        describeRows(table, key + '.', member);
+        appendRows(table, key + '.', member);
         return;
     }
-    std::string fallback = isNeeded ? "required" : "none";
+    std::string defaultText = isRequiredMember ? "required" : "none";
     if (member.isMember("default"))
-        fallback = '`' + valueText(member["default"]) + '`';
-    table += fmt::format("| `{}` | {} | {} | {} |\n", key, allowedBy(member), fallback,
+        defaultText = '`' + valueText(member["default"]) + '`';
+    table += fmt::format("| `{}` | {} | {} | {} |\n", key, describeAllowed(member), defaultText,
                          member["description"].asString());
 }
 
-void describeRows(std::string &table, const std::string &prefix, const Json::Value &definition)
+void appendRows(std::string &table, const std::string &prefix, const Json::Value &definition)
 {
     if (definition["additionalProperties"].isObject())
-        describeMember(table, prefix + "NAME", definition["additionalProperties"], true);
+        appendMemberRow(table, prefix + "NAME", definition["additionalProperties"], true);
     const auto &properties = definition["properties"];
     for (const auto &name : properties.getMemberNames())
-        describeMember(table, prefix + name, properties[name], isRequired(definition, name));
+        appendMemberRow(table, prefix + name, properties[name], isRequired(definition, name));
 }
 
 std::string range(const Json::Value &definition)
@@ -232,7 +232,7 @@
     return types.isArray() ? types[0].asString() : types.asString();
 }
 
-std::string allowedBesideNull(const Json::Value &definition)
+std::string describeAllowedNonNull(const Json::Value &definition)
 {
     const auto type = typeName(definition["type"]);
     if (definition.isMember("enum")) {
@@ -252,7 +252,7 @@
         return "an IP address and port, as 10.0.0.1:8080 or [::1]:8080";
     if (type == "array")
         return fmt::format("an array of {} or more elements, each {}",
-                           definition["minItems"].asUInt(), allowedBy(definition["items"]));
+                           definition["minItems"].asUInt(), describeAllowed(definition["items"]));
     if (type == "object" && definition.isMember("properties"))
         return "an object of " + joined(definition["properties"].getMemberNames());
     return type + range(definition);
@@ -283,13 +283,14 @@
 std::vector<problem> json_schema::check(const json_text &text) const
 {
     return check(text.root(), [&](const std::string &, const Json::Value &value) {
-        return text_place{text.file(), text.lineOf(value)};
+        return text_location{text.file(), text.lineOf(value)};
     });
 }
 
-std::vector<problem> json_schema::check(const Json::Value &root, const place_finder &placeOf) const
+std::vector<problem> json_schema::check(const Json::Value &root,
+                                        const location_finder &locationOf) const
 {
-    fault_finder finder(placeOf);
+    schema_checker finder(locationOf);
     finder.visit(root, m_definition, "");
     auto problems = finder.takeProblems();
     if (!problems.empty())
@@ -300,11 +301,11 @@
     valijson::ValidationResults results;
     const valijson::adapters::JsonCppAdapter target(root);
     if (!validator.validate(m_compiled->schema, target, &results)) {
-        const auto place = placeOf("", root);
+        const auto location = locationOf("", root);
         for (const auto &fault : results) {
             const auto pointer = fmt::format("{}", fmt::join(fault.context, ""));
-            problems.push_back({place.file, place.line, pointer, "a value that the schema refuses",
-                                fault.description});
+            problems.push_back({location.file, location.line, pointer,
+                                "a value that the schema refuses", fault.description});
         }
     }
     return problems;
@@ -328,17 +329,17 @@
     return values;
 }
 
-Json::Value patchOf(Json::Value definition)
+Json::Value patchSchemaOf(Json::Value definition)
 {
     definition.removeMember("required");
     for (const auto &name : definition["properties"].getMemberNames()) {
-        auto member = patchOf(definition["properties"][name]);
+        auto member = patchSchemaOf(definition["properties"][name]);
         definition["properties"][name] = std::move(member);
     }
     if (definition["properties"].empty())
         definition.removeMember("properties");
     if (definition["additionalProperties"].isObject())
-        definition["additionalProperties"] = patchOf(definition["additionalProperties"]);
+        definition["additionalProperties"] = patchSchemaOf(definition["additionalProperties"]);
     if (definition["additionalProperties"].isNull())
         definition.removeMember("additionalProperties");
     Json::Value types(Json::arrayValue);
@@ -350,22 +351,22 @@
     return definition;
 }
 
-std::string allowedBy(const Json::Value &definition)
+std::string describeAllowed(const Json::Value &definition)
 {
-    const auto text = allowedBesideNull(definition);
+    const auto text = describeAllowedNonNull(definition);
     return isNullable(definition) ? text + ", or null to delete" : text;
 }
 
 std::string schemaTable(const Json::Value &definition)
 {
     std::string table = "| key | allowed | default | meaning |\n|---|---|---|---|\n";
-    describeRows(table, "", definition);
+    appendRows(table, "", definition);
     return table;
 }
 
 bool isName(std::string_view text)
 {
-    if (text.empty() || text.size() > LongestName)
+    if (text.empty() || text.size() > MaxNameLength)
         return false;
     const auto isLetterOrDigit = [](unsigned char c) { return c < 0x80 && std::isalnum(c) != 0; };
     if (!isLetterOrDigit(static_cast<unsigned char>(text.front())))
--- a/libs/config/schema.h
+++ b/libs/config/schema.h
@@ -16,13 +16,13 @@
 
 // Where the value at `pointer` was written. A missing member is asked for with its own pointer and
 // the value of its parent.
-struct text_place
+struct text_location
 {
     std::string file;
     int line = 0;
 };
-using place_finder =
-        std::function<text_place(const std::string &pointer, const Json::Value &value)>;
+using location_finder =
+        std::function<text_location(const std::string &pointer, const Json::Value &value)>;
 
 // A compiled schema. Beside JSON Schema's own words it knows the formats "name" (letters, digits,
 // '.', '_' and '-'), "ip" and "ip:port".
@@ -37,7 +37,7 @@
 
     const Json::Value &definition() const { return m_definition; }
     std::vector<problem> check(const json_text &text) const;
-    std::vector<problem> check(const Json::Value &root, const place_finder &placeOf) const;
+    std::vector<problem> check(const Json::Value &root, const location_finder &locationOf) const;
 
 private:
     struct compiled;
@@ -49,10 +49,10 @@
 Json::Value defaultsOf(const Json::Value &definition);
 
 // The definition for a text that is merged with others: members may be missing, and null deletes.
-Json::Value patchOf(Json::Value definition);
+Json::Value patchSchemaOf(Json::Value definition);
 
 // One line on what a value may be: "an integer from 1 to 65535".
-std::string allowedBy(const Json::Value &definition);
+std::string describeAllowed(const Json::Value &definition);
 
 // A Markdown table with a row for each scalar or array below: key, allowed, default, meaning.
 std::string schemaTable(const Json::Value &definition);
--- a/libs/config/settings.cpp
+++ b/libs/config/settings.cpp
@@ -32,7 +32,7 @@
 // Found by argument-dependent look-up from fields.h, so not in the unnamed namespace.
 static void fromName(const std::string &name, routing_policy &policy)
 {
-    policy = valueNamed(RoutingPolicyNames, name);
+    policy = enumFromName(RoutingPolicyNames, name);
 }
 
 template <typename Archive>
@@ -53,8 +53,8 @@
 template <typename Archive>
 void describe(Archive &archive, retry_settings &retry)
 {
-    archive("share", retry.share);
-    archive("floor", retry.floor);
+    archive("share", retry.budgetShare);
+    archive("floor", retry.minPerSecond);
 }
 
 template <typename Archive>
@@ -68,11 +68,11 @@
 template <typename Archive>
 void describe(Archive &archive, placement_settings &placement)
 {
-    archive("tick_ms", placement.tick);
+    archive("tick_ms", placement.tickInterval);
     archive("backlog_per_worker", placement.backlogPerWorker);
     archive("max_tasks_per_commit", placement.maxTasksPerCommit);
-    archive("quarantine_workers", placement.quarantineWorkers);
-    archive("set_aside_jobs", placement.setAsideJobs);
+    archive("quarantine_workers", placement.jobQuarantineWorkers);
+    archive("set_aside_jobs", placement.workerQuarantineJobs);
     archive("evictions_per_minute", placement.evictionsPerMinute);
 }
 
@@ -80,7 +80,7 @@
 void describe(Archive &archive, routing_settings &routing)
 {
     archive("policy", routing.policy);
-    archive("spill", routing.spill);
+    archive("spill", routing.spillThreshold);
 }
 
 template <typename Archive>
@@ -94,21 +94,21 @@
     archive("peers", entry.peers);
     archive("platform", entry.platform);
     archive("shards", entry.shards);
-    archive("lease_ms", entry.lease);
+    archive("lease_ms", entry.shardLease);
     archive("agent_lease_ms", entry.agentLease);
     archive("clock_margin_ms", entry.clockMargin);
-    archive("announce_silence_ms", entry.announceSilence);
+    archive("announce_silence_ms", entry.announceTimeout);
     archive("max_body_bytes", entry.maxBodyBytes);
     archive("max_answer_bytes", entry.maxAnswerBytes);
     archive("max_connections", entry.maxConnections);
     archive("max_connections_per_address", entry.maxConnectionsPerAddress);
-    archive("request_read_ms", entry.requestRead);
-    archive("answer_write_ms", entry.answerWrite);
-    archive("request_deadline_ms", entry.requestDeadline);
+    archive("request_read_ms", entry.requestReadTimeout);
+    archive("answer_write_ms", entry.answerWriteTimeout);
+    archive("request_deadline_ms", entry.defaultRequestDeadline);
     archive("retry", entry.retry);
-    archive("drain_ms", entry.drain);
+    archive("drain_ms", entry.drainTimeout);
     archive("weights", entry.weights);
-    archive("config_poll_ms", entry.configPoll);
+    archive("config_poll_ms", entry.configPollInterval);
     archive("placement", entry.placement);
     archive("routing", entry.routing);
     archive("log_level", entry.logLevel);
@@ -137,8 +137,8 @@
 {
     archive("clock_margin_ms", lease.clockMargin);
     archive("task_lease_ms", lease.taskLease);
-    archive("renew_ms", lease.renew);
-    archive("report_ms", lease.report);
+    archive("renew_ms", lease.renewInterval);
+    archive("report_ms", lease.ownerReportInterval);
 }
 
 template <typename Archive>
@@ -152,12 +152,12 @@
     archive("entries", agent.entries);
     archive("upstream", agent.upstream);
     archive("worker", agent.worker);
-    archive("announce_ms", agent.announce);
+    archive("announce_ms", agent.announceInterval);
     archive("lease", agent.lease);
     archive("queue_length", agent.queueLength);
     archive("max_body_bytes", agent.maxBodyBytes);
     archive("max_answer_bytes", agent.maxAnswerBytes);
-    archive("drain_ms", agent.drain);
+    archive("drain_ms", agent.drainTimeout);
     archive("log_level", agent.logLevel);
 }
 
@@ -175,7 +175,7 @@
     return schema;
 }
 
-[[noreturn]] void refuse(const std::vector<problem> &problems)
+[[noreturn]] void throwBadSettings(const std::vector<problem> &problems)
 {
     std::vector<std::string> lines;
     for (const auto &problem : problems)
@@ -183,64 +183,67 @@
     throw error(error_kind::BadSettings, fmt::format("{}", fmt::join(lines, "\n")));
 }
 
-json_text checkedText(const std::string &fileName, const std::string &text,
-                      const json_schema &schema)
+json_text parseAndCheck(const std::string &fileName, const std::string &text,
+                        const json_schema &schema)
 {
     try {
         json_text parsed(fileName, text);
         const auto problems = schema.check(parsed);
         if (!problems.empty())
-            refuse(problems);
+            throwBadSettings(problems);
         return parsed;
     } catch (const syntax_error &broken) {
-        refuse({broken.where});
+        throwBadSettings({syntaxError.detail});
     }
 }
 
 // Refuses a pair of settings that cannot hold together, at the line of `key`.
-void demand(bool holds, const json_text &text, const Json::Value &parent, const char *key,
-            const std::string &pointer, const std::string &allowed)
+void requireConsistent(bool isConsistent, const json_text &text, const Json::Value &parent,
+                       const char *key, const std::string &pointer, const std::string &allowed)
 {
-    if (holds)
+    if (isConsistent)
         return;
     const auto &value = parent.isMember(key) ? parent[key] : parent;
     const auto found = parent.isMember(key) ? shortText(value) : std::string("the default");
-    refuse({{text.file(), text.lineOf(value), pointer, found, allowed}});
+    throwBadSettings({{text.file(), text.lineOf(value), pointer, found, allowed}});
 }
 
 } // namespace
 
 entry_settings entrySettingsFrom(const std::string &fileName, const std::string &text)
 {
-    const auto parsed = checkedText(fileName, text, entrySchema());
+    const auto parsed = parseAndCheck(fileName, text, entrySchema());
     const auto &root = parsed.root();
-    const auto settings = readFrom<entry_settings>(root);
-    demand(settings.agentLease + settings.clockMargin < settings.lease, parsed, root, "lease_ms",
-           "/lease_ms", "more than agent_lease_ms and clock_margin_ms together");
+    const auto settings = readMembers<entry_settings>(root);
+    requireConsistent(settings.agentLease + settings.clockMargin < settings.shardLease, parsed,
+                      root, "lease_ms", "/lease_ms",
+                      "more than agent_lease_ms and clock_margin_ms together");
     return settings;
 }
 
 agent_settings agentSettingsFrom(const std::string &fileName, const std::string &text)
 {
-    const auto parsed = checkedText(fileName, text, agentSchema());
+    const auto parsed = parseAndCheck(fileName, text, agentSchema());
     const auto &root = parsed.root();
-    const auto settings = readFrom<agent_settings>(root);
-    demand(settings.lease.renew + settings.lease.clockMargin < settings.lease.taskLease, parsed,
-           root["lease"], "task_lease_ms", "/lease/task_lease_ms",
-           "more than renew_ms and clock_margin_ms together");
-    demand(settings.upstream.slots <= settings.upstream.connections, parsed, root["upstream"],
-           "connections", "/upstream/connections", "at least as many as slots");
+    const auto settings = readMembers<agent_settings>(root);
+    requireConsistent(settings.lease.renewInterval + settings.lease.clockMargin
+                              < settings.lease.taskLease,
+                      parsed, root["lease"], "task_lease_ms", "/lease/task_lease_ms",
+                      "more than renew_ms and clock_margin_ms together");
+    requireConsistent(settings.upstream.slots <= settings.upstream.connections, parsed,
+                      root["upstream"], "connections", "/upstream/connections",
+                      "at least as many as slots");
     return settings;
 }
 
 Json::Value toJson(const entry_settings &settings)
 {
-    return written(settings);
+    return membersToJson(settings);
 }
 
 Json::Value toJson(const agent_settings &settings)
 {
-    return written(settings);
+    return membersToJson(settings);
 }
 
 const Json::Value &entrySettingsSchema()
--- a/libs/config/settings.h
+++ b/libs/config/settings.h
@@ -32,8 +32,8 @@
 
 struct retry_settings
 {
-    double share = 0.1; // retries allowed for each first try
-    double floor = 3;   // retries a second that are always allowed
+    double budgetShare = 0.1; // retries allowed for each first try
+    double minPerSecond = 3;  // retries a second that are always allowed
 };
 
 // How much each of the three measures counts when they pull apart; only their ratios matter.
@@ -46,12 +46,12 @@
 
 struct placement_settings
 {
-    milliseconds tick{100};             // between two rounds of placement
-    std::size_t backlogPerWorker = 4;   // batch tasks placed ahead; 0: none
-    std::size_t maxTasksPerCommit = 64; // tasks written in one transaction of the table
-    std::size_t quarantineWorkers = 3;  // distinct workers a job fails on before it is held
-    std::size_t setAsideJobs = 3;       // distinct jobs that fail on a worker before it is left
-    std::size_t evictionsPerMinute = 6; // by one entry, for interference
+    milliseconds tickInterval{100};       // between two rounds of placement
+    std::size_t backlogPerWorker = 4;     // batch tasks placed ahead; 0: none
+    std::size_t maxTasksPerCommit = 64;   // tasks written in one transaction of the table
+    std::size_t jobQuarantineWorkers = 3; // distinct workers a job fails on before it is held
+    std::size_t workerQuarantineJobs = 3; // distinct jobs that fail on a worker before it is left
+    std::size_t evictionsPerMinute = 6;   // by one entry, for interference
 };
 
 enum class routing_policy { TwoChoices, RoundRobin, LeastKnownLoad };
@@ -60,7 +60,8 @@
 struct routing_settings
 {
     routing_policy policy = routing_policy::TwoChoices;
-    double spill = 1; // share of the own zone's slots in use above which other zones are used
+    double spillThreshold =
+            1; // share of the own zone's slots in use above which other zones are used
 };
 
 // One entry: carries callers' requests, schedules workers, accepts configuration.
@@ -74,24 +75,24 @@
     std::vector<endpoint> peers;              // rpc addresses of the other entries; none
     platform_settings platform;               //
     std::size_t shards = 1;                   // the workers are split into; alike on all entries
-    milliseconds lease{1'800'000};            // owner's lease on a shard: the horizon of an outage
+    milliseconds shardLease{1'800'000};       // owner's lease on a shard: the horizon of an outage
     milliseconds agentLease{15'000};          // short lease given to agents, without the table
     milliseconds clockMargin{500};            // added wherever another process's lease must be over
-    milliseconds announceSilence{3000};       // after which an announcer counts as gone
+    milliseconds announceTimeout{3000};       // after which an announcer counts as gone
     std::size_t maxAnswerBytes = 67'108'864;  // of an answer; large ones are streamed
     std::size_t maxBodyBytes = 1'048'576;     // of a caller's request
     std::size_t maxConnections = 256;         // of callers at once; a thread each
     std::size_t maxConnectionsPerAddress = 0; // of one caller's address; 0: no bound
-    milliseconds requestRead{10'000};         // from a request's first byte until it is whole
-    milliseconds answerWrite{30'000};         // until the caller has taken its answer
-    milliseconds requestDeadline{10'000};     // for requests that name none
-    retry_settings retry;                     //
-    milliseconds drain{30'000};               // longest wait for requests in flight at a stop
-    policy_weights weights;                   //
-    milliseconds configPoll{1000};            // between two looks at the accepted generation
-    placement_settings placement;             //
-    routing_settings routing;                 //
-    log_level logLevel = log_level::Info;     // lowest level written
+    milliseconds requestReadTimeout{10'000};  // from a request's first byte until it is whole
+    milliseconds answerWriteTimeout{30'000};  // until the caller has taken its answer
+    milliseconds defaultRequestDeadline{10'000}; // for requests that name none
+    retry_settings retry;                        //
+    milliseconds drainTimeout{30'000};           // longest wait for requests in flight at a stop
+    policy_weights weights;                      //
+    milliseconds configPollInterval{1000};       // between two looks at the accepted generation
+    placement_settings placement;                //
+    routing_settings routing;                    //
+    log_level logLevel = log_level::Info;        // lowest level written
 };
 
 struct upstream_settings
@@ -114,8 +115,8 @@
 {
     milliseconds clockMargin{500};  // stop this long before a lease from the owner ends
     milliseconds taskLease{10'000}; // given to the worker for each task; outlasts an agent restart
-    milliseconds renew{1000};       // between two renewals of the tasks' leases
-    milliseconds report{4000};      // between two reports that the owner answers
+    milliseconds renewInterval{1000};       // between two renewals of the tasks' leases
+    milliseconds ownerReportInterval{4000}; // between two reports that the owner answers
 };
 
 // One agent: admits requests to its upstream, runs the tasks of its worker, announces both.
@@ -129,12 +130,12 @@
     std::vector<endpoint> entries;           // their rpc addresses; one or more
     upstream_settings upstream;              //
     worker_settings worker;                  //
-    milliseconds announce{500};              // between two announcements
+    milliseconds announceInterval{500};      // between two announcements
     agent_lease_settings lease;              //
     std::size_t queueLength = 16;            // requests that wait for a slot
     std::size_t maxBodyBytes = 1'048'576;    // of a request
     std::size_t maxAnswerBytes = 67'108'864; // of an answer; large ones are streamed
-    milliseconds drain{30'000};              // longest wait for requests in flight at a stop
+    milliseconds drainTimeout{30'000};       // longest wait for requests in flight at a stop
     log_level logLevel = log_level::Info;    // lowest level written
 };
 
--- a/libs/config/validate.cpp
+++ b/libs/config/validate.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::int64_t Most = std::numeric_limits<std::int64_t>::max();
+constexpr std::int64_t MaxSum = std::numeric_limits<std::int64_t>::max();
 
 struct dimension
 {
@@ -32,16 +32,16 @@
 std::int64_t cappedSum(std::int64_t a, std::int64_t b)
 {
     std::int64_t sum = 0;
-    return __builtin_add_overflow(a, b, &sum) ? Most : sum;
+    return __builtin_add_overflow(a, b, &sum) ? MaxSum : sum;
 }
 
 std::int64_t cappedProduct(std::int64_t a, std::int64_t b)
 {
     std::int64_t product = 0;
-    return __builtin_mul_overflow(a, b, &product) ? Most : product;
+    return __builtin_mul_overflow(a, b, &product) ? MaxSum : product;
 }
 
-resources times(const resources &size, std::int64_t count)
+resources multiplied(const resources &size, std::int64_t count)
 {
     resources all;
     for (const auto &dimension : Dimensions)
@@ -50,7 +50,7 @@
 }
 
 // The first dimension in which `size` is over `limit`, or null.
-const dimension *exceeded(const resources &size, const resources &limit)
+const dimension *exceededDimension(const resources &size, const resources &limit)
 {
     for (const auto &dimension : Dimensions) {
         if (size.*dimension.amount > limit.*dimension.amount)
@@ -61,7 +61,7 @@
 
 std::int64_t replicasOnOneWorker(const resources &size, const resources &worker)
 {
-    auto count = Most;
+    auto count = MaxSum;
     for (const auto &dimension : Dimensions) {
         if (size.*dimension.amount > 0)
             count = std::min(count, worker.*dimension.amount / size.*dimension.amount);
@@ -70,112 +70,118 @@
 }
 
 // What a service or job needs of others; both are checked alike.
-struct demand
+struct resource_requirement
 {
     std::string pointer; // "/services/tickets"
     std::string team;
     std::string pool;
     resources size;            // of one replica or task
     std::int64_t replicas = 0; // that run at once whatever happens; 0 for jobs
-    text_place place;          // where it was first written
+    text_location place;       // where it was first written
 };
 
-class whole_checker
+class configuration_checker
 {
 public:
-    whole_checker(const merged_folder &merged, const configuration &whole)
+    configuration_checker(const merged_folder &merged, const configuration &mergedConfiguration)
         : m_merged(merged)
-        , m_whole(whole)
+        , m_config(mergedConfiguration)
     { }
 
     std::vector<problem> check()
     {
-        for (const auto &demand : demands())
-            checkDemand(demand);
+        for (const auto &requirement : requirementsInFileOrder())
+            checkRequirement(requirement);
         return std::move(m_problems);
     }
 
 private:
     // In the order in which they were written, so that of two files that are too much together the
     // later one is refused.
-    std::vector<demand> demands() const
+    std::vector<resource_requirement> requirementsInFileOrder() const
     {
-        std::vector<demand> all;
-        for (const auto &[name, service] : m_whole.services)
-            all.push_back(demandOf(childPointer("/services", name), service, service.replicas));
-        for (const auto &[name, job] : m_whole.jobs)
-            all.push_back(demandOf(childPointer("/jobs", name), job, 0));
-        std::stable_sort(all.begin(), all.end(), [](const demand &a, const demand &b) {
-            return std::pair(a.place.file, a.place.line) < std::pair(b.place.file, b.place.line);
-        });
+        std::vector<resource_requirement> all;
+        for (const auto &[name, service] : m_config.services)
+            all.push_back(
+                    requirementOf(childPointer("/services", name), service, service.replicas));
+        for (const auto &[name, job] : m_config.jobs)
+            all.push_back(requirementOf(childPointer("/jobs", name), job, 0));
+        std::stable_sort(all.begin(), all.end(),
+                         [](const resource_requirement &a, const resource_requirement &b) {
+                             return std::pair(a.place.file, a.place.line)
+                                    < std::pair(b.place.file, b.place.line);
+                         });
         return all;
     }
 
     template <typename Spec>
-    demand demandOf(const std::string &pointer, const Spec &spec, std::int64_t replicas) const
+    resource_requirement requirementOf(const std::string &pointer, const Spec &spec,
+                                       std::int64_t replicas) const
     {
-        return {pointer, spec.team, spec.pool, spec.size, replicas, m_merged.placeOf(pointer)};
+        return {pointer, spec.team, spec.pool, spec.size, replicas, m_merged.locationOf(pointer)};
     }
 
-    void checkDemand(const demand &demand)
+    void checkRequirement(const resource_requirement &requirement)
     {
-        const auto pool = m_whole.pools.find(demand.pool);
-        const auto team = m_whole.teams.find(demand.team);
-        if (pool == m_whole.pools.end())
-            reportUnknown(demand.pointer + "/pool", demand.pool, "pool", m_whole.pools);
+        const auto pool = m_config.pools.find(requirement.pool);
+        const auto team = m_config.teams.find(requirement.team);
+        if (pool == m_config.pools.end())
+            reportUnknown(requirement.pointer + "/pool", requirement.pool, "pool", m_config.pools);
         else
-            checkPool(demand, pool->second);
-        if (team == m_whole.teams.end())
-            reportUnknown(demand.pointer + "/team", demand.team, "team", m_whole.teams);
+            checkPool(requirement, pool->second);
+        if (team == m_config.teams.end())
+            reportUnknown(requirement.pointer + "/team", requirement.team, "team", m_config.teams);
         else
-            checkTeam(demand, team->second);
+            checkTeam(requirement, team->second);
     }
 
-    void checkPool(const demand &demand, const pool_spec &pool)
+    void checkPool(const resource_requirement &requirement, const pool_spec &pool)
     {
-        if (const auto *over = exceeded(demand.size, pool.worker)) {
-            reportSize(demand, *over,
+        if (const auto *exceededBy = exceededDimension(requirement.size, pool.workerSize)) {
+            reportSize(requirement, *exceededBy,
                        fmt::format("at most {}, the largest worker of pool {}; it never fits",
-                                   pool.worker.*over->amount, demand.pool));
+                                   pool.workerSize.*exceededBy->amount, requirement.pool));
             return;
         }
-        const auto room =
-                cappedProduct(replicasOnOneWorker(demand.size, pool.worker), pool.workers);
-        if (demand.replicas > room) {
-            report(demand.pointer + "/replicas", fmt::to_string(demand.replicas),
-                   fmt::format("at most {}, which the {} workers of pool {} hold", room,
-                               pool.workers, demand.pool));
+        const auto capacity =
+                cappedProduct(replicasOnOneWorker(requirement.size, pool.workerSize), pool.workers);
+        if (requirement.replicas > capacity) {
+            report(requirement.pointer + "/replicas", fmt::to_string(requirement.replicas),
+                   fmt::format("at most {}, which the {} workers of pool {} hold", capacity,
+                               pool.workers, requirement.pool));
             return;
         }
-        addUp(m_poolSums[demand.pool], demand, times(pool.worker, pool.workers),
-              "the workers of pool " + demand.pool);
+        addToSum(m_poolSums[requirement.pool], requirement,
+                 multiplied(pool.workerSize, pool.workers),
+                 "the workers of pool " + requirement.pool);
     }
 
-    void checkTeam(const demand &demand, const team_spec &team)
+    void checkTeam(const resource_requirement &requirement, const team_spec &team)
     {
-        if (const auto *over = exceeded(demand.size, team.quota)) {
-            reportSize(demand, *over,
+        if (const auto *exceededBy = exceededDimension(requirement.size, team.quota)) {
+            reportSize(requirement, *exceededBy,
                        fmt::format("at most {}, the quota of team {}; it never fits",
-                                   team.quota.*over->amount, demand.team));
+                                   team.quota.*exceededBy->amount, requirement.team));
             return;
         }
-        addUp(m_teamSums[demand.team], demand, team.quota, "the quota of team " + demand.team);
+        addToSum(m_teamSums[requirement.team], requirement, team.quota,
+                 "the quota of team " + requirement.team);
     }
 
     // Replicas of services run all at once, so their sum must fit; tasks of jobs wait for room.
-    void addUp(resources &sum, const demand &demand, const resources &limit,
-               const std::string &limitName)
+    void addToSum(resources &sum, const resource_requirement &requirement, const resources &limit,
+                  const std::string &limitName)
     {
-        const auto all = times(demand.size, demand.replicas);
+        const auto all = multiplied(requirement.size, requirement.replicas);
         for (const auto &dimension : Dimensions) {
             auto &amount = sum.*dimension.amount;
             const auto before = amount;
             amount = cappedSum(amount, all.*dimension.amount);
-            const auto most = limit.*dimension.amount;
-            if (before <= most && amount > most) {
-                report(demand.pointer,
+            const auto limitAmount = limit.*dimension.amount;
+            if (before <= limitAmount && amount > limitAmount) {
+                report(requirement.pointer,
                        fmt::format("{} {} of services up to this one", amount, dimension.name),
-                       fmt::format("at most {}, {}", most, limitName));
+                       fmt::format("at most {}, {}", limitAmount, limitName));
             }
         }
     }
@@ -184,34 +190,35 @@
     void reportUnknown(const std::string &pointer, const std::string &found, const char *kind,
                        const Map &known)
     {
-        constexpr std::size_t MostNamed = 20;
+        constexpr std::size_t MaxNamed = 20;
         std::string names;
         std::size_t count = 0;
         for (const auto &[name, spec] : known) {
-            if (++count > MostNamed)
+            if (++count > MaxNamed)
                 break;
             names += (names.empty() ? "" : ", ") + name;
         }
-        if (known.size() > MostNamed)
+        if (known.size() > MaxNamed)
             names += ", …";
         report(pointer, fmt::format("unknown {} \"{}\"", kind, found),
                names.empty() ? fmt::format("none, as the folder has no {}", kind) : names);
     }
 
-    void reportSize(const demand &demand, const dimension &over, const std::string &allowed)
+    void reportSize(const resource_requirement &requirement, const dimension &exceededBy,
+                    const std::string &allowed)
     {
-        report(fmt::format("{}/size/{}", demand.pointer, over.name),
-               fmt::to_string(demand.size.*over.amount), allowed);
+        report(fmt::format("{}/size/{}", requirement.pointer, exceededBy.name),
+               fmt::to_string(requirement.size.*exceededBy.amount), allowed);
     }
 
     void report(const std::string &pointer, const std::string &found, const std::string &allowed)
     {
-        const auto place = m_merged.placeOf(pointer);
-        m_problems.push_back({place.file, place.line, pointer, found, allowed});
+        const auto location = m_merged.locationOf(pointer);
+        m_problems.push_back({location.file, location.line, pointer, found, allowed});
     }
 
     const merged_folder &m_merged;
-    const configuration &m_whole;
+    const configuration &m_config;
     std::map<std::string, resources> m_poolSums;
     std::map<std::string, resources> m_teamSums;
     std::vector<problem> m_problems;
@@ -247,13 +254,13 @@
             const auto faults = folderFileSchema().check(text);
             problems.insert(problems.end(), faults.begin(), faults.end());
         } catch (const syntax_error &broken) {
-            problems.push_back(broken.where);
+            problems.push_back(syntaxError.detail);
         }
     }
     return texts;
 }
 
-std::vector<folder_file> inOrder(std::vector<folder_file> files)
+std::vector<folder_file> sortedFolderFiles(std::vector<folder_file> files)
 {
     std::erase_if(files, [](const folder_file &file) { return !isFolderFile(file.name); });
     std::sort(files.begin(), files.end(),
@@ -265,7 +272,7 @@
 
 folder_check checkFolder(const std::vector<folder_file> &files, const folder_limits &limits)
 {
-    const auto ordered = inOrder(files);
+    const auto ordered = sortedFolderFiles(files);
     folder_check result;
     result.problems = checkLimits(ordered, limits);
     if (!result.problems.empty())
@@ -277,12 +284,12 @@
     const auto &merged = result.merged;
     result.problems = folderSchema().check(merged.value,
                                            [&](const std::string &pointer, const Json::Value &) {
-                                               return merged.placeOf(pointer);
+                                               return merged.locationOf(pointer);
                                            });
     if (!result.problems.empty())
         return result;
-    result.whole = configurationFromJson(merged.value);
-    result.problems = whole_checker(merged, result.whole).check();
+    result.mergedConfig = configurationFromJson(merged.value);
+    result.problems = configuration_checker(merged, result.mergedConfig).check();
     return result;
 }
 
--- a/libs/config/validate.h
+++ b/libs/config/validate.h
@@ -21,7 +21,7 @@
 {
     std::vector<problem> problems; // none: the folder may be accepted
     merged_folder merged;          // empty when a file is broken by itself
-    configuration whole;           // only where there are no problems
+    configuration mergedConfig;    // only where there are no problems
     bool isAcceptable() const { return problems.empty(); }
 };
 
--- a/tests/config_files.h
+++ b/tests/config_files.h
@@ -30,7 +30,7 @@
 }
 
 // One pool and one team that services and jobs can refer to.
-inline std::string basisFile()
+inline std::string baseFile()
 {
     return R"({
   "teams": {"gate": {"quota": {"millicores": 160000, "bytes": 600000}}},
--- a/tests/config_records_test.cpp
+++ b/tests/config_records_test.cpp
@@ -17,17 +17,18 @@
 generation_content contentOf(std::int64_t replicas)
 {
     generation_content content;
-    content.whole.services["tickets"].replicas = replicas;
+    content.mergedConfig.services["tickets"].replicas = replicas;
     content.files["tickets.json"] = static_cast<std::uint64_t>(replicas);
     return content;
 }
 
-report_heard reportOf(const std::string &process, std::uint64_t generation, const std::string &text)
+report_received reportOf(const std::string &process, std::uint64_t generation,
+                         const std::string &text)
 {
     return {{process, "entry", generation, digestOf(text)}};
 }
 
-const read_content *questionIn(const generation_actions &actions)
+const read_content *contentQueryIn(const generation_actions &actions)
 {
     return actions.empty() ? nullptr : std::get_if<read_content>(&actions.front());
 }
@@ -46,9 +47,9 @@
 folder_view exampleView()
 {
     folder_view view;
-    view.here = {"entry-1", "entry", 7, "abc-1"};
+    view.localReport = {"entry-1", "entry", 7, "abc-1"};
     view.isReady = true;
-    view.processes = 3;
+    view.otherProcessCount = 3;
     view.lagging = {{{"agent-02", "agent", 6, "abd-1"}, lag_reason::Behind, milliseconds(120)}};
     const problem fault{"b.json", 4, "/services/holds/team", "unknown team \"x\"", "gate"};
     view.files = {{"a.json", 12, file_state::InForce, 7, "", {}},
@@ -67,42 +68,42 @@
     const auto text = contentText(contentOf(2));
     const auto older = contentText(contentOf(1));
     auto actions = agent.handle(reportOf("e1", 5, text), Start);
-    const auto *question = questionIn(actions);
-    require(question && question->peer == "e1" && question->digest == digestOf(text));
-    const auto first = *question;
+    const auto *query = contentQueryIn(actions);
+    require(query && query->peer == "e1" && query->digest == digestOf(text));
+    const auto first = *query;
     section("another content is not adopted; the next source is asked", [&] {
         agent.handle(reportOf("e2", 5, text), Start);
         actions = agent.handle(content_read{first.request, true, older}, Start);
-        question = questionIn(actions);
-        require(question && question->peer == "e2");
-        check(agent.generation() == 0 && agent.counters().badContents == 1);
+        query = contentQueryIn(actions);
+        require(query && query->peer == "e2");
+        check(agent.generation() == 0 && agent.counters().invalidContents == 1);
     });
     section("a source that is silent is left after a second", [&] {
         check(agent.handle(tick{}, Start + milliseconds(900)).empty());
         check(agent.handle(tick{}, Start + milliseconds(1000)).empty()); // all asked: pause
         actions = agent.handle(tick{}, Start + milliseconds(2000));
-        question = questionIn(actions);
-        require(question && question->peer == "e1");
-        check(agent.counters().readsFailed == 2);
+        query = contentQueryIn(actions);
+        require(query && query->peer == "e1");
+        check(agent.counters().failedReads == 2);
     });
     section("an answer to an older question is ignored, the right one adopted", [&] {
         check(agent.handle(content_read{first.request, true, text}, Start).empty());
-        actions = agent.handle(content_read{question->request, true, text}, Start);
+        actions = agent.handle(content_read{query->request, true, text}, Start);
         check(actions.size() == 2 && agent.generation() == 5);
-        check(agent.whole()->services.at("tickets").replicas == 2);
-        check(agent.textFor(digestOf(text)) == text && !agent.textFor("other"));
+        check(agent.mergedConfig()->services.at("tickets").replicas == 2);
+        check(agent.contentTextFor(digestOf(text)) == text && !agent.contentTextFor("other"));
     });
     section("lower generations change nothing, whoever names them", [&] {
         check(agent.handle(reportOf("e3", 4, older), Start).empty());
-        check(agent.offerStored(5, digestOf(older), Start).empty());
-        check(agent.adoptHeld(3, older).empty());
-        check(agent.generation() == 5 && agent.counters().forks == 1);
+        check(agent.considerStored(5, digestOf(older), Start).empty());
+        check(agent.adoptContent(3, older).empty());
+        check(agent.generation() == 5 && agent.counters().digestConflicts == 1);
     });
     section("a content that does not parse is not adopted either", [&] {
         const std::string broken = "{\"configuration\": []}";
         actions = agent.handle(reportOf("e1", 6, broken), Start);
-        agent.handle(content_read{questionIn(actions)->request, true, broken}, Start);
-        check(agent.generation() == 5 && agent.counters().badContents == 2);
+        agent.handle(content_read{contentQueryIn(actions)->request, true, broken}, Start);
+        check(agent.generation() == 5 && agent.counters().invalidContents == 2);
     });
 }
 
@@ -165,16 +166,16 @@
     });
     section("how far a file has come", [] {
         auto view = exampleView();
-        check(followState(view, view.files[0]) == follow_state::Waiting);
-        check(followState(view, view.files[1]) == follow_state::Refused);
+        check(rolloutStateOf(view, view.files[0]) == rollout_state::Waiting);
+        check(rolloutStateOf(view, view.files[1]) == rollout_state::Refused);
         view.lagging.clear();
-        check(followState(view, view.files[0]) == follow_state::Everywhere);
+        check(rolloutStateOf(view, view.files[0]) == rollout_state::InForceEverywhere);
     });
     section("laggards are behind or silent", [] {
-        const std::vector<heard_report> reports{{{"a", "agent", 6, ""}, Start},
-                                                {{"b", "agent", 7, ""}, Start},
-                                                {{"c", "agent", 7, ""}, Start - seconds(4)}};
-        const auto found = laggards(reports, 7, Start);
+        const std::vector<received_report> reports{{{"a", "agent", 6, ""}, Start},
+                                                   {{"b", "agent", 7, ""}, Start},
+                                                   {{"c", "agent", 7, ""}, Start - seconds(4)}};
+        const auto found = findLaggingProcesses(reports, 7, Start);
         check(found.size() == 2 && found[0].reason == lag_reason::Behind);
         check(found[1].report.process == "c" && found[1].reason == lag_reason::Silent);
     });
@@ -185,25 +186,25 @@
 // longer than entries remember, the agent would look behind or silent.
 Test(config_records, when_a_generation_is_told)
 {
-    report_pace pace(seconds(4));
+    report_throttle pace(seconds(4));
     const generation_report first{"agent", "agent", 3, "d3"};
     const generation_report second{"agent", "agent", 4, "d4"};
     const time_point start(seconds(100));
     section("with every message until one is answered", [&] {
         check(pace.isDue("e1", first, start) && pace.isDue("e1", first, start + seconds(1)));
-        pace.answered("e1", first, start);
+        pace.recordAnswer("e1", first, start);
         check(!pace.isDue("e1", first, start + milliseconds(3'999)));
         check(pace.isDue("e2", first, start));
     });
     section("again after a while", [&] { check(pace.isDue("e1", first, start + seconds(4))); });
     section("at once when it has changed, also if the answer to an older one comes late", [&] {
         check(pace.isDue("e1", second, start));
-        pace.answered("e1", first, start + seconds(1));
+        pace.recordAnswer("e1", first, start + seconds(1));
         check(pace.isDue("e1", second, start + seconds(1)));
     });
     section("at once to an entry that was replaced", [&] {
-        pace.answered("e1", second, start);
-        pace.startAgain("e1");
+        pace.recordAnswer("e1", second, start);
+        pace.resetReceiver("e1");
         check(pace.isDue("e1", second, start));
     });
 }
--- a/tests/config_session_test.cpp
+++ b/tests/config_session_test.cpp
@@ -12,12 +12,12 @@
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::config;
-using zinniabarrow::tests::basisFile;
-using zinniabarrow::tests::config_world;
+using zinniabarrow::tests::baseFile;
+using zinniabarrow::tests::config_simulation;
 using zinniabarrow::tests::fault;
 using zinniabarrow::tests::fileText;
 using zinniabarrow::tests::section;
-using zinniabarrow::tests::world_process;
+using zinniabarrow::tests::simulated_process;
 
 namespace {
 
@@ -43,42 +43,43 @@
 std::string recordSession()
 {
     std::string session;
-    config_world world;
-    world.addEntry("e1", 1);
-    world.addEntry("e2", 1);
-    world.addAgent("a1");
-    world.tap = [&](const world_process &each, const auto &event, const auto &actions) {
+    config_world simulation;
+    simulation.addEntry("e1", 1);
+    simulation.addEntry("e2", 1);
+    simulation.addAgent("a1");
+    simulation.onHandled = [&](const world_process &each, const auto &event, const auto &actions) {
         const bool isIdleTick = std::holds_alternative<tick>(event) && actions.empty();
         if (each.id == "e1" && !isIdleTick)
-            session += sessionLine(world.now, event, actions);
+            session += sessionLine(simulation.now, event, actions);
     };
-    world.put("00-basis.json", basisFile());
-    world.runFor(milliseconds(800));
-    world.put("tickets.json", Tickets);
-    world.runFor(milliseconds(800));
-    world.put("zz.json", "{\"services\": {\"tickets\": {\"team\": \"nobody\"}}}");
-    world.runFor(milliseconds(800));
-    world.chooseFault = [](const auto &, const generation_action &action, int) {
-        return std::holds_alternative<commit_generation>(action) ? fault::Unsure : fault::None;
+    simulation.put("00-basis.json", baseFile());
+    simulation.runFor(milliseconds(800));
+    simulation.put("tickets.json", Tickets);
+    simulation.runFor(milliseconds(800));
+    simulation.put("zz.json", "{\"services\": {\"tickets\": {\"team\": \"nobody\"}}}");
+    simulation.runFor(milliseconds(800));
+    simulation.chooseFault = [](const auto &, const generation_action &action, int) {
+        return std::holds_alternative<commit_generation>(action) ? fault::UnknownOutcome
+                                                                 : fault::None;
     };
-    world.put("zz.json", "{\"services\": {\"tickets\": {\"replicas\": 3}}}");
-    world.runFor(milliseconds(1200));
+    simulation.put("zz.json", "{\"services\": {\"tickets\": {\"replicas\": 3}}}");
+    simulation.runFor(milliseconds(1200));
     bool hasRaced = false;
-    world.chooseFault = [&](const world_process &, const generation_action &action, int) {
+    simulation.chooseFault = [&](const world_process &, const generation_action &action, int) {
         if (!hasRaced && std::holds_alternative<write_content>(action)) {
-            const auto row = world.platform.read(std::string(AcceptedRowKey));
-            world.platform.commit({"race", {}, {{row->key, row->value}}});
+            const auto row = simulation.platform.read(std::string(AcceptedRowKey));
+            simulation.platform.commit({"race", {}, {{row->key, row->value}}});
             hasRaced = true;
         }
         return fault::None;
     };
-    world.put("tickets.json", Tickets + "\n");
-    world.runFor(milliseconds(1200));
-    world.isPlatformDown = true;
-    world.runFor(milliseconds(1200));
-    world.isPlatformDown = false;
-    world.remove("zz.json");
-    world.runFor(milliseconds(1200));
+    simulation.put("tickets.json", Tickets + "\n");
+    simulation.runFor(milliseconds(1200));
+    simulation.isPlatformDown = true;
+    simulation.runFor(milliseconds(1200));
+    simulation.isPlatformDown = false;
+    simulation.remove("zz.json");
+    simulation.runFor(milliseconds(1200));
     return session;
 }
 
@@ -86,18 +87,18 @@
 {
     std::istringstream lines(session);
     std::string output;
-    std::optional<generation_keeper> keeper;
+    std::optional<generation_manager> manager;
     for (std::string text; std::getline(lines, text);) {
         const auto line = parseJson(text);
         const time_point at{microseconds(line["at_us"].asInt64())};
-        if (!keeper) {
-            keeper_settings settings;
+        if (!manager) {
+            generation_manager_settings settings;
             settings.process = "e1";
-            settings.peers = 1;
-            keeper.emplace(settings, random_generator(SessionSeed), at);
+            settings.peerCount = 1;
+            manager.emplace(settings, random_generator(SessionSeed), at);
         }
         const auto event = generationEventFromJson(line["event"]);
-        output += sessionLine(at, event, keeper->handle(event, at));
+        output += sessionLine(at, event, manager->handle(event, at));
     }
     return output;
 }
--- a/tests/config_simulation.h
+++ b/tests/config_simulation.h
@@ -21,45 +21,50 @@
 // What happens to one question or message on its way.
 enum class fault {
     None,
-    Down,      // refused before anything happened
-    LostQuery, // never arrived; no answer
-    LostReply, // took effect; no answer
-    Unsure,    // took effect; the client says that it does not know
-    Delayed,   // takes effect and is answered long after the asker has given up
+    Unreachable,    // refused before anything happened
+    LostQuery,      // never arrived; no answer
+    LostReply,      // took effect; no answer
+    UnknownOutcome, // took effect; the client says that it does not know
+    Delayed,        // takes effect and is answered long after the asker has given up
 };
 
-struct world_process
+struct simulated_process
 {
     std::string id;
-    std::unique_ptr<generation_keeper> keeper;     // of an entry
+    std::unique_ptr<generation_manager> manager;   // of an entry
     std::unique_ptr<generation_follower> follower; // of an agent
-    int life = 0;                                  // raised by every end
+    int incarnation = 0;                           // raised by every end
     bool isAlive = false;
     bool isCutFromPlatform = false;
     bool isCutFromPeers = false;
     bool wasReady = false;
-    std::uint64_t mustReach = 0;   // accepted when this life began
-    std::uint64_t lastAdopted = 0; // in this life
+    std::uint64_t minReadyGeneration = 0; // accepted when this life began
+    std::uint64_t lastAdopted = 0;        // in this life
     time_point pausedUntil{};
     time_point nextAnnounce{};
 
-    const generation_follower &known() const { return keeper ? keeper->follower() : *follower; }
+    const generation_follower &usedFollower() const
+    {
+        return manager ? manager->follower() : *follower;
+    }
 };
 
-class config_world
+class config_simulation
 {
 public:
-    std::function<fault(const world_process &, const generation_action &, int step)> chooseFault =
-            [](const auto &, const auto &, int) { return fault::None; };
-    std::function<void(const world_process &, const generation_event &, const generation_actions &)>
-            tap = [](const auto &, const auto &, const auto &) {};
+    std::function<fault(const simulated_process &, const generation_action &, int step)>
+            chooseFault = [](const auto &, const auto &, int) { return fault::None; };
+    std::function<void(const simulated_process &, const generation_event &,
+                       const generation_actions &)>
+            onHandled = [](const auto &, const auto &, const auto &) {};
     memory_platform platform;
     bool isPlatformDown = false;
     time_point now{seconds(1000)};
-    int step = 0;            // questions and messages so far, announcements aside
-    int platformReads = 0;   // as they reached it
-    int platformWrites = 0;  //
-    milliseconds slowest{0}; // from a generation's acceptance until all live processes had it
+    int step = 0;           // questions and messages so far, announcements aside
+    int platformReads = 0;  // as they reached it
+    int platformWrites = 0; //
+    milliseconds maxConvergenceTime{
+            0}; // from a generation's acceptance until all live processes had it
 
     void addEntry(const std::string &id, std::size_t peers = 0)
     {
@@ -77,13 +82,13 @@
         agent.isAlive = true;
     }
 
-    world_process &process(const std::string &id) { return m_processes.at(id); }
-    generation_keeper &entry(const std::string &id) { return *m_processes.at(id).keeper; }
+    simulated_process &process(const std::string &id) { return m_processes.at(id); }
+    generation_manager &entry(const std::string &id) { return *m_processes.at(id).manager; }
 
     void kill(const std::string &id)
     {
         process(id).isAlive = false;
-        ++process(id).life;
+        ++process(id).incarnation;
     }
 
     void restart(const std::string &id)
@@ -91,7 +96,7 @@
         if (process(id).isAlive)
             kill(id);
         process(id).lastAdopted = 0;
-        if (process(id).keeper)
+        if (process(id).manager)
             startEntry(process(id));
         else
             addAgent(id);
@@ -108,24 +113,24 @@
     }
 
     // An operator's command asks this entry to look.
-    void look(const std::string &id) { deliver(id, process(id).life, look_now{}); }
+    void scanNow(const std::string &id) { deliver(id, process(id).incarnation, scan_now{}); }
 
-    void after(milliseconds delay, std::function<void()> what)
+    void runAfter(milliseconds delay, std::function<void()> chosenFault)
     {
-        m_queue.emplace(now + delay, std::move(what));
+        m_queue.emplace(now + delay, std::move(chosenFault));
     }
 
     void runFor(milliseconds length)
     {
         for (const auto end = now + length; now < end; now += Delay) {
             while (!m_queue.empty() && m_queue.begin()->first <= now) {
-                const auto what = std::move(m_queue.begin()->second);
+                const auto chosenFault = std::move(m_queue.begin()->second);
                 m_queue.erase(m_queue.begin());
-                what();
+                chosenFault();
             }
             if (now >= m_nextTick)
                 tickAll();
-            measure();
+            measureConvergence();
         }
     }
 
@@ -138,209 +143,214 @@
     // All live processes work by the accepted generation.
     bool hasConverged() const
     {
-        return acceptedGeneration() > 0 && doAllHave(acceptedGeneration());
+        return acceptedGeneration() > 0 && haveAllReached(acceptedGeneration());
     }
 
 private:
     static constexpr milliseconds Delay{5}; // one way
-    static constexpr milliseconds TickEvery{50};
-    static constexpr milliseconds AnnounceEvery{500};
-    static constexpr milliseconds LateBy{4000};
+    static constexpr milliseconds TickInterval{50};
+    static constexpr milliseconds AnnounceInterval{500};
+    static constexpr milliseconds LateDelay{4000};
 
-    void startEntry(world_process &entry)
+    void startEntry(simulated_process &entry)
     {
-        keeper_settings settings;
+        generation_manager_settings settings;
         settings.process = entry.id;
-        settings.peers = m_peers[entry.id];
-        entry.keeper = std::make_unique<generation_keeper>(
-                settings, random_generator(static_cast<std::uint64_t>(++m_lives)), now);
-        entry.mustReach = acceptedGeneration();
+        settings.peerCount = m_peers[entry.id];
+        entry.manager = std::make_unique<generation_manager>(
+                settings, random_generator(static_cast<std::uint64_t>(++m_incarnationCount)), now);
+        entry.minReadyGeneration = acceptedGeneration();
         entry.wasReady = false;
         entry.isAlive = true;
     }
 
-    bool doAllHave(std::uint64_t generation) const
+    bool haveAllReached(std::uint64_t generation) const
     {
-        return std::all_of(m_processes.begin(), m_processes.end(), [&](const auto &each) {
-            return !each.second.isAlive || each.second.known().generation() >= generation;
+        return std::all_of(m_processes.begin(), m_processes.end(), [&](const auto &simulated) {
+            return !simulated.second.isAlive
+                   || simulated.second.usedFollower().generation() >= generation;
         });
     }
 
-    void measure()
+    void measureConvergence()
     {
-        while (!m_acceptedAt.empty() && doAllHave(m_acceptedAt.begin()->first)) {
+        while (!m_acceptedAt.empty() && haveAllReached(m_acceptedAt.begin()->first)) {
             const auto took = now - m_acceptedAt.begin()->second;
-            slowest = std::max(slowest, std::chrono::duration_cast<milliseconds>(took));
+            maxConvergenceTime =
+                    std::max(maxConvergenceTime, std::chrono::duration_cast<milliseconds>(took));
             m_acceptedAt.erase(m_acceptedAt.begin());
         }
     }
 
     void tickAll()
     {
-        m_nextTick = now + TickEvery;
-        for (auto &[id, each] : m_processes) {
-            if (!each.isAlive || now < each.pausedUntil)
+        m_nextTick = now + TickInterval;
+        for (auto &[id, simulated] : m_processes) {
+            if (!simulated.isAlive || now < simulated.pausedUntil)
                 continue;
-            deliver(id, each.life, tick{});
-            if (now < each.nextAnnounce)
+            deliver(id, simulated.incarnation, tick{});
+            if (now < simulated.nextAnnounce)
                 continue;
-            each.nextAnnounce = now + AnnounceEvery;
+            simulated.nextAnnounce = now + AnnounceInterval;
             for (const auto &[other, target] : m_processes) {
-                if (target.keeper) // agents hear only what is pushed
-                    send(each, target, each.known().report());
+                if (target.manager) // agents hear only what is pushed
+                    send(simulated, target, simulated.usedFollower().report());
             }
         }
     }
 
     void deliver(const std::string &id, int life, const generation_event &event)
     {
-        auto &each = process(id);
-        if (!each.isAlive || each.life != life)
+        auto &simulated = process(id);
+        if (!simulated.isAlive || simulated.incarnation != life)
             return;
-        if (now < each.pausedUntil) {
-            m_queue.emplace(each.pausedUntil, [=, this] { deliver(id, life, event); });
+        if (now < simulated.pausedUntil) {
+            m_queue.emplace(simulated.pausedUntil, [=, this] { deliver(id, life, event); });
             return;
         }
-        const auto actions =
-                each.keeper ? each.keeper->handle(event, now) : each.follower->handle(event, now);
-        tap(each, event, actions);
+        const auto actions = simulated.manager ? simulated.manager->handle(event, now)
+                                               : simulated.follower->handle(event, now);
+        onHandled(simulated, event, actions);
         for (const auto &action : actions)
-            carryOut(each, action);
-        checkReady(each);
+            execute(simulated, action);
+        checkReady(simulated);
     }
 
     // A newcomer must not serve by less than was accepted when it began.
-    static void checkReady(world_process &each)
+    static void checkReady(simulated_process &simulated)
     {
-        if (!each.keeper || each.wasReady || !each.keeper->isReady())
+        if (!simulated.manager || simulated.wasReady || !simulated.manager->isReady())
             return;
-        each.wasReady = true;
-        check(each.keeper->generation() >= each.mustReach);
+        simulated.wasReady = true;
+        check(simulated.manager->generation() >= simulated.minReadyGeneration);
     }
 
-    void carryOut(world_process &each, const generation_action &action)
+    void execute(simulated_process &simulated, const generation_action &action)
     {
         if (const auto *adopted = std::get_if<adopt_generation>(&action)) {
-            checkAdoption(each, *adopted);
+            checkAdoption(simulated, *adopted);
         } else if (const auto *push = std::get_if<push_generation>(&action)) {
-            tell(each, *push);
+            pushReport(simulated, *push);
         } else if (const auto *unneeded = std::get_if<remove_content>(&action)) {
             platform.removeObject(unneeded->name, std::nullopt);
         } else {
             const auto *read = std::get_if<read_content>(&action);
-            ask(each, action, read && !read->peer.empty());
+            sendQuery(simulated, action, read && !read->peer.empty());
         }
     }
 
-    void checkAdoption(world_process &each, const adopt_generation &adopted)
+    void checkAdoption(simulated_process &simulated, const adopt_generation &adopted)
     {
-        check(adopted.generation > each.lastAdopted);
-        each.lastAdopted = adopted.generation;
+        check(adopted.generation > simulated.lastAdopted);
+        simulated.lastAdopted = adopted.generation;
         const auto known = m_digests.emplace(adopted.generation, adopted.digest).first;
         check(known->second == adopted.digest); // one content for one generation
-        for (const auto &[name, service] : adopted.whole->services)
-            check(adopted.whole->teams.contains(service.team)); // never an invalid whole
+        for (const auto &[name, service] : adopted.mergedConfig->services)
+            check(adopted.mergedConfig->teams.contains(service.team)); // never an invalid whole
     }
 
-    void tell(const world_process &each, const push_generation &push)
+    void pushReport(const simulated_process &simulated, const push_generation &push)
     {
         for (const auto &[id, target] : m_processes) {
             const auto &named = push.processes;
-            const bool isMeant =
+            const bool isTarget =
                     named.empty() || std::find(named.begin(), named.end(), id) != named.end();
-            if (!isMeant || id == each.id)
+            if (!isTarget || id == simulated.id)
                 continue;
-            if (chooseFault(each, push, ++step) == fault::None)
-                send(each, target, push.report);
+            if (chooseFault(simulated, push, ++step) == fault::None)
+                send(simulated, target, push.report);
         }
     }
 
-    void send(const world_process &from, const world_process &to, const generation_report &report)
+    void send(const simulated_process &from, const simulated_process &to,
+              const generation_report &report)
     {
         if (&from == &to || !to.isAlive || from.isCutFromPeers || to.isCutFromPeers)
             return;
-        after(Delay,
-              [=, this, id = to.id, life = to.life] { deliver(id, life, report_heard{report}); });
+        runAfter(Delay, [=, this, id = to.id, life = to.incarnation] {
+            deliver(id, life, report_received{report});
+        });
     }
 
-    void ask(const world_process &each, const generation_action &action, bool isToPeer)
+    void sendQuery(const simulated_process &simulated, const generation_action &action,
+                   bool isToPeer)
     {
-        auto what = chooseFault(each, action, ++step);
+        auto chosenFault = chooseFault(simulated, action, ++step);
         const bool isCut =
-                isToPeer ? each.isCutFromPeers : each.isCutFromPlatform || isPlatformDown;
+                isToPeer ? simulated.isCutFromPeers : simulated.isCutFromPlatform || isPlatformDown;
         if (isCut)
-            what = fault::Down;
-        const auto reply = [=, this, id = each.id,
-                            life = each.life](const generation_event &event) {
-            after(Delay, [=, this] { deliver(id, life, event); });
+            chosenFault = fault::Unreachable;
+        const auto reply = [=, this, id = simulated.id,
+                            life = simulated.incarnation](const generation_event &event) {
+            runAfter(Delay, [=, this] { deliver(id, life, event); });
         };
-        if (what == fault::LostQuery)
+        if (chosenFault == fault::LostQuery)
             return;
-        if (what == fault::Down) {
-            reply(*noAnswerTo(action, write_outcome::Refused));
+        if (chosenFault == fault::Unreachable) {
+            reply(*failureEventFor(action, write_outcome::Refused));
             return;
         }
-        after(what == fault::Delayed ? LateBy : Delay, [=, this] {
+        runAfter(chosenFault == fault::Delayed ? LateDelay : Delay, [=, this] {
             const auto answer = answerTo(action);
-            if (what == fault::Unsure)
-                reply(*noAnswerTo(action, write_outcome::Unknown));
-            else if (what != fault::LostReply)
+            if (chosenFault == fault::UnknownOutcome)
+                reply(*failureEventFor(action, write_outcome::Unknown));
+            else if (chosenFault != fault::LostReply)
                 reply(answer);
         });
     }
 
     generation_event answerTo(const generation_action &action)
     {
-        return std::visit([this](const auto &each) { return answer(each); }, action);
+        return std::visit([this](const auto &simulated) { return answer(simulated); }, action);
     }
 
-    generation_event answer(const read_accepted &question)
+    generation_event answer(const read_accepted_row &query)
     {
         ++platformReads;
         const auto row = platform.read(std::string(AcceptedRowKey));
-        return accepted_read{question.request, true, row.value_or(table_row{})};
+        return accepted_row_read{query.request, true, row.value_or(table_row{})};
     }
-    generation_event answer(const list_folder &question)
+    generation_event answer(const list_folder &query)
     {
         ++platformReads;
-        return folder_listed{question.request, true,
-                             platform.listObjects(std::string(FolderPrefix))};
+        return folder_listed{query.request, true, platform.listObjects(std::string(FolderPrefix))};
     }
-    generation_event answer(const read_files &question)
+    generation_event answer(const read_files &query)
     {
-        files_read read{question.request, true, {}};
-        for (const auto &name : question.names) {
+        files_read read{query.request, true, {}};
+        for (const auto &name : query.names) {
             ++platformReads;
             if (auto object = platform.getObject(name))
                 read.objects.push_back(std::move(*object));
         }
         return read;
     }
-    generation_event answer(const read_content &question)
+    generation_event answer(const read_content &query)
     {
-        if (!question.peer.empty()) {
-            const auto &peer = process(question.peer);
+        if (!query.peer.empty()) {
+            const auto &peer = process(query.peer);
             const bool isThere = peer.isAlive && !peer.isCutFromPeers;
-            const auto text = isThere ? peer.known().textFor(question.digest) : std::nullopt;
-            return content_read{question.request, text.has_value(), text.value_or("")};
+            const auto text =
+                    isThere ? peer.usedFollower().contentTextFor(query.digest) : std::nullopt;
+            return content_read{query.request, text.has_value(), text.value_or("")};
         }
         ++platformReads;
-        const auto object = platform.getObject(std::string(MergedPrefix) + question.digest);
-        return content_read{question.request, object.has_value(), object ? object->content : ""};
+        const auto object = platform.getObject(std::string(MergedPrefix) + query.digest);
+        return content_read{query.request, object.has_value(), object ? object->content : ""};
     }
-    generation_event answer(const write_content &question)
+    generation_event answer(const write_content &query)
     {
         ++platformWrites;
-        const auto result = platform.putObject(question.name, question.content, std::nullopt);
-        return content_written{question.request, result};
+        const auto result = platform.putObject(query.name, query.content, std::nullopt);
+        return content_written{query.request, result};
     }
-    generation_event answer(const commit_generation &question)
+    generation_event answer(const commit_generation &query)
     {
         ++platformWrites;
-        const auto result = platform.commit(question.transaction);
+        const auto result = platform.commit(query.transaction);
         if (result.outcome == write_outcome::Applied)
             checkAcceptance();
-        return generation_committed{question.request, result};
+        return generation_committed{query.request, result};
     }
     generation_event answer(const auto &) { return tick{}; } // not asked
 
@@ -360,7 +370,7 @@
         m_acceptedFiles = files;
     }
 
-    std::map<std::string, world_process> m_processes;
+    std::map<std::string, simulated_process> m_processes;
     std::map<std::string, std::size_t> m_peers; // settings of each entry
     std::multimap<time_point, std::function<void()>> m_queue;
     time_point m_nextTick{};
@@ -368,7 +378,7 @@
     std::map<std::uint64_t, time_point> m_acceptedAt; // not yet everywhere
     std::uint64_t m_highestAccepted = 0;
     file_versions m_acceptedFiles;
-    int m_lives = 0;
+    int m_incarnationCount = 0;
 };
 
 } // namespace zinniabarrow::tests
--- a/tests/content_slice_test.cpp
+++ b/tests/content_slice_test.cpp
@@ -18,13 +18,13 @@
 generation_content contentOf(int jobs, std::int64_t replicas)
 {
     generation_content content;
-    content.whole.services["tickets"].pool = "shared";
-    content.whole.services["tickets"].replicas = replicas;
-    content.whole.services["lockers"].pool = "shared";
-    content.whole.pools["shared"].workers = 11;
-    content.whole.pools["other"].workers = 5;
+    content.mergedConfig.services["tickets"].pool = "shared";
+    content.mergedConfig.services["tickets"].replicas = replicas;
+    content.mergedConfig.services["lockers"].pool = "shared";
+    content.mergedConfig.pools["shared"].workers = 11;
+    content.mergedConfig.pools["other"].workers = 5;
     for (int job = 0; job < jobs; ++job) {
-        auto &batch = content.whole.jobs["job-" + std::to_string(job)];
+        auto &batch = content.mergedConfig.jobs["job-" + std::to_string(job)];
         batch.team = "rinks";
         batch.pool = "shared";
     }
@@ -39,46 +39,47 @@
 }
 
 // An entry that works by `generation`.
-struct entry_at
+struct entry_with_content
 {
-    entry_at(std::uint64_t generation, const generation_content &content)
+    entry_with_content(std::uint64_t generation, const generation_content &content)
     {
-        follower.adoptHeld(generation, contentText(content));
+        follower.adoptContent(generation, contentText(content));
     }
     generation_follower follower{follower_settings{"entry", "entry"}};
 };
 
-read_content questionIn(const generation_actions &actions)
+read_content contentQueryIn(const generation_actions &actions)
 {
     require(actions.size() == 1 && std::holds_alternative<read_content>(actions[0]));
     return std::get<read_content>(actions[0]);
 }
 
 // Question and answer over the wire; counts their bytes.
-content_read askOver(const generation_follower &entry, const read_content &question,
-                     std::size_t &bytes)
+content_read askOverWire(const generation_follower &entry, const read_content &query,
+                         std::size_t &bytes)
 {
-    const auto asked = compactJson(toJson(question));
-    const auto answered = compactJson(contentAnswer(entry, readContentFromJson(parseJson(asked))));
+    const auto asked = compactJson(toJson(query));
+    const auto answered =
+            compactJson(answerReadContent(entry, readContentFromJson(parseJson(asked))));
     bytes += asked.size() + answered.size();
-    return contentReadFromJson(question.request, parseJson(answered));
+    return contentReadFromJson(query.request, parseJson(answered));
 }
 
 // The agent hears of the entry's generation and takes it up; returns the bytes that it cost.
-std::size_t follow(generation_follower &agent, const generation_follower &entry)
+std::size_t followEntry(generation_follower &agent, const generation_follower &entry)
 {
     std::size_t bytes = 0;
-    const auto question = questionIn(agent.handle(report_heard{entry.report()}, Start));
-    const auto taken = agent.handle(askOver(entry, question, bytes), Start);
-    check(!taken.empty());
+    const auto query = contentQueryIn(agent.handle(report_received{entry.report()}, Start));
+    const auto adoptActions = agent.handle(askOverWire(entry, query, bytes), Start);
+    check(!adoptActions.empty());
     return bytes;
 }
 
 // What the same change costs a process that asks for the whole.
 std::size_t wholeBytes(const generation_follower &entry)
 {
-    generation_follower whole(follower_settings{"agent", "agent"});
-    return follow(whole, entry);
+    generation_follower wholeFollower(follower_settings{"agent", "agent"});
+    return followEntry(wholeFollower, entry);
 }
 
 } // namespace
@@ -90,15 +91,17 @@
     for (const int jobs : {1'000, 10'000}) {
         section(std::to_string(jobs) + " jobs", [&] {
             auto agent = agentFollower();
-            const auto first = follow(agent, entry_at(1, contentOf(jobs, 3)).follower);
-            const entry_at elsewhere(2, contentOf(jobs + 1, 3));
-            const auto unchanged = follow(agent, elsewhere.follower);
+            const auto first =
+                    followEntry(agent, entry_with_content(1, contentOf(jobs, 3)).follower);
+            const entry_with_content elsewhere(2, contentOf(jobs + 1, 3));
+            const auto unchanged = followEntry(agent, elsewhere.follower);
             check(agent.generation() == 2 && agent.digest() == elsewhere.follower.digest());
-            const entry_at own(3, contentOf(jobs, 4));
-            const auto changed = follow(agent, own.follower);
+            const entry_with_content own(3, contentOf(jobs, 4));
+            const auto changed = followEntry(agent, own.follower);
             check(agent.generation() == 3 && agent.report().digest == own.follower.digest());
-            check(agent.content().whole.services.at("tickets").replicas == 4);
-            check(agent.content().whole.services.size() == 1 && agent.content().whole.jobs.empty());
+            check(agent.content().mergedConfig.services.at("tickets").replicas == 4);
+            check(agent.content().mergedConfig.services.size() == 1
+                  && agent.content().mergedConfig.jobs.empty());
             std::fprintf(stderr,
                          "| %d jobs | whole %zu B | slice %zu B | no change to it %zu B |\n", jobs,
                          wholeBytes(own.follower), changed, unchanged);
@@ -112,78 +115,79 @@
 // hasn't.
 Test(content_slice, answers_that_go_wrong)
 {
-    const entry_at first(1, contentOf(10, 3));
-    const entry_at second(2, contentOf(10, 4));
+    const entry_with_content first(1, contentOf(10, 3));
+    const entry_with_content second(2, contentOf(10, 4));
     std::size_t bytes = 0;
     section("a lost answer is asked for again, and a late one after a newer changes nothing", [&] {
         auto agent = agentFollower();
-        const auto lost = questionIn(agent.handle(report_heard{first.follower.report()}, Start));
-        const auto late = askOver(first.follower, lost, bytes);
+        const auto lost =
+                contentQueryIn(agent.handle(report_received{first.follower.report()}, Start));
+        const auto late = askOverWire(first.follower, lost, bytes);
         generation_actions again;
         for (auto now = Start; again.empty() && now < Start + seconds(5); now += milliseconds(100))
             again = agent.handle(tick{}, now);
-        agent.handle(askOver(first.follower, questionIn(again), bytes), Start);
+        agent.handle(askOverWire(first.follower, contentQueryIn(again), bytes), Start);
         check(agent.generation() == 1);
-        follow(agent, second.follower);
+        followEntry(agent, second.follower);
         check(agent.handle(late, Start).empty() && agent.generation() == 2);
-        check(agent.content().whole.services.at("tickets").replicas == 4);
+        check(agent.content().mergedConfig.services.at("tickets").replicas == 4);
     });
     section("an entry that works by another generation by now gives nothing", [&] {
         auto agent = agentFollower();
-        const auto question =
-                questionIn(agent.handle(report_heard{first.follower.report()}, Start));
-        check(!askOver(second.follower, question, bytes).isFound);
+        const auto query =
+                contentQueryIn(agent.handle(report_received{first.follower.report()}, Start));
+        check(!askOverWire(second.follower, query, bytes).isFound);
     });
     section("a cut slice, and another agent's under this digest", [&] {
         for (const bool isCut : {true, false}) {
             auto agent = agentFollower();
-            const auto question =
-                    questionIn(agent.handle(report_heard{first.follower.report()}, Start));
-            auto answer = askOver(first.follower, question, bytes);
+            const auto query =
+                    contentQueryIn(agent.handle(report_received{first.follower.report()}, Start));
+            auto answer = askOverWire(first.follower, query, bytes);
             if (isCut)
                 answer.content.pop_back();
             else
-                answer.content = contentText(sliceOf(contentOf(10, 3), {"lockers", "shared"}));
+                answer.content = contentText(makeSlice(contentOf(10, 3), {"lockers", "shared"}));
             agent.handle(answer, Start);
-            check(agent.generation() == 0 && agent.counters().badContents == 1);
+            check(agent.generation() == 0 && agent.counters().invalidContents == 1);
         }
     });
     section("\"you have it\" to a newcomer, or for another slice", [&] {
         auto agent = agentFollower();
-        const auto question =
-                questionIn(agent.handle(report_heard{first.follower.report()}, Start));
-        auto answer = askOver(first.follower, question, bytes);
+        const auto query =
+                contentQueryIn(agent.handle(report_received{first.follower.report()}, Start));
+        auto answer = askOverWire(first.follower, query, bytes);
         answer.content.clear();
         agent.handle(answer, Start);
-        check(agent.generation() == 0 && agent.counters().badContents == 1);
+        check(agent.generation() == 0 && agent.counters().invalidContents == 1);
     });
 }
 
 // Processes are replaced one by one, the agents first.
 Test(content_slice, releases_side_by_side)
 {
-    const entry_at entry(1, contentOf(10, 3));
+    const entry_with_content entry(1, contentOf(10, 3));
     section("an older entry ignores the scope and gives the whole", [&] {
         auto agent = agentFollower();
-        auto question = questionIn(agent.handle(report_heard{entry.follower.report()}, Start));
-        question.scope.reset();
+        auto query = contentQueryIn(agent.handle(report_received{entry.follower.report()}, Start));
+        query.scope.reset();
         std::size_t bytes = 0;
-        agent.handle(askOver(entry.follower, question, bytes), Start);
+        agent.handle(askOverWire(entry.follower, query, bytes), Start);
         check(agent.generation() == 1 && agent.digest() == entry.follower.digest());
         section("then a newer one a slice, and an older one the whole again", [&] {
-            follow(agent, entry_at(2, contentOf(10, 4)).follower);
-            check(agent.generation() == 2 && agent.content().whole.jobs.empty());
+            followEntry(agent, entry_with_content(2, contentOf(10, 4)).follower);
+            check(agent.generation() == 2 && agent.content().mergedConfig.jobs.empty());
         });
     });
     section("an older agent and an entry ask for the whole", [&] {
-        generation_follower whole(follower_settings{"agent", "agent"});
-        follow(whole, entry.follower);
-        check(whole.content().whole.jobs.size() == 10);
+        generation_follower wholeFollower(follower_settings{"agent", "agent"});
+        followEntry(wholeFollower, entry.follower);
+        check(wholeFollower.content().mergedConfig.jobs.size() == 10);
     });
     section("an agent gives nobody its slice for the whole", [&] {
         auto agent = agentFollower();
-        follow(agent, entry.follower);
-        check(!agent.textFor(entry.follower.digest()));
+        followEntry(agent, entry.follower);
+        check(!agent.contentTextFor(entry.follower.digest()));
     });
 }
 
