--- a/tests/folder_test.cpp
+++ b/tests/folder_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::config;
-using zinniabarrow::tests::basisFile;
+using zinniabarrow::tests::baseFile;
 using zinniabarrow::tests::folderAt;
 using zinniabarrow::tests::section;
 
@@ -18,9 +18,9 @@
 
 using files = std::vector<folder_file>;
 
-folder_check checked(files list)
+folder_check checkWithBase(files list)
 {
-    list.push_back({"00-basis.json", basisFile()});
+    list.push_back({"00-basis.json", baseFile()});
     return checkFolder(list);
 }
 
@@ -31,7 +31,7 @@
 
 std::string firstProblem(files list)
 {
-    const auto result = checked(std::move(list));
+    const auto result = checkWithBase(std::move(list));
     return result.isAcceptable() ? "accepted" : toText(result.problems.front());
 }
 
@@ -43,51 +43,51 @@
 Test(folder, merge)
 {
     section("the later name wins, member by member", [] {
-        const auto result = checked({{"b.json", service(R"("replicas": 3, "port": 80)")},
-                                     {"a.json", Tickets},
-                                     {"c.json", service(R"("replicas": 2)")}});
-        const auto &tickets = result.whole.services.at("tickets");
+        const auto result = checkWithBase({{"b.json", service(R"("replicas": 3, "port": 80)")},
+                                           {"a.json", Tickets},
+                                           {"c.json", service(R"("replicas": 2)")}});
+        const auto &tickets = result.mergedConfig.services.at("tickets");
         check(tickets.replicas == 2 && tickets.port == 80 && tickets.team == "gate");
         section("and each value knows its file and line", [&] {
-            check(result.merged.placeOf("/services/tickets/replicas").file == "c.json");
-            check(result.merged.placeOf("/services/tickets/port").file == "b.json");
-            check(result.merged.placeOf("/services/tickets/none").file == "a.json");
+            check(result.merged.locationOf("/services/tickets/replicas").file == "c.json");
+            check(result.merged.locationOf("/services/tickets/port").file == "b.json");
+            check(result.merged.locationOf("/services/tickets/none").file == "a.json");
         });
     });
     section("arrays are replaced whole", [] {
         const auto result =
-                checked({{"a.json", R"({"pools": {"rink": {"zones": ["imereti-a"]}}})"}});
-        check(result.whole.pools.at("rink").zones == std::vector<std::string>{"imereti-a"});
+                checkWithBase({{"a.json", R"({"pools": {"rink": {"zones": ["imereti-a"]}}})"}});
+        check(result.mergedConfig.pools.at("rink").zones == std::vector<std::string>{"imereti-a"});
     });
     section("null deletes a member, an object or a kind", [] {
-        const auto one = checked({{"a.json", Tickets},
-                                  {"b.json", service(R"("replicas": 7)")},
-                                  {"c.json", service(R"("replicas": null)")}});
-        check(one.whole.services.at("tickets").replicas == 1);
-        const auto object =
-                checked({{"a.json", Tickets}, {"b.json", R"({"services": {"tickets": null}})"}});
-        check(object.isAcceptable() && object.whole.services.empty());
-        const auto kind = checked({{"a.json", Tickets}, {"b.json", R"({"services": null})"}});
-        check(kind.isAcceptable() && kind.whole.services.empty());
-        const auto nothing = checked({{"a.json", R"({"jobs": {"absent": null}})"}});
+        const auto one = checkWithBase({{"a.json", Tickets},
+                                        {"b.json", service(R"("replicas": 7)")},
+                                        {"c.json", service(R"("replicas": null)")}});
+        check(one.mergedConfig.services.at("tickets").replicas == 1);
+        const auto object = checkWithBase(
+                {{"a.json", Tickets}, {"b.json", R"({"services": {"tickets": null}})"}});
+        check(object.isAcceptable() && object.mergedConfig.services.empty());
+        const auto kind = checkWithBase({{"a.json", Tickets}, {"b.json", R"({"services": null})"}});
+        check(kind.isAcceptable() && kind.mergedConfig.services.empty());
+        const auto nothing = checkWithBase({{"a.json", R"({"jobs": {"absent": null}})"}});
         check(nothing.isAcceptable());
     });
     section("what was deleted starts from nothing when a later file gives it again", [] {
-        const auto again = checked({{"a.json", Tickets},
-                                    {"b.json", R"({"services": {"tickets": null}})"},
-                                    {"c.json", service(R"("replicas": 2)")}});
+        const auto again = checkWithBase({{"a.json", Tickets},
+                                          {"b.json", R"({"services": {"tickets": null}})"},
+                                          {"c.json", service(R"("replicas": 2)")}});
         check(again.problems.size() == 3); // team, pool and size are gone
         check(again.problems.front().file == "c.json");
     });
     section("a file without a value left is named with the file that took its place", [] {
-        const auto result = checked({{"a.json", Tickets},
-                                     {"b.json", service(R"("replicas": 2)")},
-                                     {"c.json", service(R"("replicas": 3)")}});
-        check(result.merged.overridden
+        const auto result = checkWithBase({{"a.json", Tickets},
+                                           {"b.json", service(R"("replicas": 2)")},
+                                           {"c.json", service(R"("replicas": 3)")}});
+        check(result.merged.overriddenBy
               == (std::map<std::string, std::string>{{"b.json", "c.json"}}));
     });
     section("other files in the folder are left alone", [] {
-        check(checked({{"README.md", "# no JSON"}, {".a.json.swp", "{"}, {"a.json", Tickets}})
+        check(checkWithBase({{"README.md", "# no JSON"}, {".a.json.swp", "{"}, {"a.json", Tickets}})
                       .isAcceptable());
     });
 }
@@ -187,10 +187,10 @@
     section("the example folder is accepted and merges as its page says", [] {
         const auto result = checkFolder(folderAt("examples/folder"));
         require(result.isAcceptable());
-        check(result.whole.services.at("tickets").replicas == 9);
-        check(result.whole.services.at("tickets").port == 0);
-        check(!result.whole.jobs.contains("old-report"));
-        check(configurationFromJson(toJson(result.whole)) == result.whole);
+        check(result.mergedConfig.services.at("tickets").replicas == 9);
+        check(result.mergedConfig.services.at("tickets").port == 0);
+        check(!result.mergedConfig.jobs.contains("old-report"));
+        check(configurationFromJson(toJson(result.mergedConfig)) == result.mergedConfig);
     });
 }
 
@@ -246,16 +246,16 @@
     return compactJson(root);
 }
 
-std::string mangled(std::string text, random_generator &random)
+std::string corrupted(std::string text, random_generator &random)
 {
-    const auto at = pickIndex(random, text.size() + 1);
+    const auto position = pickIndex(random, text.size() + 1);
     switch (pickIndex(random, 4)) {
     case 0:
-        return text.substr(0, at);
+        return text.substr(0, position);
     case 1:
-        return text.insert(at, 1, static_cast<char>(pickIndex(random, 256)));
+        return text.insert(position, 1, static_cast<char>(pickIndex(random, 256)));
     case 2:
-        return text.erase(at, 1 + pickIndex(random, 8));
+        return text.erase(position, 1 + pickIndex(random, 8));
     default:
         return text;
     }
@@ -268,7 +268,7 @@
         auto text = pickIndex(random, 8) == 0 ? compactJson(randomValue(random, 4))
                                               : randomPatch(random);
         if (pickIndex(random, 6) == 0)
-            text = mangled(std::move(text), random);
+            text = corrupted(std::move(text), random);
         folder.push_back({std::string(1, static_cast<char>('5' + pickIndex(random, 5)))
                                   + std::to_string(count) + ".json",
                           std::move(text)});
@@ -277,7 +277,7 @@
 }
 
 // An independent oracle: plain RFC 7396 without places.
-void patchPlainly(Json::Value &target, const Json::Value &change)
+void applyPlainPatch(Json::Value &target, const Json::Value &change)
 {
     if (!change.isObject()) {
         target = change;
@@ -289,45 +289,48 @@
         if (change[name].isNull())
             target.removeMember(name);
         else
-            patchPlainly(target[name], change[name]);
+            applyPlainPatch(target[name], change[name]);
     }
 }
 
-Json::Value mergedPlainly(files folder)
+Json::Value mergePlainly(files folder)
 {
     std::sort(folder.begin(), folder.end(),
               [](const auto &a, const auto &b) { return a.name < b.name; });
     Json::Value merged(Json::objectValue);
     for (const auto &file : folder)
-        patchPlainly(merged, parseJson(file.content));
+        applyPlainPatch(merged, parseJson(file.content));
     return merged;
 }
 
 // What an accepted whole must fulfil, written again without the code under test.
-bool holdsTogether(const configuration &whole)
+bool isConsistent(const configuration &mergedConfiguration)
 {
     std::map<std::string, double> poolCores;
     std::map<std::string, double> teamBytes;
-    for (const auto &[name, spec] : whole.services) {
-        if (!whole.pools.contains(spec.pool) || !whole.teams.contains(spec.team))
+    for (const auto &[name, spec] : mergedConfiguration.services) {
+        if (!mergedConfiguration.pools.contains(spec.pool)
+            || !mergedConfiguration.teams.contains(spec.team))
             return false;
         poolCores[spec.pool] += static_cast<double>(spec.size.millicores * spec.replicas);
         teamBytes[spec.team] +=
                 static_cast<double>(spec.size.bytes) * static_cast<double>(spec.replicas);
     }
-    for (const auto &[name, spec] : whole.jobs) {
-        if (!whole.pools.contains(spec.pool) || !whole.teams.contains(spec.team))
+    for (const auto &[name, spec] : mergedConfiguration.jobs) {
+        if (!mergedConfiguration.pools.contains(spec.pool)
+            || !mergedConfiguration.teams.contains(spec.team))
             return false;
-        if (spec.size.bytes > whole.pools.at(spec.pool).worker.bytes)
+        if (spec.size.bytes > mergedConfiguration.pools.at(spec.pool).workerSize.bytes)
             return false;
     }
     for (const auto &[name, cores] : poolCores) {
-        const auto &pool = whole.pools.at(name);
-        if (cores > static_cast<double>(pool.worker.millicores * pool.workers))
+        const auto &pool = mergedConfiguration.pools.at(name);
+        if (cores > static_cast<double>(pool.workerSize.millicores * pool.workers))
             return false;
     }
     return std::all_of(teamBytes.begin(), teamBytes.end(), [&](const auto &sum) {
-        return sum.second <= static_cast<double>(whole.teams.at(sum.first).quota.bytes);
+        return sum.second
+               <= static_cast<double>(mergedConfiguration.teams.at(sum.first).quota.bytes);
     });
 }
 
@@ -344,20 +347,20 @@
         section("seed " + std::to_string(seed), [&] {
             auto folder = randomFolder(random);
             const auto result = checkFolder(folder);
-            for (auto turns = folder.size(); turns > 1; --turns)
-                std::swap(folder[turns - 1], folder[pickIndex(random, turns)]);
+            for (auto remaining = folder.size(); remaining > 1; --remaining)
+                std::swap(folder[remaining - 1], folder[pickIndex(random, remaining)]);
             const auto permuted = checkFolder(folder);
             check(permuted.problems == result.problems);
             check(permuted.merged.value == result.merged.value);
-            check(permuted.merged.overridden == result.merged.overridden);
+            check(permuted.merged.overriddenBy == result.merged.overriddenBy);
             for (const auto &problem : result.problems)
                 check(!problem.allowed.empty() && !problem.found.empty());
             if (!result.isAcceptable())
                 return;
             ++accepted;
-            check(result.merged.value == mergedPlainly(folder));
-            check(holdsTogether(result.whole));
-            check(configurationFromJson(toJson(result.whole)) == result.whole);
+            check(result.merged.value == mergePlainly(folder));
+            check(isConsistent(result.mergedConfig));
+            check(configurationFromJson(toJson(result.mergedConfig)) == result.mergedConfig);
         });
     }
     section("both verdicts are well represented", [&] {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -29,9 +29,9 @@
 
 std::string replaced(std::string text, const std::string &from, const std::string &to)
 {
-    const auto at = text.find(from);
-    require(at != std::string::npos);
-    return text.replace(at, from.size(), to);
+    const auto position = text.find(from);
+    require(position != std::string::npos);
+    return text.replace(position, from.size(), to);
 }
 
 // Every default of the schema is a member of the written struct with the same value.
@@ -57,7 +57,7 @@
                 entrySettingsFrom("entry.json", fileText("examples/settings/entry.json"));
         check(entry.id == "entry-1" && entry.listen.port == 8080);
         check(entry.peers.size() == 2 && toText(entry.peers[1]) == "127.0.0.3:8090");
-        check(entry.lease == milliseconds(1'800'000) && entry.shards == 1);
+        check(entry.shardLease == milliseconds(1'800'000) && entry.shards == 1);
         check(toJson(entrySettingsFrom("again", compactJson(toJson(entry)))) == toJson(entry));
     });
     section("the example of an agent too", [] {
--- a/tests/shard_simulation.h
+++ b/tests/shard_simulation.h
@@ -48,7 +48,7 @@
 public:
     explicit shard_simulation(int workers, resources size = {16'000, 60 * Gigabyte, 0})
     {
-        configuredFolder.pools["shared"].worker = size;
+        configuredFolder.pools["shared"].workerSize = size;
         configuredFolder.teams["rinks"];
         for (int index = 0; index < workers; ++index) {
             const auto id = "w" + std::to_string(index);
