--- a/app/admission_actor.cpp
+++ b/app/admission_actor.cpp
@@ -28,8 +28,8 @@
 http_pool_limits upstreamLimits(const config::agent_settings &settings)
 {
     http_pool_limits limits;
-    limits.idleConnections = settings.upstream.slots;
-    limits.answerBytes = settings.maxAnswerBytes;
+    limits.maxIdleConnections = settings.upstream.slots;
+    limits.answerBytesLimit = settings.maxAnswerBytes;
     return limits;
 }
 
@@ -56,21 +56,21 @@
 {
     switch (failure) {
     case call_failure::NotConnected:
-    case call_failure::Refused:
+    case call_failure::ConnectionRefused:
         return error_kind::UpstreamUnreachable;
-    case call_failure::Late:
+    case call_failure::TimedOut:
         return error_kind::AnswerLate;
     case call_failure::TooLarge:
         return error_kind::AnswerTooLarge;
-    case call_failure::Cut:
+    case call_failure::IncompleteAnswer:
         break;
     }
-    return error_kind::AnswerCut;
+    return error_kind::AnswerIncomplete;
 }
 
 } // namespace
 
-admission_actor::admission_actor(duty_system &system, const config::agent_settings &settings,
+admission_actor::admission_actor(actor_runtime &system, const config::agent_settings &settings,
                                  std::uint64_t incarnation, metrics &counters,
                                  std::function<void()> onUnreachable)
     : m_settings(settings)
@@ -82,9 +82,9 @@
     , m_admission(admissionSettings(settings))
     , m_guard(incarnation, {})
 {
-    m_actor = std::make_unique<duty<event>>(
+    m_actor = std::make_unique<event_actor<event>>(
             system, RingCapacity, [this](event &newEvent) { handle(newEvent); },
-            tick_plan{[this] { return nextTick(); }, [this] { tick(); }});
+            tick_schedule{[this] { return nextTick(); }, [this] { tick(); }});
 }
 
 admission_actor::~admission_actor() = default;
@@ -122,8 +122,8 @@
             attempt,
             decided};
     if (!m_actor->post(std::move(newArrival)))
-        return refuse(
-                {key, error_kind::Overloaded, answerFor(error_kind::Overloaded).comeBackAfter});
+        return refuse({key, error_kind::Overloaded,
+                       answerFor(error_kind::Overloaded).suggestedRetryDelay});
     const auto chosen = decision.get();
     if (const auto *refusal = std::get_if<request::admission::refuse>(&chosen))
         return refuse(*refusal);
@@ -178,7 +178,8 @@
 http_response admission_actor::runAtUpstream(const http_request &request, time_point deadline)
 {
     const auto id = request.header(RequestIdHeader);
-    const auto result = m_upstream.open(requestForUpstream(request, id), deadline, {}, m_receivers);
+    const auto result =
+            m_upstream.callStreaming(requestForUpstream(request, id), deadline, {}, m_receivers);
     if (const auto *failure = std::get_if<call_failure>(&result)) {
         const auto kind = kindOf(*failure);
         m_metrics.count("upstream_failures_total", nameOf(kind));
--- a/app/admission_actor.h
+++ b/app/admission_actor.h
@@ -24,7 +24,7 @@
 {
 public:
     // `unreachable` is called when the upstream refused a connection.
-    admission_actor(duty_system &system, const config::agent_settings &settings,
+    admission_actor(actor_runtime &system, const config::agent_settings &settings,
                     std::uint64_t incarnation, metrics &counters,
                     std::function<void()> onUnreachable);
     ~admission_actor();
@@ -105,8 +105,8 @@
     delivery::attempt_guard m_guard;
     std::map<std::string, waiting_attempt> m_attempts; // that wait, by key
 
-    std::unique_ptr<duty<event>> m_actor; // its thread uses all of the above
-    receivers m_receivers;                // last: its threads post to the duty
+    std::unique_ptr<event_actor<event>> m_actor; // its thread uses all of the above
+    receiver_threads m_receivers;                // last: its threads post to the duty
 };
 
 } // namespace zinniabarrow
--- a/app/agent.cpp
+++ b/app/agent.cpp
@@ -160,7 +160,7 @@
     process_identity m_self;
     logger m_log;
     metrics m_metrics;
-    duty_system m_actorRuntime;
+    actor_runtime m_actorRuntime;
     rpc_sender m_sender;
     admission_actor m_admission;
     config_follower_actor m_configFollower;
--- a/app/announcement_actor.cpp
+++ b/app/announcement_actor.cpp
@@ -42,7 +42,8 @@
 
 } // namespace
 
-announcement_actor::announcement_actor(duty_system &system, const config::agent_settings &settings,
+announcement_actor::announcement_actor(actor_runtime &system,
+                                       const config::agent_settings &settings,
                                        const process_identity &self, const std::string &ownAddress,
                                        rpc_sender &sender,
                                        std::function<request::upstream_load()> load,
@@ -55,7 +56,7 @@
     , m_announcer(announcerSettings(settings), ownAnnouncement(settings, self, ownAddress))
     , m_reportThrottle(ReportRepeatInterval)
 {
-    m_actor = std::make_unique<duty<event>>(
+    m_actor = std::make_unique<event_actor<event>>(
             system, RingCapacity, [this](event &newEvent) { handle(newEvent); }, TickInterval,
             [this] { tick(); });
 }
--- a/app/announcement_actor.h
+++ b/app/announcement_actor.h
@@ -18,7 +18,7 @@
 class announcement_actor
 {
 public:
-    announcement_actor(duty_system &system, const config::agent_settings &settings,
+    announcement_actor(actor_runtime &system, const config::agent_settings &settings,
                        const process_identity &self, const std::string &ownAddress,
                        rpc_sender &sender, std::function<request::upstream_load()> load,
                        std::function<config::generation_report()> generationReport,
@@ -55,7 +55,7 @@
     request::announcer m_announcer;
     config::report_throttle m_reportThrottle;
 
-    std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
+    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/config_actor.cpp
+++ b/app/config_actor.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-config_actor::config_actor(duty_system &system, const config::entry_settings &settings,
+config_actor::config_actor(actor_runtime &system, const config::entry_settings &settings,
                            const process_identity &self, platform_executor &platform,
                            rpc_sender &sender, metrics &counters, const logger &log,
                            std::function<void(adopted_configuration)> adopted)
@@ -63,7 +63,7 @@
                 random_generator(self.incarnation, OperationSeedStream), monotonic_clock::now())
 {
     m_report = toJson(m_manager.report());
-    m_actor = std::make_unique<duty<event>>(
+    m_actor = std::make_unique<event_actor<event>>(
             system, RingCapacity, [this](event &newEvent) { handle(newEvent); }, TickInterval,
             [this] { feed(config::tick{}); });
 }
--- a/app/config_actor.h
+++ b/app/config_actor.h
@@ -31,7 +31,7 @@
 class config_actor
 {
 public:
-    config_actor(duty_system &system, const config::entry_settings &settings,
+    config_actor(actor_runtime &system, const config::entry_settings &settings,
                  const process_identity &self, platform_executor &platform, rpc_sender &sender,
                  metrics &counters, const logger &log,
                  std::function<void(adopted_configuration)> adopted);
@@ -103,7 +103,7 @@
     config::generation_manager m_manager;
     std::map<std::string, std::string> m_addresses; // by process id
 
-    std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
+    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/config_follower_actor.cpp
+++ b/app/config_follower_actor.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-config_follower_actor::config_follower_actor(duty_system &system,
+config_follower_actor::config_follower_actor(actor_runtime &system,
                                              const config::agent_settings &settings,
                                              rpc_sender &sender, metrics &counters,
                                              const logger &log)
@@ -33,7 +33,7 @@
     , m_follower(followerSettings(settings))
 {
     m_report = m_follower.report();
-    m_actor = std::make_unique<duty<event>>(
+    m_actor = std::make_unique<event_actor<event>>(
             system, RingCapacity, [this](event &newEvent) { handle(newEvent); }, TickInterval,
             [this] { feed(config::tick{}); });
 }
--- a/app/config_follower_actor.h
+++ b/app/config_follower_actor.h
@@ -20,7 +20,7 @@
 class config_follower_actor
 {
 public:
-    config_follower_actor(duty_system &system, const config::agent_settings &settings,
+    config_follower_actor(actor_runtime &system, const config::agent_settings &settings,
                           rpc_sender &sender, metrics &counters, const logger &log);
     ~config_follower_actor();
 
@@ -55,7 +55,7 @@
     std::map<std::string, std::string> m_entryAddresses; // of entries, by id
     std::string m_lastEntryAddress;                      // of the entry that told last
 
-    std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
+    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/configuration_follower.cpp
+++ b/app/configuration_follower.cpp
@@ -56,8 +56,8 @@
     const auto result = m_tracker.freshness(suspendAwareNow());
     const bool isOutdated = result == configuration_freshness::Outdated;
     if (isOutdated != std::exchange(m_wasOutdated, isOutdated))
-        m_log.note(isOutdated ? "configuration_outdated" : "configuration_caught_up",
-                   {{"version", version()}});
+        m_log.writeEvent(isOutdated ? "configuration_outdated" : "configuration_caught_up",
+                         {{"version", version()}});
     return result;
 }
 
@@ -96,8 +96,8 @@
 void configuration_follower::logZoneChanges(const std::set<std::string> &before)
 {
     if (before != m_evacuated.zones())
-        m_log.note("zones_evacuated",
-                   {{"zones", fmt::format("{}", fmt::join(m_evacuated.zones(), " "))}});
+        m_log.writeEvent("zones_evacuated",
+                         {{"zones", fmt::format("{}", fmt::join(m_evacuated.zones(), " "))}});
 }
 
 // Applies only the newest readable configuration row. Parsing outdated versions as well would delay
@@ -131,7 +131,7 @@
         logConfiguration(row.value.size(), startedAt);
         return true;
     } catch (const error &problem) {
-        m_log.note("configuration_unreadable", {{"why", problem.what()}});
+        m_log.writeEvent("configuration_unreadable", {{"why", problem.what()}});
         return false;
     }
 }
@@ -139,12 +139,12 @@
 void configuration_follower::logConfiguration(std::size_t bytes, time_point startedAt)
 {
     const auto answerBegunAt = std::exchange(m_answerBegunAt, std::nullopt);
-    m_log.note("configuration",
-               {{"version", m_queues->version()},
-                {"routes", m_queues->size()},
-                {"bytes", bytes},
-                {"read_ms", millisecondsIn(startedAt - answerBegunAt.value_or(startedAt))},
-                {"parse_ms", millisecondsIn(suspendAwareNow() - startedAt)}});
+    m_log.writeEvent("configuration",
+                     {{"version", m_queues->version()},
+                      {"routes", m_queues->size()},
+                      {"bytes", bytes},
+                      {"read_ms", millisecondsIn(startedAt - answerBegunAt.value_or(startedAt))},
+                      {"parse_ms", millisecondsIn(suspendAwareNow() - startedAt)}});
 }
 
 } // namespace zinniabarrow
--- a/app/entry.cpp
+++ b/app/entry.cpp
@@ -106,18 +106,19 @@
     static http_server_limits callerLimits(const config::entry_settings &settings)
     {
         http_server_limits limits;
-        limits.connections = settings.maxConnections;
-        limits.bodyBytes = settings.maxBodyBytes;
-        limits.perAddress = settings.maxConnectionsPerAddress;
-        limits.readWithin = settings.requestReadTimeout;
-        limits.writeWithin = settings.answerWriteTimeout;
+        limits.connectionLimit = settings.maxConnections;
+        limits.maxRequestBytes = settings.maxBodyBytes;
+        limits.maxPerAddress = settings.maxConnectionsPerAddress;
+        limits.readTimeout = settings.requestReadTimeout;
+        limits.writeTimeout = settings.answerWriteTimeout;
         return limits;
     }
 
     void countRefusedConnection(connection_event event)
     {
         m_metrics.count("connections_refused_total", nameOf(event));
-        if (event == connection_event::AllInUse || event == connection_event::AddressShare)
+        if (event == connection_event::NoFreeThread
+            || event == connection_event::AddressLimitReached)
             m_metrics.count("refusals_total", nameOf(error_kind::Overloaded));
     }
 
@@ -192,7 +193,7 @@
     process_identity m_self;
     logger m_log;
     metrics m_metrics;
-    duty_system m_actorRuntime;
+    actor_runtime m_actorRuntime;
     rpc_sender m_sender;
     platform_executor m_claimsPlatform;
     platform_executor m_workPlatform;
--- a/app/entry_pings.cpp
+++ b/app/entry_pings.cpp
@@ -70,7 +70,7 @@
                           try {
                               applyDescription(answer->body);
                           } catch (const error &problem) {
-                              m_log.note("ping_unreadable", {{"why", problem.what()}});
+                              m_log.writeEvent("ping_unreadable", {{"why", problem.what()}});
                           }
                       });
     }
--- a/app/entry_registration.cpp
+++ b/app/entry_registration.cpp
@@ -29,7 +29,7 @@
     m_store.read(EntriesTable, "", m_settings.id, m_settings.id + "\x01",
                  [this](const std::optional<row_page> &page) {
                      if (!page)
-                         return m_loop.after(StoreRetry, [this] { registerEntry(); });
+                         return m_loop.runAfter(StoreRetry, [this] { registerEntry(); });
                      writeNextIncarnation(*page);
                  });
 }
--- a/app/forwarding.cpp
+++ b/app/forwarding.cpp
@@ -58,13 +58,13 @@
 {
     switch (failure) {
     case call_failure::NotConnected:
-    case call_failure::Refused:
+    case call_failure::ConnectionRefused:
         return delivery::attempt_unreachable{};
-    case call_failure::Late:
+    case call_failure::TimedOut:
         return delivery::attempt_timed_out{};
     case call_failure::TooLarge:
         return delivery::attempt_too_large{};
-    case call_failure::Cut:
+    case call_failure::IncompleteAnswer:
         break;
     }
     return delivery::attempt_cut{};
@@ -106,7 +106,7 @@
 http_pool_limits limitsFor(std::size_t maxAnswerBytes)
 {
     http_pool_limits limits;
-    limits.answerBytes = maxAnswerBytes;
+    limits.answerBytesLimit = maxAnswerBytes;
     return limits;
 }
 
@@ -141,13 +141,14 @@
 
 forwarded_attempt forwarder::send(const http_request &request, const std::string &id,
                                   std::uint32_t attempt, const request::route &upstream,
-                                  time_point deadline, receivers &threads)
+                                  time_point deadline, receiver_threads &threads)
 {
     const auto startedAt = monotonic_clock::now();
     const milliseconds remaining(millisecondsUntil(deadline, startedAt));
-    const auto result = m_pools.to(upstream.address)
-                                .open(requestForAgent(request, id, attempt, upstream, remaining),
-                                      deadline, {RequestIdHeader, id}, threads);
+    const auto result =
+            m_pools.poolFor(upstream.address)
+                    .callStreaming(requestForAgent(request, id, attempt, upstream, remaining),
+                                   deadline, {RequestIdHeader, id}, threads);
     forwarded_attempt sent;
     sent.routingResult.upstream = upstream;
     sent.routingResult.latency = monotonic_clock::now() - startedAt;
--- a/app/forwarding.h
+++ b/app/forwarding.h
@@ -38,7 +38,7 @@
     // A large answer comes with its stream, received on a thread of `threads`.
     forwarded_attempt send(const http_request &request, const std::string &id,
                            std::uint32_t attempt, const request::route &upstream,
-                           time_point deadline, receivers &threads);
+                           time_point deadline, receiver_threads &threads);
 
 private:
     http_pools m_pools; // connections to agents
--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -84,24 +84,24 @@
 
     void run()
     {
-        m_log.noteAlways("started", {{"internal", toText(m_settings.internalAddress)}});
-        m_loop.every(LogFlushInterval, [this] { m_log.flush(); });
-        m_loop.every(ActionInterval, [this] { executeDueActions(); });
-        m_loop.every(ReportInterval, [this] { m_reportSender.sendPeriodicReports(); });
-        m_loop.every(LeaseRenewInterval,
-                     [this] { m_leaseKeeper.renew(m_workerLiveness.heldUntilIfSilent()); });
+        m_log.writeAlways("started", {{"internal", toText(m_settings.internalAddress)}});
+        m_loop.runEvery(LogFlushInterval, [this] { m_log.flush(); });
+        m_loop.runEvery(ActionInterval, [this] { executeDueActions(); });
+        m_loop.runEvery(ReportInterval, [this] { m_reportSender.sendPeriodicReports(); });
+        m_loop.runEvery(LeaseRenewInterval,
+                        [this] { m_leaseKeeper.renew(m_workerLiveness.heldUntilIfSilent()); });
         m_entriesFollower.start();
         m_cancelsFollower.start();
         m_leaseKeeper.acquire("process_start");
         m_loop.run([this](const std::exception &problem) {
             m_metrics.count("callbacks_failed_total", "exception");
-            m_log.note("callback_failed", {{"why", problem.what()}});
+            m_log.writeEvent("callback_failed", {{"why", problem.what()}});
         });
-        m_log.noteAlways("stopped",
-                         {{"epoch", m_runTable.epoch()},
-                          {"runs", m_runTable.activeRunCount()},
-                          {"worker", m_workerPresence.isPresent() ? "present" : "absent"},
-                          {"lease_write_out", lease().isWritePending() ? "yes" : "no"}});
+        m_log.writeAlways("stopped",
+                          {{"epoch", m_runTable.epoch()},
+                           {"runs", m_runTable.activeRunCount()},
+                           {"worker", m_workerPresence.isPresent() ? "present" : "absent"},
+                           {"lease_write_out", lease().isWritePending() ? "yes" : "no"}});
         m_log.flush();
     }
 
@@ -111,7 +111,7 @@
     static net::caller_limits callerLimits()
     {
         net::caller_limits limits;
-        limits.idlePerPeer = 16;
+        limits.maxIdlePerPeer = 16;
         return limits;
     }
 
@@ -226,7 +226,7 @@
             if (failure != nullptr && m_workerPresence.confirmsDeparture(*failure))
                 handleDepartureConfirmed();
             checkSilence(now);
-            return m_loop.after(PollRetryDelay, [this] { pollWorker(); });
+            return m_loop.runAfter(PollRetryDelay, [this] { pollWorker(); });
         }
         const auto pollOutcome = m_workerPresence.handleAnswer(holdAnswer->bornMs, sentAt);
         if (pollOutcome == worker_presence::poll_result::NewIncarnation)
@@ -241,7 +241,7 @@
         m_workerCalls.adjustSpeeds(now);
         const bool hasUnacknowledgedEnds = !holdAnswer->listing.ended.empty();
         if (hasUnacknowledgedEnds && !hasNewEnds)
-            m_loop.after(UnacknowledgedPollDelay, [this] { pollWorker(); });
+            m_loop.runAfter(UnacknowledgedPollDelay, [this] { pollWorker(); });
         else
             pollWorker();
     }
@@ -252,11 +252,11 @@
         if (isAnswered == m_workerLiveness.lastPollAnswered())
             return;
         if (isAnswered)
-            return m_log.note("worker_answers", {{"worker", m_workerPresence.id()}});
+            return m_log.writeEvent("worker_answers", {{"worker", m_workerPresence.id()}});
         const auto *failure = std::get_if<call_failure>(&result);
-        m_log.note("worker_unanswering", {{"worker", m_workerPresence.id()},
-                                          {"why", failure ? nameOf(*failure) : "refused"},
-                                          {"runs", m_runTable.activeRunCount()}});
+        m_log.writeEvent("worker_unanswering", {{"worker", m_workerPresence.id()},
+                                                {"why", failure ? nameOf(*failure) : "refused"},
+                                                {"runs", m_runTable.activeRunCount()}});
     }
 
     // After a new fence was acquired: if the worker's incarnation is the one in the lease row, its
@@ -273,7 +273,7 @@
 
     void handleIncarnationEnd(const char *reason)
     {
-        m_log.note("worker_life_ended", {{"why", reason}, {"worker", m_workerPresence.id()}});
+        m_log.writeEvent("worker_life_ended", {{"why", reason}, {"worker", m_workerPresence.id()}});
         m_metrics.count("worker_lives_ended_total", reason);
         m_runTable.clearRuns();
         m_workerClock.reset();
@@ -288,7 +288,7 @@
         if (!m_workerLiveness.hasNothingRunning(now)
             || (lease().isSettled() && m_runTable.activeRunCount() == 0))
             return;
-        m_log.note("worker_silent", {{"runs", m_runTable.activeRunCount()}});
+        m_log.writeEvent("worker_silent", {{"runs", m_runTable.activeRunCount()}});
         m_metrics.count("worker_lives_ended_total", "silent");
         noteAllRunsEnded(m_workerPresence.incarnationName());
     }
@@ -300,7 +300,7 @@
         if (const auto departedId = platform_wire::departureFrom(request)) {
             respond({200, {}, ""});
             if (m_workerPresence.handleDeparture(*departedId, suspendAwareNow()))
-                m_log.note("worker_departed", {{"worker", m_workerPresence.id()}});
+                m_log.writeEvent("worker_departed", {{"worker", m_workerPresence.id()}});
             return;
         }
         const auto announcement = platform_wire::announcementFrom(request);
@@ -321,8 +321,9 @@
             handleIncarnationEnd("announced_anew");
             break;
         case worker_presence::change::ReadinessChanged:
-            m_log.note("worker_announced", {{"worker", announcement.id},
-                                            {"leaving", announcement.leaving ? "yes" : "no"}});
+            m_log.writeEvent("worker_announced",
+                             {{"worker", announcement.id},
+                              {"leaving", announcement.leaving ? "yes" : "no"}});
             m_reportSender.sendReports();
             break;
         }
@@ -330,7 +331,7 @@
 
     void handleDepartureRefuted()
     {
-        m_log.note("worker_stayed", {{"worker", m_workerPresence.id()}});
+        m_log.writeEvent("worker_stayed", {{"worker", m_workerPresence.id()}});
         m_reportSender.sendReports();
     }
 
@@ -338,10 +339,11 @@
     {
         // The state of the lease is logged because it decides whether the end of the epoch can be
         // written at once.
-        m_log.note("worker_gone", {{"worker", m_workerPresence.id()},
-                                   {"runs", m_runTable.activeRunCount()},
-                                   {"lease_write_out", lease().isWritePending() ? "yes" : "no"},
-                                   {"lease", lease().holdsFence() ? "held" : "sought"}});
+        m_log.writeEvent("worker_gone",
+                         {{"worker", m_workerPresence.id()},
+                          {"runs", m_runTable.activeRunCount()},
+                          {"lease_write_out", lease().isWritePending() ? "yes" : "no"},
+                          {"lease", lease().holdsFence() ? "held" : "sought"}});
         m_workerClock.reset();
         // Polling goes on, because it may be the only way to notice a new incarnation of the
         // worker.
@@ -374,7 +376,7 @@
         try {
             respond({200, {}, acceptOrders(orderBatchFrom(request.body))});
         } catch (const error &problem) {
-            m_log.note("call_unreadable", {{"path", path}, {"why", problem.what()}});
+            m_log.writeEvent("call_unreadable", {{"path", path}, {"why", problem.what()}});
             return respond({400, {}, R"({"error":"bad_request"})"});
         }
         executeDueActions();
@@ -390,9 +392,9 @@
             const auto &answer = answers.back();
             m_metrics.count("orders_total", nameOf(answer.outcome));
             if (answer.outcome != order_outcome::Accepted) {
-                m_log.note("order_refused", {{"task", toText(order.task)},
-                                             {"run", order.run},
-                                             {"outcome", nameOf(answer.outcome)}});
+                m_log.writeEvent("order_refused", {{"task", toText(order.task)},
+                                                   {"run", order.run},
+                                                   {"outcome", nameOf(answer.outcome)}});
             }
         }
         return toText(answers);
@@ -423,7 +425,7 @@
                 continue; // the job ended long ago
             const int runs = m_runTable.cancelJob(changedRow.name.key, now);
             if (runs > 0)
-                m_log.note("job_cancelled", {{"job", changedRow.name.key}, {"runs", runs}});
+                m_log.writeEvent("job_cancelled", {{"job", changedRow.name.key}, {"runs", runs}});
         }
         executeDueActions();
     }
@@ -438,10 +440,10 @@
 
     void beginShutdown()
     {
-        m_log.noteAlways("drain_started",
-                         {{"runs", m_runTable.activeRunCount()},
-                          {"worker", m_workerPresence.isLeaving() ? "leaving" : "staying"},
-                          {"stays", hasToStay() ? "yes" : "no"}});
+        m_log.writeAlways("drain_started",
+                          {{"runs", m_runTable.activeRunCount()},
+                           {"worker", m_workerPresence.isLeaving() ? "leaving" : "staying"},
+                           {"stays", hasToStay() ? "yes" : "no"}});
         m_internalListener.announceClose();
         m_workerListener.announceClose();
     }
@@ -451,7 +453,7 @@
         if (m_shutdown.step() == shutdown_step::Finish)
             sendFinalRenewal();
         const bool hasOpenConnections =
-                !m_internalListener.drained() || !m_workerListener.drained();
+                !m_internalListener.isDrained() || !m_workerListener.isDrained();
         const bool hasPendingWrite = lease().isWritePending() && !m_shutdown.hasGivenUp();
         return {hasToStay(), false, hasOpenConnections || hasPendingWrite};
     }
--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -95,13 +95,13 @@
 
     void run()
     {
-        m_log.noteAlways("started", {{"internal", toText(m_settings.internalAddress)}});
-        m_loop.every(LogFlushInterval, [this] { m_log.flush(); });
+        m_log.writeAlways("started", {{"internal", toText(m_settings.internalAddress)}});
+        m_loop.runEvery(LogFlushInterval, [this] { m_log.flush(); });
         m_registration.registerEntry();
         m_configuration.start();
         m_loop.run([this](const std::exception &problem) {
             m_metrics.count("callbacks_failed_total", "exception");
-            m_log.note("callback_failed", {{"why", problem.what()}});
+            m_log.writeEvent("callback_failed", {{"why", problem.what()}});
         });
         logStopped();
         m_log.flush();
@@ -111,7 +111,7 @@
     static net::listener_limits internalLimits()
     {
         net::listener_limits limits;
-        limits.bodyBytes = 4 * 1024 * 1024; // enough for a report after a long outage
+        limits.maxRequestBytes = 4 * 1024 * 1024; // enough for a report after a long outage
         return limits;
     }
 
@@ -129,13 +129,13 @@
         m_self = {m_settings.id, ownRow.incarnation};
         m_pings.setOwnRow(ownRow);
         m_jobController.emplace(m_self, m_pool);
-        m_log.note("incarnation", {{"incarnation", ownRow.incarnation}});
+        m_log.writeEvent("incarnation", {{"incarnation", ownRow.incarnation}});
         m_entriesFollower.start();
         m_jobsFollower.start();
-        m_loop.every(PingInterval, [this] { m_pings.pingAll(); });
-        m_loop.every(PlanInterval, [this] { planAndExecute(); });
-        m_loop.every(TakeoverInterval, [this] { takeOver(); });
-        m_loop.every(LeaseWatchInterval, [this] { watchSilentWorkers(); });
+        m_loop.runEvery(PingInterval, [this] { m_pings.pingAll(); });
+        m_loop.runEvery(PlanInterval, [this] { planAndExecute(); });
+        m_loop.runEvery(TakeoverInterval, [this] { takeOver(); });
+        m_loop.runEvery(LeaseWatchInterval, [this] { watchSilentWorkers(); });
     }
 
     // --- Rows from the store: entries, jobs.
@@ -150,8 +150,8 @@
             try {
                 m_directory.updateRow(changedRow.name.key, entryRowFrom(changedRow.value));
             } catch (const error &problem) {
-                m_log.note("entry_row_unreadable",
-                           {{"entry", changedRow.name.key}, {"why", problem.what()}});
+                m_log.writeEvent("entry_row_unreadable",
+                                 {{"entry", changedRow.name.key}, {"why", problem.what()}});
             }
         }
         m_pings.pingAll();
@@ -160,7 +160,7 @@
     void handleAllJobsRead()
     {
         if (!m_areJobsKnown)
-            m_log.note("jobs_read", {{"jobs", m_view.jobs().size()}});
+            m_log.writeEvent("jobs_read", {{"jobs", m_view.jobs().size()}});
         m_areJobsKnown = true;
         takeOver();
     }
@@ -180,8 +180,8 @@
                     m_jobController->rowChanged(changedRow.name.key, recordFrom(changedRow.value),
                                                 changedRow.version);
             } catch (const error &problem) {
-                m_log.note("job_row_unreadable",
-                           {{"job", changedRow.name.key}, {"why", problem.what()}});
+                m_log.writeEvent("job_row_unreadable",
+                                 {{"job", changedRow.name.key}, {"why", problem.what()}});
             }
         }
         schedulePlan();
@@ -250,7 +250,7 @@
             else
                 m_jobController->rowConflict(id, rows.front().version, rows.front().value);
         } catch (const error &problem) {
-            m_log.note("job_row_unreadable", {{"job", id}, {"why", problem.what()}});
+            m_log.writeEvent("job_row_unreadable", {{"job", id}, {"why", problem.what()}});
         }
         schedulePlan();
     }
@@ -272,7 +272,7 @@
     void execute(log_event &action, orders_by_worker & /*orders*/)
     {
         m_metrics.count("job_events_total", action.event);
-        m_log.note(action.event, {{"job", action.job}, {"detail", action.detail}});
+        m_log.writeEvent(action.event, {{"job", action.job}, {"detail", action.detail}});
     }
 
     // --- Workers whose agents do not report.
@@ -320,7 +320,7 @@
                 return m_requests.serveOwnedJob(
                         request, path.substr(std::string("/v1/jobs/").size()), std::move(respond));
         } catch (const error &problem) {
-            m_log.note("call_unreadable", {{"path", path}, {"why", problem.what()}});
+            m_log.writeEvent("call_unreadable", {{"path", path}, {"why", problem.what()}});
             return respond(makeRefusal(400, "bad_request"));
         }
         respond(makeRefusal(404, "unknown_path"));
@@ -340,9 +340,9 @@
         const auto now = suspendAwareNow();
         const auto *previous = m_pool.find(report.worker);
         if (previous == nullptr || previous->lastReport.epoch != report.epoch) {
-            m_log.note("worker_seen", {{"worker", report.worker},
-                                       {"epoch", report.epoch},
-                                       {"accepting", report.isAccepting ? "yes" : "no"}});
+            m_log.writeEvent("worker_seen", {{"worker", report.worker},
+                                             {"epoch", report.epoch},
+                                             {"accepting", report.isAccepting ? "yes" : "no"}});
         }
         const bool isNewIncarnation = m_pool.update(report, now) && report.epoch > 0;
         for (const auto &progress : report.progress)
@@ -370,7 +370,7 @@
         if (state->pendingEnds == 0)
             answerReport(*state);
         else
-            m_loop.after(ReportAnswerTimeout, [state] { answerReport(*state); });
+            m_loop.runAfter(ReportAnswerTimeout, [state] { answerReport(*state); });
         schedulePlan();
     }
 
@@ -425,20 +425,20 @@
     {
         const auto callers = m_callerListener.activity();
         const auto internal = m_internalListener.activity();
-        m_log.noteAlways("stopped", {{"callers_unread", callers.unread},
-                                     {"callers_reading", callers.reading},
-                                     {"callers_answering", callers.answering},
-                                     {"callers_writing", callers.writing},
-                                     {"callers_idle", callers.idle},
-                                     {"internal_answering", internal.answering},
-                                     {"late_ms", millisecondsIn(m_loop.lateness())}});
+        m_log.writeAlways("stopped", {{"callers_unread", callers.unread},
+                                      {"callers_reading", callers.reading},
+                                      {"callers_answering", callers.answering},
+                                      {"callers_writing", callers.writing},
+                                      {"callers_idle", callers.idle},
+                                      {"internal_answering", internal.answering},
+                                      {"late_ms", millisecondsIn(m_loop.lateness())}});
     }
 
     void beginShutdown()
     {
-        m_log.noteAlways("drain_started",
-                         {{"owned", m_jobController ? m_jobController->unfinishedJobCount() : 0},
-                          {"late_ms", millisecondsIn(m_loop.lateness())}});
+        m_log.writeAlways("drain_started",
+                          {{"owned", m_jobController ? m_jobController->unfinishedJobCount() : 0},
+                           {"late_ms", millisecondsIn(m_loop.lateness())}});
         m_callerListener.announceClose();
         m_internalListener.announceClose();
         if (m_jobController)
@@ -450,20 +450,20 @@
         const bool hasSuccessors = m_jobController && !m_directory.entries().empty();
         return {hasSuccessors && m_jobController->unfinishedJobCount() > 0,
                 m_callerListener.inFlight() > 0,
-                !m_callerListener.drained() || !m_internalListener.drained()};
+                !m_callerListener.isDrained() || !m_internalListener.isDrained()};
     }
 
     void execute(shutdown_step step)
     {
         const auto callers = m_callerListener.activity();
-        m_log.noteAlways("stop_step",
-                         {{"step", nameOf(step)},
-                          {"owned", m_jobController ? m_jobController->unfinishedJobCount() : 0},
-                          {"callers_idle", callers.idle},
-                          {"callers_reading", callers.reading},
-                          {"callers_answering", callers.answering},
-                          {"callers_writing", callers.writing},
-                          {"late_ms", millisecondsIn(m_loop.lateness())}});
+        m_log.writeAlways("stop_step",
+                          {{"step", nameOf(step)},
+                           {"owned", m_jobController ? m_jobController->unfinishedJobCount() : 0},
+                           {"callers_idle", callers.idle},
+                           {"callers_reading", callers.reading},
+                           {"callers_answering", callers.answering},
+                           {"callers_writing", callers.writing},
+                           {"late_ms", millisecondsIn(m_loop.lateness())}});
         switch (step) {
         case shutdown_step::Finish:
             m_callerListener.drain();
--- a/app/job_requests.cpp
+++ b/app/job_requests.cpp
@@ -153,7 +153,7 @@
     try {
         spec = platform_wire::jobFrom(request.body);
     } catch (const error &problem) {
-        m_log.note("job_refused", {{"job", id}, {"why", problem.what()}});
+        m_log.writeEvent("job_refused", {{"job", id}, {"why", problem.what()}});
         return respond(countedRefusal(400, "bad_request"));
     }
     const auto placer = m_directory.placerOf(policy.service, suspendAwareNow());
@@ -175,7 +175,7 @@
     if (m_jobController->owns(id))
         m_jobController->notifyWhenStored(id, token);
     else {
-        m_log.note("job_submitted", {{"job", id}, {"queue", policy.queue}});
+        m_log.writeEvent("job_submitted", {{"job", id}, {"queue", policy.queue}});
         m_jobController->submit(id, spec, policy, wallClockMs(), suspendAwareNow(), token);
     }
     m_hooks.onActionsReady();
@@ -196,8 +196,9 @@
                    respond = std::move(respond)](const call_result &result) {
                       const auto *answer = std::get_if<http_response>(&result);
                       const bool isTaken = answer != nullptr && answer->status == 200;
-                      m_log.note("job_handed_over",
-                                 {{"job", id}, {"to", placer}, {"taken", isTaken ? "yes" : "no"}});
+                      m_log.writeEvent(
+                              "job_handed_over",
+                              {{"job", id}, {"to", placer}, {"taken", isTaken ? "yes" : "no"}});
                       if (isTaken)
                           return respond({200, {}, ""});
                       // This is safe even if the placer may have accepted the job: a job's row is
@@ -220,7 +221,7 @@
 
 http_response job_requests::logRefusal(const std::string &id, http_response answer)
 {
-    m_log.note("job_refused", {{"job", id}, {"status", answer.status}, {"why", answer.body}});
+    m_log.writeEvent("job_refused", {{"job", id}, {"status", answer.status}, {"why", answer.body}});
     return answer;
 }
 
@@ -233,7 +234,7 @@
         if (*pendingResponder)
             std::exchange(*pendingResponder, nullptr)(std::move(response));
     };
-    m_loop.after(timeout, [this, answer, pendingResponder] {
+    m_loop.runAfter(timeout, [this, answer, pendingResponder] {
         if (*pendingResponder)
             answer(countedRefusal(504, "outcome_unknown"));
     });
@@ -266,7 +267,7 @@
     if (next == nullptr || timeout < PeerTimeout)
         return refuseAsLeaving(request, respond);
     m_metrics.count("requests_passed_on_total", "leaving");
-    m_log.note("request_passed_on", {{"path", request.path()}, {"to", candidates.front()}});
+    m_log.writeEvent("request_passed_on", {{"path", request.path()}, {"to", candidates.front()}});
     candidates.erase(candidates.begin());
     auto copy = request;
     m_caller.call(next->row.callersAddress, std::move(copy), timeout,
@@ -298,7 +299,7 @@
 
 void job_requests::refuseAsLeaving(const http_request &request, const responder &respond)
 {
-    m_log.note("request_refused", {{"path", request.path()}, {"why", "leaving"}});
+    m_log.writeEvent("request_refused", {{"path", request.path()}, {"why", "leaving"}});
     respond(countedRefusal(503, "leaving"));
 }
 
--- a/app/lease_keeper.cpp
+++ b/app/lease_keeper.cpp
@@ -47,7 +47,7 @@
 
 void lease_keeper::acquire(const char *reason)
 {
-    m_log.note("lease_sought", {{"why", reason}});
+    m_log.writeEvent("lease_sought", {{"why", reason}});
     m_callbacks.epochLost();
     m_lease.acquireFence();
     execute();
@@ -84,7 +84,7 @@
     m_store.read(LeasesTable, m_agent, "", "",
                  [this, sentAt = suspendAwareNow()](const std::optional<row_page> &page) {
                      if (!page)
-                         return m_loop.after(ReadRetryDelay, [this] { execute(read_lease{}); });
+                         return m_loop.runAfter(ReadRetryDelay, [this] { execute(read_lease{}); });
                      m_lease.noteStoreClock(page->storeClockMs, sentAt, suspendAwareNow());
                      handleRowRead(*page);
                  });
@@ -121,7 +121,7 @@
     if (const auto version = writtenVersion(outcome, write)) {
         m_lease.rowWritten(*version, suspendAwareNow());
     } else {
-        m_log.note("lease_sought", {{"why", "lease_taken"}});
+        m_log.writeEvent("lease_sought", {{"why", "lease_taken"}});
         m_callbacks.epochLost();
         m_lease.rowConflict();
     }
@@ -132,8 +132,8 @@
 
 void lease_keeper::execute(const epoch_settled &action)
 {
-    m_log.note(action.isNew ? "epoch_begun" : "epoch_resumed",
-               {{"epoch", action.epoch}, {"life", m_lease.workerIncarnation()}});
+    m_log.writeEvent(action.isNew ? "epoch_begun" : "epoch_resumed",
+                     {{"epoch", action.epoch}, {"life", m_lease.workerIncarnation()}});
     m_callbacks.epochSettled(action);
 }
 
--- a/app/lease_watcher.cpp
+++ b/app/lease_watcher.cpp
@@ -42,8 +42,8 @@
     for (const auto &[worker, since] : silentSince) {
         if (!m_watched.insert(worker).second)
             continue; // watched already; its next check is scheduled
-        m_log.note("worker_unheard",
-                   {{"worker", worker}, {"silent_ms", millisecondsIn(now - since)}});
+        m_log.writeEvent("worker_unheard",
+                         {{"worker", worker}, {"silent_ms", millisecondsIn(now - since)}});
         scheduleCheck(worker, now);
     }
 }
@@ -51,7 +51,7 @@
 void lease_watcher::scheduleCheck(const std::string &worker, time_point at)
 {
     const auto wait = std::max(at - suspendAwareNow(), duration(0));
-    m_loop.after(wait, [this, worker] { checkLease(worker); });
+    m_loop.runAfter(wait, [this, worker] { checkLease(worker); });
 }
 
 void lease_watcher::retryCheck(const std::string &worker)
@@ -69,7 +69,7 @@
         try {
             evaluate(worker, page->rows.front(), page->storeClockMs);
         } catch (const error &problem) {
-            m_log.note("lease_row_unreadable", {{"worker", worker}, {"why", problem.what()}});
+            m_log.writeEvent("lease_row_unreadable", {{"worker", worker}, {"why", problem.what()}});
             retryCheck(worker);
         }
     });
@@ -83,10 +83,10 @@
     m_onEpochKnown(worker, lease.epoch);
     const auto verdict =
             m_expiryDetector.observe(worker, lease, row.version, storeMs, suspendAwareNow());
-    m_log.note("worker_lease_read", {{"worker", worker},
-                                     {"epoch", lease.epoch},
-                                     {"renewals", lease.renewals},
-                                     {"over", verdict.isExpired ? "yes" : "no"}});
+    m_log.writeEvent("worker_lease_read", {{"worker", worker},
+                                           {"epoch", lease.epoch},
+                                           {"renewals", lease.renewals},
+                                           {"over", verdict.isExpired ? "yes" : "no"}});
     if (!verdict.isExpired)
         return scheduleCheck(worker, verdict.checkAgainAt);
     endLease(worker, lease, row.version);
@@ -102,17 +102,18 @@
     // the result of its own renewal when it retries one.
     next.writeId = fmt::format("{}:ends:{}", m_self, version);
     const auto name = leaseRowName(worker);
-    m_store.commit({{{name, version}}, {{name, toText(next), 0, false}}, {}},
-                   [this, worker, epoch = next.epoch](const store_client::commit_outcome &outcome) {
-                       // The lease was renewed, or ended by another watcher or by an earlier try of
-                       // this write. Reading the row again tells which.
-                       if (!std::holds_alternative<committed>(outcome))
-                           return retryCheck(worker);
-                       m_log.note("worker_lease_ended", {{"worker", worker}, {"epoch", epoch}});
-                       m_metrics.count("worker_leases_ended_total", "silent");
-                       m_watched.erase(worker);
-                       m_onEpochKnown(worker, epoch);
-                   });
+    m_store.commit(
+            {{{name, version}}, {{name, toText(next), 0, false}}, {}},
+            [this, worker, epoch = next.epoch](const store_client::commit_outcome &outcome) {
+                // The lease was renewed, or ended by another watcher or by an earlier try of
+                // this write. Reading the row again tells which.
+                if (!std::holds_alternative<committed>(outcome))
+                    return retryCheck(worker);
+                m_log.writeEvent("worker_lease_ended", {{"worker", worker}, {"epoch", epoch}});
+                m_metrics.count("worker_leases_ended_total", "silent");
+                m_watched.erase(worker);
+                m_onEpochKnown(worker, epoch);
+            });
 }
 
 } // namespace zinniabarrow
--- a/app/order_sender.cpp
+++ b/app/order_sender.cpp
@@ -52,9 +52,9 @@
     }
     if (!outcomes.unanswered.empty()) {
         m_metrics.count("orders_unanswered_total", "agent_silent");
-        m_log.note("orders_unanswered", {{"worker", worker},
-                                         {"orders", outcomes.unanswered.size()},
-                                         {"why", outcomes.reason}});
+        m_log.writeEvent("orders_unanswered", {{"worker", worker},
+                                               {"orders", outcomes.unanswered.size()},
+                                               {"why", outcomes.reason}});
         handleUnanswered(worker, outcomes.unanswered);
     }
     if (!outcomes.answered.empty())
--- a/app/outbound_calls.cpp
+++ b/app/outbound_calls.cpp
@@ -14,10 +14,10 @@
 
 } // namespace
 
-platform_executor::platform_executor(duty_system &system, const socket_address &platform,
+platform_executor::platform_executor(actor_runtime &system, const socket_address &platform,
                                      milliseconds timeout)
     : m_client(platform, timeout)
-    , m_actor(std::make_unique<duty<platform_call>>(
+    , m_actor(std::make_unique<event_actor<platform_call>>(
               system, CallCapacity, [this](platform_call &work) { work(m_client); }, NoTick, [] {}))
 { }
 
@@ -33,7 +33,7 @@
     m_actor->stop();
 }
 
-rpc_sender::rpc_sender(duty_system &system, milliseconds timeout, metrics &counters)
+rpc_sender::rpc_sender(actor_runtime &system, milliseconds timeout, metrics &counters)
     : m_timeout(timeout)
     , m_metrics(counters)
     , m_queue(SenderLimits)
@@ -41,8 +41,8 @@
     const std::lock_guard lock(m_mutex); // until all of them stand
     for (std::size_t index = 0; index < SenderLimits.threads; ++index) {
         m_idleThreads.push_back(index);
-        m_threads.push_back(std::make_unique<duty_thread>(
-                system, [this, index] { sendQueuedCalls(index); }, everyPeriod(NoTick, {})));
+        m_threads.push_back(std::make_unique<actor_thread>(
+                system, [this, index] { sendQueuedCalls(index); }, periodicTicks(NoTick, {})));
     }
 }
 
@@ -112,7 +112,7 @@
     const auto transport = [&](const std::string &text) {
         const http_request request{"POST", "/rpc", {{"Content-Type", "application/json"}}, text};
         const auto result =
-                m_pools.to(message.target).call(request, monotonic_clock::now() + m_timeout);
+                m_pools.poolFor(message.target).call(request, monotonic_clock::now() + m_timeout);
         const auto *response = std::get_if<http_response>(&result);
         if (response == nullptr || response->status != 200)
             throw std::runtime_error("no answer from " + message.target);
--- a/app/outbound_calls.h
+++ b/app/outbound_calls.h
@@ -26,7 +26,7 @@
 public:
     using platform_call = std::function<void(platform_client &)>;
 
-    platform_executor(duty_system &system, const socket_address &platform, milliseconds timeout);
+    platform_executor(actor_runtime &system, const socket_address &platform, milliseconds timeout);
     ~platform_executor();
 
     // False when the lane is full: the job will not run.
@@ -35,7 +35,7 @@
 
 private:
     platform_client m_client;
-    std::unique_ptr<duty<platform_call>> m_actor;
+    std::unique_ptr<event_actor<platform_call>> m_actor;
 };
 
 // Calls JSON-RPC methods of other processes. Calls to one target keep their order; targets that do
@@ -46,7 +46,7 @@
     using answer_callback =
             std::function<void(std::optional<Json::Value>)>; // nothing: no result came
 
-    rpc_sender(duty_system &system, milliseconds timeout, metrics &counters);
+    rpc_sender(actor_runtime &system, milliseconds timeout, metrics &counters);
     ~rpc_sender();
 
     // `done` runs on the sender's thread; it only posts to a ring. False when too many calls wait,
@@ -68,7 +68,7 @@
     send_queue m_queue;
     std::vector<std::size_t> m_idleThreads; // threads, to be woken
     bool m_stopped = false;
-    std::vector<std::unique_ptr<duty_thread>> m_threads;
+    std::vector<std::unique_ptr<actor_thread>> m_threads;
 };
 
 } // namespace zinniabarrow
--- a/app/report_sender.cpp
+++ b/app/report_sender.cpp
@@ -44,8 +44,8 @@
             m_targets.setAddress(changedRow.name.key,
                                  entryRowFrom(changedRow.value).internalAddress);
         } catch (const error &problem) {
-            m_log.note("entry_row_unreadable",
-                       {{"entry", changedRow.name.key}, {"why", problem.what()}});
+            m_log.writeEvent("entry_row_unreadable",
+                             {{"entry", changedRow.name.key}, {"why", problem.what()}});
         }
     }
     if (!rows.empty())
@@ -155,7 +155,7 @@
     try {
         handleAnswer(entry, reportAnswerFrom(answer->body));
     } catch (const error &problem) {
-        m_log.note("answer_unreadable", {{"entry", entry}, {"why", problem.what()}});
+        m_log.writeEvent("answer_unreadable", {{"entry", entry}, {"why", problem.what()}});
     }
     if (m_targets.needsAnotherReport(entry))
         sendReport(entry);
@@ -185,7 +185,7 @@
     m_evacuation.refresh(now);
     if (!news)
         return;
-    m_log.note("zone_evacuated", {{"zone", m_workerPresence.lastAnnouncement().zone}});
+    m_log.writeEvent("zone_evacuated", {{"zone", m_workerPresence.lastAnnouncement().zone}});
     sendReports(); // entries that don't know it would place tasks here until the next report
 }
 
--- a/app/request_actor.cpp
+++ b/app/request_actor.cpp
@@ -95,7 +95,7 @@
     return step;
 }
 
-request_actor::request_actor(duty_system &system, const config::entry_settings &settings,
+request_actor::request_actor(actor_runtime &system, const config::entry_settings &settings,
                              const process_identity &self, platform_executor &claims,
                              rpc_sender &sender, metrics &counters, const logger &log,
                              std::function<void(members_snapshot)> membersChanged,
@@ -118,9 +118,9 @@
 {
     for (const auto &peer : settings.peers)
         m_peers.push_back({config::toText(peer), {}, 0, {}});
-    m_actor = std::make_unique<duty<event>>(
+    m_actor = std::make_unique<event_actor<event>>(
             system, RingCapacity, [this](event &newEvent) { handle(newEvent); },
-            tick_plan{[this] { return nextTick(); }, [this] { tick(); }});
+            tick_schedule{[this] { return nextTick(); }, [this] { tick(); }});
 }
 
 request_actor::~request_actor() = default;
--- a/app/request_actor.h
+++ b/app/request_actor.h
@@ -79,7 +79,7 @@
 class request_actor
 {
 public:
-    request_actor(duty_system &system, const config::entry_settings &settings,
+    request_actor(actor_runtime &system, const config::entry_settings &settings,
                   const process_identity &self, platform_executor &claims, rpc_sender &sender,
                   metrics &counters, const logger &log,
                   std::function<void(members_snapshot)> membersChanged,
@@ -208,8 +208,8 @@
     time_point m_nextPublishAt{};
     time_point m_nextMaintenanceAt{};
 
-    std::unique_ptr<duty<event>> m_actor; // its thread uses all of the above
-    receivers m_receivers;                // last: its threads post to the duty
+    std::unique_ptr<event_actor<event>> m_actor; // its thread uses all of the above
+    receiver_threads m_receivers;                // last: its threads post to the duty
 };
 
 } // namespace zinniabarrow
--- a/app/scheduling_actor.cpp
+++ b/app/scheduling_actor.cpp
@@ -55,7 +55,7 @@
 
 } // namespace
 
-scheduling_actor::scheduling_actor(duty_system &system, const config::entry_settings &settings,
+scheduling_actor::scheduling_actor(actor_runtime &system, const config::entry_settings &settings,
                                    const process_identity &self, platform_executor &platform,
                                    rpc_sender &sender, metrics &counters, const logger &log)
     : m_settings(settings)
@@ -67,7 +67,7 @@
     , m_shardInfos(shardInfos(settings.shards))
     , m_ownership({self.id, {}}, self.fullId() + "/own", m_shardInfos, ownershipSettings(settings))
 {
-    m_actor = std::make_unique<duty<event>>(
+    m_actor = std::make_unique<event_actor<event>>(
             system, RingCapacity, [this](event &newEvent) { handle(newEvent); }, TickInterval,
             [this] { tick(); });
 }
--- a/app/scheduling_actor.h
+++ b/app/scheduling_actor.h
@@ -26,7 +26,7 @@
 class scheduling_actor
 {
 public:
-    scheduling_actor(duty_system &system, const config::entry_settings &settings,
+    scheduling_actor(actor_runtime &system, const config::entry_settings &settings,
                      const process_identity &self, platform_executor &platform, rpc_sender &sender,
                      metrics &counters, const logger &log);
     ~scheduling_actor();
@@ -121,7 +121,7 @@
     bool m_isReleasing = false;
     time_point m_nextPlanAt{}; // next round of placement
 
-    std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
+    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/shutdown_driver.cpp
+++ b/app/shutdown_driver.cpp
@@ -16,7 +16,7 @@
 
 void shutdown_driver::begin()
 {
-    m_plan.emplace(suspendAwareNow(), m_loop.overdue(), m_limits);
+    m_plan.emplace(suspendAwareNow(), m_loop.overdueTime(), m_limits);
     m_hooks.onBegin();
     poll();
 }
@@ -29,8 +29,9 @@
         m_hooks.executeStep(step);
     if (step == shutdown_step::End)
         return m_loop.stop();
-    m_loop.after(step == shutdown_step::HandOver ? m_intervals.handOver : m_intervals.afterHandOver,
-                 [this] { poll(); });
+    m_loop.runAfter(step == shutdown_step::HandOver ? m_intervals.handOver
+                                                    : m_intervals.afterHandOver,
+                    [this] { poll(); });
 }
 
 } // namespace zinniabarrow
--- a/app/store_client.cpp
+++ b/app/store_client.cpp
@@ -81,7 +81,7 @@
                                      static_cast<double>(MaxTimeout.count()) / TimeoutFactor);
         if (m_isReachable && now - m_lastAnswerAt > milliseconds(500)) {
             m_isReachable = false;
-            m_log.note("store_lost", {{"reason", failureName(result)}});
+            m_log.writeEvent("store_lost", {{"reason", failureName(result)}});
         }
         return;
     }
@@ -90,13 +90,13 @@
     m_lastAnswerAt = now;
     if (!m_isReachable) {
         m_isReachable = true;
-        m_log.note("store_regained", {{"way", isDirect ? "direct" : "relayed"}});
+        m_log.writeEvent("store_regained", {{"way", isDirect ? "direct" : "relayed"}});
     }
 }
 
 void store_client::sendTo(const std::string &peer, bool isDirect, http_request request,
                           duration callTimeout, answer_begun_callback onAnswerBegun,
-                          net::http_caller::call_done done)
+                          net::http_caller::call_callback done)
 {
     const auto sentAt = net::suspendAwareNow();
     // The answer time of a long poll tells nothing about the store's speed.
@@ -104,8 +104,8 @@
     // Time until the answer begins. The time for the rest depends on its size and on the link.
     auto answerTime = std::make_shared<duration>(milliseconds(5));
     net::large_call limits{{callTimeout, MaxStall, callTimeout + MaxTransferTime}, MaxAnswerBytes};
-    limits.begun = [sentAt, isLongPoll, answerTime,
-                    onAnswerBegun = std::move(onAnswerBegun)](std::uint64_t bytes) {
+    limits.onHead = [sentAt, isLongPoll, answerTime,
+                     onAnswerBegun = std::move(onAnswerBegun)](std::uint64_t bytes) {
         if (!isLongPoll)
             *answerTime = net::suspendAwareNow() - sentAt;
         onAnswerBegun(bytes);
@@ -119,7 +119,7 @@
 
 // One try, directly or through a relay, whichever is expected to work.
 void store_client::send(http_request request, duration extraTimeout,
-                        answer_begun_callback onAnswerBegun, net::http_caller::call_done done)
+                        answer_begun_callback onAnswerBegun, net::http_caller::call_callback done)
 {
     const auto relays = m_relays();
     const bool isDirect = relays.empty() || net::suspendAwareNow() >= m_avoidDirectUntil;
@@ -151,10 +151,10 @@
                  return done(*conflict);
              m_metrics.count("store_writes_repeated_total", failureName(result));
              const auto nextBackoff = std::min<duration>(backoff * 2, MaxBackoff);
-             m_loop.after(backoff,
-                          [this, transaction, nextBackoff, done = std::move(done)]() mutable {
-                              tryCommit(transaction, nextBackoff, std::move(done));
-                          });
+             m_loop.runAfter(backoff,
+                             [this, transaction, nextBackoff, done = std::move(done)]() mutable {
+                                 tryCommit(transaction, nextBackoff, std::move(done));
+                             });
          });
 }
 
--- a/app/store_client.h
+++ b/app/store_client.h
@@ -59,9 +59,9 @@
 
 private:
     void send(http_request request, duration extraTimeout, answer_begun_callback onAnswerBegun,
-              net::http_caller::call_done done);
+              net::http_caller::call_callback done);
     void sendTo(const std::string &peer, bool isDirect, http_request request, duration callTimeout,
-                answer_begun_callback onAnswerBegun, net::http_caller::call_done done);
+                answer_begun_callback onAnswerBegun, net::http_caller::call_callback done);
     void tryCommit(std::shared_ptr<jobs::row_transaction> transaction, duration backoff,
                    commit_callback done);
     void readNextPage(std::string table, std::string part, std::string from,
--- a/app/supervisor_actor.cpp
+++ b/app/supervisor_actor.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-supervisor_actor::supervisor_actor(duty_system &system, const config::agent_settings &settings,
+supervisor_actor::supervisor_actor(actor_runtime &system, const config::agent_settings &settings,
                                    const process_identity &self, const std::string &ownAddress,
                                    rpc_sender &sender, metrics &counters,
                                    latency_source tailLatency)
@@ -52,12 +52,12 @@
                    })
     , m_usageReporter(self.fullId(), {})
 {
-    m_workerCalls = std::make_unique<duty<std::function<void()>>>(
+    m_workerCalls = std::make_unique<event_actor<std::function<void()>>>(
             system, RingCapacity, [](std::function<void()> &work) { work(); }, duration(0), [] {});
-    m_actor = std::make_unique<duty<event>>(
+    m_actor = std::make_unique<event_actor<event>>(
             system, RingCapacity, [this](event &newEvent) { handle(newEvent); },
-            tick_plan{[this] { return std::min(m_supervisor.nextTick(), m_nextUsageAt); },
-                      [this] { tick(); }});
+            tick_schedule{[this] { return std::min(m_supervisor.nextTick(), m_nextUsageAt); },
+                          [this] { tick(); }});
 }
 
 supervisor_actor::~supervisor_actor() = default;
--- a/app/supervisor_actor.h
+++ b/app/supervisor_actor.h
@@ -25,7 +25,7 @@
 public:
     using latency_source = std::function<std::optional<request::latency_reading>()>;
 
-    supervisor_actor(duty_system &system, const config::agent_settings &settings,
+    supervisor_actor(actor_runtime &system, const config::agent_settings &settings,
                      const process_identity &self, const std::string &ownAddress,
                      rpc_sender &sender, metrics &counters, latency_source tailLatency);
     ~supervisor_actor();
@@ -99,8 +99,9 @@
     work::usage_reporter m_usageReporter;
     std::size_t m_usageEntry = 0; // entry that was sent the last report of usage
 
-    std::unique_ptr<duty<std::function<void()>>> m_workerCalls; // blocking calls to the worker
-    std::unique_ptr<duty<event>> m_actor; // last: its thread uses all of the above
+    std::unique_ptr<event_actor<std::function<void()>>>
+            m_workerCalls;                       // blocking calls to the worker
+    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/table_follower.cpp
+++ b/app/table_follower.cpp
@@ -51,7 +51,7 @@
     if (--readState.pendingParts > 0)
         return;
     if (readState.hasFailed)
-        return m_loop.after(RetryDelay, [this] { start(); });
+        return m_loop.runAfter(RetryDelay, [this] { start(); });
     m_onComplete();
     m_onProgress(all_changes_applied{readState.requestedAt});
     pollFeed(readState.oldestVersion);
@@ -65,7 +65,7 @@
             [this, after,
              requestedAt = net::suspendAwareNow()](const std::optional<jobs::feed_page> &page) {
                 if (!page)
-                    return m_loop.after(RetryDelay, [this, after] { pollFeed(after); });
+                    return m_loop.runAfter(RetryDelay, [this, after] { pollFeed(after); });
                 handleFeedPage(*page, requestedAt);
             });
 }
@@ -73,14 +73,14 @@
 void table_follower::handleFeedPage(const jobs::feed_page &page, time_point requestedAt)
 {
     if (page.historyExpired) {
-        m_log.note("history_gone", {{"table", m_followed.table}});
+        m_log.writeEvent("history_gone", {{"table", m_followed.table}});
         return start();
     }
     m_onRows(page.rows);
     m_onProgress(all_changes_applied{requestedAt});
     if (m_followed.batchDelay == milliseconds(0))
         return pollFeed(page.version);
-    m_loop.after(m_followed.batchDelay, [this, next = page.version] { pollFeed(next); });
+    m_loop.runAfter(m_followed.batchDelay, [this, next = page.version] { pollFeed(next); });
 }
 
 } // namespace zinniabarrow
--- a/app/upstream_probe.cpp
+++ b/app/upstream_probe.cpp
@@ -9,14 +9,14 @@
 
 } // namespace
 
-upstream_probe::upstream_probe(duty_system &system, socket_address upstream,
+upstream_probe::upstream_probe(actor_runtime &system, socket_address upstream,
                                std::function<void(bool)> onChanged)
     : m_upstream(std::move(upstream))
     , m_onChanged(std::move(onChanged))
 {
-    m_thread = std::make_unique<duty_thread>(
+    m_thread = std::make_unique<actor_thread>(
             system, [this] { m_onChanged(false); },
-            tick_plan{[this] { return m_isUp ? Never : m_nextProbeAt; }, [this] { probe(); }});
+            tick_schedule{[this] { return m_isUp ? Never : m_nextProbeAt; }, [this] { probe(); }});
 }
 
 upstream_probe::~upstream_probe() = default;
--- a/app/upstream_probe.h
+++ b/app/upstream_probe.h
@@ -18,7 +18,7 @@
 {
 public:
     // `changed` runs on the probe's thread, first when the upstream accepts a connection.
-    upstream_probe(duty_system &system, socket_address upstream,
+    upstream_probe(actor_runtime &system, socket_address upstream,
                    std::function<void(bool)> onChanged);
     ~upstream_probe();
 
@@ -35,7 +35,7 @@
 
     time_point m_nextProbeAt{}; // touched by the probe's thread alone
 
-    std::unique_ptr<duty_thread> m_thread; // last: it uses all of the above
+    std::unique_ptr<actor_thread> m_thread; // last: it uses all of the above
 };
 
 } // namespace zinniabarrow
--- a/app/worker_calls.cpp
+++ b/app/worker_calls.cpp
@@ -61,10 +61,10 @@
         const auto *response = std::get_if<http_response>(&result);
         m_metrics.count("starts_not_confirmed_total",
                         answer == start_answer::Refused ? "refused" : "unanswered");
-        m_log.note("start_not_confirmed", {{"task", toText(task)},
-                                           {"run", run},
-                                           {"status", response ? response->status : 0},
-                                           {"answer", response ? response->body : "none"}});
+        m_log.writeEvent("start_not_confirmed", {{"task", toText(task)},
+                                                 {"run", run},
+                                                 {"status", response ? response->status : 0},
+                                                 {"answer", response ? response->body : "none"}});
     }
     m_runTable.startAnswered(task, run, answer, suspendAwareNow());
     m_hooks.tableChanged();
--- a/app/worker_presence.cpp
+++ b/app/worker_presence.cpp
@@ -85,7 +85,7 @@
 {
     // A connection attempt that only timed out may be a network problem, and the worker may still
     // run.
-    return failure == call_failure::Refused && std::exchange(m_isDeparting, false);
+    return failure == call_failure::ConnectionRefused && std::exchange(m_isDeparting, false);
 }
 
 } // namespace zinniabarrow
--- a/libs/base/answer_check.cpp
+++ b/libs/base/answer_check.cpp
@@ -19,33 +19,33 @@
     , m_limits(limits)
 { }
 
-std::optional<error_kind> answer_check::head(const answer_head &head)
+std::optional<error_kind> answer_check::checkHead(const answer_head &head)
 {
     if (m_failure || m_head)
-        return fail(error_kind::AnswerCut);
+        return fail(error_kind::AnswerIncomplete);
     m_head = head;
     // A late answer to an earlier request on the same connection would otherwise reach a caller
     // that never asked for it.
     if (head.requestId != m_requestId)
         return fail(error_kind::OutcomeUnknown);
     if (head.status < FirstFinalStatus || head.status > LastStatus)
-        return fail(error_kind::AnswerCut);
+        return fail(error_kind::AnswerIncomplete);
     if (head.headBytes > m_limits.maxHeadBytes)
         return fail(error_kind::AnswerTooLarge);
     if (hasNoBody())
         return std::nullopt;
     // Its end can't be told from a cut, so a short answer would pass for a whole one.
     if (head.framing == body_framing::UntilClose || head.framing == body_framing::Conflicting)
-        return fail(error_kind::AnswerCut);
+        return fail(error_kind::AnswerIncomplete);
     if (head.framing == body_framing::Length && head.declaredBytes > m_limits.maxBodyBytes)
         return fail(error_kind::AnswerTooLarge);
     return std::nullopt;
 }
 
-std::optional<error_kind> answer_check::body(std::uint64_t bytes)
+std::optional<error_kind> answer_check::checkBody(std::uint64_t bytes)
 {
     if (m_failure || !m_head)
-        return fail(error_kind::AnswerCut);
+        return fail(error_kind::AnswerIncomplete);
     m_received += bytes;
     const auto allowed = hasNoBody()                               ? 0
                          : m_head->framing == body_framing::Length ? m_head->declaredBytes
@@ -53,19 +53,19 @@
     if (m_received <= allowed)
         return std::nullopt;
     const bool tooLarge = !hasNoBody() && m_head->framing == body_framing::Chunked;
-    return fail(tooLarge ? error_kind::AnswerTooLarge : error_kind::AnswerCut);
+    return fail(tooLarge ? error_kind::AnswerTooLarge : error_kind::AnswerIncomplete);
 }
 
-std::optional<error_kind> answer_check::end(bool lastChunkSeen)
+std::optional<error_kind> answer_check::checkEnd(bool lastChunkSeen)
 {
     if (m_failure || !m_head)
-        return fail(error_kind::AnswerCut);
+        return fail(error_kind::AnswerIncomplete);
     if (hasNoBody())
         return std::nullopt;
     if (m_head->framing == body_framing::Length && m_received != m_head->declaredBytes)
-        return fail(error_kind::AnswerCut);
+        return fail(error_kind::AnswerIncomplete);
     if (m_head->framing == body_framing::Chunked && !lastChunkSeen)
-        return fail(error_kind::AnswerCut);
+        return fail(error_kind::AnswerIncomplete);
     return std::nullopt;
 }
 
--- a/libs/base/answer_check.h
+++ b/libs/base/answer_check.h
@@ -43,10 +43,10 @@
 public:
     answer_check(std::string requestId, std::string method, answer_limits limits);
 
-    std::optional<error_kind> head(const answer_head &head);
-    std::optional<error_kind> body(std::uint64_t bytes);
+    std::optional<error_kind> checkHead(const answer_head &head);
+    std::optional<error_kind> checkBody(std::uint64_t bytes);
     // `lastChunkSeen` matters for Chunked. Nothing returned: the answer is whole.
-    std::optional<error_kind> end(bool lastChunkSeen);
+    std::optional<error_kind> checkEnd(bool lastChunkSeen);
 
     std::uint64_t receivedBytes() const { return m_received; }
 
--- a/libs/base/errors.h
+++ b/libs/base/errors.h
@@ -35,7 +35,7 @@
     // The request may have run, or has.
     AlreadyExecuted,
     OutcomeUnknown,
-    AnswerCut,
+    AnswerIncomplete,
     AnswerTooLarge,
     AnswerLate,
     // Between the system's own processes.
@@ -61,17 +61,17 @@
 struct error_answer
 {
     error_kind kind;
-    std::string_view name;      // in logs, metrics and answers
-    int httpStatus;             // status of the answer to a caller
-    executed ran;               // what is certain about the request
-    bool retryElsewhere;        // another upstream may be tried at once
-    milliseconds comeBackAfter; // Retry-After; 0: coming back unchanged does not help
+    std::string_view name;            // in logs, metrics and answers
+    int httpStatus;                   // status of the answer to a caller
+    executed execution;               // what is certain about the request
+    bool retryElsewhere;              // another upstream may be tried at once
+    milliseconds suggestedRetryDelay; // Retry-After; 0: coming back unchanged does not help
 };
 
 std::span<const error_answer> errorAnswers();
 const error_answer &answerFor(error_kind kind);
 std::string_view nameOf(error_kind kind);
-std::string_view nameOf(executed ran);
+std::string_view nameOf(executed execution);
 std::optional<error_kind> errorKindNamed(std::string_view name);
 
 // The exception of every library here. `what()` says what to do.
--- a/libs/base/event_log.cpp
+++ b/libs/base/event_log.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // A pipe that poll() calls writable takes this much at once, so that the write can't block.
-constexpr std::size_t WriteBytes = 4096;
+constexpr std::size_t MaxWriteBytes = 4096;
 
 std::int64_t wallMilliseconds()
 {
@@ -60,7 +60,7 @@
     : m_role(std::move(role))
     , m_id(std::move(id))
     , m_limits(limits)
-    , m_budget(static_cast<double>(limits.burstBytes))
+    , m_budgetBytes(static_cast<double>(limits.burstBytes))
     , m_refilledAt(monotonic_clock::now())
 { }
 
@@ -69,27 +69,28 @@
     flush();
 }
 
-void event_log::note(std::string_view event, std::initializer_list<log_field> fields)
+void event_log::writeEvent(std::string_view event, std::initializer_list<log_field> fields)
 {
     const auto now = monotonic_clock::now();
-    const auto passed = std::chrono::duration<double>(now - m_refilledAt).count();
+    const auto elapsedSeconds = std::chrono::duration<double>(now - m_refilledAt).count();
     m_refilledAt = now;
-    m_budget = std::min(static_cast<double>(m_limits.burstBytes),
-                        m_budget + passed * static_cast<double>(m_limits.bytesPerSecond));
-    if (m_budget <= 0 || m_pending.size() > m_limits.burstBytes) {
-        ++m_droppedSince;
-        ++m_droppedEver;
+    m_budgetBytes =
+            std::min(static_cast<double>(m_limits.burstBytes),
+                     m_budgetBytes + elapsedSeconds * static_cast<double>(m_limits.bytesPerSecond));
+    if (m_budgetBytes <= 0 || m_pending.size() > m_limits.burstBytes) {
+        ++m_droppedSinceLastLine;
+        ++m_droppedTotal;
         return;
     }
-    const auto before = m_pending.size();
-    if (m_droppedSince > 0)
-        append("log_lines_dropped", {{"lines", static_cast<std::int64_t>(m_droppedSince)}});
-    m_droppedSince = 0;
+    const auto sizeBefore = m_pending.size();
+    if (m_droppedSinceLastLine > 0)
+        append("log_lines_dropped", {{"lines", static_cast<std::int64_t>(m_droppedSinceLastLine)}});
+    m_droppedSinceLastLine = 0;
     append(event, fields);
-    m_budget -= static_cast<double>(m_pending.size() - before);
+    m_budgetBytes -= static_cast<double>(m_pending.size() - sizeBefore);
 }
 
-void event_log::noteAlways(std::string_view event, std::initializer_list<log_field> fields)
+void event_log::writeAlways(std::string_view event, std::initializer_list<log_field> fields)
 {
     append(event, fields);
 }
@@ -109,7 +110,7 @@
         pollfd reader{STDOUT_FILENO, POLLOUT, 0};
         if (::poll(&reader, 1, 0) != 1 || (reader.revents & POLLOUT) == 0)
             return;
-        const auto size = std::min(WriteBytes, m_pending.size());
+        const auto size = std::min(MaxWriteBytes, m_pending.size());
         const auto written = ::write(STDOUT_FILENO, m_pending.data(), size);
         if (written <= 0)
             return;
--- a/libs/base/event_log.h
+++ b/libs/base/event_log.h
@@ -40,13 +40,13 @@
     event_log &operator=(const event_log &) = delete;
 
     // Drops the line, and counts it, when the budget is spent.
-    void note(std::string_view event, std::initializer_list<log_field> fields);
+    void writeEvent(std::string_view event, std::initializer_list<log_field> fields);
     // A line of which there are few in a life of the process, and without which the others can't be
     // read: written whatever the budget.
-    void noteAlways(std::string_view event, std::initializer_list<log_field> fields);
+    void writeAlways(std::string_view event, std::initializer_list<log_field> fields);
     // Writes what the reader takes at once; the rest stays, up to a bound.
     void flush();
-    std::uint64_t dropped() const { return m_droppedEver; }
+    std::uint64_t droppedCount() const { return m_droppedTotal; }
 
 private:
     void append(std::string_view event, std::initializer_list<log_field> fields);
@@ -55,10 +55,10 @@
     std::string m_id;
     log_limits m_limits;
     std::string m_pending;
-    double m_budget;
+    double m_budgetBytes;
     time_point m_refilledAt{};
-    std::uint64_t m_droppedSince = 0; // the last line that said so
-    std::uint64_t m_droppedEver = 0;
+    std::uint64_t m_droppedSinceLastLine = 0; // the last line that said so
+    std::uint64_t m_droppedTotal = 0;
 };
 
 } // namespace zinniabarrow
--- a/libs/base/json_member.cpp
+++ b/libs/base/json_member.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-[[noreturn]] void refuse(const char *name, const char *needed)
+[[noreturn]] void throwInvalidMember(const char *name, const char *needed)
 {
     throw error(error_kind::BadRequest,
                 std::string("member '") + name + "': " + needed + " is needed");
@@ -15,7 +15,7 @@
 const Json::Value &member(const Json::Value &object, const char *name, const char *needed)
 {
     if (!object.isObject() || !object.isMember(name))
-        refuse(name, needed);
+        throwInvalidMember(name, needed);
     return object[name];
 }
 
@@ -25,7 +25,7 @@
 {
     const auto &value = member(object, name, "a string");
     if (!value.isString())
-        refuse(name, "a string");
+        throwInvalidMember(name, "a string");
     return value.asString();
 }
 
@@ -40,7 +40,7 @@
 {
     const auto &value = member(object, name, "an integer");
     if (!value.isInt64())
-        refuse(name, "an integer");
+        throwInvalidMember(name, "an integer");
     return value.asInt64();
 }
 
@@ -48,7 +48,7 @@
 {
     const auto &value = member(object, name, "an integer of zero or above");
     if (!value.isUInt64())
-        refuse(name, "an integer of zero or above");
+        throwInvalidMember(name, "an integer of zero or above");
     return value.asUInt64();
 }
 
@@ -56,7 +56,7 @@
 {
     const auto &value = member(object, name, "an integer of 32 bits, zero or above");
     if (!value.isUInt())
-        refuse(name, "an integer of 32 bits, zero or above");
+        throwInvalidMember(name, "an integer of 32 bits, zero or above");
     return value.asUInt();
 }
 
@@ -64,7 +64,7 @@
 {
     const auto &value = member(object, name, "an integer of zero or above, below 2^31");
     if (!value.isInt() || value.asInt() < 0)
-        refuse(name, "an integer of zero or above, below 2^31");
+        throwInvalidMember(name, "an integer of zero or above, below 2^31");
     return value.asInt();
 }
 
@@ -72,7 +72,7 @@
 {
     const auto &value = member(object, name, "a number");
     if (!value.isNumeric())
-        refuse(name, "a number");
+        throwInvalidMember(name, "a number");
     return value.asDouble();
 }
 
@@ -80,7 +80,7 @@
 {
     const auto &value = member(object, name, "true or false");
     if (!value.isBool())
-        refuse(name, "true or false");
+        throwInvalidMember(name, "true or false");
     return value.asBool();
 }
 
@@ -88,7 +88,7 @@
 {
     const auto &value = member(object, name, "an array");
     if (!value.isArray())
-        refuse(name, "an array");
+        throwInvalidMember(name, "an array");
     return value;
 }
 
@@ -96,7 +96,7 @@
 {
     const auto &value = member(object, name, "an object");
     if (!value.isObject())
-        refuse(name, "an object");
+        throwInvalidMember(name, "an object");
     return value;
 }
 
--- a/libs/base/large_json.cpp
+++ b/libs/base/large_json.cpp
@@ -9,7 +9,7 @@
 // A deeply nested text must not overflow the stack.
 constexpr unsigned ParseFlags = rapidjson::kParseIterativeFlag;
 
-[[noreturn]] void refuse(const char *name, const char *needed)
+[[noreturn]] void throwInvalidMember(const char *name, const char *needed)
 {
     throw error(error_kind::BadRequest,
                 std::string("member '") + name + "': " + needed + " is needed");
@@ -19,32 +19,32 @@
 {
     const auto *found = find(object, name);
     if (found == nullptr)
-        refuse(name, "a value");
+        throwInvalidMember(name, "a value");
     return *found;
 }
 
 std::string textAt(const value &element, const char *name)
 {
     if (!element.IsString())
-        refuse(name, "a string");
+        throwInvalidMember(name, "a string");
     return {element.GetString(), element.GetStringLength()};
 }
 
 std::int64_t numberAt(const value &element, const char *name)
 {
     if (!element.IsInt64())
-        refuse(name, "an integer");
+        throwInvalidMember(name, "an integer");
     return element.GetInt64();
 }
 
 int countAt(const value &element, const char *name)
 {
     if (!element.IsInt() || element.GetInt() < 0)
-        refuse(name, "an integer of zero or above, below 2^31");
+        throwInvalidMember(name, "an integer of zero or above, below 2^31");
     return element.GetInt();
 }
 
-constexpr const char *OfAnArray = "of an array";
+constexpr const char *ArrayElementName = "of an array";
 
 } // namespace
 
@@ -60,7 +60,7 @@
 const value *find(const value &object, const char *name)
 {
     if (!object.IsObject())
-        refuse(name, "an object around it");
+        throwInvalidMember(name, "an object around it");
     const auto found = object.FindMember(name);
     return found == object.MemberEnd() ? nullptr : &found->value;
 }
@@ -79,11 +79,11 @@
 {
     const auto &found = member(object, name);
     if (!found.IsArray())
-        refuse(name, "an array");
+        throwInvalidMember(name, "an array");
     return found;
 }
 
-std::string textOrNone(const value &object, const char *name)
+std::string textOrEmpty(const value &object, const char *name)
 {
     const auto *found = find(object, name);
     return found == nullptr ? std::string() : textAt(*found, name);
@@ -107,23 +107,23 @@
     if (found == nullptr)
         return absent;
     if (!found->IsNumber())
-        refuse(name, "a number");
+        throwInvalidMember(name, "a number");
     return found->GetDouble();
 }
 
 std::string asText(const value &element)
 {
-    return textAt(element, OfAnArray);
+    return textAt(element, ArrayElementName);
 }
 
 std::int64_t asNumber(const value &element)
 {
-    return numberAt(element, OfAnArray);
+    return numberAt(element, ArrayElementName);
 }
 
 int asCount(const value &element)
 {
-    return countAt(element, OfAnArray);
+    return countAt(element, ArrayElementName);
 }
 
 } // namespace zinniabarrow::large_json
--- a/libs/base/large_json.h
+++ b/libs/base/large_json.h
@@ -21,7 +21,7 @@
 const value &array(const value &object, const char *name);
 
 // Members whose value is zero, empty or false may be left out.
-std::string textOrNone(const value &object, const char *name);
+std::string textOrEmpty(const value &object, const char *name);
 std::int64_t numberOr0(const value &object, const char *name);
 int countOr0(const value &object, const char *name); // of 32 bits, zero or above
 double realOr(const value &object, const char *name, double absent);
--- a/libs/base/log.cpp
+++ b/libs/base/log.cpp
@@ -26,9 +26,9 @@
 {
     const auto now = std::chrono::time_point_cast<std::chrono::milliseconds>(
             std::chrono::system_clock::now());
-    const auto inSecond = now.time_since_epoch().count() % 1000;
+    const auto millisecondOfSecond = now.time_since_epoch().count() % 1000;
     return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
-                       fmt::gmtime(std::chrono::system_clock::to_time_t(now)), inSecond);
+                       fmt::gmtime(std::chrono::system_clock::to_time_t(now)), millisecondOfSecond);
 }
 
 } // namespace
@@ -51,15 +51,15 @@
     level = *value;
 }
 
-logger::logger(std::string role, std::string id, log_level lowest)
+logger::logger(std::string role, std::string id, log_level minLevel)
     : m_role(std::move(role))
     , m_id(std::move(id))
-    , m_lowest(lowest)
+    , m_minLevel(minLevel)
 { }
 
 void logger::write(log_level level, std::string_view event, Json::Value fields) const
 {
-    if (level < m_lowest)
+    if (level < m_minLevel)
         return;
     fields["time"] = wallTime();
     fields["level"] = std::string(nameOf(level));
--- a/libs/base/log.h
+++ b/libs/base/log.h
@@ -18,7 +18,7 @@
 class logger
 {
 public:
-    logger(std::string role, std::string id, log_level lowest = log_level::Info);
+    logger(std::string role, std::string id, log_level minLevel = log_level::Info);
 
     void write(log_level level, std::string_view event,
                Json::Value fields = Json::Value(Json::objectValue)) const;
@@ -28,7 +28,7 @@
 private:
     std::string m_role;
     std::string m_id;
-    log_level m_lowest;
+    log_level m_minLevel;
 };
 
 } // namespace zinniabarrow
--- a/libs/base/resources.cpp
+++ b/libs/base/resources.cpp
@@ -20,10 +20,10 @@
     return *this;
 }
 
-bool resources::fitsIn(const resources &room) const
+bool resources::fitsIn(const resources &capacity) const
 {
-    return millicores <= room.millicores && bytes <= room.bytes
-           && accelerators <= room.accelerators;
+    return millicores <= capacity.millicores && bytes <= capacity.bytes
+           && accelerators <= capacity.accelerators;
 }
 
 bool resources::isNegative() const
@@ -31,7 +31,7 @@
     return millicores < 0 || bytes < 0 || accelerators < 0;
 }
 
-resources largest(const resources &left, const resources &right)
+resources maxOfEach(const resources &left, const resources &right)
 {
     return {std::max(left.millicores, right.millicores), std::max(left.bytes, right.bytes),
             std::max(left.accelerators, right.accelerators)};
--- a/libs/base/resources.h
+++ b/libs/base/resources.h
@@ -19,11 +19,11 @@
     friend bool operator==(const resources &, const resources &) = default;
 
     // True when every dimension is at most that of `room`.
-    bool fitsIn(const resources &room) const;
+    bool fitsIn(const resources &capacity) const;
     bool isNegative() const;
 };
 
 // The larger of the two in each dimension.
-resources largest(const resources &left, const resources &right);
+resources maxOfEach(const resources &left, const resources &right);
 
 } // namespace zinniabarrow
--- a/libs/delivery/request_flow.cpp
+++ b/libs/delivery/request_flow.cpp
@@ -36,7 +36,8 @@
 // A refusal may say "not run" only when both its kind and the one who refused say so.
 executed provenExecution(error_kind kind, executed ran)
 {
-    return ran == executed::No && answerFor(kind).ran != executed::No ? executed::Unknown : ran;
+    return ran == executed::No && answerFor(kind).execution != executed::No ? executed::Unknown
+                                                                            : ran;
 }
 
 } // namespace
@@ -129,7 +130,7 @@
     if (request->lastRefusal)
         return refuseActive(*request, request->lastRefusal->kind, request->lastRefusal->ran,
                             request->lastRefusal->retryAfter);
-    const bool isProvenNotRun = answerFor(event.kind).ran == executed::No;
+    const bool isProvenNotRun = answerFor(event.kind).execution == executed::No;
     refuseActive(*request, isProvenNotRun ? event.kind : error_kind::NoUpstream, executed::No);
 }
 
@@ -228,7 +229,7 @@
         count(flow_counter::ProceededUnclaimed);
         return requestUpstream(*request);
     }
-    refuseActive(*request, kind, answerFor(kind).ran);
+    refuseActive(*request, kind, answerFor(kind).execution);
 }
 
 void request_flow::recordClaimEnd(active_request &request, executed ran)
@@ -280,8 +281,8 @@
 
 void request_flow::handleOutcome(active_request &request, const attempt_cut &cut)
 {
-    handleOutcome(request, attempt_refused{error_kind::AnswerCut, executed::Unknown, cut.hasEnded,
-                                           milliseconds(0)});
+    handleOutcome(request, attempt_refused{error_kind::AnswerIncomplete, executed::Unknown,
+                                           cut.hasEnded, milliseconds(0)});
 }
 
 void request_flow::handleOutcome(active_request &request, const attempt_timed_out &)
@@ -331,14 +332,15 @@
     if (request.mayHaveRun && ran == executed::No)
         ran = executed::Unknown;
     // Callers of non-idempotent requests know one word for every unknown outcome.
-    const bool unknown = ran == executed::Unknown && answerFor(kind).ran != executed::Unknown;
-    const bool isCutChange = kind == error_kind::AnswerCut && !isIdempotent(request.arrived.method);
+    const bool unknown = ran == executed::Unknown && answerFor(kind).execution != executed::Unknown;
+    const bool isCutChange =
+            kind == error_kind::AnswerIncomplete && !isIdempotent(request.arrived.method);
     if (unknown || isCutChange)
         kind = error_kind::OutcomeUnknown;
     count(flow_counter::Refused, kind);
     m_actions.emplace_back(answer_caller{
             request.arrived.id,
-            refuse_request{kind, ran, std::max(retryAfter, answerFor(kind).comeBackAfter)}});
+            refuse_request{kind, ran, std::max(retryAfter, answerFor(kind).suggestedRetryDelay)}});
     recordClaimEnd(request, ran);
     removeRequest(request.arrived.id);
 }
@@ -347,7 +349,7 @@
 {
     count(flow_counter::Refused, kind);
     m_actions.emplace_back(answer_caller{
-            event.id, refuse_request{kind, executed::No, answerFor(kind).comeBackAfter}});
+            event.id, refuse_request{kind, executed::No, answerFor(kind).suggestedRetryDelay}});
     rememberEnded(event.id);
 }
 
--- a/libs/jobs/record.cpp
+++ b/libs/jobs/record.cpp
@@ -70,12 +70,12 @@
     step.checkpointing = find(value, "ck") != nullptr;
     step.isGang = find(value, "ga") != nullptr;
     step.prefersSameRack = find(value, "sr") != nullptr;
-    step.requiredLabel = textOrNone(value, "rl");
-    step.dataRack = textOrNone(value, "dr");
+    step.requiredLabel = textOrEmpty(value, "rl");
+    step.dataRack = textOrEmpty(value, "dr");
     step.maxPerWorker = countOr0(value, "mw");
     step.isSpeculative = find(value, "sp") != nullptr;
     step.isLongRunning = find(value, "la") != nullptr;
-    step.image = textOrNone(value, "im");
+    step.image = textOrEmpty(value, "im");
     step.latencyTargetMs = numberOr0(value, "tg");
     step.isBestEffort = find(value, "fi") != nullptr;
     step.maxUnavailable = countOr0(value, "mu");
@@ -172,7 +172,7 @@
     }
     task.lastRun = countOr0(value, "r");
     task.failures = countOr0(value, "f");
-    task.checkpoint = textOrNone(value, "k");
+    task.checkpoint = textOrEmpty(value, "k");
     forEach(value, "p", [&](const auto &row) { task.placements.push_back(placementFrom(row)); });
     std::size_t placementIndex = 0;
     forEach(value, "l", [&](const auto &storedIncarnation) {
@@ -214,8 +214,8 @@
 queue_policy policyFrom(const large_json::value &value)
 {
     using namespace large_json;
-    return {textOrNone(value, "q"), textOrNone(value, "s"),  countOr0(value, "p"),
-            countOr0(value, "x"),   realOr(value, "t", 1.0), numberOr0(value, "l")};
+    return {textOrEmpty(value, "q"), textOrEmpty(value, "s"), countOr0(value, "p"),
+            countOr0(value, "x"),    realOr(value, "t", 1.0), numberOr0(value, "l")};
 }
 
 } // namespace
@@ -260,8 +260,8 @@
     if (numberOr0(value, "v") != RecordVersion)
         throw error(error_kind::BadRequest, "a job's record: unknown version");
     job_record record;
-    record.owner = {textOrNone(value, "o"), numberOr0(value, "i")};
-    record.writeId = textOrNone(value, "w");
+    record.owner = {textOrEmpty(value, "o"), numberOr0(value, "i")};
+    record.writeId = textOrEmpty(value, "w");
     if (const auto *policy = find(value, "q"))
         record.policy = policyFrom(*policy);
     forEach(value, "s", [&](const auto &step) { record.steps.push_back(stepFrom(step)); });
--- a/libs/jobs/report_text.cpp
+++ b/libs/jobs/report_text.cpp
@@ -75,7 +75,7 @@
 serving_headroom headroomFrom(const value &row)
 {
     // Agents of the previous release don't send the job. "late" is sent only if true.
-    return {large_json::text(row, "image"), real(row, "room"), large_json::textOrNone(row, "job"),
+    return {large_json::text(row, "image"), real(row, "room"), large_json::textOrEmpty(row, "job"),
             isSetIfPresent(row, "late")};
 }
 
--- a/libs/net/answer_deadline.h
+++ b/libs/net/answer_deadline.h
@@ -7,11 +7,11 @@
 
 namespace zinniabarrow::net {
 
-struct call_patience
+struct call_time_limits
 {
-    duration begins; // until the first byte of the answer
-    duration stalls; // between two parts of it
-    duration whole;  // until its last byte
+    duration untilFirstByte; // until the first byte of the answer
+    duration betweenParts;   // between two parts of it
+    duration untilLastByte;  // until its last byte
 };
 
 // A large answer takes a slow link longer than any small one, and says nothing about the peer: as
@@ -21,19 +21,22 @@
 class answer_deadline
 {
 public:
-    answer_deadline(const call_patience &patience, time_point sentAt)
-        : m_stalls(patience.stalls)
-        , m_last(sentAt + patience.whole)
-        , m_lateAt(std::min(sentAt + patience.begins, m_last))
+    answer_deadline(const call_time_limits &patience, time_point sentAt)
+        : m_betweenParts(patience.betweenParts)
+        , m_finalDeadline(sentAt + patience.untilLastByte)
+        , m_currentDeadline(std::min(sentAt + patience.untilFirstByte, m_finalDeadline))
     { }
 
-    void partCame(time_point now) { m_lateAt = std::min(now + m_stalls, m_last); }
-    time_point lateAt() const { return m_lateAt; }
+    void extendAfterPart(time_point now)
+    {
+        m_currentDeadline = std::min(now + m_betweenParts, m_finalDeadline);
+    }
+    time_point currentDeadline() const { return m_currentDeadline; }
 
 private:
-    duration m_stalls;
-    time_point m_last;
-    time_point m_lateAt;
+    duration m_betweenParts;
+    time_point m_finalDeadline;
+    time_point m_currentDeadline;
 };
 
 } // namespace zinniabarrow::net
--- a/libs/net/event_loop.cpp
+++ b/libs/net/event_loop.cpp
@@ -15,10 +15,10 @@
 
 time_point suspendAwareNow()
 {
-    timespec reading{};
-    clock_gettime(CLOCK_BOOTTIME, &reading);
+    timespec bootTime{};
+    clock_gettime(CLOCK_BOOTTIME, &bootTime);
     return time_point(std::chrono::duration_cast<duration>(
-            std::chrono::seconds(reading.tv_sec) + std::chrono::nanoseconds(reading.tv_nsec)));
+            std::chrono::seconds(bootTime.tv_sec) + std::chrono::nanoseconds(bootTime.tv_nsec)));
 }
 
 event_loop::event_loop()
@@ -40,14 +40,14 @@
 
 event_loop::~event_loop() = default;
 
-void event_loop::run(const std::function<void(const std::exception &)> &failed)
+void event_loop::run(const std::function<void(const std::exception &)> &onError)
 {
     const auto work = asio::make_work_guard(m_impl->io);
     while (!m_impl->io.stopped()) {
         try {
             m_impl->io.run();
         } catch (const std::exception &problem) {
-            failed(problem);
+            onError(problem);
         }
     }
 }
@@ -62,41 +62,41 @@
     asio::post(m_impl->io, std::move(work));
 }
 
-void event_loop::after(duration delay, std::function<void()> work)
+void event_loop::runAfter(duration delay, std::function<void()> work)
 {
     auto timer = std::make_shared<asio::steady_timer>(m_impl->io, delay);
     const auto due = suspendAwareNow() + delay;
-    m_impl->lateness.armed(due);
+    m_impl->timerLateness.addTimer(due);
     timer->async_wait([this, timer, due, work = std::move(work)](const auto &failure) {
         if (failure)
             return;
-        m_impl->lateness.fired(due, suspendAwareNow());
+        m_impl->timerLateness.recordFired(due, suspendAwareNow());
         work();
     });
 }
 
 duration event_loop::lateness() const
 {
-    return m_impl->lateness.worst(suspendAwareNow());
+    return m_impl->timerLateness.maxLateness(suspendAwareNow());
 }
 
-duration event_loop::overdue() const
+duration event_loop::overdueTime() const
 {
-    return m_impl->lateness.overdue(suspendAwareNow());
+    return m_impl->timerLateness.overdueTime(suspendAwareNow());
 }
 
-void event_loop::every(duration period, std::function<void()> work)
+void event_loop::runEvery(duration period, std::function<void()> work)
 {
-    after(period, [this, period, work = std::move(work)]() mutable {
+    runAfter(period, [this, period, work = std::move(work)]() mutable {
         // Renewals and reports go on after a turn that fails: who waits for them would wait for
         // good.
         try {
             work();
         } catch (...) {
-            every(period, std::move(work));
+            runEvery(period, std::move(work));
             throw;
         }
-        every(period, std::move(work));
+        runEvery(period, std::move(work));
     });
 }
 
--- a/libs/net/event_loop.h
+++ b/libs/net/event_loop.h
@@ -28,15 +28,16 @@
 
     // Returns after stop(). A callback that throws ends, and nothing else: one message that can't
     // be read must not take the process, and all that it owns, with it. `failed` hears of it.
-    void run(const std::function<void(const std::exception &)> &failed);
+    void run(const std::function<void(const std::exception &)> &onError);
     void stop(); // from any callback
     void post(std::function<void()> work);
-    void after(duration delay, std::function<void()> work);
+    void runAfter(duration delay, std::function<void()> work);
     // Repeats until the loop stops; the next turn is counted from the end of the last.
-    void every(duration period, std::function<void()> work);
+    void runEvery(duration period, std::function<void()> work);
     // How late timers fired, at most, over the last seconds: how far the loop is behind.
     duration lateness() const;
-    duration overdue() const; // of the first timer that has come due: what came since may wait, too
+    duration
+    overdueTime() const; // of the first timer that has come due: what came since may wait, too
 
     struct impl;
     impl &internals() { return *m_impl; }
--- a/libs/net/event_loop_impl.h
+++ b/libs/net/event_loop_impl.h
@@ -13,24 +13,24 @@
 namespace zinniabarrow::net {
 
 // Buffers of connections: how much of a body is read at once, and what an idle connection keeps.
-constexpr std::size_t ReadAtOnce = 64 * 1024;
-constexpr std::size_t KeptBuffer = 4 * 1024;
+constexpr std::size_t MaxReadBytes = 64 * 1024;
+constexpr std::size_t MaxIdleBufferBytes = 4 * 1024;
 
 // Once the head is read. Without room for it a large body is read in pieces of the buffer's first
 // size, half a kilobyte, each with a call of the system.
 template <typename Buffer, typename Parser>
-void makeRoomForBody(Buffer &buffer, const Parser &parser)
+void reserveBodyBuffer(Buffer &buffer, const Parser &parser)
 {
     const auto left = parser.content_length_remaining();
     if (left && *left > 0)
-        buffer.reserve(std::min<std::size_t>(*left, ReadAtOnce));
+        buffer.reserve(std::min<std::size_t>(*left, MaxReadBytes));
 }
 
 // An idle connection does not keep the memory of a large message.
 template <typename Buffer>
-void dropLargeRoom(Buffer &buffer)
+void shrinkLargeBuffer(Buffer &buffer)
 {
-    if (buffer.capacity() > KeptBuffer)
+    if (buffer.capacity() > MaxIdleBufferBytes)
         buffer.shrink_to_fit();
 }
 
@@ -38,7 +38,7 @@
 {
     boost::asio::io_context io{1}; // one thread: no locks inside
     boost::asio::signal_set signals{io};
-    loop_lateness lateness;
+    loop_lateness timerLateness;
 };
 
 } // namespace zinniabarrow::net
--- a/libs/net/http_caller.cpp
+++ b/libs/net/http_caller.cpp
@@ -27,7 +27,7 @@
     return std::chrono::steady_clock::time_point(at.time_since_epoch());
 }
 
-struct kept_connection
+struct pooled_connection
 {
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
@@ -45,9 +45,9 @@
 
     event_loop &loop;
     caller_limits limits;
-    std::map<std::string, std::list<std::unique_ptr<kept_connection>>> idle;
+    std::map<std::string, std::list<std::unique_ptr<pooled_connection>>> idle;
 
-    std::unique_ptr<kept_connection> take(const std::string &peer)
+    std::unique_ptr<pooled_connection> takeConnection(const std::string &peer)
     {
         auto &pool = idle[peer];
         const auto now = suspendAwareNow();
@@ -56,19 +56,19 @@
             pool.pop_back();
             // A connection that carries bytes or an end before its next request is not used again:
             // the bytes would be taken for the answer of that request.
-            const bool silent = peek(link->stream.socket()) == socket_peek::Nothing;
-            if (now - link->idleSince < limits.idleAtMost && silent)
+            const bool isSilent = peek(link->stream.socket()) == socket_peek::Nothing;
+            if (now - link->idleSince < limits.maxIdleTime && isSilent)
                 return link;
         }
         return nullptr;
     }
 
-    void giveBack(const std::string &peer, std::unique_ptr<kept_connection> link)
+    void returnConnection(const std::string &peer, std::unique_ptr<pooled_connection> link)
     {
         auto &pool = idle[peer];
-        if (pool.size() >= limits.idlePerPeer)
+        if (pool.size() >= limits.maxIdlePerPeer)
             return;
-        dropLargeRoom(link->buffer);
+        shrinkLargeBuffer(link->buffer);
         link->idleSince = suspendAwareNow();
         link->stream.expires_never();
         pool.push_back(std::move(link));
@@ -81,12 +81,12 @@
 {
 public:
     pending_call(std::shared_ptr<http_caller::shared_state> state, std::string peer,
-                 const http_request &request, large_call how, http_caller::call_done done)
+                 const http_request &request, large_call options, http_caller::call_callback done)
         : m_state(std::move(state))
         , m_peer(std::move(peer))
-        , m_how(std::move(how))
-        , m_deadline(m_how.patience, monotonic_clock::now())
-        , m_done(std::move(done))
+        , m_options(std::move(options))
+        , m_deadline(m_options.timeLimits, monotonic_clock::now())
+        , m_callback(std::move(done))
     {
         m_request.version(11);
         m_request.method_string(request.method);
@@ -104,8 +104,8 @@
 
     void start()
     {
-        m_link = m_state->take(m_peer);
-        if (m_link) {
+        m_connection = m_state->takeConnection(m_peer);
+        if (m_connection) {
             send();
             return;
         }
@@ -115,8 +115,8 @@
 private:
     void connect()
     {
-        m_link = std::make_unique<kept_connection>(
-                kept_connection{beast::tcp_stream(m_state->loop.internals().io), {}, {}});
+        m_connection = std::make_unique<pooled_connection>(
+                pooled_connection{beast::tcp_stream(m_state->loop.internals().io), {}, {}});
         socket_address address;
         try {
             address = parseAddress(m_peer);
@@ -127,68 +127,71 @@
         const auto ip = asio::ip::make_address(address.address, badAddress);
         if (badAddress)
             return finish(call_failure::NotConnected);
-        const auto connectUntil = std::min(m_deadline.lateAt(),
-                                           monotonic_clock::now() + m_state->limits.connectWithin);
-        m_link->stream.expires_at(steadyTime(connectUntil));
+        const auto connectDeadline =
+                std::min(m_deadline.currentDeadline(),
+                         monotonic_clock::now() + m_state->limits.connectTimeout);
+        m_connection->stream.expires_at(steadyTime(connectDeadline));
         auto self = shared_from_this();
-        m_link->stream.async_connect(
+        m_connection->stream.async_connect(
                 tcp::endpoint(ip, static_cast<unsigned short>(address.port)),
-                [self](const beast::error_code &failure) { self->connected(failure); });
+                [self](const beast::error_code &failure) { self->handleConnected(failure); });
     }
 
-    void connected(const beast::error_code &failure)
+    void handleConnected(const beast::error_code &failure)
     {
         if (failure == asio::error::connection_refused)
-            return finish(call_failure::Refused);
+            return finish(call_failure::ConnectionRefused);
         if (failure)
             return finish(call_failure::NotConnected);
         beast::error_code ignored; // without it requests are only slower
-        m_link->stream.socket().set_option(tcp::no_delay(true), ignored);
+        m_connection->stream.socket().set_option(tcp::no_delay(true), ignored);
         send();
     }
 
     void send()
     {
-        m_link->stream.expires_at(steadyTime(m_deadline.lateAt()));
+        m_connection->stream.expires_at(steadyTime(m_deadline.currentDeadline()));
         auto self = shared_from_this();
-        http::async_write(
-                m_link->stream, m_request,
-                [self](const beast::error_code &failure, std::size_t) { self->sent(failure); });
+        http::async_write(m_connection->stream, m_request,
+                          [self](const beast::error_code &failure, std::size_t) {
+                              self->handleSent(failure);
+                          });
     }
 
-    void sent(const beast::error_code &failure)
+    void handleSent(const beast::error_code &failure)
     {
         if (failure)
             return finish(failureOf(failure));
         m_parser.emplace();
-        m_parser->body_limit(m_how.answerBytes);
+        m_parser->body_limit(m_options.answerBytesLimit);
         receive();
     }
 
     void receive()
     {
-        m_link->stream.expires_at(steadyTime(m_deadline.lateAt()));
+        m_connection->stream.expires_at(steadyTime(m_deadline.currentDeadline()));
         auto self = shared_from_this();
-        http::async_read_some(
-                m_link->stream, m_link->buffer, *m_parser,
-                [self](const beast::error_code &problem, std::size_t) { self->partCame(problem); });
+        http::async_read_some(m_connection->stream, m_connection->buffer, *m_parser,
+                              [self](const beast::error_code &problem, std::size_t) {
+                                  self->handlePart(problem);
+                              });
     }
 
-    void partCame(const beast::error_code &failure)
+    void handlePart(const beast::error_code &failure)
     {
         if (failure)
             return finish(failureOf(failure));
-        m_deadline.partCame(monotonic_clock::now());
-        if (m_parser->is_header_done() && !std::exchange(m_begun, true)) {
-            makeRoomForBody(m_link->buffer, *m_parser);
-            m_how.begun(m_parser->content_length().value_or(0));
+        m_deadline.extendAfterPart(monotonic_clock::now());
+        if (m_parser->is_header_done() && !std::exchange(m_isHeadReceived, true)) {
+            reserveBodyBuffer(m_connection->buffer, *m_parser);
+            m_options.onHead(m_parser->content_length().value_or(0));
         }
         if (m_parser->is_done())
-            return received();
+            return finishWithAnswer();
         receive();
     }
 
-    void received()
+    void finishWithAnswer()
     {
         auto message = m_parser->release();
         http_response answer;
@@ -197,40 +200,40 @@
             answer.headers[std::string(field.name_string())] = std::string(field.value());
         answer.body = std::move(message.body());
         if (message.keep_alive())
-            m_state->giveBack(m_peer, std::move(m_link));
+            m_state->returnConnection(m_peer, std::move(m_connection));
         finish(std::move(answer));
     }
 
     static call_failure failureOf(const beast::error_code &failure)
     {
         if (failure == beast::error::timeout)
-            return call_failure::Late;
+            return call_failure::TimedOut;
         if (failure == http::error::body_limit)
             return call_failure::TooLarge;
-        return call_failure::Cut;
+        return call_failure::IncompleteAnswer;
     }
 
     void finish(call_result result)
     {
-        m_link.reset();
+        m_connection.reset();
         // Connections can go silent for good without a reset: those that were kept beside this one
         // may have, too, and each would cost a call its whole time.
         const auto *failure = std::get_if<call_failure>(&result);
         if (failure != nullptr && mayHaveArrived(*failure))
             m_state->idle.erase(m_peer);
         // From the loop, never from inside call(): the caller's own state is whole by then.
-        m_state->loop.post([done = std::move(m_done), result = std::move(result)]() mutable {
+        m_state->loop.post([done = std::move(m_callback), result = std::move(result)]() mutable {
             done(std::move(result));
         });
     }
 
     std::shared_ptr<http_caller::shared_state> m_state;
     std::string m_peer;
-    large_call m_how;
+    large_call m_options;
     answer_deadline m_deadline;
-    bool m_begun = false;
-    http_caller::call_done m_done;
-    std::unique_ptr<kept_connection> m_link;
+    bool m_isHeadReceived = false;
+    http_caller::call_callback m_callback;
+    std::unique_ptr<pooled_connection> m_connection;
     http::request<http::string_body> m_request;
     std::optional<http::response_parser<http::string_body>> m_parser;
 };
@@ -243,17 +246,18 @@
 
 http_caller::~http_caller() = default;
 
-void http_caller::call(const std::string &peer, http_request request, duration within,
-                       call_done done)
+void http_caller::call(const std::string &peer, http_request request, duration timeLimit,
+                       call_callback done)
 {
     call(peer, std::move(request),
-         large_call{{within, within, within}, m_state->limits.answerBytes}, std::move(done));
+         large_call{{timeLimit, timeLimit, timeLimit}, m_state->limits.answerBytesLimit},
+         std::move(done));
 }
 
-void http_caller::call(const std::string &peer, http_request request, large_call how,
-                       call_done done)
+void http_caller::call(const std::string &peer, http_request request, large_call options,
+                       call_callback done)
 {
-    std::make_shared<pending_call>(m_state, peer, request, std::move(how), std::move(done))
+    std::make_shared<pending_call>(m_state, peer, request, std::move(options), std::move(done))
             ->start();
 }
 
--- a/libs/net/http_listener.cpp
+++ b/libs/net/http_listener.cpp
@@ -40,19 +40,19 @@
     listener_limits limits;
     handler serve;
     tcp::acceptor acceptor;
-    std::list<connection *> open;
+    std::list<connection *> connections;
     std::size_t inFlight = 0;
-    bool closing = false;  // each connection ends with its next answer
-    bool draining = false; // and those that wait for a request end at once
+    bool isClosing = false;  // each connection ends with its next answer
+    bool isDraining = false; // and those that wait for a request end at once
 };
 
 namespace {
 
 // A caller that breaks off during a burst of connections must not make others wait for a SYN that
 // is sent again after a second.
-constexpr int Backlog = 1024;
+constexpr int ListenBacklog = 1024;
 // Of a connection that a draining listener took last: some round trips to a caller.
-constexpr milliseconds FirstRequestWithin{100};
+constexpr milliseconds FirstRequestTimeout{100};
 
 enum class connection_phase { Idle, Reading, Answering, Writing, Ended };
 
@@ -62,9 +62,9 @@
     connection(tcp::socket socket, std::shared_ptr<http_listener::shared_state> state)
         : m_stream(std::move(socket))
         , m_state(std::move(state))
-        , m_patience(m_stream.get_executor())
+        , m_readTimer(m_stream.get_executor())
     {
-        m_place = m_state->open.insert(m_state->open.end(), this);
+        m_position = m_state->connections.insert(m_state->connections.end(), this);
     }
     ~connection() { end(); }
     connection(const connection &) = delete;
@@ -72,8 +72,8 @@
 
     connection_phase phase() const
     {
-        return m_phase == connection_phase::Idle && headBegun() ? connection_phase::Reading
-                                                                : m_phase;
+        return m_phase == connection_phase::Idle && hasPartialHead() ? connection_phase::Reading
+                                                                     : m_phase;
     }
     bool hasUnreadBytes() { return peek(m_stream.socket()) == socket_peek::Bytes; }
 
@@ -81,14 +81,14 @@
     {
         m_phase = connection_phase::Idle;
         m_parser.emplace();
-        m_parser->body_limit(m_state->limits.bodyBytes);
-        m_parser->header_limit(static_cast<std::uint32_t>(m_state->limits.headerBytes));
+        m_parser->body_limit(m_state->limits.maxRequestBytes);
+        m_parser->header_limit(static_cast<std::uint32_t>(m_state->limits.maxHeadBytes));
         m_stream.expires_never();
-        waitAtMost(m_state->limits.idleAtMost, &connection::idleTooLong);
+        startReadTimer(m_state->limits.maxIdleTime, &connection::handleIdleTimeout);
         readHead();
         // An answer that was on its way out as the drain began may have promised to keep the
         // connection.
-        if (m_state->draining)
+        if (m_state->isDraining)
             drain();
     }
 
@@ -96,10 +96,10 @@
     {
         if (m_phase != connection_phase::Idle)
             return;
-        if (m_exchange > 0)
+        if (m_requestNumber > 0)
             return endIfIdle();
         // Its first request may be on its way still.
-        waitAtMost(FirstRequestWithin, &connection::endIfIdle);
+        startReadTimer(FirstRequestTimeout, &connection::endIfIdle);
     }
 
     // Bytes may have been taken from the socket for a read whose callback waits its turn: only the
@@ -111,7 +111,10 @@
             m_stream.socket().cancel(ignored);
     }
 
-    void answerNow(const http_response &answer) { answered(m_exchange, answer); }
+    void answerCurrentRequest(const http_response &answer)
+    {
+        handleAnswer(m_requestNumber, answer);
+    }
 
 private:
     void end()
@@ -119,24 +122,24 @@
         if (m_phase == connection_phase::Ended)
             return;
         m_phase = connection_phase::Ended;
-        m_patience.cancel();
-        m_state->open.erase(m_place);
+        m_readTimer.cancel();
+        m_state->connections.erase(m_position);
         beast::error_code ignored; // nothing is left to send
         m_stream.socket().close(ignored);
     }
 
     // A request that has begun, or that has come and was not read yet, is still taken.
-    void idleTooLong()
+    void handleIdleTimeout()
     {
-        waitAtMost(m_state->limits.readWithin, &connection::end);
+        startReadTimer(m_state->limits.readTimeout, &connection::end);
         endIfIdle();
     }
 
     // The stream's own time limit closes the socket, whatever has come meanwhile.
-    void waitAtMost(milliseconds time, void (connection::*then)())
+    void startReadTimer(milliseconds time, void (connection::*then)())
     {
-        m_patience.expires_after(time);
-        m_patience.async_wait([weak = weak_from_this(), then](const beast::error_code &failure) {
+        m_readTimer.expires_after(time);
+        m_readTimer.async_wait([weak = weak_from_this(), then](const beast::error_code &failure) {
             const auto self = weak.lock();
             if (!failure && self)
                 (*self.*then)();
@@ -144,44 +147,45 @@
     }
 
     // A head that came in part stays in the buffer, but for a whole request line, which is parsed.
-    bool headBegun() const { return m_buffer.size() > 0 || m_parser->got_some(); }
+    bool hasPartialHead() const { return m_buffer.size() > 0 || m_parser->got_some(); }
 
     void readHead()
     {
         auto self = shared_from_this();
-        http::async_read_header(
-                m_stream, m_buffer, *m_parser,
-                [self](const beast::error_code &failure, std::size_t) { self->headRead(failure); });
+        http::async_read_header(m_stream, m_buffer, *m_parser,
+                                [self](const beast::error_code &failure, std::size_t) {
+                                    self->handleHead(failure);
+                                });
     }
 
-    void headRead(const beast::error_code &failure)
+    void handleHead(const beast::error_code &failure)
     {
         if (failure == asio::error::operation_aborted)
-            return readCancelled();
+            return handleReadCancelled();
         if (failure || m_parser->is_done())
-            return requestRead(failure);
+            return handleRequest(failure);
         m_phase = connection_phase::Reading;
-        waitAtMost(m_state->limits.readWithin, &connection::end);
-        makeRoomForBody(m_buffer, *m_parser);
+        startReadTimer(m_state->limits.readTimeout, &connection::end);
+        reserveBodyBuffer(m_buffer, *m_parser);
         auto self = shared_from_this();
         http::async_read(m_stream, m_buffer, *m_parser,
                          [self](const beast::error_code &problem, std::size_t) {
-                             self->requestRead(problem);
+                             self->handleRequest(problem);
                          });
     }
 
-    void readCancelled()
+    void handleReadCancelled()
     {
         if (m_phase == connection_phase::Ended)
             return;
-        if (!headBegun() && peek(m_stream.socket()) != socket_peek::Bytes)
+        if (!hasPartialHead() && peek(m_stream.socket()) != socket_peek::Bytes)
             return end();
         readHead();
     }
 
-    void requestRead(const beast::error_code &failure)
+    void handleRequest(const beast::error_code &failure)
     {
-        m_patience.cancel();
+        m_readTimer.cancel();
         if (failure == http::error::body_limit) {
             m_keepAlive = false;
             return write({413, {}, R"({"error":"request_too_large"})"});
@@ -196,19 +200,20 @@
         for (const auto &field : message)
             request.headers[std::string(field.name_string())] = std::string(field.value());
         request.body = std::move(message.body());
-        dropLargeRoom(m_buffer);
+        shrinkLargeBuffer(m_buffer);
         ++m_state->inFlight;
         m_phase = connection_phase::Answering;
         auto self = shared_from_this();
-        m_state->serve(std::move(request), [self, exchange = ++m_exchange](http_response answer) {
-            self->answered(exchange, std::move(answer));
-        });
+        m_state->serve(std::move(request),
+                       [self, requestNumber = ++m_requestNumber](http_response answer) {
+                           self->handleAnswer(requestNumber, std::move(answer));
+                       });
     }
 
     // Ignores all but the first answer to the present request.
-    void answered(std::uint64_t exchange, http_response answer)
+    void handleAnswer(std::uint64_t requestNumber, http_response answer)
     {
-        if (exchange != m_exchange || m_phase != connection_phase::Answering)
+        if (requestNumber != m_requestNumber || m_phase != connection_phase::Answering)
             return;
         --m_state->inFlight;
         write(std::move(answer));
@@ -225,23 +230,23 @@
         if (!answer.body.empty() && answer.headers.find("Content-Type") == answer.headers.end())
             m_answer->set(http::field::content_type, "application/json");
         m_answer->body() = std::move(answer.body);
-        const bool keep = m_keepAlive && !m_state->closing;
-        m_answer->keep_alive(keep);
+        const bool shouldKeepOpen = m_keepAlive && !m_state->isClosing;
+        m_answer->keep_alive(shouldKeepOpen);
         m_answer->prepare_payload();
-        m_stream.expires_after(m_state->limits.writeWithin);
+        m_stream.expires_after(m_state->limits.writeTimeout);
         auto self = shared_from_this();
         http::async_write(m_stream, *m_answer,
-                          [self, keep](const beast::error_code &failure, std::size_t) {
-                              self->written(failure, keep);
+                          [self, shouldKeepOpen](const beast::error_code &failure, std::size_t) {
+                              self->handleWritten(failure, shouldKeepOpen);
                           });
     }
 
-    void written(const beast::error_code &failure, bool keep)
+    void handleWritten(const beast::error_code &failure, bool shouldKeepOpen)
     {
         m_answer.reset();
         if (failure)
             return end();
-        if (!keep) {
+        if (!shouldKeepOpen) {
             beast::error_code ignored; // the peer may have closed first; nothing is left to send
             m_stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
             return end();
@@ -251,19 +256,19 @@
 
     beast::tcp_stream m_stream;
     std::shared_ptr<http_listener::shared_state> m_state;
-    asio::steady_timer m_patience; // with the peer, until its request is whole
+    asio::steady_timer m_readTimer; // with the peer, until its request is whole
     beast::flat_buffer m_buffer;
     std::optional<http::request_parser<http::string_body>> m_parser;
     std::optional<http::response<http::string_body>> m_answer;
-    std::list<connection *>::iterator m_place;
+    std::list<connection *>::iterator m_position;
     connection_phase m_phase = connection_phase::Idle;
-    std::uint64_t m_exchange = 0; // number of the present request
+    std::uint64_t m_requestNumber = 0; // number of the present request
     bool m_keepAlive = true;
 };
 
-void take(tcp::socket socket, const std::shared_ptr<http_listener::shared_state> &state)
+void startConnection(tcp::socket socket, const std::shared_ptr<http_listener::shared_state> &state)
 {
-    if (state->open.size() >= state->limits.connections)
+    if (state->connections.size() >= state->limits.connectionLimit)
         return;
     beast::error_code ignored; // without it answers are only slower
     socket.set_option(tcp::no_delay(true), ignored);
@@ -271,14 +276,14 @@
 }
 
 // Connections that were made and wait to be accepted; those that come later are refused.
-void takeLast(const std::shared_ptr<http_listener::shared_state> &state)
+void acceptRemaining(const std::shared_ptr<http_listener::shared_state> &state)
 {
     beast::error_code failure;
     state->acceptor.non_blocking(true, failure);
     do {
         auto socket = state->acceptor.accept(failure);
         if (!failure)
-            take(std::move(socket), state);
+            startConnection(std::move(socket), state);
     } while (!failure || failure == asio::error::connection_aborted);
     state->acceptor.close(failure);
 }
@@ -287,9 +292,9 @@
 {
     state->acceptor.async_accept([state](const beast::error_code &failure, tcp::socket socket) {
         if (!failure)
-            take(std::move(socket), state);
-        if (state->draining && state->acceptor.is_open())
-            return takeLast(state);
+            startConnection(std::move(socket), state);
+        if (state->isDraining && state->acceptor.is_open())
+            return acceptRemaining(state);
         if (state->acceptor.is_open())
             acceptNext(state);
     });
@@ -307,7 +312,7 @@
         m_state->acceptor.open(where.protocol());
         m_state->acceptor.set_option(tcp::acceptor::reuse_address(true));
         m_state->acceptor.bind(where);
-        m_state->acceptor.listen(Backlog);
+        m_state->acceptor.listen(ListenBacklog);
     } catch (const boost::system::system_error &problem) {
         throw error(error_kind::BadSettings,
                     "cannot listen at " + toText(address) + ": " + problem.what());
@@ -323,28 +328,28 @@
 
 void http_listener::announceClose()
 {
-    m_state->closing = true;
+    m_state->isClosing = true;
 }
 
 void http_listener::drain()
 {
-    m_state->closing = true;
-    m_state->draining = true;
+    m_state->isClosing = true;
+    m_state->isDraining = true;
     beast::error_code ignored; // no accept is out on a broken socket
     m_state->acceptor.cancel(ignored);
-    for (auto *one : m_state->open)
-        one->drain();
+    for (auto *openConnection : m_state->connections)
+        openConnection->drain();
 }
 
-bool http_listener::drained() const
+bool http_listener::isDrained() const
 {
-    return m_state->draining && !m_state->acceptor.is_open() && m_state->open.empty();
+    return m_state->isDraining && !m_state->acceptor.is_open() && m_state->connections.empty();
 }
 
 void http_listener::answerAll(const http_response &answer)
 {
-    for (auto *one : m_state->open)
-        one->answerNow(answer);
+    for (auto *openConnection : m_state->connections)
+        openConnection->answerCurrentRequest(answer);
 }
 
 std::size_t http_listener::inFlight() const
@@ -354,27 +359,27 @@
 
 listener_activity http_listener::activity() const
 {
-    listener_activity seen;
-    for (auto *one : m_state->open) {
-        switch (one->phase()) {
+    listener_activity counts;
+    for (auto *openConnection : m_state->connections) {
+        switch (openConnection->phase()) {
         case connection_phase::Idle:
-            ++seen.idle;
-            seen.unread += one->hasUnreadBytes() ? 1 : 0;
+            ++counts.idle;
+            counts.unread += openConnection->hasUnreadBytes() ? 1 : 0;
             break;
         case connection_phase::Reading:
-            ++seen.reading;
+            ++counts.reading;
             break;
         case connection_phase::Answering:
-            ++seen.answering;
+            ++counts.answering;
             break;
         case connection_phase::Writing:
-            ++seen.writing;
+            ++counts.writing;
             break;
         case connection_phase::Ended:
             break;
         }
     }
-    return seen;
+    return counts;
 }
 
 socket_address http_listener::address() const
--- a/libs/net/http_listener.h
+++ b/libs/net/http_listener.h
@@ -13,12 +13,12 @@
 
 struct listener_limits
 {
-    std::size_t bodyBytes = 256 * 1024;  // a larger request is answered 413
-    std::size_t headerBytes = 16 * 1024; // a larger head ends the connection
-    std::size_t connections = 1500;      // beyond: closed at once, so that descriptors remain
-    milliseconds readWithin{10'000};     // a request is whole this long after its head
-    milliseconds idleAtMost{60'000};     // between requests; one that has begun gets readWithin
-    milliseconds writeWithin{10'000};    // an answer is taken whole within this
+    std::size_t maxRequestBytes = 256 * 1024; // a larger request is answered 413
+    std::size_t maxHeadBytes = 16 * 1024;     // a larger head ends the connection
+    std::size_t connectionLimit = 1500;       // beyond: closed at once, so that descriptors remain
+    milliseconds readTimeout{10'000};         // a request is whole this long after its head
+    milliseconds maxIdleTime{60'000};  // between requests; one that has begun gets readWithin
+    milliseconds writeTimeout{10'000}; // an answer is taken whole within this
 };
 
 // What the open connections are at, at one moment.
@@ -49,7 +49,7 @@
     // Takes no more connections than those that wait to be accepted. Each ends once what has come
     // on it is answered: at once where nothing has.
     void drain();
-    bool drained() const;                        // after drain(): no connection is open any more
+    bool isDrained() const;                      // after drain(): no connection is open any more
     void answerAll(const http_response &answer); // each request that has no answer yet
     std::size_t inFlight() const;                // requests read and not yet answered
     listener_activity activity() const;
--- a/libs/net/loop_lateness.h
+++ b/libs/net/loop_lateness.h
@@ -13,41 +13,42 @@
 public:
     static constexpr milliseconds Window{1000}; // a look covers the present one and the one before
 
-    void armed(time_point due) { m_pending.insert(due); }
+    void addTimer(time_point due) { m_pendingTimers.insert(due); }
 
-    void fired(time_point due, time_point now)
+    void recordFired(time_point due, time_point now)
     {
-        m_pending.erase(m_pending.find(due));
-        turn(now);
-        m_worst = std::max(m_worst, now - due);
+        m_pendingTimers.erase(m_pendingTimers.find(due));
+        advanceWindow(now);
+        m_windowMax = std::max(m_windowMax, now - due);
     }
 
-    duration worst(time_point now)
+    duration maxLateness(time_point now)
     {
-        turn(now);
-        return std::max(m_worst, m_worstBefore);
+        advanceWindow(now);
+        return std::max(m_windowMax, m_previousWindowMax);
     }
 
     // How long the first timer that should have fired has waited for it.
-    duration overdue(time_point now) const
+    duration overdueTime(time_point now) const
     {
-        return m_pending.empty() ? duration{} : std::max(now - *m_pending.begin(), duration{});
+        return m_pendingTimers.empty() ? duration{}
+                                       : std::max(now - *m_pendingTimers.begin(), duration{});
     }
 
 private:
-    void turn(time_point now)
+    void advanceWindow(time_point now)
     {
-        if (now < m_turnsAt)
+        if (now < m_windowEndsAt)
             return;
-        m_worstBefore = now < m_turnsAt + Window ? m_worst : duration{};
-        m_worst = {};
-        m_turnsAt = now + Window;
+        m_previousWindowMax = now < m_windowEndsAt + Window ? m_windowMax : duration{};
+        m_windowMax = {};
+        m_windowEndsAt = now + Window;
     }
 
-    std::multiset<time_point> m_pending; // due times
-    time_point m_turnsAt{};
-    duration m_worst{};
-    duration m_worstBefore{};
+    std::multiset<time_point> m_pendingTimers; // due times
+    time_point m_windowEndsAt{};
+    duration m_windowMax{};
+    duration m_previousWindowMax{};
 };
 
 } // namespace zinniabarrow::net
--- a/libs/placement/plan.cpp
+++ b/libs/placement/plan.cpp
@@ -114,7 +114,7 @@
         ++next;
         const auto freeCapacity = workerLedger.size() - workerLedger.reserved()
                                   + m_preemptionPlanner.stoppingReservations(slot);
-        auto shortfall = largest(workerLedger.deferred() - freeCapacity, resources{});
+        auto shortfall = maxOfEach(workerLedger.deferred() - freeCapacity, resources{});
         const auto excessBytes = expectedBytes(slot) - workerLedger.size().bytes;
         shortfall.bytes = std::min(shortfall.bytes, std::max<std::int64_t>(excessBytes, 0));
         if (shortfall == resources{})
--- a/libs/placement/preemption_planner.cpp
+++ b/libs/placement/preemption_planner.cpp
@@ -12,7 +12,7 @@
 
 resources positivePart(const resources &amount)
 {
-    return largest(amount, resources{});
+    return maxOfEach(amount, resources{});
 }
 
 } // namespace
@@ -130,7 +130,7 @@
     for (const int slot : m_workers.pool(request.pool).slots) {
         if (m_workers.at(slot).isQuarantined || slot == request.excludedSlot)
             continue;
-        const auto shortfall = largest(shortfallOn(slot, request), quotaShortfall);
+        const auto shortfall = maxOfEach(shortfallOn(slot, request), quotaShortfall);
         keepIfCheaper(best, request, slot, chooseVictims(slot, shortfall, rank, team));
     }
     return best.plan;
--- a/libs/placement/reservation_ledger.cpp
+++ b/libs/placement/reservation_ledger.cpp
@@ -62,7 +62,7 @@
         return false;
     auto &reservation = found->second;
     m_deferred -= reservation.wanted - reservation.reserved;
-    reservation.wanted = largest(reservation.reserved, wanted);
+    reservation.wanted = maxOfEach(reservation.reserved, wanted);
     m_deferred += reservation.wanted - reservation.reserved;
     grantDeferred();
     return reservation.wanted == reservation.reserved;
--- a/libs/placement/scheduler.cpp
+++ b/libs/placement/scheduler.cpp
@@ -64,7 +64,7 @@
     state.largestWorker = pool.largestWorkerSize;
     state.configured = true;
     for (const int slot : state.slots)
-        state.largestWorker = largest(state.largestWorker, m_workers.at(slot).info.size);
+        state.largestWorker = maxOfEach(state.largestWorker, m_workers.at(slot).info.size);
     ++state.capacityRevision;
 }
 
@@ -88,7 +88,7 @@
         const auto count = static_cast<std::int64_t>(tasks);
         teamUsage.pendingSum +=
                 {demand.millicores * count, demand.bytes * count, demand.accelerators * count};
-        teamUsage.largestPending = largest(teamUsage.largestPending, demand);
+        teamUsage.largestPending = maxOfEach(teamUsage.largestPending, demand);
     };
     for (int rank = 0; rank < RankCount; ++rank) {
         const auto &teams = m_queue.teamsAtRank(rank);
@@ -104,7 +104,7 @@
             add(*found.job, 1);
     }
     // Demand that the workers here cannot hold would take quota from placers whose workers can.
-    const auto freeCapacity = largest(m_workers.total() - teamUsage.reservedSum, resources{});
+    const auto freeCapacity = maxOfEach(m_workers.total() - teamUsage.reservedSum, resources{});
     teamUsage.pendingSum = smallest(teamUsage.pendingSum, freeCapacity);
     if (!teamUsage.largestPending.fitsIn(freeCapacity))
         teamUsage.largestPending = {};
--- a/libs/placement/worker_table.cpp
+++ b/libs/placement/worker_table.cpp
@@ -60,7 +60,7 @@
     worker.pool = poolNumber(info.pool);
     auto &workerPool = pool(worker.pool);
     workerPool.firstWorkerAt = std::min(workerPool.firstWorkerAt, now);
-    workerPool.largestWorker = largest(workerPool.largestWorker, info.size);
+    workerPool.largestWorker = maxOfEach(workerPool.largestWorker, info.size);
     setInService(slot, true);
 }
 
@@ -71,7 +71,7 @@
         m_total += size - worker.info.size;
     worker.info.size = size;
     worker.ledger.resize(size);
-    pool(worker.pool).largestWorker = largest(pool(worker.pool).largestWorker, size);
+    pool(worker.pool).largestWorker = maxOfEach(pool(worker.pool).largestWorker, size);
     updateFreeCapacity(slot);
 }
 
--- a/libs/request/admission.cpp
+++ b/libs/request/admission.cpp
@@ -337,7 +337,7 @@
 // With the same answer for all, the refused would come back together and be refused together.
 milliseconds admission::retryAfterFor(error_kind kind, time_point now)
 {
-    const auto fixed = answerFor(kind).comeBackAfter;
+    const auto fixed = answerFor(kind).suggestedRetryDelay;
     if (fixed.count() == 0 || kind == error_kind::Draining)
         return fixed;
     const time_point latest = now + m_settings.maxRetryAfter;
--- a/libs/request/retry_budget.cpp
+++ b/libs/request/retry_budget.cpp
@@ -54,7 +54,7 @@
                                                    time_point now) const
 {
     const auto &answer = answerFor(failed.kind);
-    if (answer.ran != executed::No)
+    if (answer.execution != executed::No)
         return retry_denial::MayHaveRun;
     if (!answer.retryElsewhere)
         return retry_denial::SameElsewhere;
--- a/libs/runtime/body_stream.cpp
+++ b/libs/runtime/body_stream.cpp
@@ -8,20 +8,20 @@
     : m_deadline(deadline)
 { }
 
-bool body_ring::start(std::function<void()> interrupt)
+bool body_ring::attachReceiver(std::function<void()> interrupt)
 {
     const std::lock_guard lock(m_mutex);
     m_interrupt = std::move(interrupt);
     return !m_stopped;
 }
 
-void body_ring::expect(std::optional<std::uint64_t> bytes)
+void body_ring::setDeclaredLength(std::optional<std::uint64_t> bytes)
 {
     const std::lock_guard lock(m_mutex);
-    m_declared = bytes;
+    m_declaredBytes = bytes;
 }
 
-void body_ring::detach()
+void body_ring::detachReceiver()
 {
     const std::lock_guard lock(m_mutex);
     m_interrupt = nullptr;
@@ -31,24 +31,24 @@
 {
     std::unique_lock lock(m_mutex);
     const auto hasRoom = [&] {
-        return m_stopped || m_bytes == 0 || m_bytes + size <= StreamRingBytes;
+        return m_stopped || m_bufferedBytes == 0 || m_bufferedBytes + size <= StreamRingBytes;
     };
     // A caller that reads slowly slows the upstream; one that does not read at all must not keep
     // the upstream's slot for longer than the request may take.
     if (!hasRoom()) {
-        const auto from = monotonic_clock::now();
+        const auto waitBegan = monotonic_clock::now();
         if (!m_changed.wait_until(lock, m_deadline, hasRoom))
             failLocked(error_kind::AnswerLate);
-        m_waited += std::chrono::duration_cast<duration>(monotonic_clock::now() - from);
+        m_receiverWait += std::chrono::duration_cast<duration>(monotonic_clock::now() - waitBegan);
     }
     if (m_stopped)
         return m_end;
-    m_bytes += size;
+    m_bufferedBytes += size;
     m_chunks.emplace_back(data, size);
     // The parts of an answer that will be whole wake nobody: its end does, once.
-    const bool wanted = m_bytes > m_wantedBytes;
+    const bool shouldWakeReader = m_bufferedBytes > m_wakeAboveBytes;
     lock.unlock();
-    if (wanted)
+    if (shouldWakeReader)
         m_changed.notify_all();
     return std::nullopt;
 }
@@ -56,50 +56,51 @@
 void body_ring::finish(body_end end)
 {
     end_observer observer;
-    duration waited{};
+    duration receiverWait{};
     {
         const std::lock_guard lock(m_mutex);
         m_finished = true;
         if (!m_end)
             m_end = end;
         end = m_end;
-        waited = m_waited;
+        receiverWait = m_receiverWait;
         observer = std::exchange(m_observer, nullptr);
     }
     m_changed.notify_all();
     if (observer)
-        observer(end, waited);
+        observer(end, receiverWait);
 }
 
-bool body_ring::waitForEnd(std::size_t bytes)
+bool body_ring::waitForEndOrBytes(std::size_t bytes)
 {
     std::unique_lock lock(m_mutex);
-    m_wantedBytes = bytes;
-    const auto decided = [&] { return m_finished || m_stopped || m_bytes > bytes; };
-    if (!m_changed.wait_until(lock, m_deadline, decided))
+    m_wakeAboveBytes = bytes;
+    const auto isDecided = [&] { return m_finished || m_stopped || m_bufferedBytes > bytes; };
+    if (!m_changed.wait_until(lock, m_deadline, isDecided))
         failLocked(error_kind::AnswerLate);
     if (!m_finished && !m_stopped)
         return false;
-    return m_end || m_bytes <= bytes; // whole, but larger than that: streamed like the others
+    return m_end
+           || m_bufferedBytes <= bytes; // whole, but larger than that: streamed like the others
 }
 
-std::string body_ring::take()
+std::string body_ring::takePart()
 {
     std::unique_lock lock(m_mutex);
-    m_wantedBytes = 0;
-    const auto ready = [&] { return m_finished || m_stopped || m_bytes > 0; };
-    if (!m_changed.wait_until(lock, m_deadline, ready))
+    m_wakeAboveBytes = 0;
+    const auto hasBytesOrEnd = [&] { return m_finished || m_stopped || m_bufferedBytes > 0; };
+    if (!m_changed.wait_until(lock, m_deadline, hasBytesOrEnd))
         failLocked(error_kind::AnswerLate);
     std::string part;
-    const auto fits = [&] {
+    const auto fitsInPart = [&] {
         return part.empty() || part.size() + m_chunks.front().size() <= StreamPartBytes;
     };
-    while (!m_chunks.empty() && fits()) {
+    while (!m_chunks.empty() && fitsInPart()) {
         part += m_chunks.front();
         m_chunks.pop_front();
     }
-    m_bytes -= part.size();
-    m_taken += part.size();
+    m_bufferedBytes -= part.size();
+    m_takenBytes += part.size();
     m_changed.notify_all();
     return part;
 }
@@ -116,11 +117,11 @@
     // A reader that has taken every declared byte is done, often a moment before the receiver has
     // noted that the last byte was the last. Taken for one that went away, it would make a whole
     // answer an unknown outcome; how the answer ended is the receiver's to say.
-    const bool hasAll = m_declared && m_taken == *m_declared;
+    const bool hasAll = m_declaredBytes && m_takenBytes == *m_declaredBytes;
     if (!m_finished && !hasAll)
         failLocked(error_kind::OutcomeUnknown);
     m_chunks.clear();
-    m_bytes = 0;
+    m_bufferedBytes = 0;
 }
 
 void body_ring::observeEnd(end_observer observer)
@@ -131,9 +132,9 @@
         return;
     }
     const auto end = m_end;
-    const auto waited = m_waited;
+    const auto receiverWait = m_receiverWait;
     lock.unlock();
-    observer(end, waited);
+    observer(end, receiverWait);
 }
 
 // Without the interrupt a receiver would stay in its read, and keep a connection that nobody wants,
--- a/libs/runtime/body_stream.h
+++ b/libs/runtime/body_stream.h
@@ -38,19 +38,20 @@
 
     // --- The receiver's side. `interrupt` makes a receiver that waits for bytes come back; it is
     // never called after detach(). False: nobody wants the answer any more.
-    bool start(std::function<void()> interrupt);
-    void expect(std::optional<std::uint64_t> bytes); // as the head declares them; before push()
+    bool attachReceiver(std::function<void()> interrupt);
+    void setDeclaredLength(
+            std::optional<std::uint64_t> bytes); // as the head declares them; before push()
     // Waits for room until the deadline. An error: the body is late or not wanted any more.
     body_end push(const char *data, std::size_t size);
-    void detach(); // no interrupt from here on
+    void detachReceiver(); // no interrupt from here on
     void finish(body_end end);
 
     // --- The sender's side.
     // Waits until the body has ended (true) or more than `bytes` have come (false); at the deadline
     // the receiver is interrupted and the body has ended as late.
-    bool waitForEnd(std::size_t bytes);
+    bool waitForEndOrBytes(std::size_t bytes);
     // The next bytes in order, at most StreamPartBytes; empty at the end, see end().
-    std::string take();
+    std::string takePart();
     body_end end() const; // only once take() came back empty, or waitForEnd() was true
     void abandon();       // nobody reads any more
     // Called once, when the receiving has ended, on the thread that ends it.
@@ -63,14 +64,14 @@
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
     std::deque<std::string> m_chunks;
-    std::size_t m_bytes = 0;   // in m_chunks
-    std::uint64_t m_taken = 0; // by the reader
-    std::optional<std::uint64_t> m_declared;
-    std::size_t m_wantedBytes = 0; // the reader waits for more than these
-    duration m_waited{};           // by the receiver, for room
-    bool m_finished = false;       // by the receiver
-    bool m_stopped = false;        // abandoned or late: the receiver has to end
-    body_end m_end;                // the first reason stays
+    std::size_t m_bufferedBytes = 0; // in m_chunks
+    std::uint64_t m_takenBytes = 0;  // by the reader
+    std::optional<std::uint64_t> m_declaredBytes;
+    std::size_t m_wakeAboveBytes = 0; // the reader waits for more than these
+    duration m_receiverWait{};        // by the receiver, for room
+    bool m_finished = false;          // by the receiver
+    bool m_stopped = false;           // abandoned or late: the receiver has to end
+    body_end m_end;                   // the first reason stays
     std::function<void()> m_interrupt;
     end_observer m_observer;
 };
@@ -83,7 +84,7 @@
     body_reader(const body_reader &) = delete;
     body_reader &operator=(const body_reader &) = delete;
 
-    std::string take() { return m_ring->take(); }
+    std::string takePart() { return m_ring->takePart(); }
     body_end end() const { return m_ring->end(); }
     void observeEnd(body_ring::end_observer observer);
 
--- a/libs/runtime/event_actor.cpp
+++ b/libs/runtime/event_actor.cpp
@@ -11,7 +11,7 @@
 using wake_atom = caf::atom_constant<caf::atom("wake")>;
 using tick_atom = caf::atom_constant<caf::atom("tick")>;
 
-caf::actor_system_config &configured(caf::actor_system_config &config)
+caf::actor_system_config &configureOneThread(caf::actor_system_config &config)
 {
     // Every duty is detached and brings its own thread; the pool's threads would idle.
     config.set("scheduler.max-threads", 1);
@@ -20,23 +20,23 @@
 
 } // namespace
 
-struct duty_system::impl
+struct actor_runtime::impl
 {
     impl()
-        : system(configured(config))
+        : system(configureOneThread(config))
     { }
 
     caf::actor_system_config config;
     caf::actor_system system;
 };
 
-duty_system::duty_system()
+actor_runtime::actor_runtime()
     : m_impl(std::make_unique<impl>())
 { }
 
-duty_system::~duty_system() = default;
+actor_runtime::~actor_runtime() = default;
 
-struct duty_thread::impl
+struct actor_thread::impl
 {
     explicit impl(caf::actor_system &actorSystem)
         : system(actorSystem)
@@ -44,57 +44,57 @@
 
     caf::behavior behaviour(caf::event_based_actor *self)
     {
-        arm(self);
+        armTimer(self);
         return {
                 [this, self](wake_atom) {
                     // Cleared before draining: an event pushed meanwhile wakes again, so none is
                     // left lying in the ring.
-                    awake.store(false);
+                    isWakePending.store(false);
                     drain();
-                    arm(self);
+                    armTimer(self);
                 },
                 [this, self](tick_atom, std::uint64_t timer) {
-                    if (timer != newestTimer)
+                    if (timer != newestTimerNumber)
                         return; // an earlier deadline came up since
-                    armedFor = Never;
-                    if (ticks.next() <= monotonic_clock::now())
+                    timerDueAt = Never;
+                    if (ticks.nextTickAt() <= monotonic_clock::now())
                         ticks.tick();
-                    arm(self);
+                    armTimer(self);
                 },
         };
     }
 
     // A timer that rings before the deadline, because that was put off since, is let ring: arming
     // anew at each event would cost more than the one tick.
-    void arm(caf::event_based_actor *self)
+    void armTimer(caf::event_based_actor *self)
     {
-        const auto at = std::max(ticks.next(), startAt);
-        if (at >= armedFor)
+        const auto dueAt = std::max(ticks.nextTickAt(), ticksAllowedFrom);
+        if (dueAt >= timerDueAt)
             return;
-        armedFor = at;
-        const auto pause = std::max<duration>(at - monotonic_clock::now(), ShortestPause);
-        self->delayed_send(self, pause, tick_atom::value, ++newestTimer);
+        timerDueAt = dueAt;
+        const auto delay = std::max<duration>(dueAt - monotonic_clock::now(), MinTimerDelay);
+        self->delayed_send(self, delay, tick_atom::value, ++newestTimerNumber);
     }
 
     // A tick that leaves its deadline where it was would otherwise take the whole core.
-    static constexpr milliseconds ShortestPause{1};
+    static constexpr milliseconds MinTimerDelay{1};
     // The duty's owner is still being constructed when the thread starts.
-    static constexpr milliseconds FirstPause{10};
+    static constexpr milliseconds FirstTickDelay{10};
 
     caf::actor_system &system;
     std::function<void()> drain;
-    tick_plan ticks;
-    std::atomic<bool> awake{false};
-    std::atomic<bool> stopped{false};
+    tick_schedule ticks;
+    std::atomic<bool> isWakePending{false};
+    std::atomic<bool> isStopped{false};
     caf::actor actor;
 
     // Touched by the duty's thread alone.
-    const time_point startAt = monotonic_clock::now() + FirstPause;
-    time_point armedFor = Never;
-    std::uint64_t newestTimer = 0;
+    const time_point ticksAllowedFrom = monotonic_clock::now() + FirstTickDelay;
+    time_point timerDueAt = Never;
+    std::uint64_t newestTimerNumber = 0;
 };
 
-tick_plan everyPeriod(duration period, std::function<void()> tick)
+tick_schedule periodicTicks(duration period, std::function<void()> tick)
 {
     if (period.count() == 0)
         return {[] { return Never; }, [] {}};
@@ -107,7 +107,7 @@
             }};
 }
 
-duty_thread::duty_thread(duty_system &system, std::function<void()> drain, tick_plan ticks)
+actor_thread::actor_thread(actor_runtime &system, std::function<void()> drain, tick_schedule ticks)
     : m_impl(std::make_unique<impl>(system.internals().system))
 {
     m_impl->drain = std::move(drain);
@@ -117,20 +117,20 @@
             [state](caf::event_based_actor *self) { return state->behaviour(self); });
 }
 
-duty_thread::~duty_thread()
+actor_thread::~actor_thread()
 {
     stop();
 }
 
-void duty_thread::wake()
+void actor_thread::wake()
 {
-    if (!m_impl->awake.exchange(true))
+    if (!m_impl->isWakePending.exchange(true))
         caf::anon_send(m_impl->actor, wake_atom::value);
 }
 
-void duty_thread::stop()
+void actor_thread::stop()
 {
-    if (m_impl->stopped.exchange(true))
+    if (m_impl->isStopped.exchange(true))
         return;
     caf::scoped_actor self(m_impl->system);
     self->send_exit(m_impl->actor, caf::exit_reason::user_shutdown);
--- a/libs/runtime/event_actor.h
+++ b/libs/runtime/event_actor.h
@@ -15,13 +15,13 @@
 namespace zinniabarrow {
 
 // Owns the actor system. Outlives every duty started on it.
-class duty_system
+class actor_runtime
 {
 public:
-    duty_system();
-    ~duty_system();
-    duty_system(const duty_system &) = delete;
-    duty_system &operator=(const duty_system &) = delete;
+    actor_runtime();
+    ~actor_runtime();
+    actor_runtime(const actor_runtime &) = delete;
+    actor_runtime &operator=(const actor_runtime &) = delete;
 
     struct impl;
     impl &internals() { return *m_impl; }
@@ -33,21 +33,21 @@
 // What a duty does though nothing happens, and when: Never, or the earliest of its deadlines.
 // `next` is asked after each drain and tick. A tick wakes two threads, so a duty at rest should
 // have few.
-struct tick_plan
+struct tick_schedule
 {
-    std::function<time_point()> next;
+    std::function<time_point()> nextTickAt;
     std::function<void()> tick;
 };
-tick_plan everyPeriod(duration period, std::function<void()> tick); // 0: never
+tick_schedule periodicTicks(duration period, std::function<void()> tick); // 0: never
 
 // The thread of a duty: runs `drain` after each wake, and `ticks.tick` when its time has come.
-class duty_thread
+class actor_thread
 {
 public:
-    duty_thread(duty_system &system, std::function<void()> drain, tick_plan ticks);
-    ~duty_thread();
-    duty_thread(const duty_thread &) = delete;
-    duty_thread &operator=(const duty_thread &) = delete;
+    actor_thread(actor_runtime &system, std::function<void()> drain, tick_schedule ticks);
+    ~actor_thread();
+    actor_thread(const actor_thread &) = delete;
+    actor_thread &operator=(const actor_thread &) = delete;
 
     void wake(); // from any thread; wakes that come before the drain are joined into one
     void stop(); // returns after the last drain; calling it twice is fine
@@ -59,19 +59,19 @@
 
 // A duty that handles events of one type in the order of its ring.
 template <typename Event>
-class duty
+class event_actor
 {
 public:
-    duty(duty_system &system, std::size_t capacity, std::function<void(Event &)> handle,
-         duration tickEvery, std::function<void()> tick)
+    event_actor(actor_runtime &system, std::size_t capacity, std::function<void(Event &)> handle,
+                duration tickEvery, std::function<void()> tick)
         : m_ring(capacity)
         , m_handle(std::move(handle))
         , m_thread(
-                  system, [this] { drain(); }, everyPeriod(tickEvery, std::move(tick)))
+                  system, [this] { drain(); }, periodicTicks(tickEvery, std::move(tick)))
     { }
 
-    duty(duty_system &system, std::size_t capacity, std::function<void(Event &)> handle,
-         tick_plan ticks)
+    event_actor(actor_runtime &system, std::size_t capacity, std::function<void(Event &)> handle,
+                tick_schedule ticks)
         : m_ring(capacity)
         , m_handle(std::move(handle))
         , m_thread(
@@ -88,7 +88,7 @@
     }
 
     void stop() { m_thread.stop(); }
-    std::size_t waiting() const { return m_ring.size(); }
+    std::size_t queuedCount() const { return m_ring.size(); }
 
 private:
     void drain()
@@ -99,7 +99,7 @@
 
     bounded_ring<Event> m_ring;
     std::function<void(Event &)> m_handle;
-    duty_thread m_thread;
+    actor_thread m_thread;
 };
 
 } // namespace zinniabarrow
--- a/libs/runtime/http.cpp
+++ b/libs/runtime/http.cpp
@@ -28,36 +28,36 @@
 // The kernel's own would grow to several MiB for each connection, and hold a large answer that its
 // caller does not take. 256 KiB carry 40 MB/s over a way of 3 ms.
 constexpr int SocketBufferBytes = 256 * 1024;
-constexpr std::size_t RefusingThreads = 8;
-constexpr std::size_t RefusalsWaiting = 64;
-constexpr milliseconds RefuseWithin{250}; // to read a request only in order to refuse it
+constexpr std::size_t RefusalThreads = 8;
+constexpr std::size_t MaxPendingRefusals = 64;
+constexpr milliseconds RefusalTimeout{250}; // to read a request only in order to refuse it
 constexpr std::size_t RequestsPerConnection = 1U << 30U;
 // Before the listening socket is closed. Looks and not a time: a process that stood still has
 // looked at nothing meanwhile.
-constexpr int LooksForWaiting = 1000;
-constexpr milliseconds LookForWaitingEvery{1};
+constexpr int MaxAcceptChecks = 1000;
+constexpr milliseconds AcceptCheckInterval{1};
 
 constexpr name_table<call_failure, 5> CallFailureNames{{
         {call_failure::NotConnected, "not_connected"},
-        {call_failure::Refused, "refused"},
-        {call_failure::Cut, "cut"},
-        {call_failure::Late, "late"},
+        {call_failure::ConnectionRefused, "refused"},
+        {call_failure::IncompleteAnswer, "cut"},
+        {call_failure::TimedOut, "late"},
         {call_failure::TooLarge, "too_large"},
 }};
 
 constexpr name_table<connection_event, 6> ConnectionEventNames{{
-        {connection_event::AllInUse, "all_in_use"},
-        {connection_event::AddressShare, "address_share"},
-        {connection_event::RefusalsFull, "refusals_full"},
-        {connection_event::RequestTooSlow, "request_too_slow"},
-        {connection_event::AnswerNotTaken, "answer_not_taken"},
-        {connection_event::MadeRoom, "made_room"},
+        {connection_event::NoFreeThread, "all_in_use"},
+        {connection_event::AddressLimitReached, "address_share"},
+        {connection_event::RefusalQueueFull, "refusals_full"},
+        {connection_event::RequestTimedOut, "request_too_slow"},
+        {connection_event::AnswerWriteTimedOut, "answer_not_taken"},
+        {connection_event::StalledConnectionClosed, "made_room"},
 }};
 
 // How the thread that runs a connection has to treat it.
-enum class treatment { Admit, Serve, Refuse, Drop };
-thread_local treatment treatAs = treatment::Serve;
-thread_local connection_stream *servedStream = nullptr;
+enum class connection_handling { Admit, Serve, Refuse, Drop };
+thread_local connection_handling currentHandling = connection_handling::Serve;
+thread_local connection_stream *currentStream = nullptr;
 
 // Runs each connection on a thread of a bounded pool. Connections beyond the bound take the thread
 // of one that stalls, or go to a few threads that refuse at once; without them such a connection
@@ -65,39 +65,42 @@
 class bounded_task_queue : public httplib::TaskQueue
 {
 public:
-    bounded_task_queue(std::size_t bound, connection_book &book, http_server::observer noteEvent)
-        : m_bound(bound)
-        , m_book(book)
-        , m_noteEvent(std::move(noteEvent))
-        , m_main(bound)
-        , m_refusing(RefusingThreads)
+    bounded_task_queue(std::size_t bound, connection_table &book, http_server::observer onEvent)
+        : m_connectionLimit(bound)
+        , m_connectionTable(book)
+        , m_onEvent(std::move(onEvent))
+        , m_servingThreads(bound)
+        , m_refusalThreads(RefusalThreads)
     { }
 
     // On the thread that accepts. Whose connection it is decides first: counted before that, those
     // beyond their address's share would leave no thread to others until threads had looked at
     // them.
-    void enqueue(std::function<void()> connection) override { runAs(treatment::Admit, connection); }
+    void enqueue(std::function<void()> connection) override
+    {
+        runWith(connection_handling::Admit, connection);
+    }
 
     // False: every thread has a connection, and none of them stalls.
-    bool takeThread()
+    bool reserveThread()
     {
-        if (m_busy.load() >= m_bound) {
-            if (!m_book.makeRoom(monotonic_clock::now())) {
-                m_noteEvent(connection_event::AllInUse);
+        if (m_busyThreads.load() >= m_connectionLimit) {
+            if (!m_connectionTable.closeLongestStalled(monotonic_clock::now())) {
+                m_onEvent(connection_event::NoFreeThread);
                 return false;
             }
-            m_noteEvent(connection_event::MadeRoom);
+            m_onEvent(connection_event::StalledConnectionClosed);
         }
-        ++m_busy;
+        ++m_busyThreads;
         return true;
     }
 
     // On the thread that was taken for it.
     void serve(std::function<void()> connection)
     {
-        m_main.enqueue([this, connection = std::move(connection)] {
+        m_servingThreads.enqueue([this, connection = std::move(connection)] {
             connection();
-            --m_busy;
+            --m_busyThreads;
         });
     }
 
@@ -105,54 +108,55 @@
     // closed at once: the refusal of a well-behaved caller must not wait behind them all.
     void refuse(std::function<void()> connection)
     {
-        if (m_waiting.load() >= RefusalsWaiting) {
-            m_noteEvent(connection_event::RefusalsFull);
-            runAs(treatment::Drop, connection);
+        if (m_pendingRefusals.load() >= MaxPendingRefusals) {
+            m_onEvent(connection_event::RefusalQueueFull);
+            runWith(connection_handling::Drop, connection);
             return;
         }
-        ++m_waiting;
-        m_refusing.enqueue([this, connection = std::move(connection)] {
-            runAs(treatment::Refuse, connection);
-            --m_waiting;
+        ++m_pendingRefusals;
+        m_refusalThreads.enqueue([this, connection = std::move(connection)] {
+            runWith(connection_handling::Refuse, connection);
+            --m_pendingRefusals;
         });
     }
 
     void shutdown() override
     {
-        m_main.shutdown();
-        m_refusing.shutdown();
+        m_servingThreads.shutdown();
+        m_refusalThreads.shutdown();
     }
 
 private:
-    static void runAs(treatment how, const std::function<void()> &connection)
+    static void runWith(connection_handling how, const std::function<void()> &connection)
     {
-        treatAs = how;
+        currentHandling = how;
         connection();
-        treatAs = treatment::Serve;
+        currentHandling = connection_handling::Serve;
     }
 
-    const std::size_t m_bound;
-    connection_book &m_book;
-    http_server::observer m_noteEvent;
-    std::atomic<std::size_t> m_busy{0};
-    std::atomic<std::size_t> m_waiting{0}; // to be refused
-    httplib::ThreadPool m_main;
-    httplib::ThreadPool m_refusing;
+    const std::size_t m_connectionLimit;
+    connection_table &m_connectionTable;
+    http_server::observer m_onEvent;
+    std::atomic<std::size_t> m_busyThreads{0};
+    std::atomic<std::size_t> m_pendingRefusals{0}; // to be refused
+    httplib::ThreadPool m_servingThreads;
+    httplib::ThreadPool m_refusalThreads;
 };
 
 // cpp-httplib's server with its connections under deadlines and bounds.
 class bounded_server : public httplib::Server
 {
 public:
-    bounded_server(const http_server_limits &limits, http_server::observer noteEvent)
+    bounded_server(const http_server_limits &limits, http_server::observer onEvent)
         : m_limits(limits)
         , m_refusalLimits(limits)
-        , m_noteEvent(std::move(noteEvent))
+        , m_onEvent(std::move(onEvent))
     {
-        m_refusalLimits.readWithin = RefuseWithin;
-        m_refusalLimits.writeWithin = RefuseWithin;
+        m_refusalLimits.readTimeout = RefusalTimeout;
+        m_refusalLimits.writeTimeout = RefusalTimeout;
         new_task_queue = [this] {
-            m_queue = new bounded_task_queue(m_limits.connections, m_book, m_noteEvent);
+            m_queue =
+                    new bounded_task_queue(m_limits.connectionLimit, m_connectionTable, m_onEvent);
             return m_queue; // httplib deletes it when it has stopped
         };
     }
@@ -160,15 +164,15 @@
 private:
     bool process_and_close_socket(socket_t socket) override // NOLINT(readability-identifier-naming)
     {
-        if (treatAs == treatment::Admit)
+        if (currentHandling == connection_handling::Admit)
             return admit(socket);
-        if (treatAs == treatment::Serve) {
-            connection_stream stream(socket, m_book, m_limits);
-            serveAll(stream);
-            m_book.close(socket);
-        } else if (treatAs == treatment::Refuse) {
-            connection_stream stream(socket, m_book, m_refusalLimits);
-            serveOne(stream, monotonic_clock::now() + RefuseWithin, true);
+        if (currentHandling == connection_handling::Serve) {
+            connection_stream stream(socket, m_connectionTable, m_limits);
+            serveRequests(stream);
+            m_connectionTable.remove(socket);
+        } else if (currentHandling == connection_handling::Refuse) {
+            connection_stream stream(socket, m_connectionTable, m_refusalLimits);
+            serveRequest(stream, monotonic_clock::now() + RefusalTimeout, true);
         }
         shutdown(socket, SHUT_RDWR);
         close(socket);
@@ -180,62 +184,63 @@
         const auto run = [this, socket] { process_and_close_socket(socket); };
         std::string address;
         int port = 0;
-        connection_stream(socket, m_book, m_limits).get_remote_ip_and_port(address, port);
-        if (!m_book.hasShare(address, m_limits.perAddress)) {
-            m_noteEvent(connection_event::AddressShare);
+        connection_stream(socket, m_connectionTable, m_limits)
+                .get_remote_ip_and_port(address, port);
+        if (!m_connectionTable.isBelowAddressLimit(address, m_limits.maxPerAddress)) {
+            m_onEvent(connection_event::AddressLimitReached);
             m_queue->refuse(run);
-        } else if (!m_queue->takeThread()) {
+        } else if (!m_queue->reserveThread()) {
             m_queue->refuse(run);
         } else {
-            m_book.open(socket, address);
+            m_connectionTable.add(socket, address);
             m_queue->serve(run);
         }
         return true;
     }
 
-    void serveAll(connection_stream &stream)
+    void serveRequests(connection_stream &stream)
     {
-        while (serveOne(stream, monotonic_clock::now() + m_limits.keepAlive, false)) { }
-        if (stream.requestTooSlow())
-            m_noteEvent(connection_event::RequestTooSlow);
-        if (stream.answerNotTaken())
-            m_noteEvent(connection_event::AnswerNotTaken);
+        while (serveRequest(stream, monotonic_clock::now() + m_limits.keepAliveTimeout, false)) { }
+        if (stream.hasRequestTimedOut())
+            m_onEvent(connection_event::RequestTimedOut);
+        if (stream.hasWriteTimedOut())
+            m_onEvent(connection_event::AnswerWriteTimedOut);
     }
 
     // False when the connection is over.
-    bool serveOne(connection_stream &stream, time_point deadline, bool last)
+    bool serveRequest(connection_stream &stream, time_point deadline, bool isLastRequest)
     {
         const auto closing = [this] { return svr_sock_ == INVALID_SOCKET; };
         if (!stream.waitForRequest(deadline, closing))
             return false;
         bool closed = false;
-        servedStream = &stream;
-        const bool whole = process_request(stream, last, closed, nullptr);
-        servedStream = nullptr;
-        return whole && !closed;
+        currentStream = &stream;
+        const bool isComplete = process_request(stream, isLastRequest, closed, nullptr);
+        currentStream = nullptr;
+        return isComplete && !closed;
     }
 
     const http_server_limits &m_limits;
     http_server_limits m_refusalLimits;
-    http_server::observer m_noteEvent;
-    connection_book m_book;
+    http_server::observer m_onEvent;
+    connection_table m_connectionTable;
     bounded_task_queue *m_queue = nullptr;
 };
 
 // httplib would cut ranges out of the answer and compress it by itself, on top of what the upstream
 // made of these headers: the caller would get another body than its answer's.
-void leaveToUpstream(httplib::Request &request)
+void disableRangesAndCompression(httplib::Request &request)
 {
     request.ranges.clear();
     request.headers.erase("Accept-Encoding");
 }
 
-void boundBuffer(socket_t socket, int option)
+void setBufferSize(socket_t socket, int option)
 {
     setsockopt(socket, SOL_SOCKET, option, &SocketBufferBytes, sizeof SocketBufferBytes);
 }
 
-http_request requestOf(const httplib::Request &from)
+http_request toRequest(const httplib::Request &from)
 {
     http_request request;
     request.method = from.method;
@@ -258,7 +263,7 @@
 // the last chunk, so that the caller sees an error and never a short success.
 bool sendPart(body_reader &stream, httplib::DataSink &sink, bool chunked)
 {
-    const auto part = stream.take();
+    const auto part = stream.takePart();
     if (!part.empty())
         return sink.write(part.data(), part.size());
     if (!chunked || stream.end())
@@ -269,23 +274,25 @@
 
 // `held` lives until the body has been sent.
 void streamResponse(httplib::Response &to, const http_response &from, const std::string &type,
-                    const std::shared_ptr<void> &held)
+                    const std::shared_ptr<void> &inFlightGuard)
 {
     const auto stream = from.stream;
     if (from.streamBytes) {
-        to.set_content_provider(*from.streamBytes, type,
-                                [stream, held](std::size_t, std::size_t, httplib::DataSink &sink) {
-                                    return sendPart(*stream, sink, false);
-                                });
+        to.set_content_provider(
+                *from.streamBytes, type,
+                [stream, inFlightGuard](std::size_t, std::size_t, httplib::DataSink &sink) {
+                    return sendPart(*stream, sink, false);
+                });
         return;
     }
-    to.set_chunked_content_provider(type, [stream, held](std::size_t, httplib::DataSink &sink) {
-        return sendPart(*stream, sink, true);
-    });
+    to.set_chunked_content_provider(type,
+                                    [stream, inFlightGuard](std::size_t, httplib::DataSink &sink) {
+                                        return sendPart(*stream, sink, true);
+                                    });
 }
 
 void fillResponse(httplib::Response &to, const http_response &from,
-                  const std::shared_ptr<void> &held = nullptr)
+                  const std::shared_ptr<void> &inFlightGuard = nullptr)
 {
     to.status = from.status;
     for (const auto &[name, value] : from.headers) {
@@ -296,7 +303,7 @@
     if (type.empty())
         type = "application/json";
     if (from.stream)
-        streamResponse(to, from, type, held);
+        streamResponse(to, from, type, inFlightGuard);
     else
         to.set_content(from.body, type);
 }
@@ -315,20 +322,20 @@
 
 bool mayHaveArrived(call_failure failure)
 {
-    return failure != call_failure::NotConnected && failure != call_failure::Refused;
+    return failure != call_failure::NotConnected && failure != call_failure::ConnectionRefused;
 }
 
 std::span<const connection_event> connectionEvents()
 {
     using enum connection_event;
-    static constexpr std::array All{AllInUse,       AddressShare,   RefusalsFull,
-                                    RequestTooSlow, AnswerNotTaken, MadeRoom};
+    static constexpr std::array All{NoFreeThread,    AddressLimitReached, RefusalQueueFull,
+                                    RequestTimedOut, AnswerWriteTimedOut, StalledConnectionClosed};
     return All;
 }
 
-bool header_less::operator()(const std::string &left, const std::string &right) const
+bool header_less::operator()(const std::string &remaining, const std::string &right) const
 {
-    return strcasecmp(left.c_str(), right.c_str()) < 0;
+    return strcasecmp(remaining.c_str(), right.c_str()) < 0;
 }
 
 std::string http_request::path() const
@@ -360,27 +367,27 @@
 
 namespace {
 
-constexpr std::size_t LineEnd = 2; // CR LF
-constexpr std::size_t HeaderExtra = std::string_view(": ").size() + LineEnd;
+constexpr std::size_t LineEndBytes = 2; // CR LF
+constexpr std::size_t HeaderOverheadBytes = std::string_view(": ").size() + LineEndBytes;
 constexpr std::string_view Version = "HTTP/1.1";
 constexpr std::string_view StatusLine = "HTTP/1.1 200 OK\r\n";
 
 template <typename Headers>
 std::size_t headerBytes(const Headers &headers)
 {
-    std::size_t bytes = LineEnd; // the empty line
+    std::size_t bytes = LineEndBytes; // the empty line
     for (const auto &[name, value] : headers) {
         // httplib puts the connection's ends among the headers; they were never sent.
         if (name.starts_with("REMOTE_") || name.starts_with("LOCAL_"))
             continue;
-        bytes += name.size() + value.size() + HeaderExtra;
+        bytes += name.size() + value.size() + HeaderOverheadBytes;
     }
     return bytes;
 }
 
 std::size_t requestLineBytes(const std::string &method, const std::string &target)
 {
-    return method.size() + 1 + target.size() + 1 + Version.size() + LineEnd;
+    return method.size() + 1 + target.size() + 1 + Version.size() + LineEndBytes;
 }
 
 } // namespace
@@ -397,8 +404,9 @@
     http_headers headers = answer.headers;
     headers["Content-Length"] = std::to_string(answer.body.size());
     headers["Content-Type"] = "application/json";
-    headers["Keep-Alive"] = "timeout=" + std::to_string(http_server_limits().keepAlive.count())
-                            + ", max=" + std::to_string(RequestsPerConnection);
+    headers["Keep-Alive"] =
+            "timeout=" + std::to_string(http_server_limits().keepAliveTimeout.count())
+            + ", max=" + std::to_string(RequestsPerConnection);
     return StatusLine.size() + headerBytes(headers) + answer.body.size();
 }
 
@@ -434,7 +442,7 @@
     return address.address + ":" + std::to_string(address.port);
 }
 
-bool canConnect(const socket_address &peer, milliseconds within)
+bool canConnect(const socket_address &peer, milliseconds timeout)
 {
     const int handle = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (handle < 0)
@@ -448,7 +456,7 @@
         connected = connect(handle, where, sizeof address) == 0;
         pollfd waiting{handle, POLLOUT, 0};
         if (!connected && errno == EINPROGRESS
-            && poll(&waiting, 1, static_cast<int>(within.count())) == 1) {
+            && poll(&waiting, 1, static_cast<int>(timeout.count())) == 1) {
             int problem = 0;
             socklen_t size = sizeof problem;
             connected =
@@ -461,12 +469,12 @@
 
 struct http_server::impl
 {
-    impl(socket_address where, http_server_limits bounds, handler handle, observer noteEvent)
+    impl(socket_address where, http_server_limits bounds, handler handle, observer onEvent)
         : address(std::move(where))
         , limits(bounds)
         , serve(std::move(handle))
         , server(
-                  limits, noteEvent ? std::move(noteEvent) : [](connection_event) {})
+                  limits, onEvent ? std::move(onEvent) : [](connection_event) {})
     { }
 
     socket_address address;
@@ -480,18 +488,18 @@
 
     void answer(const httplib::Request &from, httplib::Response &to)
     {
-        if (servedStream != nullptr)
-            servedStream->serving();
-        if (treatAs == treatment::Refuse) {
+        if (currentStream != nullptr)
+            currentStream->markServing();
+        if (currentHandling == connection_handling::Refuse) {
             fillResponse(to, refusalAnswer(error_kind::Overloaded));
             to.set_header("Connection", "close");
             return;
         }
         // Until the last byte of a streamed body: a planned stop waits for it.
         ++inFlight;
-        const std::shared_ptr<void> held(nullptr, [this](void *) { --inFlight; });
+        const std::shared_ptr<void> inFlightGuard(nullptr, [this](void *) { --inFlight; });
         try {
-            fillResponse(to, serve(requestOf(from)), held);
+            fillResponse(to, serve(toRequest(from)), inFlightGuard);
         } catch (const error &problem) {
             fillResponse(to, refusalAnswer(problem.kind()));
         } catch (const std::exception &) {
@@ -502,24 +510,25 @@
     }
 
     // Closing the listening socket cuts off connections that were made and wait to be accepted.
-    void letWaitingIn() const
+    void waitUntilAllAccepted() const
     {
-        for (int looks = 0; looks < LooksForWaiting; ++looks) {
+        for (int checks = 0; checks < MaxAcceptChecks; ++checks) {
             pollfd waiting{listener, POLLIN, 0};
             if (poll(&waiting, 1, 0) != 1)
                 return;
-            std::this_thread::sleep_for(LookForWaitingEvery);
+            std::this_thread::sleep_for(AcceptCheckInterval);
         }
     }
 
     void configure()
     {
-        const auto all = [this](const httplib::Request &from, httplib::Response &to) {
+        const auto handleAny = [this](const httplib::Request &from, httplib::Response &to) {
             answer(from, to);
-            leaveToUpstream(const_cast<httplib::Request &>(from)); // made non-const by httplib
+            disableRangesAndCompression(
+                    const_cast<httplib::Request &>(from)); // made non-const by httplib
         };
-        server.Get(".*", all).Post(".*", all).Put(".*", all);
-        server.Patch(".*", all).Delete(".*", all).Options(".*", all);
+        server.Get(".*", handleAny).Post(".*", handleAny).Put(".*", handleAny);
+        server.Patch(".*", handleAny).Delete(".*", handleAny).Options(".*", handleAny);
         server.set_error_handler([](const httplib::Request &, httplib::Response &to) {
             // httplib refused by itself (broken request line, body over the bound): say why.
             if (!to.body.empty() || to.has_header(ErrorHeader))
@@ -530,23 +539,23 @@
             answer.status = to.status;
             fillResponse(to, answer);
         });
-        server.set_payload_max_length(limits.bodyBytes);
-        server.set_keep_alive_max_count(RequestsPerConnection);  // for the Keep-Alive header
-        server.set_keep_alive_timeout(limits.keepAlive.count()); // likewise
+        server.set_payload_max_length(limits.maxRequestBytes);
+        server.set_keep_alive_max_count(RequestsPerConnection);         // for the Keep-Alive header
+        server.set_keep_alive_timeout(limits.keepAliveTimeout.count()); // likewise
         server.set_tcp_nodelay(true);
         server.set_socket_options([this](socket_t socket) {
             const int on = 1;
             setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-            boundBuffer(socket, SO_SNDBUF); // connections inherit it
+            setBufferSize(socket, SO_SNDBUF); // connections inherit it
             listener = socket;
         });
     }
 };
 
 http_server::http_server(socket_address address, http_server_limits limits, handler serve,
-                         observer noteEvent)
+                         observer onEvent)
     : m_impl(std::make_unique<impl>(std::move(address), limits, std::move(serve),
-                                    std::move(noteEvent)))
+                                    std::move(onEvent)))
 {
     m_impl->configure();
 }
@@ -580,7 +589,7 @@
     if (!m_impl->acceptor.joinable())
         return;
     m_impl->closing = true;
-    m_impl->letWaitingIn();
+    m_impl->waitUntilAllAccepted();
     m_impl->server.stop();
     m_impl->acceptor.join();
 }
@@ -610,11 +619,11 @@
         client.set_decompress(false);
         client.set_url_encode(false);
         client.set_follow_location(false);
-        client.set_socket_options([](socket_t socket) { boundBuffer(socket, SO_RCVBUF); });
+        client.set_socket_options([](socket_t socket) { setBufferSize(socket, SO_RCVBUF); });
     }
 
     httplib::ClientImpl client;
-    time_point usedAt;
+    time_point lastUsedAt;
 };
 
 http_pool::http_pool(socket_address peer, http_pool_limits limits)
@@ -624,7 +633,7 @@
 
 http_pool::~http_pool() = default;
 
-std::unique_ptr<http_pool::connection> http_pool::take()
+std::unique_ptr<http_pool::connection> http_pool::takeConnection()
 {
     const auto now = monotonic_clock::now();
     const std::lock_guard lock(m_mutex);
@@ -633,7 +642,7 @@
         m_idle.pop_back();
         // A connection idle for as long as the server's keep-alive may be closed by the server just
         // as the request is sent: the outcome would be unknown for nothing.
-        if (now - candidate->usedAt < m_limits.idleAtMost && isSilent(*candidate))
+        if (now - candidate->lastUsedAt < m_limits.maxIdleTime && hasNoUnreadBytes(*candidate))
             return candidate;
     }
     return std::make_unique<connection>(m_peer);
@@ -641,23 +650,23 @@
 
 // Bytes beyond the length that the last answer declared would be read as the next one's: a caller
 // would get what belongs to another. The end of the connection shows here as well.
-bool http_pool::isSilent(const connection &link)
+bool http_pool::hasNoUnreadBytes(const connection &link)
 {
     pollfd waiting{link.client.socket(), POLLIN, 0};
     return poll(&waiting, 1, 0) == 0;
 }
 
-void http_pool::giveBack(std::unique_ptr<connection> link)
+void http_pool::returnConnection(std::unique_ptr<connection> link)
 {
-    link->usedAt = monotonic_clock::now();
+    link->lastUsedAt = monotonic_clock::now();
     const std::lock_guard lock(m_mutex);
-    if (m_idle.size() < m_limits.idleConnections)
+    if (m_idle.size() < m_limits.maxIdleConnections)
         m_idle.push_back(std::move(link));
 }
 
 namespace {
 
-httplib::Request outgoing(const http_request &request)
+httplib::Request toHttplibRequest(const http_request &request)
 {
     httplib::Request out;
     out.method = request.method;
@@ -685,8 +694,8 @@
         return body_framing::UntilClose;
     const auto text = from.get_header_value("Content-Length");
     const auto read = std::from_chars(text.data(), text.data() + text.size(), declaredBytes);
-    const bool number = read.ec == std::errc() && read.ptr == text.data() + text.size();
-    return number ? body_framing::Length : body_framing::Conflicting;
+    const bool isNumber = read.ec == std::errc() && read.ptr == text.data() + text.size();
+    return isNumber ? body_framing::Length : body_framing::Conflicting;
 }
 
 answer_head headOf(const httplib::Response &from, const std::string &echoHeader)
@@ -708,11 +717,11 @@
     case error_kind::UpstreamUnreachable:
         return call_failure::NotConnected;
     case error_kind::AnswerLate:
-        return call_failure::Late;
+        return call_failure::TimedOut;
     case error_kind::AnswerTooLarge:
         return call_failure::TooLarge;
     default:
-        return call_failure::Cut;
+        return call_failure::IncompleteAnswer;
     }
 }
 
@@ -720,19 +729,19 @@
 
 // What httplib reports of one answer goes through here: answer_check decides, the sink gets the
 // body.
-struct http_pool::intake
+struct http_pool::answer_receiver
 {
     using body_sink = std::function<std::optional<error_kind>(const char *, std::size_t)>;
 
-    intake(const http_request &request, answer_echo echo, const http_pool_limits &limits,
-           body_sink bytesTo)
+    answer_receiver(const http_request &request, answer_echo echo, const http_pool_limits &limits,
+                    body_sink bytesTo)
         : echoHeader(std::move(echo.header))
-        , answer(std::move(echo.value), request.method,
-                 {answer_limits{}.maxHeadBytes, limits.answerBytes})
+        , check(std::move(echo.value), request.method,
+                {answer_limits{}.maxHeadBytes, limits.answerBytesLimit})
         , sink(std::move(bytesTo))
     { }
 
-    bool takeHead(const httplib::Response &from)
+    bool handleHead(const httplib::Response &from)
     {
         const auto head = headOf(from, echoHeader);
         response.status = from.status;
@@ -740,14 +749,14 @@
             response.headers[name] = value;
         if (head.framing == body_framing::Length)
             response.streamBytes = head.declaredBytes;
-        headSeen = true;
-        failure = answer.head(head);
+        isHeadReceived = true;
+        failure = check.checkHead(head);
         return !failure;
     }
 
-    bool takeBody(const char *data, std::size_t size)
+    bool handleBody(const char *data, std::size_t size)
     {
-        failure = answer.body(size);
+        failure = check.checkBody(size);
         if (!failure)
             failure = sink(data, size);
         return !failure;
@@ -758,68 +767,70 @@
         if (failure)
             return failure;
         if (received)
-            return answer.end(true);
+            return check.checkEnd(true);
         if (problem == httplib::Error::Connection)
             return error_kind::UpstreamUnreachable;
         if (problem == httplib::Error::Read && monotonic_clock::now() >= deadline)
             return error_kind::AnswerLate;
-        return answer.end(false).value_or(error_kind::AnswerCut);
+        return check.checkEnd(false).value_or(error_kind::AnswerIncomplete);
     }
 
     std::string echoHeader;
-    answer_check answer;
+    answer_check check;
     body_sink sink;
     http_response response; // head, once seen
-    bool headSeen = false;
+    bool isHeadReceived = false;
     body_ring *ring = nullptr; // whose reader may interrupt the receiving
     std::optional<error_kind> failure;
 };
 
 std::optional<error_kind> http_pool::receive(const http_request &request, time_point deadline,
-                                             intake &into)
+                                             answer_receiver &into)
 {
     const auto now = monotonic_clock::now();
     if (deadline <= now)
         return error_kind::UpstreamUnreachable;
-    const auto left = std::chrono::duration_cast<microseconds>(deadline - now);
-    auto link = take();
-    link->client.set_connection_timeout(std::min<microseconds>(left, m_limits.connectTimeout));
-    link->client.set_read_timeout(left);
-    link->client.set_write_timeout(left);
-    auto out = outgoing(request);
-    out.response_handler = [&](const httplib::Response &head) { return into.takeHead(head); };
+    const auto remaining = std::chrono::duration_cast<microseconds>(deadline - now);
+    auto link = takeConnection();
+    link->client.set_connection_timeout(std::min<microseconds>(remaining, m_limits.connectTimeout));
+    link->client.set_read_timeout(remaining);
+    link->client.set_write_timeout(remaining);
+    auto out = toHttplibRequest(request);
+    out.response_handler = [&](const httplib::Response &head) { return into.handleHead(head); };
     out.content_receiver = [&](const char *data, std::size_t size, std::uint64_t, std::uint64_t) {
-        return into.takeBody(data, size);
+        return into.handleBody(data, size);
     };
     httplib::Response in;
     auto problem = httplib::Error::Success;
-    if (into.ring != nullptr && !into.ring->start([&] { link->client.stop(); }))
+    if (into.ring != nullptr && !into.ring->attachReceiver([&] { link->client.stop(); }))
         return error_kind::UpstreamUnreachable; // nobody waits any more: not a byte is sent
     const bool received = link->client.send(out, in, problem);
-    if (received && !into.headSeen) // httplib shows the head of an answer without a body only here
-        into.takeHead(in);
+    if (received
+        && !into.isHeadReceived) // httplib shows the head of an answer without a body only here
+        into.handleHead(in);
     auto end = into.end(received, problem, deadline);
     if (into.ring != nullptr)
-        into.ring->detach(); // the next user of the connection must not be interrupted
+        into.ring->detachReceiver(); // the next user of the connection must not be interrupted
     // A connection whose answer was not whole is in doubt: it goes with `link`.
     into.response.requestBytes =
             requestLineBytes(out.method, out.path) + headerBytes(out.headers) + out.body.size();
     if (!end && strcasecmp(into.response.header("Connection").c_str(), "close") != 0)
-        giveBack(std::move(link));
+        returnConnection(std::move(link));
     return end;
 }
 
 call_result http_pool::call(const http_request &request, time_point deadline)
 {
     std::string body;
-    intake into(request, {}, m_limits,
-                [&](const char *data, std::size_t size) -> std::optional<error_kind> {
-                    // The read timeout restarts with every byte: an answer that drips needs this.
-                    if (monotonic_clock::now() > deadline)
-                        return error_kind::AnswerLate;
-                    body.append(data, size);
-                    return std::nullopt;
-                });
+    answer_receiver into(request, {}, m_limits,
+                         [&](const char *data, std::size_t size) -> std::optional<error_kind> {
+                             // The read timeout restarts with every byte: an answer that drips
+                             // needs this.
+                             if (monotonic_clock::now() > deadline)
+                                 return error_kind::AnswerLate;
+                             body.append(data, size);
+                             return std::nullopt;
+                         });
     if (const auto failed = receive(request, deadline, into))
         return failureOf(*failed);
     into.response.streamBytes.reset();
@@ -827,8 +838,8 @@
     return std::move(into.response);
 }
 
-call_result http_pool::open(http_request request, time_point deadline, answer_echo echo,
-                            receivers &threads)
+call_result http_pool::callStreaming(http_request request, time_point deadline, answer_echo echo,
+                                     receiver_threads &threads)
 {
     if (deadline <= monotonic_clock::now())
         return call_failure::NotConnected;
@@ -836,23 +847,23 @@
     const auto head = std::make_shared<http_response>(); // written before the ring's first byte
     threads.run([this, ring, head, deadline, request = std::move(request),
                  echo = std::move(echo)]() mutable {
-        intake into(request, std::move(echo), m_limits, nullptr);
+        answer_receiver into(request, std::move(echo), m_limits, nullptr);
         into.ring = ring.get();
-        bool shown = false;
+        bool isHeadCopied = false;
         into.sink = [&](const char *data, std::size_t size) {
-            if (!std::exchange(shown, true)) {
+            if (!std::exchange(isHeadCopied, true)) {
                 *head = into.response;
-                ring->expect(into.response.streamBytes);
+                ring->setDeclaredLength(into.response.streamBytes);
             }
             return ring->push(data, size);
         };
         const auto end = receive(request, deadline, into);
-        if (!shown)
+        if (!isHeadCopied)
             *head = std::move(into.response);
         ring->finish(end);
     });
     const auto reader = std::make_shared<body_reader>(ring);
-    const bool ended = ring->waitForEnd(WholeAnswerBytes);
+    const bool ended = ring->waitForEndOrBytes(MaxBufferedAnswerBytes);
     if (ended && ring->end())
         return failureOf(*ring->end());
     auto response = *head;
@@ -861,7 +872,7 @@
         return response;
     }
     response.streamBytes.reset();
-    for (auto part = ring->take(); !part.empty(); part = ring->take())
+    for (auto part = ring->takePart(); !part.empty(); part = ring->takePart())
         response.body += part;
     return response;
 }
@@ -870,7 +881,7 @@
     : m_limits(limits)
 { }
 
-http_pool &http_pools::to(const std::string &address)
+http_pool &http_pools::poolFor(const std::string &address)
 {
     const std::lock_guard lock(m_mutex);
     auto &pool = m_pools[address];
--- a/libs/runtime/http.h
+++ b/libs/runtime/http.h
@@ -73,26 +73,26 @@
 std::string toText(const socket_address &address);
 
 // Does something accept connections there?
-bool canConnect(const socket_address &peer, milliseconds within);
+bool canConnect(const socket_address &peer, milliseconds timeout);
 
 struct http_server_limits
 {
-    std::size_t connections = 128;       // threads, one for each connection
-    std::size_t bodyBytes = 1024 * 1024; // a larger request body is answered 413
-    seconds keepAlive{5};                // an idle connection is closed after this
-    std::size_t perAddress = 0;          // connections of one caller's address; 0: no bound
-    milliseconds readWithin{10'000};     // a request is whole this long after its first byte
-    milliseconds writeWithin{30'000};    // an answer is taken whole within this
+    std::size_t connectionLimit = 128;         // threads, one for each connection
+    std::size_t maxRequestBytes = 1024 * 1024; // a larger request body is answered 413
+    seconds keepAliveTimeout{5};               // an idle connection is closed after this
+    std::size_t maxPerAddress = 0;             // connections of one caller's address; 0: no bound
+    milliseconds readTimeout{10'000};          // a request is whole this long after its first byte
+    milliseconds writeTimeout{30'000};         // an answer is taken whole within this
 };
 
 // Connections that the server refused or ended by itself.
 enum class connection_event {
-    AllInUse,       // refused: every thread has a connection
-    AddressShare,   // refused: the caller's address holds as many as it may
-    RefusalsFull,   // closed without an answer: too many wait to be refused
-    RequestTooSlow, // ended: the request was not whole in time
-    AnswerNotTaken, // ended: the caller did not read its answer in time
-    MadeRoom,       // ended: it stalled while others waited for a thread
+    NoFreeThread,            // refused: every thread has a connection
+    AddressLimitReached,     // refused: the caller's address holds as many as it may
+    RefusalQueueFull,        // closed without an answer: too many wait to be refused
+    RequestTimedOut,         // ended: the request was not whole in time
+    AnswerWriteTimedOut,     // ended: the caller did not read its answer in time
+    StalledConnectionClosed, // ended: it stalled while others waited for a thread
 };
 std::string_view nameOf(connection_event event);
 std::span<const connection_event> connectionEvents();
@@ -105,7 +105,7 @@
     using observer = std::function<void(connection_event)>; // on the server's threads
 
     http_server(socket_address address, http_server_limits limits, handler serve,
-                observer noteEvent = {});
+                observer onEvent = {});
     ~http_server();
     http_server(const http_server &) = delete;
     http_server &operator=(const http_server &) = delete;
@@ -126,11 +126,11 @@
 
 // How far a call got that brought no whole answer.
 enum class call_failure {
-    NotConnected, // nothing was sent
-    Refused,      // the same: nobody listens there any more
-    Cut,          // sent, and no answer came that answer_check could prove whole
-    Late,         // sent, and the deadline passed
-    TooLarge,     // the answer exceeds the bound
+    NotConnected,      // nothing was sent
+    ConnectionRefused, // the same: nobody listens there any more
+    IncompleteAnswer,  // sent, and no answer came that answer_check could prove whole
+    TimedOut,          // sent, and the deadline passed
+    TooLarge,          // the answer exceeds the bound
 };
 std::string_view nameOf(call_failure failure);
 // False: the other side knows nothing of the request.
@@ -139,7 +139,7 @@
 using call_result = std::variant<http_response, call_failure>;
 
 // An answer with a larger body is streamed by http_pool::open.
-constexpr std::size_t WholeAnswerBytes = 64 * 1024;
+constexpr std::size_t MaxBufferedAnswerBytes = 64 * 1024;
 
 // The header that the answer has to echo, so that one of an earlier request is never passed on.
 struct answer_echo
@@ -150,10 +150,10 @@
 
 struct http_pool_limits
 {
-    std::size_t idleConnections = 64; // kept for reuse
-    milliseconds idleAtMost{2500};    // below the servers' keep-alive, see http.cpp
+    std::size_t maxIdleConnections = 64; // kept for reuse
+    milliseconds maxIdleTime{2500};      // below the servers' keep-alive, see http.cpp
     milliseconds connectTimeout{500};
-    std::size_t answerBytes = 8 * 1024 * 1024; // body of an answer, held whole or streamed
+    std::size_t answerBytesLimit = 8 * 1024 * 1024; // body of an answer, held whole or streamed
 };
 
 // Connections to one peer. Each call has a connection of its own; one in doubt is dropped.
@@ -169,17 +169,17 @@
     call_result call(const http_request &request, time_point deadline);
     // The same up to WholeAnswerBytes; of a larger answer the head and a stream. The answer comes
     // in on a thread of `threads`, which must not outlive the pool.
-    call_result open(http_request request, time_point deadline, answer_echo echo,
-                     receivers &threads);
+    call_result callStreaming(http_request request, time_point deadline, answer_echo echo,
+                              receiver_threads &threads);
 
 private:
     struct connection;
-    struct intake;
+    struct answer_receiver;
     std::optional<error_kind> receive(const http_request &request, time_point deadline,
-                                      intake &into);
-    std::unique_ptr<connection> take();
-    static bool isSilent(const connection &link);
-    void giveBack(std::unique_ptr<connection> link);
+                                      answer_receiver &into);
+    std::unique_ptr<connection> takeConnection();
+    static bool hasNoUnreadBytes(const connection &link);
+    void returnConnection(std::unique_ptr<connection> link);
 
     socket_address m_peer;
     http_pool_limits m_limits;
@@ -192,7 +192,7 @@
 {
 public:
     explicit http_pools(http_pool_limits limits = {});
-    http_pool &to(const std::string &address); // "ip:port"
+    http_pool &poolFor(const std::string &address); // "ip:port"
 
 private:
     http_pool_limits m_limits;
