--- a/libs/runtime/http_connection.cpp
+++ b/libs/runtime/http_connection.cpp
@@ -14,7 +14,7 @@
 
 // How long a connection may keep its thread waiting before it gives way to a new one. Idle is above
 // the time for which our own clients reuse a connection (http_pool_limits::idleAtMost).
-std::optional<milliseconds> graceOf(connection_phase phase)
+std::optional<milliseconds> gracePeriodOf(connection_phase phase)
 {
     switch (phase) {
     case connection_phase::Idle:
@@ -29,7 +29,7 @@
     return std::nullopt; // its request may run: only its own deadline ends it
 }
 
-void addressIn(const sockaddr_storage &from, std::string &ip, int &port)
+void readAddress(const sockaddr_storage &from, std::string &ip, int &port)
 {
     std::array<char, INET6_ADDRSTRLEN> text{};
     if (from.ss_family == AF_INET) {
@@ -46,131 +46,133 @@
 
 } // namespace
 
-bool connection_book::hasShare(const std::string &address, std::size_t perAddress)
+bool connection_table::isBelowAddressLimit(const std::string &address, std::size_t perAddress)
 {
     const std::lock_guard lock(m_mutex);
-    const auto counted = m_perAddress.find(address);
-    return perAddress == 0 || counted == m_perAddress.end() || counted->second < perAddress;
+    const auto countOfAddress = m_countByAddress.find(address);
+    return perAddress == 0 || countOfAddress == m_countByAddress.end()
+           || countOfAddress->second < perAddress;
 }
 
-void connection_book::open(socket_t socket, const std::string &address)
+void connection_table::add(socket_t socket, const std::string &address)
 {
     const std::lock_guard lock(m_mutex);
-    ++m_perAddress[address];
-    m_held[socket] = {address, connection_phase::Idle, monotonic_clock::now(), false};
+    ++m_countByAddress[address];
+    m_tracked[socket] = {address, connection_phase::Idle, monotonic_clock::now(), false};
 }
 
-void connection_book::close(socket_t socket)
+void connection_table::remove(socket_t socket)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_held.find(socket);
-    const auto counted = m_perAddress.find(found->second.address);
-    if (--counted->second == 0)
-        m_perAddress.erase(counted);
-    m_held.erase(found);
+    const auto found = m_tracked.find(socket);
+    const auto countOfAddress = m_countByAddress.find(found->second.address);
+    if (--countOfAddress->second == 0)
+        m_countByAddress.erase(countOfAddress);
+    m_tracked.erase(found);
 }
 
-void connection_book::enter(socket_t socket, connection_phase phase)
+void connection_table::setPhase(socket_t socket, connection_phase phase)
 {
     const std::lock_guard lock(m_mutex);
-    const auto found = m_held.find(socket);
-    if (found == m_held.end())
+    const auto found = m_tracked.find(socket);
+    if (found == m_tracked.end())
         return; // one that is only refused has no place in the book
     found->second.phase = phase;
-    found->second.since = monotonic_clock::now();
+    found->second.phaseSince = monotonic_clock::now();
 }
 
-bool connection_book::makeRoom(time_point now)
+bool connection_table::closeLongestStalled(time_point now)
 {
     const std::lock_guard lock(m_mutex);
-    auto longest = m_held.end();
-    for (auto each = m_held.begin(); each != m_held.end(); ++each) {
-        const auto grace = graceOf(each->second.phase);
-        if (!grace || each->second.ending || each->second.since + *grace > now)
+    auto longest = m_tracked.end();
+    for (auto each = m_tracked.begin(); each != m_tracked.end(); ++each) {
+        const auto gracePeriod = gracePeriodOf(each->second.phase);
+        if (!gracePeriod || each->second.isClosing || each->second.phaseSince + *gracePeriod > now)
             continue;
-        if (longest == m_held.end() || each->second.since < longest->second.since)
+        if (longest == m_tracked.end() || each->second.phaseSince < longest->second.phaseSince)
             longest = each;
     }
-    if (longest == m_held.end())
+    if (longest == m_tracked.end())
         return false;
-    longest->second.ending = true;
+    longest->second.isClosing = true;
     shutdown(longest->first, SHUT_RDWR); // wakes its thread
     return true;
 }
 
-connection_stream::connection_stream(socket_t socket, connection_book &book,
+connection_stream::connection_stream(socket_t socket, connection_table &book,
                                      const http_server_limits &limits)
     : m_socket(socket)
-    , m_book(book)
+    , m_connectionTable(book)
     , m_limits(limits)
 { }
 
-void connection_stream::serving()
+void connection_stream::markServing()
 {
-    enter(connection_phase::Serving);
+    setPhase(connection_phase::Serving);
 }
 
-void connection_stream::enter(connection_phase phase)
+void connection_stream::setPhase(connection_phase phase)
 {
     m_phase = phase;
-    m_book.enter(m_socket, phase);
+    m_connectionTable.setPhase(m_socket, phase);
 }
 
-bool connection_stream::waitFor(short events, time_point deadline) const
+bool connection_stream::waitForSocket(short events, time_point deadline) const
 {
     pollfd waiting{m_socket, events, 0};
     while (true) {
-        const auto left = std::max<milliseconds::rep>(
+        const auto remainingMs = std::max<milliseconds::rep>(
                 std::chrono::ceil<milliseconds>(deadline - monotonic_clock::now()).count(), 0);
-        const int ready = poll(&waiting, 1, static_cast<int>(left));
-        if (ready >= 0 || errno != EINTR)
-            return ready > 0;
+        const int readyCount = poll(&waiting, 1, static_cast<int>(remainingMs));
+        if (readyCount >= 0 || errno != EINTR)
+            return readyCount > 0;
     }
 }
 
 bool connection_stream::is_readable() const
 {
-    return m_from < m_to || waitFor(POLLIN, m_readUntil);
+    return m_bufferBegin < m_bufferEnd || waitForSocket(POLLIN, m_readDeadline);
 }
 
 bool connection_stream::is_writable() const
 {
     const bool first = m_phase != connection_phase::Writing;
-    return waitFor(POLLOUT, first ? monotonic_clock::now() + m_limits.writeWithin : m_writeUntil);
+    return waitForSocket(POLLOUT,
+                         first ? monotonic_clock::now() + m_limits.writeTimeout : m_writeDeadline);
 }
 
-ssize_t connection_stream::fill()
+ssize_t connection_stream::fillBuffer()
 {
-    if (!waitFor(POLLIN, m_readUntil) || monotonic_clock::now() >= m_readUntil) {
-        m_requestTooSlow = true;
+    if (!waitForSocket(POLLIN, m_readDeadline) || monotonic_clock::now() >= m_readDeadline) {
+        m_hasRequestTimedOut = true;
         return -1;
     }
-    const auto got = recv(m_socket, m_buffer.data(), m_buffer.size(), 0);
-    m_from = 0;
-    m_to = got > 0 ? static_cast<std::size_t>(got) : 0;
-    return got;
+    const auto receivedBytes = recv(m_socket, m_buffer.data(), m_buffer.size(), 0);
+    m_bufferBegin = 0;
+    m_bufferEnd = receivedBytes > 0 ? static_cast<std::size_t>(receivedBytes) : 0;
+    return receivedBytes;
 }
 
 ssize_t connection_stream::read(char *into, size_t size)
 {
-    if (m_from == m_to) {
-        const auto got = fill();
-        if (got <= 0)
-            return got;
+    if (m_bufferBegin == m_bufferEnd) {
+        const auto receivedBytes = fillBuffer();
+        if (receivedBytes <= 0)
+            return receivedBytes;
     }
-    const auto taken = std::min(size, m_to - m_from);
-    std::memcpy(into, m_buffer.data() + m_from, taken);
-    m_from += taken;
-    return static_cast<ssize_t>(taken);
+    const auto copiedBytes = std::min(size, m_bufferEnd - m_bufferBegin);
+    std::memcpy(into, m_buffer.data() + m_bufferBegin, copiedBytes);
+    m_bufferBegin += copiedBytes;
+    return static_cast<ssize_t>(copiedBytes);
 }
 
 ssize_t connection_stream::write(const char *from, size_t size)
 {
     if (m_phase != connection_phase::Writing)
-        m_writeUntil = monotonic_clock::now() + m_limits.writeWithin;
-    enter(connection_phase::Writing);
-    if (!waitFor(POLLOUT, m_writeUntil) || monotonic_clock::now() >= m_writeUntil) {
-        m_answerNotTaken = true;
+        m_writeDeadline = monotonic_clock::now() + m_limits.writeTimeout;
+    setPhase(connection_phase::Writing);
+    if (!waitForSocket(POLLOUT, m_writeDeadline) || monotonic_clock::now() >= m_writeDeadline) {
+        m_hasWriteTimedOut = true;
         return -1;
     }
     return send(m_socket, from, size, MSG_NOSIGNAL | MSG_DONTWAIT);
@@ -181,7 +183,7 @@
     sockaddr_storage from{};
     socklen_t size = sizeof from;
     if (getpeername(m_socket, reinterpret_cast<sockaddr *>(&from), &size) == 0)
-        addressIn(from, ip, port);
+        readAddress(from, ip, port);
 }
 
 void connection_stream::get_local_ip_and_port(std::string &ip, int &port) const
@@ -189,7 +191,7 @@
     sockaddr_storage from{};
     socklen_t size = sizeof from;
     if (getsockname(m_socket, reinterpret_cast<sockaddr *>(&from), &size) == 0)
-        addressIn(from, ip, port);
+        readAddress(from, ip, port);
 }
 
 } // namespace zinniabarrow
--- a/libs/runtime/http_connection.h
+++ b/libs/runtime/http_connection.h
@@ -25,31 +25,31 @@
 };
 
 // All connections that have a thread, or were given one, by socket.
-class connection_book
+class connection_table
 {
 public:
     // False: the caller's address holds `perAddress` connections already; 0 sets no bound.
-    bool hasShare(const std::string &address, std::size_t perAddress);
-    void open(socket_t socket, const std::string &address);
-    void close(socket_t socket); // before the socket is closed: its number is used again
-    void enter(socket_t socket, connection_phase phase); // also on progress in the same phase
+    bool isBelowAddressLimit(const std::string &address, std::size_t perAddress);
+    void add(socket_t socket, const std::string &address);
+    void remove(socket_t socket); // before the socket is closed: its number is used again
+    void setPhase(socket_t socket, connection_phase phase); // also on progress in the same phase
 
     // Ends the connection that has kept its thread waiting for longest; false when none has for
     // long enough. A caller that stalls would otherwise keep others out for its whole deadline.
-    bool makeRoom(time_point now);
+    bool closeLongestStalled(time_point now);
 
 private:
-    struct held
+    struct tracked_connection
     {
         std::string address;
         connection_phase phase = connection_phase::Idle;
-        time_point since{};  // of the phase
-        bool ending = false; // shut down to make room
+        time_point phaseSince{}; // of the phase
+        bool isClosing = false;  // shut down to make room
     };
 
     std::mutex m_mutex;
-    std::map<socket_t, held> m_held;
-    std::map<std::string, std::size_t> m_perAddress;
+    std::map<socket_t, tracked_connection> m_tracked;
+    std::map<std::string, std::size_t> m_countByAddress;
 };
 
 // A connection's bytes under deadlines. cpp-httplib's own stream restarts its time limit with every
@@ -57,14 +57,14 @@
 class connection_stream : public httplib::Stream
 {
 public:
-    connection_stream(socket_t socket, connection_book &book, const http_server_limits &limits);
+    connection_stream(socket_t socket, connection_table &book, const http_server_limits &limits);
 
     // True when a request begins before the deadline; asks `closing` now and then.
     template <typename Closing>
     bool waitForRequest(time_point deadline, Closing closing);
-    void serving(); // the request is whole, the handler runs
-    bool requestTooSlow() const { return m_requestTooSlow; }
-    bool answerNotTaken() const { return m_answerNotTaken; }
+    void markServing(); // the request is whole, the handler runs
+    bool hasRequestTimedOut() const { return m_hasRequestTimedOut; }
+    bool hasWriteTimedOut() const { return m_hasWriteTimedOut; }
 
     bool is_readable() const override;                                      // NOLINT
     bool is_writable() const override;                                      // NOLINT
@@ -77,21 +77,21 @@
 private:
     static constexpr std::size_t BufferBytes = 4096; // heads are read byte by byte
 
-    bool waitFor(short events, time_point deadline) const;
-    void enter(connection_phase phase);
-    ssize_t fill();
+    bool waitForSocket(short events, time_point deadline) const;
+    void setPhase(connection_phase phase);
+    ssize_t fillBuffer();
 
     const socket_t m_socket;
-    connection_book &m_book;
+    connection_table &m_connectionTable;
     const http_server_limits &m_limits;
     connection_phase m_phase = connection_phase::Idle;
-    time_point m_readUntil{};
-    time_point m_writeUntil{};
-    bool m_requestTooSlow = false;
-    bool m_answerNotTaken = false;
+    time_point m_readDeadline{};
+    time_point m_writeDeadline{};
+    bool m_hasRequestTimedOut = false;
+    bool m_hasWriteTimedOut = false;
     std::array<char, BufferBytes> m_buffer;
-    std::size_t m_from = 0; // unread bytes of the buffer: from here
-    std::size_t m_to = 0;   // to here
+    std::size_t m_bufferBegin = 0; // unread bytes of the buffer: from here
+    std::size_t m_bufferEnd = 0;   // to here
 };
 
 template <typename Closing>
@@ -99,20 +99,20 @@
 {
     // How soon a planned stop ends an idle connection. Each look wakes a thread: at 20 ms the idle
     // connections of an entry took more processor time than all of its duties.
-    constexpr milliseconds LookEvery{250};
-    enter(connection_phase::Idle);
-    while (m_from == m_to && !closing()) {
+    constexpr milliseconds CloseCheckInterval{250};
+    setPhase(connection_phase::Idle);
+    while (m_bufferBegin == m_bufferEnd && !closing()) {
         const auto now = monotonic_clock::now();
         if (now >= deadline)
             break;
-        if (waitFor(POLLIN, std::min<time_point>(deadline, now + LookEvery)))
+        if (waitForSocket(POLLIN, std::min<time_point>(deadline, now + CloseCheckInterval)))
             break;
     }
     // What has come is read, whatever this thread was late for.
-    if (m_from == m_to && !waitFor(POLLIN, monotonic_clock::now()))
+    if (m_bufferBegin == m_bufferEnd && !waitForSocket(POLLIN, monotonic_clock::now()))
         return false;
-    enter(connection_phase::Reading);
-    m_readUntil = monotonic_clock::now() + m_limits.readWithin;
+    setPhase(connection_phase::Reading);
+    m_readDeadline = monotonic_clock::now() + m_limits.readTimeout;
     return true;
 }
 
--- a/libs/runtime/metrics.cpp
+++ b/libs/runtime/metrics.cpp
@@ -39,8 +39,9 @@
     std::map<std::string, prometheus::Family<prometheus::Counter> *> counters;
     std::map<std::string, prometheus::Gauge *> gauges;
     std::map<std::string, prometheus::Histogram *> histograms;
-    std::map<std::pair<std::string, std::string>, prometheus::Counter *> byReason;
-    std::map<std::pair<std::string, byte_direction>, prometheus::Counter *> bytes; // by kind
+    std::map<std::pair<std::string, std::string>, prometheus::Counter *> countersByReason;
+    std::map<std::pair<std::string, byte_direction>, prometheus::Counter *>
+            controlBytesCounters; // by kind
 
     prometheus::Family<prometheus::Counter> &family(std::string_view name)
     {
@@ -65,7 +66,7 @@
 void metrics::count(std::string_view name, std::string_view reason, double by)
 {
     const std::lock_guard lock(m_impl->mutex);
-    auto &counter = m_impl->byReason[{std::string(name), std::string(reason)}];
+    auto &counter = m_impl->countersByReason[{std::string(name), std::string(reason)}];
     if (!counter)
         counter = &m_impl->family(name).Add({{"reason", std::string(reason)}});
     counter->Increment(by);
@@ -74,7 +75,7 @@
 void metrics::countControlBytes(std::string_view kind, byte_direction direction, std::size_t bytes)
 {
     const std::lock_guard lock(m_impl->mutex);
-    auto &counter = m_impl->bytes[{std::string(kind), direction}];
+    auto &counter = m_impl->controlBytesCounters[{std::string(kind), direction}];
     if (!counter) {
         counter = &m_impl->family(ControlBytes)
                            .Add({{"kind", std::string(kind)},
@@ -108,22 +109,22 @@
 double metrics::value(std::string_view name, std::string_view reason) const
 {
     const std::lock_guard lock(m_impl->mutex);
-    const auto found = m_impl->byReason.find({std::string(name), std::string(reason)});
-    return found == m_impl->byReason.end() ? 0 : found->second->Value();
+    const auto found = m_impl->countersByReason.find({std::string(name), std::string(reason)});
+    return found == m_impl->countersByReason.end() ? 0 : found->second->Value();
 }
 
 double metrics::controlBytes(std::string_view kind, byte_direction direction) const
 {
     const std::lock_guard lock(m_impl->mutex);
-    const auto found = m_impl->bytes.find({std::string(kind), direction});
-    return found == m_impl->bytes.end() ? 0 : found->second->Value();
+    const auto found = m_impl->controlBytesCounters.find({std::string(kind), direction});
+    return found == m_impl->controlBytesCounters.end() ? 0 : found->second->Value();
 }
 
 std::map<std::string, double> metrics::byReason(std::string_view name) const
 {
     const std::lock_guard lock(m_impl->mutex);
     std::map<std::string, double> values;
-    for (const auto &[key, counter] : m_impl->byReason) {
+    for (const auto &[key, counter] : m_impl->countersByReason) {
         if (key.first == name)
             values[key.second] = counter->Value();
     }
--- a/libs/runtime/platform_client.cpp
+++ b/libs/runtime/platform_client.cpp
@@ -44,14 +44,14 @@
 write_result platform_client::writeOutcome(const call_result &result) const
 {
     if (const auto *failure = std::get_if<call_failure>(&result)) {
-        const bool sent = mayHaveArrived(*failure);
-        return {sent ? write_outcome::Unknown : write_outcome::Refused, 0, {}};
+        const bool mayHaveApplied = mayHaveArrived(*failure);
+        return {mayHaveApplied ? write_outcome::Unknown : write_outcome::Refused, 0, {}};
     }
     const auto &response = std::get<http_response>(result);
     if (response.status != Ok && response.status != ConflictStatus) {
         // 503 and 429 mean refused before the write; any other status proves nothing.
-        const bool refused = response.status == 503 || response.status == 429;
-        return {refused ? write_outcome::Refused : write_outcome::Unknown, 0, {}};
+        const bool wasRefused = response.status == 503 || response.status == 429;
+        return {wasRefused ? write_outcome::Refused : write_outcome::Unknown, 0, {}};
     }
     try {
         return writeResultFromJson(parseJson(response.body));
@@ -84,8 +84,8 @@
     return writeOutcome(send(request));
 }
 
-std::optional<table_reading> platform_client::read(const std::vector<std::string> &keys,
-                                                   const std::vector<std::string> &prefixes)
+std::optional<table_snapshot> platform_client::read(const std::vector<std::string> &keys,
+                                                    const std::vector<std::string> &prefixes)
 {
     Json::Value body(Json::objectValue);
     body["keys"] = Json::Value(Json::arrayValue);
@@ -100,7 +100,7 @@
         return std::nullopt;
     try {
         const auto json = parseJson(response->body);
-        table_reading reading;
+        table_snapshot reading;
         reading.sequence = countMember(json, "sequence");
         for (const auto &row : arrayMember(json, "rows"))
             reading.rows.push_back(tableRowFromJson(row));
--- a/libs/runtime/platform_client.h
+++ b/libs/runtime/platform_client.h
@@ -11,7 +11,7 @@
 
 namespace zinniabarrow {
 
-struct table_reading
+struct table_snapshot
 {
     std::uint64_t sequence = 0; // of the table when it was read
     std::vector<table_row> rows;
@@ -29,8 +29,8 @@
     write_result removeObject(const std::string &name, std::optional<std::uint64_t> expected);
 
     // Nothing when the platform did not answer.
-    std::optional<table_reading> read(const std::vector<std::string> &keys,
-                                      const std::vector<std::string> &prefixes);
+    std::optional<table_snapshot> read(const std::vector<std::string> &keys,
+                                       const std::vector<std::string> &prefixes);
     std::optional<std::vector<stored_object>> listObjects(const std::string &prefix);
     // Version 0 when the object does not exist.
     std::optional<stored_object> getObject(const std::string &name);
--- a/libs/runtime/receiver_threads.cpp
+++ b/libs/runtime/receiver_threads.cpp
@@ -4,12 +4,12 @@
 
 namespace zinniabarrow {
 
-receivers::~receivers()
+receiver_threads::~receiver_threads()
 {
     stop();
 }
 
-void receivers::stop()
+void receiver_threads::stop()
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -21,7 +21,7 @@
     m_threads.clear();
 }
 
-void receivers::run(std::function<void()> job)
+void receiver_threads::run(std::function<void()> job)
 {
     {
         const std::lock_guard lock(m_mutex);
@@ -29,12 +29,12 @@
         if (m_idle > 0)
             --m_idle;
         else
-            m_threads.emplace_back([this] { work(); });
+            m_threads.emplace_back([this] { runJobs(); });
     }
     m_changed.notify_one(); // unlocked, so that the thread that wakes does not wait at once again
 }
 
-void receivers::work()
+void receiver_threads::runJobs()
 {
     std::unique_lock lock(m_mutex);
     while (true) {
--- a/libs/runtime/receiver_threads.h
+++ b/libs/runtime/receiver_threads.h
@@ -12,19 +12,19 @@
 
 // One job a thread at a time, and never a job that waits for a thread: there are as many threads as
 // there were answers at once, which the server's bound on connections limits.
-class receivers
+class receiver_threads
 {
 public:
-    receivers() = default;
-    ~receivers();
-    receivers(const receivers &) = delete;
-    receivers &operator=(const receivers &) = delete;
+    receiver_threads() = default;
+    ~receiver_threads();
+    receiver_threads(const receiver_threads &) = delete;
+    receiver_threads &operator=(const receiver_threads &) = delete;
 
     void run(std::function<void()> job);
     void stop(); // waits for the jobs
 
 private:
-    void work();
+    void runJobs();
 
     std::mutex m_mutex;
     std::condition_variable m_changed;
--- a/libs/runtime/refusal.cpp
+++ b/libs/runtime/refusal.cpp
@@ -4,13 +4,13 @@
 
 namespace zinniabarrow {
 
-http_response refusalAnswer(error_kind kind, executed ran, milliseconds retryAfter)
+http_response refusalAnswer(error_kind kind, executed execution, milliseconds retryAfter)
 {
     const auto &row = answerFor(kind);
     http_response response;
     response.status = row.httpStatus;
     response.headers[ErrorHeader] = std::string(row.name);
-    response.headers[ExecutedHeader] = std::string(nameOf(ran));
+    response.headers[ExecutedHeader] = std::string(nameOf(execution));
     if (retryAfter.count() > 0) {
         constexpr milliseconds::rep Second = 1000; // Retry-After counts whole seconds: round up
         response.headers["Retry-After"] =
@@ -18,7 +18,7 @@
     }
     Json::Value body(Json::objectValue);
     body["error"] = std::string(row.name);
-    body["executed"] = std::string(nameOf(ran));
+    body["executed"] = std::string(nameOf(execution));
     body["retry_after_ms"] = Json::Int64(retryAfter.count());
     response.body = compactJson(body);
     return response;
@@ -27,7 +27,7 @@
 http_response refusalAnswer(error_kind kind)
 {
     const auto &row = answerFor(kind);
-    return refusalAnswer(kind, row.ran, row.comeBackAfter);
+    return refusalAnswer(kind, row.execution, row.suggestedRetryDelay);
 }
 
 } // namespace zinniabarrow
--- a/libs/runtime/refusal.h
+++ b/libs/runtime/refusal.h
@@ -10,7 +10,7 @@
 constexpr const char *ExecutedHeader = "Zb-Executed"; // no, yes or unknown
 
 // `retryAfter` zero: no Retry-After.
-http_response refusalAnswer(error_kind kind, executed ran, milliseconds retryAfter);
+http_response refusalAnswer(error_kind kind, executed execution, milliseconds retryAfter);
 http_response refusalAnswer(error_kind kind); // with the table's own values
 
 } // namespace zinniabarrow
--- a/libs/work/task_coordinator.cpp
+++ b/libs/work/task_coordinator.cpp
@@ -248,7 +248,7 @@
     if (!occupiesWorker(record))
         return;
     volatile_state &volatileState = volatileStateOf(event.task, record.attempt);
-    volatileState.reservedSize = largest(volatileState.reservedSize, event.reserved);
+    volatileState.reservedSize = maxOfEach(volatileState.reservedSize, event.reserved);
     volatileState.reservationNumber = ++m_lastReservationNumber;
 }
 
--- a/libs/work/task_supervisor.cpp
+++ b/libs/work/task_supervisor.cpp
@@ -198,7 +198,7 @@
         const bool occupiesWorker = supervised.state == supervised_state::Starting
                                     || supervised.state == supervised_state::Running;
         if (occupiesWorker && other != task)
-            sum += largest(declaredSize(supervised.spec), supervised.reservedSize);
+            sum += maxOfEach(declaredSize(supervised.spec), supervised.reservedSize);
     }
     return sum;
 }
@@ -307,10 +307,10 @@
             || found->second.state == supervised_state::Ended)
             continue; // about to start (see applyGrantedTask), or ended
         supervised_task &supervised = found->second;
-        const resources raisedSize = largest(supervised.reservedSize, reserved);
+        const resources raisedSize = maxOfEach(supervised.reservedSize, reserved);
         if (raisedSize == supervised.reservedSize)
             continue;
-        if (m_capacityCheck(attempt.task, largest(declaredSize(supervised.spec), raisedSize))) {
+        if (m_capacityCheck(attempt.task, maxOfEach(declaredSize(supervised.spec), raisedSize))) {
             supervised.reservedSize = raisedSize;
             continue;
         }
@@ -370,7 +370,7 @@
         startTask(task, spec->second, reserved, grantLeaseEnd);
         return;
     }
-    if (m_capacityCheck(task.task, largest(declaredSize(spec->second), reserved))) {
+    if (m_capacityCheck(task.task, maxOfEach(declaredSize(spec->second), reserved))) {
         if (isBacklog)
             count(supervisor_counter::BacklogStarted);
         startTask(task, spec->second, reserved, grantLeaseEnd);
@@ -439,7 +439,7 @@
     supervised.failover = task.failover;
     supervised.checkpoint = task.checkpoint;
     supervised.spec = spec;
-    supervised.reservedSize = largest(supervised.reservedSize, reserved);
+    supervised.reservedSize = maxOfEach(supervised.reservedSize, reserved);
     supervised.cpuLimit = 0; // workers start tasks without a limit
     supervised.startDeadline = grantLeaseEnd;
     const milliseconds startWithin(millisecondsUntil(grantLeaseEnd, m_listingReceivedAt));
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -70,7 +70,8 @@
     std::vector<double> times;
     for (unsigned turn = 0; turn < Reads; ++turn) {
         const auto startedAt = monotonic_clock::now();
-        const auto result = pools.to(address).call({"GET", target, {}, {}}, startedAt + seconds(5));
+        const auto result =
+                pools.poolFor(address).call({"GET", target, {}, {}}, startedAt + seconds(5));
         const std::chrono::duration<double, std::milli> took = monotonic_clock::now() - startedAt;
         if (std::holds_alternative<http_response>(result))
             times.push_back(took.count());
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -428,7 +428,7 @@
 {
     const auto ready = [&] {
         const auto result =
-                m_pools.to(entryAddress(index))
+                m_pools.poolFor(entryAddress(index))
                         .call({"GET", "/readyz", {}, {}}, monotonic_clock::now() + CallWithin);
         const auto *response = std::get_if<http_response>(&result);
         return response != nullptr && response->status == 200;
@@ -441,16 +441,16 @@
 
 void fleet::setFault(const std::string &address, const Json::Value &fault)
 {
-    const auto result = m_pools.to(address).call({"POST", "/fault", {}, compactJson(fault)},
-                                                 monotonic_clock::now() + CallWithin);
+    const auto result = m_pools.poolFor(address).call({"POST", "/fault", {}, compactJson(fault)},
+                                                      monotonic_clock::now() + CallWithin);
     if (!std::holds_alternative<http_response>(result))
         throw std::runtime_error("no answer from the stand-in at " + address);
 }
 
 std::string fleet::getText(const std::string &address, const std::string &target)
 {
-    const auto result =
-            m_pools.to(address).call({"GET", target, {}, {}}, monotonic_clock::now() + CallWithin);
+    const auto result = m_pools.poolFor(address).call({"GET", target, {}, {}},
+                                                      monotonic_clock::now() + CallWithin);
     const auto *response = std::get_if<http_response>(&result);
     if (response == nullptr)
         throw std::runtime_error("no answer from " + address + target);
@@ -464,7 +464,7 @@
 
 void fleet::putFolderFile(const std::string &name, const Json::Value &content)
 {
-    const auto result = m_pools.to(platformAddress())
+    const auto result = m_pools.poolFor(platformAddress())
                                 .call({"PUT", "/objects/folder/" + name, {}, prettyJson(content)},
                                       monotonic_clock::now() + CallWithin);
     if (!std::holds_alternative<http_response>(result))
@@ -473,7 +473,7 @@
 
 void fleet::removeFolderFile(const std::string &name)
 {
-    const auto result = m_pools.to(platformAddress())
+    const auto result = m_pools.poolFor(platformAddress())
                                 .call({"DELETE", "/objects/folder/" + name, {}, {}},
                                       monotonic_clock::now() + CallWithin);
     if (!std::holds_alternative<http_response>(result))
@@ -483,7 +483,7 @@
 Json::Value fleet::rpc(unsigned entryIndex, const std::string &method,
                        const Json::Value &parameters)
 {
-    auto &pool = m_pools.to(entryRpcAddress(entryIndex));
+    auto &pool = m_pools.poolFor(entryRpcAddress(entryIndex));
     const auto transport = [&](const std::string &text) {
         const auto result =
                 pool.call({"POST", "/rpc", {}, text}, monotonic_clock::now() + CallWithin);
--- a/standins/idle.cpp
+++ b/standins/idle.cpp
@@ -57,8 +57,8 @@
 // Reads zinniabarrow_control_bytes_total{direction="sent",kind="report"} 697
 std::map<std::string, double> controlBytes(http_pools &pools, const std::string &address)
 {
-    const auto result = pools.to(address).call({"GET", "/metrics", {}, {}},
-                                               monotonic_clock::now() + seconds(5));
+    const auto result = pools.poolFor(address).call({"GET", "/metrics", {}, {}},
+                                                    monotonic_clock::now() + seconds(5));
     const auto *response = std::get_if<http_response>(&result);
     std::map<std::string, double> bytes;
     if (response == nullptr)
--- a/standins/job_site.cpp
+++ b/standins/job_site.cpp
@@ -360,7 +360,7 @@
             addresses.push_back(options.workers[index]);
             listeners.push_back(listenFor(index));
             const auto agent = toText(options.agents[index]);
-            loop.every(milliseconds(200), [this, worker, agent] {
+            loop.runEvery(milliseconds(200), [this, worker, agent] {
                 worker->expire();
                 if (!worker->silent && !worker->gone)
                     announce(*worker, agent);
@@ -398,7 +398,7 @@
         const bool waits =
                 request.path() == "/-/rows-feed" && stepsLeft > 0 && !store.feedIsDue(request);
         if (waits) {
-            loop.after(milliseconds(50), [this, request, respond, stepsLeft] {
+            loop.runAfter(milliseconds(50), [this, request, respond, stepsLeft] {
                 serveStore(request, respond, stepsLeft - 1);
             });
             return;
@@ -420,9 +420,8 @@
             return;
         const auto now = suspendAwareNow();
         if (lease && lease->key == heldLease && now < heldUntil) {
-            loop.after(heldUntil - now, [respond = std::move(respond), answer = std::move(answer)] {
-                respond(answer);
-            });
+            loop.runAfter(heldUntil - now, [respond = std::move(respond),
+                                            answer = std::move(answer)] { respond(answer); });
             return;
         }
         respond(std::move(answer));
@@ -483,8 +482,8 @@
     void departOvertaken(std::size_t index)
     {
         depart(index);
-        loop.after(milliseconds(50),
-                   [this, index] { announce(*workers.at(index), agents.at(index)); });
+        loop.runAfter(milliseconds(50),
+                      [this, index] { announce(*workers.at(index), agents.at(index)); });
     }
 
     void comeBack(std::size_t index)
--- a/standins/load.cpp
+++ b/standins/load.cpp
@@ -30,13 +30,13 @@
 {
     switch (failure) {
     case call_failure::NotConnected:
-    case call_failure::Refused:
+    case call_failure::ConnectionRefused:
         return "not connected";
-    case call_failure::Late:
+    case call_failure::TimedOut:
         return "no answer in time";
     case call_failure::TooLarge:
         return "too large";
-    case call_failure::Cut:
+    case call_failure::IncompleteAnswer:
         break;
     }
     return "cut";
@@ -84,8 +84,8 @@
                                                 / m_options.perSecond);
         const auto operation =
                 m_options.prefix + "-" + std::to_string(caller) + "-" + std::to_string(turn);
-        const auto kind = pickIndex(random, 10);
-        const auto entry = static_cast<unsigned>(pickIndex(random, entries));
+        const auto kind = randomIndex(random, 10);
+        const auto entry = static_cast<unsigned>(randomIndex(random, entries));
         if (kind < 6) {
             ask(entry, {"GET", "/tickets/seats", {}, {}}, operation);
         } else {
@@ -116,7 +116,7 @@
     request.headers["Operation"] = operation;
     request.headers["Zb-Deadline-Ms"] = std::to_string(m_options.deadline.count());
     const auto startedAt = monotonic_clock::now();
-    const auto result = m_pools.to(m_fleet.entryAddress(entry))
+    const auto result = m_pools.poolFor(m_fleet.entryAddress(entry))
                                 .call(request, startedAt + m_options.deadline + AnswerGrace);
     const std::chrono::duration<double, std::milli> took = monotonic_clock::now() - startedAt;
     const std::lock_guard lock(m_result.mutex);
--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -117,10 +117,10 @@
     const auto run = [](answer_head head, std::uint64_t bytes, bool lastChunk,
                         const std::string &method = "GET") {
         answer_check answer("r", method, {100, 1000});
-        answer.head(head);
+        answer.checkHead(head);
         if (bytes > 0)
-            answer.body(bytes);
-        return answer.end(lastChunk);
+            answer.checkBody(bytes);
+        return answer.checkEnd(lastChunk);
     };
     using enum body_framing;
     section("are those with all bytes declared, or with the last chunk", [&] {
@@ -130,16 +130,16 @@
         check(!run({200, "r", Length, 10, 50}, 0, false, "HEAD"));
     });
     section("are not those that are cut, or too long for what they declare", [&] {
-        check(run({200, "r", Length, 10, 50}, 9, false) == error_kind::AnswerCut);
-        check(run({200, "r", Length, 10, 50}, 11, false) == error_kind::AnswerCut);
-        check(run({200, "r", Chunked, 0, 50}, 10, false) == error_kind::AnswerCut);
-        check(run({204, "r", Length, 0, 50}, 1, false) == error_kind::AnswerCut);
+        check(run({200, "r", Length, 10, 50}, 9, false) == error_kind::AnswerIncomplete);
+        check(run({200, "r", Length, 10, 50}, 11, false) == error_kind::AnswerIncomplete);
+        check(run({200, "r", Chunked, 0, 50}, 10, false) == error_kind::AnswerIncomplete);
+        check(run({204, "r", Length, 0, 50}, 1, false) == error_kind::AnswerIncomplete);
     });
     section("are not those whose end can't be proved", [&] {
-        check(run({200, "r", UntilClose, 0, 50}, 10, true) == error_kind::AnswerCut);
-        check(run({200, "r", Conflicting, 10, 50}, 10, true) == error_kind::AnswerCut);
-        check(run({100, "r", Length, 0, 50}, 0, true) == error_kind::AnswerCut);
-        check(answer_check("r", "GET", {}).end(true) == error_kind::AnswerCut);
+        check(run({200, "r", UntilClose, 0, 50}, 10, true) == error_kind::AnswerIncomplete);
+        check(run({200, "r", Conflicting, 10, 50}, 10, true) == error_kind::AnswerIncomplete);
+        check(run({100, "r", Length, 0, 50}, 0, true) == error_kind::AnswerIncomplete);
+        check(answer_check("r", "GET", {}).checkEnd(true) == error_kind::AnswerIncomplete);
     });
     section("are not those of another request", [&] {
         check(run({200, "q", Length, 1, 50}, 1, true) == error_kind::OutcomeUnknown);
--- a/tests/base_test.cpp
+++ b/tests/base_test.cpp
@@ -26,11 +26,11 @@
                 [&] { check(names.size() == errorAnswers().size()); });
         section("allows another try only where nothing ran", [] {
             for (const auto &row : errorAnswers())
-                check(!row.retryElsewhere || row.ran == executed::No);
+                check(!row.retryElsewhere || row.execution == executed::No);
         });
         section("tells a caller that may come back when to do so", [] {
             for (const auto &row : errorAnswers())
-                check(row.httpStatus != 503 || row.comeBackAfter.count() > 0);
+                check(row.httpStatus != 503 || row.suggestedRetryDelay.count() > 0);
         });
     });
 }
@@ -39,11 +39,11 @@
 Test(base, log_lines_beyond_the_budget)
 {
     event_log log("entry", "entry-1", {0, 1});
-    log.note("first", {});
-    log.note("second", {});
-    check(log.dropped() == 1);
-    log.noteAlways("stopped", {});
-    check(log.dropped() == 1);
+    log.writeEvent("first", {});
+    log.writeEvent("second", {});
+    check(log.droppedCount() == 1);
+    log.writeAlways("stopped", {});
+    check(log.droppedCount() == 1);
 }
 
 Test(base, json)
--- a/tests/body_stream_test.cpp
+++ b/tests/body_stream_test.cpp
@@ -47,7 +47,7 @@
             ring.finish(std::nullopt);
         });
         std::this_thread::sleep_for(milliseconds(200));
-        while (!ring.take().empty()) { }
+        while (!ring.takePart().empty()) { }
         receiver.join();
         require(seen.has_value());
         return *seen;
@@ -74,9 +74,9 @@
         ring.finish(std::nullopt);
     });
     section("the first part is passed on before the end",
-            [&] { check(!ring.waitForEnd(4 * PartBytes)); });
+            [&] { check(!ring.waitForEndOrBytes(4 * PartBytes)); });
     std::size_t taken = 0;
-    for (auto part = ring.take(); !part.empty(); part = ring.take()) {
+    for (auto part = ring.takePart(); !part.empty(); part = ring.takePart()) {
         check(part.size() <= StreamPartBytes);
         check(pushed <= taken + StreamRingBytes + 2 * StreamPartBytes);
         taken += part.size();
@@ -93,22 +93,22 @@
     section("nobody reads", [] {
         body_ring ring(soon());
         bool interrupted = false;
-        check(ring.start([&] { interrupted = true; }));
+        check(ring.attachReceiver([&] { interrupted = true; }));
         check(pushParts(ring, StreamRingBytes / PartBytes + 1) == error_kind::AnswerLate);
         check(interrupted);
     });
     section("nothing comes: the receiver is interrupted in its read", [] {
         body_ring ring(soon());
         std::atomic<bool> interrupted{false};
-        ring.start([&] { interrupted = true; });
-        check(ring.waitForEnd(PartBytes));
+        ring.attachReceiver([&] { interrupted = true; });
+        check(ring.waitForEndOrBytes(PartBytes));
         check(interrupted);
         check(ring.end() == error_kind::AnswerLate);
     });
     section("a receiver that starts too late sends nothing", [] {
         body_ring ring(soon());
-        ring.waitForEnd(PartBytes);
-        check(!ring.start([] {}));
+        ring.waitForEndOrBytes(PartBytes);
+        check(!ring.attachReceiver([] {}));
     });
 }
 
@@ -118,7 +118,7 @@
     section("the reader lets go: the receiver stops", [] {
         const auto ring = std::make_shared<body_ring>(muchLater());
         int interrupts = 0;
-        ring->start([&] { ++interrupts; });
+        ring->attachReceiver([&] { ++interrupts; });
         pushParts(*ring, 1);
         std::make_unique<body_reader>(ring).reset();
         check(interrupts == 1);
@@ -127,32 +127,32 @@
     section("after detach the connection belongs to another: no interrupt", [] {
         const auto ring = std::make_shared<body_ring>(muchLater());
         int interrupts = 0;
-        ring->start([&] { ++interrupts; });
-        ring->detach();
+        ring->attachReceiver([&] { ++interrupts; });
+        ring->detachReceiver();
         std::make_unique<body_reader>(ring).reset();
         check(interrupts == 0);
     });
     section("a cut is seen after the bytes before it", [] {
         body_ring ring(muchLater());
         pushParts(ring, 1);
-        ring.finish(error_kind::AnswerCut);
-        check(ring.take().size() == PartBytes);
-        check(ring.take().empty());
-        check(ring.end() == error_kind::AnswerCut);
+        ring.finish(error_kind::AnswerIncomplete);
+        check(ring.takePart().size() == PartBytes);
+        check(ring.takePart().empty());
+        check(ring.end() == error_kind::AnswerIncomplete);
     });
     section("the end is told once, whether it came before or after the question", [] {
         for (const bool before : {false, true}) {
             body_ring ring(muchLater());
-            int told = 0;
+            int reportedEnds = 0;
             const auto ask = [&] {
-                ring.observeEnd([&](body_end end, duration) { told += end ? 100 : 1; });
+                ring.observeEnd([&](body_end end, duration) { reportedEnds += end ? 100 : 1; });
             };
             if (!before)
                 ask();
             ring.finish(std::nullopt);
             if (before)
                 ask();
-            check(told == 1);
+            check(reportedEnds == 1);
         }
     });
 }
@@ -164,18 +164,18 @@
 {
     const auto endAfter = [](std::size_t takes) {
         body_ring ring(muchLater());
-        ring.expect(2 * PartBytes);
-        body_end told = error_kind::NoUpstream;
-        ring.observeEnd([&](body_end end, duration) { told = end; });
+        ring.setDeclaredLength(2 * PartBytes);
+        body_end reportedEnds = error_kind::NoUpstream;
+        ring.observeEnd([&](body_end end, duration) { reportedEnds = end; });
         const std::string part(PartBytes, 'x');
         for (std::size_t index = 0; index < 2; ++index) {
             ring.push(part.data(), part.size());
             if (index < takes)
-                ring.take();
+                ring.takePart();
         }
         ring.abandon();
         ring.finish(std::nullopt);
-        return told;
+        return reportedEnds;
     };
     section("with every declared byte: as the receiver says, whole",
             [&] { check(!endAfter(2).has_value()); });
--- a/tests/configuration_follow_test.cpp
+++ b/tests/configuration_follow_test.cpp
@@ -102,8 +102,8 @@
         const auto at = answerStartedAt
                         + microseconds(static_cast<std::int64_t>((sent - std::min(sent, Part))
                                                                  / LinkBytesPerSecond * 1e6));
-        result.inTime = result.inTime && at <= deadline.lateAt();
-        deadline.partCame(at);
+        result.inTime = result.inTime && at <= deadline.currentDeadline();
+        deadline.extendAfterPart(at);
     }
     result.totalSeconds = bytes / LinkBytesPerSecond + routes * WorkPerRouteUs / 1e6 / CoreShare;
     return result;
@@ -261,9 +261,9 @@
 Test(configuration_follow, an_answer_is_late_when_it_stalls_or_never_ends)
 {
     net::answer_deadline deadline({milliseconds(150), milliseconds(1500), seconds(20)}, Start);
-    check(deadline.lateAt() == Start + milliseconds(150));
-    deadline.partCame(Start + milliseconds(140));
-    check(deadline.lateAt() == Start + milliseconds(1640));
-    deadline.partCame(Start + seconds(19));
-    check(deadline.lateAt() == Start + seconds(20));
+    check(deadline.currentDeadline() == Start + milliseconds(150));
+    deadline.extendAfterPart(Start + milliseconds(140));
+    check(deadline.currentDeadline() == Start + milliseconds(1640));
+    deadline.extendAfterPart(Start + seconds(19));
+    check(deadline.currentDeadline() == Start + seconds(20));
 }
--- a/tests/control_bytes_test.cpp
+++ b/tests/control_bytes_test.cpp
@@ -37,7 +37,7 @@
     http_server server({"127.0.0.1", 0}, {},
                        [&](const http_request &request) { return *endpoint.serve(request); });
     server.start();
-    duty_system runtime;
+    actor_runtime runtime;
     rpc_sender sender(runtime, seconds(10), atClient);
     const auto target = toText(server.address());
     Json::Value parameters(Json::objectValue);
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -13,18 +13,18 @@
 // first timer is an hour away, and the test would never end.
 Test(duty, ticks_at_deadlines)
 {
-    duty_system system;
+    actor_runtime system;
     time_point deadline = Never; // touched by the duty alone
     std::promise<void> ticked;
     std::atomic<int> ticks{0};
-    duty<time_point> sleeper(
+    event_actor<time_point> sleeper(
             system, 16, [&](time_point &at) { deadline = at; },
-            tick_plan{[&] { return deadline; },
-                      [&] {
-                          deadline = Never;
-                          if (++ticks == 1)
-                              ticked.set_value();
-                      }});
+            tick_schedule{[&] { return deadline; },
+                          [&] {
+                              deadline = Never;
+                              if (++ticks == 1)
+                                  ticked.set_value();
+                          }});
     section("brought forward by an event", [&] {
         sleeper.post(monotonic_clock::now() + std::chrono::hours(1));
         sleeper.post(monotonic_clock::now() + milliseconds(20));
@@ -38,17 +38,17 @@
 
 Test(duty, without_a_deadline_there_is_no_tick)
 {
-    duty_system system;
+    actor_runtime system;
     std::atomic<int> ticks{0};
     std::atomic<int> asked{0};
     std::promise<void> handled;
-    duty<int> resting(
+    event_actor<int> resting(
             system, 16, [&](int &) { handled.set_value(); },
-            tick_plan{[&] {
-                          ++asked;
-                          return Never;
-                      },
-                      [&] { ++ticks; }});
+            tick_schedule{[&] {
+                              ++asked;
+                              return Never;
+                          },
+                          [&] { ++ticks; }});
     resting.post(1);
     handled.get_future().wait();
     resting.stop();
@@ -59,17 +59,17 @@
 // A deadline that its tick leaves in the past must not take the whole core.
 Test(duty, a_deadline_left_in_the_past_does_not_spin)
 {
-    duty_system system;
+    actor_runtime system;
     std::atomic<int> ticks{0};
     std::promise<void> tenth;
     const auto startedAt = monotonic_clock::now();
-    duty<int> stuck(
+    event_actor<int> stuck(
             system, 16, [](int &) {},
-            tick_plan{[] { return time_point(); },
-                      [&] {
-                          if (++ticks == 10)
-                              tenth.set_value();
-                      }});
+            tick_schedule{[] { return time_point(); },
+                          [&] {
+                              if (++ticks == 10)
+                                  tenth.set_value();
+                          }});
     tenth.get_future().wait();
     check(monotonic_clock::now() - startedAt >= milliseconds(10 + 9)); // a pause before each
     stuck.stop();
--- a/tests/http_caller_test.cpp
+++ b/tests/http_caller_test.cpp
@@ -84,16 +84,16 @@
 {
     full_port port;
     section("nobody listens",
-            [&] { check(failureOfCall(port.address()) == call_failure::Refused); });
+            [&] { check(failureOfCall(port.address()) == call_failure::ConnectionRefused); });
     section("somebody listens, and the connection is not made in time", [&] {
         port.fill();
         check(failureOfCall(port.address()) == call_failure::NotConnected);
     });
     section("neither has seen the request", [] {
-        check(!mayHaveArrived(call_failure::Refused));
+        check(!mayHaveArrived(call_failure::ConnectionRefused));
         check(!mayHaveArrived(call_failure::NotConnected));
-        check(mayHaveArrived(call_failure::Cut));
-        check(mayHaveArrived(call_failure::Late));
+        check(mayHaveArrived(call_failure::IncompleteAnswer));
+        check(mayHaveArrived(call_failure::TimedOut));
         check(mayHaveArrived(call_failure::TooLarge));
     });
 }
--- a/tests/http_listener_test.cpp
+++ b/tests/http_listener_test.cpp
@@ -15,24 +15,24 @@
 #include "section.h"
 
 using namespace zinniabarrow;
-using zinniabarrow::tests::kept_caller;
-using zinniabarrow::tests::request_fate;
+using zinniabarrow::tests::keep_alive_caller;
+using zinniabarrow::tests::request_outcome;
 using zinniabarrow::tests::section;
 
 namespace {
 
-struct exchange
+struct post_result
 {
     std::optional<int> status;       // of the answer; none: there was none
     std::optional<std::size_t> body; // bytes that the server was given; none: it never was asked
 };
 
-exchange post(std::size_t bytes)
+post_result post(std::size_t bytes)
 {
     net::event_loop loop;
-    exchange result;
+    post_result result;
     net::listener_limits limits;
-    limits.bodyBytes = 100'000;
+    limits.maxRequestBytes = 100'000;
     net::http_listener listener(loop, {"127.0.0.1", 0}, limits,
                                 [&](const http_request &request, const net::responder &respond) {
                                     result.body = request.body.size();
@@ -60,7 +60,7 @@
         : m_listener(m_loop, {"127.0.0.1", 0}, limits,
                      [this](const http_request &request, net::responder respond) {
                          if (request.target == "/slow")
-                             m_open.push_back(std::move(respond));
+                             m_openResponders.push_back(std::move(respond));
                          else
                              respond({200, {}, "done"});
                      })
@@ -68,43 +68,49 @@
 
     std::string address() const { return toText(m_listener.address()); }
     net::http_listener &listener() { return m_listener; }
-    std::vector<net::responder> &open() { return m_open; } // of requests for /slow
+    std::vector<net::responder> &openResponders()
+    {
+        return m_openResponders;
+    } // of requests for /slow
 
     // Runs `then` as one callback, as soon as `condition` holds: nothing is read in between.
     using predicate = std::function<bool()>;
-    void when(predicate condition, std::function<void()> then)
+    void runWhen(predicate condition, std::function<void()> then)
+    {
+        m_loop.runAfter(milliseconds(1),
+                        [this, condition = std::move(condition), then = std::move(then)]() mutable {
+                            if (condition())
+                                return then();
+                            runWhen(std::move(condition), std::move(then));
+                        });
+    }
+    void runAfter(duration delay, std::function<void()> then)
     {
-        m_loop.after(milliseconds(1),
-                     [this, condition = std::move(condition), then = std::move(then)]() mutable {
-                         if (condition())
-                             return then();
-                         when(std::move(condition), std::move(then));
-                     });
+        m_loop.runAfter(delay, std::move(then));
     }
-    void after(duration delay, std::function<void()> then) { m_loop.after(delay, std::move(then)); }
-    void whenIdle(std::size_t connections, std::function<void()> then)
+    void runWhenIdle(std::size_t connections, std::function<void()> then)
     {
-        when([this, connections] { return m_listener.activity().idle == connections; },
-             std::move(then));
+        runWhen([this, connections] { return m_listener.activity().idle == connections; },
+                std::move(then));
     }
 
     // True when it has drained; false when it does not for long.
     bool runUntilDrained()
     {
         bool drained = false;
-        when([this] { return m_listener.drained(); },
-             [&] {
-                 drained = true;
-                 m_loop.stop();
-             });
-        m_loop.after(seconds(20), [this] { m_loop.stop(); });
+        runWhen([this] { return m_listener.isDrained(); },
+                [&] {
+                    drained = true;
+                    m_loop.stop();
+                });
+        m_loop.runAfter(seconds(20), [this] { m_loop.stop(); });
         m_loop.run([](const std::exception &) {});
         return drained;
     }
 
 private:
     net::event_loop m_loop;
-    std::vector<net::responder> m_open;
+    std::vector<net::responder> m_openResponders;
     net::http_listener m_listener;
 };
 
@@ -134,7 +140,7 @@
     section("on an idle connection, in its socket", [] {
         draining_server server;
         kept_caller caller(server.address());
-        server.whenIdle(1, [&] {
+        server.runWhenIdle(1, [&] {
             caller.send("POST", "/quick", "body");
             server.listener().drain();
         });
@@ -144,7 +150,7 @@
     section("on a connection that waits to be accepted", [] {
         draining_server server;
         std::optional<kept_caller> caller;
-        server.whenIdle(0, [&] {
+        server.runWhenIdle(0, [&] {
             caller.emplace(server.address());
             caller->send("POST", "/quick", "body");
             server.listener().drain();
@@ -155,9 +161,9 @@
     section("on a connection that was just accepted, a moment later", [] {
         draining_server server;
         kept_caller caller(server.address());
-        server.whenIdle(1, [&] {
+        server.runWhenIdle(1, [&] {
             server.listener().drain();
-            server.when([] { return true; }, [&] { caller.send("POST", "/quick", "body"); });
+            server.runWhen([] { return true; }, [&] { caller.send("POST", "/quick", "body"); });
         });
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
@@ -165,11 +171,11 @@
     section("in part, and the rest comes later", [] {
         draining_server server;
         kept_caller caller(server.address());
-        server.whenIdle(1, [&] {
+        server.runWhenIdle(1, [&] {
             caller.sendText("POST /quick HTTP/1.1\r\nContent-Le");
             server.listener().drain();
-            server.when([&] { return server.listener().activity().reading == 1; },
-                        [&] { caller.sendText("ngth: 4\r\n\r\nbody"); });
+            server.runWhen([&] { return server.listener().activity().reading == 1; },
+                           [&] { caller.sendText("ngth: 4\r\n\r\nbody"); });
         });
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
@@ -178,12 +184,12 @@
         draining_server server;
         kept_caller caller(server.address());
         caller.send("POST", "/slow");
-        server.when([&] { return server.open().size() == 1; },
-                    [&] {
-                        caller.send("POST", "/quick", "body");
-                        server.open()[0]({200, {}, "done"});
-                        server.listener().drain();
-                    });
+        server.runWhen([&] { return server.openResponders().size() == 1; },
+                       [&] {
+                           caller.send("POST", "/quick", "body");
+                           server.openResponders()[0]({200, {}, "done"});
+                           server.listener().drain();
+                       });
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
         check(caller.readAnswer() == 200);
@@ -193,12 +199,12 @@
         draining_server server;
         kept_caller caller(server.address());
         caller.sendText("GET /quick HTTP/1.1\r\n");
-        server.when([&] { return server.listener().activity().reading == 1; },
-                    [&] {
-                        server.listener().drain();
-                        server.when([] { return true; },
-                                    [&] { caller.sendText("Content-Length: 0\r\n\r\n"); });
-                    });
+        server.runWhen([&] { return server.listener().activity().reading == 1; },
+                       [&] {
+                           server.listener().drain();
+                           server.runWhen([] { return true; },
+                                          [&] { caller.sendText("Content-Length: 0\r\n\r\n"); });
+                       });
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
@@ -206,14 +212,14 @@
         draining_server server;
         kept_caller caller(server.address());
         caller.send("POST", "/slow");
-        server.when([&] { return server.open().size() == 1; },
-                    [&] {
-                        server.listener().drain();
-                        server.when([&] { return !server.listener().drained(); },
-                                    [&] {
-                                        server.open()[0]({200, {}, "done"});
-                                    });
-                    });
+        server.runWhen([&] { return server.openResponders().size() == 1; },
+                       [&] {
+                           server.listener().drain();
+                           server.runWhen([&] { return !server.listener().isDrained(); },
+                                          [&] {
+                                              server.openResponders()[0]({200, {}, "done"});
+                                          });
+                       });
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
@@ -225,28 +231,28 @@
     section("idle connections end, and new ones are refused", [] {
         draining_server server;
         const auto address = server.address();
-        kept_caller quiet(address);
+        kept_caller unused(address);
         kept_caller served(address);
         served.send("GET", "/quick");
-        server.when([&] { return !served.isOpen(); }, // its answer has come
-                    [&] {
-                        check(served.readAnswer() == 200);
-                        server.whenIdle(2, [&] { server.listener().drain(); });
-                    });
+        server.runWhen([&] { return !served.isOpen(); }, // its answer has come
+                       [&] {
+                           check(served.readAnswer() == 200);
+                           server.runWhenIdle(2, [&] { server.listener().drain(); });
+                       });
         check(server.runUntilDrained());
-        check(!quiet.isOpen());
+        check(!unused.isOpen());
         check(!served.isOpen());
-        check(!kept_caller(address).isOpen());
+        check(!keep_alive_caller(address).isOpen());
     });
     section("one whose answer was on its way out ends as well", [] {
         draining_server server;
         kept_caller caller(server.address());
         caller.send("POST", "/slow");
-        server.when([&] { return server.open().size() == 1; },
-                    [&] {
-                        server.open()[0]({200, {}, "done"});
-                        server.listener().drain();
-                    });
+        server.runWhen([&] { return server.openResponders().size() == 1; },
+                       [&] {
+                           server.openResponders()[0]({200, {}, "done"});
+                           server.listener().drain();
+                       });
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
@@ -254,15 +260,15 @@
         draining_server server;
         kept_caller caller(server.address());
         caller.send("POST", "/slow");
-        server.when([&] { return server.open().size() == 1; },
-                    [&] {
-                        server.listener().drain();
-                        server.listener().answerAll({504, {}, ""});
-                        server.open()[0]({200, {}, "too late"});
-                    });
+        server.runWhen([&] { return server.openResponders().size() == 1; },
+                       [&] {
+                           server.listener().drain();
+                           server.listener().answerAll({504, {}, ""});
+                           server.openResponders()[0]({200, {}, "too late"});
+                       });
         check(server.runUntilDrained());
         check(caller.readAnswer() == 504);
-        check(caller.fate() == request_fate::CutOff);
+        check(caller.requestOutcome() == request_fate::ClosedWithoutAnswer);
     });
 }
 
@@ -271,8 +277,8 @@
 Test(http_listener, requests_at_the_end_of_the_idle_time)
 {
     net::listener_limits limits;
-    limits.idleAtMost = milliseconds(1000);
-    const auto past = limits.idleAtMost + milliseconds(100);
+    limits.maxIdleTime = milliseconds(1000);
+    const auto afterIdleTime = limits.maxIdleTime + milliseconds(100);
     section("the rest of one comes after it", [&] {
         for (const std::string part : {"POST /quick HTTP/1.1\r\nContent-Le",
                                        "POST /quick HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo"}) {
@@ -280,14 +286,14 @@
             draining_server server(limits);
             kept_caller caller(server.address());
             caller.sendText(part);
-            server.when([&] { return server.listener().activity().reading == 1; },
-                        [&] {
-                            server.after(past, [&] {
-                                caller.sendText(whole.substr(part.size()));
-                                server.when([&] { return !caller.isOpen(); },
-                                            [&] { server.listener().drain(); });
-                            });
-                        });
+            server.runWhen([&] { return server.listener().activity().reading == 1; },
+                           [&] {
+                               server.runAfter(afterIdleTime, [&] {
+                                   caller.sendText(whole.substr(part.size()));
+                                   server.runWhen([&] { return !caller.isOpen(); },
+                                                  [&] { server.listener().drain(); });
+                               });
+                           });
             check(server.runUntilDrained());
             check(caller.readAnswer() == 200);
         }
@@ -298,26 +304,26 @@
         constexpr int Callers = 200; // more than the loop takes from the system at once
         for (int each = 0; each < Callers; ++each)
             callers.push_back(std::make_unique<kept_caller>(server.address()));
-        server.whenIdle(Callers, [&] {
-            std::this_thread::sleep_for(past);
+        server.runWhenIdle(Callers, [&] {
+            std::this_thread::sleep_for(afterIdleTime);
             for (const auto &each : callers)
                 each->send("POST", "/quick", "body");
-            server.after(past, [&] { server.listener().drain(); });
+            server.runAfter(afterIdleTime, [&] { server.listener().drain(); });
         });
         check(server.runUntilDrained());
         int cutOff = 0;
         for (const auto &each : callers)
-            cutOff += each->fate() == request_fate::CutOff ? 1 : 0;
+            cutOff += each->requestOutcome() == request_fate::ClosedWithoutAnswer ? 1 : 0;
         check(cutOff == 0);
     });
     section("a caller that sends nothing, or no more, is closed", [&] {
-        limits.readWithin = milliseconds(200);
+        limits.readTimeout = milliseconds(200);
         draining_server server(limits);
-        kept_caller quiet(server.address());
+        kept_caller unused(server.address());
         kept_caller half(server.address());
         half.sendText("POST /quick HTTP/1.1\r\nContent-Le");
-        server.when([&] { return !quiet.isOpen() && !half.isOpen(); },
-                    [&] { server.listener().drain(); });
+        server.runWhen([&] { return !unused.isOpen() && !half.isOpen(); },
+                       [&] { server.listener().drain(); });
         check(server.runUntilDrained());
     });
 }
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -16,14 +16,14 @@
 
 namespace {
 
-constexpr milliseconds SoonEnough{30'000}; // a bound on waits for conditions, not a measurement
+constexpr milliseconds WaitLimit{30'000}; // a bound on waits for conditions, not a measurement
 constexpr std::size_t LargeAnswer = 32 * 1024 * 1024; // more than the kernel takes from the server
 
 // A server that counts its events.
-class watched_server
+class counting_server
 {
 public:
-    explicit watched_server(http_server_limits limits)
+    explicit counting_server(http_server_limits limits)
         : m_server(
                 {"127.0.0.1", 0}, limits,
                 [](const http_request &request) {
@@ -48,16 +48,16 @@
     }
     bool waitFor(connection_event event, unsigned times)
     {
-        const auto giveUpAt = monotonic_clock::now() + SoonEnough;
+        const auto giveUpAt = monotonic_clock::now() + WaitLimit;
         while (count(event) < times && monotonic_clock::now() < giveUpAt)
             std::this_thread::sleep_for(milliseconds(10));
         return count(event) >= times;
     }
-    bool answers()
+    bool isAnswering()
     {
         http_pool pool(parseAddress(address()));
         const auto result =
-                pool.call({"POST", "/hold", {}, "seat"}, monotonic_clock::now() + SoonEnough);
+                pool.call({"POST", "/hold", {}, "seat"}, monotonic_clock::now() + WaitLimit);
         const auto *response = std::get_if<http_response>(&result);
         return response != nullptr && response->status == 200 && response->body == "whole seat";
     }
@@ -69,24 +69,24 @@
 };
 
 // A server whose thread that reports an event goes on only when it is let go: it is behind.
-class server_behind
+class blocked_server
 {
 public:
-    server_behind(http_server_limits limits, connection_event heldAt)
-        : m_heldAt(heldAt)
+    blocked_server(http_server_limits limits, connection_event heldAt)
+        : m_blockingEvent(heldAt)
         , m_server(
                   {"127.0.0.1", 0}, limits, [](const http_request &) { return http_response{}; },
-                  [this](connection_event event) { hold(event); })
+                  [this](connection_event event) { blockAt(event); })
     {
         m_server.start();
     }
-    ~server_behind() { letGo(); }
+    ~blocked_server() { release(); }
 
     std::string address() const { return toText(m_server.address()); }
-    bool waitUntilHeld()
+    bool waitUntilBlocked()
     {
         std::unique_lock lock(m_mutex);
-        return m_changed.wait_for(lock, SoonEnough, [this] { return m_held; });
+        return m_changed.wait_for(lock, WaitLimit, [this] { return m_isBlocked; });
     }
     // Stops it on a thread of its own.
     void beginStop()
@@ -96,32 +96,32 @@
     }
     void endStop()
     {
-        letGo();
+        release();
         m_stopping->join();
     }
 
 private:
-    void hold(connection_event event)
+    void blockAt(connection_event event)
     {
         std::unique_lock lock(m_mutex);
-        if (event != m_heldAt)
+        if (event != m_blockingEvent)
             return;
-        m_held = true;
+        m_isBlocked = true;
         m_changed.notify_all();
-        m_changed.wait(lock, [this] { return m_letGo; });
+        m_changed.wait(lock, [this] { return m_isReleased; });
     }
-    void letGo()
+    void release()
     {
         const std::lock_guard lock(m_mutex);
-        m_letGo = true;
+        m_isReleased = true;
         m_changed.notify_all();
     }
 
-    const connection_event m_heldAt;
+    const connection_event m_blockingEvent;
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    bool m_held = false;
-    bool m_letGo = false;
+    bool m_isBlocked = false;
+    bool m_isReleased = false;
     http_server m_server;
     std::optional<std::thread> m_stopping;
 };
@@ -129,9 +129,9 @@
 http_server_limits fewThreads()
 {
     http_server_limits limits;
-    limits.connections = 4;
-    limits.readWithin = milliseconds(400);
-    limits.writeWithin = milliseconds(400);
+    limits.connectionLimit = 4;
+    limits.readTimeout = milliseconds(400);
+    limits.writeTimeout = milliseconds(400);
     return limits;
 }
 
@@ -141,42 +141,42 @@
 // A time limit that starts anew with every byte would never end it: its thread would be gone.
 Test(http_server, dripping_request)
 {
-    watched_server server(fewThreads());
+    counting_server server(fewThreads());
     stalled_callers callers(server.address());
     require(callers.open("127.0.0.1", "GET /seats HTTP/1.1\r\nX-Slow: "));
     unsigned sent = 0;
-    while (callers.stalling() > 0 && sent < 600) {
+    while (callers.countStillOpen() > 0 && sent < 600) {
         callers.send("x");
         ++sent;
         std::this_thread::sleep_for(milliseconds(50));
     }
-    check(callers.stalling() == 0);
-    check(server.waitFor(connection_event::RequestTooSlow, 1));
-    check(server.answers());
+    check(callers.countStillOpen() == 0);
+    check(server.waitFor(connection_event::RequestTimedOut, 1));
+    check(server.isAnswering());
 }
 
 // A caller that stops in the middle of its body is told that its request did not run.
 Test(http_server, half_a_body)
 {
-    watched_server server(fewThreads());
+    counting_server server(fewThreads());
     stalled_callers callers(server.address());
     require(callers.open("127.0.0.1", "POST /hold HTTP/1.1\r\nContent-Length: 100\r\n\r\nhalf"));
     const auto answer = callers.readToEnd();
     check(answer.find("Zb-Executed: no") != std::string::npos);
-    check(server.waitFor(connection_event::RequestTooSlow, 1));
-    check(server.answers());
+    check(server.waitFor(connection_event::RequestTimedOut, 1));
+    check(server.isAnswering());
 }
 
 // Callers that never read their answers hold every thread until the answers' deadline, and no
 // longer.
 Test(http_server, answers_not_taken)
 {
-    watched_server server(fewThreads());
+    counting_server server(fewThreads());
     stalled_callers callers(server.address());
     for (unsigned caller = 0; caller < 4; ++caller)
         require(callers.open("127.0.0.1", "GET /large HTTP/1.1\r\n\r\n"));
-    check(server.waitFor(connection_event::AnswerNotTaken, 4));
-    check(server.answers());
+    check(server.waitFor(connection_event::AnswerWriteTimedOut, 4));
+    check(server.isAnswering());
 }
 
 // Every thread waits for a caller that stalls; deadlines are far away. A new caller is answered all
@@ -184,17 +184,18 @@
 Test(http_server, stalled_callers_give_way)
 {
     auto limits = fewThreads();
-    limits.readWithin = limits.writeWithin = seconds(3600);
-    watched_server server(limits);
+    limits.readTimeout = limits.writeTimeout = seconds(3600);
+    counting_server server(limits);
     stalled_callers callers(server.address());
     for (unsigned caller = 0; caller < 4; ++caller)
         require(callers.open("127.0.0.1", "GET /seats HTT"));
-    const auto giveUpAt = monotonic_clock::now() + SoonEnough;
+    const auto giveUpAt = monotonic_clock::now() + WaitLimit;
     bool answered = false;
     while (!answered && monotonic_clock::now() < giveUpAt)
-        answered = server.answers(); // refused as overloaded until they have stalled long enough
+        answered =
+                server.isAnswering(); // refused as overloaded until they have stalled long enough
     check(answered);
-    check(server.count(connection_event::MadeRoom) >= 1);
+    check(server.count(connection_event::StalledConnectionClosed) >= 1);
 }
 
 // One address holds as many connections as it may; one more is refused with a time to come back,
@@ -202,9 +203,9 @@
 Test(http_server, address_share)
 {
     auto limits = fewThreads();
-    limits.perAddress = 2;
-    limits.readWithin = seconds(3600);
-    watched_server server(limits);
+    limits.maxPerAddress = 2;
+    limits.readTimeout = seconds(3600);
+    counting_server server(limits);
     stalled_callers callers(server.address());
     for (unsigned caller = 0; caller < 2; ++caller) {
         require(callers.open("127.0.0.9", ""));
@@ -219,19 +220,19 @@
         check(answer.find("503") != std::string::npos);
         check(answer.find("Retry-After: 1") != std::string::npos);
         check(answer.find("Zb-Executed: no") != std::string::npos);
-        check(server.count(connection_event::AddressShare) == 1);
+        check(server.count(connection_event::AddressLimitReached) == 1);
     });
-    section("another address", [&] { check(server.answers()); });
+    section("another address", [&] { check(server.isAnswering()); });
 }
 
 // Callers beyond their address's share leave no thread to others until a thread has looked at them.
 Test(http_server, address_share_before_threads)
 {
     auto limits = fewThreads();
-    limits.connections = 2;
-    limits.perAddress = 1;
-    limits.readWithin = seconds(3600);
-    watched_server server(limits);
+    limits.connectionLimit = 2;
+    limits.maxPerAddress = 1;
+    limits.readTimeout = seconds(3600);
+    counting_server server(limits);
     stalled_callers callers(server.address());
     for (const auto *address : {"127.0.0.9", "127.0.0.10"}) {
         require(callers.open(address, ""));
@@ -241,9 +242,9 @@
     section("with all threads in use, one more of the same address is refused for its share", [&] {
         require(callers.open("127.0.0.9", "GET /seats HTTP/1.1\r\n\r\n"));
         check(callers.readToEnd().find("503") != std::string::npos);
-        check(server.count(connection_event::AddressShare) == 1);
-        check(server.count(connection_event::AllInUse) == 0);
-        check(server.count(connection_event::MadeRoom) == 0);
+        check(server.count(connection_event::AddressLimitReached) == 1);
+        check(server.count(connection_event::NoFreeThread) == 0);
+        check(server.count(connection_event::StalledConnectionClosed) == 0);
     });
 }
 
@@ -253,31 +254,31 @@
 {
     section("on connections that wait to be accepted", [] {
         auto limits = fewThreads();
-        limits.connections = 1;
-        server_behind server(limits, connection_event::AllInUse);
-        kept_caller first(server.address());
+        limits.connectionLimit = 1;
+        blocked_server server(limits, connection_event::NoFreeThread);
+        keep_alive_caller first(server.address());
         require(first.send("GET", "/seats"));
         require(first.readAnswer() == 200);
-        kept_caller second(server.address()); // the thread that accepts is held by it
-        require(server.waitUntilHeld());
-        kept_caller third(server.address());
+        keep_alive_caller second(server.address()); // the thread that accepts is held by it
+        require(server.waitUntilBlocked());
+        keep_alive_caller third(server.address());
         require(third.send("GET", "/seats"));
         server.beginStop();
         server.endStop();
-        check(third.fate() == request_fate::Answered);
+        check(third.requestOutcome() == request_outcome::Answered);
     });
     section("in the socket of a connection", [] {
         auto limits = fewThreads();
-        limits.perAddress = 1;
-        server_behind server(limits, connection_event::AddressShare);
-        kept_caller first(server.address());
+        limits.maxPerAddress = 1;
+        blocked_server server(limits, connection_event::AddressLimitReached);
+        keep_alive_caller first(server.address());
         require(first.send("GET", "/seats"));
         require(first.readAnswer() == 200);
-        kept_caller second(server.address());
+        keep_alive_caller second(server.address());
         require(second.send("GET", "/seats"));
-        require(server.waitUntilHeld());
+        require(server.waitUntilBlocked());
         server.beginStop();
         server.endStop();
-        check(second.fate() == request_fate::Answered);
+        check(second.requestOutcome() == request_outcome::Answered);
     });
 }
--- a/tests/job_platform_test.cpp
+++ b/tests/job_platform_test.cpp
@@ -82,8 +82,8 @@
         }
     });
     section("a lost or unreadable answer leaves the outcome of a write unknown", [] {
-        check(std::holds_alternative<in_doubt>(commitResult(call_failure::Late)));
-        check(std::holds_alternative<in_doubt>(commitResult(call_failure::Cut)));
+        check(std::holds_alternative<in_doubt>(commitResult(call_failure::TimedOut)));
+        check(std::holds_alternative<in_doubt>(commitResult(call_failure::IncompleteAnswer)));
         check(std::holds_alternative<in_doubt>(commitResult(answer(200, "{"))));
         check(std::holds_alternative<in_doubt>(commitResult(answer(502, ""))));
     });
@@ -128,8 +128,8 @@
     check(startResult(answer(200, "{}")) == start_answer::Started);
     check(startResult(answer(409, R"({"reason":"late"})")) == start_answer::Refused);
     check(startResult(answer(503, "")) == start_answer::NotExecuted);
-    check(startResult(call_failure::Late) == start_answer::Unanswered);
-    check(startResult(call_failure::Cut) == start_answer::Unanswered);
+    check(startResult(call_failure::TimedOut) == start_answer::Unanswered);
+    check(startResult(call_failure::IncompleteAnswer) == start_answer::Unanswered);
     const auto looked = holdResult(
             answer(200, R"({"clock-ms":5,"born":9,"running":[["j.0.1.17",2,"c",41,25],["?"]],)"
                         R"("ended":[[58,"j.0.1.9",1,"done",""],[59,"j.0.1.9",1,"?",""]]})"));
@@ -375,10 +375,10 @@
     {
         event_log log("entry", "e", {1'000'000, 300'000});
         for (int line = 0; line < 10'000; ++line) {
-            log.note("job_submitted", {{"job", "j"}, {"queue", std::string(50, 'q')}});
+            log.writeEvent("job_submitted", {{"job", "j"}, {"queue", std::string(50, 'q')}});
             log.flush();
         }
-        check(log.dropped() > 0);
+        check(log.droppedCount() > 0);
     }
     ::dup2(before, STDOUT_FILENO);
     ::close(ends[0]);
@@ -415,11 +415,11 @@
 {
     net::event_loop loop;
     int callCount = 0;
-    loop.every(milliseconds(1), [&] {
+    loop.runEvery(milliseconds(1), [&] {
         if (++callCount == 1)
             throw error(error_kind::BadRequest, "once");
     });
-    loop.after(milliseconds(300), [&] { loop.stop(); });
+    loop.runAfter(milliseconds(300), [&] { loop.stop(); });
     loop.run([](const std::exception & /*the test counts turns instead*/) {});
     check(callCount > 1);
 }
--- a/tests/large_rows_test.cpp
+++ b/tests/large_rows_test.cpp
@@ -168,7 +168,7 @@
         loop.stop();
     });
     follower.start();
-    loop.every(milliseconds(10), [&] {
+    loop.runEvery(milliseconds(10), [&] {
         if (store.answeredFeeds() > maxFeeds)
             loop.stop();
     });
--- a/tests/loop_lateness_test.cpp
+++ b/tests/loop_lateness_test.cpp
@@ -12,8 +12,8 @@
 
 void fire(loop_lateness &lateness, time_point due, time_point now)
 {
-    lateness.armed(due);
-    lateness.fired(due, now);
+    lateness.addTimer(due);
+    lateness.recordFired(due, now);
 }
 
 } // namespace
@@ -22,19 +22,19 @@
 {
     const time_point start{seconds(1000)};
     loop_lateness lateness;
-    section("nothing fired yet", [&] { check(lateness.worst(start) == duration{}); });
+    section("nothing fired yet", [&] { check(lateness.maxLateness(start) == duration{}); });
     section("the worst counts, not the last", [&] {
         fire(lateness, start, start + milliseconds(300));
         fire(lateness, start + milliseconds(350), start + milliseconds(360));
-        check(lateness.worst(start + milliseconds(400)) == milliseconds(300));
+        check(lateness.maxLateness(start + milliseconds(400)) == milliseconds(300));
     });
     section("it is forgotten after two windows at most", [&] {
-        check(lateness.worst(start + milliseconds(1400)) == milliseconds(300));
+        check(lateness.maxLateness(start + milliseconds(1400)) == milliseconds(300));
         fire(lateness, start + milliseconds(1500), start + milliseconds(1520));
-        check(lateness.worst(start + milliseconds(2600)) == milliseconds(20));
+        check(lateness.maxLateness(start + milliseconds(2600)) == milliseconds(20));
     });
     section("a loop at which nothing fired for long is not behind",
-            [&] { check(lateness.worst(start + seconds(60)) == duration{}); });
+            [&] { check(lateness.maxLateness(start + seconds(60)) == duration{}); });
 }
 
 // A signal is handled after a stall, before any timer that came due in it.
@@ -42,12 +42,12 @@
 {
     const time_point start{seconds(1000)};
     loop_lateness lateness;
-    lateness.armed(start + milliseconds(100));
-    lateness.armed(start + milliseconds(400));
-    check(lateness.overdue(start) == duration{});
-    check(lateness.overdue(start + milliseconds(1600)) == milliseconds(1500));
-    lateness.fired(start + milliseconds(100), start + milliseconds(1600));
-    lateness.fired(start + milliseconds(400), start + milliseconds(1600));
-    check(lateness.overdue(start + seconds(60)) == duration{});
-    check(lateness.worst(start + milliseconds(1600)) == milliseconds(1500));
+    lateness.addTimer(start + milliseconds(100));
+    lateness.addTimer(start + milliseconds(400));
+    check(lateness.overdueTime(start) == duration{});
+    check(lateness.overdueTime(start + milliseconds(1600)) == milliseconds(1500));
+    lateness.recordFired(start + milliseconds(100), start + milliseconds(1600));
+    lateness.recordFired(start + milliseconds(400), start + milliseconds(1600));
+    check(lateness.overdueTime(start + seconds(60)) == duration{});
+    check(lateness.maxLateness(start + milliseconds(1600)) == milliseconds(1500));
 }
--- a/tests/order_outcomes_test.cpp
+++ b/tests/order_outcomes_test.cpp
@@ -45,7 +45,7 @@
         check(outcomes.reason.empty());
     });
     section("no answer, or a refusal of the whole batch, settles none", [&] {
-        const auto late = outcomesOf(batch, call_failure::Late);
+        const auto late = outcomesOf(batch, call_failure::TimedOut);
         check(late.answered.empty());
         check(late.unanswered.size() == 3);
         check(late.reason == "late");
--- a/tests/order_search.h
+++ b/tests/order_search.h
@@ -151,7 +151,7 @@
     {
         return lowest
                + static_cast<int>(
-                       pickIndex(m_random, static_cast<std::size_t>(highest - lowest + 1)));
+                       randomIndex(m_random, static_cast<std::size_t>(highest - lowest + 1)));
     }
     bool drawChance(int percent) { return randomBetween(1, 100) <= percent; }
     milliseconds randomSpan(int lowest, int highest)
@@ -281,11 +281,14 @@
         }
     }
 
-    simulated_entry &randomEntry() { return m_simulation.entry(pickIndex(m_random, EntryCount)); }
-    simulated_agent &randomAgent() { return m_simulation.agent(pickIndex(m_random, WorkerCount)); }
+    simulated_entry &randomEntry() { return m_simulation.entry(randomIndex(m_random, EntryCount)); }
+    simulated_agent &randomAgent()
+    {
+        return m_simulation.agent(randomIndex(m_random, WorkerCount));
+    }
     simulated_worker &randomWorker()
     {
-        return m_simulation.worker(pickIndex(m_random, WorkerCount));
+        return m_simulation.worker(randomIndex(m_random, WorkerCount));
     }
 
     void injectFault(fault what)
--- a/tests/outbound_calls_test.cpp
+++ b/tests/outbound_calls_test.cpp
@@ -79,7 +79,7 @@
     });
     answering.start();
     const silent_server silent;
-    duty_system system;
+    actor_runtime system;
     metrics counters;
     std::atomic<unsigned> answered{0};
     std::atomic<unsigned> failedCalls{0};
@@ -107,7 +107,7 @@
 // A duty asks a process whose address it does not know yet, and has to hear that nothing came.
 Test(lanes, a_call_without_an_address_fails)
 {
-    duty_system system;
+    actor_runtime system;
     metrics counters;
     std::atomic<unsigned> failedCalls{0};
     rpc_sender sender(system, Timeout, counters);
@@ -131,7 +131,7 @@
         return http_response{200, {}, methods.handle(request.body)};
     });
     answering.start();
-    duty_system system;
+    actor_runtime system;
     metrics counters;
     std::atomic<unsigned> completedCalls{0};
     rpc_sender sender(system, WaitLimit, counters);
--- a/tests/process_jobs_test.cpp
+++ b/tests/process_jobs_test.cpp
@@ -29,7 +29,7 @@
     void connect(int count)
     {
         for (int each = 0; each < count; ++each)
-            m_callers.push_back(std::make_unique<kept_caller>(m_server));
+            m_callers.push_back(std::make_unique<keep_alive_caller>(m_server));
     }
     int openCount() const
     {
@@ -49,18 +49,18 @@
     {
         return static_cast<int>(
                 std::count_if(m_callers.begin(), m_callers.end(), [](const auto &each) {
-                    return each->fate() == request_fate::CutOff;
+                    return each->requestOutcome() == request_outcome::ClosedWithoutAnswer;
                 }));
     }
 
 private:
     std::string m_server;
-    std::vector<std::unique_ptr<kept_caller>> m_callers;
+    std::vector<std::unique_ptr<keep_alive_caller>> m_callers;
 };
 
 bool accepts(const std::string &server)
 {
-    return waitUntil([&] { return kept_caller(server).isOpen(); }, WaitLimit);
+    return waitUntil([&] { return keep_alive_caller(server).isOpen(); }, WaitLimit);
 }
 
 constexpr int TasksPerJob = 6;
@@ -448,10 +448,10 @@
     system_under_test system;
     system.site().workLasts(milliseconds(600'000));
     require(system.submit(0, "ffff000000000003"));
-    std::vector<std::unique_ptr<kept_caller>> callers;
+    std::vector<std::unique_ptr<keep_alive_caller>> callers;
     const auto connectMore = [&](int count) {
         for (int each = 0; each < count; ++each) {
-            callers.push_back(std::make_unique<kept_caller>(system.callersAddress(0)));
+            callers.push_back(std::make_unique<keep_alive_caller>(system.callersAddress(0)));
             require(callers.back()->isOpen());
         }
     };
@@ -479,7 +479,7 @@
     section("each request is answered nevertheless", [&] {
         int cutOffCount = 0;
         for (const auto &caller : callers)
-            cutOffCount += caller->fate() == request_fate::CutOff ? 1 : 0;
+            cutOffCount += caller->requestOutcome() == request_outcome::ClosedWithoutAnswer ? 1 : 0;
         check(cutOffCount == 0);
     });
     check(system.entry(0).waitForExit(WaitLimit) == 0);
@@ -579,7 +579,7 @@
 {
     system_under_test system;
     require(accepts(system.agentInternalAddress(0)));
-    kept_caller caller(system.agentInternalAddress(0));
+    keep_alive_caller caller(system.agentInternalAddress(0));
     constexpr const char *Feed = "/v1/store/-/rows-feed?table=op&after=1000000&wait-ms=1000";
     require(caller.send("GET", Feed)); // the store holds the answer for a second
     require(waitUntil([&] { return system.hasAgentRelayed(0); }, WaitLimit));
@@ -638,7 +638,7 @@
     // Tries without a pause, because the moment is short.
     const auto awaitListening = [](const std::string &address) {
         const auto giveUpAt = monotonic_clock::now() + WaitLimit;
-        while (!kept_caller(address).isOpen())
+        while (!keep_alive_caller(address).isOpen())
             require(monotonic_clock::now() < giveUpAt);
     };
     constexpr int Restarts = 10;
--- a/tests/process_links_test.cpp
+++ b/tests/process_links_test.cpp
@@ -116,7 +116,7 @@
             "", "POST /tickets/hold HTTP/1.1\r\nX-Ha",
             "POST /tickets/hold HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"};
     static unsigned next = 0;
-    for (auto count = callers.stalling(); count < StalledCallers; ++count) {
+    for (auto count = callers.countStillOpen(); count < StalledCallers; ++count) {
         ++next;
         const auto from = ownAddresses ? "127.0." + std::to_string(1 + next / 250 % 100) + "."
                                                  + std::to_string(2 + next % 250)
--- a/tests/process_requests_test.cpp
+++ b/tests/process_requests_test.cpp
@@ -110,10 +110,10 @@
     startAndWait(system);
     const auto stopBehind = [](child_process &process, const std::string &address,
                                const std::string &path) {
-        std::vector<std::unique_ptr<kept_caller>> callers;
+        std::vector<std::unique_ptr<keep_alive_caller>> callers;
         const auto connectMore = [&] {
             for (int each = 0; each < 8; ++each) {
-                callers.push_back(std::make_unique<kept_caller>(address));
+                callers.push_back(std::make_unique<keep_alive_caller>(address));
                 require(callers.back()->isOpen());
             }
         };
@@ -132,7 +132,7 @@
         process.signal(SIGCONT);
         int cutOff = 0;
         for (const auto &caller : callers)
-            cutOff += caller->fate() == request_fate::CutOff ? 1 : 0;
+            cutOff += caller->requestOutcome() == request_outcome::ClosedWithoutAnswer ? 1 : 0;
         check(cutOff == 0);
         check(process.waitForExit(WaitLimit) == 0);
     };
--- a/tests/process_stops_test.cpp
+++ b/tests/process_stops_test.cpp
@@ -95,7 +95,7 @@
     void run(const std::stop_token &stopToken)
     {
         while (!stopToken.stop_requested()) {
-            kept_caller connection(m_server);
+            keep_alive_caller connection(m_server);
             if (!connection.isOpen())
                 std::this_thread::sleep_for(milliseconds(10));
             int requestsLeft = m_random.between(1, 15);
@@ -105,7 +105,7 @@
     }
 
 private:
-    void exchangeRequest(kept_caller &connection)
+    void exchangeRequest(keep_alive_caller &connection)
     {
         std::this_thread::sleep_for(m_random.time(0, m_isBurst ? 40 : 300));
         if (m_random.oneIn(12))
@@ -125,7 +125,7 @@
         connection.sendText(text.substr(first));
         const auto sentAt = monotonic_clock::now();
         const auto status = connection.readAnswer();
-        const auto open = connection.seenOpenAt() - sentAt;
+        const auto open = connection.lastSeenOpenAt() - sentAt;
         const std::lock_guard lock(m_record.mutex);
         if (status)
             return recordAnswer(request, *status);
@@ -139,15 +139,16 @@
     }
 
     // False if the connection ended before the rest could be sent.
-    bool sendInPart(kept_caller &connection, const caller_request &request, const std::string &part)
+    bool sendInPart(keep_alive_caller &connection, const caller_request &request,
+                    const std::string &part)
     {
         connection.sendText(part);
         const auto sentAt = monotonic_clock::now();
         if (connection.staysOpenFor(m_random.time(0, 300)))
             return true;
         const std::lock_guard lock(m_record.mutex);
-        const bool wasRead = connection.isEndedInOrder();
-        if (!wasRead || connection.seenOpenAt() - sentAt <= MaxArrivalTime)
+        const bool wasRead = connection.isClosedInOrder();
+        if (!wasRead || connection.lastSeenOpenAt() - sentAt <= MaxArrivalTime)
             ++m_record.brokenOffCount;
         else
             recordFault(request,
--- a/tests/process_stream_test.cpp
+++ b/tests/process_stream_test.cpp
@@ -54,7 +54,7 @@
     {
         request.headers["Zb-Deadline-Ms"] = std::to_string(deadline.count());
         const auto until = monotonic_clock::now() + deadline + seconds(5);
-        const auto result = m_pool.open(std::move(request), until, {}, m_threads);
+        const auto result = m_pool.callStreaming(std::move(request), until, {}, m_threads);
         received_answer answer;
         if (!std::holds_alternative<http_response>(result)) {
             answer.failure = "no answer";
@@ -67,8 +67,8 @@
             answer.failure = answer.head.header("Zb-Error");
             return answer;
         }
-        for (auto part = answer.head.stream->take(); !part.empty();
-             part = answer.head.stream->take()) {
+        for (auto part = answer.head.stream->takePart(); !part.empty();
+             part = answer.head.stream->takePart()) {
             answer.equal = answer.equal && part == patternBytes(answer.bytes, part.size());
             answer.bytes += part.size();
             if (afterPart)
@@ -84,12 +84,12 @@
     static http_pool_limits limits()
     {
         http_pool_limits limits;
-        limits.answerBytes = 512 * MiB;
+        limits.answerBytesLimit = 512 * MiB;
         return limits;
     }
 
     http_pool m_pool;
-    receivers m_threads;
+    receiver_threads m_threads;
 };
 
 // A caller that takes the first part of a large answer and waits for finish().
@@ -187,7 +187,8 @@
         check(answer.head.header("Transfer-Encoding") == "chunked");
     });
     section("around the size from which answers are streamed", [&] {
-        for (const auto bytes : {WholeAnswerBytes - 1, WholeAnswerBytes, WholeAnswerBytes + 1}) {
+        for (const auto bytes :
+             {MaxBufferedAnswerBytes - 1, MaxBufferedAnswerBytes, MaxBufferedAnswerBytes + 1}) {
             const auto answer = caller.fetch(get(largeTarget(bytes)));
             check(isWhole(answer, bytes));
         }
--- a/tests/request_flow_test.cpp
+++ b/tests/request_flow_test.cpp
@@ -91,7 +91,7 @@
                 check(!retries("PUT", attempt_too_large{}));
             });
     section("a refusal whose kind does not mean 'not run' is no proof of it", [] {
-        const auto contradictory = refusalOf(error_kind::AnswerCut, executed::No);
+        const auto contradictory = refusalOf(error_kind::AnswerIncomplete, executed::No);
         check(!retries("POST", contradictory));
         check(isRefusedAs(forwarded_request("POST").end(contradictory), error_kind::OutcomeUnknown,
                           executed::Unknown));
@@ -136,7 +136,7 @@
     section("an outcome that is not known is answered as such at once", [] {
         check(isRefusedAs(forwarded_request("POST").end(attempt_cut{}), error_kind::OutcomeUnknown,
                           executed::Unknown));
-        check(isRefusedAs(forwarded_request("GET").end(attempt_cut{}), error_kind::AnswerCut,
+        check(isRefusedAs(forwarded_request("GET").end(attempt_cut{}), error_kind::AnswerIncomplete,
                           executed::Unknown));
     });
     section("an answer of an earlier attempt is not the answer", [] {
--- a/tests/retry_budget_test.cpp
+++ b/tests/retry_budget_test.cpp
@@ -35,7 +35,7 @@
             retry_budget budget({}, Start);
             const auto verdict = budget.requestRetry(failedBy(row.kind), Start);
             check(granted(verdict) == row.retryElsewhere);
-            check(row.ran == executed::No || denied(verdict, retry_denial::MayHaveRun));
+            check(row.execution == executed::No || denied(verdict, retry_denial::MayHaveRun));
         }
     });
     section("nor one without the time for another attempt", [] {
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -103,10 +103,11 @@
                 const auto tasks = simulation.running("season");
                 if (tasks.empty())
                     continue;
-                const auto &task = tasks[pickIndex(simulation.random, tasks.size())].attempt;
-                const auto bytes = static_cast<std::int64_t>(4 + pickIndex(simulation.random, 16));
+                const auto &task = tasks[randomIndex(simulation.random, tasks.size())].attempt;
+                const auto bytes =
+                        static_cast<std::int64_t>(4 + randomIndex(simulation.random, 16));
                 simulation.sampleUsage(hostOf(simulation, task), task.task, bytes * Gigabyte);
-                if (pickIndex(simulation.random, 20) == 0)
+                if (randomIndex(simulation.random, 20) == 0)
                     simulation.hosts.at("w0").startAgent();
             }
             simulation.grantLossRate = 0;
--- a/tests/stalled_callers.h
+++ b/tests/stalled_callers.h
@@ -33,8 +33,8 @@
         const int handle = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         const int small = 4096; // so that an answer that is not read stays with the server
         setsockopt(handle, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-        const auto own = place(from, 0);
-        const auto there = place(m_server.address, m_server.port);
+        const auto own = toSocketAddress(from, 0);
+        const auto there = toSocketAddress(m_server.address, m_server.port);
         const bool connected =
                 bind(handle, reinterpret_cast<const sockaddr *>(&own), sizeof own) == 0
                 && connect(handle, reinterpret_cast<const sockaddr *>(&there), sizeof there) == 0;
@@ -67,7 +67,7 @@
     }
 
     // Takes away those that the server has closed; returns how many stall on.
-    std::size_t stalling()
+    std::size_t countStillOpen()
     {
         std::erase_if(m_open, [](int each) {
             char byte = 0;
@@ -94,8 +94,8 @@
     {
         char piece[4096];
         pollfd waiting{m_open.back(), POLLIN, 0};
-        constexpr int Patience = 10'000;
-        if (poll(&waiting, 1, Patience) != 1)
+        constexpr int ReadTimeoutMs = 10'000;
+        if (poll(&waiting, 1, ReadTimeoutMs) != 1)
             return false;
         const auto got = recv(m_open.back(), piece, sizeof piece, 0);
         if (got <= 0)
@@ -104,7 +104,7 @@
         return true;
     }
 
-    static sockaddr_in place(const std::string &address, int port)
+    static sockaddr_in toSocketAddress(const std::string &address, int port)
     {
         sockaddr_in out{};
         out.sin_family = AF_INET;
--- a/tests/thread_check.cpp
+++ b/tests/thread_check.cpp
@@ -37,7 +37,7 @@
 };
 
 // Writers that find the ring full count a refusal and go on; the one reader gets what was taken.
-void ringKeepsWhatItTook()
+void checkRingLosesNothing()
 {
     bounded_ring<item> ring(Capacity);
     std::atomic<int> taken{0};
@@ -73,7 +73,7 @@
 }
 
 // HTTP threads count while another one reads the text.
-void metricsCountFromAllThreads()
+void checkMetricsFromManyThreads()
 {
     metrics counters;
     std::vector<std::thread> counting;
@@ -96,42 +96,42 @@
 }
 
 // Sends one body through a ring; every third reader lets go midway. True when the bytes are right.
-bool streamOne(receivers &threads, int number, std::atomic<int> &ends)
+bool streamOne(receiver_threads &threads, int number, std::atomic<int> &ends)
 {
     constexpr std::size_t Chunk = 4096;
     constexpr std::size_t Chunks = 300;
-    const bool letsGo = number % 3 == 0;
+    const bool abandons = number % 3 == 0;
     const auto ring = std::make_shared<body_ring>(monotonic_clock::now() + seconds(60));
     threads.run([ring] {
         body_end end;
         const std::string chunk(Chunk, 'x');
-        if (ring->start([] {})) {
+        if (ring->attachReceiver([] {})) {
             for (std::size_t index = 0; index < Chunks && !end; ++index)
                 end = ring->push(chunk.data(), chunk.size());
         }
-        ring->detach();
+        ring->detachReceiver();
         ring->finish(end);
     });
     body_reader reader(ring);
-    ring->waitForEnd(Chunk);
+    ring->waitForEndOrBytes(Chunk);
     reader.observeEnd([&](body_end, duration) { ++ends; });
     std::size_t bytes = 0;
-    for (auto part = reader.take(); !part.empty(); part = reader.take()) {
+    for (auto part = reader.takePart(); !part.empty(); part = reader.takePart()) {
         bytes += part.size();
-        if (letsGo && bytes > Chunk)
+        if (abandons && bytes > Chunk)
             return true;
     }
     return bytes == Chunk * Chunks && !reader.end();
 }
 
 // A receiving and a sending thread for each body, and threads that are used again.
-void bodiesComeWholeAndEndOnce()
+void checkBodiesAreWhole()
 {
     constexpr int Bodies = 150;
     std::atomic<int> whole{0};
     std::atomic<int> ends{0};
     {
-        receivers threads;
+        receiver_threads threads;
         std::vector<std::thread> readers;
         for (int reader = 0; reader < Writers; ++reader) {
             readers.emplace_back([&] {
@@ -150,9 +150,9 @@
 
 int main()
 {
-    ringKeepsWhatItTook();
-    metricsCountFromAllThreads();
-    bodiesComeWholeAndEndOnce();
+    checkRingLosesNothing();
+    checkMetricsFromManyThreads();
+    checkBodiesAreWhole();
     fmt::print("{} passed, {} failed\n", passed, failed);
     return failed == 0 ? 0 : 1;
 }
--- a/tests/worker_presence_test.cpp
+++ b/tests/worker_presence_test.cpp
@@ -72,18 +72,18 @@
     running_worker current;
     require(current.worker.handleDeparture("worker", current.now));
     section("a late connection or answer proves nothing about the worker", [&] {
-        for (const auto failure : {call_failure::NotConnected, call_failure::Late,
-                                   call_failure::Cut, call_failure::TooLarge})
+        for (const auto failure : {call_failure::NotConnected, call_failure::TimedOut,
+                                   call_failure::IncompleteAnswer, call_failure::TooLarge})
             check(!current.worker.confirmsDeparture(failure));
         check(current.worker.isGoingAway());
     });
     section("a refused connection proves once that the worker is gone", [&] {
-        check(current.worker.confirmsDeparture(call_failure::Refused));
-        check(!current.worker.confirmsDeparture(call_failure::Refused));
+        check(current.worker.confirmsDeparture(call_failure::ConnectionRefused));
+        check(!current.worker.confirmsDeparture(call_failure::ConnectionRefused));
     });
     section("without a departure message the worker may be back soon", [&] {
         running_worker other;
-        check(!other.worker.confirmsDeparture(call_failure::Refused));
+        check(!other.worker.confirmsDeparture(call_failure::ConnectionRefused));
     });
 }
 
@@ -137,7 +137,7 @@
         auto worker = current.worker;
         worker.handleAnnouncement(draining);
         require(worker.handleDeparture("worker", current.now));
-        require(worker.confirmsDeparture(call_failure::Refused));
+        require(worker.confirmsDeparture(call_failure::ConnectionRefused));
         check(worker.handleAnswer(BornMs + 5, current.now + milliseconds(2000))
               == look::NewIncarnation);
         worker.handleAnnouncement(announcementWith(1, BornMs + 5));
