--- a/bench/load_signal_bench.cpp
+++ b/bench/load_signal_bench.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
+using zinniabarrow::drawIndex;
+using zinniabarrow::drawUniform;
 using zinniabarrow::random_generator;
-using zinniabarrow::randomIndex;
-using zinniabarrow::randomUnit;
 using zinniabarrow::placement::load_signal;
 using zinniabarrow::placement::load_signal_settings;
 
@@ -38,13 +38,13 @@
     std::vector<slice> slices;
     while (slices.size() < Slices) {
         const bool disturbed = !slices.empty() && !slices.back().disturbed;
-        const auto length = disturbed ? 8 + randomIndex(random, 53) : 20 + randomIndex(random, 200);
-        const double level = disturbed ? 5 + 10 * randomUnit(random) : 2;
+        const auto length = disturbed ? 8 + drawIndex(random, 53) : 20 + drawIndex(random, 200);
+        const double level = disturbed ? 5 + 10 * drawUniform(random) : 2;
         for (std::size_t index = 0; index < length; ++index) {
             double noise = -1.5;
             for (int part = 0; part < 3; ++part)
-                noise += randomUnit(random);
-            const double spike = randomUnit(random) < spikes ? 15 : 0;
+                noise += drawUniform(random);
+            const double spike = drawUniform(random) < spikes ? 15 : 0;
             const double count = level + 2 * noise * std::sqrt(level) + spike;
             slices.push_back({std::max(0.0, std::round(count)), disturbed});
         }
--- a/bench/membership_mesh.cpp
+++ b/bench/membership_mesh.cpp
@@ -108,7 +108,7 @@
             compactJson(message).size() + static_cast<std::size_t>(m_settings.packetBytes);
     m_traffic[from].sent += bytes;
     ++m_traffic[from].messages;
-    if (m_cut.contains({from, to}) || randomUnit(m_random) < m_settings.lossShare)
+    if (m_cut.contains({from, to}) || drawUniform(m_random) < m_settings.lossShare)
         return;
     m_traffic[to].received += bytes;
     ++m_traffic[to].messages;
--- a/bench/overload_scenario.cpp
+++ b/bench/overload_scenario.cpp
@@ -57,7 +57,7 @@
 
     duration exponential(double mean)
     {
-        const std::chrono::duration<double> drawn(-std::log(1 - randomUnit(m_random)) * mean);
+        const std::chrono::duration<double> drawn(-std::log(1 - drawUniform(m_random)) * mean);
         return duration(1) + std::chrono::duration_cast<duration>(drawn);
     }
 
--- a/bench/placement_model.cpp
+++ b/bench/placement_model.cpp
@@ -88,7 +88,7 @@
 
 private:
     double at() const { return std::chrono::duration<double>(m_now - Start).count(); }
-    double between(double low, double high) { return low + (high - low) * randomUnit(m_random); }
+    double between(double low, double high) { return low + (high - low) * drawUniform(m_random); }
     double normal();
     bool everySeconds(double period) const;
     void addWorkers();
@@ -127,7 +127,7 @@
 {
     double sum = 0;
     for (int index = 0; index < 12; ++index)
-        sum += randomUnit(m_random);
+        sum += drawUniform(m_random);
     return sum - 6;
 }
 
@@ -173,7 +173,7 @@
 {
     const double need = 1 + static_cast<double>(batchClass % 4);
     const double peak = between(3, 12) * Gigabyte;
-    const bool fails = m_settings.failures && randomIndex(m_random, 50) == 0;
+    const bool fails = m_settings.failures && drawIndex(m_random, 50) == 0;
     // Declared sizes are far off, in both directions.
     const double declaredNeed = need * std::exp(0.6 * normal() + 0.3);
     const double declaredPeak = peak * std::exp(0.6 * normal());
@@ -204,9 +204,9 @@
 
 void placement_model::submitAnyBatch()
 {
-    submitBatch(static_cast<int>(randomIndex(m_random, BatchClasses)),
-                1 + static_cast<int>(randomIndex(m_random, 6)),
-                randomIndex(m_random, 3) == 0 ? task_priority::Low : task_priority::Normal);
+    submitBatch(static_cast<int>(drawIndex(m_random, BatchClasses)),
+                1 + static_cast<int>(drawIndex(m_random, 6)),
+                drawIndex(m_random, 3) == 0 ? task_priority::Low : task_priority::Normal);
 }
 
 void placement_model::submitJobs()
@@ -222,7 +222,7 @@
     const double inHour = std::fmod(at(), 3'600);
     if (m_settings.waves && inHour >= 1'500 && inHour < 1'800 && everySeconds(10)) {
         constexpr std::array<int, 3> Noisy{0, 1, 5};
-        submitBatch(Noisy.at(randomIndex(m_random, Noisy.size())), 6, task_priority::Normal);
+        submitBatch(Noisy.at(drawIndex(m_random, Noisy.size())), 6, task_priority::Normal);
     }
 }
 
--- a/bench/placement_slope_bench.cpp
+++ b/bench/placement_slope_bench.cpp
@@ -104,7 +104,7 @@
             task.kind = nextJob % 13 == 0 ? task_kind::Service : task_kind::Batch;
             task.team = "team-" + std::to_string(nextJob % 28);
             task.pool = "main";
-            const auto size = static_cast<std::int64_t>(randomIndex(random, 10));
+            const auto size = static_cast<std::int64_t>(drawIndex(random, 10));
             task.declared = {400 + 100 * size, Gigabyte + size * Gigabyte / 2, 0};
             for (task.taskIndex = 0; task.taskIndex < TasksOfJob && made < tasks; ++made) {
                 subject.taskPending(task, now);
@@ -152,7 +152,7 @@
         for (int part = 0; part < 10; ++part) {
             now += milliseconds(100);
             for (int ended = 0; ended < 21; ++ended) {
-                const auto index = randomIndex(random, placed.size());
+                const auto index = drawIndex(random, placed.size());
                 subject.taskEnded(placed[index].task, placed[index].worker, now);
                 placed[index] = placed.back();
                 placed.pop_back();
--- a/bench/routing_scenario.cpp
+++ b/bench/routing_scenario.cpp
@@ -192,7 +192,7 @@
 
     duration exponential(std::chrono::duration<double> mean)
     {
-        const auto drawn = -std::log(1.0 - randomUnit(m_random)) * mean;
+        const auto drawn = -std::log(1.0 - drawUniform(m_random)) * mean;
         return std::max(duration(1), std::chrono::duration_cast<duration>(drawn));
     }
 
--- a/libs/base/random.h
+++ b/libs/base/random.h
@@ -11,13 +11,13 @@
 using random_generator = pcg32;
 
 // A uniform index below `size`; `size` must be above zero.
-inline std::size_t randomIndex(random_generator &random, std::size_t size)
+inline std::size_t drawIndex(random_generator &random, std::size_t size)
 {
     return random(static_cast<std::uint32_t>(size));
 }
 
 // A uniform number in [0, 1).
-inline double randomUnit(random_generator &random)
+inline double drawUniform(random_generator &random)
 {
     constexpr double Range = 4294967296.0;
     return random() / Range;
--- a/libs/request/router.cpp
+++ b/libs/request/router.cpp
@@ -161,10 +161,10 @@
 router::upstream *router::pickBy(two_choices, const std::string &, const candidates &from,
                                  time_point now)
 {
-    const std::size_t first = randomIndex(m_random, from.size());
+    const std::size_t first = drawIndex(m_random, from.size());
     if (from.size() == 1)
         return from[first];
-    std::size_t second = randomIndex(m_random, from.size() - 1);
+    std::size_t second = drawIndex(m_random, from.size() - 1);
     second += second >= first ? 1 : 0;
     return estimatedLoad(*from[second], now) < estimatedLoad(*from[first], now) ? from[second]
                                                                                 : from[first];
@@ -176,7 +176,7 @@
     auto &turn = m_nextTurn[service];
     for (std::size_t tries = 0; tries < from.size(); ++tries) {
         upstream *next = from[turn++ % from.size()];
-        if (randomUnit(m_random) < slowStartFactor(*next, now))
+        if (drawUniform(m_random) < slowStartFactor(*next, now))
             return next;
     }
     return from[turn++ % from.size()];
@@ -186,7 +186,7 @@
                                  time_point now)
 {
     // Starting at a random place breaks ties evenly.
-    const std::size_t offset = randomIndex(m_random, from.size());
+    const std::size_t offset = drawIndex(m_random, from.size());
     upstream *best = from[offset];
     for (std::size_t i = 1; i < from.size(); ++i) {
         upstream *other = from[(offset + i) % from.size()];
--- a/standins/load.cpp
+++ b/standins/load.cpp
@@ -84,8 +84,8 @@
                                                 / m_options.perSecond);
         const auto operation =
                 m_options.prefix + "-" + std::to_string(caller) + "-" + std::to_string(turn);
-        const auto kind = randomIndex(random, 10);
-        const auto entry = static_cast<unsigned>(randomIndex(random, entries));
+        const auto kind = drawIndex(random, 10);
+        const auto entry = static_cast<unsigned>(drawIndex(random, entries));
         if (kind < 6) {
             ask(entry, {"GET", "/tickets/seats", {}, {}}, operation);
         } else {
--- a/tests/at_most_once_test.cpp
+++ b/tests/at_most_once_test.cpp
@@ -152,8 +152,8 @@
         random_generator random(seed);
         std::map<int, fault> faults;
         for (int i = 0; i < 3; ++i) {
-            const auto kind = 1 + randomIndex(random, static_cast<std::size_t>(fault::Last) - 1);
-            faults[1 + static_cast<int>(randomIndex(random, steps))] = static_cast<fault>(kind);
+            const auto kind = 1 + drawIndex(random, static_cast<std::size_t>(fault::Last) - 1);
+            faults[1 + static_cast<int>(drawIndex(random, steps))] = static_cast<fault>(kind);
         }
         runFaults("POST", "k", faults, fmt::format("seed {}", seed));
     }
--- a/tests/claim_coordinator_test.cpp
+++ b/tests/claim_coordinator_test.cpp
@@ -73,7 +73,7 @@
     for (int i = 0; i < 600; ++i) {
         const std::string entry = i % 2 == 0 ? "e1" : "e2";
         simulation.send(fmt::format("{}/{}", entry, i), entry,
-                        milliseconds(100 + randomIndex(random, 10'000)), "POST",
+                        milliseconds(100 + drawIndex(random, 10'000)), "POST",
                         fmt::format("k{}", i));
     }
     simulation.runUntil(milliseconds(12'000));
--- a/tests/config_records_test.cpp
+++ b/tests/config_records_test.cpp
@@ -141,8 +141,8 @@
             random_generator random(seed);
             auto text =
                     seed % 2 == 0 ? compactJson(toJson(exampleView())) : contentText(contentOf(1));
-            for (auto count = 1 + randomIndex(random, 3); count > 0; --count)
-                text[randomIndex(random, text.size())] = whole[randomIndex(random, whole.size())];
+            for (auto count = 1 + drawIndex(random, 3); count > 0; --count)
+                text[drawIndex(random, text.size())] = whole[drawIndex(random, whole.size())];
             refusalOf(folderViewFromJson, seed % 2 == 0 ? text : "{}");
             refusalOf([&](const Json::Value &) { return contentFromText(text); }, "{}");
         }
--- a/tests/folder_test.cpp
+++ b/tests/folder_test.cpp
@@ -204,15 +204,15 @@
     static const std::vector<Json::Value> leaves = {
             Json::Value(),     Json::Value(1),      Json::Value(-1),     Json::Value(1e300),
             Json::Value(true), Json::Value("rink"), Json::Value("gate"), Json::Value("")};
-    const auto kind = randomIndex(random, depth > 0 ? 3 : 1);
+    const auto kind = drawIndex(random, depth > 0 ? 3 : 1);
     if (kind == 0)
-        return leaves[randomIndex(random, leaves.size())];
+        return leaves[drawIndex(random, leaves.size())];
     Json::Value value(kind == 1 ? Json::arrayValue : Json::objectValue);
-    for (auto count = randomIndex(random, 4); count > 0; --count) {
+    for (auto count = drawIndex(random, 4); count > 0; --count) {
         if (kind == 1)
             value.append(randomValue(random, depth - 1));
         else
-            value[names[randomIndex(random, names.size())]] = randomValue(random, depth - 1);
+            value[names[drawIndex(random, names.size())]] = randomValue(random, depth - 1);
     }
     return value;
 }
@@ -233,11 +233,11 @@
                                                       "jobs.season-bookings.pool",
                                                       "services"};
     Json::Value root(Json::objectValue);
-    for (auto count = 1 + randomIndex(random, 3); count > 0; --count) {
-        const Json::Path path('.' + pointers[randomIndex(random, pointers.size())]);
+    for (auto count = 1 + drawIndex(random, 3); count > 0; --count) {
+        const Json::Path path('.' + pointers[drawIndex(random, pointers.size())]);
         try {
-            path.make(root) = randomIndex(random, 2) == 0
-                                      ? Json::Value(static_cast<int>(randomIndex(random, 400)))
+            path.make(root) = drawIndex(random, 2) == 0
+                                      ? Json::Value(static_cast<int>(drawIndex(random, 400)))
                                       : randomValue(random, 2);
         } catch (const Json::Exception &) {
             continue; // the path runs through a value that is no object
@@ -248,14 +248,14 @@
 
 std::string corrupted(std::string text, random_generator &random)
 {
-    const auto position = randomIndex(random, text.size() + 1);
-    switch (randomIndex(random, 4)) {
+    const auto position = drawIndex(random, text.size() + 1);
+    switch (drawIndex(random, 4)) {
     case 0:
         return text.substr(0, position);
     case 1:
-        return text.insert(position, 1, static_cast<char>(randomIndex(random, 256)));
+        return text.insert(position, 1, static_cast<char>(drawIndex(random, 256)));
     case 2:
-        return text.erase(position, 1 + randomIndex(random, 8));
+        return text.erase(position, 1 + drawIndex(random, 8));
     default:
         return text;
     }
@@ -264,12 +264,12 @@
 files randomFolder(random_generator &random)
 {
     files folder = folderAt("examples/folder");
-    for (auto count = randomIndex(random, 5); count > 0; --count) {
-        auto text = randomIndex(random, 8) == 0 ? compactJson(randomValue(random, 4))
-                                                : randomPatch(random);
-        if (randomIndex(random, 6) == 0)
+    for (auto count = drawIndex(random, 5); count > 0; --count) {
+        auto text = drawIndex(random, 8) == 0 ? compactJson(randomValue(random, 4))
+                                              : randomPatch(random);
+        if (drawIndex(random, 6) == 0)
             text = corrupted(std::move(text), random);
-        folder.push_back({std::string(1, static_cast<char>('5' + randomIndex(random, 5)))
+        folder.push_back({std::string(1, static_cast<char>('5' + drawIndex(random, 5)))
                                   + std::to_string(count) + ".json",
                           std::move(text)});
     }
@@ -348,7 +348,7 @@
             auto folder = randomFolder(random);
             const auto result = checkFolder(folder);
             for (auto remaining = folder.size(); remaining > 1; --remaining)
-                std::swap(folder[remaining - 1], folder[randomIndex(random, remaining)]);
+                std::swap(folder[remaining - 1], folder[drawIndex(random, remaining)]);
             const auto permuted = checkFolder(folder);
             check(permuted.problems == result.problems);
             check(permuted.merged.value == result.merged.value);
--- a/tests/generations_test.cpp
+++ b/tests/generations_test.cpp
@@ -635,10 +635,10 @@
     const auto all = injectedFaults();
     random_generator random(7);
     for (int run = 0; run < Runs; ++run) {
-        const auto first = all[randomIndex(random, all.size())];
-        const auto second = all[randomIndex(random, all.size())];
-        const auto firstStep = 1 + static_cast<int>(randomIndex(random, Steps));
-        const auto secondStep = 1 + static_cast<int>(randomIndex(random, Steps));
+        const auto first = all[drawIndex(random, all.size())];
+        const auto second = all[drawIndex(random, all.size())];
+        const auto firstStep = 1 + static_cast<int>(drawIndex(random, Steps));
+        const auto secondStep = 1 + static_cast<int>(drawIndex(random, Steps));
         section(fmt::format("{} at {}, {} at {}", first.name, firstStep, second.name, secondStep),
                 [&] {
                     config_world simulation;
--- a/tests/order_search.h
+++ b/tests/order_search.h
@@ -151,7 +151,7 @@
     {
         return lowest
                + static_cast<int>(
-                       randomIndex(m_random, static_cast<std::size_t>(highest - lowest + 1)));
+                       drawIndex(m_random, static_cast<std::size_t>(highest - lowest + 1)));
     }
     bool drawChance(int percent) { return randomBetween(1, 100) <= percent; }
     milliseconds randomSpan(int lowest, int highest)
@@ -281,14 +281,11 @@
         }
     }
 
-    simulated_entry &randomEntry() { return m_simulation.entry(randomIndex(m_random, EntryCount)); }
-    simulated_agent &randomAgent()
-    {
-        return m_simulation.agent(randomIndex(m_random, WorkerCount));
-    }
+    simulated_entry &randomEntry() { return m_simulation.entry(drawIndex(m_random, EntryCount)); }
+    simulated_agent &randomAgent() { return m_simulation.agent(drawIndex(m_random, WorkerCount)); }
     simulated_worker &randomWorker()
     {
-        return m_simulation.worker(randomIndex(m_random, WorkerCount));
+        return m_simulation.worker(drawIndex(m_random, WorkerCount));
     }
 
     void injectFault(fault what)
--- a/tests/placement_property_test.cpp
+++ b/tests/placement_property_test.cpp
@@ -110,7 +110,7 @@
 
     int randomBelow(int bound)
     {
-        return static_cast<int>(randomIndex(random, static_cast<std::size_t>(bound)));
+        return static_cast<int>(drawIndex(random, static_cast<std::size_t>(bound)));
     }
 
     // A random task that is placed or pending, or end().
@@ -121,8 +121,7 @@
             if (task->second.worker.empty() != placed)
                 fitting.push_back(task);
         }
-        return fitting.empty() ? expected.tasks.end()
-                               : fitting[randomIndex(random, fitting.size())];
+        return fitting.empty() ? expected.tasks.end() : fitting[drawIndex(random, fitting.size())];
     }
 
     void plan()
--- a/tests/quota_parts_test.cpp
+++ b/tests/quota_parts_test.cpp
@@ -333,15 +333,15 @@
         random_generator random(seed);
         quota_model model(4, 12, 1);
         model.chooseFault = [&](tenure &) {
-            return randomIndex(random, 3) == 0 ? Faults[randomIndex(random, std::size(Faults))]
-                                               : write_fault::None;
+            return drawIndex(random, 3) == 0 ? Faults[drawIndex(random, std::size(Faults))]
+                                             : write_fault::None;
         };
         for (int wave = 0; wave < 20; ++wave) {
-            model.shardStates[randomIndex(random, 4)].waiting +=
-                    static_cast<std::int64_t>(randomIndex(random, 8));
+            model.shardStates[drawIndex(random, 4)].waiting +=
+                    static_cast<std::int64_t>(drawIndex(random, 8));
             model.runFor(seconds(3));
-            if (randomIndex(random, 2) == 0)
-                model.changeOwner(static_cast<int>(randomIndex(random, 4)));
+            if (drawIndex(random, 2) == 0)
+                model.changeOwner(static_cast<int>(drawIndex(random, 4)));
         }
         model.chooseFault = [](tenure &) { return write_fault::None; };
         model.runFor(seconds(90));
--- a/tests/shard_simulation.h
+++ b/tests/shard_simulation.h
@@ -189,7 +189,7 @@
     void deliver(const work::worker_grant &grant)
     {
         auto &host = hosts.at(grant.worker);
-        if (!host.isAlive || randomUnit(random) < grantLossRate)
+        if (!host.isAlive || drawUniform(random) < grantLossRate)
             return;
         const auto parsed = work::workerGrantFromJson(toJson(grant)); // as it goes over the wire
         performAll(host, host.supervisor->handle(work::grant_received{parsed}, now));
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -103,11 +103,10 @@
                 const auto tasks = simulation.running("season");
                 if (tasks.empty())
                     continue;
-                const auto &task = tasks[randomIndex(simulation.random, tasks.size())].attempt;
-                const auto bytes =
-                        static_cast<std::int64_t>(4 + randomIndex(simulation.random, 16));
+                const auto &task = tasks[drawIndex(simulation.random, tasks.size())].attempt;
+                const auto bytes = static_cast<std::int64_t>(4 + drawIndex(simulation.random, 16));
                 simulation.sampleUsage(hostOf(simulation, task), task.task, bytes * Gigabyte);
-                if (randomIndex(simulation.random, 20) == 0)
+                if (drawIndex(simulation.random, 20) == 0)
                     simulation.hosts.at("w0").startAgent();
             }
             simulation.grantLossRate = 0;
--- a/tests/usage_test.cpp
+++ b/tests/usage_test.cpp
@@ -88,13 +88,13 @@
         std::vector<usage_report> inFlight;
         for (int turn = 0; turn < 40; ++turn) {
             const time_point now(seconds(2 * turn));
-            measured[{"season@3", static_cast<std::uint32_t>(randomIndex(random, 6))}] = {
-                    static_cast<std::int64_t>(randomIndex(random, 4'000)),
-                    static_cast<std::int64_t>(randomIndex(random, 4'000)) * Megabyte};
-            if (randomIndex(random, 8) == 0)
+            measured[{"season@3", static_cast<std::uint32_t>(drawIndex(random, 6))}] = {
+                    static_cast<std::int64_t>(drawIndex(random, 4'000)),
+                    static_cast<std::int64_t>(drawIndex(random, 4'000)) * Megabyte};
+            if (drawIndex(random, 8) == 0)
                 measured.erase(measured.begin());
             inFlight.push_back(serializedAndParsed(reporter.nextReport(measured, now)));
-            const auto fault = randomIndex(random, 5);
+            const auto fault = drawIndex(random, 5);
             if (fault == 0)
                 inFlight.pop_back(); // lost
             else if (fault == 1 && inFlight.size() > 1)
--- a/tests/work_faults_test.cpp
+++ b/tests/work_faults_test.cpp
@@ -170,16 +170,16 @@
     const auto faults = allFaults();
     const std::vector<std::string> tasks = {"watch", "hold", "match"};
     for (int round = 0; round < 20; ++round) {
-        model.runFor(milliseconds(randomIndex(random, 20'000)));
-        const std::string worker = "w" + std::to_string(randomIndex(random, 3));
-        const auto &chosen = faults[randomIndex(random, faults.size())];
+        model.runFor(milliseconds(drawIndex(random, 20'000)));
+        const std::string worker = "w" + std::to_string(drawIndex(random, 3));
+        const auto &chosen = faults[drawIndex(random, faults.size())];
         chosen.inject(model, worker);
-        model.evict({tasks[randomIndex(random, tasks.size())], 0});
+        model.evict({tasks[drawIndex(random, tasks.size())], 0});
         if (round == 10)
             model.cancel("season");
         if (round == 15)
             model.cancel("census");
-        if (randomIndex(random, 3) == 0)
+        if (drawIndex(random, 3) == 0)
             clearFaults(model);
     }
     clearFaults(model);
--- a/tests/work_model.h
+++ b/tests/work_model.h
@@ -257,12 +257,12 @@
     void send(const std::string &from, const std::string &to, const std::function<void()> &deliver)
     {
         milliseconds delay = NetworkDelay;
-        if (networkFault == network_fault::Dropped && randomIndex(m_random, 3) == 0)
+        if (networkFault == network_fault::Dropped && drawIndex(m_random, 3) == 0)
             return;
         if (networkFault == network_fault::Reordered)
-            delay = milliseconds(randomIndex(m_random, 3'000));
+            delay = milliseconds(drawIndex(m_random, 3'000));
         if (networkFault == network_fault::Duplicated)
-            enqueue(from, to, delay + milliseconds(randomIndex(m_random, 5'000)), deliver);
+            enqueue(from, to, delay + milliseconds(drawIndex(m_random, 5'000)), deliver);
         enqueue(from, to, delay, deliver);
     }
     void deliverUntil(time_point end)
--- a/tests/work_takeover_test.cpp
+++ b/tests/work_takeover_test.cpp
@@ -201,13 +201,13 @@
             startServices(model);
             random_generator random(seed);
             for (int step = 0; step < 12; ++step) {
-                const auto worker = fmt::format("w{}", randomIndex(random, 3));
-                if (randomIndex(random, 2) == 0)
+                const auto worker = fmt::format("w{}", drawIndex(random, 3));
+                if (drawIndex(random, 2) == 0)
                     model.isolateWorker(worker);
-                model.runFor(milliseconds(randomIndex(random, 20'000)));
-                if (randomIndex(random, 2) == 0)
+                model.runFor(milliseconds(drawIndex(random, 20'000)));
+                if (drawIndex(random, 2) == 0)
                     replaceOwner(model);
-                model.runFor(milliseconds(randomIndex(random, 10'000)));
+                model.runFor(milliseconds(drawIndex(random, 10'000)));
                 for (auto &[name, agent] : model.agents)
                     agent.unreachablePeers.clear();
             }
--- a/tests/work_writes_test.cpp
+++ b/tests/work_writes_test.cpp
@@ -100,7 +100,7 @@
         std::vector<task_id> unplaced;
         for (const auto &waiting : m_waiting) {
             if (m_coordinator.isPlaceable(waiting))
-                feed(placement_decided{waiting, name(randomIndex(m_random, m_workers)), false});
+                feed(placement_decided{waiting, name(drawIndex(m_random, m_workers)), false});
             else
                 unplaced.push_back(waiting);
         }
@@ -162,7 +162,7 @@
             if (!m_started.insert(attempt).second)
                 continue;
             addEvent(action.grant.worker, attempt, task_event_kind::Started);
-            const auto length = seconds(60 + randomIndex(m_random, 100));
+            const auto length = seconds(60 + drawIndex(m_random, 100));
             m_taskEnds.emplace(m_now + length, std::pair{action.grant.worker, attempt});
         }
     }
