--- a/libs/config/fields.h
+++ b/libs/config/fields.h
@@ -48,7 +48,7 @@
             return;
         try {
             read(*value, member);
-        } catch (const Json::Exception &wrongType) {
+        } catch (const Json::Exception &conversionError) {
             throw error(error_kind::BadRequest,
                         std::string("member ") + name + ": " + conversionError.what());
         } catch (const error &inner) {
--- a/libs/config/json_text.cpp
+++ b/libs/config/json_text.cpp
@@ -86,7 +86,7 @@
     }
     try {
         m_root = parseJson(text);
-    } catch (const error &broken) {
+    } catch (const error &syntaxError) {
         throw syntax_error{{m_file, lineInMessage(syntaxError.what()), "",
                             reasonInMessage(syntaxError.what()),
                             "one whole JSON object without comments or duplicate keys"}};
--- a/libs/config/settings.cpp
+++ b/libs/config/settings.cpp
@@ -192,7 +192,7 @@
         if (!problems.empty())
             throwBadSettings(problems);
         return parsed;
-    } catch (const syntax_error &broken) {
+    } catch (const syntax_error &syntaxError) {
         throwBadSettings({syntaxError.detail});
     }
 }
--- a/libs/config/validate.cpp
+++ b/libs/config/validate.cpp
@@ -253,7 +253,7 @@
             const auto &text = texts.emplace_back(file.name, file.content);
             const auto faults = folderFileSchema().check(text);
             problems.insert(problems.end(), faults.begin(), faults.end());
-        } catch (const syntax_error &broken) {
+        } catch (const syntax_error &syntaxError) {
             problems.push_back(syntaxError.detail);
         }
     }
--- a/tests/at_most_once_test.cpp
+++ b/tests/at_most_once_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // One order: the first try, and repeats through both entries, also long after everything is over.
-void sendOrder(delivery_world &simulation, const std::string &method, const std::string &key)
+void sendOrder(delivery_simulation &simulation, const std::string &method, const std::string &key)
 {
     simulation.settings.claims.sweepInterval = milliseconds(1000); // sweeps are steps too
     const std::vector<std::pair<std::string, int>> tries{
@@ -25,7 +25,8 @@
 }
 
 // What must hold after every run, whatever happened in it.
-void checkGuarantees(delivery_world &simulation, const std::string &description, bool mayRepeat)
+void checkGuarantees(delivery_simulation &simulation, const std::string &description,
+                     bool mayRepeat)
 {
     for (const auto &[order, count] : simulation.runsByOrder)
         cr_expect(mayRepeat || count <= 1, "%s: %s ran %d times", description.c_str(),
@@ -47,7 +48,7 @@
 }
 
 // A fault that proves nothing ran must not leave the order behind: some later repeat runs it.
-void checkProgress(delivery_world &simulation, const std::string &description, fault single)
+void checkProgress(delivery_simulation &simulation, const std::string &description, fault single)
 {
     using enum fault;
     for (const auto *entry : {"e1", "e2"}) {
@@ -63,7 +64,7 @@
                const std::map<int, fault> &faults, const std::string &description,
                bool streaming = false)
 {
-    delivery_world simulation;
+    delivery_simulation simulation;
     simulation.streaming = streaming;
     simulation.faults = faults;
     if (key.empty())
@@ -78,7 +79,7 @@
 
 int stepsOf(const std::string &method, bool streaming = false)
 {
-    delivery_world simulation;
+    delivery_simulation simulation;
     simulation.streaming = streaming;
     sendOrder(simulation, method, "k");
     simulation.runUntil(milliseconds(2500));
@@ -90,7 +91,7 @@
 Test(at_most_once, without_faults)
 {
     section("one order, repeated six times through two entries", [] {
-        delivery_world simulation;
+        delivery_simulation simulation;
         sendOrder(simulation, "POST", "k");
         simulation.runUntil(milliseconds(60'000));
         section("runs once and is answered whole", [&] {
@@ -111,7 +112,7 @@
 Test(at_most_once, entry_dies_while_it_runs)
 {
     for (const bool known : {false, true}) {
-        delivery_world simulation;
+        delivery_simulation simulation;
         simulation.send("e1/1", "e1", milliseconds(100), "POST", "k");
         simulation.runUntil(milliseconds(120));
         check(simulation.runsByOrder["k"] == 1);
@@ -165,7 +166,7 @@
 Test(at_most_once, streamed_answers)
 {
     section("without faults", [] {
-        delivery_world simulation;
+        delivery_simulation simulation;
         simulation.streaming = true;
         sendOrder(simulation, "POST", "k");
         simulation.runUntil(milliseconds(60'000));
@@ -176,7 +177,7 @@
             check(simulation.answers[id].front() == "already_executed");
     });
     section("cut midway: nobody knows, at either entry", [] {
-        delivery_world simulation;
+        delivery_simulation simulation;
         simulation.streaming = true;
         simulation.refusingAgents.clear();
         simulation.disconnectingAgents = {"a1"};
--- a/tests/claim_coordinator_test.cpp
+++ b/tests/claim_coordinator_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // Keyed orders sent evenly over a second, half through each entry.
-void sendBurst(delivery_world &simulation, int orders, int keyOffset = 0)
+void sendBurst(delivery_simulation &simulation, int orders, int keyOffset = 0)
 {
     for (int i = 0; i < orders; ++i) {
         const std::string entry = i % 2 == 0 ? "e1" : "e2";
@@ -23,7 +23,7 @@
     }
 }
 
-int countOf(const delivery_world &simulation, const std::string &answer)
+int countOf(const delivery_simulation &simulation, const std::string &answer)
 {
     int count = 0;
     for (const auto &[id, answers] : simulation.answers)
@@ -31,7 +31,7 @@
     return count;
 }
 
-duration latencyPercentile(const delivery_world &simulation, double share)
+duration latencyPercentile(const delivery_simulation &simulation, double share)
 {
     std::vector<duration> latencies;
     for (const auto &[id, at] : simulation.answeredAt)
@@ -46,7 +46,7 @@
 // The platform takes several hundred writes a second from everyone.
 Test(claim_book, writes_of_a_burst)
 {
-    delivery_world simulation;
+    delivery_simulation simulation;
     simulation.refusingAgents.clear();
     sendBurst(simulation, 800);
     simulation.runUntil(milliseconds(10'000));
@@ -67,7 +67,7 @@
 // An ordinary load, at random times: a claim costs its round trip to the table and next to no wait.
 Test(claim_book, latency_at_ordinary_load)
 {
-    delivery_world simulation;
+    delivery_simulation simulation;
     simulation.refusingAgents.clear();
     random_generator random(7);
     for (int i = 0; i < 600; ++i) {
@@ -90,7 +90,7 @@
 // must not fail the others: all are read at once, and the rest goes out again.
 Test(claim_book, conflict_in_a_batch)
 {
-    delivery_world simulation;
+    delivery_simulation simulation;
     simulation.refusingAgents.clear();
     simulation.settings.claims.commitBurst = 1; // what arrives together goes in one transaction
     simulation.flow("e2");
@@ -110,7 +110,7 @@
 
 Test(claim_book, repeats)
 {
-    delivery_world simulation;
+    delivery_simulation simulation;
     simulation.refusingAgents.clear();
     simulation.settings.claims.maxAnswerBytes = 8;
     simulation.send("e1/1", "e1", milliseconds(100), "POST", "k");
@@ -155,7 +155,7 @@
 Test(claim_book, outage)
 {
     for (const auto kind : {fault::TableRefuses, fault::TableHangs}) {
-        delivery_world simulation;
+        delivery_simulation simulation;
         simulation.refusingAgents.clear();
         simulation.send("e1/warm", "e1", milliseconds(100), "POST", "warm");
         simulation.runUntil(milliseconds(490));
@@ -189,7 +189,7 @@
 Test(claim_book, outage_under_load)
 {
     for (const auto kind : {fault::TableRefuses, fault::TableHangs}) {
-        delivery_world simulation;
+        delivery_simulation simulation;
         simulation.refusingAgents.clear();
         sendBurst(simulation, 800);
         simulation.runUntil(milliseconds(400));
@@ -209,7 +209,7 @@
 // row would say "started" for ever and block the order; it is barred by a row that says "not run".
 Test(claim_book, claim_that_applies_late)
 {
-    delivery_world simulation;
+    delivery_simulation simulation;
     simulation.refusingAgents.clear();
     simulation.send("e1/warm", "e1", milliseconds(100), "POST", "warm");
     simulation.runUntil(milliseconds(490));
@@ -228,7 +228,7 @@
 Test(claim_book, drain_in_an_outage)
 {
     for (const int waits : {500, 5000}) {
-        delivery_world simulation;
+        delivery_simulation simulation;
         simulation.refusingAgents.clear();
         simulation.settings.drainTimeout = milliseconds(waits);
         simulation.send("e1/1", "e1", milliseconds(100), "POST", "k");
@@ -253,7 +253,7 @@
 // The table does not answer for longer than a claim may wait.
 Test(claim_book, patience)
 {
-    delivery_world simulation;
+    delivery_simulation simulation;
     simulation.refusingAgents.clear();
     simulation.settings.claims.claimTimeout = milliseconds(100);
     simulation.send("e1/warm", "e1", milliseconds(100), "POST", "warm");
@@ -269,7 +269,7 @@
 // seen it unchanged for its length, so a row may live longer than stated, never shorter.
 Test(claim_book, life_of_keys)
 {
-    delivery_world simulation;
+    delivery_simulation simulation;
     simulation.refusingAgents.clear();
     simulation.settings.maxRequestTime = milliseconds(1000);
     simulation.settings.lateOutcomeTimeout = milliseconds(1000);
@@ -296,7 +296,7 @@
 // would be swept too early, and a late repeat would run again.
 Test(claim_book, era_that_has_passed)
 {
-    delivery_world simulation;
+    delivery_simulation simulation;
     simulation.refusingAgents.clear();
     simulation.send("e1/1", "e1", milliseconds(100), "POST", "k1");
     simulation.runUntil(milliseconds(1000));
@@ -313,7 +313,7 @@
 Test(claim_book, memory)
 {
     section("ended requests are bounded by the bytes of their answers", [] {
-        delivery_world simulation;
+        delivery_simulation simulation;
         simulation.refusingAgents.clear();
         simulation.settings.claims.maxCachedBytes = 60; // an answer here has 7 or 8 bytes
         sendBurst(simulation, 100);
--- a/tests/config_session_test.cpp
+++ b/tests/config_session_test.cpp
@@ -43,11 +43,12 @@
 std::string recordSession()
 {
     std::string session;
-    config_world simulation;
+    config_simulation simulation;
     simulation.addEntry("e1", 1);
     simulation.addEntry("e2", 1);
     simulation.addAgent("a1");
-    simulation.onHandled = [&](const world_process &each, const auto &event, const auto &actions) {
+    simulation.onHandled = [&](const simulated_process &each, const auto &event,
+                               const auto &actions) {
         const bool isIdleTick = std::holds_alternative<tick>(event) && actions.empty();
         if (each.id == "e1" && !isIdleTick)
             session += sessionLine(simulation.now, event, actions);
@@ -65,7 +66,7 @@
     simulation.put("zz.json", "{\"services\": {\"tickets\": {\"replicas\": 3}}}");
     simulation.runFor(milliseconds(1200));
     bool hasRaced = false;
-    simulation.chooseFault = [&](const world_process &, const generation_action &action, int) {
+    simulation.chooseFault = [&](const simulated_process &, const generation_action &action, int) {
         if (!hasRaced && std::holds_alternative<write_content>(action)) {
             const auto row = simulation.platform.read(std::string(AcceptedRowKey));
             simulation.platform.commit({"race", {}, {{row->key, row->value}}});
--- a/tests/generations_test.cpp
+++ b/tests/generations_test.cpp
@@ -24,7 +24,7 @@
                        name, team, replicas);
 }
 
-void addProcesses(config_world &simulation)
+void addProcesses(config_simulation &simulation)
 {
     simulation.addEntry("e1", 1);
     simulation.addEntry("e2", 1);
@@ -32,14 +32,15 @@
     simulation.put("00-basis.json", baseFile());
 }
 
-std::int64_t replicasAt(config_world &simulation, const std::string &id, const std::string &name)
+std::int64_t replicasAt(config_simulation &simulation, const std::string &id,
+                        const std::string &name)
 {
     const auto whole = simulation.process(id).usedFollower().mergedConfig();
     const auto found = whole->services.find(name);
     return found == whole->services.end() ? -1 : found->second.replicas;
 }
 
-file_state stateAt(config_world &simulation, const std::string &entry, const std::string &file,
+file_state stateAt(config_simulation &simulation, const std::string &entry, const std::string &file,
                    std::uint64_t version)
 {
     return simulation.entry(entry).statusOf(file, version).state;
@@ -55,7 +56,7 @@
 
 Test(generations, edits)
 {
-    config_world simulation;
+    config_simulation simulation;
     addProcesses(simulation);
     std::uint64_t first = 0;
     section("an edit is in force at every process", [&] {
@@ -105,7 +106,7 @@
 // repairs the folder is taken up.
 Test(generations, refused_edit)
 {
-    config_world simulation;
+    config_simulation simulation;
     addProcesses(simulation);
     simulation.put("tickets.json", service("tickets", 2));
     simulation.runFor(seconds(2));
@@ -151,7 +152,7 @@
 // it was. Told as the repair's, they would say `refused` of a file that is in force a moment later.
 Test(generations, repair_is_not_refused_for_its_predecessor)
 {
-    config_world simulation;
+    config_simulation simulation;
     addProcesses(simulation);
     simulation.runFor(seconds(2));
     simulation.put("holds.json", service("holds", 1, "nobody"));
@@ -159,7 +160,7 @@
     require(simulation.entry("e1").counters().refusedFolders == 1);
     const auto repair = simulation.put("holds.json", service("holds", 1));
     int asked = 0;
-    simulation.onHandled = [&](const world_process &each, const auto &, const auto &) {
+    simulation.onHandled = [&](const simulated_process &each, const auto &, const auto &) {
         if (!each.manager)
             return;
         ++asked;
@@ -175,7 +176,7 @@
 // listings around the reading agree and all files parse.
 Test(generations, half_written)
 {
-    config_world simulation;
+    config_simulation simulation;
     simulation.addEntry("e1");
     simulation.put("00-basis.json", baseFile());
     section("half a file is refused, the whole one accepted", [&] {
@@ -220,7 +221,7 @@
 // orders the writes; one sees its version superseded, the other in force, at both entries alike.
 Test(generations, racing_operators)
 {
-    config_world simulation;
+    config_simulation simulation;
     addProcesses(simulation);
     simulation.runFor(seconds(2));
     const auto alice = simulation.put("tickets.json", service("tickets", 2));
@@ -237,7 +238,7 @@
     });
     section("one entry's slow write does not undo the other's newer one", [&] {
         bool isSlowed = false;
-        simulation.chooseFault = [&](const world_process &each, const generation_action &action,
+        simulation.chooseFault = [&](const simulated_process &each, const generation_action &action,
                                      int) {
             if (each.id != "e1" || isSlowed || !isAction<commit_generation>(action))
                 return fault::None;
@@ -282,7 +283,7 @@
 // must not be told that the edit failed, and the edit must not be made twice: the row is read back.
 Test(generations, lost_answer)
 {
-    config_world simulation;
+    config_simulation simulation;
     simulation.addEntry("e1");
     simulation.addAgent("a1");
     simulation.put("00-basis.json", baseFile());
@@ -311,7 +312,7 @@
 // nobody.
 Test(generations, partition)
 {
-    config_world simulation;
+    config_simulation simulation;
     addProcesses(simulation);
     simulation.put("tickets.json", service("tickets", 2));
     simulation.runFor(seconds(2));
@@ -345,7 +346,7 @@
 // agent.
 Test(generations, newcomers)
 {
-    config_world simulation;
+    config_simulation simulation;
     addProcesses(simulation);
     simulation.put("tickets.json", service("tickets", 2));
     simulation.runFor(seconds(2));
@@ -383,7 +384,7 @@
 // not be sent back to an older configuration, and services must not be stopped.
 Test(generations, platform_restored)
 {
-    config_world simulation;
+    config_simulation simulation;
     addProcesses(simulation);
     simulation.put("tickets.json", service("tickets", 2));
     simulation.runFor(seconds(2));
@@ -452,7 +453,7 @@
 
 Test(generations, sizes)
 {
-    config_world simulation;
+    config_simulation simulation;
     simulation.addEntry("e1");
     simulation.put("00-basis.json", baseFile());
     constexpr int Files = 1500;
@@ -510,15 +511,15 @@
 struct injected_fault
 {
     const char *name;
-    fault kind;                                     // of the step itself
-    std::function<void(config_world &)> alsoInject; // beside it
-    bool hasBoundedDelay = true;                    // in force everywhere within 4 s all the same
+    fault kind;                                          // of the step itself
+    std::function<void(config_simulation &)> alsoInject; // beside it
+    bool hasBoundedDelay = true; // in force everywhere within 4 s all the same
 };
 
 std::vector<injected_fault> injectedFaults()
 {
     const auto restart = [](const char *id) {
-        return [id](config_world &simulation) {
+        return [id](config_simulation &simulation) {
             simulation.runAfter(milliseconds(0), [&simulation, id] { simulation.kill(id); });
             simulation.runAfter(milliseconds(300), [&simulation, id] { simulation.restart(id); });
         };
@@ -534,7 +535,7 @@
             {"entry replaced, reply lost", fault::LostReply, restart("e2")},
             {"agent replaced", fault::None, restart("a1")},
             {"operators race", fault::None,
-             [](config_world &simulation) {
+             [](config_simulation &simulation) {
                  simulation.runAfter(milliseconds(2),
                                      [&simulation] { simulation.put("race.json", "{}"); });
                  simulation.runAfter(milliseconds(8), [&simulation] {
@@ -542,13 +543,13 @@
                  });
              }},
             {"platform down for 3 s", fault::LostReply,
-             [](config_world &simulation) {
+             [](config_simulation &simulation) {
                  simulation.isPlatformDown = true;
                  simulation.runAfter(seconds(3),
                                      [&simulation] { simulation.isPlatformDown = false; });
              }},
             {"entry cut off for 3 s", fault::Delayed,
-             [](config_world &simulation) {
+             [](config_simulation &simulation) {
                  auto &entry = simulation.process("e2");
                  entry.isCutFromPlatform = entry.isCutFromPeers = true;
                  simulation.runAfter(seconds(3), [&entry] {
@@ -557,7 +558,7 @@
              },
              false},
             {"entry paused for 3 s", fault::None,
-             [](config_world &simulation) {
+             [](config_simulation &simulation) {
                  simulation.process("e1").pausedUntil = simulation.now + seconds(3);
              },
              false},
@@ -565,7 +566,8 @@
 }
 
 // Edits by several operators, one of them refused and repaired, one a removal.
-void scenario(config_world &simulation, const std::vector<std::pair<int, injected_fault>> &injected)
+void scenario(config_simulation &simulation,
+              const std::vector<std::pair<int, injected_fault>> &injected)
 {
     simulation.chooseFault = [&](const auto &, const auto &, int step) {
         auto kind = fault::None;
@@ -610,14 +612,14 @@
 Test(generations, every_step_struck)
 {
     const auto all = injectedFaults();
-    config_world faultFreeRun;
+    config_simulation faultFreeRun;
     scenario(faultFreeRun, {});
     require(faultFreeRun.step > Steps + SettlingSteps);
     for (const auto &injected : all) {
         milliseconds slowest{0};
         for (int step = 1; step <= Steps; ++step) {
             section(fmt::format("{} at step {}", injected.name, step), [&] {
-                config_world simulation;
+                config_simulation simulation;
                 scenario(simulation, {{step, injected}});
                 slowest = std::max(slowest, simulation.maxConvergenceTime);
                 check(!injected.hasBoundedDelay || simulation.maxConvergenceTime <= seconds(4));
@@ -641,7 +643,7 @@
         const auto secondStep = 1 + static_cast<int>(drawIndex(random, Steps));
         section(fmt::format("{} at {}, {} at {}", first.name, firstStep, second.name, secondStep),
                 [&] {
-                    config_world simulation;
+                    config_simulation simulation;
                     scenario(simulation, {{firstStep, first}, {secondStep, second}});
                 });
     }
--- a/tests/http_listener_test.cpp
+++ b/tests/http_listener_test.cpp
@@ -139,7 +139,7 @@
 {
     section("on an idle connection, in its socket", [] {
         draining_server server;
-        kept_caller caller(server.address());
+        keep_alive_caller caller(server.address());
         server.runWhenIdle(1, [&] {
             caller.send("POST", "/quick", "body");
             server.listener().drain();
@@ -149,7 +149,7 @@
     });
     section("on a connection that waits to be accepted", [] {
         draining_server server;
-        std::optional<kept_caller> caller;
+        std::optional<keep_alive_caller> caller;
         server.runWhenIdle(0, [&] {
             caller.emplace(server.address());
             caller->send("POST", "/quick", "body");
@@ -160,7 +160,7 @@
     });
     section("on a connection that was just accepted, a moment later", [] {
         draining_server server;
-        kept_caller caller(server.address());
+        keep_alive_caller caller(server.address());
         server.runWhenIdle(1, [&] {
             server.listener().drain();
             server.runWhen([] { return true; }, [&] { caller.send("POST", "/quick", "body"); });
@@ -170,7 +170,7 @@
     });
     section("in part, and the rest comes later", [] {
         draining_server server;
-        kept_caller caller(server.address());
+        keep_alive_caller caller(server.address());
         server.runWhenIdle(1, [&] {
             caller.sendText("POST /quick HTTP/1.1\r\nContent-Le");
             server.listener().drain();
@@ -182,7 +182,7 @@
     });
     section("after an answer that promised to keep the connection and isn't out yet", [] {
         draining_server server;
-        kept_caller caller(server.address());
+        keep_alive_caller caller(server.address());
         caller.send("POST", "/slow");
         server.runWhen([&] { return server.openResponders().size() == 1; },
                        [&] {
@@ -197,7 +197,7 @@
     // The parser had taken the line, and its buffer was empty as if nothing had come.
     section("with its request line alone read", [] {
         draining_server server;
-        kept_caller caller(server.address());
+        keep_alive_caller caller(server.address());
         caller.sendText("GET /quick HTTP/1.1\r\n");
         server.runWhen([&] { return server.listener().activity().reading == 1; },
                        [&] {
@@ -210,7 +210,7 @@
     });
     section("and whose answer takes its time", [] {
         draining_server server;
-        kept_caller caller(server.address());
+        keep_alive_caller caller(server.address());
         caller.send("POST", "/slow");
         server.runWhen([&] { return server.openResponders().size() == 1; },
                        [&] {
@@ -231,8 +231,8 @@
     section("idle connections end, and new ones are refused", [] {
         draining_server server;
         const auto address = server.address();
-        kept_caller unused(address);
-        kept_caller served(address);
+        keep_alive_caller unused(address);
+        keep_alive_caller served(address);
         served.send("GET", "/quick");
         server.runWhen([&] { return !served.isOpen(); }, // its answer has come
                        [&] {
@@ -246,7 +246,7 @@
     });
     section("one whose answer was on its way out ends as well", [] {
         draining_server server;
-        kept_caller caller(server.address());
+        keep_alive_caller caller(server.address());
         caller.send("POST", "/slow");
         server.runWhen([&] { return server.openResponders().size() == 1; },
                        [&] {
@@ -258,7 +258,7 @@
     });
     section("a request that is given up gets one answer", [] {
         draining_server server;
-        kept_caller caller(server.address());
+        keep_alive_caller caller(server.address());
         caller.send("POST", "/slow");
         server.runWhen([&] { return server.openResponders().size() == 1; },
                        [&] {
@@ -268,7 +268,7 @@
                        });
         check(server.runUntilDrained());
         check(caller.readAnswer() == 504);
-        check(caller.requestOutcome() == request_fate::ClosedWithoutAnswer);
+        check(caller.requestOutcome() == request_outcome::ClosedWithoutAnswer);
     });
 }
 
@@ -284,7 +284,7 @@
                                        "POST /quick HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo"}) {
             const std::string whole = "POST /quick HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody";
             draining_server server(limits);
-            kept_caller caller(server.address());
+            keep_alive_caller caller(server.address());
             caller.sendText(part);
             server.runWhen([&] { return server.listener().activity().reading == 1; },
                            [&] {
@@ -300,10 +300,10 @@
     });
     section("it came while the server stood still", [&] {
         draining_server server(limits);
-        std::vector<std::unique_ptr<kept_caller>> callers;
+        std::vector<std::unique_ptr<keep_alive_caller>> callers;
         constexpr int Callers = 200; // more than the loop takes from the system at once
         for (int each = 0; each < Callers; ++each)
-            callers.push_back(std::make_unique<kept_caller>(server.address()));
+            callers.push_back(std::make_unique<keep_alive_caller>(server.address()));
         server.runWhenIdle(Callers, [&] {
             std::this_thread::sleep_for(afterIdleTime);
             for (const auto &each : callers)
@@ -313,14 +313,14 @@
         check(server.runUntilDrained());
         int cutOff = 0;
         for (const auto &each : callers)
-            cutOff += each->requestOutcome() == request_fate::ClosedWithoutAnswer ? 1 : 0;
+            cutOff += each->requestOutcome() == request_outcome::ClosedWithoutAnswer ? 1 : 0;
         check(cutOff == 0);
     });
     section("a caller that sends nothing, or no more, is closed", [&] {
         limits.readTimeout = milliseconds(200);
         draining_server server(limits);
-        kept_caller unused(server.address());
-        kept_caller half(server.address());
+        keep_alive_caller unused(server.address());
+        keep_alive_caller half(server.address());
         half.sendText("POST /quick HTTP/1.1\r\nContent-Le");
         server.runWhen([&] { return !unused.isOpen() && !half.isOpen(); },
                        [&] { server.listener().drain(); });
