--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -1,5 +1,6 @@
-// Entries, agents, workers and the store of a small site under one order of events: the books and
-// the tables are the real ones, the rest is modelled. No network, a virtual clock.
+// A small cluster of entries, agents, workers and a store, simulated as a sequence of events on a
+// virtual clock without a network. job_controller and run_table are the production classes;
+// everything else is simulated.
 #pragma once
 
 #include <algorithm>
@@ -22,7 +23,7 @@
 
 namespace zinniabarrow::tests {
 
-// What is on its way.
+// What a delay or a loss is drawn for.
 enum class delivery_kind {
     Order,
     OrderAnswer,
@@ -35,7 +36,7 @@
     Write,
     WriteAnswer,
     Feed,
-    Thaw, // what came while a process was frozen is worked through in any order
+    Thaw, // an event held while its process was frozen: after a thaw they run in any order
 };
 
 struct delivery
@@ -50,16 +51,17 @@
     return {};
 }
 
-// A row of a job, as committed.
+// A committed row of a job.
 struct job_row
 {
-    std::int64_t version = 0; // 0: there is none
+    std::int64_t version = 0; // 0: the row doesn't exist
     std::string content;
     std::shared_ptr<const jobs::job_record> record;
 };
 
-// Of the first kind, entries are told of each epoch and never say whose a job isn't. Fuller, they
-// look at the lease of a worker that is silent, and answer for each end, as the daemons do.
+// Which part of the protocol is simulated. Basic: entries are sent each new epoch, and never answer
+// that they don't own a job. Complete, as in the daemons: entries read the leases of silent
+// workers, and answer each reported end, also that they don't own its job.
 enum class model_kind { Basic, Complete };
 
 struct simulated_entry
@@ -69,39 +71,39 @@
     bool isAlive = false;
     bool isLeaving = false;
     time_point frozenUntil{};
-    time_point cutOffUntil{}; // from the store, from agents and from the others
+    time_point cutOffUntil{}; // from the store, from agents and from other entries
     std::unique_ptr<jobs::worker_pool> pool;
     std::unique_ptr<jobs::job_controller> controller;
     std::map<std::int64_t, std::function<void(bool)>> writeCallbacks;
     std::int64_t nextToken = 1;
     std::map<std::string, job_row> knownRows;
-    std::map<std::string, time_point> lastHeartbeatAt; // other entries
+    std::map<std::string, time_point> lastHeartbeatAt; // by entry name
     time_point startedAt{};
     time_point nextLeaseCheckAt{};
-    bool shouldFreezeOnCommit = false; // as the next answer to a write is on its way
+    bool shouldFreezeOnCommit = false; // when its next write reaches the store, before the answer
     milliseconds freezeDuration{};
 };
 
 struct simulated_agent
 {
-    std::string name; // of its worker
+    std::string name; // same as its worker's
     bool isAlive = false;
     int startNumber = 0;
     time_point frozenUntil{};
-    bool isLeaving = false;         // its worker, which says so
-    int knownBootNumber = 1;        // that it knows of
-    bool isEpochEndPending = false; // the end of that life is not in the store yet
+    bool isLeaving = false;         // its worker drains and reports itself as unavailable
+    int knownBootNumber = 1;        // of the worker, as last seen by the agent
+    bool isEpochEndPending = false; // worker rebooted; the end of its epoch isn't stored yet
     std::int64_t fence = 0;
-    std::int64_t leaseEpoch = 0; // that it holds; 0: none
+    std::int64_t leaseEpoch = 0; // epoch of the lease that it holds; 0: none
     time_point leaseUntil{};
-    bool isFenceAcknowledged = false; // by the worker
-    time_point cutOffUntil{};         // from entries
-    time_point storeCutOffUntil{};    // from the store
+    bool isFenceAcknowledged = false; // by the worker: a listing was received under it
+    time_point cutOffUntil{};         // from entries only
+    time_point storeCutOffUntil{};    // from the store only
     jobs::task_size capacity{16'000, 64'000, 0};
     jobs::run_table table;
 };
 
-// The lease of a worker, as the store has it.
+// The lease of a worker, as stored.
 struct simulated_lease
 {
     std::int64_t epoch = 1;
@@ -137,9 +139,9 @@
         expireLeases();
     }
 
-    // --- what a test plants
+    // --- Faults and hooks
 
-    // Asked for each order that is sent: none, it travels as all do.
+    // Called for each order that is sent. Returns its delay, or nothing to draw it as usual.
     std::function<std::optional<milliseconds>(const jobs::send_order &)> delayOrder;
     std::function<void(simulated_entry &, const std::string &, const jobs::job_record &)>
             onRowStored;
@@ -159,7 +161,7 @@
         }
     }
 
-    // A row that is there before anything happens.
+    // Commits a row that no entry has written, owned by an entry that doesn't exist.
     void insertRow(const std::string &id, jobs::job_record record)
     {
         record.owner = {"entry-0", 1};
@@ -183,7 +185,7 @@
         entry.lastHeartbeatAt.clear();
         for (const auto &other : m_entries)
             entry.lastHeartbeatAt[other->name] = m_now;
-        addToTrace("{} lives, incarnation {}", entry.name, entry.incarnation);
+        addToTrace("{} starts, incarnation {}", entry.name, entry.incarnation);
         tick(entry, entry.incarnation);
     }
 
@@ -198,12 +200,13 @@
         freezeProcess(entry.name, entry, span);
     }
 
-    // A planned stop: the others take its jobs over, and it ends once it owns none that isn't over.
-    void leave(simulated_entry &entry)
+    // Planned shutdown: other entries adopt its jobs. The entry exits when it owns no unfinished
+    // job, or after ShutdownTimeout.
+    void beginShutdown(simulated_entry &entry)
     {
         if (!entry.isAlive || std::exchange(entry.isLeaving, true))
             return;
-        addToTrace("{} leaves as planned", entry.name);
+        addToTrace("{} begins its planned shutdown", entry.name);
         continueShutdown(entry, entry.incarnation);
     }
 
@@ -220,7 +223,7 @@
         agent.isFenceAcknowledged = false;
         agent.table = jobs::run_table();
         updateTableIncarnation(agent);
-        addToTrace("agent of {} lives, life {}", agent.name, agent.fence);
+        addToTrace("agent of {} starts, incarnation {}", agent.name, agent.fence);
         schedulePoll(agent, agent.startNumber);
         scheduleReports(agent, agent.startNumber);
     }
@@ -260,28 +263,29 @@
     {
         worker.reboot();
         agentOf(worker.name()).isLeaving = false;
-        addToTrace("{} lives anew", worker.name());
+        addToTrace("{} has rebooted", worker.name());
     }
 
-    // It takes no new runs, and is gone after `drains`; another life follows after `away`.
-    void leave(simulated_worker &worker, milliseconds drainTime, milliseconds downTime)
+    // The worker accepts no new runs. After `drainTime` its agent is killed and it reboots; it
+    // accepts starts again after another `downTime`.
+    void drainAndReboot(simulated_worker &worker, milliseconds drainTime, milliseconds downTime)
     {
         agentOf(worker.name()).isLeaving = true;
-        addToTrace("{} leaves", worker.name());
+        addToTrace("{} drains", worker.name());
         schedule(drainTime, [this, &worker, downTime] {
             if (m_areFaultsCleared)
                 return;
             kill(agentOf(worker.name()));
             worker.reboot();
             worker.rejectStartsUntil(m_now + downTime);
-            addToTrace("{} is gone for {} ms", worker.name(), downTime.count());
+            addToTrace("{} is down for {} ms", worker.name(), downTime.count());
         });
         schedule(drainTime + downTime,
                  [this, &worker] { agentOf(worker.name()).isLeaving = false; });
     }
 
-    // No more trouble: all live, are reached and well from now on, and nothing is slow or lost.
-    // What is frozen thaws in its time.
+    // Ends all faults: every process runs and is reachable, no message is slow or lost. Processes
+    // that are frozen stay so until their time is up.
     void clearFaults()
     {
         m_areFaultsCleared = true;
@@ -297,7 +301,7 @@
             clearFaults(*agent);
         for (auto &entry : m_entries)
             clearFaults(*entry);
-        addToTrace("no more trouble");
+        addToTrace("all faults cleared");
     }
 
     void stopStore(milliseconds span)
@@ -309,15 +313,15 @@
     void rejectStarts(simulated_worker &worker, milliseconds span)
     {
         worker.rejectStartsUntil(m_now + span);
-        addToTrace("{} turns starts away for {} ms", worker.name(), span.count());
+        addToTrace("{} rejects starts for {} ms", worker.name(), span.count());
     }
 
     void schedule(milliseconds span, std::function<void()> callback)
     {
-        m_events.push({m_now + span, m_nextEventNumber++, std::move(callback)});
+        m_events.push({m_now + span, m_nextSequence++, std::move(callback)});
     }
 
-    // --- time
+    // --- Time
 
     void run(milliseconds span)
     {
@@ -327,7 +331,7 @@
         m_now = until;
     }
 
-    // False: not within `most`.
+    // Returns false if the condition didn't hold within `limit`.
     bool runUntil(const std::function<bool()> &condition, milliseconds limit)
     {
         const auto until = m_now + limit;
@@ -336,7 +340,7 @@
         return condition();
     }
 
-    // --- what is seen
+    // --- State
 
     time_point now() const { return m_now; }
     const run_checker &runChecker() const { return m_runChecker; }
@@ -380,10 +384,10 @@
     static constexpr milliseconds ReportTimeout{1000};
     static constexpr milliseconds OrderTimeout{800};
     static constexpr milliseconds CallTimeout{1000};
-    static constexpr milliseconds LateStartThreshold{100}; // a start that is carried out then
+    static constexpr milliseconds LateStartThreshold{100}; // delay from which a start is late
     static constexpr milliseconds MaxStartDelay{1500};
     static constexpr milliseconds LeaseDuration{5000};
-    static constexpr milliseconds LeaseMargin{600}; // clocks are 2% slow at most
+    static constexpr milliseconds LeaseMargin{600}; // clocks are at most 2% slow
     static constexpr milliseconds WriteRetryDelay{300};
     static constexpr milliseconds HeartbeatTimeout{1600};
     static constexpr milliseconds ShutdownTimeout{3000};
@@ -451,7 +455,7 @@
                && (link == m_linkCutUntil.end() || m_now >= link->second);
     }
 
-    // In that life of the entry, and not before it thaws.
+    // Calls back once the entry isn't frozen; dropped if that incarnation has ended.
     void runAtEntry(simulated_entry &entry, std::int64_t incarnation,
                     std::function<void()> callback)
     {
@@ -471,7 +475,7 @@
                                            : m_planDelivery(delivery_kind::Thaw).delay;
     }
 
-    // The same of an agent.
+    // The same for an agent.
     void runAtAgent(simulated_agent &agent, int startNumber, std::function<void()> callback)
     {
         if (!agent.isAlive || agent.startNumber != startNumber)
@@ -504,7 +508,7 @@
             startEntry(entry);
     }
 
-    // --- entries
+    // --- Entries
 
     void tick(simulated_entry &entry, std::int64_t incarnation)
     {
@@ -576,7 +580,7 @@
         }
     }
 
-    // Of workers that nobody has heard of for a while.
+    // Reads the epochs of workers that haven't reported for WorkerSilentAfter.
     void checkLeases(simulated_entry &entry)
     {
         if (m_kind == model_kind::Basic || m_now < entry.nextLeaseCheckAt || !reachesStore(entry))
@@ -598,7 +602,7 @@
                 if (entry.controller->unfinishedJobCount() > 0 && elapsed < ShutdownTimeout)
                     return continueShutdown(entry, incarnation, elapsed + TickInterval);
                 entry.isAlive = false;
-                addToTrace("{} has ended", entry.name);
+                addToTrace("{} has shut down", entry.name);
             });
         });
     }
@@ -620,9 +624,9 @@
         sendOrder(entry, sentOrder);
     }
 
-    void execute(simulated_entry &entry, const jobs::change_stored &done)
+    void execute(simulated_entry &entry, const jobs::change_stored &storedChange)
     {
-        completeWrite(entry, done.token, true);
+        completeWrite(entry, storedChange.token, true);
     }
 
     void execute(simulated_entry &entry, const jobs::ownership_lost &lost)
@@ -632,7 +636,7 @@
 
     void execute(simulated_entry &entry, const jobs::log_event &line)
     {
-        addToTrace("{} notes {} {} {}", entry.name, line.event, line.job, line.detail);
+        addToTrace("{} logs {} {} {}", entry.name, line.event, line.job, line.detail);
     }
 
     static void completeWrite(simulated_entry &entry, std::int64_t token, bool isStored)
@@ -642,9 +646,9 @@
             found.mapped()(isStored);
     }
 
-    // --- the store
+    // --- Store
 
-    // Repeated unchanged until its outcome is known.
+    // Repeats the write unchanged until its outcome is known.
     void tryWrite(simulated_entry &entry, std::int64_t incarnation, const jobs::write_row &write)
     {
         const auto outbound = m_planDelivery(delivery_kind::Write);
@@ -725,16 +729,17 @@
 
     void applyRow(simulated_entry &entry, const std::string &job, const job_row &row)
     {
-        auto &known = entry.knownRows[job];
-        if (known.version >= row.version)
+        auto &knownRow = entry.knownRows[job];
+        if (knownRow.version >= row.version)
             return;
-        known = row;
+        knownRow = row;
         if (entry.controller->owns(job))
             entry.controller->rowChanged(job, *row.record, row.version);
         planAndExecute(entry);
     }
 
-    // Ends the epoch of a worker whose lease is over for certain, and tells the entries.
+    // Ends the epoch of each worker whose lease has expired by every clock. The basic model
+    // announces the new epoch to the entries.
     void expireLeases()
     {
         schedule(milliseconds(200), [this] {
@@ -776,18 +781,18 @@
                  });
     }
 
-    // --- orders
+    // --- Orders
 
     simulated_agent &agentOf(const std::string &worker) { return *m_agents[workerIndex(worker)]; }
 
     void sendOrder(simulated_entry &entry, const jobs::send_order &sentOrder)
     {
-        if (entry.pool->find(sentOrder.worker) == nullptr) // its agent's address is not known
+        if (entry.pool->find(sentOrder.worker) == nullptr) // agent's address unknown
             return entry.controller->orderUnanswered(sentOrder.worker, sentOrder.order.task,
                                                      sentOrder.order.run, m_now);
         auto outbound = m_planDelivery(delivery_kind::Order);
-        if (const auto held = delayOrder ? delayOrder(sentOrder) : std::nullopt)
-            outbound.delay = *held;
+        if (const auto chosenDelay = delayOrder ? delayOrder(sentOrder) : std::nullopt)
+            outbound.delay = *chosenDelay;
         const auto isAnswered = std::make_shared<bool>(false);
         if (!outbound.isLost) {
             schedule(outbound.delay, [this, &entry, sentOrder, isAnswered,
@@ -809,7 +814,7 @@
                  });
     }
 
-    // Of the agent, by its reports.
+    // The agent's incarnation by its last report to the entry; 0: no report yet.
     static std::int64_t reportedAgentIncarnation(const simulated_entry &entry,
                                                  const std::string &worker)
     {
@@ -839,7 +844,7 @@
         agent.table.setWorker(agent.capacity, readinessOf(agent));
         const auto answer =
                 agent.table.handleOrder(toAgentClock(agent, sentOrder.order), entry.name, m_now);
-        addToTrace("agent of {} takes {} of {} run {} from {}: {}", agent.name,
+        addToTrace("agent of {} receives {} of {} run {} from {}: {}", agent.name,
                    sentOrder.order.kind == jobs::order_kind::Start ? "start" : "stop",
                    toText(sentOrder.order.task), sentOrder.order.run, entry.name,
                    nameOf(answer.outcome));
@@ -862,10 +867,10 @@
         });
     }
 
-    // --- agents
+    // --- Agents
 
-    // Each life of an agent has a clock of its own.
-    static std::int64_t clockOffset(const simulated_agent &agent)
+    // Each start of an agent has a clock with its own offset.
+    static std::int64_t clockOffsetMs(const simulated_agent &agent)
     {
         constexpr std::int64_t ClockSpacingMs = 7'000'000;
         return agent.startNumber % 2 == 0 ? ClockSpacingMs * agent.startNumber
@@ -875,11 +880,11 @@
     static jobs::run_order toAgentClock(const simulated_agent &agent, jobs::run_order order)
     {
         if (order.startDeadlineMs != 0)
-            order.startDeadlineMs -= clockOffset(agent);
+            order.startDeadlineMs -= clockOffsetMs(agent);
         return order;
     }
 
-    // What a life of an agent is told of itself before it takes anything.
+    // The table must know its incarnation before it handles anything.
     static void updateTableIncarnation(simulated_agent &agent)
     {
         agent.table.setAgentIncarnation(agent.fence);
@@ -893,7 +898,7 @@
         return isOpen ? jobs::start_readiness::Ready : jobs::start_readiness::RetryLater;
     }
 
-    // Renews the lease, or begins the epoch that the store has by now.
+    // Renews the lease, or acquires it under the epoch that the store has now.
     void renewLease(simulated_agent &agent)
     {
         if (!reachesStore(agent))
@@ -919,7 +924,8 @@
         agent.leaseUntil = lease.expiresAt;
     }
 
-    // False: what the worker's new life was told to start by orders of before has to end first.
+    // Ends the stored epoch after a reboot of the worker. Returns false while that must wait: until
+    // the fence is acknowledged, and until runs that earlier orders started after the reboot ended.
     bool tryEndEpoch(simulated_agent &agent, simulated_lease &lease)
     {
         if (!agent.isFenceAcknowledged)
@@ -944,13 +950,13 @@
         });
     }
 
-    // Its worker lives anew: what ran there has ended, and the epoch with it.
+    // Detects that the worker has rebooted: all its runs have ended, and so must the epoch.
     void detectReboot(simulated_agent &agent)
     {
-        const auto startNumber = m_workers[workerIndex(agent.name)]->bootNumber();
-        if (std::exchange(agent.knownBootNumber, startNumber) == startNumber)
+        const auto currentBootNumber = m_workers[workerIndex(agent.name)]->bootNumber();
+        if (std::exchange(agent.knownBootNumber, currentBootNumber) == currentBootNumber)
             return;
-        addToTrace("agent of {} knows that its worker lives anew", agent.name);
+        addToTrace("agent of {} has detected the reboot of its worker", agent.name);
         agent.table.clearRuns();
         ++agent.fence;
         updateTableIncarnation(agent);
@@ -1016,7 +1022,7 @@
                                       isAnswered, fence = agent.fence,
                                       bootNumberThen =
                                               m_workers[workerIndex(agent.name)]->bootNumber()] {
-                // A connection ends with the worker's life.
+                // A connection doesn't outlive a reboot of the worker.
                 if (m_workers[workerIndex(agent.name)]->bootNumber() == bootNumberThen)
                     deliverStart(agent, startNumber, start, deadline, fence, isLate, isAnswered);
             });
@@ -1074,7 +1080,7 @@
                  });
     }
 
-    // --- reports
+    // --- Reports
 
     void scheduleReports(simulated_agent &agent, int startNumber)
     {
@@ -1098,7 +1104,7 @@
         statusReport.worker = agent.name;
         statusReport.agentIncarnation = agent.fence;
         statusReport.epoch = agent.table.epoch();
-        statusReport.clockMs = clockOf(m_now) + clockOffset(agent);
+        statusReport.clockMs = clockOf(m_now) + clockOffsetMs(agent);
         statusReport.service = "tickets";
         statusReport.isAccepting = readinessOf(agent) == jobs::start_readiness::Ready;
         statusReport.capacity = agent.capacity;
@@ -1166,10 +1172,10 @@
         };
         if (entry.controller->runEnded(agent.name, end, m_now, token))
             return;
-        const auto known = entry.knownRows.find(end.task.job);
+        const auto knownRow = entry.knownRows.find(end.task.job);
         completeWrite(entry, token,
-                      known != entry.knownRows.end()
-                              && canAcknowledgeUnowned(*known->second.record));
+                      knownRow != entry.knownRows.end()
+                              && canAcknowledgeUnowned(*knownRow->second.record));
     }
 
     bool canAcknowledgeUnowned(const jobs::job_record &record) const
@@ -1194,7 +1200,7 @@
         });
     }
 
-    // What the agent's life does with one part of an entry's answer to its report.
+    // Delivers one part of an entry's answer to a report to the start of the agent that sent it.
     void sendReportAnswer(const simulated_entry &entry, simulated_agent &agent, int startNumber,
                           std::function<void()> handler)
     {
@@ -1213,17 +1219,16 @@
     time_point m_startTime{std::chrono::hours(1)};
     time_point m_now{m_startTime};
     std::priority_queue<scheduled_event, std::vector<scheduled_event>, fires_later> m_events;
-    std::uint64_t m_nextEventNumber = 0;
+    std::uint64_t m_nextSequence = 0;
     std::vector<std::unique_ptr<simulated_entry>> m_entries;
     std::vector<std::unique_ptr<simulated_agent>> m_agents;
     std::vector<std::unique_ptr<simulated_worker>> m_workers;
     std::map<std::string, job_row> m_rows;
     std::map<std::string, simulated_lease> m_leases;
-    std::map<std::pair<std::string, std::string>, time_point>
-            m_linkCutUntil; // agent and entry: cut until
+    std::map<std::pair<std::string, std::string>, time_point> m_linkCutUntil; // agent and entry
     std::int64_t m_lastVersion = 0;
     time_point m_storeDownUntil{};
-    bool m_areFaultsCleared = false; // no more trouble
+    bool m_areFaultsCleared = false; // by clearFaults()
     run_checker m_runChecker;
     std::vector<std::string> m_trace;
 };
--- a/tests/order_of_events_test.cpp
+++ b/tests/order_of_events_test.cpp
@@ -1,5 +1,5 @@
-// A task that is done never starts again, and never runs twice at once, whatever the order in which
-// ends, stops, orders and faults come: orders that were thought of, each planted by hand.
+// Guards against a task that starts again after it is done, or runs twice at once. Each test
+// replays a hand-written sequence of ends, stops, orders and faults that could cause it.
 #include <functional>
 #include <optional>
 #include <set>
@@ -22,7 +22,7 @@
 const std::string Job = "j";
 const task_id Task{Job, 0, 0, 0};
 constexpr milliseconds StartupTime{1500};
-constexpr milliseconds ObservationTime{15'000}; // longer than anything that is on its way
+constexpr milliseconds ObservationTime{15'000}; // longer than any message is delayed
 
 step_spec smallStep(int count)
 {
@@ -33,7 +33,7 @@
     return step;
 }
 
-// A job that is over with its first task.
+// A job that ends with its first task.
 job_spec oneTask()
 {
     job_spec spec;
@@ -42,7 +42,7 @@
     return spec;
 }
 
-// A job that goes on when its first task is done.
+// A job that continues after its first task is done.
 job_spec twoSteps()
 {
     auto spec = oneTask();
@@ -78,8 +78,8 @@
     cr_expect(violations.empty(), "%s: %s", sectionName().c_str(), first.c_str());
 }
 
-// Run 1 is done on a worker that is out of touch; its epoch ends, and run 2 is accepted by another
-// agent, whose worker turns starts away. Then the end of run 1 is told.
+// Run 1 is done on a worker that is unreachable. Its epoch ends, and run 2 is accepted by another
+// agent, whose worker rejects starts. Then the end of run 1 is reported.
 struct late_end_scenario
 {
     using fault = std::function<void(late_end_scenario &)>;
@@ -130,7 +130,7 @@
 
     std::size_t workerCount() const { return simulation.workerCount(); }
 
-    // The story up to the moment when the row says that the task is done, and on.
+    // Runs until the row has the task as done, then for ObservationTime more, and checks the rules.
     void simulate()
     {
         const bool haveStarted = simulation.runUntil(
@@ -155,7 +155,7 @@
 
     cluster_simulation simulation;
     int taskCount = 1;
-    milliseconds rejectionTime{3000}; // after the end is stored the workers take starts again
+    milliseconds rejectionTime{3000}; // workers reject starts this long after the end is stored
     std::set<simulated_agent *> firstAgents;
     simulated_agent *secondAgent = nullptr;
     simulated_entry *owner = nullptr;
@@ -177,16 +177,16 @@
 
 } // namespace
 
-// A newer run was accepted and not begun when the older one's `done` came, and whoever was to stop
-// the newer run is lost with what it knew. The job goes on:
-Test(order_of_events, late_end_and_nothing_is_lost)
+// A newer run was accepted but not started when the older run's `done` arrived. The process that is
+// to stop the newer run may then fail and lose its state. In these tests the job continues.
+Test(order_of_events, late_end_and_no_process_fails)
 {
     section("the owner stops the newer run", [] { runLateEnd(twoSteps(), {}); });
 }
 
-Test(order_of_events, late_end_and_the_owner_dies)
+Test(order_of_events, late_end_and_the_owner_is_killed)
 {
-    section("as the row says done", [] {
+    section("when the row is stored as done", [] {
         runLateEnd(twoSteps(),
                    [](late_end_scenario &current) { current.simulation.kill(*current.owner); });
     });
@@ -194,7 +194,7 @@
 
 Test(order_of_events, late_end_and_the_owner_is_cut_off)
 {
-    section("as the row says done", [] {
+    section("when the row is stored as done", [] {
         runLateEnd(twoSteps(), [](late_end_scenario &current) {
             current.simulation.cutOff(*current.owner, OutageTime);
         });
@@ -203,92 +203,94 @@
 
 Test(order_of_events, late_end_and_the_owner_is_frozen)
 {
-    section("as the row says done", [] {
+    section("when the row is stored as done", [] {
         runLateEnd(twoSteps(), [](late_end_scenario &current) {
             current.simulation.freeze(*current.owner, OutageTime);
         });
     });
 }
 
-Test(order_of_events, late_end_and_the_owner_hands_over)
+Test(order_of_events, late_end_and_the_owner_shuts_down)
 {
-    section("with all others in touch", [] {
-        runLateEnd(twoSteps(),
-                   [](late_end_scenario &current) { current.simulation.leave(*current.owner); });
+    section("with all others reachable", [] {
+        runLateEnd(twoSteps(), [](late_end_scenario &current) {
+            current.simulation.beginShutdown(*current.owner);
+        });
     });
 }
 
-Test(order_of_events, late_end_and_the_owner_hands_over_beside_a_lost_stop)
+Test(order_of_events, late_end_and_the_owner_shuts_down_with_a_lost_stop)
 {
-    section("the heir has to give the stop again", [] {
+    section("the successor must send the stop again", [] {
         runLateEnd(twoSteps(), [](late_end_scenario &current) {
-            current.simulation.leave(*current.owner);
+            current.simulation.beginShutdown(*current.owner);
             current.simulation.cutOff(*current.secondAgent, milliseconds(900));
         });
     });
 }
 
-// The same, and the job is over with it: nobody takes it over.
-Test(order_of_events, late_end_of_a_job_that_is_over)
+// The same with a job that ends with the task: no entry adopts it.
+Test(order_of_events, late_end_of_a_finished_job)
 {
     section("the owner stops the newer run", [] { runLateEnd(oneTask(), {}); });
 }
 
-Test(order_of_events, late_end_of_a_job_that_is_over_and_its_owner_dies)
+Test(order_of_events, late_end_of_a_finished_job_and_its_owner_is_killed)
 {
-    section("as the row says done", [] {
+    section("when the row is stored as done", [] {
         runLateEnd(oneTask(),
                    [](late_end_scenario &current) { current.simulation.kill(*current.owner); });
     });
 }
 
-Test(order_of_events, late_end_of_a_job_that_is_over_and_its_owner_is_cut_off)
+Test(order_of_events, late_end_of_a_finished_job_and_its_owner_is_cut_off)
 {
-    section("as the row says done", [] {
+    section("when the row is stored as done", [] {
         runLateEnd(oneTask(), [](late_end_scenario &current) {
             current.simulation.cutOff(*current.owner, OutageTime);
         });
     });
 }
 
-Test(order_of_events, late_end_of_a_job_that_is_over_and_its_owner_is_frozen)
+Test(order_of_events, late_end_of_a_finished_job_and_its_owner_is_frozen)
 {
-    section("as the row says done", [] {
+    section("when the row is stored as done", [] {
         runLateEnd(oneTask(), [](late_end_scenario &current) {
             current.simulation.freeze(*current.owner, OutageTime);
         });
     });
 }
 
-Test(order_of_events, late_end_of_a_job_that_is_over_and_its_owner_leaves)
+Test(order_of_events, late_end_of_a_finished_job_and_its_owner_shuts_down)
 {
-    section("with all others in touch", [] {
-        runLateEnd(oneTask(),
-                   [](late_end_scenario &current) { current.simulation.leave(*current.owner); });
+    section("with all others reachable", [] {
+        runLateEnd(oneTask(), [](late_end_scenario &current) {
+            current.simulation.beginShutdown(*current.owner);
+        });
     });
 }
 
-Test(order_of_events, late_end_of_a_job_that_is_over_and_its_owner_leaves_beside_a_lost_stop)
+Test(order_of_events, late_end_of_a_finished_job_and_its_owner_shuts_down_with_a_lost_stop)
 {
-    section("nobody gives the stop again", [] {
+    section("no entry sends the stop again", [] {
         runLateEnd(oneTask(), [](late_end_scenario &current) {
-            current.simulation.leave(*current.owner);
+            current.simulation.beginShutdown(*current.owner);
             current.simulation.cutOff(*current.secondAgent, milliseconds(900));
         });
     });
 }
 
-// The stop can't reach the agent, which repeats its start by itself.
+// The stop can't reach the agent, which retries its start by itself.
 Test(order_of_events, late_end_and_the_agent_is_cut_off_from_all_entries)
 {
-    section("the job goes on", [] {
+    section("the job continues", [] {
         runLateEnd(twoSteps(), [](late_end_scenario &current) {
             current.simulation.cutOff(*current.secondAgent, OutageTime);
         });
     });
 }
 
-Test(order_of_events, late_end_of_a_job_that_is_over_and_the_agent_is_cut_off)
+Test(order_of_events, late_end_of_a_finished_job_and_the_agent_is_cut_off)
 {
     section("from all entries", [] {
         runLateEnd(oneTask(), [](late_end_scenario &current) {
@@ -299,16 +301,16 @@
 
 Test(order_of_events, late_end_and_the_agent_is_cut_off_from_the_store_as_well)
 {
-    section("its worker takes starts again within the lease", [] {
+    section("its worker accepts starts again within the lease", [] {
         runLateEnd(twoSteps(), [](late_end_scenario &current) {
             current.simulation.cutOffFromEntriesAndStore(*current.secondAgent, OutageTime);
         });
     });
 }
 
-Test(order_of_events, late_end_and_the_agent_lives_anew)
+Test(order_of_events, late_end_and_the_agent_restarts)
 {
-    section("its next life is told nothing of the run", [] {
+    section("its next incarnation is told nothing of the run", [] {
         runLateEnd(twoSteps(), [](late_end_scenario &current) {
             current.simulation.kill(*current.secondAgent);
             current.simulation.schedule(milliseconds(500), [&current] {
@@ -318,9 +320,9 @@
     });
 }
 
-Test(order_of_events, late_end_and_both_agent_and_owner_live_anew)
+Test(order_of_events, late_end_and_the_agent_restarts_and_the_owner_is_killed)
 {
-    section("the run was accepted again by the agent's next life", [] {
+    section("the run was accepted again by the agent's next incarnation", [] {
         runLateEnd(
                 twoSteps(),
                 [](late_end_scenario &current) { current.simulation.kill(*current.owner); },
@@ -335,8 +337,9 @@
 
 namespace {
 
-// The stop of run 2 is settled in one life of its agent, and a start of it arrives in the next.
-void runStartAfterStop(bool acceptedBefore)
+// The stop of run 2 is handled by one incarnation of its agent, and a delayed start of run 2
+// arrives at the next.
+void runStartAfterStop(bool isAcceptedBefore)
 {
     late_end_scenario scenario(twoSteps());
     bool isDelayed = false;
@@ -349,7 +352,7 @@
                 &scenario.simulation.agent(scenario.simulation.workerIndex(sentOrder.worker));
         if (!std::exchange(isDelayed, true))
             return milliseconds(6000);
-        return acceptedBefore ? std::nullopt : std::optional(milliseconds(60'000));
+        return isAcceptedBefore ? std::nullopt : std::optional(milliseconds(60'000));
     };
     scenario.onDone = [](late_end_scenario &current) {
         current.simulation.schedule(milliseconds(2000),
@@ -358,36 +361,36 @@
             current.simulation.startAgent(*current.secondAgent);
         });
     };
-    int arrived = 0;
+    int arrivedStarts = 0;
     scenario.simulation.onOrderHandled = [&](const send_order &sentOrder,
                                              const order_answer &answer) {
         if (scenario.isDone && sentOrder.order.kind == order_kind::Start
             && sentOrder.order.task == Task)
-            ++arrived;
+            ++arrivedStarts;
         if (answer.outcome == order_outcome::Accepted)
             scenario.noteAccepted(sentOrder);
     };
     scenario.simulate();
-    check(arrived == 1);
+    check(arrivedStarts == 1);
 }
 
 } // namespace
 
-Test(order_of_events, a_start_held_up_past_the_life_that_stopped_it_at_its_worker)
+Test(order_of_events, a_start_delayed_past_the_incarnation_that_stopped_it_at_its_worker)
 {
     section("the worker remembers the stop", [] { runStartAfterStop(true); });
 }
 
-// A run that the agent had not heard of when it was told to stop it: only that life remembers.
-Test(order_of_events, a_start_held_up_past_the_life_that_was_told_to_stop_it)
+// The stop arrived before the agent knew the run: only that incarnation of the agent remembers it.
+Test(order_of_events, a_start_delayed_past_the_incarnation_that_was_told_to_stop_it)
 {
     section("the worker was told nothing", [] { runStartAfterStop(false); });
 }
 
 namespace {
 
-// Run 1 is ordered, and the order is held up; repeated, it is turned down, and a later run is
-// placed. The held-up order arrives `arrivesAfter` it was given.
+// The first order of run 1 is delayed. The order is repeated and refused, and a later run is
+// placed. The delayed order arrives `delay` after it was sent.
 struct delayed_order
 {
     explicit delayed_order(int workers, milliseconds delay = milliseconds(4500))
@@ -426,18 +429,18 @@
     }
 
     cluster_simulation simulation;
-    simulated_agent *agent = nullptr; // that was to run 1
+    simulated_agent *agent = nullptr; // that run 1 was placed on
     bool isDelayed = false;
     std::vector<order_outcome> answers; // to orders of run 1
 };
 
 } // namespace
 
-// What one life of an agent has refused, the next one doesn't know: the task runs elsewhere by
-// then.
-Test(order_of_events, an_order_held_up_past_the_life_that_refused_it)
+// The next incarnation of an agent doesn't know what the previous one refused, and the task runs
+// elsewhere by then.
+Test(order_of_events, an_order_delayed_past_the_incarnation_that_refused_it)
 {
-    section("for want of room", [] {
+    section("for lack of capacity", [] {
         delayed_order scenario(2);
         scenario.reduceCapacity();
         scenario.runUntilStarted();
@@ -450,16 +453,16 @@
     });
 }
 
-Test(order_of_events, an_order_held_up_past_the_life_whose_worker_refused_it)
+Test(order_of_events, an_order_delayed_past_the_incarnation_whose_worker_refused_it)
 {
-    section("the run was told as never started", [] {
+    section("the run was reported as never started", [] {
         delayed_order scenario(2);
         scenario.simulation.worker(scenario.simulation.workerIndex(scenario.agent->name))
                 .refuseNextStart();
         require(scenario.simulation.runUntil([&] { return !scenario.answers.empty(); },
                                              milliseconds(3000)));
         require(scenario.answers == std::vector{order_outcome::Accepted});
-        scenario.reduceCapacity(); // so that run 2 goes elsewhere
+        scenario.reduceCapacity(); // so that run 2 is placed elsewhere
         scenario.runUntilStarted();
         check(scenario.simulation.worker(scenario.simulation.workerIndex(scenario.agent->name))
                       .runsOf(Task)
@@ -472,7 +475,7 @@
     });
 }
 
-Test(order_of_events, an_order_held_up_within_the_life_that_refused_it)
+Test(order_of_events, an_order_delayed_within_the_incarnation_that_refused_it)
 {
     section("the refusal is remembered", [] {
         delayed_order scenario(2);
@@ -485,8 +488,9 @@
     });
 }
 
-// A task that is done runs again: its start was held up, and the stop that overtook it was lost.
-Test(order_of_events, a_start_held_up_within_one_life_while_its_stop_is_lost)
+// A task that is done could run again: the start of a newer run was delayed, and the stop that was
+// to overtake it was lost.
+Test(order_of_events, a_start_delayed_within_one_incarnation_while_its_stop_is_lost)
 {
     cluster_simulation simulation(3, 2, firstShortOthersLong);
     simulated_agent *firstAgent = nullptr;
@@ -523,7 +527,7 @@
     require(simulation.runUntil([&] { return secondAgent != nullptr; }, milliseconds(8500)));
     check(!simulation.runChecker().isDone(Task));
     require(simulation.runUntil([&] { return isDone; }, milliseconds(10'000)));
-    section("it arrives in the life of the agent that it was placed in", [&] {
+    section("it arrives at the incarnation of the agent that it was placed on", [&] {
         simulation.run(ObservationTime);
         require(!afterDone.empty());
         for (const auto outcome : afterDone)
@@ -532,10 +536,11 @@
     });
 }
 
-// Two runs of a task on one worker: an agent knows the newer run, from its order or from the list.
+// Two runs of a task on one worker: when the order of the older run arrives, the agent knows the
+// newer one from its order or from a listing.
 Test(order_of_events, an_order_of_an_older_run_where_a_newer_one_is_known)
 {
-    section("in the life that refused the older one", [] {
+    section("in the incarnation that refused the older run", [] {
         delayed_order scenario(1);
         scenario.reduceCapacity();
         scenario.simulation.run(milliseconds(1500));
@@ -547,9 +552,9 @@
     });
 }
 
-Test(order_of_events, an_order_of_an_older_run_where_the_next_life_knows_a_newer_one)
+Test(order_of_events, an_order_of_an_older_run_where_the_next_incarnation_knows_a_newer_one)
 {
-    section("the newer one runs on that very worker", [] {
+    section("the newer run is on that same worker", [] {
         delayed_order scenario(1);
         scenario.reduceCapacity();
         scenario.simulation.run(milliseconds(1500));
@@ -562,8 +567,8 @@
     });
 }
 
-// The other way round: the older run, accepted by a life that doesn't know its refusal, is there
-// when the newer one's order comes.
+// The reverse: the older run, accepted by an incarnation that doesn't know of its refusal, is
+// present when the newer run's order arrives.
 Test(order_of_events, an_order_of_a_newer_run_where_an_older_one_is_known)
 {
     section("both are for the same worker", [] {
@@ -585,9 +590,9 @@
     });
 }
 
-Test(order_of_events, an_order_held_up_past_its_epoch)
+Test(order_of_events, an_order_delayed_past_its_epoch)
 {
-    section("the epoch that it names tells it, in the next life as well", [] {
+    section("it is recognized by its epoch, in the next incarnation as well", [] {
         delayed_order scenario(2, milliseconds(10'500));
         scenario.simulation.cutOffFromEntriesAndStore(*scenario.agent, milliseconds(7500));
         require(scenario.simulation.runUntil(
@@ -601,11 +606,11 @@
     });
 }
 
-// An owner that was frozen gives, as it thaws, an order that its heir gave before: refused then,
-// and its task ran elsewhere.
+// An owner that was frozen sends, after it thaws, an order that its successor had sent before. That
+// one was refused, and the task ran elsewhere.
 Test(order_of_events, an_order_of_an_owner_that_thaws)
 {
-    section("after the life of the agent that refused it", [] {
+    section("after the incarnation of the agent that refused it", [] {
         cluster_simulation simulation(
                 3, 2, [](const task_id &, int) { return run_plan{milliseconds(600)}; });
         simulation.run(StartupTime);
@@ -639,9 +644,9 @@
     });
 }
 
-// An owner that was frozen with an order unanswered, and was overtaken, repeats it as it thaws. Its
-// heir's stop reached nobody and was lost with the heir.
-Test(order_of_events, a_start_of_an_overtaken_owner_that_thaws)
+// An owner is frozen with an unanswered order, loses its jobs to a successor, and repeats the order
+// after it thaws. The successor's stop reached nobody and was lost with the successor.
+Test(order_of_events, a_start_of_a_replaced_owner_that_thaws)
 {
     section("its task is done and its job is over", [] {
         late_end_scenario scenario(oneTask());
@@ -652,14 +657,14 @@
             scenario.secondAgent =
                     &scenario.simulation.agent(scenario.simulation.workerIndex(sentOrder.worker));
             scenario.simulation.kill(*scenario.secondAgent);
-            // Its next try is due as it thaws, before it has read that it was overtaken.
+            // Its retry is due as it thaws, before it has read that it lost the job.
             scenario.simulation.schedule(milliseconds(900), [&] {
                 scenario.simulation.freeze(*scenario.simulation.ownerOf(Job), milliseconds(7000));
             });
             return std::nullopt;
         };
         scenario.onDone = [](late_end_scenario &current) {
-            current.simulation.leave(*current.owner);
+            current.simulation.beginShutdown(*current.owner);
             current.simulation.schedule(milliseconds(500), [&current] {
                 current.simulation.startAgent(*current.secondAgent);
             });
@@ -668,8 +673,8 @@
     });
 }
 
-// An end told to an owner that another one has overtaken meanwhile.
-Test(order_of_events, an_end_told_late_to_an_owner_that_was_overtaken)
+// An end is reported to an owner that has lost the job to another entry meanwhile.
+Test(order_of_events, an_end_reported_late_to_a_replaced_owner)
 {
     section("it is frozen with the end unread, and thaws after a newer run was placed", [] {
         cluster_simulation simulation(3, 2, firstShortOthersLong);
@@ -687,7 +692,7 @@
                 worker = index;
         }
         require(worker);
-        // The end is sent, and reaches the frozen owner only.
+        // The report of the end reaches only the frozen owner.
         for (std::size_t index = 0; index < simulation.entryCount(); ++index) {
             if (&simulation.entry(index) != owner)
                 simulation.cutOffLink(simulation.agent(*worker), simulation.entry(index),
@@ -703,8 +708,8 @@
     });
 }
 
-// One member's end stands for its whole gang.
-Test(order_of_events, late_end_of_a_gang_and_the_owner_dies)
+// The end of one member counts for its whole gang.
+Test(order_of_events, late_end_of_a_gang_and_the_owner_is_killed)
 {
     section("its members are to run again elsewhere", [] {
         late_end_scenario scenario(gangOfTwo(), 4);
@@ -715,10 +720,10 @@
     });
 }
 
-// A row with two copies of a task, one of which is done first.
-Test(order_of_events, a_copy_that_lost_and_the_owner_dies)
+// A row with two placements of a task, one of which is done first.
+Test(order_of_events, a_copy_that_lost_and_the_owner_is_killed)
 {
-    section("while the other copy's worker turns starts away", [] {
+    section("while the worker of the other copy rejects starts", [] {
         cluster_simulation simulation(3, 2, firstShortOthersLong);
         simulation.run(StartupTime);
         simulation.rejectStarts(simulation.worker(1), milliseconds(20'000));
--- a/tests/order_search.cpp
+++ b/tests/order_search.cpp
@@ -1,5 +1,5 @@
-// Searches seeded orders of events for one that runs a task twice, or in which a task stands still
-// though all is well. Exit codes: 0 none breaks the rule, 1 some do, 2 usage.
+// Searches seeded orders of events for one in which a task runs twice, or in which a task stalls
+// although all faults have ended. Exit codes: 0 no violation, 1 some seeds failed, 2 usage error.
 #include <cstdint>
 #include <string>
 #include <utility>
@@ -25,7 +25,7 @@
     std::uint64_t last = 0;
 };
 
-// "7" or "1-40".
+// Parses "7" or "1-40".
 seed_range rangeFrom(const std::string &text)
 {
     const auto dash = text.find('-');
@@ -60,8 +60,8 @@
     if (result.violations.empty())
         return;
     totals.failedSeeds.push_back(seed);
-    for (const auto &rule : result.violations)
-        fmt::print("seed {}: {}\n", seed, rule);
+    for (const auto &violation : result.violations)
+        fmt::print("seed {}: {}\n", seed, violation);
 }
 
 int search(const std::vector<std::string> &ranges, search_kind kind, bool printsTrace)
@@ -72,7 +72,7 @@
         for (auto seed = range.first; seed <= range.last; ++seed)
             searchSeed(seed, kind, printsTrace, totals);
     }
-    fmt::print("{} seeds, {} broken, {} starts, {} jobs over\n", totals.seedCount,
+    fmt::print("{} seeds, {} failed, {} starts, {} jobs finished\n", totals.seedCount,
                totals.failedSeeds.size(), totals.startCount, totals.finishedJobCount);
     return totals.failedSeeds.empty() ? ExitDone : ExitFailed;
 }
@@ -85,9 +85,8 @@
         TCLAP::CmdLine command("order_search", ' ', "1");
         command.setExceptionHandling(false);
         TCLAP::MultiArg<std::string> seeds("", "seeds", "seeds to run", true, "A-B", command);
-        TCLAP::SwitchArg trace("", "trace", "prints what happened in each", command);
-        TCLAP::SwitchArg searchesStalls("", "standing", "looks for tasks that stand still",
-                                        command);
+        TCLAP::SwitchArg trace("", "trace", "print the events of each seed", command);
+        TCLAP::SwitchArg searchesStalls("", "standing", "search for stalled tasks", command);
         command.parse(argumentCount, arguments);
         const auto kind =
                 searchesStalls.getValue() ? search_kind::StalledTasks : search_kind::DuplicateRuns;
--- a/tests/order_search.h
+++ b/tests/order_search.h
@@ -1,6 +1,6 @@
-// A seeded order of events on the modelled site: faults, delays and losses are drawn from the seed,
-// and the rule on doubled work is checked at each start. A search for tasks that stand still has
-// tasks that last and more kinds of trouble, and lets all be well at the end.
+// A seeded order of events in the simulated cluster: faults, delays and losses are drawn from the
+// seed, and the rule against duplicate work is checked at each start. A search for stalled tasks
+// adds long-running tasks and more kinds of faults, and ends all faults before it checks.
 #pragma once
 
 #include <array>
@@ -31,7 +31,7 @@
     StartsRejected,
     StartRefused,
     CapacityReduced,
-    // In a search for tasks that stand still only:
+    // Only in a search for stalled tasks:
     AgentFrozen,
     EntryFrozenOnCommit,
     LinkCut,
@@ -67,15 +67,16 @@
         for (std::size_t index = 0; index < kinds; ++index)
             m_weights[index] = randomBetween(0, 3);
         m_delaysOrders = randomBetween(0, 1) == 1;
-        m_simulation.addToTrace("orders are {}held up", m_delaysOrders ? "" : "not ");
+        m_simulation.addToTrace("orders are {}delayed by seconds", m_delaysOrders ? "" : "not ");
     }
 
     search_result run()
     {
-        for (int job = 0; job < JobCount; ++job)
+        for (int job = 0; job < JobCount; ++job) {
             m_simulation.schedule(milliseconds(1500 + job * randomBetween(100, 500)), [this, job] {
                 m_simulation.submit(fmt::format("j{}", job), drawJob());
             });
+        }
         if (m_kind == search_kind::StalledTasks)
             submitLongRunning();
         scheduleFaults();
@@ -100,10 +101,11 @@
 
     void submitLongRunning()
     {
-        for (int job = 0; job < LongRunningJobCount; ++job)
+        for (int job = 0; job < LongRunningJobCount; ++job) {
             m_simulation.schedule(milliseconds(1500 + job * randomBetween(100, 2000)), [this, job] {
                 m_simulation.submit(longRunningJobName(job), longRunningJob());
             });
+        }
     }
 
     static std::string longRunningJobName(int job) { return fmt::format("lasts{}", job); }
@@ -117,7 +119,7 @@
         return spec;
     }
 
-    // A task that lasts has to run within 10 s of calm, and a while later too.
+    // Once the last freeze is over, long-running tasks must run within 10 s, and still 4 s later.
     void checkForStalls()
     {
         m_areFaultsOver = true;
@@ -190,13 +192,13 @@
         return spec;
     }
 
-    // How often, in per cent, something on its way is lost or slow, and how slow.
+    // How often, in per cent, a message is lost or slow, and how slow.
     struct delivery_odds
     {
         int lostPercent = 0;
         int slowPercent = 0;
-        int maxSlowDelayMs = 0;   // ms
-        int longDelayPercent = 0; // for seconds
+        int maxSlowDelayMs = 0;
+        int longDelayPercent = 0; // of a delay of 1 to 6 s
     };
 
     delivery_odds oddsOf(delivery_kind what) const
@@ -232,13 +234,13 @@
 
     delivery drawDelivery(delivery_kind what)
     {
-        const auto chances = oddsOf(what);
-        if (drawChance(chances.lostPercent))
+        const auto odds = oddsOf(what);
+        if (drawChance(odds.lostPercent))
             return {milliseconds(0), true};
-        if (drawChance(chances.longDelayPercent))
+        if (drawChance(odds.longDelayPercent))
             return {randomSpan(1000, 6000), false};
-        if (drawChance(chances.slowPercent))
-            return {randomSpan(10, chances.maxSlowDelayMs), false};
+        if (drawChance(odds.slowPercent))
+            return {randomSpan(10, odds.maxSlowDelayMs), false};
         return {randomSpan(1, 4), false};
     }
 
@@ -247,7 +249,7 @@
         m_simulation.schedule(FaultInterval, [this] {
             if (m_areFaultsOver)
                 return;
-            if (m_simulation.now() >= m_begin + milliseconds(1000)) {
+            if (m_simulation.now() >= m_startTime + milliseconds(1000)) {
                 restartProcesses();
                 injectFault(drawFault());
             }
@@ -257,13 +259,13 @@
 
     fault drawFault()
     {
-        int sum = 0;
+        int totalWeight = 0;
         for (const auto weight : m_weights)
-            sum += weight;
-        auto at = randomBetween(0, sum);
+            totalWeight += weight;
+        auto remaining = randomBetween(0, totalWeight);
         for (std::size_t index = 0; index < FaultKindCount; ++index) {
-            at -= m_weights[index];
-            if (at < 0)
+            remaining -= m_weights[index];
+            if (remaining < 0)
                 return static_cast<fault>(index);
         }
         return fault::None;
@@ -271,13 +273,13 @@
 
     void restartProcesses()
     {
-        for (std::size_t at = 0; at < EntryCount; ++at) {
-            if (!m_simulation.entry(at).isAlive && drawChance(20))
-                m_simulation.startEntry(m_simulation.entry(at));
+        for (std::size_t entryIndex = 0; entryIndex < EntryCount; ++entryIndex) {
+            if (!m_simulation.entry(entryIndex).isAlive && drawChance(20))
+                m_simulation.startEntry(m_simulation.entry(entryIndex));
         }
-        for (std::size_t at = 0; at < WorkerCount; ++at) {
-            if (!m_simulation.agent(at).isAlive && drawChance(25))
-                m_simulation.startAgent(m_simulation.agent(at));
+        for (std::size_t agentIndex = 0; agentIndex < WorkerCount; ++agentIndex) {
+            if (!m_simulation.agent(agentIndex).isAlive && drawChance(25))
+                m_simulation.startAgent(m_simulation.agent(agentIndex));
         }
     }
 
@@ -300,7 +302,7 @@
         case fault::EntryFrozen:
             return m_simulation.freeze(randomEntry(), randomSpan(200, 5000));
         case fault::EntryShutdown:
-            return m_simulation.leave(randomEntry());
+            return m_simulation.beginShutdown(randomEntry());
         case fault::AgentKilled:
             return m_simulation.kill(randomAgent());
         case fault::AgentCutOff:
@@ -322,7 +324,8 @@
         case fault::LinkCut:
             return m_simulation.cutOffLink(randomAgent(), randomEntry(), randomSpan(200, 5000));
         case fault::WorkerDrained:
-            return m_simulation.leave(randomWorker(), randomSpan(200, 3000), randomSpan(200, 3000));
+            return m_simulation.drainAndReboot(randomWorker(), randomSpan(200, 3000),
+                                               randomSpan(200, 3000));
         case fault::WorkerRebooted:
             return m_simulation.reboot(randomWorker());
         }
@@ -342,9 +345,9 @@
     cluster_simulation m_simulation;
     stall_checker m_stallChecker;
     bool m_areFaultsOver = false;
-    time_point m_begin{m_simulation.now()};
-    std::array<int, FaultKindCount> m_weights{}; // drawn: each seed has faults of its own
-    bool m_delaysOrders = false;                 // for seconds, past the lives that they were for
+    time_point m_startTime{m_simulation.now()};
+    std::array<int, FaultKindCount> m_weights{}; // drawn: each seed has its own mix of faults
+    bool m_delaysOrders = false; // by seconds: some arrive after the incarnation that they were for
 };
 
 } // namespace zinniabarrow::tests
--- a/tests/run_checker.h
+++ b/tests/run_checker.h
@@ -1,4 +1,5 @@
-// The users' rule on doubled work, checked at each step of a modelled order of events.
+// Checks the users' rule against duplicate work in a simulated cluster: no two runs of a task at
+// the same time, and no start of a task that is done.
 #pragma once
 
 #include <map>
@@ -17,7 +18,7 @@
 class run_checker
 {
 public:
-    // A row that was committed.
+    // Called with each committed row.
     void noteCommit(const std::string &job, const jobs::job_record &record, time_point now)
     {
         for (std::size_t occurrence = 0; occurrence < record.tasks.size(); ++occurrence) {
@@ -34,7 +35,8 @@
         }
     }
 
-    // A worker has begun a run; `late`: by an order that it carried out late.
+    // Called when a worker has started a run. `isLate`: the start took long to arrive; it is exempt
+    // from the rule on tasks that are done.
     void noteStart(const jobs::task_id &task, int run,
                    const std::vector<std::unique_ptr<simulated_worker>> &workers, bool isLate,
                    time_point now)
@@ -61,7 +63,7 @@
     int startCount() const { return m_startCount; }
 
 private:
-    std::map<jobs::task_id, time_point> m_doneAt; // as the store has it
+    std::map<jobs::task_id, time_point> m_doneAt; // when the store first had the task as done
     std::vector<std::string> m_violations;
     int m_startCount = 0;
 };
--- a/tests/simulated_worker.h
+++ b/tests/simulated_worker.h
@@ -1,4 +1,5 @@
-// A worker as the users' pages describe it: what runs there, what ended, and what it turns away.
+// A worker that behaves as the users' pages describe: it lists active and ended runs, and rejects
+// or refuses starts.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +16,7 @@
 
 namespace zinniabarrow::tests {
 
-// How long a run takes, and how it ends.
+// How long a run takes, and how it ends by itself.
 struct run_plan
 {
     milliseconds duration{300};
@@ -40,13 +41,13 @@
 
     const std::string &name() const { return m_name; }
 
-    // Starts are answered 429 until then: nothing was done.
+    // Until then starts are answered 429: the worker executed nothing.
     void rejectStartsUntil(time_point until) { m_rejectsStartsUntil = until; }
-    // The next start is answered 409, `room`.
+    // The next start is answered 409 with reason `room`.
     void refuseNextStart() { m_refusesNextStart = true; }
     void clearRefusal() { m_refusesNextStart = false; }
 
-    // Under the same name: nothing of before runs or is listed, and ends are counted anew.
+    // The name stays; runs, listed ends and the numbers of ends start from scratch.
     void reboot()
     {
         m_running.clear();
@@ -59,7 +60,7 @@
     }
     int bootNumber() const { return m_bootNumber; }
 
-    // True in `begun` when the call has begun a run.
+    // Sets `hasStarted` to whether this call started a run.
     jobs::start_answer start(const jobs::start_run &order, std::int64_t deadlineMs,
                              std::int64_t fence, time_point now, bool &hasStarted)
     {
@@ -83,7 +84,7 @@
         return jobs::start_answer::Started;
     }
 
-    // True when it ended a run.
+    // Returns true if a run was stopped.
     bool stop(const jobs::stop_run &order, std::int64_t fence, time_point now)
     {
         if (!acceptFence(fence))
@@ -97,7 +98,8 @@
         return ran;
     }
 
-    // None: the fence is too low.
+    // Extends the lease and lists the runs. Forgets ends up to the acknowledged one. Returns
+    // nothing if the fence is too low.
     std::optional<jobs::run_listing> renewHold(std::optional<std::int64_t> deadlineMs,
                                                std::int64_t acknowledgedThrough, std::int64_t fence,
                                                time_point now)
@@ -120,7 +122,7 @@
         return listing;
     }
 
-    // What ends by itself up to `now`: runs that are through, and all when the lease is over.
+    // Ends the runs that finish by `now`, and all others if the lease has expired.
     void advance(time_point now)
     {
         const bool isLeaseExpired = m_deadlineMs > 0 && clockOf(now) > m_deadlineMs;
@@ -197,10 +199,10 @@
     run_planner m_planner;
     std::map<run_key, active_run> m_running;
     std::vector<jobs::run_end> m_ended;
-    std::map<jobs::task_id, int> m_highestFinished; // run that was stopped or ended
+    std::map<jobs::task_id, int> m_highestFinished; // highest run that was stopped or ended
     std::int64_t m_nextEndSequence = 1;
-    std::int64_t m_fence = 0;
-    std::int64_t m_deadlineMs = 0;
+    std::int64_t m_fence = 0;      // highest seen
+    std::int64_t m_deadlineMs = 0; // of the lease; 0: none
     time_point m_rejectsStartsUntil{};
     bool m_refusesNextStart = false;
     int m_bootNumber = 1;
--- a/tests/stall_checker.h
+++ b/tests/stall_checker.h
@@ -1,4 +1,4 @@
-// The users' rule on tasks that stand still, for a modelled site in which all is well.
+// Checks the users' rule on stalled tasks in a simulated cluster after all faults have ended.
 #pragma once
 
 #include <map>
@@ -15,34 +15,34 @@
 class stall_checker
 {
 public:
-    // Which tasks are at work: often enough that no run is missed.
-    void observe(cluster_simulation &model)
+    // Records which tasks run. Must be called often enough that no run is missed.
+    void observe(cluster_simulation &simulation)
     {
-        for (std::size_t at = 0; at < model.workerCount(); ++at) {
-            model.worker(at).advance(model.now());
-            for (const auto &task : model.worker(at).runningTasks()) {
-                m_taskLastRanAt[task] = model.now();
-                m_jobLastRanAt[task.job] = model.now();
+        for (std::size_t workerIndex = 0; workerIndex < simulation.workerCount(); ++workerIndex) {
+            simulation.worker(workerIndex).advance(simulation.now());
+            for (const auto &task : simulation.worker(workerIndex).runningTasks()) {
+                m_taskLastRanAt[task] = simulation.now();
+                m_jobLastRanAt[task.job] = simulation.now();
             }
         }
     }
 
-    // All has been well for longer than a task may stand still.
-    void check(const cluster_simulation &model)
+    // Must be called only when faults ended longer ago than a task may stall.
+    void check(const cluster_simulation &simulation)
     {
-        for (const auto &[job, row] : model.rows()) {
+        for (const auto &[job, row] : simulation.rows()) {
             if (row.version == 0 || jobs::isFinal(row.record->state()))
                 continue;
-            checkTasks(job, *row.record, model.now());
-            checkJob(job, model.now());
+            checkTasks(job, *row.record, simulation.now());
+            checkJob(job, simulation.now());
         }
     }
 
     const std::vector<std::string> &violations() const { return m_violations; }
 
 private:
-    static constexpr milliseconds TaskStallLimit{6000};
-    static constexpr milliseconds JobStallLimit{3000};
+    static constexpr milliseconds TaskStallLimit{6000}; // without a run of a long-running task
+    static constexpr milliseconds JobStallLimit{3000};  // without any run of an unfinished job
 
     void checkTasks(const std::string &job, const jobs::job_record &record, time_point now)
     {
@@ -53,7 +53,7 @@
                 const jobs::task_id task{job, 0, static_cast<int>(step), index};
                 if (now - m_taskLastRanAt[task] > TaskStallLimit)
                     m_violations.push_back(
-                            fmt::format("is to last and doesn't run: {}", toText(task)));
+                            fmt::format("long-running task doesn't run: {}", toText(task)));
             }
         }
     }
@@ -61,10 +61,10 @@
     void checkJob(const std::string &job, time_point now)
     {
         if (now - m_jobLastRanAt[job] > JobStallLimit)
-            m_violations.push_back(fmt::format("isn't over and nothing of it runs: {}", job));
+            m_violations.push_back(fmt::format("unfinished job has no running task: {}", job));
     }
 
-    std::map<jobs::task_id, time_point> m_taskLastRanAt; // last at work
+    std::map<jobs::task_id, time_point> m_taskLastRanAt; // last seen running
     std::map<std::string, time_point> m_jobLastRanAt;
     std::vector<std::string> m_violations;
 };
