--- a/libs/jobs/job_controller.h
+++ b/libs/jobs/job_controller.h
@@ -290,8 +290,8 @@
                                               const task_state &state, time_point now) const;
     std::string describeStall(const owned_job &job, const task_id &task, const task_state &state,
                               stall_reason reason, time_point now) const;
-    int countReportedRuns(const std::string &id, const std::string &worker) const;
-    static int countPlacedRuns(const owned_job &job, const std::string &worker);
+    int reportedRuns(const std::string &id, const std::string &worker) const;
+    static int placedRuns(const owned_job &job, const std::string &worker);
     void logCompletedJobs(std::int64_t wallMs);
     void logIfUnanswered(const std::string &id, const task_id &task, int run, pending_order &order,
                          time_point now);
--- a/libs/work/task_store.cpp
+++ b/libs/work/task_store.cpp
@@ -187,8 +187,7 @@
 
 // --- Records and jobs ----------------------------------------------------------------------------
 
-task_record task_store::withJobCancellation(const task_record &record,
-                                            const std::optional<stored_job> &job)
+task_record task_store::view(const task_record &record, const std::optional<stored_job> &job)
 {
     if (!job || !job->isCancelled)
         return record;
@@ -214,8 +213,7 @@
     const auto job = m_jobs.find(task.job);
     if (job == m_jobs.end())
         return record == nullptr ? task_record() : *record;
-    return withJobCancellation(record == nullptr ? task_record() : *record,
-                               newestValue(job->second));
+    return view(record == nullptr ? task_record() : *record, newestValue(job->second));
 }
 
 task_record task_store::committedRecord(const task_id &task) const
@@ -226,7 +224,7 @@
     const auto job = m_jobs.find(task.job);
     if (job == m_jobs.end())
         return record == nullptr ? task_record() : *record;
-    return withJobCancellation(record == nullptr ? task_record() : *record, job->second.committed);
+    return view(record == nullptr ? task_record() : *record, job->second.committed);
 }
 
 bool task_store::hasUncommittedChange(const task_id &task) const
@@ -670,8 +668,8 @@
     for (auto &[index, record] : std::exchange(chunk.inFlight, {})) {
         task_record &storedRecord = chunk.committed[index];
         m_changes.push_back({{row.job, index},
-                             withJobCancellation(storedRecord, job.committed),
-                             withJobCancellation(record, job.committed),
+                             view(storedRecord, job.committed),
+                             view(record, job.committed),
                              false});
         storedRecord = std::move(record);
     }
@@ -798,19 +796,13 @@
     for (const auto &[index, record] : before)
         after.try_emplace(index);
     for (const auto &[index, record] : dropped) {
-        m_changes.push_back({{row.job, index},
-                             withJobCancellation(record, job),
-                             withJobCancellation(after[index], job),
-                             true});
+        m_changes.push_back({{row.job, index}, view(record, job), view(after[index], job), true});
     }
     for (const auto &[index, record] : after) {
         const task_record *old = findRecord(before, index);
         const task_record previous = old == nullptr ? task_record() : *old;
         if (previous != record)
-            m_changes.push_back({{row.job, index},
-                                 withJobCancellation(previous, job),
-                                 withJobCancellation(record, job),
-                                 false});
+            m_changes.push_back({{row.job, index}, view(previous, job), view(record, job), false});
     }
 }
 
--- a/libs/work/task_store.h
+++ b/libs/work/task_store.h
@@ -207,8 +207,7 @@
     std::uint64_t &versionOf(const row_id &row);
     row_id chunkRowOf(const task_id &task) const;
     const chunk_state *findChunk(const task_id &task) const;
-    static task_record withJobCancellation(const task_record &record,
-                                           const std::optional<stored_job> &job);
+    static task_record view(const task_record &record, const std::optional<stored_job> &job);
 
     // Transactions.
     void markDirty(const row_id &row, time_point due);
