--- a/standins/job_site.cpp
+++ b/standins/job_platform.cpp
@@ -1,4 +1,4 @@
-#include "standins/job_site.h"
+#include "standins/job_platform.h"
 
 #include <algorithm>
 #include <map>
--- a/tests/job_system.h
+++ b/tests/job_system.h
@@ -15,7 +15,7 @@
 #include "base/json.h"
 #include "section.h"
 #include "standins/fleet.h"
-#include "standins/job_site.h"
+#include "standins/job_platform.h"
 
 namespace zinniabarrow::tests {
 
