--- a/app/configuration_follower.cpp
+++ b/app/configuration_follower.cpp
@@ -18,7 +18,7 @@
                                                event_log &log)
     : m_log(log)
     , m_follower(
-              loop, store, log, {platform_wire::ConfigurationRow.table},
+              loop, store, log, {platform_wire::ConfigurationRowName.table},
               [this](const auto &rows) { applyConfigurationRows(rows); },
               [this] { handleAllRead(); },
               [this](const follow_progress &progress) {
@@ -106,7 +106,7 @@
 {
     applyZones(rows);
     for (auto newestFirst = rows.rbegin(); newestFirst != rows.rend(); ++newestFirst) {
-        if (newestFirst->name == platform_wire::ConfigurationRow && !newestFirst->removed
+        if (newestFirst->name == platform_wire::ConfigurationRowName && !newestFirst->removed
             && applyRow(*newestFirst))
             return;
     }
@@ -120,7 +120,7 @@
                      // lost
     try {
         const auto startedAt = suspendAwareNow();
-        queue_table next(platform_wire::configurationFrom(row.value));
+        queue_table next(platform_wire::parseConfiguration(row.value));
         m_rowVersion = row.version;
         // Never goes back to an older version: what one version allowed must not be refused by an
         // older one.
--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -193,8 +193,9 @@
         // While the worker's clock is unknown, the poll returns at once and only reads the clock.
         const auto maxWait = m_runTable.servingSamples().empty() ? PollWait : ServingPollWait;
         const auto wait = m_workerClock.isKnown() ? millisecondsIn(maxWait) : 0;
-        auto request = platform_wire::holdRequest(m_workerPresence.id(), deadline, lease().fence(),
-                                                  m_runTable.acknowledgedThrough(), wait);
+        auto request =
+                platform_wire::makeHoldRequest(m_workerPresence.id(), deadline, lease().fence(),
+                                               m_runTable.acknowledgedThrough(), wait);
         if (m_workerPresence.id().empty())
             request.headers.clear();
         m_caller.call(m_settings.workerAddress, std::move(request),
@@ -212,7 +213,7 @@
         if (fence != lease().fence())
             return pollWorker(); // sent with an earlier fence
         const auto now = suspendAwareNow();
-        const auto holdAnswer = platform_wire::holdResult(result);
+        const auto holdAnswer = platform_wire::parseHoldResult(result);
         logAnswering(holdAnswer.has_value(), result);
         const bool isAnsweringAgain = holdAnswer && m_workerLiveness.heldUntilIfSilent();
         m_workerLiveness.notePoll(holdAnswer.has_value(), now);
@@ -220,7 +221,7 @@
         if (isAnsweringAgain)
             m_leaseKeeper.renew();
         if (!holdAnswer) {
-            if (platform_wire::isOtherLife(result))
+            if (platform_wire::isOtherIncarnation(result))
                 return handleIncarnationEnd("other_life");
             const auto *failure = std::get_if<call_failure>(&result);
             if (failure != nullptr && m_workerPresence.confirmsDeparture(*failure))
@@ -228,7 +229,7 @@
             checkSilence(now);
             return m_loop.runAfter(PollRetryDelay, [this] { pollWorker(); });
         }
-        const auto pollOutcome = m_workerPresence.handleAnswer(holdAnswer->bornMs, sentAt);
+        const auto pollOutcome = m_workerPresence.handleAnswer(holdAnswer->workerStartMs, sentAt);
         if (pollOutcome == worker_presence::poll_result::NewIncarnation)
             return handleIncarnationEnd("born_anew");
         if (pollOutcome == worker_presence::poll_result::DepartureRefuted)
@@ -297,13 +298,13 @@
 
     void serveWorker(const http_request &request, const responder &respond)
     {
-        if (const auto departedId = platform_wire::departureFrom(request)) {
+        if (const auto departedId = platform_wire::parseDeparture(request)) {
             respond({200, {}, ""});
             if (m_workerPresence.handleDeparture(*departedId, suspendAwareNow()))
                 m_log.writeEvent("worker_departed", {{"worker", m_workerPresence.id()}});
             return;
         }
-        const auto announcement = platform_wire::announcementFrom(request);
+        const auto announcement = platform_wire::parseAnnouncement(request);
         // An announcement that can't be parsed is rejected with 400.
         if (!announcement)
             return respond({400, {}, R"({"error":"bad_request"})"});
@@ -323,7 +324,7 @@
         case worker_presence::change::ReadinessChanged:
             m_log.writeEvent("worker_announced",
                              {{"worker", announcement.id},
-                              {"leaving", announcement.leaving ? "yes" : "no"}});
+                              {"leaving", announcement.isDraining ? "yes" : "no"}});
             m_reportSender.sendReports();
             break;
         }
--- a/app/job_requests.cpp
+++ b/app/job_requests.cpp
@@ -110,7 +110,7 @@
     const auto &policy = target->route->policy;
     if (target->job.empty() && request.method == "GET") {
         const auto waiting = m_view.countWaiting(policy.queue);
-        return respond({200, {}, platform_wire::waitingBody(waiting)});
+        return respond({200, {}, platform_wire::makeWaitingBody(waiting)});
     }
     if (target->job.empty())
         return respond(countedRefusal(400, "no_job_id"));
@@ -140,7 +140,7 @@
 {
     const auto *known = m_view.find(id);
     if (known != nullptr)
-        return respond({200, {}, platform_wire::stateBody(known->state)});
+        return respond({200, {}, platform_wire::makeStateBody(known->state)});
     // Submitted before, and its write is in progress: the job can't be refused any more.
     if (m_jobController->owns(id))
         return accept(id, {}, policy, std::move(respond));
@@ -151,7 +151,7 @@
         return respond(logRefusal(id, storeUnreachableRefusal()));
     job_spec spec;
     try {
-        spec = platform_wire::jobFrom(request.body);
+        spec = platform_wire::parseJobSpec(request.body);
     } catch (const error &problem) {
         m_log.writeEvent("job_refused", {{"job", id}, {"why", problem.what()}});
         return respond(countedRefusal(400, "bad_request"));
@@ -291,7 +291,7 @@
 {
     const auto *known = m_view.find(id);
     if (known != nullptr && request.method != "DELETE")
-        return respond({200, {}, platform_wire::stateBody(known->state)});
+        return respond({200, {}, platform_wire::makeStateBody(known->state)});
     if (m_jobController->owns(id))
         return respond(countedRefusal(504, "outcome_unknown"));
     refuseAsLeaving(request, respond);
@@ -306,10 +306,10 @@
 void job_requests::answerState(const std::string &id, responder respond)
 {
     if (m_jobController->owns(id))
-        return respond({200, {}, platform_wire::stateBody(m_jobController->storedState(id))});
+        return respond({200, {}, platform_wire::makeStateBody(m_jobController->storedState(id))});
     const auto *known = m_view.find(id);
     if (known != nullptr && isFinal(known->state))
-        return respond({200, {}, platform_wire::stateBody(known->state)});
+        return respond({200, {}, platform_wire::makeStateBody(known->state)});
     const auto *owner = known == nullptr ? nullptr : m_directory.find(known->owner.entry);
     if (owner == nullptr || !m_directory.isAlive(known->owner.entry, suspendAwareNow()))
         return answerStoredState(id, std::move(respond));
@@ -331,7 +331,7 @@
             return respond({410, {}, R"({"error":"unknown_job"})"});
         const auto *known = m_view.find(id);
         if (known != nullptr)
-            return respond({200, {}, platform_wire::stateBody(known->state)});
+            return respond({200, {}, platform_wire::makeStateBody(known->state)});
         // The store did not answer, so the job may exist.
         respond(storeUnreachableRefusal());
     });
@@ -415,7 +415,7 @@
         return respond(makeRefusal(404, "not_owned"));
     if (request.method == "DELETE")
         return cancelOwned(id, respond);
-    respond({200, {}, platform_wire::stateBody(m_jobController->storedState(id))});
+    respond({200, {}, platform_wire::makeStateBody(m_jobController->storedState(id))});
 }
 
 } // namespace zinniabarrow
--- a/app/store_client.cpp
+++ b/app/store_client.cpp
@@ -142,9 +142,9 @@
 void store_client::tryCommit(std::shared_ptr<row_transaction> transaction, duration backoff,
                              commit_callback done)
 {
-    send(platform_wire::commitRequest(*transaction), {}, ignoreAnswerBegun,
+    send(platform_wire::makeCommitRequest(*transaction), {}, ignoreAnswerBegun,
          [this, transaction, backoff, done = std::move(done)](const call_result &result) mutable {
-             const auto parsed = platform_wire::commitResult(result);
+             const auto parsed = platform_wire::parseCommitResult(result);
              if (const auto *success = std::get_if<committed>(&parsed))
                  return done(*success);
              if (const auto *conflict = std::get_if<conflicting>(&parsed))
@@ -161,14 +161,14 @@
 void store_client::read(const std::string &table, const std::string &part, const std::string &from,
                         const std::string &to, read_callback done)
 {
-    const auto request = platform_wire::rowsRequest(table, part, from, to);
+    const auto request = platform_wire::makeRowsRequest(table, part, from, to);
     send(request, {}, ignoreAnswerBegun,
          [this, request, done = std::move(done)](const call_result &result) {
-             if (auto page = platform_wire::rowsResult(result))
+             if (auto page = platform_wire::parseRowsResult(result))
                  return done(std::move(page));
              // Second try; it goes through a relay if the direct call failed and there is one.
              send(request, {}, ignoreAnswerBegun, [done](const call_result &retryResult) {
-                 done(platform_wire::rowsResult(retryResult));
+                 done(platform_wire::parseRowsResult(retryResult));
              });
          });
 }
@@ -200,12 +200,12 @@
 void store_client::pollFeed(const std::string &table, std::int64_t after, milliseconds wait,
                             answer_begun_callback onAnswerBegun, feed_callback done)
 {
-    send(platform_wire::feedRequest(table, after, wait.count()), wait, std::move(onAnswerBegun),
+    send(platform_wire::makeFeedRequest(table, after, wait.count()), wait, std::move(onAnswerBegun),
          [done = std::move(done)](const call_result &result) {
              const auto *failure = std::get_if<call_failure>(&result);
              if (failure != nullptr && *failure == call_failure::TooLarge)
                  return done(feed_page{{}, 0, true});
-             done(platform_wire::feedResult(result));
+             done(platform_wire::parseFeedResult(result));
          });
 }
 
--- a/app/worker_calls.cpp
+++ b/app/worker_calls.cpp
@@ -46,17 +46,18 @@
     const auto deadline = m_workerClock.millisecondsAt(until);
     m_workerLiveness.noteHold(until);
     m_runTable.startCalled(start.task, start.run, deadline);
-    m_caller.call(
-            m_address,
-            platform_wire::startRequest(m_workerPresence.id(), start, deadline, lease().fence()),
-            CallTimeout, [this, task = start.task, run = start.run](const call_result &result) {
-                handleStartResult(task, run, result);
-            });
+    m_caller.call(m_address,
+                  platform_wire::makeStartRequest(m_workerPresence.id(), start, deadline,
+                                                  lease().fence()),
+                  CallTimeout,
+                  [this, task = start.task, run = start.run](const call_result &result) {
+                      handleStartResult(task, run, result);
+                  });
 }
 
 void worker_calls::handleStartResult(const task_id &task, int run, const call_result &result)
 {
-    const auto answer = platform_wire::startResult(result);
+    const auto answer = platform_wire::parseStartResult(result);
     if (answer != start_answer::Started) {
         const auto *response = std::get_if<http_response>(&result);
         m_metrics.count("starts_not_confirmed_total",
@@ -73,7 +74,7 @@
 void worker_calls::execute(const stop_run &stop)
 {
     m_caller.call(m_address,
-                  platform_wire::stopRequest(m_workerPresence.id(), stop, lease().fence()),
+                  platform_wire::makeStopRequest(m_workerPresence.id(), stop, lease().fence()),
                   CallTimeout, [this](const call_result &result) {
                       if (!std::holds_alternative<http_response>(result))
                           m_metrics.count("stops_not_confirmed_total", "unanswered");
@@ -92,8 +93,8 @@
     for (const auto &change : changes) {
         m_metrics.count("paces_total", change.percent < 100 ? "slowed" : "full");
         m_caller.call(m_address,
-                      platform_wire::paceRequest(m_workerPresence.id(), change.task, change.run,
-                                                 change.percent, lease().fence()),
+                      platform_wire::makeSpeedRequest(m_workerPresence.id(), change.task,
+                                                      change.run, change.percent, lease().fence()),
                       CallTimeout, [this, change](const call_result &result) {
                           const auto *answer = std::get_if<http_response>(&result);
                           if (answer != nullptr && answer->status == 200)
--- a/app/worker_presence.cpp
+++ b/app/worker_presence.cpp
@@ -13,13 +13,13 @@
 worker_presence::change
 worker_presence::handleAnnouncement(const platform_wire::worker_announcement &announcement)
 {
-    const bool isSameIncarnation =
-            announcement.id == m_id
-            && (announcement.bornMs == 0 || m_bornMs == 0 || announcement.bornMs == m_bornMs);
+    const bool isSameIncarnation = announcement.id == m_id
+                                   && (announcement.startTimeMs == 0 || m_bornMs == 0
+                                       || announcement.startTimeMs == m_bornMs);
     if (isSameIncarnation && announcement.sequence <= m_lastAnnouncement.sequence)
         return change::None; // a newer one arrived before
     // Delayed announcement of an earlier incarnation.
-    if (!isSameIncarnation && announcement.bornMs != 0 && announcement.bornMs < m_bornMs)
+    if (!isSameIncarnation && announcement.startTimeMs != 0 && announcement.startTimeMs < m_bornMs)
         return change::None;
     // A delayed announcement must not cancel the departure of a worker that has left. Only the
     // answer to a poll shows that the worker goes on.
@@ -27,17 +27,18 @@
         return change::None;
     const bool isFirst = m_id.empty();
     const bool hasReadinessChanged =
-            announcement.leaving != m_lastAnnouncement.leaving || !m_isPresent;
+            announcement.isDraining != m_lastAnnouncement.isDraining || !m_isPresent;
     m_lastAnnouncement = announcement;
     m_isPresent = true;
     m_isDeparting = false;
     m_id = announcement.id;
-    if (!isSameIncarnation && (!isFirst || (m_bornMs != 0 && announcement.bornMs != m_bornMs))) {
-        m_bornMs = announcement.bornMs;
+    if (!isSameIncarnation
+        && (!isFirst || (m_bornMs != 0 && announcement.startTimeMs != m_bornMs))) {
+        m_bornMs = announcement.startTimeMs;
         return change::NewIncarnation;
     }
-    if (announcement.bornMs != 0)
-        m_bornMs = announcement.bornMs;
+    if (announcement.startTimeMs != 0)
+        m_bornMs = announcement.startTimeMs;
     return hasReadinessChanged ? change::ReadinessChanged : change::None;
 }
 
@@ -76,7 +77,7 @@
 void worker_presence::resetAnnouncedState()
 {
     m_lastAnnouncement.sequence = 0;
-    m_lastAnnouncement.leaving = false;
+    m_lastAnnouncement.isDraining = false;
     m_isPresent = false;
     m_isDeparting = false;
 }
--- a/app/worker_presence.h
+++ b/app/worker_presence.h
@@ -35,11 +35,11 @@
     bool isIncarnationKnown() const { return m_bornMs != 0; }
     std::string incarnationName() const { return std::to_string(m_bornMs); }
     bool isPresent() const { return m_isPresent; }
-    bool isLeaving() const { return m_lastAnnouncement.leaving; }
+    bool isLeaving() const { return m_lastAnnouncement.isDraining; }
     // The worker is about to end or has ended. The agent's instance ends with it.
     bool isGoingAway() const
     {
-        return m_isDeparting || (m_isPresent && m_lastAnnouncement.leaving);
+        return m_isDeparting || (m_isPresent && m_lastAnnouncement.isDraining);
     }
     const platform_wire::worker_announcement &lastAnnouncement() const
     {
--- a/bench/config_bench.cpp
+++ b/bench/config_bench.cpp
@@ -12,7 +12,7 @@
 
 constexpr int JobsInFile = 10;
 
-std::string jobsFile(int first)
+std::string makeJobsFile(int first)
 {
     std::string jobs;
     for (int job = first; job < first + JobsInFile; ++job) {
@@ -23,7 +23,7 @@
     return "{\"jobs\": {" + jobs + "}}";
 }
 
-std::vector<folder_file> folderOf(std::int64_t jobs)
+std::vector<folder_file> makeFolder(std::int64_t jobs)
 {
     std::vector<folder_file> files{{"00-basis.json", R"({
   "teams": {"gate": {"quota": {"millicores": 160000, "bytes": 600000000}}},
@@ -31,13 +31,13 @@
                      "worker": {"millicores": 16000, "bytes": 60000000}}}
 })"}};
     for (int first = 0; first < jobs; first += JobsInFile)
-        files.push_back({fmt::format("jobs-{:06}.json", first), jobsFile(first)});
+        files.push_back({fmt::format("jobs-{:06}.json", first), makeJobsFile(first)});
     return files;
 }
 
 void checkWhole(benchmark::State &state)
 {
-    const auto files = folderOf(state.range(0));
+    const auto files = makeFolder(state.range(0));
     for (auto round : state) {
         std::ignore = round;
         const auto checked = checkFolder(files);
@@ -49,7 +49,7 @@
 
 void takeUpContent(benchmark::State &state)
 {
-    const auto checked = checkFolder(folderOf(state.range(0)));
+    const auto checked = checkFolder(makeFolder(state.range(0)));
     const auto text = contentText({checked.mergedConfig, {}, {}});
     for (auto round : state) {
         std::ignore = round;
--- a/bench/delivery_bench.cpp
+++ b/bench/delivery_bench.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-double usedBytes()
+double allocatedBytes()
 {
     const auto info = mallinfo2();
     return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-request_arrived requestOf(int number, const std::string &key, time_point now)
+request_arrived makeRequest(int number, const std::string &key, time_point now)
 {
     return {fmt::format("e1.1-{}", number),
             "tickets",
@@ -78,7 +78,7 @@
 {
     const auto count = static_cast<int>(state.range(0));
     for (auto _ : state) {
-        const auto before = usedBytes();
+        const auto before = allocatedBytes();
         attempt_guard guard(1, {});
         for (int i = 0; i < count; ++i) {
             const auto id = fmt::format("e1.1-{}", i);
@@ -86,7 +86,7 @@
             guard.startAttempt(id, 1, time_point{});
             guard.recordEnd(id, 1, executed::Yes, time_point{});
         }
-        state.counters["bytes_each"] = (usedBytes() - before) / count;
+        state.counters["bytes_each"] = (allocatedBytes() - before) / count;
     }
     state.SetItemsProcessed(state.iterations() * count);
 }
@@ -95,13 +95,13 @@
 {
     const auto count = static_cast<int>(state.range(0));
     for (auto _ : state) {
-        const auto before = usedBytes();
+        const auto before = allocatedBytes();
         request_flow flow(
                 "e1.1", {}, [](error_kind) { return true; },
                 [](const std::string &) { return true; });
         for (int i = 0; i < count; ++i)
-            flow.handle(requestOf(i, "", time_point{}), time_point{});
-        state.counters["bytes_each"] = (usedBytes() - before) / count;
+            flow.handle(makeRequest(i, "", time_point{}), time_point{});
+        state.counters["bytes_each"] = (allocatedBytes() - before) / count;
     }
     state.SetItemsProcessed(state.iterations() * count);
 }
@@ -111,15 +111,15 @@
 {
     const auto count = static_cast<int>(state.range(0));
     for (auto _ : state) {
-        const auto before = usedBytes();
+        const auto before = allocatedBytes();
         healthy_entry entry;
         time_point now{};
         for (int i = 0; i < count; ++i) {
             now += milliseconds(20);
-            entry.handle(requestOf(i, fmt::format("key-{}", i), now), now);
+            entry.handle(makeRequest(i, fmt::format("key-{}", i), now), now);
             entry.handle(flow_tick{}, now + milliseconds(10));
         }
-        state.counters["bytes_each"] = (usedBytes() - before) / count;
+        state.counters["bytes_each"] = (allocatedBytes() - before) / count;
     }
     state.SetItemsProcessed(state.iterations() * count);
 }
--- a/bench/load_signal_bench.cpp
+++ b/bench/load_signal_bench.cpp
@@ -22,22 +22,22 @@
 using zinniabarrow::placement::load_signal;
 using zinniabarrow::placement::load_signal_settings;
 
-constexpr int Slices = 50'000;
+constexpr int SliceCount = 50'000;
 constexpr double RaiseCost = 3; // in wrong slices
 
 struct slice
 {
-    double count = 0; // late requests
-    bool disturbed = false;
+    double lateCount = 0; // late requests
+    bool isDisturbed = false;
 };
 
 // Calm with single spikes, and disturbances that last 8 to 60 slices, some weak and some strong.
-std::vector<slice> sequenceOf(std::uint64_t seed, double spikes)
+std::vector<slice> makeSequence(std::uint64_t seed, double spikes)
 {
     random_generator random(seed);
     std::vector<slice> slices;
-    while (slices.size() < Slices) {
-        const bool disturbed = !slices.empty() && !slices.back().disturbed;
+    while (slices.size() < SliceCount) {
+        const bool disturbed = !slices.empty() && !slices.back().isDisturbed;
         const auto length = disturbed ? 8 + drawIndex(random, 53) : 20 + drawIndex(random, 200);
         const double level = disturbed ? 5 + 10 * drawUniform(random) : 2;
         for (std::size_t index = 0; index < length; ++index) {
@@ -56,27 +56,27 @@
 // goes up only while rising; a falling one goes down at `fall`, a rising one only a margin below.
 struct recency_signal
 {
-    std::size_t slices = 8;
+    std::size_t sliceLimit = 8;
     double rise = 5;
     double fall = 3;
     double margin = 1;
     std::deque<double> counts;
-    bool raised = false;
+    bool isActive = false;
 
     void add(double count)
     {
         const double change = counts.empty() ? 0 : count - counts.back();
         counts.push_back(count);
-        if (counts.size() > slices)
+        if (counts.size() > sliceLimit)
             counts.pop_front();
         double weighted = 0;
         double weight = 0.5;
         for (auto each = counts.rbegin(); each != counts.rend(); ++each, weight /= 2)
             weighted += *each * weight;
-        if (!raised && change > 0 && weighted > rise)
-            raised = true;
-        else if (raised && weighted < (change < 0 ? fall : fall - margin))
-            raised = false;
+        if (!isActive && change > 0 && weighted > rise)
+            isActive = true;
+        else if (isActive && weighted < (change < 0 ? fall : fall - margin))
+            isActive = false;
     }
 };
 
@@ -90,7 +90,7 @@
 
 bool isRaised(const recency_signal &signal)
 {
-    return signal.raised;
+    return signal.isActive;
 }
 
 bool isRaised(const average_signal &signal)
@@ -100,63 +100,64 @@
 
 struct score
 {
-    int wrong = 0;       // slices
-    int raises = 0;      //
-    int falseRaises = 0; // while calm
-    int episodes = 0;    //
-    int missed = 0;      // episodes never seen
-    double delay = 0;    // slices until it is raised, mean over those seen
-
-    double cost() const { return wrong + RaiseCost * raises; }
+    int wrongSlices = 0;    // slices
+    int raises = 0;         //
+    int falseRaises = 0;    // while calm
+    int episodes = 0;       //
+    int missedEpisodes = 0; // episodes never seen
+    double meanDelay = 0;   // slices until it is raised, mean over those seen
+
+    double cost() const { return wrongSlices + RaiseCost * raises; }
 };
 
 template <typename Signal>
 score judge(Signal signal, const std::vector<slice> &sequence)
 {
     score result;
-    int since = 0;
-    int delays = 0;
-    bool seen = true;
-    bool before = false;
-    bool disturbedBefore = false;
+    int slicesSinceStart = 0;
+    int totalDelay = 0;
+    bool isDetected = true;
+    bool wasRaised = false;
+    bool wasDisturbed = false;
     for (const auto &each : sequence) {
-        if (each.disturbed && !disturbedBefore) {
+        if (each.isDisturbed && !wasDisturbed) {
             ++result.episodes;
-            since = 0;
-            seen = false;
+            slicesSinceStart = 0;
+            isDetected = false;
         }
-        if (!each.disturbed && disturbedBefore && !seen)
-            ++result.missed;
-        disturbedBefore = each.disturbed;
-        signal.add(each.count);
+        if (!each.isDisturbed && wasDisturbed && !isDetected)
+            ++result.missedEpisodes;
+        wasDisturbed = each.isDisturbed;
+        signal.add(each.lateCount);
         const bool raised = isRaised(signal);
-        result.wrong += raised != each.disturbed ? 1 : 0;
-        result.raises += raised && !before ? 1 : 0;
-        result.falseRaises += raised && !before && !each.disturbed ? 1 : 0;
-        if (each.disturbed && raised && !seen) {
-            seen = true;
-            delays += since;
+        result.wrongSlices += raised != each.isDisturbed ? 1 : 0;
+        result.raises += raised && !wasRaised ? 1 : 0;
+        result.falseRaises += raised && !wasRaised && !each.isDisturbed ? 1 : 0;
+        if (each.isDisturbed && raised && !isDetected) {
+            isDetected = true;
+            totalDelay += slicesSinceStart;
         }
-        ++since;
-        before = raised;
+        ++slicesSinceStart;
+        wasRaised = raised;
     }
-    result.delay = static_cast<double>(delays) / std::max(result.episodes - result.missed, 1);
+    result.meanDelay =
+            static_cast<double>(totalDelay) / std::max(result.episodes - result.missedEpisodes, 1);
     return result;
 }
 
 average_signal tuneAverage(const std::vector<slice> &sequence)
 {
     average_signal best;
-    double lowest = 1e18;
+    double lowestCost = 1e18;
     for (const std::size_t slices : {1, 2, 3, 4, 5, 6, 8}) {
         for (double rise = 2.5; rise <= 9; rise += 0.25) {
             for (double fall = 1.5; fall <= rise; fall += 0.25) {
-                const average_signal tried{{slices, rise, fall}, {}};
-                const double cost = judge(tried, sequence).cost();
-                if (cost >= lowest)
+                const average_signal candidate{{slices, rise, fall}, {}};
+                const double cost = judge(candidate, sequence).cost();
+                if (cost >= lowestCost)
                     continue;
-                lowest = cost;
-                best = tried;
+                lowestCost = cost;
+                best = candidate;
             }
         }
     }
@@ -166,17 +167,17 @@
 recency_signal tuneRecency(const std::vector<slice> &sequence)
 {
     recency_signal best;
-    double lowest = 1e18;
+    double lowestCost = 1e18;
     for (const std::size_t slices : {2, 3, 4, 6, 8}) {
         for (double rise = 2.5; rise <= 9; rise += 0.25) {
             for (double fall = 1.5; fall <= rise; fall += 0.25) {
                 for (const double margin : {0.0, 0.5, 1.0, 2.0}) {
-                    const recency_signal tried{slices, rise, fall, margin, {}, false};
-                    const double cost = judge(tried, sequence).cost();
-                    if (cost >= lowest)
+                    const recency_signal candidate{slices, rise, fall, margin, {}, false};
+                    const double cost = judge(candidate, sequence).cost();
+                    if (cost >= lowestCost)
                         continue;
-                    lowest = cost;
-                    best = tried;
+                    lowestCost = cost;
+                    best = candidate;
                 }
             }
         }
@@ -186,14 +187,14 @@
 
 void print(const char *name, std::uint64_t seed, const score &result)
 {
-    fmt::print("{:18} {:5} {:7} {:7} {:7} {:9} {:7} {:7.2f} {:8.0f}\n", name, seed, result.wrong,
-               result.raises, result.falseRaises, result.episodes, result.missed, result.delay,
-               result.cost());
+    fmt::print("{:18} {:5} {:7} {:7} {:7} {:9} {:7} {:7.2f} {:8.0f}\n", name, seed,
+               result.wrongSlices, result.raises, result.falseRaises, result.episodes,
+               result.missedEpisodes, result.meanDelay, result.cost());
 }
 
 void compare(double spikes)
 {
-    auto training = sequenceOf(1, spikes);
+    auto training = makeSequence(1, spikes);
     training.resize(8'000);
     const auto average = tuneAverage(training);
     const auto recency = tuneRecency(training);
@@ -201,11 +202,11 @@
                average.settings.windowSamples, average.settings.riseAbove,
                average.settings.fallBelow);
     fmt::print("recency-weighted: {} slices, rises above {}, falls below {}, margin {}\n",
-               recency.slices, recency.rise, recency.fall, recency.margin);
+               recency.sliceLimit, recency.rise, recency.fall, recency.margin);
     fmt::print("{:18} {:>5} {:>7} {:>7} {:>7} {:>9} {:>7} {:>7} {:>8}\n", "signal", "seed", "wrong",
                "raises", "false", "episodes", "missed", "delay", "cost");
     for (const std::uint64_t seed : {2, 3, 4, 5, 6}) {
-        const auto sequence = sequenceOf(seed, spikes);
+        const auto sequence = makeSequence(seed, spikes);
         print("moving average", seed, judge(average, sequence));
         print("recency-weighted", seed, judge(recency, sequence));
     }
--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -17,7 +17,7 @@
 
 constexpr milliseconds Step{100};
 
-mesh_settings sized(int agents, int entries)
+mesh_settings makeSettings(int agents, int entries)
 {
     mesh_settings settings;
     settings.agents = agents;
@@ -27,11 +27,11 @@
 
 // Milliseconds until `done`, or -1 after two minutes.
 template <typename Condition>
-std::int64_t timeUntil(mesh &nodes, Condition &&done)
+std::int64_t measureTimeUntil(mesh &nodes, Condition &&condition)
 {
     constexpr milliseconds Limit{120 * 1000};
     for (milliseconds passed{0}; passed <= Limit; passed += Step) {
-        if (done())
+        if (condition())
             return passed.count();
         nodes.runFor(Step);
     }
@@ -40,38 +40,39 @@
 
 void printMessageSizes()
 {
-    mesh nodes(sized(790, 15));
-    const auto whole = nodes.agent(789).self();
-    digest idle{mesh::entryName(14), whole.incarnation, 4711, 1580, 1580, {}};
-    digest one = idle;
-    one.records.push_back({whole, true});
-    const digest_ack ack{mesh::entryName(14), whole.incarnation, 1580};
-    const announce_reply reply{4711, std::nullopt, whole.incarnation, false, milliseconds(8506)};
+    mesh nodes(makeSettings(790, 15));
+    const auto fullAnnouncement = nodes.agent(789).self();
+    digest idle{mesh::entryName(14), fullAnnouncement.incarnation, 4711, 1580, 1580, {}};
+    digest digestWithRecord = idle;
+    digestWithRecord.records.push_back({fullAnnouncement, true});
+    const digest_ack ack{mesh::entryName(14), fullAnnouncement.incarnation, 1580};
+    const announce_reply reply{4711, std::nullopt, fullAnnouncement.incarnation, false,
+                               milliseconds(8506)};
     const auto print = [](const char *name, const Json::Value &json) {
         fmt::print("{:<28}{:>5} bytes\n", name, compactJson(json).size());
     };
     fmt::print("Messages, without packet headers\n");
-    print("announcement", toJson(whole));
-    print("heartbeat", toJson(heartbeatOf(whole)));
+    print("announcement", toJson(fullAnnouncement));
+    print("heartbeat", toJson(heartbeatOf(fullAnnouncement)));
     print("answer to either", toJson(reply));
     print("digest without news", toJson(idle));
-    print("digest with one record", toJson(one));
+    print("digest with one record", toJson(digestWithRecord));
     print("digest's answer", toJson(ack));
 }
 
 void printRow(int agents, int entries)
 {
-    mesh nodes(sized(agents, entries));
+    mesh nodes(makeSettings(agents, entries));
     constexpr std::int64_t Seconds = 120;
-    const auto known = timeUntil(nodes, [&] {
+    const auto allRouted = measureTimeUntil(nodes, [&] {
         for (int i = 0; i < entries; ++i) {
-            if (nodes.routesAt(i) != agents)
+            if (nodes.countRoutableAt(i) != agents)
                 return false;
         }
         return true;
     });
     nodes.runFor(seconds(60));
-    nodes.forgetTraffic();
+    nodes.resetTraffic();
     nodes.runFor(seconds(Seconds));
     std::uint64_t entryBytes = 0;
     for (int i = 0; i < entries; ++i) {
@@ -84,34 +85,37 @@
         agentBytes = std::max(agentBytes, bytes.sent + bytes.received);
     }
     nodes.agent(0).setState(upstream_state::Leaving);
-    const auto leaving = timeUntil(nodes, [&] { return nodes.entriesThatRoute(0) == 0; });
+    const auto leavingRemoved =
+            measureTimeUntil(nodes, [&] { return nodes.countEntriesRoutingTo(0) == 0; });
     nodes.stopAgent(1);
-    const auto silent = timeUntil(nodes, [&] { return nodes.entriesThatRoute(1) == 0; });
+    const auto silentRemoved =
+            measureTimeUntil(nodes, [&] { return nodes.countEntriesRoutingTo(1) == 0; });
     nodes.stopEntry(0);
     nodes.startEntry(0);
-    nodes.forgetTraffic();
-    const auto again = timeUntil(nodes, [&] { return nodes.routesAt(0) == agents - 2; });
-    const auto burst = nodes.trafficOf(mesh::entryName(0));
+    nodes.resetTraffic();
+    const auto rejoined =
+            measureTimeUntil(nodes, [&] { return nodes.countRoutableAt(0) == agents - 2; });
+    const auto rejoinTraffic = nodes.trafficOf(mesh::entryName(0));
     fmt::print("{:>7}{:>8}{:>12}{:>12}{:>9}{:>9}{:>9}{:>10}{:>13}\n", agents, entries,
-               entryBytes / Seconds, agentBytes / Seconds, known, leaving, silent, again,
-               burst.sent + burst.received);
+               entryBytes / Seconds, agentBytes / Seconds, allRouted, leavingRemoved, silentRemoved,
+               rejoined, rejoinTraffic.sent + rejoinTraffic.received);
 }
 
 void heartbeatOfOne(benchmark::State &state)
 {
-    mesh nodes(sized(static_cast<int>(state.range(0)), 3));
+    mesh nodes(makeSettings(static_cast<int>(state.range(0)), 3));
     nodes.runFor(seconds(20));
-    auto beat = heartbeatOf(nodes.agent(0).self());
+    auto repeatedHeartbeat = heartbeatOf(nodes.agent(0).self());
     for (auto _ : state) {
-        ++beat.sequence;
-        benchmark::DoNotOptimize(nodes.entry(0).handleMessage(beat, nodes.now()));
+        ++repeatedHeartbeat.sequence;
+        benchmark::DoNotOptimize(nodes.entry(0).handleMessage(repeatedHeartbeat, nodes.now()));
     }
 }
 BENCHMARK(heartbeatOfOne)->Arg(11)->Arg(790);
 
 void tickOfEntry(benchmark::State &state)
 {
-    mesh nodes(sized(static_cast<int>(state.range(0)), 3));
+    mesh nodes(makeSettings(static_cast<int>(state.range(0)), 3));
     nodes.runFor(seconds(20));
     for (auto _ : state)
         benchmark::DoNotOptimize(nodes.entry(0).tick(nodes.now()));
--- a/bench/membership_mesh.cpp
+++ b/bench/membership_mesh.cpp
@@ -20,7 +20,7 @@
 
 void mesh::startEntry(int index)
 {
-    auto settings = m_settings.member;
+    auto settings = m_settings.membershipSettings;
     settings.entryId = entryName(index);
     settings.incarnation = nextIncarnation();
     m_entries[settings.entryId] = {std::make_unique<membership>(settings), {}};
@@ -33,23 +33,23 @@
 
 void mesh::startAgent(int index)
 {
-    auto settings = m_settings.announce;
+    auto settings = m_settings.announcerSettings;
     settings.entries = m_entryNames;
-    announcement self;
-    self.agentId = agentName(index);
-    self.address =
+    announcement sender;
+    sender.agentId = agentName(index);
+    sender.address =
             "10.0." + std::to_string(index / 250) + "." + std::to_string(index % 250) + ":7100";
-    self.zone = "kartli-a";
-    self.region = "kartli";
-    self.rack = "rack-" + std::to_string(index / 3);
-    self.service = "tickets";
-    self.workerId = "worker-" + std::to_string(index);
-    self.workerSize = {16000, 60LL << 30, 2};
-    self.slots = 8;
-    self.incarnation = nextIncarnation();
-    self.state = upstream_state::Serving;
-    self.load = {5, 2, microseconds(20000)};
-    m_agents[self.agentId] = std::make_unique<announcer>(settings, self);
+    sender.zone = "kartli-a";
+    sender.region = "kartli";
+    sender.rack = "rack-" + std::to_string(index / 3);
+    sender.service = "tickets";
+    sender.workerId = "worker-" + std::to_string(index);
+    sender.workerSize = {16000, 60LL << 30, 2};
+    sender.slots = 8;
+    sender.incarnation = nextIncarnation();
+    sender.state = upstream_state::Serving;
+    sender.load = {5, 2, microseconds(20000)};
+    m_agents[sender.agentId] = std::make_unique<announcer>(settings, sender);
 }
 
 void mesh::stopAgent(int index)
@@ -57,17 +57,17 @@
     m_agents.erase(agentName(index));
 }
 
-bool mesh::routes(int entryIndex, int agentIndex) const
+bool mesh::canRoute(int entryIndex, int agentIndex) const
 {
     return m_entries.at(entryName(entryIndex)).routable.contains(agentName(agentIndex));
 }
 
-int mesh::routesAt(int entryIndex) const
+int mesh::countRoutableAt(int entryIndex) const
 {
     return static_cast<int>(m_entries.at(entryName(entryIndex)).routable.size());
 }
 
-int mesh::entriesThatRoute(int agentIndex) const
+int mesh::countEntriesRoutingTo(int agentIndex) const
 {
     int count = 0;
     for (const auto &[name, node] : m_entries)
@@ -75,10 +75,10 @@
     return count;
 }
 
-void mesh::cut(const std::string &one, const std::string &other)
+void mesh::disconnect(const std::string &firstNode, const std::string &secondNode)
 {
-    m_cut.insert({one, other});
-    m_cut.insert({other, one});
+    m_disconnected.insert({firstNode, secondNode});
+    m_disconnected.insert({secondNode, firstNode});
 }
 
 void mesh::runFor(milliseconds time)
@@ -90,93 +90,96 @@
 void mesh::step()
 {
     m_now += m_settings.step;
-    const auto arriving = std::exchange(m_arriving, {});
-    for (const auto &arrive : arriving)
-        arrive();
+    const auto arriving = std::exchange(m_messagesInFlight, {});
+    for (const auto &deliver : arriving)
+        deliver();
     for (auto &[name, node] : m_entries)
-        apply(node, node.members->tick(m_now));
-    for (auto &[name, self] : m_agents)
-        announceFrom(name, *self);
+        apply(node, node.membershipState->tick(m_now));
+    for (auto &[name, sender] : m_agents)
+        sendAnnouncements(name, *sender);
     for (auto &[name, node] : m_entries)
-        digestsFrom(name, node);
+        sendDigests(name, node);
 }
 
-void mesh::transfer(const std::string &from, const std::string &to, const Json::Value &message,
-                    std::function<void()> arrive)
+void mesh::sendMessage(const std::string &from, const std::string &to, const Json::Value &message,
+                       std::function<void()> deliver)
 {
     const auto bytes =
-            compactJson(message).size() + static_cast<std::size_t>(m_settings.packetBytes);
+            compactJson(message).size() + static_cast<std::size_t>(m_settings.packetHeaderBytes);
     m_traffic[from].sent += bytes;
     ++m_traffic[from].messages;
-    if (m_cut.contains({from, to}) || drawUniform(m_random) < m_settings.lossShare)
+    if (m_disconnected.contains({from, to}) || drawUniform(m_random) < m_settings.lossFraction)
         return;
     m_traffic[to].received += bytes;
     ++m_traffic[to].messages;
-    m_arriving.push_back(std::move(arrive));
+    m_messagesInFlight.push_back(std::move(deliver));
 }
 
-void mesh::announceFrom(const std::string &name, announcer &self)
+void mesh::sendAnnouncements(const std::string &name, announcer &sender)
 {
-    for (const auto &sent : self.tick(m_now)) {
+    for (const auto &outgoing : sender.tick(m_now)) {
         const auto json =
-                std::visit([](const auto &message) { return toJson(message); }, sent.message);
-        transfer(name, sent.entry, json, [=, this] { receive(sent.entry, name, sent); });
+                std::visit([](const auto &message) { return toJson(message); }, outgoing.message);
+        sendMessage(name, outgoing.entry, json,
+                    [=, this] { receive(outgoing.entry, name, outgoing); });
     }
 }
 
 void mesh::receive(const std::string &entry, const std::string &agent,
-                   const announcer::outgoing_message &sent)
+                   const announcer::outgoing_message &outgoing)
 {
-    const auto at = m_entries.find(entry);
-    if (at == m_entries.end())
+    const auto receiver = m_entries.find(entry);
+    if (receiver == m_entries.end())
         return;
     const auto outcome = std::visit(
-            [&](const auto &message) { return at->second.members->handleMessage(message, m_now); },
-            sent.message);
-    apply(at->second, outcome.changes);
-    if (!outcome.shouldReply && std::holds_alternative<heartbeat>(sent.message))
+            [&](const auto &message) {
+                return receiver->second.membershipState->handleMessage(message, m_now);
+            },
+            outgoing.message);
+    apply(receiver->second, outcome.changes);
+    if (!outcome.shouldReply && std::holds_alternative<heartbeat>(outgoing.message))
         return;
-    transfer(entry, agent, toJson(outcome.reply), [=, this] {
+    sendMessage(entry, agent, toJson(outcome.reply), [=, this] {
         const auto found = m_agents.find(agent);
         if (found != m_agents.end())
             found->second->handleReply(entry, outcome.reply, m_now);
     });
 }
 
-void mesh::digestsFrom(const std::string &name, entry_node &self)
+void mesh::sendDigests(const std::string &name, entry_node &sender)
 {
     for (const auto &peer : m_entryNames) {
         if (peer == name)
             continue;
-        const auto message = self.members->digestFor(peer, m_now);
+        const auto message = sender.membershipState->digestFor(peer, m_now);
         if (message)
-            transfer(name, peer, toJson(*message), [=, this] { receive(peer, *message); });
+            sendMessage(name, peer, toJson(*message), [=, this] { receive(peer, *message); });
     }
 }
 
 void mesh::receive(const std::string &entry, const digest &message)
 {
-    const auto at = m_entries.find(entry);
-    if (at == m_entries.end())
+    const auto receiver = m_entries.find(entry);
+    if (receiver == m_entries.end())
         return;
-    const auto outcome = at->second.members->handleMessage(message, m_now);
-    apply(at->second, outcome.changes);
+    const auto outcome = receiver->second.membershipState->handleMessage(message, m_now);
+    apply(receiver->second, outcome.changes);
     if (!outcome.ack)
         return;
-    transfer(entry, message.senderId, toJson(*outcome.ack), [=, this] {
+    sendMessage(entry, message.senderId, toJson(*outcome.ack), [=, this] {
         const auto found = m_entries.find(message.senderId);
         if (found != m_entries.end())
-            found->second.members->handleMessage(*outcome.ack);
+            found->second.membershipState->handleMessage(*outcome.ack);
     });
 }
 
-void mesh::apply(entry_node &at, const std::vector<membership_change> &changes)
+void mesh::apply(entry_node &receiver, const std::vector<membership_change> &changes)
 {
     for (const auto &change : changes) {
         if (const auto *joined = std::get_if<upstream_joined>(&change))
-            at.routable.insert(joined->upstream.agentId);
+            receiver.routable.insert(joined->upstream.agentId);
         if (const auto *left = std::get_if<upstream_left>(&change))
-            at.routable.erase(left->agentId);
+            receiver.routable.erase(left->agentId);
     }
 }
 
--- a/bench/overload_scenario.cpp
+++ b/bench/overload_scenario.cpp
@@ -14,24 +14,24 @@
 constexpr double ServiceSeconds = 0.020;
 constexpr std::uint64_t Seed = 7;
 
-class overload
+class overload_simulation
 {
 public:
-    overload(const std::map<std::string, double> &perSecondByTeam,
-             const admission_settings &settings)
-        : m_perSecond(perSecondByTeam)
-        , m_gate(settings)
+    overload_simulation(const std::map<std::string, double> &perSecondByTeam,
+                        const admission_settings &settings)
+        : m_requestsPerSecondByTeam(perSecondByTeam)
+        , m_admission(settings)
     {
-        for (const auto &[team, rate] : m_perSecond)
-            m_steps.push({m_now + exponential(1 / rate), "", team});
+        for (const auto &[team, rate] : m_requestsPerSecondByTeam)
+            m_events.push({m_now + exponential(1 / rate), "", team});
     }
 
     overload_result run(time_point end)
     {
-        while (m_steps.top().at < end) {
-            const step next = m_steps.top();
-            m_steps.pop();
-            m_now = next.at;
+        while (m_events.top().dueAt < end) {
+            const arrival_or_end next = m_events.top();
+            m_events.pop();
+            m_now = next.dueAt;
             if (next.id.empty())
                 arrive(next.team);
             else
@@ -41,18 +41,18 @@
     }
 
 private:
-    struct step
+    struct arrival_or_end
     {
-        time_point at;
+        time_point dueAt;
         std::string id; // of a finished request; empty: the team's next arrival
         std::string team;
-        bool operator<(const step &other) const { return at > other.at; }
+        bool operator<(const arrival_or_end &other) const { return dueAt > other.dueAt; }
     };
     struct sent_request
     {
         std::string team;
         time_point deadline;
-        duration took{};
+        duration serviceTime{};
     };
 
     duration exponential(double mean)
@@ -63,43 +63,44 @@
 
     void arrive(const std::string &team)
     {
-        const std::string id = team + std::to_string(m_number++);
-        m_sent[id] = {team, m_now + Timeout, {}};
-        m_steps.push({m_now + exponential(1 / m_perSecond.at(team)), "", team});
-        follow(m_gate.handle(admission::arrived{id, "tickets", team, 0, m_now + Timeout}, m_now));
+        const std::string id = team + std::to_string(m_nextNumber++);
+        m_admitted[id] = {team, m_now + Timeout, {}};
+        m_events.push({m_now + exponential(1 / m_requestsPerSecondByTeam.at(team)), "", team});
+        applyActions(m_admission.handle(admission::arrived{id, "tickets", team, 0, m_now + Timeout},
+                                        m_now));
     }
 
     void finish(const std::string &id, const std::string &team)
     {
-        const auto ended = m_sent.extract(id).mapped();
-        const bool inTime = m_now <= ended.deadline;
-        ++(inTime ? m_result.inTime : m_result.late);
-        m_result.inTimeByTeam[team] += inTime ? 1 : 0;
-        follow(m_gate.handle(admission::finished{id, ended.took}, m_now));
+        const auto endedRequest = m_admitted.extract(id).mapped();
+        const bool isOnTime = m_now <= endedRequest.deadline;
+        ++(isOnTime ? m_result.onTime : m_result.late);
+        m_result.onTimeByTeam[team] += isOnTime ? 1 : 0;
+        applyActions(m_admission.handle(admission::finished{id, endedRequest.serviceTime}, m_now));
     }
 
-    void follow(const std::vector<admission::action> &actions)
+    void applyActions(const std::vector<admission::action> &actions)
     {
         for (const auto &action : actions) {
-            if (const auto *begun = std::get_if<admission::start>(&action)) {
-                auto &request = m_sent.at(begun->id);
-                request.took = exponential(ServiceSeconds);
-                m_steps.push({m_now + request.took, begun->id, request.team});
+            if (const auto *started = std::get_if<admission::start>(&action)) {
+                auto &request = m_admitted.at(started->id);
+                request.serviceTime = exponential(ServiceSeconds);
+                m_events.push({m_now + request.serviceTime, started->id, request.team});
             } else {
                 ++m_result.refused;
-                m_sent.erase(std::get<admission::refuse>(action).id);
+                m_admitted.erase(std::get<admission::refuse>(action).id);
             }
         }
     }
 
-    std::map<std::string, double> m_perSecond;
-    admission m_gate;
+    std::map<std::string, double> m_requestsPerSecondByTeam;
+    admission m_admission;
     random_generator m_random{Seed};
     time_point m_now{};
-    std::priority_queue<step> m_steps;
-    std::map<std::string, sent_request> m_sent;
+    std::priority_queue<arrival_or_end> m_events;
+    std::map<std::string, sent_request> m_admitted;
     overload_result m_result;
-    int m_number = 0;
+    int m_nextNumber = 0;
 };
 
 } // namespace
@@ -107,7 +108,7 @@
 overload_result runOverload(const std::map<std::string, double> &perSecondByTeam, seconds length,
                             const admission_settings &settings)
 {
-    return overload(perSecondByTeam, settings).run(time_point(length));
+    return overload_simulation(perSecondByTeam, settings).run(time_point(length));
 }
 
 } // namespace zinniabarrow
--- a/bench/overload_scenario.h
+++ b/bench/overload_scenario.h
@@ -12,10 +12,10 @@
 
 struct overload_result
 {
-    int inTime = 0; // ended before the caller's deadline
+    int onTime = 0; // ended before the caller's deadline
     int late = 0;   // ended after it
     int refused = 0;
-    std::map<std::string, int> inTimeByTeam;
+    std::map<std::string, int> onTimeByTeam;
 };
 
 // Poisson arrivals of several teams, exponential service of 20 ms at 8 slots, callers that wait for
--- a/bench/placement_bench.cpp
+++ b/bench/placement_bench.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-void compare(std::uint64_t seed, double jobEvery)
+void compare(std::uint64_t seed, double jobInterval)
 {
     model_settings settings;
     settings.seed = seed;
-    settings.jobEvery = jobEvery;
+    settings.jobInterval = jobInterval;
     fmt::print("seed {}, {} workers, {} minutes, a batch job every {} s\n", seed, settings.workers,
-               settings.minutes, jobEvery);
+               settings.minutes, jobInterval);
     fmt::print("{:26} {:>8} {:>6} {:>8} {:>8} {:>7} {:>6} {:>8} {:>6} {:>6} {:>7} {:>7} {:>7}\n",
                "policy", "p99/goal", "late", "slowdown", "finished", "cpu-h", "evict", "(interf)",
                "killed", "failed", "waste-h", "limits", "urgent");
@@ -24,10 +24,10 @@
         const auto result = runModel(policy.settings, settings);
         fmt::print("{:26} {:8.2f} {:5.1f}% {:8.3f} {:8} {:7.1f} {:6} {:8} {:6} {:6} {:7.2f} {:7} "
                    "{:6.1f}s\n",
-                   policy.name, result.servicePercentile99, result.serviceLate * 100,
-                   result.meanSlowdown, result.batchFinished, result.batchWork, result.evictions,
-                   result.evictionsForInterference, result.memoryKills, result.failures,
-                   result.wastedWork, result.throttles, result.urgentSlowest);
+                   policy.name, result.serviceP99Ratio, result.serviceLateFraction * 100,
+                   result.meanSlowdown, result.batchFinished, result.finishedHours,
+                   result.evictions, result.evictionsForInterference, result.memoryKills,
+                   result.failures, result.wastedHours, result.throttles, result.maxUrgentDelay);
     }
 }
 
@@ -41,8 +41,8 @@
     if (seeds.empty())
         seeds = {1};
     for (const auto seed : seeds) {
-        for (const double jobEvery : {12.0, 18.0})
-            compare(seed, jobEvery);
+        for (const double jobInterval : {12.0, 18.0})
+            compare(seed, jobInterval);
     }
     return 0;
 }
--- a/bench/placement_model.cpp
+++ b/bench/placement_model.cpp
@@ -18,52 +18,54 @@
 
 constexpr std::int64_t Gigabyte = 1'000'000'000;
 constexpr resources WorkerSize{16'000, 60 * Gigabyte, 0};
-constexpr milliseconds Tick{500};
+constexpr milliseconds TickInterval{500};
 constexpr double TickSeconds = 0.5;
 constexpr int ServiceClasses = 3;
-constexpr int InstancesOfEach = 12;
+constexpr int InstancesPerClass = 12;
 constexpr int BatchClasses = 6;
-constexpr double CheckpointEvery = 120; // seconds between the checkpoints that a task takes itself
-constexpr double CheckpointTakes = 5;   // seconds, when it is asked to
-constexpr double RestartCost = 20;      // seconds of work to load a checkpoint
-constexpr double UsageEvery = 10;       // seconds
-constexpr double LatencyEvery = 5;      // seconds
+constexpr double CheckpointInterval =
+        120;                          // seconds between the checkpoints that a task takes itself
+constexpr double CheckpointTime = 5;  // seconds, when it is asked to
+constexpr double RestartTime = 20;    // seconds of work to load a checkpoint
+constexpr double UsageInterval = 10;  // seconds
+constexpr double LatencyInterval = 5; // seconds
 constexpr duration UsageLag = seconds(10);
 constexpr duration LatencyLag = seconds(8);
 constexpr int BacklogJobs = 40;
-constexpr int Forever = 1 << 30;
+constexpr int UnlimitedWork = 1 << 30;
 // Log slowdown of each service class for each processor of each batch class: who disturbs whom
 // depends on the pair.
-constexpr std::array<std::array<double, BatchClasses>, ServiceClasses> TrueEffects{{
+constexpr std::array<std::array<double, BatchClasses>, ServiceClasses> InterferenceEffects{{
         {0.16, 0.02, 0.05, 0.01, 0.005, 0.03},
         {0.02, 0.14, 0.01, 0.05, 0.005, 0.03},
         {0.08, 0.01, 0.01, 0.01, 0.005, 0.12},
 }};
-constexpr std::array<double, ServiceClasses> AloneRatio{-0.7, -0.5, -0.6}; // log(p99 / target)
+constexpr std::array<double, ServiceClasses> UndisturbedRatio{-0.7, -0.5,
+                                                              -0.6}; // log(p99 / target)
 
 struct model_task
 {
     task_spec spec;
     int batchClass = 0;
-    double need = 1;       // processors that it can use
-    double peakBytes = 0;  //
-    double work = 0;       // processor seconds in all
-    double done = 0;       //
-    double checkpoint = 0; // of `done`, safe
-    double restart = 0;    // processor seconds before `done` goes on
-    double ran = 0;        // seconds on this worker
-    double limit = 0;      // processors
-    double stopIn = -1;    // seconds until it has stopped; below zero: not asked
+    double usableProcessors = 1; // processors that it can use
+    double peakBytes = 0;        //
+    double totalWork = 0;        // processor seconds in all
+    double doneWork = 0;         //
+    double checkpointedWork = 0; // of `done`, safe
+    double restartWork = 0;      // processor seconds before `done` goes on
+    double timeOnWorker = 0;     // seconds on this worker
+    double processorLimit = 0;   // processors
+    double stopDelay = -1;       // seconds until it has stopped; below zero: not asked
     bool alwaysFails = false;
-    bool running = false;
-    bool everRan = false;
+    bool isRunning = false;
+    bool hasRunBefore = false;
     std::string worker;
     double pendingAt = 0;
 };
 
-struct late_sample
+struct delayed_sample
 {
-    time_point arrives;
+    time_point arrivesAt;
     std::variant<usage_sample, latency_sample> sample;
 };
 
@@ -87,24 +89,27 @@
     void operator()(const latency_sample &sample) { m_placer.latencySampled(sample, m_now); }
 
 private:
-    double at() const { return std::chrono::duration<double>(m_now - Start).count(); }
-    double between(double low, double high) { return low + (high - low) * drawUniform(m_random); }
-    double normal();
-    bool everySeconds(double period) const;
+    double elapsedSeconds() const { return std::chrono::duration<double>(m_now - Start).count(); }
+    double drawBetween(double low, double high)
+    {
+        return low + (high - low) * drawUniform(m_random);
+    }
+    double drawNormal();
+    bool isDueEvery(double period) const;
     void addWorkers();
     void addServices();
-    void submitAnyBatch();
+    void submitRandomBatch();
     void submitJobs();
     void submitBatch(int batchClass, int tasks, task_priority priority);
     void deliverSamples();
     void runTasks();
-    bool advance(model_task &task);
-    bool badWorker(const std::string &worker) const;
-    double bytesOf(const model_task &task) const;
+    bool advanceTask(model_task &task);
+    bool isFailingWorker(const std::string &worker) const;
+    double usedBytesOf(const model_task &task) const;
     void killForMemory();
     void sampleUsage();
     void measureServices();
-    void stop(model_task &task);
+    void stopTask(model_task &task);
     void checkCapacity();
     void finish();
 
@@ -116,14 +121,14 @@
     time_point m_now = Start;
     int m_nextJob = 0;
     std::map<task_ref, model_task> m_tasks;
-    std::deque<late_sample> m_samples;
-    std::vector<double> m_ratios; // p99 / target
-    std::vector<double> m_urgent; // seconds
-    double m_slowdowns = 0;       // sum
+    std::deque<delayed_sample> m_samples;
+    std::vector<double> m_latencyRatios; // p99 / target
+    std::vector<double> m_urgentDelays;  // seconds
+    double m_slowdownSum = 0;            // sum
     model_result m_result;
 };
 
-double placement_model::normal()
+double placement_model::drawNormal()
 {
     double sum = 0;
     for (int index = 0; index < 12; ++index)
@@ -131,9 +136,9 @@
     return sum - 6;
 }
 
-bool placement_model::everySeconds(double period) const
+bool placement_model::isDueEvery(double period) const
 {
-    return std::fmod(at(), period) < TickSeconds / 2;
+    return std::fmod(elapsedSeconds(), period) < TickSeconds / 2;
 }
 
 void placement_model::addWorkers()
@@ -149,7 +154,7 @@
 void placement_model::addServices()
 {
     for (int kind = 0; kind < ServiceClasses; ++kind) {
-        for (int index = 0; index < InstancesOfEach; ++index) {
+        for (int index = 0; index < InstancesPerClass; ++index) {
             model_task task;
             task.spec.jobId = "service-" + std::to_string(kind);
             task.spec.taskIndex = index;
@@ -158,11 +163,11 @@
             task.spec.team = "services";
             task.spec.pool = "main";
             task.spec.declared = {2'500, 5 * Gigabyte, 0};
-            task.spec.replicas = InstancesOfEach;
+            task.spec.replicas = InstancesPerClass;
             task.batchClass = kind;
-            task.need = 1.5;
+            task.usableProcessors = 1.5;
             task.peakBytes = 4.0 * Gigabyte;
-            task.work = Forever;
+            task.totalWork = UnlimitedWork;
             m_placer.taskPending(task.spec, m_now);
             m_tasks.emplace(task.spec.ref(), task);
         }
@@ -172,11 +177,11 @@
 void placement_model::submitBatch(int batchClass, int tasks, task_priority priority)
 {
     const double need = 1 + static_cast<double>(batchClass % 4);
-    const double peak = between(3, 12) * Gigabyte;
-    const bool fails = m_settings.failures && drawIndex(m_random, 50) == 0;
+    const double peak = drawBetween(3, 12) * Gigabyte;
+    const bool isBadJob = m_settings.hasFailures && drawIndex(m_random, 50) == 0;
     // Declared sizes are far off, in both directions.
-    const double declaredNeed = need * std::exp(0.6 * normal() + 0.3);
-    const double declaredPeak = peak * std::exp(0.6 * normal());
+    const double declaredNeed = need * std::exp(0.6 * drawNormal() + 0.3);
+    const double declaredPeak = peak * std::exp(0.6 * drawNormal());
     const auto job = "job-" + std::to_string(m_nextJob++);
     for (int index = 0; index < tasks; ++index) {
         model_task task;
@@ -192,17 +197,17 @@
                 std::clamp<std::int64_t>(std::llround(declaredPeak), Gigabyte / 4, 30 * Gigabyte);
         task.spec.replicas = tasks;
         task.batchClass = batchClass;
-        task.need = need;
-        task.peakBytes = peak * between(0.85, 1.15);
-        task.work = need * between(120, 900);
-        task.alwaysFails = fails;
-        task.pendingAt = at();
+        task.usableProcessors = need;
+        task.peakBytes = peak * drawBetween(0.85, 1.15);
+        task.totalWork = need * drawBetween(120, 900);
+        task.alwaysFails = isBadJob;
+        task.pendingAt = elapsedSeconds();
         m_placer.taskPending(task.spec, m_now);
         m_tasks.emplace(task.spec.ref(), task);
     }
 }
 
-void placement_model::submitAnyBatch()
+void placement_model::submitRandomBatch()
 {
     submitBatch(static_cast<int>(drawIndex(m_random, BatchClasses)),
                 1 + static_cast<int>(drawIndex(m_random, 6)),
@@ -211,16 +216,16 @@
 
 void placement_model::submitJobs()
 {
-    if (at() == 30)
+    if (elapsedSeconds() == 30)
         addServices(); // among batch that is there already
-    for (int jobs = at() == 0 ? BacklogJobs : 0; jobs > 0; --jobs)
-        submitAnyBatch();
-    if (everySeconds(m_settings.jobEvery))
-        submitAnyBatch();
-    if (everySeconds(90))
+    for (int jobs = elapsedSeconds() == 0 ? BacklogJobs : 0; jobs > 0; --jobs)
+        submitRandomBatch();
+    if (isDueEvery(m_settings.jobInterval))
+        submitRandomBatch();
+    if (isDueEvery(90))
         submitBatch(4, 2, task_priority::Urgent);
-    const double inHour = std::fmod(at(), 3'600);
-    if (m_settings.waves && inHour >= 1'500 && inHour < 1'800 && everySeconds(10)) {
+    const double secondOfHour = std::fmod(elapsedSeconds(), 3'600);
+    if (m_settings.hasWaves && secondOfHour >= 1'500 && secondOfHour < 1'800 && isDueEvery(10)) {
         constexpr std::array<int, 3> Noisy{0, 1, 5};
         submitBatch(Noisy.at(drawIndex(m_random, Noisy.size())), 6, task_priority::Normal);
     }
@@ -230,20 +235,21 @@
 {
     auto &task = m_tasks.at(action.task);
     task.worker = action.worker;
-    task.limit = static_cast<double>(action.reserved.millicores) / 1000;
-    task.ran = 0;
-    task.stopIn = -1;
-    task.running = false;
+    task.processorLimit = static_cast<double>(action.reserved.millicores) / 1000;
+    task.timeOnWorker = 0;
+    task.stopDelay = -1;
+    task.isRunning = false;
     m_placer.placementSettled(action.task, action.worker, placement_outcome::Applied, m_now);
 }
 
 void placement_model::operator()(const preempt_action &action)
 {
     auto &task = m_tasks.at(action.victim);
-    const double allowed = std::chrono::duration<double>(action.checkpointDeadline - m_now).count();
-    if (allowed >= CheckpointTakes)
-        task.checkpoint = task.done;
-    task.stopIn = std::min(allowed, CheckpointTakes);
+    const double allowedTime =
+            std::chrono::duration<double>(action.checkpointDeadline - m_now).count();
+    if (allowedTime >= CheckpointTime)
+        task.checkpointedWork = task.doneWork;
+    task.stopDelay = std::min(allowedTime, CheckpointTime);
     ++m_result.evictions;
     if (action.reason == preempt_reason::Interference)
         ++m_result.evictionsForInterference;
@@ -251,7 +257,7 @@
 
 void placement_model::operator()(const throttle_action &action)
 {
-    m_tasks.at(action.task).limit = static_cast<double>(action.millicores) / 1000;
+    m_tasks.at(action.task).processorLimit = static_cast<double>(action.millicores) / 1000;
     ++m_result.throttles;
 }
 
@@ -263,68 +269,69 @@
 
 void placement_model::deliverSamples()
 {
-    while (!m_samples.empty() && m_samples.front().arrives <= m_now) {
+    while (!m_samples.empty() && m_samples.front().arrivesAt <= m_now) {
         std::visit(*this, m_samples.front().sample);
         m_samples.pop_front();
     }
 }
 
-bool placement_model::badWorker(const std::string &worker) const
+bool placement_model::isFailingWorker(const std::string &worker) const
 {
-    return m_settings.failures && worker == "w7" && at() >= 2'400 && at() < 4'200;
+    return m_settings.hasFailures && worker == "w7" && elapsedSeconds() >= 2'400
+           && elapsedSeconds() < 4'200;
 }
 
 // The work since the last checkpoint is done again.
-void placement_model::stop(model_task &task)
+void placement_model::stopTask(model_task &task)
 {
-    m_result.wastedWork += task.done - task.checkpoint;
-    task.done = task.checkpoint;
-    task.restart = task.done > 0 ? RestartCost * task.need : 0;
-    m_result.wastedWork += task.restart;
+    m_result.wastedHours += task.doneWork - task.checkpointedWork;
+    task.doneWork = task.checkpointedWork;
+    task.restartWork = task.doneWork > 0 ? RestartTime * task.usableProcessors : 0;
+    m_result.wastedHours += task.restartWork;
     task.worker.clear();
-    task.running = false;
-    task.pendingAt = at();
+    task.isRunning = false;
+    task.pendingAt = elapsedSeconds();
 }
 
 // False when the task has left its worker.
-bool placement_model::advance(model_task &task)
+bool placement_model::advanceTask(model_task &task)
 {
     const auto ref = task.spec.ref();
     const auto worker = task.worker;
-    if (!task.running) {
-        task.running = true;
+    if (!task.isRunning) {
+        task.isRunning = true;
         m_placer.taskRunning(ref, worker, m_now);
         const bool urgent = task.spec.priority == task_priority::Urgent;
-        if (urgent && !task.everRan && !task.alwaysFails)
-            m_urgent.push_back(at() - task.pendingAt);
-        task.everRan = true;
+        if (urgent && !task.hasRunBefore && !task.alwaysFails)
+            m_urgentDelays.push_back(elapsedSeconds() - task.pendingAt);
+        task.hasRunBefore = true;
     }
-    task.ran += TickSeconds;
-    if (task.stopIn >= 0) {
-        task.stopIn -= TickSeconds;
-        if (task.stopIn > 0)
+    task.timeOnWorker += TickSeconds;
+    if (task.stopDelay >= 0) {
+        task.stopDelay -= TickSeconds;
+        if (task.stopDelay > 0)
             return true;
-        stop(task);
+        stopTask(task);
         m_placer.taskReleased(ref, worker, m_now);
         return false;
     }
     const bool service = task.spec.kind == task_kind::Service;
-    if (!service && (task.alwaysFails || badWorker(worker)) && task.ran >= 3) {
+    if (!service && (task.alwaysFails || isFailingWorker(worker)) && task.timeOnWorker >= 3) {
         ++m_result.failures;
-        stop(task);
+        stopTask(task);
         m_placer.taskFailed(ref, worker, "exit 1", m_now);
         return false;
     }
-    const double progress = std::min(task.need, task.limit) * TickSeconds;
-    const double restarted = std::min(task.restart, progress);
-    task.restart -= restarted;
-    task.done += progress - restarted;
-    if (std::fmod(task.ran, CheckpointEvery) < TickSeconds / 2)
-        task.checkpoint = task.done;
-    if (task.done < task.work)
+    const double progress = std::min(task.usableProcessors, task.processorLimit) * TickSeconds;
+    const double restartProgress = std::min(task.restartWork, progress);
+    task.restartWork -= restartProgress;
+    task.doneWork += progress - restartProgress;
+    if (std::fmod(task.timeOnWorker, CheckpointInterval) < TickSeconds / 2)
+        task.checkpointedWork = task.doneWork;
+    if (task.doneWork < task.totalWork)
         return true;
     ++m_result.batchFinished;
-    m_result.batchWork += task.work;
+    m_result.finishedHours += task.totalWork;
     m_placer.taskEnded(ref, worker, m_now);
     m_tasks.erase(ref);
     return false;
@@ -338,75 +345,80 @@
             placed.push_back(ref);
     }
     for (const auto &ref : placed)
-        advance(m_tasks.at(ref));
+        advanceTask(m_tasks.at(ref));
 }
 
 // Memory grows over the first part of a task's work.
-double placement_model::bytesOf(const model_task &task) const
+double placement_model::usedBytesOf(const model_task &task) const
 {
     if (task.spec.kind == task_kind::Service)
         return task.peakBytes;
-    return task.peakBytes * std::min(1.0, 0.3 + 1.75 * task.done / task.work);
+    return task.peakBytes * std::min(1.0, 0.3 + 1.75 * task.doneWork / task.totalWork);
 }
 
 void placement_model::killForMemory()
 {
-    std::map<std::string, double> used;
+    std::map<std::string, double> usage;
     std::map<std::string, model_task *> largest;
     for (auto &[ref, task] : m_tasks) {
         if (task.worker.empty())
             continue;
-        used[task.worker] += bytesOf(task);
+        usage[task.worker] += usedBytesOf(task);
         auto *&found = largest[task.worker];
-        if (task.spec.kind == task_kind::Batch && (!found || bytesOf(task) > bytesOf(*found)))
+        if (task.spec.kind == task_kind::Batch
+            && (!found || usedBytesOf(task) > usedBytesOf(*found)))
             found = &task;
     }
-    for (const auto &[worker, bytes] : used) {
+    for (const auto &[worker, bytes] : usage) {
         auto *task = largest[worker];
         if (bytes <= static_cast<double>(WorkerSize.bytes) || !task)
             continue;
         ++m_result.memoryKills;
-        stop(*task);
+        stopTask(*task);
         m_placer.taskReleased(task->spec.ref(), worker, m_now); // not the program's fault
     }
 }
 
 void placement_model::sampleUsage()
 {
-    if (!everySeconds(UsageEvery))
+    if (!isDueEvery(UsageInterval))
         return;
     for (const auto &[ref, task] : m_tasks) {
-        if (!task.running)
+        if (!task.isRunning)
             continue;
-        const resources used{std::llround(std::min(task.need, task.limit) * 1000),
-                             std::llround(bytesOf(task)), 0};
-        m_samples.push_back({m_now + UsageLag, usage_sample{ref, task.worker, used, m_now}});
+        const resources usage{
+                std::llround(std::min(task.usableProcessors, task.processorLimit) * 1000),
+                std::llround(usedBytesOf(task)), 0};
+        m_samples.push_back({m_now + UsageLag, usage_sample{ref, task.worker, usage, m_now}});
     }
 }
 
 void placement_model::measureServices()
 {
-    if (!everySeconds(LatencyEvery))
+    if (!isDueEvery(LatencyInterval))
         return;
-    std::map<std::string, std::array<double, BatchClasses>> noise; // processors in use, by worker
+    std::map<std::string, std::array<double, BatchClasses>>
+            batchProcessors; // processors in use, by worker
     for (const auto &[ref, task] : m_tasks) {
-        if (task.spec.kind == task_kind::Batch && task.running)
-            noise[task.worker].at(static_cast<std::size_t>(task.batchClass)) +=
-                    std::min(task.need, task.limit);
+        if (task.spec.kind == task_kind::Batch && task.isRunning)
+            batchProcessors[task.worker].at(static_cast<std::size_t>(task.batchClass)) +=
+                    std::min(task.usableProcessors, task.processorLimit);
     }
     constexpr microseconds Target{20'000};
     for (const auto &[ref, task] : m_tasks) {
-        if (task.spec.kind != task_kind::Service || !task.running)
+        if (task.spec.kind != task_kind::Service || !task.isRunning)
             continue;
         const auto kind = static_cast<std::size_t>(task.batchClass);
         // The load of each service goes up and down over the hour.
-        const double load = 0.25 * std::sin(at() / 600 + static_cast<double>(kind));
-        double disturbed = 0;
+        const double load = 0.25 * std::sin(elapsedSeconds() / 600 + static_cast<double>(kind));
+        double interferenceEffect = 0;
         for (std::size_t other = 0; other < BatchClasses; ++other)
-            disturbed += TrueEffects.at(kind).at(other) * noise[task.worker].at(other);
-        const double ratio = AloneRatio.at(kind) + load + disturbed + 0.08 * normal();
-        m_ratios.push_back(std::exp(ratio));
-        m_slowdowns += std::exp(disturbed);
+            interferenceEffect +=
+                    InterferenceEffects.at(kind).at(other) * batchProcessors[task.worker].at(other);
+        const double ratio =
+                UndisturbedRatio.at(kind) + load + interferenceEffect + 0.08 * drawNormal();
+        m_latencyRatios.push_back(std::exp(ratio));
+        m_slowdownSum += std::exp(interferenceEffect);
         const microseconds p99(std::llround(std::exp(ratio) * 20'000));
         m_samples.push_back(
                 {m_now + LatencyLag, latency_sample{ref, task.worker, p99, Target, m_now}});
@@ -416,41 +428,41 @@
 void placement_model::checkCapacity()
 {
     for (int index = 0; index < m_settings.workers; ++index) {
-        const auto *book = m_placer.ledgerOf("w" + std::to_string(index));
-        if (book && !book->reserved().fitsIn(book->size()))
-            ++m_result.overCapacity;
+        const auto *ledger = m_placer.ledgerOf("w" + std::to_string(index));
+        if (ledger && !ledger->reserved().fitsIn(ledger->size()))
+            ++m_result.overCapacityCount;
     }
 }
 
-double percentile(std::vector<double> values, double portion)
+double percentile(std::vector<double> values, double fraction)
 {
     if (values.empty())
         return 0;
     std::sort(values.begin(), values.end());
     const auto last = static_cast<double>(values.size() - 1);
-    return values[static_cast<std::size_t>(std::ceil(portion * last))];
+    return values[static_cast<std::size_t>(std::ceil(fraction * last))];
 }
 
 void placement_model::finish()
 {
     constexpr double SecondsPerHour = 3'600;
-    m_result.batchWork /= SecondsPerHour;
-    m_result.wastedWork /= SecondsPerHour;
-    const auto late =
-            std::count_if(m_ratios.begin(), m_ratios.end(), [](double ratio) { return ratio > 1; });
-    const auto moments = static_cast<double>(std::max<std::size_t>(m_ratios.size(), 1));
-    m_result.serviceLate = static_cast<double>(late) / moments;
-    m_result.meanSlowdown = m_slowdowns / moments;
-    m_result.servicePercentile99 = percentile(m_ratios, 0.99);
-    m_result.urgentPercentile99 = percentile(m_urgent, 0.99);
-    m_result.urgentSlowest = percentile(m_urgent, 1);
+    m_result.finishedHours /= SecondsPerHour;
+    m_result.wastedHours /= SecondsPerHour;
+    const auto lateCount = std::count_if(m_latencyRatios.begin(), m_latencyRatios.end(),
+                                         [](double ratio) { return ratio > 1; });
+    const auto momentCount = static_cast<double>(std::max<std::size_t>(m_latencyRatios.size(), 1));
+    m_result.serviceLateFraction = static_cast<double>(lateCount) / momentCount;
+    m_result.meanSlowdown = m_slowdownSum / momentCount;
+    m_result.serviceP99Ratio = percentile(m_latencyRatios, 0.99);
+    m_result.urgentP99Delay = percentile(m_urgentDelays, 0.99);
+    m_result.maxUrgentDelay = percentile(m_urgentDelays, 1);
 }
 
 model_result placement_model::run()
 {
     addWorkers();
     const auto end = Start + std::chrono::minutes(m_settings.minutes);
-    for (; m_now < end; m_now += Tick) {
+    for (; m_now < end; m_now += TickInterval) {
         submitJobs();
         deliverSamples();
         runTasks();
@@ -469,28 +481,28 @@
 
 std::vector<named_policy> comparedPolicies()
 {
-    named_policy declared{"first fit, declared sizes", {}};
-    declared.settings.algorithm = placement_algorithm::FirstFit;
-    declared.settings.avoidInterference = false;
-    declared.settings.relieveServices = false;
-    declared.settings.sizes.learn = false;
-    declared.settings.interference.learn = false;
-    declared.settings.quarantine.enabled = false;
-    named_policy unlearned{"no learning", {}};
-    unlearned.settings.sizes.learn = false;
-    unlearned.settings.interference.learn = false;
-    unlearned.settings.weights = {0.7, 0.2, 0.1};
+    named_policy declaredFirstFit{"first fit, declared sizes", {}};
+    declaredFirstFit.settings.algorithm = placement_algorithm::FirstFit;
+    declaredFirstFit.settings.avoidInterference = false;
+    declaredFirstFit.settings.relieveServices = false;
+    declaredFirstFit.settings.sizes.learn = false;
+    declaredFirstFit.settings.interference.learn = false;
+    declaredFirstFit.settings.quarantine.enabled = false;
+    named_policy withoutLearning{"no learning", {}};
+    withoutLearning.settings.sizes.learn = false;
+    withoutLearning.settings.interference.learn = false;
+    withoutLearning.settings.weights = {0.7, 0.2, 0.1};
     named_policy mtkvari{"chosen, Mtkvari's weights", {}};
     mtkvari.settings.weights = {0.7, 0.2, 0.1}; // seat holds cannot wait
     named_policy vtav{"chosen, VTAV's weights", {}};
     vtav.settings.weights = {0.2, 0.4, 0.4}; // watchers must finish and not be restarted
-    auto unrelieved = mtkvari;
-    unrelieved.name = "Mtkvari's, no relief";
-    unrelieved.settings.relieveServices = false;
-    auto unattributed = mtkvari;
-    unattributed.name = "Mtkvari's, effects unknown";
-    unattributed.settings.interference.learn = false;
-    return {declared, unlearned, mtkvari, vtav, unrelieved, unattributed};
+    auto withoutRelief = mtkvari;
+    withoutRelief.name = "Mtkvari's, no relief";
+    withoutRelief.settings.relieveServices = false;
+    auto withoutAttribution = mtkvari;
+    withoutAttribution.name = "Mtkvari's, effects unknown";
+    withoutAttribution.settings.interference.learn = false;
+    return {declaredFirstFit, withoutLearning, mtkvari, vtav, withoutRelief, withoutAttribution};
 }
 
 model_result runModel(const placer_settings &policy, const model_settings &settings)
--- a/bench/placement_slope_bench.cpp
+++ b/bench/placement_slope_bench.cpp
@@ -20,23 +20,23 @@
 std::size_t liveBytes = 0;
 
 // The size of each block is kept in front of it.
-constexpr std::size_t Header = alignof(std::max_align_t);
+constexpr std::size_t HeaderBytes = alignof(std::max_align_t);
 
 void *countedAllocate(std::size_t size)
 {
-    auto *block = static_cast<char *>(std::malloc(size + Header));
+    auto *block = static_cast<char *>(std::malloc(size + HeaderBytes));
     if (!block)
         throw std::bad_alloc();
     *reinterpret_cast<std::size_t *>(block) = size;
     liveBytes += size;
-    return block + Header;
+    return block + HeaderBytes;
 }
 
 void countedFree(void *pointer) noexcept
 {
     if (!pointer)
         return;
-    auto *block = static_cast<char *>(pointer) - Header;
+    auto *block = static_cast<char *>(pointer) - HeaderBytes;
     liveBytes -= *reinterpret_cast<std::size_t *>(block);
     std::free(block);
 }
@@ -64,8 +64,8 @@
 using namespace zinniabarrow::placement;
 
 constexpr std::int64_t Gigabyte = 1'000'000'000;
-constexpr int TasksOfJob = 25;
-constexpr int Classes = 40;
+constexpr int TasksPerJob = 25;
+constexpr int ClassCount = 40;
 
 // Processor time of this process: other programs on the machine count little.
 double processorSeconds()
@@ -73,41 +73,42 @@
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-struct slope_run
+struct placer_run
 {
     random_generator random{7};
-    placer subject;
+    placer testedPlacer;
     time_point now{std::chrono::hours(1)};
     int nextJob = 0;
     std::vector<place_action> placed;
 
-    explicit slope_run(int workers)
-        : subject(placer_settings{})
+    explicit placer_run(int workers)
+        : testedPlacer(placer_settings{})
     {
-        subject.setPool({"main", {64'000, 256 * Gigabyte, 4}}, now);
+        testedPlacer.setPool({"main", {64'000, 256 * Gigabyte, 4}}, now);
         for (int index = 0; index < workers; ++index) {
             const resources size{64'000, 256 * Gigabyte, index % 2 == 0 ? 4 : 0};
             const auto zone = "zone-" + std::to_string(index % 5);
-            subject.addWorker({"worker-" + std::to_string(index), zone, std::to_string(index / 40),
-                               "main", size},
-                              now);
+            testedPlacer.addWorker({"worker-" + std::to_string(index), zone,
+                                    std::to_string(index / 40), "main", size},
+                                   now);
         }
     }
 
     // One job in thirteen is a service, as 1,900 of 24,900 tasks.
     void submit(int tasks)
     {
-        for (int made = 0; made < tasks; ++nextJob) {
+        for (int submitted = 0; submitted < tasks; ++nextJob) {
             task_spec task;
             task.jobId = "job-" + std::to_string(nextJob);
-            task.jobClass = "class-" + std::to_string(nextJob % Classes);
+            task.jobClass = "class-" + std::to_string(nextJob % ClassCount);
             task.kind = nextJob % 13 == 0 ? task_kind::Service : task_kind::Batch;
             task.team = "team-" + std::to_string(nextJob % 28);
             task.pool = "main";
             const auto size = static_cast<std::int64_t>(drawIndex(random, 10));
             task.declared = {400 + 100 * size, Gigabyte + size * Gigabyte / 2, 0};
-            for (task.taskIndex = 0; task.taskIndex < TasksOfJob && made < tasks; ++made) {
-                subject.taskPending(task, now);
+            for (task.taskIndex = 0; task.taskIndex < TasksPerJob && submitted < tasks;
+                 ++submitted) {
+                testedPlacer.taskPending(task, now);
                 ++task.taskIndex;
             }
         }
@@ -117,80 +118,81 @@
     std::size_t plan()
     {
         std::size_t count = 0;
-        for (const auto &action : subject.plan(now, 100'000)) {
+        for (const auto &action : testedPlacer.plan(now, 100'000)) {
             if (const auto *place = std::get_if<place_action>(&action)) {
                 placed.push_back(*place);
                 ++count;
-            } else if (const auto *evicted = std::get_if<preempt_action>(&action)) {
-                subject.taskReleased(evicted->victim, evicted->worker, now);
+            } else if (const auto *preemption = std::get_if<preempt_action>(&action)) {
+                testedPlacer.taskReleased(preemption->victim, preemption->worker, now);
                 std::erase_if(placed,
-                              [&](const auto &each) { return each.task == evicted->victim; });
+                              [&](const auto &each) { return each.task == preemption->victim; });
             }
         }
         return count;
     }
 
-    void runAll()
+    void startAllPlaced()
     {
         for (const auto &place : placed) {
-            subject.placementSettled(place.task, place.worker, placement_outcome::Applied, now);
-            subject.taskRunning(place.task, place.worker, now);
+            testedPlacer.placementSettled(place.task, place.worker, placement_outcome::Applied,
+                                          now);
+            testedPlacer.taskRunning(place.task, place.worker, now);
         }
     }
 
-    void sampleAll()
+    void sampleAllPlaced()
     {
         now += seconds(10);
         for (const auto &place : placed)
-            subject.usageSampled({place.task, place.worker, {300, Gigabyte, 0}, now}, now);
+            testedPlacer.usageSampled({place.task, place.worker, {300, Gigabyte, 0}, now}, now);
     }
 
     // One second at the peak: 210 tasks end, 210 are submitted, in ten plans.
-    double peakSecond()
+    double measurePeakSecond()
     {
-        const double begin = processorSeconds();
+        const double beginSeconds = processorSeconds();
         for (int part = 0; part < 10; ++part) {
             now += milliseconds(100);
-            for (int ended = 0; ended < 21; ++ended) {
+            for (int endIndex = 0; endIndex < 21; ++endIndex) {
                 const auto index = drawIndex(random, placed.size());
-                subject.taskEnded(placed[index].task, placed[index].worker, now);
+                testedPlacer.taskEnded(placed[index].task, placed[index].worker, now);
                 placed[index] = placed.back();
                 placed.pop_back();
             }
             submit(21);
-            const auto known = placed.size();
+            const auto placedBefore = placed.size();
             plan();
-            for (std::size_t index = known; index < placed.size(); ++index)
-                subject.taskRunning(placed[index].task, placed[index].worker, now);
+            for (std::size_t index = placedBefore; index < placed.size(); ++index)
+                testedPlacer.taskRunning(placed[index].task, placed[index].worker, now);
         }
-        return processorSeconds() - begin;
+        return processorSeconds() - beginSeconds;
     }
 };
 
 void measure(int workers, int tasks)
 {
     const auto bytesBefore = liveBytes;
-    slope_run run(workers);
-    const auto bytesOfWorkers = liveBytes - bytesBefore;
+    placer_run run(workers);
+    const auto workerBytes = liveBytes - bytesBefore;
     run.submit(tasks);
     run.placed.reserve(static_cast<std::size_t>(tasks) + 64);
     const auto placedBytes = run.placed.capacity() * sizeof(place_action);
-    const double begin = processorSeconds();
+    const double beginSeconds = processorSeconds();
     const auto count = run.plan();
-    const double planSeconds = processorSeconds() - begin;
-    run.runAll();
-    const double sampleBegin = processorSeconds();
-    run.sampleAll();
-    const double sampleSeconds = processorSeconds() - sampleBegin;
-    const auto bytes = liveBytes - bytesBefore - placedBytes - bytesOfWorkers;
+    const double planSeconds = processorSeconds() - beginSeconds;
+    run.startAllPlaced();
+    const double sampleBeginSeconds = processorSeconds();
+    run.sampleAllPlaced();
+    const double sampleSeconds = processorSeconds() - sampleBeginSeconds;
+    const auto bytes = liveBytes - bytesBefore - placedBytes - workerBytes;
     double peak = 0;
     constexpr int PeakSeconds = 5;
     for (int second = 0; second < PeakSeconds; ++second)
-        peak += run.peakSecond() / PeakSeconds;
+        peak += run.measurePeakSecond() / PeakSeconds;
     const auto perTask = 1e6 / static_cast<double>(std::max<std::size_t>(count, 1));
     fmt::print("{:8} {:8} {:8} {:11.1f} {:12.2f} {:13.2f} {:13} {:12} {:10.1f}\n", workers, tasks,
                count, planSeconds * perTask, sampleSeconds * perTask, peak * 100,
-               bytesOfWorkers / static_cast<std::size_t>(workers),
+               workerBytes / static_cast<std::size_t>(workers),
                bytes / static_cast<std::size_t>(tasks), static_cast<double>(bytes) / 1e6);
 }
 
--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -33,14 +33,14 @@
 {
     const auto result = run(scenario);
     std::string refusals;
-    for (const auto &[kind, count] : result.refused)
+    for (const auto &[kind, count] : result.refusedByKind)
         refusals += fmt::format(" {}={}", nameOf(kind), count);
     fmt::print("{:<18}{:>5.0f}%{:>9}{:>6}{:>6}{:>7}{:>8.2f}%{:>6}{:>6}{:>9.4f}{:>6.0f}% {}\n", name,
-               scenario.load * 100, result.requests, result.percentile(0.5).count(),
-               result.percentile(0.99).count(), result.percentile(0.999).count(),
+               scenario.load * 100, result.requests, result.latencyPercentile(0.5).count(),
+               result.latencyPercentile(0.99).count(), result.latencyPercentile(0.999).count(),
                result.goodput() * 100, result.late, result.lost,
                double(result.retries) / double(result.requests),
-               100.0 * double(result.otherZone)
+               100.0 * double(result.otherZoneAttempts)
                        / double(std::max<std::uint64_t>(result.attempts, 1)),
                refusals);
 }
@@ -66,7 +66,7 @@
     for (const auto &policy : policies()) {
         routing_scenario scenario;
         scenario.policy = policy;
-        scenario.loadWithAnswers = false;
+        scenario.doAnswersCarryLoad = false;
         printRow(std::string(nameOf(policy)), scenario);
     }
 }
@@ -81,7 +81,7 @@
             scenario.policy = policy;
             scenario.load = load;
             scenario.entriesByZone = 5;
-            scenario.loadWithAnswers = false;
+            scenario.doAnswersCarryLoad = false;
             printRow(std::string(nameOf(policy)), scenario);
         }
     }
@@ -106,11 +106,11 @@
     fmt::print("\nSpill threshold (two_choices)\n");
     printHead();
     for (const double load : {0.5, 0.8, 0.95}) {
-        for (const double spillAt : {0.25, 0.5, 0.75, 1.0, 1.5, 3.0}) {
+        for (const double threshold : {0.25, 0.5, 0.75, 1.0, 1.5, 3.0}) {
             routing_scenario scenario;
             scenario.load = load;
-            scenario.spillAt = spillAt;
-            printRow(fmt::format("spill at {}", spillAt), scenario);
+            scenario.spillThreshold = threshold;
+            printRow(fmt::format("spill at {}", threshold), scenario);
         }
     }
 }
@@ -119,17 +119,17 @@
 {
     fmt::print("\nFaults (two_choices)\n");
     printHead();
-    routing_scenario one;
-    one.fastFailing = true;
-    printRow("one unreachable", one);
-    routing_scenario hanging;
-    hanging.hanging = true;
-    printRow("one hanging", hanging);
-    routing_scenario all;
-    all.allFail = true;
-    printRow("all unreachable", all);
-    all.retryShare = 1000;
-    printRow("  no budget", all);
+    routing_scenario oneUnreachable;
+    oneUnreachable.isLastUnreachable = true;
+    printRow("one unreachable", oneUnreachable);
+    routing_scenario oneHanging;
+    oneHanging.isLastHanging = true;
+    printRow("one hanging", oneHanging);
+    routing_scenario allUnreachable;
+    allUnreachable.areAllUnreachable = true;
+    printRow("all unreachable", allUnreachable);
+    allUnreachable.retryFraction = 1000;
+    printRow("  no budget", allUnreachable);
 }
 
 void compareBackOff()
@@ -139,40 +139,40 @@
     for (const int backOff : {0, 5, 20, 100, 1000}) {
         routing_scenario scenario;
         scenario.load = 1.5;
-        scenario.longestBackOff = milliseconds(backOff);
+        scenario.refusalBackoff = milliseconds(backOff);
         printRow(fmt::format("back-off {} ms", backOff), scenario);
     }
 }
 
 void compareOverload()
 {
-    constexpr double Capacity = 8 / 0.020;
+    constexpr double RequestsPerSecond = 8 / 0.020;
     constexpr seconds Length{20};
     fmt::print("\nOne admission, two teams, callers with 200 ms: requests a second\n");
     fmt::print("{:>6}{:>10}{:>8}{:>10}\n", "load", "in time", "late", "refused");
     for (const double load : {0.5, 0.8, 1.0, 1.5, 2.0, 4.0, 8.0}) {
-        const auto result =
-                runOverload({{"a", Capacity * load / 2}, {"b", Capacity * load / 2}}, Length);
-        fmt::print("{:>5.0f}%{:>10}{:>8.1f}{:>10}\n", load * 100, result.inTime / Length.count(),
+        const auto result = runOverload(
+                {{"a", RequestsPerSecond * load / 2}, {"b", RequestsPerSecond * load / 2}}, Length);
+        fmt::print("{:>5.0f}%{:>10}{:>8.1f}{:>10}\n", load * 100, result.onTime / Length.count(),
                    double(result.late) / double(Length.count()), result.refused / Length.count());
     }
 }
 
-router routerWith(int upstreams, const routing_policy &policy)
+router makeRouter(int upstreams, const routing_policy &policy)
 {
     router_settings settings;
     settings.zone = "zone-0";
     settings.region = "kartli";
     router routes(settings, policy, random_generator(1));
     for (int i = 0; i < upstreams; ++i) {
-        announcement about;
-        about.agentId = "agent-" + std::to_string(i);
-        about.zone = "zone-" + std::to_string(i % 3);
-        about.region = "kartli";
-        about.service = "tickets";
-        about.slots = 8;
-        about.incarnation = 1;
-        routes.apply(upstream_joined{about}, time_point(seconds(1)));
+        announcement announced;
+        announced.agentId = "agent-" + std::to_string(i);
+        announced.zone = "zone-" + std::to_string(i % 3);
+        announced.region = "kartli";
+        announced.service = "tickets";
+        announced.slots = 8;
+        announced.incarnation = 1;
+        routes.apply(upstream_joined{announced}, time_point(seconds(1)));
     }
     return routes;
 }
@@ -180,12 +180,12 @@
 // One attempt: choose, start, end.
 void attemptOf(benchmark::State &state)
 {
-    auto routes = routerWith(static_cast<int>(state.range(0)), two_choices{});
+    auto routes = makeRouter(static_cast<int>(state.range(0)), two_choices{});
     const time_point now(seconds(100));
     for (auto _ : state) {
-        const auto to = std::get<route>(routes.choose("tickets", {}, now));
-        routes.attemptStarted(to, now);
-        routes.attemptEnded({to, attempt_outcome::Answered, milliseconds(20), {}, {}}, now);
+        const auto target = std::get<route>(routes.choose("tickets", {}, now));
+        routes.attemptStarted(target, now);
+        routes.attemptEnded({target, attempt_outcome::Answered, milliseconds(20), {}, {}}, now);
     }
 }
 BENCHMARK(attemptOf)->Arg(11)->Arg(79)->Arg(790);
@@ -193,32 +193,33 @@
 // One request through an admission whose slots are taken and whose queue holds `waiting`.
 void requestThroughGate(benchmark::State &state)
 {
-    admission gate({});
+    admission controller({});
     time_point now(seconds(100));
     const auto arrive = [&](std::uint64_t number) {
-        gate.handle(admission::arrived{std::to_string(number), "tickets",
-                                       "team-" + std::to_string(number % 3), 0, now + seconds(10)},
-                    now);
+        controller.handle(admission::arrived{std::to_string(number), "tickets",
+                                             "team-" + std::to_string(number % 3), 0,
+                                             now + seconds(10)},
+                          now);
     };
-    std::uint64_t next = 0;
+    std::uint64_t nextNumber = 0;
     std::deque<std::string> running;
     const auto serve = [&](const std::vector<admission::action> &actions) {
         for (const auto &action : actions) {
-            if (const auto *begun = std::get_if<admission::start>(&action))
-                running.push_back(begun->id);
+            if (const auto *started = std::get_if<admission::start>(&action))
+                running.push_back(started->id);
         }
     };
     const auto slots = admission_settings{}.slots;
     for (int i = 0; i < slots; ++i) {
-        running.push_back(std::to_string(next));
-        arrive(next++);
+        running.push_back(std::to_string(nextNumber));
+        arrive(nextNumber++);
     }
     for (int i = 0; i < state.range(0); ++i)
-        arrive(next++);
+        arrive(nextNumber++);
     for (auto _ : state) {
         now += milliseconds(2);
-        arrive(next++);
-        serve(gate.handle(admission::finished{running.front(), milliseconds(20)}, now));
+        arrive(nextNumber++);
+        serve(controller.handle(admission::finished{running.front(), milliseconds(20)}, now));
         running.pop_front();
     }
 }
--- a/bench/routing_scenario.cpp
+++ b/bench/routing_scenario.cpp
@@ -26,30 +26,30 @@
 public:
     time_point now() const { return m_now; }
 
-    void after(duration delay, std::function<void()> what)
+    void schedule(duration delay, std::function<void()> callback)
     {
-        m_events.push({m_now + delay, m_order++, std::move(what)});
+        m_events.push({m_now + delay, m_order++, std::move(callback)});
     }
 
     void runUntil(time_point end)
     {
-        while (!m_events.empty() && m_events.top().at <= end) {
+        while (!m_events.empty() && m_events.top().dueAt <= end) {
             const auto next = m_events.top();
             m_events.pop();
-            m_now = next.at;
-            next.what();
+            m_now = next.dueAt;
+            next.callback();
         }
     }
 
 private:
     struct event
     {
-        time_point at;
+        time_point dueAt;
         std::uint64_t order;
-        std::function<void()> what;
+        std::function<void()> callback;
         bool operator<(const event &other) const
         {
-            return std::pair(at, order) > std::pair(other.at, other.order);
+            return std::pair(dueAt, order) > std::pair(other.dueAt, other.order);
         }
     };
     std::priority_queue<event> m_events;
@@ -59,22 +59,23 @@
 
 struct upstream_node
 {
-    announcement about;
-    admission gate;
+    announcement announced;
+    admission controller;
     double speed = 1.0;
-    bool unreachable = false;
-    std::map<std::string, std::function<void(const admission::action &)>> callers;
+    bool isUnreachable = false;
+    std::map<std::string, std::function<void(const admission::action &)>> actionCallbacks;
 
     upstream_load load() const
     {
-        return {gate.runningCount(), gate.waitingCount(), gate.serviceTime(Service)};
+        return {controller.runningCount(), controller.waitingCount(),
+                controller.serviceTime(Service)};
     }
 };
 
 struct entry_node
 {
     std::string zone;
-    router routes;
+    router requestRouter;
     retry_budget budget;
 };
 
@@ -103,13 +104,13 @@
 
     scenario_result run()
     {
-        const time_point end = m_time.now() + m_scenario.length;
+        const time_point end = m_clock.now() + m_scenario.runTime;
         for (auto &node : m_upstreams) {
             tick(*node);
-            report(*node);
+            publishLoad(*node);
         }
-        nextArrival(end);
-        m_time.runUntil(end + seconds(5));
+        scheduleArrival(end);
+        m_clock.runUntil(end + seconds(5));
         std::sort(m_result.latencies.begin(), m_result.latencies.end());
         return std::move(m_result);
     }
@@ -122,7 +123,7 @@
                 addUpstream("zone-" + std::to_string(zone));
         }
         m_upstreams.front()->speed = 1.0 / m_scenario.slowFactor;
-        m_upstreams.back()->unreachable = m_scenario.fastFailing;
+        m_upstreams.back()->isUnreachable = m_scenario.isLastUnreachable;
         for (const auto &node : m_upstreams) {
             const std::chrono::duration<double> mean = m_scenario.serviceTime;
             m_capacity += node->speed * m_scenario.slots / mean.count();
@@ -160,191 +161,199 @@
         router_settings settings;
         settings.zone = zone;
         settings.region = "kartli";
-        settings.spillAboveLoad = m_scenario.spillAt;
-        settings.maxBackoff = m_scenario.longestBackOff;
+        settings.spillAboveLoad = m_scenario.spillThreshold;
+        settings.maxBackoff = m_scenario.refusalBackoff;
         retry_budget_settings budget;
-        budget.retriesPerRequest = m_scenario.retryShare;
+        budget.retriesPerRequest = m_scenario.retryFraction;
         const random_generator random(m_scenario.seed + 1000 + m_entries.size());
         m_entries.push_back(std::make_unique<entry_node>(
                 entry_node{zone, router(settings, m_scenario.policy, random),
-                           retry_budget(budget, m_time.now())}));
+                           retry_budget(budget, m_clock.now())}));
         // The upstreams have been there for a while.
         for (const auto &node : m_upstreams) {
-            m_entries.back()->routes.apply(upstream_joined{node->about},
-                                           m_time.now() - settings.slowStartTime);
+            m_entries.back()->requestRouter.apply(upstream_joined{node->announced},
+                                                  m_clock.now() - settings.slowStartTime);
         }
     }
 
     void tick(upstream_node &node)
     {
-        deliver(node, node.gate.handle(admission::tick{}, m_time.now()));
-        m_time.after(TickPeriod, [this, &node] { tick(node); });
+        applyActions(node, node.controller.handle(admission::tick{}, m_clock.now()));
+        m_clock.schedule(TickPeriod, [this, &node] { tick(node); });
     }
 
-    void report(upstream_node &node)
+    void publishLoad(upstream_node &node)
     {
         for (auto &entry : m_entries) {
-            entry->routes.apply(upstream_reported{node.about.agentId, 1, node.load()},
-                                m_time.now());
+            entry->requestRouter.apply(upstream_reported{node.announced.agentId, 1, node.load()},
+                                       m_clock.now());
         }
-        m_time.after(m_scenario.reportPeriod, [this, &node] { report(node); });
+        m_clock.schedule(m_scenario.reportPeriod, [this, &node] { publishLoad(node); });
     }
 
     duration exponential(std::chrono::duration<double> mean)
     {
-        const auto drawn = -std::log(1.0 - drawUniform(m_random)) * mean;
-        return std::max(duration(1), std::chrono::duration_cast<duration>(drawn));
+        const auto drawnTime = -std::log(1.0 - drawUniform(m_random)) * mean;
+        return std::max(duration(1), std::chrono::duration_cast<duration>(drawnTime));
     }
 
-    void nextArrival(time_point end)
+    void scheduleArrival(time_point end)
     {
         const duration gap =
                 exponential(std::chrono::duration<double>(1.0 / (m_capacity * m_scenario.load)));
-        if (m_time.now() + gap > end)
+        if (m_clock.now() + gap > end)
             return;
-        m_time.after(gap, [this, end] {
-            arrive();
-            nextArrival(end);
+        m_clock.schedule(gap, [this, end] {
+            startRequest();
+            scheduleArrival(end);
         });
     }
 
-    void arrive()
+    void startRequest()
     {
         const auto number = m_result.requests++;
-        auto made = std::make_shared<request>();
-        made->id = std::to_string(number);
-        made->team = "team-" + std::to_string(number % Teams);
-        made->entry = m_entries[number % m_entries.size()].get();
-        made->sentAt = m_time.now();
-        made->deadline = m_time.now() + m_scenario.timeout;
-        made->work = exponential(m_scenario.serviceTime);
-        m_time.after(m_scenario.clientDelay, [this, made] {
-            made->entry->budget.requestStarted(m_time.now());
-            attempt(made);
+        auto pending = std::make_shared<request>();
+        pending->id = std::to_string(number);
+        pending->team = "team-" + std::to_string(number % Teams);
+        pending->entry = m_entries[number % m_entries.size()].get();
+        pending->sentAt = m_clock.now();
+        pending->deadline = m_clock.now() + m_scenario.timeout;
+        pending->work = exponential(m_scenario.serviceTime);
+        m_clock.schedule(m_scenario.callerDelay, [this, pending] {
+            pending->entry->budget.requestStarted(m_clock.now());
+            startAttempt(pending);
         });
     }
 
-    void attempt(const std::shared_ptr<request> &made)
+    void startAttempt(const std::shared_ptr<request> &pending)
     {
-        auto &routes = made->entry->routes;
-        const auto decision = routes.choose(Service, made->tried, m_time.now());
+        auto &routes = pending->entry->requestRouter;
+        const auto decision = routes.choose(Service, pending->tried, m_clock.now());
         if (const auto *kind = std::get_if<error_kind>(&decision))
-            return refused(*kind);
-        const auto to = std::get<route>(decision);
-        ++made->attempts;
+            return recordRefusal(*kind);
+        const auto target = std::get<route>(decision);
+        ++pending->attempts;
         ++m_result.attempts;
-        made->tried.insert(to.agentId);
-        routes.attemptStarted(to, m_time.now());
-        auto &node = nodeOf(to);
-        const bool local = node.about.zone == made->entry->zone;
-        m_result.otherZone += local ? 0 : 1;
+        pending->tried.insert(target.agentId);
+        routes.attemptStarted(target, m_clock.now());
+        auto &node = upstreamOf(target);
+        const bool local = node.announced.zone == pending->entry->zone;
+        m_result.otherZoneAttempts += local ? 0 : 1;
         const duration delay = local ? m_scenario.localDelay : m_scenario.zoneDelay;
-        const time_point sentAt = m_time.now();
-        m_time.after(delay, [=, this, &node] { arriveAt(node, made, to, delay, sentAt); });
+        const time_point sentAt = m_clock.now();
+        m_clock.schedule(
+                delay, [=, this, &node] { deliverAttempt(node, pending, target, delay, sentAt); });
     }
 
-    void arriveAt(upstream_node &node, const std::shared_ptr<request> &made, const route &to,
-                  duration delay, time_point sentAt)
+    void deliverAttempt(upstream_node &node, const std::shared_ptr<request> &pending,
+                        const route &target, duration delay, time_point sentAt)
     {
-        if (m_scenario.allFail || node.unreachable) {
-            m_time.after(delay, [=, this] {
-                attempt_ended ended{to, attempt_outcome::Failed, m_time.now() - sentAt, {}, {}};
-                made->entry->routes.attemptEnded(ended, m_time.now());
-                retry(made, error_kind::UpstreamUnreachable);
+        if (m_scenario.areAllUnreachable || node.isUnreachable) {
+            m_clock.schedule(delay, [=, this] {
+                attempt_ended ended{
+                        target, attempt_outcome::Failed, m_clock.now() - sentAt, {}, {}};
+                pending->entry->requestRouter.attemptEnded(ended, m_clock.now());
+                retry(pending, error_kind::UpstreamUnreachable);
             });
             return;
         }
-        if (m_scenario.hanging && &node == m_upstreams.back().get())
-            return m_time.after(made->deadline - m_time.now(),
-                                [=, this] { lose(made, to, sentAt); });
-        node.callers[made->id] = [=, this, &node](const admission::action &action) {
+        if (m_scenario.isLastHanging && &node == m_upstreams.back().get())
+            return m_clock.schedule(pending->deadline - m_clock.now(),
+                                    [=, this] { recordLost(pending, target, sentAt); });
+        node.actionCallbacks[pending->id] = [=, this, &node](const admission::action &action) {
             if (const auto *refusal = std::get_if<admission::refuse>(&action)) {
-                sendRefusal(node, made, to, delay, sentAt, *refusal);
+                sendRefusal(node, pending, target, delay, sentAt, *refusal);
                 return;
             }
-            const duration took = std::chrono::duration_cast<duration>(made->work / node.speed);
-            m_time.after(took, [=, this, &node] {
-                deliver(node, node.gate.handle(admission::finished{made->id, took}, m_time.now()));
-                sendAnswer(node, made, to, delay, sentAt);
+            const duration serviceDuration =
+                    std::chrono::duration_cast<duration>(pending->work / node.speed);
+            m_clock.schedule(serviceDuration, [=, this, &node] {
+                applyActions(node, node.controller.handle(
+                                           admission::finished{pending->id, serviceDuration},
+                                           m_clock.now()));
+                sendAnswer(node, pending, target, delay, sentAt);
             });
         };
-        deliver(node, node.gate.handle(
-                              admission::arrived{made->id, Service, made->team, 0, made->deadline},
-                              m_time.now()));
+        applyActions(node,
+                     node.controller.handle(admission::arrived{pending->id, Service, pending->team,
+                                                               0, pending->deadline},
+                                            m_clock.now()));
     }
 
     // The entry gives up at the caller's deadline: the request may have run.
-    void lose(const std::shared_ptr<request> &made, const route &to, time_point sentAt)
+    void recordLost(const std::shared_ptr<request> &pending, const route &target, time_point sentAt)
     {
         ++m_result.lost;
-        attempt_ended ended{to, attempt_outcome::Failed, m_time.now() - sentAt, {}, {}};
-        made->entry->routes.attemptEnded(ended, m_time.now());
+        attempt_ended ended{target, attempt_outcome::Failed, m_clock.now() - sentAt, {}, {}};
+        pending->entry->requestRouter.attemptEnded(ended, m_clock.now());
     }
 
-    std::optional<upstream_load> loadOf(const upstream_node &node) const
+    std::optional<upstream_load> loadForAnswer(const upstream_node &node) const
     {
-        if (!m_scenario.loadWithAnswers)
+        if (!m_scenario.doAnswersCarryLoad)
             return std::nullopt;
         return node.load();
     }
 
-    void sendAnswer(upstream_node &node, const std::shared_ptr<request> &made, const route &to,
-                    duration delay, time_point sentAt)
+    void sendAnswer(upstream_node &node, const std::shared_ptr<request> &pending,
+                    const route &target, duration delay, time_point sentAt)
     {
-        m_time.after(delay, [=, this, load = loadOf(node)] {
-            attempt_ended ended{to, attempt_outcome::Answered, m_time.now() - sentAt, load, {}};
-            made->entry->routes.attemptEnded(ended, m_time.now());
-            m_time.after(m_scenario.clientDelay, [=, this] { answered(*made); });
+        m_clock.schedule(delay, [=, this, load = loadForAnswer(node)] {
+            attempt_ended ended{
+                    target, attempt_outcome::Answered, m_clock.now() - sentAt, load, {}};
+            pending->entry->requestRouter.attemptEnded(ended, m_clock.now());
+            m_clock.schedule(m_scenario.callerDelay, [=, this] { recordAnswer(*pending); });
         });
     }
 
-    void sendRefusal(upstream_node &node, const std::shared_ptr<request> &made, const route &to,
-                     duration delay, time_point sentAt, const admission::refuse &refusal)
+    void sendRefusal(upstream_node &node, const std::shared_ptr<request> &pending,
+                     const route &target, duration delay, time_point sentAt,
+                     const admission::refuse &refusal)
     {
-        m_time.after(delay, [=, this, load = loadOf(node)] {
-            attempt_ended ended{to, attempt_outcome::Refused, m_time.now() - sentAt, load,
+        m_clock.schedule(delay, [=, this, load = loadForAnswer(node)] {
+            attempt_ended ended{target, attempt_outcome::Refused, m_clock.now() - sentAt, load,
                                 refusal.retryAfter};
-            made->entry->routes.attemptEnded(ended, m_time.now());
-            retry(made, refusal.errorKind);
+            pending->entry->requestRouter.attemptEnded(ended, m_clock.now());
+            retry(pending, refusal.errorKind);
         });
     }
 
-    void retry(const std::shared_ptr<request> &made, error_kind kind)
+    void retry(const std::shared_ptr<request> &pending, error_kind kind)
     {
-        const failed_attempt failed{kind, made->attempts, made->deadline,
-                                    made->entry->routes.expectedLatency(Service)};
-        const auto verdict = made->entry->budget.requestRetry(failed, m_time.now());
-        if (const auto *over = std::get_if<give_up>(&verdict))
-            return refused(over->kind);
+        const failed_attempt failed{kind, pending->attempts, pending->deadline,
+                                    pending->entry->requestRouter.expectedLatency(Service)};
+        const auto verdict = pending->entry->budget.requestRetry(failed, m_clock.now());
+        if (const auto *finalRefusal = std::get_if<give_up>(&verdict))
+            return recordRefusal(finalRefusal->kind);
         ++m_result.retries;
-        attempt(made);
+        startAttempt(pending);
     }
 
-    void answered(const request &made)
+    void recordAnswer(const request &pending)
     {
-        if (m_time.now() > made.deadline) {
+        if (m_clock.now() > pending.deadline) {
             ++m_result.late;
             return;
         }
-        ++m_result.inTime;
-        m_result.latencies.push_back((m_time.now() - made.sentAt).count());
+        ++m_result.onTime;
+        m_result.latencies.push_back((m_clock.now() - pending.sentAt).count());
     }
 
-    void refused(error_kind kind) { ++m_result.refused[kind]; }
+    void recordRefusal(error_kind kind) { ++m_result.refusedByKind[kind]; }
 
-    void deliver(upstream_node &node, const std::vector<admission::action> &actions)
+    void applyActions(upstream_node &node, const std::vector<admission::action> &actions)
     {
         for (const auto &action : actions) {
             const auto id = std::visit([](const auto &done) { return done.id; }, action);
-            const auto caller = node.callers.extract(id);
+            const auto caller = node.actionCallbacks.extract(id);
             caller.mapped()(action);
         }
     }
 
-    upstream_node &nodeOf(const route &to)
+    upstream_node &upstreamOf(const route &target)
     {
         for (auto &node : m_upstreams) {
-            if (node->about.agentId == to.agentId)
+            if (node->announced.agentId == target.agentId)
                 return *node;
         }
         std::abort();
@@ -352,7 +361,7 @@
 
     routing_scenario m_scenario;
     random_generator m_random;
-    virtual_time m_time;
+    virtual_time m_clock;
     std::vector<std::unique_ptr<upstream_node>> m_upstreams;
     std::vector<std::unique_ptr<entry_node>> m_entries;
     double m_capacity = 0; // requests a second
@@ -361,19 +370,19 @@
 
 } // namespace
 
-std::uint64_t scenario_result::allRefused() const
+std::uint64_t scenario_result::totalRefused() const
 {
     std::uint64_t sum = 0;
-    for (const auto &[kind, count] : refused)
+    for (const auto &[kind, count] : refusedByKind)
         sum += count;
     return sum;
 }
 
-milliseconds scenario_result::percentile(double share) const
+milliseconds scenario_result::latencyPercentile(double fraction) const
 {
     if (latencies.empty())
         return milliseconds(0);
-    const auto rank = static_cast<std::size_t>(std::ceil(share * double(latencies.size())));
+    const auto rank = static_cast<std::size_t>(std::ceil(fraction * double(latencies.size())));
     const auto value = latencies[std::clamp<std::size_t>(rank, 1, latencies.size()) - 1];
     return std::chrono::ceil<milliseconds>(microseconds(value));
 }
--- a/bench/routing_scenario.h
+++ b/bench/routing_scenario.h
@@ -25,42 +25,42 @@
     routing_policy policy = two_choices{};
     double load = 0.8; // of the capacity of all upstreams
     std::uint64_t seed = 1;
-    seconds length{20};
+    seconds runTime{20};
     std::vector<int> upstreamsByZone{5, 4, 2}; //
     int entriesByZone = 1;
     int slots = 8;                   // of each upstream
     milliseconds serviceTime{20};    // mean, exponential
     double slowFactor = 3.0;         // of the one slow upstream, in the first zone
     milliseconds timeout{400};       // of the callers
-    microseconds clientDelay{3000};  // one way
+    microseconds callerDelay{3000};  // one way
     microseconds zoneDelay{500};     // one way between zones
     microseconds localDelay{100};    // one way within a zone
     milliseconds reportPeriod{1000}; // announcements of load
-    bool loadWithAnswers = true;
-    double spillAt = router_settings{}.spillAboveLoad;
+    bool doAnswersCarryLoad = true;
+    double spillThreshold = router_settings{}.spillAboveLoad;
     int queueLimit = admission_settings{}.queueLimit;
-    milliseconds longestBackOff = router_settings{}.maxBackoff;
-    bool allFail = false;     // every upstream refuses the connection
-    bool fastFailing = false; // the last upstream does
-    bool hanging = false;     // the last upstream takes requests and never answers
-    double retryShare = 0.1;
+    milliseconds refusalBackoff = router_settings{}.maxBackoff;
+    bool areAllUnreachable = false; // every upstream refuses the connection
+    bool isLastUnreachable = false; // the last upstream does
+    bool isLastHanging = false;     // the last upstream takes requests and never answers
+    double retryFraction = 0.1;
 };
 
 struct scenario_result
 {
     std::uint64_t requests = 0;
-    std::uint64_t inTime = 0;   // answered before the caller's deadline
+    std::uint64_t onTime = 0;   // answered before the caller's deadline
     std::uint64_t lost = 0;     // no answer before the deadline
     std::uint64_t late = 0;     // answered after it
     std::uint64_t attempts = 0; // sent to upstreams
     std::uint64_t retries = 0;
-    std::uint64_t otherZone = 0; // attempts that left the entry's zone
-    std::map<error_kind, std::uint64_t> refused;
+    std::uint64_t otherZoneAttempts = 0; // attempts that left the entry's zone
+    std::map<error_kind, std::uint64_t> refusedByKind;
     std::vector<std::int64_t> latencies; // microseconds, of those in time, sorted
 
-    std::uint64_t allRefused() const;
-    milliseconds percentile(double share) const; // of the answers in time, rounded up
-    double goodput() const { return double(inTime) / double(requests); }
+    std::uint64_t totalRefused() const;
+    milliseconds latencyPercentile(double fraction) const; // of the answers in time, rounded up
+    double goodput() const { return double(onTime) / double(requests); }
 };
 
 scenario_result run(const routing_scenario &scenario);
--- a/examples/embedding.cpp
+++ b/examples/embedding.cpp
@@ -33,16 +33,17 @@
     request::admission_settings settings;
     settings.slots = 1;
     settings.queueLimit = 1;
-    admission door(settings);
+    admission controller(settings);
 
     time_point now{};
-    const auto arrive = [&](const std::string &id, milliseconds within) {
-        print(door.handle(admission::arrived{id, "tickets", "families", 0, now + within}, now));
+    const auto submitRequest = [&](const std::string &id, milliseconds timeLimit) {
+        print(controller.handle(admission::arrived{id, "tickets", "families", 0, now + timeLimit},
+                                now));
     };
-    arrive("a", milliseconds(1000)); // the slot is free
-    arrive("b", milliseconds(1000)); // waits
-    arrive("c", milliseconds(5));    // could never be done in 5 ms: refused at once
+    submitRequest("a", milliseconds(1000)); // the slot is free
+    submitRequest("b", milliseconds(1000)); // waits
+    submitRequest("c", milliseconds(5));    // could never be done in 5 ms: refused at once
     now += milliseconds(10);
-    print(door.handle(admission::finished{"a", milliseconds(10)}, now)); // b's turn
+    print(controller.handle(admission::finished{"a", milliseconds(10)}, now)); // b's turn
     return 0;
 }
--- a/standins/batch.cpp
+++ b/standins/batch.cpp
@@ -22,14 +22,14 @@
     return json;
 }
 
-bool belongsTo(const Json::Value &line, const std::string &job)
+bool isTaskOfJob(const Json::Value &line, const std::string &job)
 {
     const auto prefix = job + "@";
     return line["task"].asString().compare(0, prefix.size(), prefix) == 0;
 }
 
 // Every task of an accepted job, in the form of the trace.
-void addAccepted(const Json::Value &log, std::vector<Json::Value> &lines)
+void addAcceptedTasks(const Json::Value &log, std::vector<Json::Value> &lines)
 {
     const auto first = log["first_task"].asUInt();
     for (unsigned position = 0; position < log["tasks"].asUInt(); ++position) {
@@ -45,15 +45,15 @@
 }
 
 // What the entries decided comes from their logs, in the form of the trace.
-void addDecisions(const fleet &system, std::vector<Json::Value> &lines)
+void addEntryDecisions(const fleet &system, std::vector<Json::Value> &lines)
 {
     for (unsigned index = 0; index < system.options().entries; ++index) {
-        std::ifstream file(system.scratch() + "/entry-" + std::to_string(index) + ".err");
+        std::ifstream file(system.scratchFolder() + "/entry-" + std::to_string(index) + ".err");
         std::string text;
         while (std::getline(file, text)) {
             auto log = parseJson(text);
             if (log["event"] == "job_accepted") {
-                addAccepted(log, lines);
+                addAcceptedTasks(log, lines);
             } else if (log["event"] == "task_placed") {
                 log["event"] = "placed";
                 lines.push_back(std::move(log));
@@ -67,7 +67,7 @@
 
 } // namespace
 
-Json::Value baseFolder(const fleet_options &options)
+Json::Value makeBaseConfig(const fleet_options &options)
 {
     Json::Value json(Json::objectValue);
     auto &team = json["teams"]["rinks"];
@@ -85,7 +85,7 @@
     return json;
 }
 
-Json::Value batchFolder(const batch_options &options)
+Json::Value makeBatchConfig(const batch_options &options)
 {
     Json::Value json(Json::objectValue);
     auto &job = json["jobs"][options.job];
@@ -122,25 +122,25 @@
     return states;
 }
 
-std::vector<work::trace_violation> checkFleetTrace(const fleet &system, bool complete)
+std::vector<work::trace_violation> checkFleetTrace(const fleet &system, bool isFinished)
 {
     auto lines = system.workerTrace();
-    addDecisions(system, lines);
+    addEntryDecisions(system, lines);
     std::stable_sort(lines.begin(), lines.end(), [](const auto &left, const auto &right) {
         return left["at_us"].asInt64() < right["at_us"].asInt64();
     });
     work::trace_checker checker;
     for (const auto &line : lines)
         checker.addEvent(line);
-    return checker.finish(complete);
+    return checker.finish(isFinished);
 }
 
-std::map<std::string, unsigned> tracedByWorker(const fleet &system, const std::string &event,
-                                               const std::string &job)
+std::map<std::string, unsigned> countTracedByWorker(const fleet &system, const std::string &event,
+                                                    const std::string &job)
 {
     std::map<std::string, unsigned> counts;
     for (const auto &line : system.workerTrace()) {
-        if (line["event"] == event && belongsTo(line, job))
+        if (line["event"] == event && isTaskOfJob(line, job))
             ++counts[line["worker"].asString()];
     }
     return counts;
@@ -149,7 +149,7 @@
 unsigned countTraced(const fleet &system, const std::string &event, const std::string &job)
 {
     unsigned sum = 0;
-    for (const auto &[worker, count] : tracedByWorker(system, event, job))
+    for (const auto &[worker, count] : countTracedByWorker(system, event, job))
         sum += count;
     return sum;
 }
--- a/standins/batch.h
+++ b/standins/batch.h
@@ -23,19 +23,19 @@
 };
 
 // Teams, the pool and the fleet's service: the file every folder starts with.
-Json::Value baseFolder(const fleet_options &options);
-Json::Value batchFolder(const batch_options &options);
+Json::Value makeBaseConfig(const fleet_options &options);
+Json::Value makeBatchConfig(const batch_options &options);
 
 // Tasks by state over all shards of all entries that answer, for the job of that name.
 std::map<std::string, unsigned> taskStates(fleet &system, const std::string &job);
 
 // The workers' traces and the entries' placements in the order of time, checked.
 // Complete: it was given time to finish, so what has not happened is lost.
-std::vector<work::trace_violation> checkFleetTrace(const fleet &system, bool complete = false);
+std::vector<work::trace_violation> checkFleetTrace(const fleet &system, bool isFinished = false);
 // Events of that name in the workers' traces whose task belongs to `job`.
 unsigned countTraced(const fleet &system, const std::string &event, const std::string &job);
 // The same by worker.
-std::map<std::string, unsigned> tracedByWorker(const fleet &system, const std::string &event,
-                                               const std::string &job);
+std::map<std::string, unsigned> countTracedByWorker(const fleet &system, const std::string &event,
+                                                    const std::string &job);
 
 } // namespace zinniabarrow::standins
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -31,29 +31,29 @@
 // What became of the season batch.
 struct batch_result
 {
-    unsigned finished = 0;
+    unsigned finishedTasks = 0;
     unsigned evictions = 0;
     std::vector<work::trace_violation> violations;
 };
 
-void printTable(const load_result &result, const std::vector<std::string> &broken,
+void printTable(const load_result &result, const std::vector<std::string> &guaranteeViolations,
                 const batch_result &batch)
 {
     const auto line = [](const std::string &what, std::size_t count) {
         fmt::print("{:<34}{:>10}\n", what, count);
     };
     fmt::print("\n");
-    line("requests", result.asked);
-    line("answered whole", result.answered);
-    line("  of these from a kept answer", result.replayed);
-    line("repeats told to come back", result.toldToComeBack);
-    for (const auto &[reason, count] : result.refused)
+    line("requests", result.sentRequests);
+    line("answered whole", result.answeredRequests);
+    line("  of these from a kept answer", result.replayedAnswers);
+    line("repeats told to come back", result.inProgressAnswers);
+    for (const auto &[reason, count] : result.refusedByReason)
         line("refused: " + reason, count);
     line("answers that were not their own", result.wrongAnswers);
-    line("broken promises at the upstreams", broken.size());
-    for (const auto &promise : broken)
-        fmt::print("  {}\n", promise);
-    line("batch tasks finished", batch.finished);
+    line("broken promises at the upstreams", guaranteeViolations.size());
+    for (const auto &guaranteeViolation : guaranteeViolations)
+        fmt::print("  {}\n", guaranteeViolation);
+    line("batch tasks finished", batch.finishedTasks);
     line("evictions", batch.evictions);
     line("violations in the workers' trace", batch.violations.size());
     for (const auto &violation : batch.violations)
@@ -68,13 +68,14 @@
     constexpr unsigned Reads = 300;
     http_pools pools;
     std::vector<double> times;
-    for (unsigned turn = 0; turn < Reads; ++turn) {
+    for (unsigned round = 0; round < Reads; ++round) {
         const auto startedAt = monotonic_clock::now();
         const auto result =
                 pools.poolFor(address).call({"GET", target, {}, {}}, startedAt + seconds(5));
-        const std::chrono::duration<double, std::milli> took = monotonic_clock::now() - startedAt;
+        const std::chrono::duration<double, std::milli> latency =
+                monotonic_clock::now() - startedAt;
         if (std::holds_alternative<http_response>(result))
-            times.push_back(took.count());
+            times.push_back(latency.count());
     }
     return times;
 }
@@ -83,40 +84,40 @@
 void printAddedLatency(fleet &system)
 {
     const auto direct = timeReads(system.upstreamAddress(0), "/seats");
-    const auto carried = timeReads(system.entryAddress(0), "/tickets/seats");
+    const auto forwarded = timeReads(system.entryAddress(0), "/tickets/seats");
     const auto row = [](const char *what, const std::vector<double> &times) {
         fmt::print("{:<34}{:>10.2f}{:>10.2f}\n", what, percentile(times, 0.5),
                    percentile(times, 0.99));
     };
     fmt::print("\n{:<34}{:>10}{:>10}\n", "one read at a time", "p50 ms", "p99 ms");
     row("straight to an upstream", direct);
-    row("through entry and agent", carried);
+    row("through entry and agent", forwarded);
 }
 
 // Starts the fleet, with its batch job running where `tasks` is not 0, and lets it be.
-int runIdle(const std::string &binaries, seconds watched, unsigned tasks)
+int runIdle(const std::string &binaries, seconds observedTime, unsigned tasks)
 {
     fleet_options options;
     options.binaries = binaries;
     fleet system(options);
     system.startAll();
-    system.putFolderFile("10-base.json", baseFolder(options));
-    batch_options lasting;
-    lasting.tasks = tasks;
-    lasting.runMs = 600'000;
-    lasting.millicores = 400;
-    lasting.bytes = 1'000'000'000;
+    system.putFolderFile("10-base.json", makeBaseConfig(options));
+    batch_options longRunning;
+    longRunning.tasks = tasks;
+    longRunning.runMs = 600'000;
+    longRunning.millicores = 400;
+    longRunning.bytes = 1'000'000'000;
     if (tasks > 0)
-        system.putFolderFile("20-lasting.json", batchFolder(lasting));
-    const auto allRun = [&] {
-        return tasks == 0 || taskStates(system, lasting.job)["running"] == tasks;
+        system.putFolderFile("20-lasting.json", makeBatchConfig(longRunning));
+    const auto areAllRunning = [&] {
+        return tasks == 0 || taskStates(system, longRunning.job)["running"] == tasks;
     };
-    if (!waitUntil(allRun, seconds(30)))
+    if (!waitUntil(areAllRunning, seconds(30)))
         throw error(error_kind::Internal, "not every task runs: read the logs");
     std::this_thread::sleep_for(seconds(5)); // the first announcements are over
     fmt::print("{} workers, {} entries, {} tasks, {} s\n", options.workers, options.entries, tasks,
-               watched.count());
-    printIdleCost(system, watched);
+               observedTime.count());
+    printIdleCost(system, observedTime);
     return 0;
 }
 
@@ -138,8 +139,8 @@
 
     batch_options season;
     season.tasks = BatchTasks;
-    system.putFolderFile("10-base.json", baseFolder(options));
-    system.putFolderFile("20-season.json", batchFolder(season));
+    system.putFolderFile("10-base.json", makeBaseConfig(options));
+    system.putFolderFile("20-season.json", makeBatchConfig(season));
 
     load_result result;
     load_options callers;
@@ -147,34 +148,35 @@
     callers.perSecond = perSecond;
     load_generator load(system, callers, result);
     std::thread runner([&] { load.run(); });
-    while (load.done() < requests) {
+    while (load.completedRequests() < requests) {
         const auto states = taskStates(system, season.job);
         const auto done = states.find("done");
         fmt::print("\rrequests {:>6} of {}   batch tasks {:>4} of {}",
-                   std::min(load.done(), requests), requests,
+                   std::min(load.completedRequests(), requests), requests,
                    done == states.end() ? 0 : done->second, season.tasks);
         std::fflush(stdout);
         std::this_thread::sleep_for(milliseconds(200));
     }
     runner.join();
     waitUntil([&] { return taskStates(system, season.job)["done"] == BatchTasks; }, seconds(30));
-    const auto broken = brokenPromises(system, result);
+    const auto guaranteeViolations = findGuaranteeViolations(system, result);
     batch_result batch;
-    batch.finished = countTraced(system, "ended", season.job);
+    batch.finishedTasks = countTraced(system, "ended", season.job);
     batch.evictions = countTraced(system, "evicted", season.job);
     batch.violations = checkFleetTrace(system);
-    printTable(result, broken, batch);
+    printTable(result, guaranteeViolations, batch);
     printAddedLatency(system);
-    const bool whole = batch.finished == BatchTasks && batch.violations.empty()
-                       && result.wrongAnswers == 0 && broken.empty()
-                       && result.answered + result.toldToComeBack == result.asked;
-    fmt::print("\n{}\n", whole ? "every promise was kept" : "FAILED: see the table");
-    return whole ? 0 : 1;
+    const bool hasSucceeded =
+            batch.finishedTasks == BatchTasks && batch.violations.empty()
+            && result.wrongAnswers == 0 && guaranteeViolations.empty()
+            && result.answeredRequests + result.inProgressAnswers == result.sentRequests;
+    fmt::print("\n{}\n", hasSucceeded ? "every promise was kept" : "FAILED: see the table");
+    return hasSucceeded ? 0 : 1;
 }
 
 } // namespace
 
-int main(int count, char **words)
+int main(int count, char **arguments)
 {
     try {
         TCLAP::CmdLine command("zinniabarrow's whole path on loopback", ' ', "0.1");
@@ -188,12 +190,12 @@
                                        false, 0, "s", command);
         TCLAP::ValueArg<unsigned> tasks("", "tasks", "batch tasks that run in the idle fleet",
                                         false, 0, "n", command);
-        command.parse(count, words);
+        command.parse(count, arguments);
         if (idle.getValue() > 0)
             return runIdle(binaries.getValue(), seconds(idle.getValue()), tasks.getValue());
         return runDemo(binaries.getValue(), requests.getValue(), perSecond.getValue());
-    } catch (const std::exception &problem) {
-        fmt::print(stderr, "demo: {}\n", problem.what());
+    } catch (const std::exception &failure) {
+        fmt::print(stderr, "demo: {}\n", failure.what());
         return 1;
     }
 }
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -27,11 +27,11 @@
 constexpr int WorkerPort = 21000;
 constexpr int UpstreamPort = 22000;
 constexpr int AgentPort = 23000;
-constexpr int TwinAgentPort = 24000;
+constexpr int DuplicateAgentPort = 24000;
 constexpr int LinkPort = 25000;
 constexpr unsigned WorkersPerRack = 3;
-constexpr milliseconds StartWithin{30'000};
-constexpr milliseconds CallWithin{5'000};
+constexpr milliseconds StartTimeout{30'000};
+constexpr milliseconds CallTimeout{5'000};
 
 std::string readFile(const std::string &name)
 {
@@ -42,7 +42,7 @@
 }
 
 // 127.x.y.z from the pid: no other fleet on this machine has it.
-std::string ownLoopbackAddress()
+std::string uniqueLoopbackAddress()
 {
     static unsigned fleets = 0;
     const auto pid = static_cast<unsigned>(getpid());
@@ -60,13 +60,13 @@
     return listen;
 }
 
-void merge(Json::Value &into, const Json::Value &from)
+void merge(Json::Value &merged, const Json::Value &overrides)
 {
-    for (const auto &name : from.getMemberNames()) {
-        if (from[name].isObject() && into[name].isObject())
-            merge(into[name], from[name]);
+    for (const auto &name : overrides.getMemberNames()) {
+        if (overrides[name].isObject() && merged[name].isObject())
+            merge(merged[name], overrides[name]);
         else
-            into[name] = from[name];
+            merged[name] = overrides[name];
     }
 }
 
@@ -74,15 +74,15 @@
 
 namespace {
 
-struct child_start
+struct exec_parameters
 {
     pid_t parent = 0;
-    int report = -1; // written to when the program can't be started
+    int errorPipeEnd = -1; // written to when the program can't be started
     const char *outFile = nullptr;
     const char *errorFile = nullptr;
 };
 
-void openAs(int target, const char *file, int flags)
+void redirectDescriptor(int target, const char *file, int flags)
 {
     const int opened = open(file, flags, 0644);
     if (opened >= 0)
@@ -94,24 +94,24 @@
 // A test that fails or crashes ends without its destructors. Its processes would stay, and after a
 // few such tests there would be no threads left to start another fleet with; so the kernel ends
 // them with the test.
-constexpr unsigned FirstInherited = 3; // after standard input, output and error
+constexpr unsigned FirstClosedDescriptor = 3; // after standard input, output and error
 
-[[noreturn]] void becomeProgram(const child_start &start, char *const *words)
+[[noreturn]] void executeProgram(const exec_parameters &start, char *const *arguments)
 {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != start.parent) // it ended before the line above
         _exit(127);
-    openAs(0, "/dev/null", O_RDONLY);
-    openAs(1, start.outFile, O_WRONLY | O_CREAT | O_APPEND);
-    openAs(2, start.errorFile, O_WRONLY | O_CREAT | O_APPEND);
-    sigset_t none;
-    sigemptyset(&none);
-    sigprocmask(SIG_SETMASK, &none, nullptr);
+    redirectDescriptor(0, "/dev/null", O_RDONLY);
+    redirectDescriptor(1, start.outFile, O_WRONLY | O_CREAT | O_APPEND);
+    redirectDescriptor(2, start.errorFile, O_WRONLY | O_CREAT | O_APPEND);
+    sigset_t noSignals;
+    sigemptyset(&noSignals);
+    sigprocmask(SIG_SETMASK, &noSignals, nullptr);
     // A socket that listens here would go on listening in the child after it was closed here.
-    close_range(FirstInherited, ~0U, CLOSE_RANGE_CLOEXEC);
-    execv(words[0], words);
-    const int problem = errno;
-    const auto written = write(start.report, &problem, sizeof problem);
+    close_range(FirstClosedDescriptor, ~0U, CLOSE_RANGE_CLOEXEC);
+    execv(arguments[0], arguments);
+    const int errorNumber = errno;
+    const auto written = write(start.errorPipeEnd, &errorNumber, sizeof errorNumber);
     _exit(written > 0 ? 127 : 126);
 }
 
@@ -122,39 +122,40 @@
     : m_outFile(std::move(outFile))
     , m_errorFile(std::move(errorFile))
 {
-    std::vector<char *> words;
+    std::vector<char *> arguments;
     for (const auto &word : command)
-        words.push_back(const_cast<char *>(word.c_str()));
-    words.push_back(nullptr);
+        arguments.push_back(const_cast<char *>(word.c_str()));
+    arguments.push_back(nullptr);
     // The child closes its end when its program starts, or writes why it could not.
-    int report[2];
-    if (pipe2(report, O_CLOEXEC) != 0)
+    int errorPipe[2];
+    if (pipe2(errorPipe, O_CLOEXEC) != 0)
         throw std::runtime_error("cannot start " + command[0] + ": " + std::strerror(errno));
     const pid_t parent = getpid();
     m_pid = fork();
     if (m_pid == 0)
-        becomeProgram({parent, report[1], m_outFile.c_str(), m_errorFile.c_str()}, words.data());
-    int problem = m_pid < 0 ? errno : 0;
-    close(report[1]);
-    if (problem == 0 && read(report[0], &problem, sizeof problem) > 0)
+        executeProgram({parent, errorPipe[1], m_outFile.c_str(), m_errorFile.c_str()},
+                       arguments.data());
+    int errorNumber = m_pid < 0 ? errno : 0;
+    close(errorPipe[1]);
+    if (errorNumber == 0 && read(errorPipe[0], &errorNumber, sizeof errorNumber) > 0)
         waitpid(m_pid, &m_status, 0);
-    close(report[0]);
-    if (problem == 0)
+    close(errorPipe[0]);
+    if (errorNumber == 0)
         return;
-    throw std::runtime_error("cannot start " + command[0] + ": " + std::strerror(problem));
+    throw std::runtime_error("cannot start " + command[0] + ": " + std::strerror(errorNumber));
 }
 
 child_process::~child_process()
 {
-    if (!running())
+    if (!isRunning())
         return;
     signal(SIGKILL);
-    waitForExit(StartWithin);
+    waitForExit(StartTimeout);
 }
 
 void child_process::signal(int number) const
 {
-    if (!m_ended)
+    if (!m_hasExited)
         kill(m_pid, number);
 }
 
@@ -173,28 +174,28 @@
     throw std::runtime_error("the process is gone: read " + m_errorFile);
 }
 
-bool child_process::running()
+bool child_process::isRunning()
 {
-    if (!m_ended && waitpid(m_pid, &m_status, WNOHANG) == m_pid)
-        m_ended = true;
-    return !m_ended;
+    if (!m_hasExited && waitpid(m_pid, &m_status, WNOHANG) == m_pid)
+        m_hasExited = true;
+    return !m_hasExited;
 }
 
-int child_process::waitForExit(milliseconds atMost)
+int child_process::waitForExit(milliseconds timeout)
 {
-    if (!waitUntil([this] { return !running(); }, atMost))
+    if (!waitUntil([this] { return !isRunning(); }, timeout))
         return -1;
     return WIFEXITED(m_status) ? WEXITSTATUS(m_status) : 128 + WTERMSIG(m_status);
 }
 
-command_result runCommand(const std::vector<std::string> &command, const std::string &scratch,
-                          milliseconds atMost)
+command_result runCommand(const std::vector<std::string> &command, const std::string &scratchFolder,
+                          milliseconds timeout)
 {
     static unsigned number = 0;
-    const std::string name = scratch + "/command-" + std::to_string(number++);
+    const std::string name = scratchFolder + "/command-" + std::to_string(number++);
     child_process process(command, name + ".out", name + ".err");
     command_result result;
-    result.exitCode = process.waitForExit(atMost);
+    result.exitCode = process.waitForExit(timeout);
     result.output = readFile(name + ".out");
     result.errors = readFile(name + ".err");
     return result;
@@ -202,7 +203,7 @@
 
 fleet::fleet(fleet_options options)
     : m_options(std::move(options))
-    , m_host(ownLoopbackAddress())
+    , m_loopbackAddress(uniqueLoopbackAddress())
     , m_workers(m_options.workers)
     , m_upstreams(m_options.workers)
     , m_entries(m_options.entries)
@@ -211,8 +212,8 @@
     std::string pattern = (std::filesystem::temp_directory_path() / "zinniabarrow-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr)
         throw std::runtime_error("cannot make a scratch folder: check the temporary directory");
-    m_scratch = pattern;
-    layLinks();
+    m_scratchFolder = pattern;
+    createLinks();
 }
 
 fleet::~fleet()
@@ -224,12 +225,12 @@
     m_platform.reset();
     std::error_code ignored;
     if (std::getenv("ZINNIABARROW_KEEP_SCRATCH") == nullptr)
-        std::filesystem::remove_all(m_scratch, ignored);
+        std::filesystem::remove_all(m_scratchFolder, ignored);
 }
 
 std::string fleet::address(int port) const
 {
-    return m_host + ":" + std::to_string(port);
+    return m_loopbackAddress + ":" + std::to_string(port);
 }
 
 std::string fleet::platformAddress() const
@@ -271,13 +272,13 @@
     return process.substr(0, dash) == "entry" ? entryRpcAddress(index) : agentAddress(index);
 }
 
-std::string fleet::addressFor(const std::string &from, const std::string &to) const
+std::string fleet::linkedAddress(const std::string &overrides, const std::string &to) const
 {
-    const auto laid = m_links.find({from, to});
-    return laid == m_links.end() ? addressOf(to) : laid->second->address();
+    const auto found = m_links.find({overrides, to});
+    return found == m_links.end() ? addressOf(to) : found->second->address();
 }
 
-void fleet::layLinks()
+void fleet::createLinks()
 {
     int port = LinkPort;
     for (const auto &ends : m_options.links)
@@ -285,9 +286,9 @@
                                                parseAddress(addressOf(ends.to)));
 }
 
-link &fleet::linkBetween(const std::string &from, const std::string &to)
+link &fleet::linkBetween(const std::string &overrides, const std::string &to)
 {
-    return *m_links.at({from, to});
+    return *m_links.at({overrides, to});
 }
 
 std::string fleet::workerId(unsigned index) const
@@ -297,7 +298,7 @@
 
 std::string fleet::writeSettings(const std::string &name, const Json::Value &settings) const
 {
-    const std::string path = m_scratch + "/" + name + ".json";
+    const std::string path = m_scratchFolder + "/" + name + ".json";
     std::ofstream(path) << prettyJson(settings);
     return path;
 }
@@ -305,8 +306,8 @@
 std::unique_ptr<child_process> fleet::start(const std::string &name,
                                             const std::vector<std::string> &command) const
 {
-    return std::make_unique<child_process>(command, m_scratch + "/" + name + ".out",
-                                           m_scratch + "/" + name + ".err");
+    return std::make_unique<child_process>(command, m_scratchFolder + "/" + name + ".out",
+                                           m_scratchFolder + "/" + name + ".err");
 }
 
 void fleet::startPlatform()
@@ -318,7 +319,7 @@
 void fleet::startWorker(unsigned index)
 {
     const auto id = workerId(index);
-    const auto traceFile = m_scratch + "/" + id + ".out";
+    const auto traceFile = m_scratchFolder + "/" + id + ".out";
     if (std::find(m_traceFiles.begin(), m_traceFiles.end(), traceFile) == m_traceFiles.end())
         m_traceFiles.push_back(traceFile); // a restarted worker appends to its file
     m_workers.at(index) = start(id, {m_options.binaries + "/zinniabarrow_standin", "worker",
@@ -338,7 +339,7 @@
                                         id,
                                         "--work-ms",
                                         std::to_string(m_options.upstreamWorkMs)};
-    if (m_options.disturbing)
+    if (m_options.hasInterference)
         command.insert(command.end(), {"--worker", workerAddress(index)});
     m_upstreams.at(index) = start(id, command);
 }
@@ -355,9 +356,9 @@
     settings["peers"] = Json::Value(Json::arrayValue);
     for (unsigned peer = 0; peer < m_options.entries; ++peer) {
         if (peer != index)
-            settings["peers"].append(addressFor(name, "entry-" + std::to_string(peer)));
+            settings["peers"].append(linkedAddress(name, "entry-" + std::to_string(peer)));
     }
-    settings["platform"]["address"] = addressFor(name, "platform");
+    settings["platform"]["address"] = linkedAddress(name, "platform");
     settings["max_connections"] = 96; // a thread each: many fleets' processes share this machine
     merge(settings, m_options.entrySettings);
     const auto file = writeSettings(name, settings);
@@ -375,10 +376,10 @@
     settings["rack"] = "rack-" + std::to_string(index / WorkersPerRack);
     settings["listen"] = listenOn(agentAddress(index));
     if (m_links.count({"entries", name}) > 0)
-        settings["listen"]["advertise"] = addressFor("entries", name);
+        settings["listen"]["advertise"] = linkedAddress("entries", name);
     settings["entries"] = Json::Value(Json::arrayValue);
     for (unsigned entry = 0; entry < m_options.entries; ++entry)
-        settings["entries"].append(addressFor(name, "entry-" + std::to_string(entry)));
+        settings["entries"].append(linkedAddress(name, "entry-" + std::to_string(entry)));
     auto &upstream = settings["upstream"];
     upstream["address"] = upstreamAddress(index);
     upstream["service"] = m_options.service;
@@ -400,11 +401,11 @@
             start(name, {m_options.binaries + "/zinniabarrow", "agent", "--settings", file});
 }
 
-std::unique_ptr<child_process> fleet::startTwinAgent(unsigned index) const
+std::unique_ptr<child_process> fleet::startDuplicateAgent(unsigned index) const
 {
     const auto name = "agent-" + std::to_string(index) + "-twin";
     auto settings = agentSettings(index);
-    settings["listen"] = listenOn(address(TwinAgentPort + static_cast<int>(index)));
+    settings["listen"] = listenOn(address(DuplicateAgentPort + static_cast<int>(index)));
     const auto file = writeSettings(name, settings);
     return start(name, {m_options.binaries + "/zinniabarrow", "agent", "--settings", file});
 }
@@ -429,11 +430,11 @@
     const auto ready = [&] {
         const auto result =
                 m_pools.poolFor(entryAddress(index))
-                        .call({"GET", "/readyz", {}, {}}, monotonic_clock::now() + CallWithin);
+                        .call({"GET", "/readyz", {}, {}}, monotonic_clock::now() + CallTimeout);
         const auto *response = std::get_if<http_response>(&result);
         return response != nullptr && response->status == 200;
     };
-    if (waitUntil(ready, StartWithin))
+    if (waitUntil(ready, StartTimeout))
         return;
     throw std::runtime_error("entry " + std::to_string(index) + " is not ready: read its log\n"
                              + readFile(m_entries.at(index)->errorFile()));
@@ -442,7 +443,7 @@
 void fleet::setFault(const std::string &address, const Json::Value &fault)
 {
     const auto result = m_pools.poolFor(address).call({"POST", "/fault", {}, compactJson(fault)},
-                                                      monotonic_clock::now() + CallWithin);
+                                                      monotonic_clock::now() + CallTimeout);
     if (!std::holds_alternative<http_response>(result))
         throw std::runtime_error("no answer from the stand-in at " + address);
 }
@@ -450,7 +451,7 @@
 std::string fleet::getText(const std::string &address, const std::string &target)
 {
     const auto result = m_pools.poolFor(address).call({"GET", target, {}, {}},
-                                                      monotonic_clock::now() + CallWithin);
+                                                      monotonic_clock::now() + CallTimeout);
     const auto *response = std::get_if<http_response>(&result);
     if (response == nullptr)
         throw std::runtime_error("no answer from " + address + target);
@@ -466,7 +467,7 @@
 {
     const auto result = m_pools.poolFor(platformAddress())
                                 .call({"PUT", "/objects/folder/" + name, {}, prettyJson(content)},
-                                      monotonic_clock::now() + CallWithin);
+                                      monotonic_clock::now() + CallTimeout);
     if (!std::holds_alternative<http_response>(result))
         throw std::runtime_error("the platform took no file");
 }
@@ -475,7 +476,7 @@
 {
     const auto result = m_pools.poolFor(platformAddress())
                                 .call({"DELETE", "/objects/folder/" + name, {}, {}},
-                                      monotonic_clock::now() + CallWithin);
+                                      monotonic_clock::now() + CallTimeout);
     if (!std::holds_alternative<http_response>(result))
         throw std::runtime_error("the platform removed no file");
 }
@@ -486,7 +487,7 @@
     auto &pool = m_pools.poolFor(entryRpcAddress(entryIndex));
     const auto transport = [&](const std::string &text) {
         const auto result =
-                pool.call({"POST", "/rpc", {}, text}, monotonic_clock::now() + CallWithin);
+                pool.call({"POST", "/rpc", {}, text}, monotonic_clock::now() + CallTimeout);
         const auto *response = std::get_if<http_response>(&result);
         if (response == nullptr)
             throw std::runtime_error("no answer from entry " + std::to_string(entryIndex));
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -29,16 +29,16 @@
 
     void signal(int number) const;
     std::size_t peakMemoryBytes() const; // resident, since its start
-    pid_t id() const { return m_pid; }
-    bool running();                       // reaps it when it has ended
-    int waitForExit(milliseconds atMost); // exit code; -1 when still running then
+    pid_t processId() const { return m_pid; }
+    bool isRunning();                      // reaps it when it has ended
+    int waitForExit(milliseconds timeout); // exit code; -1 when still running then
     const std::string &outFile() const { return m_outFile; }
     const std::string &errorFile() const { return m_errorFile; }
 
 private:
     pid_t m_pid = -1;
     int m_status = 0;
-    bool m_ended = false;
+    bool m_hasExited = false;
     std::string m_outFile;
     std::string m_errorFile;
 };
@@ -50,8 +50,8 @@
     std::string output;
     std::string errors;
 };
-command_result runCommand(const std::vector<std::string> &command, const std::string &scratch,
-                          milliseconds atMost = seconds(20));
+command_result runCommand(const std::vector<std::string> &command, const std::string &scratchFolder,
+                          milliseconds timeout = seconds(20));
 
 // What a link is laid between, in the direction in which connections are made.
 struct link_ends
@@ -72,7 +72,7 @@
     std::int64_t millicores = 16'000;    // of each worker
     std::int64_t bytes = 60'000'000'000; // of each worker
     int upstreamWorkMs = 5;              // time of one request at the upstream
-    bool disturbing = false; // an instance's tasks slow its upstream (worker's fault "noise")
+    bool hasInterference = false; // an instance's tasks slow its upstream (worker's fault "noise")
     Json::Value entrySettings{Json::objectValue}; // merged over the defaults
     Json::Value agentSettings{Json::objectValue}; // merged over the defaults
     // An agent announces one address, so that the link to it is shared: {"entries", "agent-2"}.
@@ -97,7 +97,7 @@
     void startEntry(unsigned index);
     void startAgent(unsigned index);
     // A second agent of the same id for the same upstream and worker, at another port.
-    std::unique_ptr<child_process> startTwinAgent(unsigned index) const;
+    std::unique_ptr<child_process> startDuplicateAgent(unsigned index) const;
     void waitForEntry(unsigned index); // until it is ready to serve; throws with its log
 
     std::unique_ptr<child_process> &platform() { return m_platform; }
@@ -116,7 +116,7 @@
     link &linkBetween(const std::string &from, const std::string &to);
 
     const fleet_options &options() const { return m_options; }
-    const std::string &scratch() const { return m_scratch; }
+    const std::string &scratchFolder() const { return m_scratchFolder; }
     std::string workerId(unsigned index) const;
 
     // Calls a stand-in's fault route. Throws when it does not answer.
@@ -136,16 +136,16 @@
     std::string address(int port) const;
     std::string addressOf(const std::string &process) const;
     // The link's address where one is laid, else the process's own.
-    std::string addressFor(const std::string &from, const std::string &to) const;
-    void layLinks();
+    std::string linkedAddress(const std::string &from, const std::string &to) const;
+    void createLinks();
     Json::Value agentSettings(unsigned index) const;
     std::string writeSettings(const std::string &name, const Json::Value &settings) const;
     std::unique_ptr<child_process> start(const std::string &name,
                                          const std::vector<std::string> &command) const;
 
     fleet_options m_options;
-    std::string m_host;
-    std::string m_scratch;
+    std::string m_loopbackAddress;
+    std::string m_scratchFolder;
     http_pools m_pools;
     std::map<link_ends, std::unique_ptr<link>> m_links; // outlive the processes
     std::unique_ptr<child_process> m_platform;
@@ -158,17 +158,17 @@
 
 // Polls `holds` every 10 ms; false when it did not hold within `atMost`.
 template <typename Condition>
-bool waitUntil(Condition holds, milliseconds atMost);
+bool waitUntil(Condition condition, milliseconds timeout);
 
 } // namespace zinniabarrow::standins
 
 #include <thread>
 
 template <typename Condition>
-bool zinniabarrow::standins::waitUntil(Condition holds, milliseconds atMost)
+bool zinniabarrow::standins::waitUntil(Condition condition, milliseconds timeout)
 {
-    const auto giveUpAt = monotonic_clock::now() + atMost;
-    while (!holds()) {
+    const auto giveUpAt = monotonic_clock::now() + timeout;
+    while (!condition()) {
         if (monotonic_clock::now() > giveUpAt)
             return false;
         std::this_thread::sleep_for(milliseconds(10));
--- a/standins/idle.cpp
+++ b/standins/idle.cpp
@@ -80,7 +80,7 @@
     return {clockTicks(process), wakeupsOf(process), controlBytes(pools, address)};
 }
 
-process_cost between(const process_cost &before, const process_cost &after)
+process_cost costDifference(const process_cost &before, const process_cost &after)
 {
     process_cost cost{after.ticks - before.ticks, after.wakeups - before.wakeups, after.bytes};
     for (const auto &[kind, bytes] : before.bytes)
@@ -88,7 +88,7 @@
     return cost;
 }
 
-double allBytes(const process_cost &cost)
+double totalBytes(const process_cost &cost)
 {
     double sum = 0;
     for (const auto &[kind, bytes] : cost.bytes)
@@ -96,64 +96,65 @@
     return sum;
 }
 
-void printRole(const std::string &role, const std::vector<process_cost> &costs, double watched)
+void printRole(const std::string &role, const std::vector<process_cost> &costs, double observedTime)
 {
     process_cost sum;
-    double mostTicks = 0;
-    double mostBytes = 0;
+    double maxTicks = 0;
+    double maxBytes = 0;
     for (const auto &cost : costs) {
         sum.ticks += cost.ticks;
         sum.wakeups += cost.wakeups;
         for (const auto &[kind, bytes] : cost.bytes)
             sum.bytes[kind] += bytes;
-        mostTicks = std::max(mostTicks, cost.ticks);
-        mostBytes = std::max(mostBytes, allBytes(cost));
+        maxTicks = std::max(maxTicks, cost.ticks);
+        maxBytes = std::max(maxBytes, totalBytes(cost));
     }
-    const double each = watched * static_cast<double>(costs.size());
-    const auto ticksASecond = static_cast<double>(sysconf(_SC_CLK_TCK));
+    const double processSeconds = observedTime * static_cast<double>(costs.size());
+    const auto ticksPerSecond = static_cast<double>(sysconf(_SC_CLK_TCK));
     constexpr double Percent = 100;
     fmt::print("\n{:<48}{:>10}{:>10}\n", role, "mean", "busiest");
     fmt::print("{:<48}{:>10.2f}{:>10.2f}\n", "processor, % of a core",
-               Percent * sum.ticks / ticksASecond / each,
-               Percent * mostTicks / ticksASecond / watched);
-    fmt::print("{:<48}{:>10.0f}\n", "wake-ups a second", sum.wakeups / each);
-    fmt::print("{:<48}{:>10.0f}{:>10.0f}\n", "control, B/s", allBytes(sum) / each,
-               mostBytes / watched);
+               Percent * sum.ticks / ticksPerSecond / processSeconds,
+               Percent * maxTicks / ticksPerSecond / observedTime);
+    fmt::print("{:<48}{:>10.0f}\n", "wake-ups a second", sum.wakeups / processSeconds);
+    fmt::print("{:<48}{:>10.0f}{:>10.0f}\n", "control, B/s", totalBytes(sum) / processSeconds,
+               maxBytes / observedTime);
     for (const auto &[kind, bytes] : sum.bytes)
-        fmt::print("  {:<46}{:>10.0f}\n", kind, bytes / each);
+        fmt::print("  {:<46}{:>10.0f}\n", kind, bytes / processSeconds);
 }
 
 } // namespace
 
-void printIdleCost(fleet &system, seconds watched)
+void printIdleCost(fleet &system, seconds observedTime)
 {
     http_pools pools;
     const auto entries = [&] {
         std::vector<process_cost> costs;
         for (unsigned index = 0; index < system.options().entries; ++index)
             costs.push_back(
-                    costOf(pools, system.entry(index)->id(), system.entryRpcAddress(index)));
+                    costOf(pools, system.entry(index)->processId(), system.entryRpcAddress(index)));
         return costs;
     };
     const auto agents = [&] {
         std::vector<process_cost> costs;
         for (unsigned index = 0; index < system.options().workers; ++index)
-            costs.push_back(costOf(pools, system.agent(index)->id(), system.agentAddress(index)));
+            costs.push_back(
+                    costOf(pools, system.agent(index)->processId(), system.agentAddress(index)));
         return costs;
     };
     const auto startedAt = monotonic_clock::now();
     const auto entriesBefore = entries();
     const auto agentsBefore = agents();
-    std::this_thread::sleep_for(watched);
+    std::this_thread::sleep_for(observedTime);
     auto entriesAfter = entries();
     auto agentsAfter = agents();
-    const std::chrono::duration<double> took = monotonic_clock::now() - startedAt;
+    const std::chrono::duration<double> elapsed = monotonic_clock::now() - startedAt;
     for (std::size_t index = 0; index < entriesAfter.size(); ++index)
-        entriesAfter[index] = between(entriesBefore[index], entriesAfter[index]);
+        entriesAfter[index] = costDifference(entriesBefore[index], entriesAfter[index]);
     for (std::size_t index = 0; index < agentsAfter.size(); ++index)
-        agentsAfter[index] = between(agentsBefore[index], agentsAfter[index]);
-    printRole("an entry", entriesAfter, took.count());
-    printRole("an agent", agentsAfter, took.count());
+        agentsAfter[index] = costDifference(agentsBefore[index], agentsAfter[index]);
+    printRole("an entry", entriesAfter, elapsed.count());
+    printRole("an agent", agentsAfter, elapsed.count());
 }
 
 } // namespace zinniabarrow::standins
--- a/standins/idle.h
+++ b/standins/idle.h
@@ -8,6 +8,6 @@
 namespace zinniabarrow::standins {
 
 // Watches `system` for `watched` and prints a table by role: the mean process and the busiest one.
-void printIdleCost(fleet &system, seconds watched);
+void printIdleCost(fleet &system, seconds observedTime);
 
 } // namespace zinniabarrow::standins
--- a/standins/job_platform.cpp
+++ b/standins/job_platform.cpp
@@ -24,7 +24,7 @@
 using net::responder;
 using net::suspendAwareNow;
 
-http_response json(int status, const Json::Value &value)
+http_response jsonResponse(int status, const Json::Value &value)
 {
     return {status, {}, compactJson(value)};
 }
@@ -35,22 +35,22 @@
 }
 
 // What all workers have seen together; a lock, since tests read it from their own thread.
-struct site_record
+struct run_history
 {
     mutable std::mutex mutex;
-    int starts = 0;
-    int done = 0;
-    std::map<std::string, std::string> runningAt; // task to worker
-    std::set<std::string> ended;                  // tasks that were done
+    int startedRuns = 0;
+    int doneRuns = 0;
+    std::map<std::string, std::string> workerByTask; // task to worker
+    std::set<std::string> doneTasks;                 // tasks that were done
     std::vector<std::string> violations;
-    std::map<std::string, std::int64_t> leaseEpochs;
-    std::set<std::string> cancels; // jobs that agents read as cancelled
+    std::map<std::string, std::int64_t> epochByLease;
+    std::set<std::string> cancelledJobs; // jobs that agents read as cancelled
 };
 
 // Longer than an agent needs to find its worker gone.
-constexpr milliseconds HoldLeaseAnswers{800};
+constexpr milliseconds LeaseAnswerDelay{800};
 
-std::string nameOfWorker(std::size_t index)
+std::string workerName(std::size_t index)
 {
     return "i-" + std::to_string(index);
 }
@@ -60,7 +60,7 @@
 public:
     http_response serve(const http_request &request, bool &loseAnswer)
     {
-        if (m_turnAway)
+        if (m_isUnavailable)
             return {503, {}, ""};
         if (request.path() == "/-/rows-tx")
             return commit(parseJson(request.body), loseAnswer);
@@ -69,12 +69,12 @@
         return feed(request);
     }
 
-    void loseAnswers(int writes) { m_loseAnswers = writes; }
-    void turnAway(bool all) { m_turnAway = all; }
-    bool feedIsDue(const http_request &request) const { return !changes(request).empty(); }
+    void setLostAnswers(int writeCount) { m_answersToLose = writeCount; }
+    void setUnavailable(bool isUnavailable) { m_isUnavailable = isUnavailable; }
+    bool hasChangesFor(const http_request &request) const { return !changes(request).empty(); }
 
 private:
-    static std::string nameOf(const Json::Value &row)
+    static std::string rowKeyOf(const Json::Value &row)
     {
         return row["table"].asString() + "|" + row["part"].asString() + "|" + row["key"].asString();
     }
@@ -83,33 +83,33 @@
     {
         Json::Value answer(Json::objectValue);
         answer["rows"] = Json::Value(Json::arrayValue);
-        bool holds = true;
+        bool isExpected = true;
         for (const auto &expected : body["expected-rev"]) {
-            const auto found = m_rows.find(nameOf(expected));
+            const auto found = m_rows.find(rowKeyOf(expected));
             const auto version = found == m_rows.end() ? 0 : found->second["ver"].asInt64();
-            holds = holds && version == expected["ver"].asInt64();
+            isExpected = isExpected && version == expected["ver"].asInt64();
             if (found != m_rows.end())
                 answer["rows"].append(found->second);
         }
-        if (!holds)
-            return json(412, answer);
+        if (!isExpected)
+            return jsonResponse(412, answer);
         ++m_version;
         for (auto row : body["set-keys"]) {
             row["ver"] = Json::Int64(m_version);
-            m_rows[nameOf(row)] = row;
-            m_removed.erase(nameOf(row));
+            m_rows[rowKeyOf(row)] = row;
+            m_removedRows.erase(rowKeyOf(row));
         }
         for (auto row : body["remove"]) {
             row["ver"] = Json::Int64(m_version);
             row["removed"] = true;
-            m_rows.erase(nameOf(row));
-            m_removed[nameOf(row)] = row;
+            m_rows.erase(rowKeyOf(row));
+            m_removedRows[rowKeyOf(row)] = row;
         }
-        loseAnswer = m_loseAnswers > 0 && m_loseAnswers-- > 0;
-        return json(200, versioned());
+        loseAnswer = m_answersToLose > 0 && m_answersToLose-- > 0;
+        return jsonResponse(200, makeVersionedAnswer());
     }
 
-    Json::Value versioned() const
+    Json::Value makeVersionedAnswer() const
     {
         Json::Value value(Json::objectValue);
         value["ver"] = Json::Int64(m_version);
@@ -119,7 +119,7 @@
 
     http_response read(const http_request &request) const
     {
-        auto answer = versioned();
+        auto answer = makeVersionedAnswer();
         answer["rows"] = Json::Value(Json::arrayValue);
         answer["more-pages"] = false;
         const auto prefix = request.query("table") + "|" + request.query("part") + "|";
@@ -133,14 +133,14 @@
             if (to.empty() || key < to)
                 answer["rows"].append(row);
         }
-        return json(200, answer);
+        return jsonResponse(200, answer);
     }
 
     http_response feed(const http_request &request) const
     {
-        auto answer = versioned();
+        auto answer = makeVersionedAnswer();
         answer["rows"] = changes(request);
-        return json(200, answer);
+        return jsonResponse(200, answer);
     }
 
     Json::Value changes(const http_request &request) const
@@ -148,8 +148,8 @@
         const auto prefix = request.query("table") + "|";
         const auto after = std::stoll(request.query("after"));
         Json::Value rows(Json::arrayValue);
-        for (const auto *kept : {&m_rows, &m_removed}) {
-            for (const auto &[name, row] : *kept) {
+        for (const auto *rowsByKey : {&m_rows, &m_removedRows}) {
+            for (const auto &[name, row] : *rowsByKey) {
                 if (name.starts_with(prefix) && row["ver"].asInt64() > after)
                     rows.append(row);
             }
@@ -158,163 +158,164 @@
     }
 
     std::map<std::string, Json::Value> m_rows;
-    std::map<std::string, Json::Value> m_removed; // the feed tells them
+    std::map<std::string, Json::Value> m_removedRows; // the feed tells them
     std::int64_t m_version = 1;
-    int m_loseAnswers = 0;
-    bool m_turnAway = false;
+    int m_answersToLose = 0;
+    bool m_isUnavailable = false;
 };
 
 class worker_standin
 {
 public:
-    worker_standin(std::string id, std::int64_t millicores, site_record &record)
+    worker_standin(std::string id, std::int64_t millicores, run_history &record)
         : m_id(std::move(id))
         , m_millicores(millicores)
-        , m_record(record)
+        , m_history(record)
     { }
 
-    http_response serve(const http_request &request, milliseconds work)
+    http_response serve(const http_request &request, milliseconds taskTime)
     {
-        expire();
+        endDueRuns();
         const auto body = parseJson(request.body);
         if (body["fence"].asInt64() < m_fence)
-            return refusal("fence");
+            return refuse("fence");
         m_fence = body["fence"].asInt64();
         if (body.isMember("deadline-ms"))
-            m_heldUntil = std::max(m_heldUntil, body["deadline-ms"].asInt64());
+            m_leaseEndMs = std::max(m_leaseEndMs, body["deadline-ms"].asInt64());
         if (request.path() == "/-/run-start")
-            return start(body, work);
+            return start(body, taskTime);
         if (request.path() == "/-/run-stop")
             return stop(body);
-        return look(body["last-seen"].asInt64());
+        return makeListing(body["last-seen"].asInt64());
     }
 
     // Runs whose work is over, and all of them once the lease is.
-    void expire()
+    void endDueRuns()
     {
-        const auto running = m_running;
+        const auto running = m_runsByTask;
         for (const auto &[task, state] : running) {
-            if (state.endsAt <= clockMs())
+            if (state.workEndsAtMs <= clockMs())
                 end(task, "done");
-            else if (m_heldUntil < clockMs())
+            else if (m_leaseEndMs < clockMs())
                 end(task, "lapsed");
         }
     }
 
     // Its process is gone, and all that ran in it.
-    void depart()
+    void terminate()
     {
-        gone = true;
-        m_running.clear();
-        const std::lock_guard lock(m_record.mutex);
-        std::erase_if(m_record.runningAt, [&](const auto &at) { return at.second == m_id; });
+        isTerminated = true;
+        m_runsByTask.clear();
+        const std::lock_guard lock(m_history.mutex);
+        std::erase_if(m_history.workerByTask, [&](const auto &at) { return at.second == m_id; });
     }
 
-    void comeBack()
+    void restart()
     {
-        gone = false;
-        tellsBirth = false;
-        m_born = clockMs();
+        isTerminated = false;
+        announcesStart = false;
+        m_startTimeMs = clockMs();
         m_fence = 0;
-        m_heldUntil = 0;
+        m_leaseEndMs = 0;
     }
 
-    bool silent = false;
-    bool gone = false;
-    bool tellsBirth = true; // in its announcements
+    bool isUnresponsive = false;
+    bool isTerminated = false;
+    bool announcesStart = true; // in its announcements
     std::string id() const { return m_id; }
-    std::int64_t born() const { return m_born; }
+    std::int64_t startTimeMs() const { return m_startTimeMs; }
     std::int64_t millicores() const { return m_millicores; }
 
 private:
     struct run
     {
         int number = 0;
-        std::int64_t endsAt = 0;
+        std::int64_t workEndsAtMs = 0;
     };
 
-    static Json::Value clocked()
+    static Json::Value makeClockAnswer()
     {
         Json::Value value(Json::objectValue);
         value["clock-ms"] = Json::Int64(clockMs());
         return value;
     }
 
-    static http_response refusal(const char *reason)
+    static http_response refuse(const char *reason)
     {
-        auto value = clocked();
+        auto value = makeClockAnswer();
         value["reason"] = reason;
-        return json(409, value);
+        return jsonResponse(409, value);
     }
 
-    http_response start(const Json::Value &body, milliseconds work)
+    http_response start(const Json::Value &body, milliseconds taskTime)
     {
         const auto task = body["task"].asString();
         const auto number = body["run"].asInt();
         if (body["deadline-ms"].asInt64() < clockMs())
-            return refusal("late");
-        const auto known = m_running.find(task);
-        if (known != m_running.end() && known->second.number == number)
-            return json(200, clocked());
-        if (number <= m_highest[task])
-            return refusal("old");
-        note(task);
-        m_running[task] = {number, clockMs() + work.count()};
-        return json(200, clocked());
+            return refuse("late");
+        const auto known = m_runsByTask.find(task);
+        if (known != m_runsByTask.end() && known->second.number == number)
+            return jsonResponse(200, makeClockAnswer());
+        if (number <= m_highestRunByTask[task])
+            return refuse("old");
+        recordStart(task);
+        m_runsByTask[task] = {number, clockMs() + taskTime.count()};
+        return jsonResponse(200, makeClockAnswer());
     }
 
-    void note(const std::string &task)
+    void recordStart(const std::string &task)
     {
-        const std::lock_guard lock(m_record.mutex);
-        ++m_record.starts;
-        const auto elsewhere = m_record.runningAt.find(task);
-        if (elsewhere != m_record.runningAt.end())
-            m_record.violations.push_back(
+        const std::lock_guard lock(m_history.mutex);
+        ++m_history.startedRuns;
+        const auto elsewhere = m_history.workerByTask.find(task);
+        if (elsewhere != m_history.workerByTask.end())
+            m_history.violations.push_back(
                     fmt::format("{} starts on {} and runs on {}", task, m_id, elsewhere->second));
-        if (m_record.ended.contains(task))
-            m_record.violations.push_back(task + " starts again after it was done");
-        if (static_cast<std::int64_t>(m_running.size() + 1) * 1000 > m_millicores)
-            m_record.violations.push_back(m_id + " is given more than it holds");
-        m_record.runningAt[task] = m_id;
+        if (m_history.doneTasks.contains(task))
+            m_history.violations.push_back(task + " starts again after it was done");
+        if (static_cast<std::int64_t>(m_runsByTask.size() + 1) * 1000 > m_millicores)
+            m_history.violations.push_back(m_id + " is given more than it holds");
+        m_history.workerByTask[task] = m_id;
     }
 
     http_response stop(const Json::Value &body)
     {
         const auto task = body["task"].asString();
-        if (m_running.contains(task))
+        if (m_runsByTask.contains(task))
             end(task, "stopped");
-        m_highest[task] = std::max(m_highest[task], body["run"].asInt());
-        return json(200, clocked());
+        m_highestRunByTask[task] = std::max(m_highestRunByTask[task], body["run"].asInt());
+        return jsonResponse(200, makeClockAnswer());
     }
 
-    void end(const std::string &task, const char *how)
+    void end(const std::string &task, const char *endKind)
     {
-        const auto number = m_running.at(task).number;
-        m_running.erase(task);
-        m_highest[task] = std::max(m_highest[task], number);
+        const auto number = m_runsByTask.at(task).number;
+        m_runsByTask.erase(task);
+        m_highestRunByTask[task] = std::max(m_highestRunByTask[task], number);
         Json::Value row(Json::arrayValue);
-        row.append(++m_ends);
+        row.append(++m_lastEndId);
         row.append(task);
         row.append(number);
-        row.append(how);
+        row.append(endKind);
         row.append("");
-        m_ended.push_back(row);
-        const std::lock_guard lock(m_record.mutex);
-        m_record.runningAt.erase(task);
-        if (std::string_view(how) != "done")
+        m_unacknowledgedEnds.push_back(row);
+        const std::lock_guard lock(m_history.mutex);
+        m_history.workerByTask.erase(task);
+        if (std::string_view(endKind) != "done")
             return;
-        ++m_record.done;
-        m_record.ended.insert(task);
+        ++m_history.doneRuns;
+        m_history.doneTasks.insert(task);
     }
 
-    http_response look(std::int64_t lastSeen)
+    http_response makeListing(std::int64_t lastSeen)
     {
-        std::erase_if(m_ended, [&](const auto &row) { return row[0].asInt64() <= lastSeen; });
-        auto value = clocked();
-        value["born"] = Json::Int64(m_born);
+        std::erase_if(m_unacknowledgedEnds,
+                      [&](const auto &row) { return row[0].asInt64() <= lastSeen; });
+        auto value = makeClockAnswer();
+        value["born"] = Json::Int64(m_startTimeMs);
         value["running"] = Json::Value(Json::arrayValue);
         value["ended"] = Json::Value(Json::arrayValue);
-        for (const auto &[task, state] : m_running) {
+        for (const auto &[task, state] : m_runsByTask) {
             Json::Value row(Json::arrayValue);
             row.append(task);
             row.append(state.number);
@@ -323,54 +324,54 @@
             row.append(0);
             value["running"].append(row);
         }
-        for (const auto &row : m_ended)
+        for (const auto &row : m_unacknowledgedEnds)
             value["ended"].append(row);
-        return json(200, value);
+        return jsonResponse(200, value);
     }
 
     std::string m_id;
     std::int64_t m_millicores;
-    site_record &m_record;
-    std::int64_t m_born = clockMs();
+    run_history &m_history;
+    std::int64_t m_startTimeMs = clockMs();
     std::int64_t m_fence = 0;
-    std::int64_t m_heldUntil = 0;
-    std::map<std::string, run> m_running;
-    std::map<std::string, int> m_highest;
-    std::vector<Json::Value> m_ended;
-    int m_ends = 0;
+    std::int64_t m_leaseEndMs = 0;
+    std::map<std::string, run> m_runsByTask;
+    std::map<std::string, int> m_highestRunByTask;
+    std::vector<Json::Value> m_unacknowledgedEnds;
+    int m_lastEndId = 0;
 };
 
 } // namespace
 
-struct job_site::impl
+struct job_platform::impl
 {
-    explicit impl(const job_site_options &options)
-        : work(options.work)
+    explicit impl(const job_platform_options &options)
+        : taskTime(options.taskTime)
         , caller(loop)
     {
         listeners.push_back(std::make_unique<net::http_listener>(
                 loop, options.store, net::listener_limits{},
-                [this](const http_request &request, responder respond) {
-                    serveStore(request, std::move(respond), 20);
+                [this](const http_request &request, responder reply) {
+                    serveStore(request, std::move(reply), 20);
                 }));
         for (std::size_t index = 0; index < options.workers.size(); ++index) {
-            workers.push_back(std::make_unique<worker_standin>(nameOfWorker(index),
-                                                               options.millicores, record));
-            auto *worker = workers.back().get();
-            addresses.push_back(options.workers[index]);
-            listeners.push_back(listenFor(index));
-            const auto agent = toText(options.agents[index]);
+            workerStandins.push_back(std::make_unique<worker_standin>(workerName(index),
+                                                                      options.millicores, history));
+            auto *worker = workerStandins.back().get();
+            workerAddresses.push_back(options.workers[index]);
+            listeners.push_back(makeListener(index));
+            const auto agent = toText(options.agentAddresses[index]);
             loop.runEvery(milliseconds(200), [this, worker, agent] {
-                worker->expire();
-                if (!worker->silent && !worker->gone)
+                worker->endDueRuns();
+                if (!worker->isUnresponsive && !worker->isTerminated)
                     announce(*worker, agent);
             });
-            agents.push_back(agent);
+            agentTargets.push_back(agent);
         }
         thread = std::thread([this] {
             loop.run([this](const std::exception &problem) {
-                const std::lock_guard lock(record.mutex);
-                record.violations.emplace_back(problem.what());
+                const std::lock_guard lock(history.mutex);
+                history.violations.emplace_back(problem.what());
             });
         });
     }
@@ -381,50 +382,50 @@
         thread.join();
     }
 
-    std::unique_ptr<net::http_listener> listenFor(std::size_t index)
+    std::unique_ptr<net::http_listener> makeListener(std::size_t index)
     {
-        auto *worker = workers.at(index).get();
+        auto *worker = workerStandins.at(index).get();
         return std::make_unique<net::http_listener>(
-                loop, addresses.at(index), net::listener_limits{},
-                [this, worker](const http_request &request, const responder &respond) {
-                    if (!worker->silent && !worker->gone)
-                        respond(worker->serve(request, work));
+                loop, workerAddresses.at(index), net::listener_limits{},
+                [this, worker](const http_request &request, const responder &reply) {
+                    if (!worker->isUnresponsive && !worker->isTerminated)
+                        reply(worker->serve(request, taskTime));
                 });
     }
 
     // A feed waits for a change, in steps of 50 ms.
-    void serveStore(const http_request &request, responder respond, int stepsLeft)
+    void serveStore(const http_request &request, responder reply, int retriesLeft)
     {
-        const bool waits =
-                request.path() == "/-/rows-feed" && stepsLeft > 0 && !store.feedIsDue(request);
-        if (waits) {
-            loop.runAfter(milliseconds(50), [this, request, respond, stepsLeft] {
-                serveStore(request, respond, stepsLeft - 1);
+        const bool shouldWait = request.path() == "/-/rows-feed" && retriesLeft > 0
+                                && !store.hasChangesFor(request);
+        if (shouldWait) {
+            loop.runAfter(milliseconds(50), [this, request, reply, retriesLeft] {
+                serveStore(request, reply, retriesLeft - 1);
             });
             return;
         }
         bool loseAnswer = false;
         auto answer = store.serve(request, loseAnswer);
-        const auto lease = leaseIn(request);
+        const auto lease = leaseWrittenBy(request);
         if (lease && answer.status == 200)
-            noteLease(*lease);
+            recordLease(*lease);
         if (request.path() == "/-/rows-tx" && answer.status == 200)
-            noteCancels(request);
-        if (lease && lease->key == departingLease) {
-            departingLease.clear();
-            heldLease = lease->key;
-            heldUntil = suspendAwareNow() + HoldLeaseAnswers;
-            depart(departing);
+            recordCancels(request);
+        if (lease && lease->key == triggerLease) {
+            triggerLease.clear();
+            delayedLease = lease->key;
+            delayedUntil = suspendAwareNow() + LeaseAnswerDelay;
+            terminateWorker(workerToTerminate);
         }
         if (loseAnswer)
             return;
         const auto now = suspendAwareNow();
-        if (lease && lease->key == heldLease && now < heldUntil) {
-            loop.runAfter(heldUntil - now, [respond = std::move(respond),
-                                            answer = std::move(answer)] { respond(answer); });
+        if (lease && lease->key == delayedLease && now < delayedUntil) {
+            loop.runAfter(delayedUntil - now, [reply = std::move(reply),
+                                               answer = std::move(answer)] { reply(answer); });
             return;
         }
-        respond(std::move(answer));
+        reply(std::move(answer));
     }
 
     // The row of a lease that a call writes.
@@ -434,7 +435,7 @@
         std::int64_t epoch = 0;
     };
 
-    static std::optional<written_lease> leaseIn(const http_request &request)
+    static std::optional<written_lease> leaseWrittenBy(const http_request &request)
     {
         if (request.path() != "/-/rows-tx")
             return std::nullopt;
@@ -442,55 +443,56 @@
         rows["rows"] = parseJson(request.body)["set-keys"];
         rows["more-pages"] = false;
         rows["ver"] = 0;
-        const auto page = platform_wire::rowsResult(json(200, rows));
+        const auto page = platform_wire::parseRowsResult(jsonResponse(200, rows));
         if (!page || page->rows.empty() || page->rows.front().name.table != LeasesTable)
             return std::nullopt;
         const auto &lease = page->rows.front();
         return written_lease{lease.name.key, jobs::leaseFrom(lease.value).epoch};
     }
 
-    void noteLease(const written_lease &lease)
+    void recordLease(const written_lease &lease)
     {
-        const std::lock_guard lock(record.mutex);
-        record.leaseEpochs[lease.key] = lease.epoch;
+        const std::lock_guard lock(history.mutex);
+        history.epochByLease[lease.key] = lease.epoch;
     }
 
-    void noteCancels(const http_request &request)
+    void recordCancels(const http_request &request)
     {
         const auto body = parseJson(request.body);
-        const std::lock_guard lock(record.mutex);
+        const std::lock_guard lock(history.mutex);
         for (const auto &row : body["set-keys"]) {
             if (row["table"].asString() == CancelsTable)
-                record.cancels.insert(row["key"].asString());
+                history.cancelledJobs.insert(row["key"].asString());
         }
     }
 
-    void depart(std::size_t index)
+    void terminateWorker(std::size_t index)
     {
-        auto &worker = *workers.at(index);
-        worker.depart();
+        auto &worker = *workerStandins.at(index);
+        worker.terminate();
         listeners.at(1 + index).reset();
         http_request request;
         request.method = "POST";
         request.target = "/-/instances/" + worker.id() + "/deregister";
         request.body = "{}";
-        caller.call(agents.at(index), std::move(request), milliseconds(500),
+        caller.call(agentTargets.at(index), std::move(request), milliseconds(500),
                     [](const call_result & /*an agent that is down looks for itself*/) {});
     }
 
     // It has gone, and its last announcement comes in after its departure.
-    void departOvertaken(std::size_t index)
+    void terminateBeforeAnnouncement(std::size_t index)
     {
-        depart(index);
-        loop.runAfter(milliseconds(50),
-                      [this, index] { announce(*workers.at(index), agents.at(index)); });
+        terminateWorker(index);
+        loop.runAfter(milliseconds(50), [this, index] {
+            announce(*workerStandins.at(index), agentTargets.at(index));
+        });
     }
 
-    void comeBack(std::size_t index)
+    void restartWorker(std::size_t index)
     {
-        workers.at(index)->comeBack();
-        announced.erase(workers.at(index)->id());
-        listeners.at(1 + index) = listenFor(index);
+        workerStandins.at(index)->restart();
+        announcementCounts.erase(workerStandins.at(index)->id());
+        listeners.at(1 + index) = makeListener(index);
     }
 
     void announce(const worker_standin &worker, const std::string &agent)
@@ -500,9 +502,9 @@
         body["address"] = "127.0.0.1:1";
         body["zone"] = "kartli-a";
         body["state"] = "ready";
-        if (worker.tellsBirth)
-            body["born"] = Json::Int64(worker.born());
-        body["seq"] = ++announced[worker.id()];
+        if (worker.announcesStart)
+            body["born"] = Json::Int64(worker.startTimeMs());
+        body["seq"] = ++announcementCounts[worker.id()];
         body["capacity"]["cpu"] = Json::Int64(worker.millicores());
         body["capacity"]["mem-mb"] = 64'000;
         body["labels"].append("a");
@@ -516,119 +518,119 @@
     }
 
     net::event_loop loop;
-    milliseconds work;
+    milliseconds taskTime;
     net::http_caller caller;
-    site_record record;
+    run_history history;
     store_standin store;
-    std::vector<std::unique_ptr<worker_standin>> workers;
+    std::vector<std::unique_ptr<worker_standin>> workerStandins;
     std::vector<std::unique_ptr<net::http_listener>> listeners;
-    std::vector<socket_address> addresses; // where each worker listens
-    std::vector<std::string> agents;       // where each worker announces itself
-    std::map<std::string, int> announced;  // times, by worker, in its present life
-    std::size_t departing = 0;             // worker that goes
-    std::string departingLease;            // when this lease is written next; empty: none does
-    std::string heldLease;                 // answers to writes of it are held,
-    time_point heldUntil{};                // until then
+    std::vector<socket_address> workerAddresses;   // where each worker listens
+    std::vector<std::string> agentTargets;         // where each worker announces itself
+    std::map<std::string, int> announcementCounts; // times, by worker, in its present life
+    std::size_t workerToTerminate = 0;             // worker that goes
+    std::string triggerLease;  // when this lease is written next; empty: none does
+    std::string delayedLease;  // answers to writes of it are held,
+    time_point delayedUntil{}; // until then
     std::thread thread;
 };
 
-job_site::job_site(const job_site_options &options)
+job_platform::job_platform(const job_platform_options &options)
     : m_impl(std::make_unique<impl>(options))
 { }
 
-job_site::~job_site() = default;
+job_platform::~job_platform() = default;
 
-void job_site::loseAnswers(int writes)
+void job_platform::loseWriteAnswers(int writeCount)
 {
-    m_impl->loop.post([this, writes] { m_impl->store.loseAnswers(writes); });
+    m_impl->loop.post([this, writeCount] { m_impl->store.setLostAnswers(writeCount); });
 }
 
-void job_site::turnAway(bool all)
+void job_platform::setStoreUnavailable(bool isUnavailable)
 {
-    m_impl->loop.post([this, all] { m_impl->store.turnAway(all); });
+    m_impl->loop.post([this, isUnavailable] { m_impl->store.setUnavailable(isUnavailable); });
 }
 
-void job_site::silence(std::size_t worker)
+void job_platform::makeUnresponsive(std::size_t worker)
 {
-    m_impl->loop.post([this, worker] { m_impl->workers.at(worker)->silent = true; });
+    m_impl->loop.post([this, worker] { m_impl->workerStandins.at(worker)->isUnresponsive = true; });
 }
 
-void job_site::depart(std::size_t worker)
+void job_platform::terminateWorker(std::size_t worker)
 {
-    m_impl->loop.post([this, worker] { m_impl->depart(worker); });
+    m_impl->loop.post([this, worker] { m_impl->terminateWorker(worker); });
 }
 
-void job_site::comeBack(std::size_t worker)
+void job_platform::restartWorker(std::size_t worker)
 {
-    m_impl->loop.post([this, worker] { m_impl->comeBack(worker); });
+    m_impl->loop.post([this, worker] { m_impl->restartWorker(worker); });
 }
 
-void job_site::departOvertaken(std::size_t worker)
+void job_platform::terminateBeforeAnnouncement(std::size_t worker)
 {
-    m_impl->loop.post([this, worker] { m_impl->departOvertaken(worker); });
+    m_impl->loop.post([this, worker] { m_impl->terminateBeforeAnnouncement(worker); });
 }
 
-void job_site::departAtRenewal(std::size_t worker, const std::string &lease)
+void job_platform::terminateAtLeaseWrite(std::size_t worker, const std::string &lease)
 {
     m_impl->loop.post([this, worker, lease] {
-        m_impl->departing = worker;
-        m_impl->departingLease = lease;
+        m_impl->workerToTerminate = worker;
+        m_impl->triggerLease = lease;
     });
 }
 
-bool job_site::agentsReadCancelOf(const std::string &job) const
+bool job_platform::isCancelStored(const std::string &job) const
 {
-    const std::lock_guard lock(m_impl->record.mutex);
-    return m_impl->record.cancels.contains(job);
+    const std::lock_guard lock(m_impl->history.mutex);
+    return m_impl->history.cancelledJobs.contains(job);
 }
 
-std::int64_t job_site::leaseEpoch(const std::string &lease) const
+std::int64_t job_platform::leaseEpoch(const std::string &lease) const
 {
-    const std::lock_guard lock(m_impl->record.mutex);
-    const auto found = m_impl->record.leaseEpochs.find(lease);
-    return found == m_impl->record.leaseEpochs.end() ? 0 : found->second;
+    const std::lock_guard lock(m_impl->history.mutex);
+    const auto found = m_impl->history.epochByLease.find(lease);
+    return found == m_impl->history.epochByLease.end() ? 0 : found->second;
 }
 
-void job_site::workLasts(milliseconds work)
+void job_platform::setTaskTime(milliseconds taskTime)
 {
-    m_impl->loop.post([this, work] { m_impl->work = work; });
+    m_impl->loop.post([this, taskTime] { m_impl->taskTime = taskTime; });
 }
 
-int job_site::starts() const
+int job_platform::startCount() const
 {
-    const std::lock_guard lock(m_impl->record.mutex);
-    return m_impl->record.starts;
+    const std::lock_guard lock(m_impl->history.mutex);
+    return m_impl->history.startedRuns;
 }
 
-int job_site::runsOn(std::size_t worker) const
+int job_platform::countRunsOn(std::size_t worker) const
 {
-    const std::lock_guard lock(m_impl->record.mutex);
-    const auto &runs = m_impl->record.runningAt;
+    const std::lock_guard lock(m_impl->history.mutex);
+    const auto &runs = m_impl->history.workerByTask;
     return static_cast<int>(std::count_if(runs.begin(), runs.end(), [&](const auto &run) {
-        return run.second == nameOfWorker(worker);
+        return run.second == workerName(worker);
     }));
 }
 
-std::size_t job_site::busiestWorker() const
+std::size_t job_platform::busiestWorker() const
 {
     std::size_t busiest = 0;
-    for (std::size_t index = 0; index < m_impl->workers.size(); ++index) {
-        if (runsOn(index) > runsOn(busiest))
+    for (std::size_t index = 0; index < m_impl->workerStandins.size(); ++index) {
+        if (countRunsOn(index) > countRunsOn(busiest))
             busiest = index;
     }
     return busiest;
 }
 
-int job_site::done() const
+int job_platform::doneCount() const
 {
-    const std::lock_guard lock(m_impl->record.mutex);
-    return m_impl->record.done;
+    const std::lock_guard lock(m_impl->history.mutex);
+    return m_impl->history.doneRuns;
 }
 
-std::vector<std::string> job_site::violations() const
+std::vector<std::string> job_platform::violations() const
 {
-    const std::lock_guard lock(m_impl->record.mutex);
-    return m_impl->record.violations;
+    const std::lock_guard lock(m_impl->history.mutex);
+    return m_impl->history.violations;
 }
 
 } // namespace zinniabarrow::standins
