--- a/standins/link.cpp
+++ b/standins/link.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr int PollMilliseconds = 5;
-constexpr int Backlog = 256;
-constexpr std::size_t PieceBytes = 65'536;
+constexpr int PollTimeoutMs = 5;
+constexpr int ListenBacklog = 256;
+constexpr std::size_t ChunkBytes = 65'536;
 
 sockaddr_in socketAddressOf(const socket_address &address)
 {
@@ -32,9 +32,9 @@
     const int handle = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | flags, 0);
     if (handle < 0)
         throw std::runtime_error("link: no socket");
-    const int on = 1;
-    setsockopt(handle, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    setsockopt(handle, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    const int enabled = 1;
+    setsockopt(handle, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+    setsockopt(handle, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
     return handle;
 }
 
@@ -45,43 +45,43 @@
     , m_target(std::move(target))
 {
     openListener();
-    m_relay = std::thread([this] { run(); });
+    m_relayThread = std::thread([this] { run(); });
 }
 
 link::~link()
 {
-    m_stopping = true;
-    m_relay.join();
+    m_isStopping = true;
+    m_relayThread.join();
     closeListener();
     for (const auto &each : m_connections)
         closeConnection(each, true);
 }
 
-void link::set(link_state state, milliseconds delay)
+void link::setState(link_state state, milliseconds delay)
 {
-    m_delay = delay.count();
-    m_wanted = state;
-    while (m_applied != state)
+    m_delayMs = delay.count();
+    m_requestedState = state;
+    while (m_appliedState != state)
         std::this_thread::yield();
 }
 
 void link::run()
 {
-    while (!m_stopping) {
-        const auto state = m_wanted.load();
-        if (state != m_applied)
-            apply(state);
-        waitForSomething(state);
-        if (state == link_state::Silent || state == link_state::Cut)
+    while (!m_isStopping) {
+        const auto state = m_requestedState.load();
+        if (state != m_appliedState)
+            applyState(state);
+        waitForInput(state);
+        if (state == link_state::Blackholed || state == link_state::Cut)
             continue;
-        acceptOne();
+        acceptConnection();
         for (auto &each : m_connections)
-            move(each, state);
-        dropBroken();
+            relayBothWays(each, state);
+        removeBrokenConnections();
     }
 }
 
-void link::apply(link_state state)
+void link::applyState(link_state state)
 {
     if (state == link_state::Cut) {
         closeListener();
@@ -91,15 +91,16 @@
     } else if (m_listener < 0) {
         openListener();
     }
-    m_applied = state;
+    m_appliedState = state;
 }
 
 void link::openListener()
 {
     m_listener = newSocket(SOCK_NONBLOCK);
-    const auto where = socketAddressOf(m_listen);
-    if (bind(m_listener, reinterpret_cast<const sockaddr *>(&where), sizeof where) != 0
-        || listen(m_listener, Backlog) != 0)
+    const auto boundAddress = socketAddressOf(m_listen);
+    if (bind(m_listener, reinterpret_cast<const sockaddr *>(&boundAddress), sizeof boundAddress)
+                != 0
+        || listen(m_listener, ListenBacklog) != 0)
         throw std::runtime_error("link: cannot listen on " + toText(m_listen));
 }
 
@@ -111,91 +112,95 @@
 }
 
 // A target that refuses is shown to the caller as a reset, the nearest that a relay can do.
-void link::acceptOne()
+void link::acceptConnection()
 {
     const int caller = accept4(m_listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (caller < 0)
         return;
-    connection made;
-    made.caller = caller;
-    made.target = newSocket(0);
-    const auto where = socketAddressOf(m_target);
-    if (connect(made.target, reinterpret_cast<const sockaddr *>(&where), sizeof where) != 0) {
-        closeConnection(made, true);
+    connection accepted;
+    accepted.caller = caller;
+    accepted.target = newSocket(0);
+    const auto boundAddress = socketAddressOf(m_target);
+    if (connect(accepted.target, reinterpret_cast<const sockaddr *>(&boundAddress),
+                sizeof boundAddress)
+        != 0) {
+        closeConnection(accepted, true);
         return;
     }
-    ++m_accepted;
-    m_connections.push_back(std::move(made));
+    ++m_acceptedConnections;
+    m_connections.push_back(std::move(accepted));
 }
 
-void link::waitForSomething(link_state state)
+void link::waitForInput(link_state state)
 {
-    std::vector<pollfd> watched;
-    if (state != link_state::Silent && state != link_state::Cut) {
-        watched.push_back({m_listener, POLLIN, 0});
+    std::vector<pollfd> descriptors;
+    if (state != link_state::Blackholed && state != link_state::Cut) {
+        descriptors.push_back({m_listener, POLLIN, 0});
         for (const auto &each : m_connections) {
-            if (!each.requests.ended && each.requests.waiting.empty())
-                watched.push_back({each.caller, POLLIN, 0});
-            if (!each.answers.ended && each.answers.waiting.empty())
-                watched.push_back({each.target, POLLIN, 0});
+            if (!each.requests.isSourceClosed && each.requests.unsentBytes.empty())
+                descriptors.push_back({each.caller, POLLIN, 0});
+            if (!each.answers.isSourceClosed && each.answers.unsentBytes.empty())
+                descriptors.push_back({each.target, POLLIN, 0});
         }
     }
-    poll(watched.data(), watched.size(), PollMilliseconds);
+    poll(descriptors.data(), descriptors.size(), PollTimeoutMs);
 }
 
-void link::move(connection &each, link_state state)
+void link::relayBothWays(connection &each, link_state state)
 {
-    movePipe(each.requests, each.caller, each.target, false, each.broken);
-    movePipe(each.answers, each.target, each.caller, state == link_state::AnswersLost, each.broken);
-    if (each.requests.closed && each.answers.closed)
-        each.broken = true;
+    relayOneWay(each.requests, each.caller, each.target, false, each.isBroken);
+    relayOneWay(each.answers, each.target, each.caller, state == link_state::AnswersDropped,
+                each.isBroken);
+    if (each.requests.isCloseForwarded && each.answers.isCloseForwarded)
+        each.isBroken = true;
 }
 
-void link::movePipe(pipe &through, int from, int to, bool lost, bool &broken)
+void link::relayOneWay(relay_buffer &buffer, int from, int to, bool shouldDiscard,
+                       bool &isConnectionBroken)
 {
-    std::array<char, PieceBytes> piece;
-    if (through.waiting.empty() && !through.ended) {
-        const auto got = recv(from, piece.data(), piece.size(), MSG_DONTWAIT);
-        if (got > 0) {
-            if (!lost)
-                through.waiting.assign(piece.data(), static_cast<std::size_t>(got));
-            through.dueAt = monotonic_clock::now() + milliseconds(m_delay);
-        } else if (got == 0) {
-            through.ended = !lost; // the end of a lost answer is lost too
+    std::array<char, ChunkBytes> chunk;
+    if (buffer.unsentBytes.empty() && !buffer.isSourceClosed) {
+        const auto receivedBytes = recv(from, chunk.data(), chunk.size(), MSG_DONTWAIT);
+        if (receivedBytes > 0) {
+            if (!shouldDiscard)
+                buffer.unsentBytes.assign(chunk.data(), static_cast<std::size_t>(receivedBytes));
+            buffer.dueAt = monotonic_clock::now() + milliseconds(m_delayMs);
+        } else if (receivedBytes == 0) {
+            buffer.isSourceClosed = !shouldDiscard; // the end of a lost answer is lost too
         } else if (errno != EAGAIN) {
-            broken = !lost;
+            isConnectionBroken = !shouldDiscard;
         }
     }
-    if (!through.waiting.empty() && through.dueAt <= monotonic_clock::now()) {
-        const auto sent = send(to, through.waiting.data(), through.waiting.size(),
-                               MSG_DONTWAIT | MSG_NOSIGNAL);
-        if (sent > 0)
-            through.waiting.erase(0, static_cast<std::size_t>(sent));
+    if (!buffer.unsentBytes.empty() && buffer.dueAt <= monotonic_clock::now()) {
+        const auto sentBytes = send(to, buffer.unsentBytes.data(), buffer.unsentBytes.size(),
+                                    MSG_DONTWAIT | MSG_NOSIGNAL);
+        if (sentBytes > 0)
+            buffer.unsentBytes.erase(0, static_cast<std::size_t>(sentBytes));
         else if (errno != EAGAIN)
-            broken = true;
+            isConnectionBroken = true;
     }
-    if (through.ended && through.waiting.empty() && !through.closed) {
+    if (buffer.isSourceClosed && buffer.unsentBytes.empty() && !buffer.isCloseForwarded) {
         shutdown(to, SHUT_WR);
-        through.closed = true;
+        buffer.isCloseForwarded = true;
     }
 }
 
 void link::closeConnection(const connection &each, bool reset) const
 {
-    const linger now{1, 0};
+    const linger lingerNow{1, 0};
     for (const int side : {each.caller, each.target}) {
         if (reset)
-            setsockopt(side, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+            setsockopt(side, SOL_SOCKET, SO_LINGER, &lingerNow, sizeof lingerNow);
         close(side);
     }
 }
 
-void link::dropBroken()
+void link::removeBrokenConnections()
 {
     std::erase_if(m_connections, [this](const connection &each) {
-        if (each.broken)
+        if (each.isBroken)
             closeConnection(each, false);
-        return each.broken;
+        return each.isBroken;
     });
 }
 
--- a/standins/link.h
+++ b/standins/link.h
@@ -13,10 +13,10 @@
 
 enum class link_state {
     Passing,
-    Slow,        // each piece waits for the delay
-    Cut,         // connections are reset, new ones refused
-    Silent,      // connections stand, and nothing moves on them: half-open
-    AnswersLost, // what goes to the target arrives, what comes back does not
+    Slow,           // each piece waits for the delay
+    Cut,            // connections are reset, new ones refused
+    Blackholed,     // connections stand, and nothing moves on them: half-open
+    AnswersDropped, // what goes to the target arrives, what comes back does not
 };
 
 // Listens at one address and carries every connection to the target. What a silent link holds back
@@ -30,49 +30,53 @@
     link &operator=(const link &) = delete;
 
     // Returns once the relay works by it. `delay` is for Slow alone.
-    void set(link_state state, milliseconds delay = milliseconds(0));
+    void setState(link_state state, milliseconds delay = milliseconds(0));
     std::string address() const { return toText(m_listen); }
-    unsigned accepted() const { return m_accepted; } // connections, from the start
+    unsigned acceptedConnections() const
+    {
+        return m_acceptedConnections;
+    } // connections, from the start
 
 private:
     // One direction of a connection: what was read from one side and waits for the other.
-    struct pipe
+    struct relay_buffer
     {
-        std::string waiting;
+        std::string unsentBytes;
         time_point dueAt{};
-        bool ended = false;  // the reading side has closed
-        bool closed = false; // and the writing side was told
+        bool isSourceClosed = false;   // the reading side has closed
+        bool isCloseForwarded = false; // and the writing side was told
     };
     struct connection
     {
         int caller = -1;
         int target = -1;
-        pipe requests;
-        pipe answers;
-        bool broken = false;
+        relay_buffer requests;
+        relay_buffer answers;
+        bool isBroken = false;
     };
 
     void run();
-    void apply(link_state state);
+    void applyState(link_state state);
     void openListener();
     void closeListener();
-    void acceptOne();
-    void waitForSomething(link_state state);
-    void move(connection &each, link_state state);
-    void movePipe(pipe &through, int from, int to, bool lost, bool &broken);
+    void acceptConnection();
+    void waitForInput(link_state state);
+    void relayBothWays(connection &each, link_state state);
+    void relayOneWay(relay_buffer &buffer, int from, int to, bool shouldDiscard,
+                     bool &isConnectionBroken);
     void closeConnection(const connection &each, bool reset) const;
-    void dropBroken();
+    void removeBrokenConnections();
 
     const socket_address m_listen;
     const socket_address m_target;
-    std::atomic<link_state> m_wanted{link_state::Passing};
-    std::atomic<link_state> m_applied{link_state::Passing};
-    std::atomic<milliseconds::rep> m_delay{0};
-    std::atomic<unsigned> m_accepted{0};
-    std::atomic<bool> m_stopping{false};
+    std::atomic<link_state> m_requestedState{link_state::Passing};
+    std::atomic<link_state> m_appliedState{link_state::Passing};
+    std::atomic<milliseconds::rep> m_delayMs{0};
+    std::atomic<unsigned> m_acceptedConnections{0};
+    std::atomic<bool> m_isStopping{false};
     int m_listener = -1;                   // the relay's thread alone, as all below
     std::vector<connection> m_connections; //
-    std::thread m_relay;
+    std::thread m_relayThread;
 };
 
 } // namespace zinniabarrow::standins
--- a/standins/load.cpp
+++ b/standins/load.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr milliseconds AnswerGrace{1000}; // an entry's own answer comes by the deadline
-constexpr unsigned RepeatTries = 10;
-constexpr milliseconds RepeatEvery{200};
+constexpr milliseconds AnswerGracePeriod{1000}; // an entry's own answer comes by the deadline
+constexpr unsigned MaxRepeats = 10;
+constexpr milliseconds RepeatInterval{200};
 
-bool isOwnAnswer(const http_response &response, const http_request &request,
-                 const std::string &operation)
+bool isMatchingAnswer(const http_response &response, const http_request &request,
+                      const std::string &operation)
 {
     try {
         const auto echo = parseJson(response.body);
@@ -26,7 +26,7 @@
     }
 }
 
-const char *wordsFor(call_failure failure)
+const char *describeFailure(call_failure failure)
 {
     switch (failure) {
     case call_failure::NotConnected:
@@ -44,18 +44,18 @@
 
 } // namespace
 
-unsigned load_result::refusals() const
+unsigned load_result::countRefusals() const
 {
     unsigned sum = 0;
-    for (const auto &[reason, count] : refused)
+    for (const auto &[reason, count] : refusedByReason)
         sum += count;
     return sum;
 }
 
-unsigned load_result::refusedFor(const std::string &reason) const
+unsigned load_result::countRefusalsFor(const std::string &reason) const
 {
-    const auto found = refused.find(reason);
-    return found == refused.end() ? 0 : found->second;
+    const auto found = refusedByReason.find(reason);
+    return found == refusedByReason.end() ? 0 : found->second;
 }
 
 load_generator::load_generator(fleet &system, load_options options, load_result &result)
@@ -78,123 +78,125 @@
     random_generator random(caller);
     const auto startedAt = std::chrono::steady_clock::now();
     const auto entries = m_fleet.options().entries;
-    for (unsigned turn = 0; m_started++ < m_options.requests; ++turn) {
+    for (unsigned round = 0; m_startedRequests++ < m_options.requests; ++round) {
         std::this_thread::sleep_until(startedAt
-                                      + turn * microseconds(1'000'000) * m_options.callers
+                                      + round * microseconds(1'000'000) * m_options.callers
                                                 / m_options.perSecond);
         const auto operation =
-                m_options.prefix + "-" + std::to_string(caller) + "-" + std::to_string(turn);
+                m_options.prefix + "-" + std::to_string(caller) + "-" + std::to_string(round);
         const auto kind = drawIndex(random, 10);
         const auto entry = static_cast<unsigned>(drawIndex(random, entries));
         if (kind < 6) {
-            ask(entry, {"GET", "/tickets/seats", {}, {}}, operation);
+            sendRequest(entry, {"GET", "/tickets/seats", {}, {}}, operation);
         } else {
             http_request purchase{"POST", "/tickets/hold", {}, "seat " + operation};
             if (kind < 9)
                 purchase.headers["Idempotency-Key"] = operation;
-            ask(entry, purchase, operation);
+            sendRequest(entry, purchase, operation);
             if (kind == 8) // the balancer repeats it at another entry
-                repeat((entry + 1) % entries, purchase, operation);
+                repeatWhileInProgress((entry + 1) % entries, purchase, operation);
         }
-        ++m_done;
+        ++m_completedRequests;
     }
 }
 
 // Comes back as long as it is told that the first try is still open.
-void load_generator::repeat(unsigned entry, const http_request &purchase,
-                            const std::string &operation)
+void load_generator::repeatWhileInProgress(unsigned entry, const http_request &purchase,
+                                           const std::string &operation)
 {
-    for (unsigned attempt = 1; attempt <= RepeatTries; ++attempt) {
-        if (ask(entry, purchase, operation) != "key_in_progress")
+    for (unsigned attempt = 1; attempt <= MaxRepeats; ++attempt) {
+        if (sendRequest(entry, purchase, operation) != "key_in_progress")
             return;
-        std::this_thread::sleep_for(RepeatEvery);
+        std::this_thread::sleep_for(RepeatInterval);
     }
 }
 
-std::string load_generator::ask(unsigned entry, http_request request, const std::string &operation)
+std::string load_generator::sendRequest(unsigned entry, http_request request,
+                                        const std::string &operation)
 {
     request.headers["Operation"] = operation;
     request.headers["Zb-Deadline-Ms"] = std::to_string(m_options.deadline.count());
     const auto startedAt = monotonic_clock::now();
     const auto result = m_pools.poolFor(m_fleet.entryAddress(entry))
-                                .call(request, startedAt + m_options.deadline + AnswerGrace);
-    const std::chrono::duration<double, std::milli> took = monotonic_clock::now() - startedAt;
+                                .call(request, startedAt + m_options.deadline + AnswerGracePeriod);
+    const std::chrono::duration<double, std::milli> latency = monotonic_clock::now() - startedAt;
     const std::lock_guard lock(m_result.mutex);
-    ++m_result.asked;
+    ++m_result.sentRequests;
     if (request.method == "POST")
         m_result.nonIdempotent.insert(operation);
     if (const auto *failure = std::get_if<call_failure>(&result)) {
         if (!mayHaveArrived(*failure))
-            m_result.saidNotRun.insert(operation);
+            m_result.reportedNotExecuted.insert(operation);
         else
-            m_result.mayHaveRun.insert(operation);
-        ++m_result.refused[wordsFor(*failure)];
-        return wordsFor(*failure);
+            m_result.mayHaveExecuted.insert(operation);
+        ++m_result.refusedByReason[describeFailure(*failure)];
+        return describeFailure(*failure);
     }
     const auto &response = std::get<http_response>(result);
     const auto reason = response.header("Zb-Error");
     if (response.header("Zb-Executed") == "no")
-        m_result.saidNotRun.insert(operation);
+        m_result.reportedNotExecuted.insert(operation);
     else
-        m_result.mayHaveRun.insert(operation);
+        m_result.mayHaveExecuted.insert(operation);
     if (reason == "key_in_progress") {
-        ++m_result.toldToComeBack;
+        ++m_result.inProgressAnswers;
         return reason;
     }
     if (!reason.empty()) {
-        ++m_result.refused[reason];
+        ++m_result.refusedByReason[reason];
         return reason;
     }
-    ++m_result.answered;
-    m_result.milliseconds.push_back(took.count());
+    ++m_result.answeredRequests;
+    m_result.milliseconds.push_back(latency.count());
     if (response.header("Zb-Replayed") == "yes")
-        ++m_result.replayed;
-    if (!isOwnAnswer(response, request, operation))
+        ++m_result.replayedAnswers;
+    if (!isMatchingAnswer(response, request, operation))
         ++m_result.wrongAnswers;
     return {};
 }
 
-std::map<std::string, unsigned> executionsOf(fleet &system)
+std::map<std::string, unsigned> countExecutions(fleet &system)
 {
-    std::map<std::string, unsigned> runs;
+    std::map<std::string, unsigned> executionCounts;
     for (unsigned index = 0; index < system.options().workers; ++index) {
-        if (!system.upstream(index) || !system.upstream(index)->running())
+        if (!system.upstream(index) || !system.upstream(index)->isRunning())
             continue;
         const auto executions = system.getJson(system.upstreamAddress(index), "/executions");
         for (const auto &operation : executions["operations"].getMemberNames())
-            runs[operation] += executions["operations"][operation].asUInt();
+            executionCounts[operation] += executions["operations"][operation].asUInt();
     }
-    return runs;
+    return executionCounts;
 }
 
-std::vector<std::string> brokenPromises(fleet &system, const load_result &result)
+std::vector<std::string> findGuaranteeViolations(fleet &system, const load_result &result)
 {
-    std::vector<std::string> broken;
-    auto runs = executionsOf(system);
+    std::vector<std::string> violations;
+    auto executionCounts = countExecutions(system);
     for (const auto &operation : result.nonIdempotent) {
-        if (runs[operation] > 1)
-            broken.push_back(operation + " ran " + std::to_string(runs[operation]) + " times");
+        if (executionCounts[operation] > 1)
+            violations.push_back(operation + " ran " + std::to_string(executionCounts[operation])
+                                 + " times");
     }
-    for (const auto &operation : result.saidNotRun) {
-        if (result.mayHaveRun.count(operation) == 0 && runs[operation] > 0)
-            broken.push_back(operation + " ran although the answer said it had not");
+    for (const auto &operation : result.reportedNotExecuted) {
+        if (result.mayHaveExecuted.count(operation) == 0 && executionCounts[operation] > 0)
+            violations.push_back(operation + " ran although the answer said it had not");
     }
     for (unsigned index = 0; index < system.options().workers; ++index) {
-        if (!system.upstream(index) || !system.upstream(index)->running())
+        if (!system.upstream(index) || !system.upstream(index)->isRunning())
             continue;
         const auto executions = system.getJson(system.upstreamAddress(index), "/executions");
         if (executions["overruns"].asUInt() > 0)
-            broken.push_back("upstream " + std::to_string(index) + " had more than its slots");
+            violations.push_back("upstream " + std::to_string(index) + " had more than its slots");
     }
-    return broken;
+    return violations;
 }
 
-double percentile(std::vector<double> values, double share)
+double percentile(std::vector<double> values, double fraction)
 {
     if (values.empty())
         return 0;
     std::sort(values.begin(), values.end());
-    return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
+    return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
 }
 
 } // namespace zinniabarrow::standins
--- a/standins/main.cpp
+++ b/standins/main.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-constexpr int Done = 0;
-constexpr int Failed = 1;
-constexpr int Usage = 2;
+constexpr int ExitOk = 0;
+constexpr int ExitFailed = 1;
+constexpr int ExitUsage = 2;
 
-std::unique_ptr<standin> startNamed(const std::string &kind, int count, char **words)
+std::unique_ptr<standin> startStandin(const std::string &kind, int argumentCount, char **arguments)
 {
     TCLAP::CmdLine command("zinniabarrow stand-in: " + kind, ' ', "0.1");
     TCLAP::ValueArg<std::string> listen("", "listen", "address to serve on", false, "127.0.0.1:0",
@@ -36,7 +36,7 @@
                                         60'000'000'000, "n", command);
     TCLAP::ValueArg<std::string> worker("", "worker", "upstream: worker on the same instance",
                                         false, "", "ip:port", command);
-    command.parse(count, words);
+    command.parse(argumentCount, arguments);
     const auto address = parseAddress(listen.getValue());
     if (kind == "platform")
         return startPlatform({address, writes.getValue()});
@@ -44,9 +44,9 @@
         return startWorker({address, id.getValue(), millicores.getValue(), bytes.getValue()});
     if (kind == "upstream") {
         upstream_options options{address, id.getValue()};
-        options.work = milliseconds(workMs.getValue());
+        options.workTime = milliseconds(workMs.getValue());
         if (!worker.getValue().empty())
-            options.worker = parseAddress(worker.getValue());
+            options.workerAddress = parseAddress(worker.getValue());
         return startUpstream(options);
     }
     return nullptr;
@@ -54,28 +54,29 @@
 
 } // namespace
 
-int main(int count, char **words)
+int main(int argumentCount, char **arguments)
 {
-    sigset_t stops;
-    sigemptyset(&stops);
-    sigaddset(&stops, SIGTERM);
-    sigaddset(&stops, SIGINT);
-    sigprocmask(SIG_BLOCK, &stops, nullptr); // before any thread starts, so that all inherit it
+    sigset_t stopSignals;
+    sigemptyset(&stopSignals);
+    sigaddset(&stopSignals, SIGTERM);
+    sigaddset(&stopSignals, SIGINT);
+    sigprocmask(SIG_BLOCK, &stopSignals,
+                nullptr); // before any thread starts, so that all inherit it
     std::signal(SIGPIPE, SIG_IGN);
     try {
-        const std::string kind = count > 1 ? words[1] : "";
-        const auto running = startNamed(kind, count - 1, words + 1);
+        const std::string kind = argumentCount > 1 ? arguments[1] : "";
+        const auto running = startStandin(kind, argumentCount - 1, arguments + 1);
         if (!running) {
             fmt::print(stderr, "usage: zinniabarrow_standin platform|worker|upstream [options]\n");
-            return Usage;
+            return ExitUsage;
         }
         fmt::print("{{\"event\":\"listening\",\"address\":\"{}\"}}\n", toText(running->address()));
         std::fflush(stdout);
         int stopSignal = 0;
-        sigwait(&stops, &stopSignal);
-        std::_Exit(Done); // a stand-in owes nobody a graceful stop
-    } catch (const error &problem) {
-        fmt::print(stderr, "{}\n", problem.what());
-        return Failed;
+        sigwait(&stopSignals, &stopSignal);
+        std::_Exit(ExitOk); // a stand-in owes nobody a graceful stop
+    } catch (const error &failure) {
+        fmt::print(stderr, "{}\n", failure.what());
+        return ExitFailed;
     }
 }
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -33,29 +33,29 @@
 }
 
 // A budget refilled every second.
-class budget
+class rate_budget
 {
 public:
-    explicit budget(unsigned perSecond)
+    explicit rate_budget(unsigned perSecond)
         : m_perSecond(perSecond)
     { }
 
-    bool take(std::size_t amount, time_point now)
+    bool tryTake(std::size_t amount, time_point now)
     {
         if (now >= m_refillAt) {
-            m_left = m_perSecond;
+            m_remaining = m_perSecond;
             m_refillAt = now + seconds(1);
         }
         // A transaction larger than a whole second's budget passes when nothing else was done.
-        if (amount > m_left && m_left < m_perSecond)
+        if (amount > m_remaining && m_remaining < m_perSecond)
             return false;
-        m_left -= std::min<std::size_t>(amount, m_left);
+        m_remaining -= std::min<std::size_t>(amount, m_remaining);
         return true;
     }
 
 private:
     std::size_t m_perSecond;
-    std::size_t m_left = 0;
+    std::size_t m_remaining = 0;
     time_point m_refillAt{};
 };
 
@@ -63,8 +63,8 @@
 {
 public:
     explicit platform_standin(const platform_options &options)
-        : m_writes(options.writesPerSecond)
-        , m_reads(options.readsPerSecond)
+        : m_writeBudget(options.writesPerSecond)
+        , m_readBudget(options.readsPerSecond)
         , m_server(options.address, {512, 16 * 1024 * 1024},
                    [this](const http_request &request) { return serve(request); })
     {
@@ -80,18 +80,18 @@
         if (path == "/fault")
             return setFault(request);
         if (path == "/stats")
-            return stats();
-        m_pause.wait();
-        if (m_slowMs > 0)
-            std::this_thread::sleep_for(milliseconds(m_slowMs));
-        if (m_down)
+            return serveStats();
+        m_pauseGate.waitWhilePaused();
+        if (m_addedDelayMs > 0)
+            std::this_thread::sleep_for(milliseconds(m_addedDelayMs));
+        if (m_isDown)
             return jsonResponse(503, Json::Value(Json::objectValue));
         if (path == "/table/commit")
-            return commit(request);
+            return serveCommit(request);
         if (path == "/table/read")
-            return read(request);
+            return serveRead(request);
         if (path.rfind("/objects", 0) == 0)
-            return object(request, path);
+            return serveObject(request, path);
         return jsonResponse(404, Json::Value(Json::objectValue));
     }
 
@@ -99,65 +99,66 @@
     {
         const auto fault = parseJson(request.body);
         if (fault.isMember("down"))
-            m_down = boolMember(fault, "down");
+            m_isDown = boolMember(fault, "down");
         if (fault.isMember("pause_ms"))
-            m_pause.pauseFor(milliseconds(integerMember(fault, "pause_ms")));
+            m_pauseGate.pauseFor(milliseconds(integerMember(fault, "pause_ms")));
         if (fault.isMember("slow_ms"))
-            m_slowMs = integerMember(fault, "slow_ms");
+            m_addedDelayMs = integerMember(fault, "slow_ms");
         if (fault.isMember("lose_answers"))
-            m_loseAnswers = integerMember(fault, "lose_answers");
+            m_answersToLose = integerMember(fault, "lose_answers");
         return jsonResponse(200, fault);
     }
 
-    http_response stats()
+    http_response serveStats()
     {
         const std::lock_guard lock(m_mutex);
         return jsonResponse(200, m_stats);
     }
 
-    bool affords(budget &from, std::size_t amount, const char *counter)
+    bool tryCharge(rate_budget &charged, std::size_t amount, const char *counter)
     {
         m_stats[counter] = m_stats[counter].asUInt64() + amount;
-        return from.take(amount, monotonic_clock::now());
+        return charged.tryTake(amount, monotonic_clock::now());
     }
 
     // The effect stands, the answer is dropped: the client sees its deadline pass.
-    http_response answerOrLose(const write_result &result)
+    http_response answerUnlessLost(const write_result &result)
     {
-        long left = m_loseAnswers;
-        while (left > 0 && !m_loseAnswers.compare_exchange_weak(left, left - 1)) { }
-        if (left > 0)
+        long answersLeft = m_answersToLose;
+        while (answersLeft > 0
+               && !m_answersToLose.compare_exchange_weak(answersLeft, answersLeft - 1)) { }
+        if (answersLeft > 0)
             return {500, {}, ""};
         return writeResponse(result);
     }
 
-    http_response commit(const http_request &request)
+    http_response serveCommit(const http_request &request)
     {
         const auto transaction = tableTransactionFromJson(parseJson(request.body));
         write_result result;
         {
             const std::lock_guard lock(m_mutex);
-            affords(m_reads, 0, "commits");
+            tryCharge(m_readBudget, 0, "commits");
             m_stats["commits"] = m_stats["commits"].asUInt64() + 1;
-            if (!affords(m_writes, transaction.writes.size(), "rows_written"))
+            if (!tryCharge(m_writeBudget, transaction.writes.size(), "rows_written"))
                 return jsonResponse(429, Json::Value(Json::objectValue));
             result = m_platform.commit(transaction);
         }
-        return answerOrLose(result);
+        return answerUnlessLost(result);
     }
 
-    http_response read(const http_request &request)
+    http_response serveRead(const http_request &request)
     {
-        const auto wanted = parseJson(request.body);
+        const auto requestBody = parseJson(request.body);
         const std::lock_guard lock(m_mutex);
-        if (!affords(m_reads, 1, "reads"))
+        if (!tryCharge(m_readBudget, 1, "reads"))
             return jsonResponse(429, Json::Value(Json::objectValue));
         Json::Value rows(Json::arrayValue);
-        for (const auto &key : arrayMember(wanted, "keys")) {
+        for (const auto &key : arrayMember(requestBody, "keys")) {
             if (const auto row = m_platform.read(key.asString()))
                 rows.append(toJson(*row));
         }
-        for (const auto &prefix : arrayMember(wanted, "prefixes")) {
+        for (const auto &prefix : arrayMember(requestBody, "prefixes")) {
             for (const auto &row : m_platform.scan(prefix.asString()))
                 rows.append(toJson(row));
         }
@@ -167,7 +168,7 @@
         return jsonResponse(200, answer);
     }
 
-    http_response list(const http_request &request)
+    http_response serveObjectList(const http_request &request)
     {
         Json::Value objects(Json::arrayValue);
         for (const auto &object : m_platform.listObjects(request.query("prefix"))) {
@@ -181,7 +182,7 @@
         return jsonResponse(200, answer);
     }
 
-    http_response get(const std::string &name)
+    http_response serveObjectContent(const std::string &name)
     {
         const auto found = m_platform.getObject(name);
         if (!found)
@@ -192,7 +193,7 @@
         return response;
     }
 
-    http_response object(const http_request &request, const std::string &path)
+    http_response serveObject(const http_request &request, const std::string &path)
     {
         const std::string prefix = "/objects/";
         const auto name = path.size() > prefix.size() ? path.substr(prefix.size()) : std::string();
@@ -200,36 +201,36 @@
         {
             const std::lock_guard lock(m_mutex);
             if (request.method == "GET") {
-                if (!affords(m_reads, 1, "reads"))
+                if (!tryCharge(m_readBudget, 1, "reads"))
                     return jsonResponse(429, Json::Value(Json::objectValue));
-                return name.empty() ? list(request) : get(name);
+                return name.empty() ? serveObjectList(request) : serveObjectContent(name);
             }
-            if (!affords(m_writes, 1, "objects_written"))
+            if (!tryCharge(m_writeBudget, 1, "objects_written"))
                 return jsonResponse(429, Json::Value(Json::objectValue));
             const auto expected = expectedVersion(request);
             result = request.method == "PUT" ? m_platform.putObject(name, request.body, expected)
                                              : m_platform.removeObject(name, expected);
         }
-        return answerOrLose(result);
+        return answerUnlessLost(result);
     }
 
     std::mutex m_mutex;
     memory_platform m_platform;
-    budget m_writes;
-    budget m_reads;
+    rate_budget m_writeBudget;
+    rate_budget m_readBudget;
     Json::Value m_stats{Json::objectValue};
-    pause_gate m_pause;
-    std::atomic<bool> m_down{false};
-    std::atomic<long> m_slowMs{0};
-    std::atomic<long> m_loseAnswers{0};
+    pause_gate m_pauseGate;
+    std::atomic<bool> m_isDown{false};
+    std::atomic<long> m_addedDelayMs{0};
+    std::atomic<long> m_answersToLose{0};
     http_server m_server;
 };
 
 } // namespace
 
-void pause_gate::wait() const
+void pause_gate::waitWhilePaused() const
 {
-    while (monotonic_clock::now() < m_until.load())
+    while (monotonic_clock::now() < m_pausedUntil.load())
         std::this_thread::sleep_for(milliseconds(5));
 }
 
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -16,11 +16,11 @@
 class pause_gate
 {
 public:
-    void pauseFor(milliseconds length) { m_until = monotonic_clock::now() + length; }
-    void wait() const;
+    void pauseFor(milliseconds pauseTime) { m_pausedUntil = monotonic_clock::now() + pauseTime; }
+    void waitWhilePaused() const;
 
 private:
-    std::atomic<time_point> m_until{time_point{}};
+    std::atomic<time_point> m_pausedUntil{time_point{}};
 };
 
 // A running stand-in; it serves until destroyed.
@@ -68,8 +68,9 @@
     std::string id;
     unsigned slots = 8;
     unsigned connections = 64;
-    milliseconds work{5};                   // time one request takes
-    std::optional<socket_address> worker{}; // on the same instance: its tasks' noise slows this one
+    milliseconds workTime{5}; // time one request takes
+    std::optional<socket_address>
+            workerAddress{}; // on the same instance: its tasks' noise slows this one
 };
 std::unique_ptr<standin> startUpstream(const upstream_options &options);
 
--- a/standins/upstream.cpp
+++ b/standins/upstream.cpp
@@ -18,13 +18,13 @@
 
 namespace {
 
-constexpr milliseconds NoiseEvery{50};
+constexpr milliseconds NoisePollInterval{50};
 constexpr milliseconds NoiseTimeout{1000};
 constexpr std::size_t RequestsPerConnection = 1U << 30U;
 constexpr std::size_t PartBytes = 64 * 1024; // of a large body, at a time
-constexpr int SlowReaders = 60;              // seconds until one is given up
+constexpr int WriteTimeoutSeconds = 60;      // seconds until one is given up
 
-std::uint64_t numberOf(const httplib::Request &request, const char *name)
+std::uint64_t numberParameter(const httplib::Request &request, const char *name)
 {
     return request.has_param(name) ? std::stoull(request.get_param_value(name)) : 0;
 }
@@ -35,31 +35,31 @@
     explicit upstream_standin(const upstream_options &options)
         : m_options(options)
     {
-        const auto all = [this](const httplib::Request &request, httplib::Response &response) {
+        const auto handler = [this](const httplib::Request &request, httplib::Response &response) {
             serve(request, response);
         };
-        m_server.Get(".*", all).Post(".*", all).Put(".*", all).Delete(".*", all);
+        m_server.Get(".*", handler).Post(".*", handler).Put(".*", handler).Delete(".*", handler);
         m_server.set_keep_alive_max_count(RequestsPerConnection);
         m_server.set_tcp_nodelay(true);
-        m_server.set_write_timeout(SlowReaders);
+        m_server.set_write_timeout(WriteTimeoutSeconds);
         m_server.new_task_queue = [this] { return new httplib::ThreadPool(m_options.connections); };
         auto &address = m_options.address;
         if (address.port == 0)
             address.port = m_server.bind_to_any_port(address.address);
         else if (!m_server.bind_to_port(address.address, address.port))
             throw error(error_kind::BadSettings, "cannot listen on " + toText(address));
-        m_acceptor = std::thread([this] { m_server.listen_after_bind(); });
-        if (m_options.worker)
-            m_listener = std::thread([this] { hearNoise(); });
+        m_acceptThread = std::thread([this] { m_server.listen_after_bind(); });
+        if (m_options.workerAddress)
+            m_noiseThread = std::thread([this] { pollNoise(); });
     }
 
     ~upstream_standin() override
     {
-        m_stopping = true;
+        m_isStopping = true;
         m_server.stop();
-        m_acceptor.join();
-        if (m_listener.joinable())
-            m_listener.join();
+        m_acceptThread.join();
+        if (m_noiseThread.joinable())
+            m_noiseThread.join();
     }
 
     socket_address address() const override { return m_options.address; }
@@ -70,9 +70,9 @@
         if (request.path == "/fault")
             return reply(response, setFault(parseJson(request.body)));
         if (request.path == "/executions")
-            return reply(response, executions());
-        m_pause.wait();
-        if (m_unavailable) {
+            return reply(response, executionsJson());
+        m_pauseGate.waitWhilePaused();
+        if (m_isUnavailable) {
             response.status = 503;
             return;
         }
@@ -90,65 +90,65 @@
     Json::Value setFault(const Json::Value &fault)
     {
         if (fault.isMember("pause_ms"))
-            m_pause.pauseFor(milliseconds(integerMember(fault, "pause_ms")));
+            m_pauseGate.pauseFor(milliseconds(integerMember(fault, "pause_ms")));
         if (fault.isMember("slow_ms"))
-            m_slowMs = integerMember(fault, "slow_ms");
+            m_addedDelayMs = integerMember(fault, "slow_ms");
         if (fault.isMember("target_ms")) {
-            m_target = milliseconds(integerMember(fault, "target_ms"));
-            m_withinTarget = 0;
-            m_beyondTarget = 0;
+            m_targetTime = milliseconds(integerMember(fault, "target_ms"));
+            m_answersWithinTarget = 0;
+            m_answersBeyondTarget = 0;
         }
         if (fault.isMember("cut"))
-            m_cut = integerMember(fault, "cut");
+            m_answersToCut = integerMember(fault, "cut");
         if (fault.isMember("unavailable"))
-            m_unavailable = boolMember(fault, "unavailable");
+            m_isUnavailable = boolMember(fault, "unavailable");
         return fault;
     }
 
     // How often each operation ran; more than the slots at a time is counted as overrun.
-    Json::Value executions()
+    Json::Value executionsJson()
     {
         const std::lock_guard lock(m_mutex);
         Json::Value json(Json::objectValue);
         json["overruns"] = m_overruns;
-        json["cuts"] = Json::Int64(m_cuts);
-        json["at_once"] = m_atOnce;
-        json["most_at_once"] = m_mostAtOnce;
-        json["within_target"] = m_withinTarget.load();
-        json["beyond_target"] = m_beyondTarget.load();
+        json["cuts"] = Json::Int64(m_cutAnswers);
+        json["at_once"] = m_runningRequests;
+        json["most_at_once"] = m_maxRunningRequests;
+        json["within_target"] = m_answersWithinTarget.load();
+        json["beyond_target"] = m_answersBeyondTarget.load();
         json["operations"] = Json::Value(Json::objectValue);
         for (const auto &[operation, count] : m_executions)
             json["operations"][operation] = count;
         return json;
     }
 
-    void enter(const std::string &operation)
+    void acquireSlot(const std::string &operation)
     {
         const std::lock_guard lock(m_mutex);
         ++m_executions[operation];
-        ++m_atOnce;
-        m_mostAtOnce = std::max(m_mostAtOnce, m_atOnce);
-        if (m_atOnce > m_options.slots)
+        ++m_runningRequests;
+        m_maxRunningRequests = std::max(m_maxRunningRequests, m_runningRequests);
+        if (m_runningRequests > m_options.slots)
             ++m_overruns;
     }
 
-    void leave()
+    void releaseSlot()
     {
         const std::lock_guard lock(m_mutex);
-        --m_atOnce;
+        --m_runningRequests;
     }
 
     // By what the instance's tasks do, not as measured: it repeats on a busy machine too.
     milliseconds serviceTime() const
     {
-        const auto work = static_cast<double>(m_options.work.count()) * (1 + m_noise);
-        return milliseconds(static_cast<std::int64_t>(work) + m_slowMs);
+        const auto work = static_cast<double>(m_options.workTime.count()) * (1 + m_noise);
+        return milliseconds(static_cast<std::int64_t>(work) + m_addedDelayMs);
     }
 
-    void hearNoise()
+    void pollNoise()
     {
-        http_pool worker(*m_options.worker);
-        for (; !m_stopping; std::this_thread::sleep_for(NoiseEvery)) {
+        http_pool worker(*m_options.workerAddress);
+        for (; !m_isStopping; std::this_thread::sleep_for(NoisePollInterval)) {
             const auto result =
                     worker.call({"GET", "/noise", {}, {}}, monotonic_clock::now() + NoiseTimeout);
             const auto *response = std::get_if<http_response>(&result);
@@ -158,7 +158,7 @@
     }
 
     // Declares the whole length, sends half of it, and ends the connection.
-    static void cut(httplib::Response &response, const std::string &body)
+    static void sendIncomplete(httplib::Response &response, const std::string &body)
     {
         response.set_content_provider(
                 body.size(), "application/json",
@@ -173,67 +173,68 @@
     void runInSlot(const httplib::Request &request, httplib::Response &response)
     {
         const auto operation = request.get_header_value("Operation");
-        enter(operation);
+        acquireSlot(operation);
         const auto time = serviceTime();
-        ++(time <= m_target.load() ? m_withinTarget : m_beyondTarget);
+        ++(time <= m_targetTime.load() ? m_answersWithinTarget : m_answersBeyondTarget);
         std::this_thread::sleep_for(time);
-        leave();
+        releaseSlot();
         Json::Value echo(Json::objectValue);
         echo["upstream"] = m_options.id;
         echo["operation"] = operation;
         echo["method"] = request.method;
         echo["target"] = request.target;
         echo["body"] = request.body;
-        if (takeCut())
-            cut(response, compactJson(echo));
+        if (shouldCutAnswer())
+            sendIncomplete(response, compactJson(echo));
         else
             reply(response, echo);
     }
 
     // True for the next answers of those that a fault has asked to cut.
-    bool takeCut()
+    bool shouldCutAnswer()
     {
-        long left = m_cut;
-        while (left > 0 && !m_cut.compare_exchange_weak(left, left - 1)) { }
-        if (left > 0)
-            ++m_cuts;
-        return left > 0;
+        long answersLeft = m_answersToCut;
+        while (answersLeft > 0
+               && !m_answersToCut.compare_exchange_weak(answersLeft, answersLeft - 1)) { }
+        if (answersLeft > 0)
+            ++m_cutAnswers;
+        return answersLeft > 0;
     }
 
     // Holds its slot until the last part goes out, or the connection is gone.
     struct slot_holder
     {
-        explicit slot_holder(upstream_standin &of)
-            : owner(of)
+        explicit slot_holder(upstream_standin &slotOwner)
+            : upstream(slotOwner)
         { }
-        ~slot_holder() { leave(); }
-        void leave()
+        ~slot_holder() { release(); }
+        void release()
         {
-            if (!std::exchange(left, true))
-                owner.leave();
+            if (!std::exchange(isReleased, true))
+                upstream.releaseSlot();
         }
 
-        upstream_standin &owner;
-        bool left = false;
+        upstream_standin &upstream;
+        bool isReleased = false;
     };
 
     void serveLarge(const httplib::Request &request, httplib::Response &response)
     {
-        enter(request.get_header_value("Operation"));
+        acquireSlot(request.get_header_value("Operation"));
         const auto slot = std::make_shared<slot_holder>(*this);
-        std::this_thread::sleep_for(m_options.work + milliseconds(m_slowMs));
-        const auto bytes = numberOf(request, "bytes");
-        const auto extra = numberOf(request, "extra");
-        const auto cutAt = takeCut() ? bytes / 2 : bytes;
-        const auto sendNext = [=](std::size_t offset, std::uint64_t atMost,
+        std::this_thread::sleep_for(m_options.workTime + milliseconds(m_addedDelayMs));
+        const auto bytes = numberParameter(request, "bytes");
+        const auto extra = numberParameter(request, "extra");
+        const auto cutAt = shouldCutAnswer() ? bytes / 2 : bytes;
+        const auto sendNext = [=](std::size_t offset, std::uint64_t maxBytes,
                                   httplib::DataSink &sink) {
             if (offset >= cutAt && cutAt < bytes)
                 return false;
-            const auto size = std::min({std::uint64_t(PartBytes), atMost, cutAt - offset});
-            const bool last = offset + size == bytes;
-            if (last)
-                slot->leave();
-            const auto part = patternBytes(offset, size + (last ? extra : 0));
+            const auto size = std::min({std::uint64_t(PartBytes), maxBytes, cutAt - offset});
+            const bool isLast = offset + size == bytes;
+            if (isLast)
+                slot->release();
+            const auto part = patternBytes(offset, size + (isLast ? extra : 0));
             return sink.write(part.data(), part.size());
         };
         if (request.get_param_value("framing") != "chunked") {
@@ -257,34 +258,34 @@
     upstream_options m_options;
     std::mutex m_mutex;
     std::map<std::string, unsigned> m_executions;
-    unsigned m_atOnce = 0;
-    unsigned m_mostAtOnce = 0;
+    unsigned m_runningRequests = 0;
+    unsigned m_maxRunningRequests = 0;
     unsigned m_overruns = 0;
-    std::atomic<bool> m_stopping{false};
+    std::atomic<bool> m_isStopping{false};
     std::atomic<double> m_noise{0}; // part of the service time that comes on top
-    std::atomic<milliseconds> m_target{milliseconds(0)};
-    std::atomic<unsigned> m_withinTarget{0}; // answers since the target was set
-    std::atomic<unsigned> m_beyondTarget{0};
-    std::atomic<long> m_slowMs{0};
-    std::atomic<long> m_cut{0};
-    std::atomic<long> m_cuts{0}; // answers that were cut
-    pause_gate m_pause;
-    std::atomic<bool> m_unavailable{false};
+    std::atomic<milliseconds> m_targetTime{milliseconds(0)};
+    std::atomic<unsigned> m_answersWithinTarget{0}; // answers since the target was set
+    std::atomic<unsigned> m_answersBeyondTarget{0};
+    std::atomic<long> m_addedDelayMs{0};
+    std::atomic<long> m_answersToCut{0};
+    std::atomic<long> m_cutAnswers{0}; // answers that were cut
+    pause_gate m_pauseGate;
+    std::atomic<bool> m_isUnavailable{false};
     httplib::Server m_server;
-    std::thread m_acceptor;
-    std::thread m_listener;
+    std::thread m_acceptThread;
+    std::thread m_noiseThread;
 };
 
 } // namespace
 
 std::string patternBytes(std::uint64_t offset, std::size_t size)
 {
-    constexpr std::uint64_t Letters = 26;
-    constexpr std::uint64_t Line = 64; // each line of letters begins with another one
+    constexpr std::uint64_t LetterCount = 26;
+    constexpr std::uint64_t LineBytes = 64; // each line of letters begins with another one
     std::string bytes(size, '\0');
-    for (std::size_t at = 0; at < size; ++at) {
-        const auto position = offset + at;
-        bytes[at] = static_cast<char>('a' + (position + position / Line * 7) % Letters);
+    for (std::size_t index = 0; index < size; ++index) {
+        const auto position = offset + index;
+        bytes[index] = static_cast<char>('a' + (position + position / LineBytes * 7) % LetterCount);
     }
     return bytes;
 }
--- a/standins/worker.cpp
+++ b/standins/worker.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr milliseconds Step{10};
-constexpr milliseconds LongestStep{100}; // on a busy machine
+constexpr milliseconds TickInterval{10};
+constexpr milliseconds MaxTickTime{100}; // on a busy machine
 constexpr char ProgressMark = '#';
 
 // One attempt of a task, from its start until it is forgotten.
@@ -30,33 +30,34 @@
 {
     work::task_attempt attempt;
     Json::Value spec;
-    std::int64_t workMs = 0; // needed in all; 0: runs until stopped
-    double doneMs = 0;       // progress, from the checkpoint on
-    std::string checkpoint;  // object name and progress in ms
-    double share = 1;        // of full speed, below 1 when throttled
+    std::int64_t totalWorkMs = 0; // needed in all; 0: runs until stopped
+    double progressMs = 0;        // progress, from the checkpoint on
+    std::string checkpoint;       // object name and progress in ms
+    double speedFraction = 1;     // of full speed, below 1 when throttled
 };
 
 // Rises with every life of the instance.
 std::uint64_t newIncarnation()
 {
-    const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
-    return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(sinceEpoch).count());
+    const auto sinceUnixEpoch = std::chrono::system_clock::now().time_since_epoch();
+    return static_cast<std::uint64_t>(
+            std::chrono::duration_cast<milliseconds>(sinceUnixEpoch).count());
 }
 
-std::int64_t amountOf(const Json::Value &spec, const char *name)
+std::int64_t amountOrZero(const Json::Value &spec, const char *name)
 {
     return spec.isMember(name) ? spec[name].asInt64() : 0;
 }
 
 // Milliseconds done at a checkpoint; none without one.
-double progressIn(const std::string &checkpoint)
+double progressMsFrom(const std::string &checkpoint)
 {
-    const auto mark = checkpoint.rfind(ProgressMark);
-    return mark == std::string::npos ? 0 : std::atof(checkpoint.c_str() + mark + 1);
+    const auto markPosition = checkpoint.rfind(ProgressMark);
+    return markPosition == std::string::npos ? 0 : std::atof(checkpoint.c_str() + markPosition + 1);
 }
 
 // The operators' name of the job, without its generation.
-std::string jobNameOf(const work::task_id &task)
+std::string jobNameWithoutGeneration(const work::task_id &task)
 {
     return task.job.substr(0, task.job.find('@'));
 }
@@ -78,13 +79,13 @@
     {
         traceWorker();
         m_server.start();
-        m_runner = std::thread([this] { run(); });
+        m_tickThread = std::thread([this] { runLoop(); });
     }
 
     ~worker_standin() override
     {
-        m_stopping = true;
-        m_runner.join();
+        m_isStopping = true;
+        m_tickThread.join();
     }
 
     socket_address address() const override { return m_server.address(); }
@@ -95,66 +96,67 @@
         const auto path = request.path();
         if (path == "/fault")
             return setFault(parseJson(request.body));
-        m_pause.wait();
-        if (m_slowMs > 0)
-            std::this_thread::sleep_for(milliseconds(m_slowMs));
-        if (m_unreachable)
+        m_pauseGate.waitWhilePaused();
+        if (m_addedDelayMs > 0)
+            std::this_thread::sleep_for(milliseconds(m_addedDelayMs));
+        if (m_isUnreachable)
             return {503, {}, "{}"};
-        const auto answer = carryOut(request, path);
+        const auto answer = handleCall(request, path);
         // The effect stands, the answer is dropped.
-        long left = m_loseAnswers;
-        while (left > 0 && !m_loseAnswers.compare_exchange_weak(left, left - 1)) { }
-        return left > 0 ? http_response{500, {}, ""} : answer;
+        long answersLeft = m_answersToLose;
+        while (answersLeft > 0
+               && !m_answersToLose.compare_exchange_weak(answersLeft, answersLeft - 1)) { }
+        return answersLeft > 0 ? http_response{500, {}, ""} : answer;
     }
 
-    http_response carryOut(const http_request &request, const std::string &path)
+    http_response handleCall(const http_request &request, const std::string &path)
     {
         const std::lock_guard lock(m_mutex);
-        endLapsed(monotonic_clock::now()); // before anything else, also after a pause
+        endExpiredRuns(monotonic_clock::now()); // before anything else, also after a pause
         if (path == "/usage")
-            return usage();
+            return serveUsage();
         if (path == "/noise")
-            return noise();
+            return serveNoise();
         const auto body = parseJson(request.body);
         if (path == "/list")
-            return list(body);
+            return serveListing(body);
         if (path == "/start")
-            return start(body);
+            return serveStart(body);
         if (path == "/renew")
-            return renew(body);
+            return serveRenewal(body);
         if (path == "/stop")
-            return stop(attemptFrom(body));
+            return serveStop(attemptFrom(body));
         if (path == "/checkpoint")
-            return checkpoint(attemptFrom(body), stringMember(body, "checkpoint"));
+            return serveCheckpoint(attemptFrom(body), stringMember(body, "checkpoint"));
         if (path == "/throttle")
-            return throttle(body);
+            return serveThrottle(body);
         if (path == "/forget")
-            return forget(attemptFrom(body));
+            return serveForget(attemptFrom(body));
         return {404, {}, "{}"};
     }
 
     http_response setFault(const Json::Value &fault)
     {
         if (fault.isMember("fail_starts"))
-            m_failStarts = boolMember(fault, "fail_starts");
+            m_shouldFailStarts = boolMember(fault, "fail_starts");
         if (fault.isMember("pause_ms"))
-            m_pause.pauseFor(milliseconds(integerMember(fault, "pause_ms")));
+            m_pauseGate.pauseFor(milliseconds(integerMember(fault, "pause_ms")));
         if (fault.isMember("slow_ms"))
-            m_slowMs = integerMember(fault, "slow_ms");
+            m_addedDelayMs = integerMember(fault, "slow_ms");
         if (fault.isMember("lose_answers"))
-            m_loseAnswers = integerMember(fault, "lose_answers");
+            m_answersToLose = integerMember(fault, "lose_answers");
         if (fault.isMember("unreachable"))
-            m_unreachable = boolMember(fault, "unreachable");
+            m_isUnreachable = boolMember(fault, "unreachable");
         if (fault.isMember("noise")) {
             const std::lock_guard lock(m_mutex);
-            m_noiseOf = objectMember(fault, "noise");
+            m_noiseByJob = objectMember(fault, "noise");
         }
         return {200, {}, compactJson(fault)};
     }
 
     // --- Trace lines go to standard output; the trace checker reads them.
 
-    static void print(Json::Value &line)
+    static void printTraceLine(Json::Value &line)
     {
         line["at_us"] = Json::Int64(monotonic_clock::now().time_since_epoch().count());
         const auto text = compactJson(line) + "\n";
@@ -164,12 +166,12 @@
             throw error(error_kind::Internal, "the trace could not be written whole");
     }
 
-    Json::Value traceSize(const Json::Value &spec) const
+    Json::Value sizeToTrace(const Json::Value &spec) const
     {
         Json::Value size(Json::objectValue);
-        size["millicores"] = Json::Int64(amountOf(spec, "millicores"));
-        size["memoryBytes"] = Json::Int64(amountOf(spec, "bytes"));
-        size["accelerators"] = Json::Int64(amountOf(spec, "accelerators"));
+        size["millicores"] = Json::Int64(amountOrZero(spec, "millicores"));
+        size["memoryBytes"] = Json::Int64(amountOrZero(spec, "bytes"));
+        size["accelerators"] = Json::Int64(amountOrZero(spec, "accelerators"));
         return size;
     }
 
@@ -181,7 +183,7 @@
         line["size"]["millicores"] = Json::Int64(m_options.millicores);
         line["size"]["memoryBytes"] = Json::Int64(m_options.bytes);
         line["size"]["accelerators"] = Json::Int64(m_options.accelerators);
-        print(line);
+        printTraceLine(line);
     }
 
     void trace(const char *event, const task_run &run, const char *outcome = nullptr) const
@@ -191,22 +193,22 @@
         line["worker"] = m_options.id;
         line["task"] = work::textOf(run.attempt.task);
         line["attempt"] = run.attempt.attempt;
-        line["size"] = traceSize(run.spec);
+        line["size"] = sizeToTrace(run.spec);
         line["checkpoint"] = run.checkpoint;
         if (outcome != nullptr)
             line["outcome"] = outcome;
-        print(line);
+        printTraceLine(line);
     }
 
     // --- What the agent asks for.
 
-    http_response list(const Json::Value &body)
+    http_response serveListing(const Json::Value &body)
     {
         const auto listing = m_tasks.list({countMember(body, "epoch")}, monotonic_clock::now());
         return {200, {}, compactJson(toJson(listing))};
     }
 
-    http_response start(const Json::Value &body)
+    http_response serveStart(const Json::Value &body)
     {
         work::worker_start request;
         const auto attempt = attemptFrom(body);
@@ -221,7 +223,7 @@
         request.incarnation = countMember(body, "incarnation");
         switch (m_tasks.start(request, monotonic_clock::now())) {
         case work::start_result::Started:
-            run(request);
+            startRun(request);
             return {200, {}, "{}"};
         case work::start_result::AlreadyRunning:
             return {200, {}, "{}"};
@@ -235,21 +237,21 @@
         return {409, {}, compactJson(answer)};
     }
 
-    void run(const work::worker_start &request)
+    void startRun(const work::worker_start &request)
     {
         task_run run;
         run.attempt = {request.task.task, request.task.attempt};
         run.spec = request.spec;
-        run.workMs = amountOf(run.spec, "work_ms");
+        run.totalWorkMs = amountOrZero(run.spec, "work_ms");
         run.checkpoint = request.task.checkpoint;
-        run.doneMs = progressIn(run.checkpoint);
+        run.progressMs = progressMsFrom(run.checkpoint);
         trace(run.checkpoint.empty() ? "started" : "resumed", run);
         m_runs[run.attempt.task] = run;
-        if (m_failStarts)
-            finish(run.attempt.task, work::task_outcome::Failed, "failed to start");
+        if (m_shouldFailStarts)
+            recordRunEnd(run.attempt.task, work::task_outcome::Failed, "failed to start");
     }
 
-    http_response renew(const Json::Value &body)
+    http_response serveRenewal(const Json::Value &body)
     {
         for (const auto &entry : arrayMember(body, "renewals"))
             m_tasks.renew({attemptFrom(entry), milliseconds(integerMember(entry, "lease_ms")),
@@ -257,118 +259,120 @@
         return {200, {}, "{}"};
     }
 
-    http_response stop(const work::task_attempt &attempt)
+    http_response serveStop(const work::task_attempt &attempt)
     {
         if (m_tasks.stop({attempt}))
-            end(attempt.task, "stopped", nullptr);
+            endRun(attempt.task, "stopped", nullptr);
         return {200, {}, "{}"};
     }
 
     // A real worker writes the object; here its name carries the progress.
-    http_response checkpoint(const work::task_attempt &attempt, const std::string &object)
+    http_response serveCheckpoint(const work::task_attempt &attempt, const std::string &object)
     {
         if (m_tasks.runs(attempt)) {
             auto &run = m_runs.at(attempt.task);
-            run.checkpoint =
-                    object + ProgressMark + std::to_string(static_cast<std::int64_t>(run.doneMs));
-            finish(attempt.task, work::task_outcome::Evicted, "");
+            run.checkpoint = object + ProgressMark
+                             + std::to_string(static_cast<std::int64_t>(run.progressMs));
+            recordRunEnd(attempt.task, work::task_outcome::Evicted, "");
         }
         return {200, {}, "{}"};
     }
 
-    http_response throttle(const Json::Value &body)
+    http_response serveThrottle(const Json::Value &body)
     {
         const auto attempt = attemptFrom(body);
         if (!m_tasks.runs(attempt))
             return {200, {}, "{}"};
         auto &run = m_runs.at(attempt.task);
-        const auto share = static_cast<double>(integerMember(body, "percent")) / 100;
-        if (share < run.share)
-            ++m_throttles[jobNameOf(attempt.task)];
-        run.share = share;
+        const auto requestedSpeed = static_cast<double>(integerMember(body, "percent")) / 100;
+        if (requestedSpeed < run.speedFraction)
+            ++m_throttleCounts[jobNameWithoutGeneration(attempt.task)];
+        run.speedFraction = requestedSpeed;
         return {200, {}, "{}"};
     }
 
     // What the running tasks do to the upstream on this instance, less where they are throttled;
     // and how often each job's tasks were.
-    http_response noise() const
+    http_response serveNoise() const
     {
         double sum = 0;
         for (const auto &[task, run] : m_runs)
-            sum += run.share * m_noiseOf.get(jobNameOf(task), 0).asDouble();
+            sum += run.speedFraction
+                   * m_noiseByJob.get(jobNameWithoutGeneration(task), 0).asDouble();
         Json::Value answer(Json::objectValue);
         answer["noise"] = sum;
         answer["throttles"] = Json::Value(Json::objectValue);
-        for (const auto &[job, count] : m_throttles)
+        for (const auto &[job, count] : m_throttleCounts)
             answer["throttles"][job] = count;
         return {200, {}, compactJson(answer)};
     }
 
-    http_response forget(const work::task_attempt &attempt)
+    http_response serveForget(const work::task_attempt &attempt)
     {
         m_tasks.forget({attempt});
         return {200, {}, "{}"};
     }
 
-    http_response usage() const
+    http_response serveUsage() const
     {
         Json::Value empty(Json::objectValue);
         empty["age_ms"] = 0;
         empty["tasks"] = Json::Value(Json::arrayValue);
-        return {200, {}, compactJson(m_usage.empty() ? empty : m_usage.front())};
+        return {200, {}, compactJson(m_usageSamples.empty() ? empty : m_usageSamples.front())};
     }
 
     // --- Running.
 
     // The task ended by itself or by a checkpoint.
-    void finish(const work::task_id &task, work::task_outcome outcome, const std::string &detail)
+    void recordRunEnd(const work::task_id &task, work::task_outcome outcome,
+                      const std::string &detail)
     {
         const auto &run = m_runs.at(task);
         m_tasks.recordEnd({run.attempt, outcome, run.checkpoint, detail});
         if (outcome == work::task_outcome::Evicted)
-            end(task, "evicted", nullptr);
+            endRun(task, "evicted", nullptr);
         else
-            end(task, "ended", outcome == work::task_outcome::Failed ? "failed" : "succeeded");
+            endRun(task, "ended", outcome == work::task_outcome::Failed ? "failed" : "succeeded");
     }
 
-    void end(const work::task_id &task, const char *event, const char *outcome)
+    void endRun(const work::task_id &task, const char *event, const char *outcome)
     {
         trace(event, m_runs.at(task), outcome);
         m_runs.erase(task);
     }
 
-    void run()
+    void runLoop()
     {
-        auto last = monotonic_clock::now();
-        while (!m_stopping) {
-            std::this_thread::sleep_for(Step);
-            m_pause.wait(); // a frozen instance runs nothing
+        auto lastTickAt = monotonic_clock::now();
+        while (!m_isStopping) {
+            std::this_thread::sleep_for(TickInterval);
+            m_pauseGate.waitWhilePaused(); // a frozen instance runs nothing
             const auto now = monotonic_clock::now();
             const std::lock_guard lock(m_mutex);
             // Time spent frozen is no progress.
-            advance(now, std::min<duration>(now - last, LongestStep));
+            advanceRuns(now, std::min<duration>(now - lastTickAt, MaxTickTime));
             sampleUsage();
-            last = now;
+            lastTickAt = now;
         }
     }
 
-    void endLapsed(time_point now)
+    void endExpiredRuns(time_point now)
     {
         for (const auto &attempt : m_tasks.endLapsedTasks(now))
-            end(attempt.task, "stopped", nullptr);
+            endRun(attempt.task, "stopped", nullptr);
     }
 
-    void advance(time_point now, duration passed)
+    void advanceRuns(time_point now, duration elapsed)
     {
-        endLapsed(now);
-        std::vector<work::task_id> done;
+        endExpiredRuns(now);
+        std::vector<work::task_id> finishedTasks;
         for (auto &[task, run] : m_runs) {
-            run.doneMs += run.share * static_cast<double>(passed.count()) / 1000;
-            if (run.workMs > 0 && run.doneMs >= static_cast<double>(run.workMs))
-                done.push_back(task);
+            run.progressMs += run.speedFraction * static_cast<double>(elapsed.count()) / 1000;
+            if (run.totalWorkMs > 0 && run.progressMs >= static_cast<double>(run.totalWorkMs))
+                finishedTasks.push_back(task);
         }
-        for (const auto &task : done)
-            finish(task, work::task_outcome::Succeeded, "");
+        for (const auto &task : finishedTasks)
+            recordRunEnd(task, work::task_outcome::Succeeded, "");
     }
 
     void sampleUsage()
@@ -379,30 +383,30 @@
         for (const auto &[task, run] : m_runs) {
             Json::Value entry(Json::objectValue);
             entry["task"] = work::textOf(task);
-            entry["millicores"] =
-                    Json::Int64(static_cast<double>(amountOf(run.spec, "millicores")) * run.share);
-            entry["bytes"] = Json::Int64(amountOf(run.spec, "bytes"));
+            entry["millicores"] = Json::Int64(
+                    static_cast<double>(amountOrZero(run.spec, "millicores")) * run.speedFraction);
+            entry["bytes"] = Json::Int64(amountOrZero(run.spec, "bytes"));
             sample["tasks"].append(std::move(entry));
         }
-        m_usage.push_back(std::move(sample));
-        while (static_cast<std::int64_t>(m_usage.size()) > m_options.usageLag / Step)
-            m_usage.pop_front();
+        m_usageSamples.push_back(std::move(sample));
+        while (static_cast<std::int64_t>(m_usageSamples.size()) > m_options.usageLag / TickInterval)
+            m_usageSamples.pop_front();
     }
 
     worker_options m_options;
     std::mutex m_mutex;
     work::worker_tasks m_tasks;
     std::map<work::task_id, task_run> m_runs;
-    std::deque<Json::Value> m_usage;
-    Json::Value m_noiseOf{Json::objectValue};    // by job
-    std::map<std::string, unsigned> m_throttles; // by job: tasks that were slowed down
-    pause_gate m_pause;
-    std::atomic<bool> m_failStarts{false};
-    std::atomic<bool> m_unreachable{false};
-    std::atomic<long> m_slowMs{0};
-    std::atomic<long> m_loseAnswers{0};
-    std::atomic<bool> m_stopping{false};
-    std::thread m_runner;
+    std::deque<Json::Value> m_usageSamples;
+    Json::Value m_noiseByJob{Json::objectValue};      // by job
+    std::map<std::string, unsigned> m_throttleCounts; // by job: tasks that were slowed down
+    pause_gate m_pauseGate;
+    std::atomic<bool> m_shouldFailStarts{false};
+    std::atomic<bool> m_isUnreachable{false};
+    std::atomic<long> m_addedDelayMs{0};
+    std::atomic<long> m_answersToLose{0};
+    std::atomic<bool> m_isStopping{false};
+    std::thread m_tickThread;
     http_server m_server;
 };
 
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -259,8 +259,8 @@
     });
     section("seven times the traffic takes nothing from a team within its share", [] {
         const auto result = runOverload({{"flood", 1400.0}, {"light", 100.0}}, seconds(20));
-        check(result.inTimeByTeam.at("light") > 0.97 * 20 * 100 * 0.95);
-        check(result.inTimeByTeam.at("flood") > 20 * 250);
+        check(result.onTimeByTeam.at("light") > 0.97 * 20 * 100 * 0.95);
+        check(result.onTimeByTeam.at("flood") > 20 * 250);
     });
 }
 
@@ -291,7 +291,7 @@
         const auto result = runOverload({{"a", Capacity * load / 2}, {"b", Capacity * load / 2}},
                                         seconds(Seconds));
         section("at load " + std::to_string(load), [&] {
-            check(result.inTime > 0.93 * Capacity * Seconds);
+            check(result.onTime > 0.93 * Capacity * Seconds);
             check(result.late < 0.02 * Capacity * Seconds);
         });
     }
--- a/tests/configuration_follow_test.cpp
+++ b/tests/configuration_follow_test.cpp
@@ -61,14 +61,14 @@
 
 queue_table tableOf(int routes)
 {
-    return queue_table(platform_wire::configurationFrom(configurationOf(routes)));
+    return queue_table(platform_wire::parseConfiguration(configurationOf(routes)));
 }
 
 std::string feedWith(const std::string &value)
 {
     row_transaction one;
-    one.set.push_back({platform_wire::ConfigurationRow, value, 0, false});
-    const auto body = platform_wire::commitRequest(one).body;
+    one.set.push_back({platform_wire::ConfigurationRowName, value, 0, false});
+    const auto body = platform_wire::makeCommitRequest(one).body;
     const auto from = body.find("\"value\":\"") + 9;
     return R"({"rows":[{"table":"op","part":"","key":"config","ver":3,"value":")"
            + body.substr(from, body.find('"', from) - from) + R"("}],"ver":9,"now-ms":1})";
@@ -138,8 +138,8 @@
         const auto body = feedWith(configurationOf(routes));
         const call_result result = http_response{200, {}, body};
         const auto before = allocatedBytes;
-        const auto page = platform_wire::feedResult(result);
-        const queue_table table(platform_wire::configurationFrom(page->rows.at(0).value));
+        const auto page = platform_wire::parseFeedResult(result);
+        const queue_table table(platform_wire::parseConfiguration(page->rows.at(0).value));
         check(table.size() == static_cast<std::size_t>(routes));
         return static_cast<double>(allocatedBytes - before) / routes;
     };
@@ -168,7 +168,7 @@
 
 Test(configuration_follow, parses_the_operators_configuration)
 {
-    const auto read = platform_wire::configurationFrom(configurationOf(2));
+    const auto read = platform_wire::parseConfiguration(configurationOf(2));
     require(read.routes.size() == 2);
     check(read.version == 7);
     check(read.routes[1].policy.queue == "r-0000001");
@@ -179,7 +179,7 @@
                                  R"({"version":7,"routes":[7]})", "\xff",
                                  R"({"version":7,"routes":[{"host":"a","prefix":"/"}]})",
                                  R"({"version":7,"routes":[]} x)"}) {
-            cr_expect_throw(platform_wire::configurationFrom(text), error);
+            cr_expect_throw(platform_wire::parseConfiguration(text), error);
         }
     });
 }
--- a/tests/fleet_scenario.h
+++ b/tests/fleet_scenario.h
@@ -30,7 +30,7 @@
     return waitUntil(
             [&] {
                 for (unsigned entry = 0; entry < system.options().entries; ++entry) {
-                    if (!system.entry(entry)->running())
+                    if (!system.entry(entry)->isRunning())
                         continue;
                     if (system.rpc(entry, "status", Json::objectValue)["upstreams"].size()
                         != upstreams)
@@ -54,7 +54,7 @@
 {
     load_generator load(system, options, result);
     std::thread callers([&] { load.run(); });
-    waitUntil([&] { return load.done() >= options.requests / 6; }, WaitLimit);
+    waitUntil([&] { return load.completedRequests() >= options.requests / 6; }, WaitLimit);
     scenario();
     callers.join();
 }
@@ -63,7 +63,7 @@
 inline std::string describeRefusals(const load_result &result)
 {
     std::string text;
-    for (const auto &[reason, count] : result.refused)
+    for (const auto &[reason, count] : result.refusedByReason)
         text += reason + " " + std::to_string(count) + "; ";
     return text;
 }
@@ -71,7 +71,7 @@
 inline void checkPromisesKept(fleet &system, const load_result &result)
 {
     check(result.wrongAnswers == 0);
-    for (const auto &broken : brokenPromises(system, result))
+    for (const auto &broken : findGuaranteeViolations(system, result))
         cr_expect(false, "%s: %s", sectionName().c_str(), broken.c_str());
 }
 
@@ -103,8 +103,8 @@
 inline void startWithBatch(fleet &system, const batch_options &batch)
 {
     system.startAll();
-    system.putFolderFile("10-base.json", baseFolder(system.options()));
-    system.putFolderFile("20-batch.json", batchFolder(batch));
+    system.putFolderFile("10-base.json", makeBaseConfig(system.options()));
+    system.putFolderFile("20-batch.json", makeBatchConfig(batch));
     require(waitUntil([&] { return countTraced(system, "started", batch.job) > 0; }, WaitLimit));
 }
 
--- a/tests/job_platform_test.cpp
+++ b/tests/job_platform_test.cpp
@@ -48,20 +48,20 @@
 Test(job_platform, announcements)
 {
     section("a valid announcement is parsed", [] {
-        const auto told = announcementFrom(announcement(GoodAnnouncement));
+        const auto told = parseAnnouncement(announcement(GoodAnnouncement));
         require(told.has_value());
         check(told->id == "i-7");
         check(told->capacity == (task_size{16'000, 32'768, 0}));
         check(told->rack == "r1-3");
-        check(told->bornMs == 17);
+        check(told->startTimeMs == 17);
     });
     section("an invalid announcement is rejected", [] {
-        check(!announcementFrom(announcement("\xff\x00{")));
-        check(!announcementFrom(announcement("[]")));
-        check(!announcementFrom(announcement(R"({"service":7})")));
+        check(!parseAnnouncement(announcement("\xff\x00{")));
+        check(!parseAnnouncement(announcement("[]")));
+        check(!parseAnnouncement(announcement(R"({"service":7})")));
         std::string unknownState = GoodAnnouncement;
         unknownState.replace(unknownState.find("ready"), 5, "dozes");
-        check(!announcementFrom(announcement(unknownState)));
+        check(!parseAnnouncement(announcement(unknownState)));
     });
 }
 
@@ -71,10 +71,10 @@
         for (const std::string value : {"", "a", "ab", "abc", "abcd"}) {
             row_transaction one;
             one.set.push_back({{"t", "p", "k"}, value, 0, false});
-            const auto body = commitRequest(one).body;
+            const auto body = makeCommitRequest(one).body;
             const auto from = body.find("\"value\":\"") + 9;
             const auto encoded = body.substr(from, body.find('"', from) - from);
-            const auto page = rowsResult(answer(
+            const auto page = parseRowsResult(answer(
                     200, R"({"rows":[{"table":"t","part":"p","key":"k","ver":3,"value":")" + encoded
                                  + R"("}],"more-pages":false,"ver":9,"now-ms":1})"));
             require(page.has_value() && page->rows.size() == 1);
@@ -82,62 +82,62 @@
         }
     });
     section("a lost or unreadable answer leaves the outcome of a write unknown", [] {
-        check(std::holds_alternative<in_doubt>(commitResult(call_failure::TimedOut)));
-        check(std::holds_alternative<in_doubt>(commitResult(call_failure::IncompleteAnswer)));
-        check(std::holds_alternative<in_doubt>(commitResult(answer(200, "{"))));
-        check(std::holds_alternative<in_doubt>(commitResult(answer(502, ""))));
+        check(std::holds_alternative<in_doubt>(parseCommitResult(call_failure::TimedOut)));
+        check(std::holds_alternative<in_doubt>(parseCommitResult(call_failure::IncompleteAnswer)));
+        check(std::holds_alternative<in_doubt>(parseCommitResult(answer(200, "{"))));
+        check(std::holds_alternative<in_doubt>(parseCommitResult(answer(502, ""))));
     });
     section("after a refusal the write is known not to have happened", [] {
-        check(std::holds_alternative<not_committed>(commitResult(call_failure::NotConnected)));
-        check(std::holds_alternative<not_committed>(commitResult(answer(503, ""))));
-        check(std::holds_alternative<not_committed>(commitResult(answer(429, ""))));
+        check(std::holds_alternative<not_committed>(parseCommitResult(call_failure::NotConnected)));
+        check(std::holds_alternative<not_committed>(parseCommitResult(answer(503, ""))));
+        check(std::holds_alternative<not_committed>(parseCommitResult(answer(429, ""))));
     });
     section("an unreadable row is skipped, the others are read", [] {
-        const auto page =
-                rowsResult(answer(200, R"({"rows":[{"table":"t","key":"bad","value":"*","ver":1},)"
-                                       R"({"table":"t","key":"good","value":"YQ==","ver":2}],)"
-                                       R"("more-pages":false,"ver":9})"));
+        const auto page = parseRowsResult(
+                answer(200, R"({"rows":[{"table":"t","key":"bad","value":"*","ver":1},)"
+                            R"({"table":"t","key":"good","value":"YQ==","ver":2}],)"
+                            R"("more-pages":false,"ver":9})"));
         require(page.has_value() && page->rows.size() == 1);
         check(page->rows[0].name.key == "good");
     });
     section("lost history is reported, so that the whole table is read again", [] {
-        const auto page = feedResult(answer(410, ""));
+        const auto page = parseFeedResult(answer(410, ""));
         check(page.has_value() && page->historyExpired);
-        check(!feedResult(answer(503, "")).has_value());
+        check(!parseFeedResult(answer(503, "")).has_value());
     });
 }
 
 Test(job_platform, submitted_jobs)
 {
-    const auto spec =
-            jobFrom(R"({"spec":"x","steps":[{"count":4,"cpu":500,"mem-mb":256,"estimate-ms":900,)"
-                    R"("affinity":"r1-3"},{"count":20,"cpu":2000,"after":[0],"checkpointing":true,)"
-                    R"("anti-affinity":2,"long-running":true,"target-ms":150,"may-miss":1}]})");
+    const auto spec = parseJobSpec(
+            R"({"spec":"x","steps":[{"count":4,"cpu":500,"mem-mb":256,"estimate-ms":900,)"
+            R"("affinity":"r1-3"},{"count":20,"cpu":2000,"after":[0],"checkpointing":true,)"
+            R"("anti-affinity":2,"long-running":true,"target-ms":150,"may-miss":1}]})");
     check(spec.steps.size() == 2);
     check(spec.steps[0].dataRack == "r1-3");
     check(spec.steps[1].maxPerWorker == 2);
     check(spec.steps[1].isLongRunning && spec.steps[1].latencyTargetMs == 150);
-    cr_expect_throw(jobFrom("{"), error);
-    cr_expect_throw(jobFrom(R"({"steps":[]})"), error);
-    cr_expect_throw(jobFrom(R"({"steps":[{"count":"4"}]})"), error);
-    cr_expect_throw(jobFrom(R"({"steps":[{"count":1,"after":[0]}]})"), error);
+    cr_expect_throw(parseJobSpec("{"), error);
+    cr_expect_throw(parseJobSpec(R"({"steps":[]})"), error);
+    cr_expect_throw(parseJobSpec(R"({"steps":[{"count":"4"}]})"), error);
+    cr_expect_throw(parseJobSpec(R"({"steps":[{"count":1,"after":[0]}]})"), error);
 }
 
 Test(job_platform, worker_answers_are_parsed)
 {
-    check(startResult(answer(200, "{}")) == start_answer::Started);
-    check(startResult(answer(409, R"({"reason":"late"})")) == start_answer::Refused);
-    check(startResult(answer(503, "")) == start_answer::NotExecuted);
-    check(startResult(call_failure::TimedOut) == start_answer::Unanswered);
-    check(startResult(call_failure::IncompleteAnswer) == start_answer::Unanswered);
-    const auto looked = holdResult(
+    check(parseStartResult(answer(200, "{}")) == start_answer::Started);
+    check(parseStartResult(answer(409, R"({"reason":"late"})")) == start_answer::Refused);
+    check(parseStartResult(answer(503, "")) == start_answer::NotExecuted);
+    check(parseStartResult(call_failure::TimedOut) == start_answer::Unanswered);
+    check(parseStartResult(call_failure::IncompleteAnswer) == start_answer::Unanswered);
+    const auto looked = parseHoldResult(
             answer(200, R"({"clock-ms":5,"born":9,"running":[["j.0.1.17",2,"c",41,25],["?"]],)"
                         R"("ended":[[58,"j.0.1.9",1,"done",""],[59,"j.0.1.9",1,"?",""]]})"));
     require(looked.has_value());
     check(looked->listing.running.size() == 1);
     check(looked->listing.running[0].measured == 25);
     check(looked->listing.ended.size() == 1);
-    check(!holdResult(answer(200, "[]")).has_value());
+    check(!parseHoldResult(answer(200, "[]")).has_value());
 }
 
 // An entry watches the lease of a silent worker. If the row does not give its end on the store's
--- a/tests/job_system.h
+++ b/tests/job_system.h
@@ -20,7 +20,7 @@
 namespace zinniabarrow::tests {
 
 using standins::child_process;
-using standins::job_site;
+using standins::job_platform;
 using standins::waitUntil;
 
 inline constexpr milliseconds WaitLimit{45'000}; // upper bound on waits for conditions
@@ -69,7 +69,7 @@
         std::filesystem::remove_all(m_scratch);
     }
 
-    job_site &site() { return m_site; }
+    job_platform &site() { return m_site; }
     child_process &entry(int index) { return *m_processes.at(fmt::format("entry-{}", index)); }
     child_process &agent(int index) { return *m_processes.at(fmt::format("agent-{}", index)); }
 
@@ -157,12 +157,13 @@
     };
     service_placement startService(const std::string &job)
     {
-        site().workLasts(milliseconds(600'000));
+        site().setTaskTime(milliseconds(600'000));
         require(submitService(0, job));
-        require(waitUntil([&] { return site().starts() == 2; }, WaitLimit));
+        require(waitUntil([&] { return site().startCount() == 2; }, WaitLimit));
         const auto worker = site().busiestWorker();
         const auto lease = fmt::format("agent-{}", worker);
-        return {static_cast<int>(worker), site().runsOn(worker), site().leaseEpoch(lease), lease};
+        return {static_cast<int>(worker), site().countRunsOn(worker), site().leaseEpoch(lease),
+                lease};
     }
 
     // Starts a service, and lets its worker depart at the moment at which the worker's lease is
@@ -170,7 +171,7 @@
     service_placement departDuringRenewal(const std::string &job)
     {
         const auto placement = startService(job);
-        site().departAtRenewal(static_cast<std::size_t>(placement.worker), placement.lease);
+        site().terminateAtLeaseWrite(static_cast<std::size_t>(placement.worker), placement.lease);
         return placement;
     }
 
@@ -332,11 +333,11 @@
     }
 
     std::filesystem::path m_scratch;
-    job_site m_site;
+    job_platform m_site;
     std::map<std::string, std::unique_ptr<child_process>> m_processes;
 };
 
-inline void checkNoViolations(const system_under_test &, const job_site &site)
+inline void checkNoViolations(const system_under_test &, const job_platform &site)
 {
     for (const auto &violation : site.violations())
         cr_expect_fail("%s", violation.c_str());
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -359,42 +359,42 @@
         mesh nodes(meshOf(11, 5));
         nodes.runFor(seconds(5));
         for (int i = 0; i < 5; ++i)
-            check(nodes.routesAt(i) == 11);
+            check(nodes.countRoutableAt(i) == 11);
         section("leaving reaches an entry that is cut off from the agent", [&] {
-            nodes.cut(mesh::agentName(3), mesh::entryName(2));
-            nodes.cut(mesh::agentName(3), mesh::entryName(4));
+            nodes.disconnect(mesh::agentName(3), mesh::entryName(2));
+            nodes.disconnect(mesh::agentName(3), mesh::entryName(4));
             nodes.agent(3).setState(upstream_state::Leaving);
             nodes.runFor(milliseconds(500));
-            check(nodes.entriesThatRoute(3) == 0);
-            nodes.heal();
+            check(nodes.countEntriesRoutingTo(3) == 0);
+            nodes.reconnectAll();
         });
         section("and entries that are cut off from one another", [&] {
             for (int one = 0; one < 5; ++one) {
                 for (int other = one + 1; other < 5; ++other)
-                    nodes.cut(mesh::entryName(one), mesh::entryName(other));
+                    nodes.disconnect(mesh::entryName(one), mesh::entryName(other));
             }
             nodes.agent(4).setState(upstream_state::Leaving);
             nodes.runFor(milliseconds(500));
-            check(nodes.entriesThatRoute(4) == 0);
-            nodes.heal();
+            check(nodes.countEntriesRoutingTo(4) == 0);
+            nodes.reconnectAll();
             nodes.startAgent(4);
             nodes.runFor(seconds(5));
-            check(nodes.entriesThatRoute(4) == 5);
+            check(nodes.countEntriesRoutingTo(4) == 5);
         });
         section("a killed agent leaves routing everywhere", [&] {
             nodes.stopAgent(5);
             nodes.runFor(seconds(5));
-            check(nodes.entriesThatRoute(5) == 0);
+            check(nodes.countEntriesRoutingTo(5) == 0);
             nodes.startAgent(5);
             nodes.runFor(seconds(2));
-            check(nodes.entriesThatRoute(5) == 5);
+            check(nodes.countEntriesRoutingTo(5) == 5);
         });
         section("a replaced entry knows all again, and nobody else loses one", [&] {
             nodes.stopEntry(1);
             nodes.startEntry(1);
             nodes.runFor(seconds(3));
-            check(nodes.routesAt(1) == 10);
-            check(nodes.routesAt(0) == 10);
+            check(nodes.countRoutableAt(1) == 10);
+            check(nodes.countRoutableAt(0) == 10);
         });
     });
     section("healthy agents outlive the entries that heard them, more than once", [] {
@@ -408,12 +408,12 @@
                     nodes.startEntry(dead);
             }
             nodes.runFor(seconds(1));
-            require(nodes.routesAt(2) == 11 && nodes.routesAt(3) == 11);
+            require(nodes.countRoutableAt(2) == 11 && nodes.countRoutableAt(3) == 11);
         }
     });
     section("one message in ten is lost: no healthy upstream leaves, a leaving one does", [] {
         auto settings = meshOf(40, 5);
-        settings.lossShare = 0.1;
+        settings.lossFraction = 0.1;
         mesh nodes(settings);
         nodes.runFor(seconds(10));
         int replaced = 0; // entries that were taken for dead
@@ -424,22 +424,22 @@
                 replaced += nodes.agent(i).targets() == first ? 0 : 1;
             }
             for (int i = 0; i < 5; ++i)
-                require(nodes.routesAt(i) == 40);
+                require(nodes.countRoutableAt(i) == 40);
         }
         check(replaced == 0);
         for (int i = 0; i < 20; ++i)
             nodes.agent(i).setState(upstream_state::Leaving);
         nodes.runFor(seconds(3));
         for (int i = 0; i < 20; ++i)
-            check(nodes.entriesThatRoute(i) == 0);
+            check(nodes.countEntriesRoutingTo(i) == 0);
     });
     section("790 agents and 15 entries keep within 2 KB a second for each node", [] {
         mesh nodes(meshOf(790, 15));
         nodes.runFor(seconds(60));
-        nodes.forgetTraffic();
+        nodes.resetTraffic();
         nodes.runFor(seconds(60));
         for (int i = 0; i < 15; ++i) {
-            check(nodes.routesAt(i) == 790);
+            check(nodes.countRoutableAt(i) == 790);
             const auto &bytes = nodes.trafficOf(mesh::entryName(i));
             check(bytes.sent + bytes.received < 60 * 2000);
         }
@@ -448,13 +448,13 @@
         section("leaving is in force everywhere within half a second", [&] {
             nodes.agent(400).setState(upstream_state::Leaving);
             nodes.runFor(milliseconds(500));
-            check(nodes.entriesThatRoute(400) == 0);
+            check(nodes.countEntriesRoutingTo(400) == 0);
         });
         section("a killed agent is out everywhere within 30 seconds", [&] {
             nodes.stopAgent(401);
             nodes.runFor(seconds(30));
-            check(nodes.entriesThatRoute(401) == 0);
-            check(nodes.routesAt(0) == 788);
+            check(nodes.countEntriesRoutingTo(401) == 0);
+            check(nodes.countRoutableAt(0) == 788);
         });
     });
 }
--- a/tests/placement_policy_test.cpp
+++ b/tests/placement_policy_test.cpp
@@ -27,26 +27,26 @@
     const auto &vtav = results.at("chosen, VTAV's weights");
     section("no policy overcommits a worker, and urgent work starts in time", [&] {
         for (const auto &[name, result] : results) {
-            check(result.overCapacity == 0);
-            check(result.urgentSlowest <= 2.4);
+            check(result.overCapacityCount == 0);
+            check(result.maxUrgentDelay <= 2.4);
         }
     });
     section("Mtkvari: tail latency is near the target, with no less batch work done", [&] {
-        check(mtkvari.servicePercentile99 <= 1.15);
-        check(mtkvari.servicePercentile99 <= 0.85 * declared.servicePercentile99);
-        check(mtkvari.serviceLate <= 0.05);
-        check(mtkvari.batchWork >= 0.93 * declared.batchWork);
+        check(mtkvari.serviceP99Ratio <= 1.15);
+        check(mtkvari.serviceP99Ratio <= 0.85 * declared.serviceP99Ratio);
+        check(mtkvari.serviceLateFraction <= 0.05);
+        check(mtkvari.finishedHours >= 0.93 * declared.finishedHours);
     });
     section("VTAV: fewer evictions and no less work than with Mtkvari's weights", [&] {
         check(vtav.evictions <= mtkvari.evictions);
-        check(vtav.batchWork >= 0.98 * mtkvari.batchWork);
-        check(vtav.servicePercentile99 <= declared.servicePercentile99);
+        check(vtav.finishedHours >= 0.98 * mtkvari.finishedHours);
+        check(vtav.serviceP99Ratio <= declared.serviceP99Ratio);
     });
     section("no task is killed for memory, and little work is wasted", [&] {
         for (const auto &chosen : {mtkvari, vtav}) {
             check(chosen.memoryKills == 0);
             check(chosen.evictions <= 150);
-            check(chosen.wastedWork <= 5);
+            check(chosen.wastedHours <= 5);
             check(chosen.failures <= 150);
         }
         check(declared.memoryKills > 500); // shows that the sequence is hard without learned sizes
--- a/tests/process_config_test.cpp
+++ b/tests/process_config_test.cpp
@@ -21,12 +21,12 @@
         std::vector<std::string> command{m_system.options().binaries + "/zinniabarrow", words[0],
                                          "--entry", m_system.entryRpcAddress(entry)};
         command.insert(command.end(), words.begin() + 1, words.end());
-        return runCommand(command, m_system.scratch());
+        return runCommand(command, m_system.scratchFolder());
     }
 
     std::string file(const std::string &name, const Json::Value &content)
     {
-        const auto path = m_system.scratch() + "/" + name;
+        const auto path = m_system.scratchFolder() + "/" + name;
         std::ofstream(path) << prettyJson(content);
         return path;
     }
@@ -63,11 +63,12 @@
     startAndWait(system);
     operator_client operatorClient(system);
     section("a whole folder is accepted", [&] {
-        check(operatorClient.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
+        check(operatorClient.put(0, "10-base.json", makeBaseConfig(system.options())).exitCode
+              == 0);
         check(generationAt(system, 2) == 1);
     });
     section("an edit through another entry is in force everywhere", [&] {
-        const auto result = operatorClient.put(1, "20-batch.json", batchFolder({}));
+        const auto result = operatorClient.put(1, "20-batch.json", makeBatchConfig({}));
         check(result.exitCode == 0);
         check(contains(result.output, "in force everywhere after "));
         for (unsigned entry = 0; entry < 3; ++entry)
@@ -76,7 +77,7 @@
     section("an edit that asks too much is refused, the generation stays", [&] {
         batch_options huge;
         huge.millicores = 99'000'000;
-        const auto result = operatorClient.put(2, "20-batch.json", batchFolder(huge));
+        const auto result = operatorClient.put(2, "20-batch.json", makeBatchConfig(huge));
         check(result.exitCode == 1);
         check(contains(result.output, "refused"));
         check(contains(result.output, "20-batch.json:"));
@@ -85,7 +86,7 @@
     section("its repair is taken up", [&] {
         batch_options repaired;
         repaired.tasks = 41;
-        check(operatorClient.put(0, "20-batch.json", batchFolder(repaired)).exitCode == 0);
+        check(operatorClient.put(0, "20-batch.json", makeBatchConfig(repaired)).exitCode == 0);
         check(generationAt(system, 1) == 3);
     });
     section("a removal is in force everywhere", [&] {
@@ -101,7 +102,7 @@
     fleet system(smallFleet());
     startAndWait(system);
     operator_client operatorClient(system);
-    require(operatorClient.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
+    require(operatorClient.put(0, "10-base.json", makeBaseConfig(system.options())).exitCode == 0);
     std::vector<command_result> results(2);
     std::vector<std::thread> operators;
     for (unsigned index = 0; index < 2; ++index) {
@@ -110,11 +111,11 @@
         operators.emplace_back([&, index, batch] {
             const auto name = "20-batch.json";
             operator_client ownClient(system);
-            const auto folder = system.scratch() + "/operator-" + std::to_string(index);
+            const auto folder = system.scratchFolder() + "/operator-" + std::to_string(index);
             check(runCommand({"/bin/mkdir", "-p", folder}, folder.substr(0, folder.rfind('/')))
                           .exitCode
                   == 0);
-            std::ofstream(folder + "/" + name) << prettyJson(batchFolder(batch));
+            std::ofstream(folder + "/" + name) << prettyJson(makeBatchConfig(batch));
             results[index] = ownClient.run(
                     index, {"put", "--follow", "--timeout-ms", "10000", folder + "/" + name});
         });
@@ -148,10 +149,10 @@
     fleet system(smallFleet());
     startAndWait(system);
     operator_client operatorClient(system);
-    require(operatorClient.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
+    require(operatorClient.put(0, "10-base.json", makeBaseConfig(system.options())).exitCode == 0);
     Json::Value fault(Json::objectValue);
     section("the edit is written, then the platform goes down", [&] {
-        system.putFolderFile("20-batch.json", batchFolder({}));
+        system.putFolderFile("20-batch.json", makeBatchConfig({}));
         fault["down"] = true;
         system.setFault(system.platformAddress(), fault);
     });
@@ -183,10 +184,10 @@
     operator_client operatorClient(system);
     batch_options batch;
     batch.runMs = 60'000;
-    require(operatorClient.put(0, "10-base.json", baseFolder(system.options())).exitCode == 0);
+    require(operatorClient.put(0, "10-base.json", makeBaseConfig(system.options())).exitCode == 0);
     section("put prints the version that follow waits for", [&] {
         const auto put = operatorClient.run(
-                1, {"put", operatorClient.file("20-batch.json", batchFolder(batch))});
+                1, {"put", operatorClient.file("20-batch.json", makeBatchConfig(batch))});
         check(put.exitCode == 0);
         const auto from = put.output.find("version ") + 8;
         const auto version = put.output.substr(from, put.output.find(':') - from);
--- a/tests/process_evict_test.cpp
+++ b/tests/process_evict_test.cpp
@@ -35,8 +35,8 @@
 void startFullFleet(fleet &system)
 {
     startAndWait(system);
-    system.putFolderFile("10-base.json", baseFolder(system.options()));
-    system.putFolderFile("20-batch.json", batchFolder(batchJob()));
+    system.putFolderFile("10-base.json", makeBaseConfig(system.options()));
+    system.putFolderFile("20-batch.json", makeBatchConfig(batchJob()));
     require(waitUntil([&] { return countTraced(system, "started", batchJob().job) == BatchTasks; },
                       WaitLimit));
 }
@@ -44,7 +44,7 @@
 // Of a team of its own: the batch has used up its own team's quota.
 void submitUrgent(fleet &system)
 {
-    auto folder = batchFolder(urgentJob());
+    auto folder = makeBatchConfig(urgentJob());
     auto &quota = folder["teams"]["gates"]["quota"];
     quota["millicores"] = 64'000;
     quota["bytes"] = Json::Int64(240'000'000'000);
@@ -111,7 +111,7 @@
 {
     fleet system(smallFleet());
     startFullFleet(system);
-    system.putFolderFile("30-gate.json", batchFolder(urgentJob()));
+    system.putFolderFile("30-gate.json", makeBatchConfig(urgentJob()));
     checkAllTasksCompleted(system);
 }
 
--- a/tests/process_input_test.cpp
+++ b/tests/process_input_test.cpp
@@ -13,7 +13,7 @@
 command_result zinniabarrowCommand(const fleet &system, std::vector<std::string> words)
 {
     words.insert(words.begin(), std::string(ZB_BINARIES) + "/zinniabarrow");
-    return runCommand(words, system.scratch());
+    return runCommand(words, system.scratchFolder());
 }
 
 bool contains(const std::string &text, const std::string &part)
@@ -57,7 +57,7 @@
         check(contains(nobody.errors, "ask another entry"));
     });
     section("wrong settings name file, line, what was found and what is allowed", [&] {
-        const auto file = system.scratch() + "/wrong.json";
+        const auto file = system.scratchFolder() + "/wrong.json";
         std::ofstream(file) << "{\n\"id\": \"entry-1\",\n\"shards\": \"many\"\n}\n";
         const auto result = zinniabarrowCommand(system, {"entry", "--settings", file});
         check(result.exitCode == 1);
@@ -67,15 +67,15 @@
     section("the example folder is acceptable, a broken one is refused", [&] {
         const std::string examples = std::string(ZB_SOURCES) + "/examples/folder";
         check(zinniabarrowCommand(system, {"check", examples}).exitCode == 0);
-        const auto folder = system.scratch() + "/folder";
-        check(runCommand({"/bin/mkdir", folder}, system.scratch()).exitCode == 0);
+        const auto folder = system.scratchFolder() + "/folder";
+        check(runCommand({"/bin/mkdir", folder}, system.scratchFolder()).exitCode == 0);
         std::ofstream(folder + "/a.json") << "{\n\"jobs\": [\n";
         const auto result = zinniabarrowCommand(system, {"check", folder});
         check(result.exitCode == 1);
         check(contains(result.output, "a.json:"));
     });
     section("a trace with a task in two places is found", [&] {
-        const auto file = system.scratch() + "/trace.jsonl";
+        const auto file = system.scratchFolder() + "/trace.jsonl";
         std::ofstream(file) << R"({"event":"ended"})"
                             << "\nnot json\n";
         check(zinniabarrowCommand(system, {"check-trace", file}).exitCode == 1);
--- a/tests/process_interference_test.cpp
+++ b/tests/process_interference_test.cpp
@@ -21,7 +21,7 @@
     auto options = smallFleet();
     options.workers = Workers;
     options.upstreamWorkMs = WorkMs;
-    options.disturbing = true;
+    options.hasInterference = true;
     // Mtkvari's: seat holds cannot wait.
     auto &weights = options.entrySettings["weights"];
     weights["tail_latency"] = 0.7;
@@ -32,7 +32,7 @@
 
 Json::Value folderWithTarget(const fleet_options &options)
 {
-    auto folder = baseFolder(options);
+    auto folder = makeBaseConfig(options);
     folder["services"][options.service]["latency_target_ms"] = TargetMs;
     return folder;
 }
@@ -153,7 +153,7 @@
     for (unsigned index = 0; index < Workers; ++index)
         system.setFault(system.workerAddress(index), noise);
     system.putFolderFile("10-base.json", folderWithTarget(system.options()));
-    system.putFolderFile("20-quiet.json", batchFolder(batchOf("quiet", Workers, 2000)));
+    system.putFolderFile("20-quiet.json", makeBatchConfig(batchOf("quiet", Workers, 2000)));
     steady_load load(system);
     section("beside quiet batch alone the service meets its target", [&] {
         require(waitUntil([&] { return countTraced(system, "started", "quiet") == Workers; },
@@ -163,7 +163,7 @@
         for (unsigned index = 0; index < Workers; ++index)
             check(countAnswers(system, index).beyondTarget == 0);
     });
-    system.putFolderFile("30-noisy.json", batchFolder(batchOf("noisy", 1, 8000)));
+    system.putFolderFile("30-noisy.json", makeBatchConfig(batchOf("noisy", 1, 8000)));
     require(waitUntil([&] { return countTraced(system, "started", "noisy") == 1; }, WaitLimit));
     const auto noisiestWorker = findNoisiestWorker(system);
     section("the noisy task is throttled", [&] {
--- a/tests/process_jobs_test.cpp
+++ b/tests/process_jobs_test.cpp
@@ -74,12 +74,12 @@
         require(system.submit(0, "aaaa000000000001"));
         check(system.reachesState(0, "aaaa000000000001", "completed"));
         check(system.reachesState(1, "aaaa000000000001", "completed"));
-        check(system.site().done() == TasksPerJob);
-        check(system.site().starts() == TasksPerJob);
+        check(system.site().doneCount() == TasksPerJob);
+        check(system.site().startCount() == TasksPerJob);
     });
     section("submitting the same id again does not create another job", [&] {
         require(system.submit(1, "aaaa000000000001"));
-        check(system.site().starts() == TasksPerJob);
+        check(system.site().startCount() == TasksPerJob);
     });
     section("invalid input gets a specific answer", [&] {
         check(system.call(0, "POST", "aaaa000000000002", "{")->status == 400);
@@ -87,7 +87,7 @@
         check(system.call(0, "GET", "")->body == R"({"waiting":0})");
     });
     section("a cancelled job is stopped", [&] {
-        system.site().workLasts(milliseconds(60'000));
+        system.site().setTaskTime(milliseconds(60'000));
         require(system.submit(0, "aaaa000000000004"));
         check(system.call(1, "DELETE", "aaaa000000000004")->status == 200);
         check(system.reachesState(1, "aaaa000000000004", "cancelled"));
@@ -95,10 +95,10 @@
     // An owner that dies right after the answer has not told any agent: agents read cancellations
     // in the store.
     section("agents can read a cancellation as soon as any entry has acknowledged it", [&] {
-        check(system.site().agentsReadCancelOf("aaaa000000000004"));
+        check(system.site().isCancelStored("aaaa000000000004"));
         require(system.submit(0, "aaaa000000000005"));
         check(system.call(0, "DELETE", "aaaa000000000005")->status == 200);
-        check(system.site().agentsReadCancelOf("aaaa000000000005"));
+        check(system.site().isCancelStored("aaaa000000000005"));
     });
     checkNoViolations(system, system.site());
 }
@@ -132,7 +132,7 @@
 Test(process_jobs, service_whose_placer_is_suspended)
 {
     system_under_test system;
-    system.site().workLasts(milliseconds(600'000));
+    system.site().setTaskTime(milliseconds(600'000));
     int running = 0;
     for (const int suspendedEntry : {0, 1}) {
         section(fmt::format("entry {} is suspended", suspendedEntry), [&] {
@@ -141,7 +141,7 @@
             check(system.submitService(1 - suspendedEntry, job));
             system.entry(suspendedEntry).signal(SIGCONT);
             running += 2;
-            check(waitUntil([&] { return system.site().starts() == running; }, WaitLimit));
+            check(waitUntil([&] { return system.site().startCount() == running; }, WaitLimit));
             check(system.reachesState(suspendedEntry, job, "running"));
         });
     }
@@ -154,13 +154,13 @@
 Test(process_jobs, owner_killed)
 {
     system_under_test system;
-    system.site().workLasts(milliseconds(1500));
+    system.site().setTaskTime(milliseconds(1500));
     for (const std::string job : {"bbbb000000000001", "bbbb000000000002"})
         require(system.submit(0, job));
     system.entry(0).signal(SIGKILL);
     for (const std::string job : {"bbbb000000000001", "bbbb000000000002"})
         check(system.reachesState(1, job, "completed"));
-    check(system.site().starts() == 2 * TasksPerJob);
+    check(system.site().startCount() == 2 * TasksPerJob);
     checkNoViolations(system, system.site());
 }
 
@@ -170,13 +170,13 @@
 Test(process_jobs, agent_killed)
 {
     system_under_test system;
-    system.site().workLasts(milliseconds(2500));
+    system.site().setTaskTime(milliseconds(2500));
     require(system.submit(0, "cccc000000000001"));
-    require(waitUntil([&] { return system.site().starts() == 4; }, WaitLimit));
+    require(waitUntil([&] { return system.site().startCount() == 4; }, WaitLimit));
     system.agent(0).signal(SIGKILL);
     system.startAgent(0);
     check(system.reachesState(0, "cccc000000000001", "completed"));
-    check(system.site().starts() == TasksPerJob);
+    check(system.site().startCount() == TasksPerJob);
     checkNoViolations(system, system.site());
 }
 
@@ -185,7 +185,7 @@
 Test(process_jobs, orders_read_late_by_a_suspended_agent)
 {
     system_under_test system;
-    system.site().workLasts(milliseconds(200));
+    system.site().setTaskTime(milliseconds(200));
     require(system.submit(0, "cdcd000000000001"));
     require(system.reachesState(0, "cdcd000000000001",
                                 "completed")); // the entries know the workers now
@@ -203,7 +203,7 @@
     });
     section("the orders are sent again", [&] {
         check(system.reachesState(0, "cdcd000000000002", "completed"));
-        check(system.site().starts() == 2 * TasksPerJob);
+        check(system.site().startCount() == 2 * TasksPerJob);
         checkNoViolations(system, system.site());
     });
 }
@@ -214,12 +214,12 @@
 Test(process_jobs, worker_silent)
 {
     system_under_test system;
-    system.site().workLasts(milliseconds(60'000));
+    system.site().setTaskTime(milliseconds(60'000));
     require(system.submit(0, "abab000000000001"));
-    require(waitUntil([&] { return system.site().starts() == 4; }, WaitLimit));
-    system.site().silence(system.site().busiestWorker());
+    require(waitUntil([&] { return system.site().startCount() == 4; }, WaitLimit));
+    system.site().makeUnresponsive(system.site().busiestWorker());
     // At least two tasks were placed on that worker and start again elsewhere.
-    check(waitUntil([&] { return system.site().starts() >= 6; }, WaitLimit));
+    check(waitUntil([&] { return system.site().startCount() >= 6; }, WaitLimit));
     checkNoViolations(system, system.site());
 }
 
@@ -233,7 +233,8 @@
 {
     system_under_test system;
     const auto departed = system.departDuringRenewal("acac000000000001");
-    check(waitUntil([&] { return system.site().starts() == 2 + departed.runCount; }, WaitLimit));
+    check(waitUntil([&] { return system.site().startCount() == 2 + departed.runCount; },
+                    WaitLimit));
     // The departure was known, so nobody had to wait for the end of a lease.
     system.agent(departed.worker).signal(SIGTERM); // so that its last log lines are written
     check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
@@ -257,7 +258,8 @@
     check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
     check(system.site().leaseEpoch(departed.lease) > departed.epoch);
     check(system.hasAgentLoggedDepartureDuringWrite(departed.worker));
-    check(waitUntil([&] { return system.site().starts() == 2 + departed.runCount; }, WaitLimit));
+    check(waitUntil([&] { return system.site().startCount() == 2 + departed.runCount; },
+                    WaitLimit));
     checkNoViolations(system, system.site());
 }
 
@@ -269,7 +271,7 @@
     system_under_test system;
     const auto lost = system.startService("acac000000000003");
     system.agent(lost.worker).signal(SIGKILL);
-    system.site().depart(static_cast<std::size_t>(lost.worker));
+    system.site().terminateWorker(static_cast<std::size_t>(lost.worker));
     const auto isWatched = [&](int entry) {
         return system.hasLogged("entry", entry, "worker_lease_read");
     };
@@ -278,7 +280,7 @@
         system.entry(entry).signal(SIGKILL);
     for (const int entry : {0, 1})
         system.startEntry(entry);
-    check(waitUntil([&] { return system.site().starts() == 2 + lost.runCount; }, WaitLimit));
+    check(waitUntil([&] { return system.site().startCount() == 2 + lost.runCount; }, WaitLimit));
     check(system.site().leaseEpoch(lost.lease) == lost.epoch + 1);
     checkNoViolations(system, system.site());
 }
@@ -293,10 +295,10 @@
     require(system.submit(0, "abab000000000001"));
     require(system.reachesState(0, "abab000000000001", "completed"));
     const auto epoch = system.site().leaseEpoch("agent-0");
-    system.site().depart(0);
-    system.site().depart(1);
+    system.site().terminateWorker(0);
+    system.site().terminateWorker(1);
     require(waitUntil([&] { return system.site().leaseEpoch("agent-0") > epoch; }, WaitLimit));
-    system.site().comeBack(0);
+    system.site().restartWorker(0);
     require(system.submit(0, "abab000000000002"));
     check(system.reachesState(0, "abab000000000002", "completed"));
     checkNoViolations(system, system.site());
@@ -309,8 +311,9 @@
 {
     system_under_test system;
     const auto departed = system.startService("adad000000000002");
-    system.site().departOvertaken(static_cast<std::size_t>(departed.worker));
-    check(waitUntil([&] { return system.site().starts() == 2 + departed.runCount; }, WaitLimit));
+    system.site().terminateBeforeAnnouncement(static_cast<std::size_t>(departed.worker));
+    check(waitUntil([&] { return system.site().startCount() == 2 + departed.runCount; },
+                    WaitLimit));
     system.agent(departed.worker).signal(SIGTERM);
     check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
     check(!system.hasAgentLogged(departed.worker, "worker_silent"));
@@ -332,7 +335,7 @@
     require(system.submit(0, "abab000000000003"));
     section("a job waits, and its owner logs the reason", [&] {
         check(waitUntil([&] { return system.logContains("entry", 0, "2 evacuated"); }, WaitLimit));
-        check(system.site().starts() == 0);
+        check(system.site().startCount() == 0);
     });
     section("it runs once the zone is back in use", [&] {
         system.restoreZone("kartli-a");
@@ -348,20 +351,21 @@
 Test(process_jobs, no_entry_left_after_a_cancel)
 {
     system_under_test system;
-    system.site().workLasts(milliseconds(600'000));
+    system.site().setTaskTime(milliseconds(600'000));
     require(system.submit(0, "adad000000000001"));
-    require(waitUntil([&] { return system.site().starts() == 4; }, WaitLimit));
+    require(waitUntil([&] { return system.site().startCount() == 4; }, WaitLimit));
     system.entry(0).signal(SIGSTOP);
     require(system.call(1, "DELETE", "adad000000000001")->status == 200);
     system.entry(1).signal(SIGKILL);
     section("its tasks are stopped without an entry", [&] {
-        check(waitUntil([&] { return system.site().runsOn(0) + system.site().runsOn(1) == 0; },
-                        WaitLimit));
+        check(waitUntil(
+                [&] { return system.site().countRunsOn(0) + system.site().countRunsOn(1) == 0; },
+                WaitLimit));
     });
     section("the resumed owner starts none of them again", [&] {
         system.entry(0).signal(SIGCONT);
         check(system.reachesState(0, "adad000000000001", "cancelled"));
-        check(system.site().starts() == 4);
+        check(system.site().startCount() == 4);
     });
     checkNoViolations(system, system.site());
 }
@@ -371,11 +375,11 @@
 Test(process_jobs, lost_answers_of_the_store)
 {
     system_under_test system;
-    system.site().loseAnswers(3);
+    system.site().loseWriteAnswers(3);
     require(system.submit(0, "dddd000000000001"));
-    system.site().loseAnswers(2);
+    system.site().loseWriteAnswers(2);
     check(system.reachesState(1, "dddd000000000001", "completed"));
-    check(system.site().starts() == TasksPerJob);
+    check(system.site().startCount() == TasksPerJob);
     checkNoViolations(system, system.site());
 }
 
@@ -385,7 +389,7 @@
 {
     system_under_test system;
     require(system.submit(0, "eeee000000000001"));
-    system.site().turnAway(true);
+    system.site().setStoreUnavailable(true);
     // Until the entry notices that the store is unreachable, it tries to accept jobs, and their
     // outcome is unknown.
     std::string refused;
@@ -399,7 +403,7 @@
                 return answer && answer->status == 503 && !answer->header("Retry-After").empty();
             },
             WaitLimit));
-    system.site().turnAway(false);
+    system.site().setStoreUnavailable(false);
     check(system.reachesState(0, "eeee000000000001", "completed"));
     for (const int entry : {0, 1})
         check(system.call(entry, "GET", refused)->status == 410);
@@ -411,12 +415,12 @@
 Test(process_jobs, graceful_shutdown)
 {
     system_under_test system;
-    system.site().workLasts(milliseconds(1500));
+    system.site().setTaskTime(milliseconds(1500));
     require(system.submit(0, "ffff000000000001"));
     system.entry(0).signal(SIGTERM);
     check(system.entry(0).waitForExit(WaitLimit) == 0);
     check(system.reachesState(1, "ffff000000000001", "completed"));
-    check(system.site().starts() == TasksPerJob);
+    check(system.site().startCount() == TasksPerJob);
     checkNoViolations(system, system.site());
 }
 
@@ -427,15 +431,15 @@
 Test(process_jobs, planned_stop_answers_what_is_open)
 {
     system_under_test system;
-    system.site().workLasts(milliseconds(60'000));
+    system.site().setTaskTime(milliseconds(60'000));
     require(system.submit(0, "ffff000000000002"));
-    system.site().turnAway(true);
+    system.site().setStoreUnavailable(true);
     system.entry(0).signal(SIGTERM);
     std::this_thread::sleep_for(milliseconds(2500));
     const auto answer = system.call(0, "DELETE", "ffff000000000002");
     check(answer.has_value());
     check(answer && answer->status == 504); // the cancellation may still take effect
-    system.site().turnAway(false);
+    system.site().setStoreUnavailable(false);
     check(system.entry(0).waitForExit(WaitLimit) == 0);
     checkNoViolations(system, system.site());
 }
@@ -446,7 +450,7 @@
 Test(process_jobs, requests_to_a_leaving_entry_that_was_suspended)
 {
     system_under_test system;
-    system.site().workLasts(milliseconds(600'000));
+    system.site().setTaskTime(milliseconds(600'000));
     require(system.submit(0, "ffff000000000003"));
     std::vector<std::unique_ptr<keep_alive_caller>> callers;
     const auto connectMore = [&](int count) {
@@ -460,7 +464,7 @@
         require(caller->send("GET", "/holds/"));
         require(caller->readAnswer() == 200);
     }
-    system.site().turnAway(
+    system.site().setStoreUnavailable(
             true); // nobody can take over its jobs, so the shutdown takes the full time
     system.entry(0).signal(SIGTERM);
     std::this_thread::sleep_for(milliseconds(2500));
@@ -483,7 +487,7 @@
         check(cutOffCount == 0);
     });
     check(system.entry(0).waitForExit(WaitLimit) == 0);
-    system.site().turnAway(false);
+    system.site().setStoreUnavailable(false);
     checkNoViolations(system, system.site());
 }
 
@@ -500,16 +504,16 @@
     // The request has to arrive after the store became unreachable and before the entry has noticed
     // that.
     for (int number = 1; number < 6 && !(first && first->status == 504); ++number) {
-        system.site().turnAway(false);
+        system.site().setStoreUnavailable(false);
         require(system.submit(0, fmt::format("efef00000000000{}", number)));
         job = fmt::format("eeee10000000000{}", number);
-        system.site().turnAway(true);
+        system.site().setStoreUnavailable(true);
         first = system.call(0, "POST", job, body);
     }
     require(first && first->status == 504);
     const auto second = system.call(0, "POST", job, body);
     check(second && second->status == 504);
-    system.site().turnAway(false);
+    system.site().setStoreUnavailable(false);
     check(system.reachesState(0, job, "completed"));
     checkNoViolations(system, system.site());
 }
@@ -554,7 +558,7 @@
                 waiting_callers orders(system.agentInternalAddress(1));
                 waiting_callers announcements(system.agentWorkersAddress(1));
                 connectTo(orders, announcements);
-                system.site().turnAway(true);
+                system.site().setStoreUnavailable(true);
                 std::this_thread::sleep_for(
                         milliseconds(2000)); // a renewal is in progress and does not complete
                 system.agent(1).signal(SIGTERM);
@@ -567,7 +571,7 @@
                 check(orders.cutOffCount() + announcements.cutOffCount() == 0);
                 check(system.agent(1).waitForExit(WaitLimit) == 0);
             });
-    system.site().turnAway(false);
+    system.site().setStoreUnavailable(false);
     checkNoViolations(system, system.site());
 }
 
@@ -620,12 +624,12 @@
         });
     }
     section("while the store is unreachable, before the entry has an incarnation", [&] {
-        system.site().turnAway(true);
+        system.site().setStoreUnavailable(true);
         system.startEntry(0);
         require(accepts(system.callersAddress(0)));
         std::this_thread::sleep_for(milliseconds(300));
         stopWithRequests();
-        system.site().turnAway(false);
+        system.site().setStoreUnavailable(false);
     });
     checkNoViolations(system, system.site());
 }
@@ -685,12 +689,12 @@
         require(waitUntil([&] { return system.isReady(0); }, WaitLimit));
         waiting_callers callers(system.callersAddress(0));
         callers.connect(8);
-        system.site().loseAnswers(40);
+        system.site().loseWriteAnswers(40);
         callers.send("POST", "/holds/fffd000000000001", Job);
         system.entry(0).signal(SIGTERM);
         check(callers.cutOffCount() == 0);
         check(system.entry(0).waitForExit(WaitLimit) == 0);
-        system.site().loseAnswers(0);
+        system.site().loseWriteAnswers(0);
     });
     checkNoViolations(system, system.site());
 }
--- a/tests/process_links_test.cpp
+++ b/tests/process_links_test.cpp
@@ -32,21 +32,21 @@
 void setAllLinks(fleet &system, link_state state)
 {
     for (const auto &ends : system.options().links)
-        system.linkBetween(ends.from, ends.to).set(state);
+        system.linkBetween(ends.from, ends.to).setState(state);
 }
 
 void setAgentLinks(fleet &system, const std::set<unsigned> &agents, link_state state)
 {
     for (const auto agent : agents) {
         for (const auto &ends : linksOf("agent-" + std::to_string(agent), system.options().entries))
-            system.linkBetween(ends.from, ends.to).set(state);
+            system.linkBetween(ends.from, ends.to).setState(state);
     }
 }
 
 // Of all workers the one with most tasks of the job.
 unsigned busiestWorker(const fleet &system, const std::string &job)
 {
-    auto started = tracedByWorker(system, "started", job);
+    auto started = countTracedByWorker(system, "started", job);
     unsigned busiest = 0;
     for (unsigned worker = 1; worker < system.options().workers; ++worker) {
         if (started[system.workerId(worker)] > started[system.workerId(busiest)])
@@ -82,7 +82,7 @@
     unsigned answered = 0;
     for (unsigned turn = 0; turn < count; ++turn) {
         const auto operation = prefix + "-" + std::to_string(turn);
-        if (callers.ask(entry, {"GET", "/tickets/seats", {}, {}}, operation).empty())
+        if (callers.sendRequest(entry, {"GET", "/tickets/seats", {}, {}}, operation).empty())
             ++answered;
     }
     return answered;
@@ -142,15 +142,15 @@
     load_result result;
     load_generator callers(system, {}, result);
     section("the links break, the agents are asked to stop", [&] {
-        system.linkBetween("agent-0", "entry-0").set(link_state::Cut);
-        system.linkBetween("agent-1", "entry-0").set(link_state::Silent);
+        system.linkBetween("agent-0", "entry-0").setState(link_state::Cut);
+        system.linkBetween("agent-1", "entry-0").setState(link_state::Blackholed);
         system.agent(0)->signal(SIGTERM);
         system.agent(1)->signal(SIGTERM);
     });
     section("every entry routes to the other two while the leaving ones still run", [&] {
         check(waitForUpstreams(system, 2));
-        check(system.agent(0)->running());
-        check(system.agent(1)->running());
+        check(system.agent(0)->isRunning());
+        check(system.agent(1)->isRunning());
     });
     section("no entry sends them anything new", [&] {
         const auto before = operationsAt(system, 0) + operationsAt(system, 1);
@@ -178,10 +178,10 @@
     options.entrySettings["agent_lease_ms"] = 3000;
     fleet system(options);
     startAndWait(system);
-    system.putFolderFile("10-base.json", baseFolder(system.options()));
+    system.putFolderFile("10-base.json", makeBaseConfig(system.options()));
     batch_options batch;
     batch.runMs = 1500;
-    system.putFolderFile("20-batch.json", batchFolder(batch));
+    system.putFolderFile("20-batch.json", makeBatchConfig(batch));
     require(waitUntil([&] { return countTraced(system, "started", batch.job) > 0; }, WaitLimit));
     load_result result;
     load_options load;
@@ -191,12 +191,12 @@
     std::uint64_t highest = generationAt(system, 0);
     runUnderLoad(system, load, result, [&] {
         section("the entry is partitioned; the others accept a configuration", [&] {
-            setAllLinks(system, link_state::Silent);
+            setAllLinks(system, link_state::Blackholed);
             batch_options more;
             more.job = "late";
             more.tasks = 20;
             const auto before = generationAt(system, 1);
-            system.putFolderFile("30-late.json", batchFolder(more));
+            system.putFolderFile("30-late.json", makeBatchConfig(more));
             check(waitUntil(
                     [&] {
                         const auto here = generationAt(system, 0);
@@ -222,17 +222,18 @@
     section("it serves keyed purchases again", [&] {
         load_generator callers(system, {}, result);
         const http_request keyed{"POST", "/tickets/hold", {{"Idempotency-Key", "healed"}}, "seat"};
-        check(waitUntil([&] { return callers.ask(0, keyed, "healed").empty(); }, WaitLimit));
+        check(waitUntil([&] { return callers.sendRequest(0, keyed, "healed").empty(); },
+                        WaitLimit));
     });
     section("partitioned again: purchases that are repeated elsewhere run once", [&] {
-        setAllLinks(system, link_state::Silent);
+        setAllLinks(system, link_state::Blackholed);
         load_generator callers(system, {}, result);
         for (unsigned turn = 0; turn < 4; ++turn) {
             const auto operation = "again-" + std::to_string(turn);
             const http_request keyed{
                     "POST", "/tickets/hold", {{"Idempotency-Key", operation}}, "seat"};
-            check(!callers.ask(0, keyed, operation).empty());
-            callers.ask(1, keyed, operation);
+            check(!callers.sendRequest(0, keyed, operation).empty());
+            callers.sendRequest(1, keyed, operation);
         }
         setAllLinks(system, link_state::Passing);
     });
@@ -266,17 +267,17 @@
     options.entrySettings["agent_lease_ms"] = 4000;
     fleet system(options);
     startAndWait(system);
-    system.putFolderFile("10-base.json", baseFolder(system.options()));
+    system.putFolderFile("10-base.json", makeBaseConfig(system.options()));
     batch_options watchers;
     watchers.job = "watch";
     watchers.tasks = 8;
     watchers.runMs = 3'600'000;
     watchers.failover = "proof";
-    system.putFolderFile("20-watch.json", batchFolder(watchers));
+    system.putFolderFile("20-watch.json", makeBatchConfig(watchers));
     batch_options batch;
     batch.tasks = 12;
     batch.runMs = 12'000;
-    system.putFolderFile("30-batch.json", batchFolder(batch));
+    system.putFolderFile("30-batch.json", makeBatchConfig(batch));
     require(waitUntil(
             [&] {
                 return countTraced(system, "started", batch.job) == 12
@@ -289,7 +290,7 @@
     load_result result;
     load_generator callers(system, {}, result);
     section("the agents go silent; their batch tasks start elsewhere, their watchers do not", [&] {
-        setAgentLinks(system, silent, link_state::Silent);
+        setAgentLinks(system, silent, link_state::Blackholed);
         check(waitUntil([&] { return countTraced(system, "started", batch.job) > 12; }, WaitLimit));
         check(countTraced(system, "started", "watch") == 8);
     });
@@ -304,7 +305,7 @@
         setAgentLinks(system, silent, link_state::Passing);
         check(waitForUpstreams(system, 4));
         for (const auto agent : silent)
-            check(system.agent(agent)->running());
+            check(system.agent(agent)->isRunning());
     });
     section("every batch task ends once, no watcher was started twice", [&] {
         check(waitUntil([&] { return countTraced(system, "ended", batch.job) == 12; }, WaitLimit));
@@ -330,11 +331,11 @@
     options.entrySettings["agent_lease_ms"] = 4000;
     fleet system(options);
     startAndWait(system);
-    system.putFolderFile("10-base.json", baseFolder(system.options()));
+    system.putFolderFile("10-base.json", makeBaseConfig(system.options()));
     batch_options batch;
     batch.tasks = 16;
     batch.runMs = 15'000;
-    system.putFolderFile("20-batch.json", batchFolder(batch));
+    system.putFolderFile("20-batch.json", makeBatchConfig(batch));
     require(waitUntil([&] { return countTraced(system, "started", batch.job) == 16; }, WaitLimit));
     section("both entries that own nothing stop answering the agents", [&] {
         for (unsigned entry = 0; entry < 3; ++entry) {
@@ -343,7 +344,8 @@
                 continue;
             for (unsigned agent = 0; agent < 4; ++agent) {
                 const auto from = "agent-" + std::to_string(agent);
-                system.linkBetween(from, "entry-" + std::to_string(entry)).set(link_state::Silent);
+                system.linkBetween(from, "entry-" + std::to_string(entry))
+                        .setState(link_state::Blackholed);
             }
         }
     });
@@ -376,32 +378,33 @@
     load.deadline = milliseconds(1000);
     load_generator callers(system, load, result);
     const auto buy = [&](unsigned entry, const std::string &operation) {
-        return callers.ask(entry, {"POST", "/tickets/hold", {}, "seat"}, operation);
+        return callers.sendRequest(entry, {"POST", "/tickets/hold", {}, "seat"}, operation);
     };
     const auto isUnknown = [&](const std::string &reason, const std::string &operation) {
         return (reason == "answer_late" || reason == "outcome_unknown")
-               && result.mayHaveRun.count(operation) > 0 && result.saidNotRun.count(operation) == 0;
+               && result.mayHaveExecuted.count(operation) > 0
+               && result.reportedNotExecuted.count(operation) == 0;
     };
     http_request keyed{"POST", "/tickets/hold", {{"Idempotency-Key", "lost"}}, "seat"};
     section("answers are lost: unknown, and ran once", [&] {
-        setAllLinks(system, link_state::AnswersLost);
+        setAllLinks(system, link_state::AnswersDropped);
         for (unsigned turn = 0; turn < 6; ++turn) {
             const auto operation = "lost-" + std::to_string(turn);
             check(isUnknown(buy(turn % 3, operation), operation));
         }
-        check(isUnknown(callers.ask(0, keyed, "lost-keyed"), "lost-keyed"));
+        check(isUnknown(callers.sendRequest(0, keyed, "lost-keyed"), "lost-keyed"));
         for (unsigned turn = 0; turn < 6; ++turn)
-            check(executionsOf(system)["lost-" + std::to_string(turn)] == 1);
-        check(executionsOf(system)["lost-keyed"] == 1);
+            check(countExecutions(system)["lost-" + std::to_string(turn)] == 1);
+        check(countExecutions(system)["lost-keyed"] == 1);
     });
     section("a repeat of the keyed one elsewhere does not run it again", [&] {
         setAllLinks(system, link_state::Passing);
-        const auto repeated = callers.ask(1, keyed, "lost-keyed");
+        const auto repeated = callers.sendRequest(1, keyed, "lost-keyed");
         cr_expect(!repeated.empty(), "the repeat was answered");
-        check(executionsOf(system)["lost-keyed"] == 1);
+        check(countExecutions(system)["lost-keyed"] == 1);
     });
     section("links are silent: unknown, and held-back forwards run at most once", [&] {
-        setAllLinks(system, link_state::Silent);
+        setAllLinks(system, link_state::Blackholed);
         for (unsigned turn = 0; turn < 3; ++turn) {
             const auto operation = "silent-" + std::to_string(turn);
             check(isUnknown(buy(turn, operation), operation));
@@ -413,8 +416,9 @@
         setAllLinks(system, link_state::Cut);
         for (unsigned turn = 0; turn < 6; ++turn)
             buy(turn % 3, "cut-" + std::to_string(turn));
-        check(result.refusedFor("upstream_unreachable") + result.refusedFor("no_upstream")
-                      + result.refusedFor("retry_budget_spent")
+        check(result.countRefusalsFor("upstream_unreachable")
+                      + result.countRefusalsFor("no_upstream")
+                      + result.countRefusalsFor("retry_budget_spent")
               > 0);
         setAllLinks(system, link_state::Passing);
         check(waitUntil([&] { return buy(1, "after-cut").empty(); }, WaitLimit));
@@ -438,7 +442,7 @@
         keepStalled(stalled, false);
         check(answeredReads(load, 0, 20, "stalled-" + std::to_string(round)) == 20);
     }
-    cr_expect(result.refusals() == 0, "refused: %s", describeRefusals(result).c_str());
+    cr_expect(result.countRefusals() == 0, "refused: %s", describeRefusals(result).c_str());
     check(connectionsRefused(system, "address_share") > 0);
     check(connectionsRefused(system, "all_in_use") == 0);
     section("a planned stop does not wait for them without end", [&] {
@@ -462,12 +466,12 @@
         std::this_thread::sleep_for(milliseconds(1500)); // they stall
         for (unsigned caller = 0; caller < 15; ++caller) {
             load_generator load(system, {}, result); // with a connection of its own
-            load.ask(0, {"GET", "/tickets/seats", {}, {}},
-                     "stalled-" + std::to_string(round) + "-" + std::to_string(caller));
+            load.sendRequest(0, {"GET", "/tickets/seats", {}, {}},
+                             "stalled-" + std::to_string(round) + "-" + std::to_string(caller));
         }
     }
-    cr_expect(result.refusals() == 0, "refused: %s", describeRefusals(result).c_str());
-    check(result.answered == 30);
+    cr_expect(result.countRefusals() == 0, "refused: %s", describeRefusals(result).c_str());
+    check(result.answeredRequests == 30);
     check(connectionsRefused(system, "made_room") > 0);
     checkPromisesKept(system, result);
 }
--- a/tests/process_requests_test.cpp
+++ b/tests/process_requests_test.cpp
@@ -29,7 +29,7 @@
     });
     section("every promise was kept", [&] { checkPromisesKept(system, result); });
     section("most requests were answered all the same",
-            [&] { check(result.refusals() * 10 < result.asked); });
+            [&] { check(result.countRefusals() * 10 < result.sentRequests); });
     section("all four are routed to again", [&] { check(waitForUpstreams(system, 4)); });
 }
 
@@ -93,10 +93,10 @@
         });
     });
     section("no request in flight was cut off", [&] {
-        check(result.refusedFor("cut") == 0);
-        check(result.refusedFor("answer_cut") == 0);
-        check(result.refusedFor("outcome_unknown") == 0);
-        check(result.refusedFor("no answer in time") == 0);
+        check(result.countRefusalsFor("cut") == 0);
+        check(result.countRefusalsFor("answer_cut") == 0);
+        check(result.countRefusalsFor("outcome_unknown") == 0);
+        check(result.countRefusalsFor("no answer in time") == 0);
     });
     section("every promise was kept", [&] { checkPromisesKept(system, result); });
 }
@@ -155,25 +155,25 @@
     section("the table goes down", [&] {
         fault["down"] = true;
         system.setFault(system.platformAddress(), fault);
-        check(callers.ask(0, {"GET", "/tickets/seats", {}, {}}, "read").empty());
-        check(callers.ask(1, {"POST", "/tickets/hold", {}, "seat"}, "unkeyed").empty());
-        check(callers.ask(2, keyed, "keyed") == "platform_unavailable");
-        check(executionsOf(system).count("keyed") == 0);
+        check(callers.sendRequest(0, {"GET", "/tickets/seats", {}, {}}, "read").empty());
+        check(callers.sendRequest(1, {"POST", "/tickets/hold", {}, "seat"}, "unkeyed").empty());
+        check(callers.sendRequest(2, keyed, "keyed") == "platform_unavailable");
+        check(countExecutions(system).count("keyed") == 0);
     });
     section("the table comes back, and the same key runs", [&] {
         fault["down"] = false;
         system.setFault(system.platformAddress(), fault);
-        check(waitUntil([&] { return callers.ask(2, keyed, "keyed").empty(); }, WaitLimit));
-        check(executionsOf(system)["keyed"] == 1);
+        check(waitUntil([&] { return callers.sendRequest(2, keyed, "keyed").empty(); }, WaitLimit));
+        check(countExecutions(system)["keyed"] == 1);
     });
     section("a lost answer to the claim is settled by reading back", [&] {
         Json::Value lose(Json::objectValue);
         lose["lose_answers"] = 1;
         system.setFault(system.platformAddress(), lose);
         keyed.headers["Idempotency-Key"] = "k2";
-        const auto outcome = callers.ask(0, keyed, "lost");
+        const auto outcome = callers.sendRequest(0, keyed, "lost");
         check(outcome.empty() || outcome == "platform_unavailable");
-        check(executionsOf(system)["lost"] <= 1);
+        check(countExecutions(system)["lost"] <= 1);
     });
     section("every promise was kept", [&] { checkPromisesKept(system, result); });
 }
@@ -194,8 +194,8 @@
         for (unsigned index = 0; index < 4; ++index)
             system.setFault(system.upstreamAddress(index), cut);
         for (unsigned turn = 0; turn < 8; ++turn) {
-            const auto outcome = callers.ask(turn % 3, {"POST", "/tickets/hold", {}, "seat"},
-                                             "cut-" + std::to_string(turn));
+            const auto outcome = callers.sendRequest(
+                    turn % 3, {"POST", "/tickets/hold", {}, "seat"}, "cut-" + std::to_string(turn));
             check(outcome.empty() || outcome == "answer_cut" || outcome == "outcome_unknown");
         }
         std::int64_t cuts = 0;
@@ -205,26 +205,27 @@
             system.setFault(system.upstreamAddress(index), cut);
         }
         check(cuts > 0);
-        check(result.refusals() == cuts); // each cut was seen, none passed as whole
+        check(result.countRefusals() == cuts); // each cut was seen, none passed as whole
     });
     section("one upstream refuses connections: others answer", [&] {
         system.upstream(0)->signal(SIGKILL);
         system.upstream(0)->waitForExit(WaitLimit);
-        const auto before = result.refusals();
+        const auto before = result.countRefusals();
         for (unsigned turn = 0; turn < 30; ++turn)
-            callers.ask(turn % 3, {"GET", "/tickets/seats", {}, {}},
-                        "refuse-" + std::to_string(turn));
-        cr_expect(result.refusals() == before, "refused: %s", describeRefusals(result).c_str());
+            callers.sendRequest(turn % 3, {"GET", "/tickets/seats", {}, {}},
+                                "refuse-" + std::to_string(turn));
+        cr_expect(result.countRefusals() == before, "refused: %s",
+                  describeRefusals(result).c_str());
     });
     section("one upstream hangs: its requests end by their deadline, as unknown", [&] {
         system.upstream(1)->signal(SIGSTOP);
-        const auto before = result.refusals();
+        const auto before = result.countRefusals();
         for (unsigned turn = 0; turn < 30; ++turn)
-            callers.ask(turn % 3, {"POST", "/tickets/hold", {}, "seat"},
-                        "hang-" + std::to_string(turn));
+            callers.sendRequest(turn % 3, {"POST", "/tickets/hold", {}, "seat"},
+                                "hang-" + std::to_string(turn));
         system.upstream(1)->signal(SIGCONT);
-        check(result.refusals() - before <= 20);
-        check(result.refusedFor("no answer in time") == 0);
+        check(result.countRefusals() - before <= 20);
+        check(result.countRefusalsFor("no answer in time") == 0);
     });
     section("every promise was kept", [&] { checkPromisesKept(system, result); });
 }
--- a/tests/process_shards_test.cpp
+++ b/tests/process_shards_test.cpp
@@ -26,7 +26,7 @@
 {
     std::map<int, unsigned> found;
     for (unsigned entry = 0; entry < system.options().entries; ++entry) {
-        if (!system.entry(entry)->running())
+        if (!system.entry(entry)->isRunning())
             continue;
         try {
             const auto status = system.rpc(entry, "status", Json::objectValue);
@@ -165,7 +165,7 @@
     require(waitForStarts(system, batch));
     section("it grows: each task ends once", [&] {
         batch.tasks = 30;
-        system.putFolderFile("20-batch.json", batchFolder(batch));
+        system.putFolderFile("20-batch.json", makeBatchConfig(batch));
         check(waitForEnds(system, batch));
         check(countTraced(system, "started", batch.job) == 30);
         checkEachEndedOnce(system, batch);
@@ -173,10 +173,10 @@
     section("another one shrinks to a task: the others are cancelled in every shard", [&] {
         auto watch = batchOf(12, 3'600'000);
         watch.job = "watch";
-        system.putFolderFile("30-watch.json", batchFolder(watch));
+        system.putFolderFile("30-watch.json", makeBatchConfig(watch));
         require(waitForStarts(system, watch));
         watch.tasks = 1;
-        system.putFolderFile("30-watch.json", batchFolder(watch));
+        system.putFolderFile("30-watch.json", makeBatchConfig(watch));
         check(waitUntil([&] { return countTraced(system, "stopped", watch.job) == 11; },
                         WaitLimit));
         check(taskStates(system, watch.job)["running"] == 1);
@@ -192,7 +192,7 @@
     const auto batch = batchOf(40, 1000);
     fleet system(shardedFleet());
     system.startAll();
-    auto base = baseFolder(system.options());
+    auto base = makeBaseConfig(system.options());
     const auto &service = base["services"][system.options().service];
     auto &quota = base["teams"]["rinks"]["quota"];
     quota["millicores"] =
@@ -201,7 +201,7 @@
     system.putFolderFile("10-base.json", base);
     require(waitUntil([&] { return countTraced(system, "started", system.options().service) == 8; },
                       WaitLimit));
-    system.putFolderFile("20-batch.json", batchFolder(batch));
+    system.putFolderFile("20-batch.json", makeBatchConfig(batch));
     require(waitUntil([&] { return countTraced(system, "ended", batch.job) >= 8; }, WaitLimit));
     const auto owner = ownerOfFirstShard(system);
     section("an owner is killed, others take its shards", [&] {
--- a/tests/process_stops_test.cpp
+++ b/tests/process_stops_test.cpp
@@ -242,7 +242,7 @@
         : m_seed(seed)
         , m_random(seed)
     {
-        m_system.site().workLasts(TaskDuration);
+        m_system.site().setTaskTime(TaskDuration);
     }
 
     void run()
@@ -257,7 +257,7 @@
         }
         for (const int entry : {0, 1})
             setShare(entry, {});
-        m_system.site().turnAway(false);
+        m_system.site().setStoreUnavailable(false);
         for (auto &caller : m_callers)
             caller.request_stop();
         m_callers.clear();
@@ -320,7 +320,7 @@
     {
         for (const int entry : {0, 1})
             m_currentShares[entry].tick(m_system.entry(entry), now);
-        m_system.site().turnAway(now >= m_storeOutageFrom && now < m_storeOutageUntil);
+        m_system.site().setStoreUnavailable(now >= m_storeOutageFrom && now < m_storeOutageUntil);
         std::this_thread::sleep_for(TickInterval);
     }
 
@@ -340,7 +340,7 @@
         // Both are measured at the last moment at which the process was still running.
         duration elapsed{};
         duration suspended{};
-        for (auto now = at; entry.running() && elapsed - suspended < KillTimeout;
+        for (auto now = at; entry.isRunning() && elapsed - suspended < KillTimeout;
              now = monotonic_clock::now()) {
             elapsed = now - at;
             suspended = m_currentShares[index].stoppedTime(now) - suspendedBefore;
--- a/tests/process_stream_test.cpp
+++ b/tests/process_stream_test.cpp
@@ -207,7 +207,7 @@
         const auto request = purchase(largeTarget(LargeBytes), "once");
         check(isWhole(caller.fetch(request), LargeBytes));
         check(caller.fetch(request).failure == "already_executed");
-        check(executionsOf(system)["once"] == 1);
+        check(countExecutions(system)["once"] == 1);
     });
     section("above the bound nothing is passed on", [&] {
         const auto answer = caller.fetch(get(largeTarget(LargeBytes + 1)));
@@ -260,7 +260,7 @@
                 },
                 WaitLimit));
         check(repeated == "outcome_unknown");
-        check(executionsOf(system)["cut"] == 1);
+        check(countExecutions(system)["cut"] == 1);
     });
     section("the next answer is whole",
             [&] { check(isWhole(caller.fetch(get(largeTarget(LargeBytes))), LargeBytes)); });
@@ -279,7 +279,8 @@
     for (unsigned turn = 0; turn < 10; ++turn) {
         section("turn " + std::to_string(turn), [&] {
             check(isWhole(caller.fetch(get(largeTarget(MiB, "&extra=100"))), MiB));
-            check(callers.ask(0, get("/tickets/seats"), "after-" + std::to_string(turn)).empty());
+            check(callers.sendRequest(0, get("/tickets/seats"), "after-" + std::to_string(turn))
+                          .empty());
         });
     }
     section("every promise was kept", [&] { checkPromisesKept(system, result); });
@@ -337,7 +338,9 @@
         const auto answer =
                 caller.fetch(get(largeTarget(LargeBytes)), LongDeadline, [&](std::uint64_t) {
                     if (answered < 20)
-                        answered += others.ask(0, get("/tickets/seats"), "beside").empty() ? 1 : 0;
+                        answered += others.sendRequest(0, get("/tickets/seats"), "beside").empty()
+                                            ? 1
+                                            : 0;
                 });
         check(isWhole(answer, LargeBytes));
         check(answered == 20);
@@ -378,7 +381,7 @@
         };
         check(waitUntil([&] { return atOnce() == Slots; }, WaitLimit));
         check(waitUntil([&] { return atOnce() == 0; }, WaitLimit));
-        check(others.ask(0, get("/tickets/seats"), "again").empty());
+        check(others.sendRequest(0, get("/tickets/seats"), "again").empty());
         isReleased = true;
         for (auto &thread : threads)
             thread.join();
@@ -404,7 +407,7 @@
                             return;
                         process->signal(SIGTERM);
                         std::this_thread::sleep_for(milliseconds(3000)); // room to stop too early
-                        check(process->running());
+                        check(process->isRunning());
                     });
             check(isWhole(answer, LargeBytes));
             check(process->waitForExit(WaitLimit) == 0);
@@ -444,7 +447,7 @@
     section("the entry is stopped while the others' rest is in its ring", [&] {
         system.entry(0)->signal(SIGTERM);
         std::this_thread::sleep_for(milliseconds(2000)); // room to stop too early
-        check(system.entry(0)->running());
+        check(system.entry(0)->isRunning());
         for (auto &caller : callers)
             check(caller->finish());
         check(system.entry(0)->waitForExit(WaitLimit) == 0);
--- a/tests/process_work_test.cpp
+++ b/tests/process_work_test.cpp
@@ -10,7 +10,7 @@
 unsigned findShardOwner(fleet &system)
 {
     for (unsigned entry = 0; entry < system.options().entries; ++entry) {
-        if (!system.entry(entry)->running())
+        if (!system.entry(entry)->isRunning())
             continue;
         try {
             const auto status = system.rpc(entry, "status", Json::objectValue);
@@ -134,12 +134,12 @@
     startWithBatch(system, batch);
     require(waitForStarts(system, batch));
     system.agent(0)->signal(SIGSTOP);
-    const auto twin = system.startTwinAgent(0);
+    const auto twin = system.startDuplicateAgent(0);
     std::this_thread::sleep_for(milliseconds(2500)); // the twin announces and is accepted
     system.agent(0)->signal(SIGCONT);
     section("the old one gives way", [&] {
         check(system.agent(0)->waitForExit(WaitLimit) == 0);
-        check(twin->running());
+        check(twin->isRunning());
     });
     section("the tasks end once, with one start each", [&] {
         check(waitForEnds(system, batch));
@@ -184,7 +184,7 @@
     batch_options batch;
     batch.tasks = 8;
     batch.runMs = 5000;
-    system.putFolderFile("30-batch.json", batchFolder(batch));
+    system.putFolderFile("30-batch.json", makeBatchConfig(batch));
     require(waitForStarts(system, batch));
     section("the table is down for twice the longest short lease", [&] {
         setPlatformDown(system, true);
@@ -243,13 +243,13 @@
     batch.tasks = 40;
     batch.runMs = 500;
     system.startAll();
-    system.putFolderFile("10-base.json", baseFolder(system.options()));
+    system.putFolderFile("10-base.json", makeBaseConfig(system.options()));
     Json::Value lose(Json::objectValue);
     lose["lose_answers"] = 10;
     system.setFault(system.platformAddress(), lose);
     for (unsigned index = 0; index < 4; ++index)
         system.setFault(system.workerAddress(index), lose);
-    system.putFolderFile("20-batch.json", batchFolder(batch));
+    system.putFolderFile("20-batch.json", makeBatchConfig(batch));
     check(waitForEnds(system, batch));
     checkEachEndedOnce(system, batch);
 }
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -15,13 +15,13 @@
     routing_scenario scenario;
     scenario.load = load;
     scenario.policy = policy;
-    scenario.length = seconds(10);
+    scenario.runTime = seconds(10);
     return run(scenario);
 }
 
 std::uint64_t accountedFor(const scenario_result &result)
 {
-    return result.inTime + result.late + result.allRefused();
+    return result.onTime + result.late + result.totalRefused();
 }
 
 struct bound
@@ -35,9 +35,9 @@
 {
     section("at load " + std::to_string(limit.load), [&] {
         check(accountedFor(result) == result.requests);
-        check(result.percentile(0.5).count() <= limit.p50);
-        check(result.percentile(0.99).count() <= limit.p99);
-        check(result.percentile(0.999).count() <= limit.p999);
+        check(result.latencyPercentile(0.5).count() <= limit.p50);
+        check(result.latencyPercentile(0.99).count() <= limit.p99);
+        check(result.latencyPercentile(0.999).count() <= limit.p999);
         check(result.goodput() >= limit.inTime);
     });
 }
@@ -50,8 +50,8 @@
                                bound{0.95, 28, 140, 260, 0.998}, bound{1.5, 62, 215, 335, 0.65}})
         checkBounds(runAt(limit.load), limit);
     section("nothing is refused below capacity", [] {
-        check(runAt(0.5).allRefused() == 0);
-        check(runAt(0.8).allRefused() == 0);
+        check(runAt(0.5).totalRefused() == 0);
+        check(runAt(0.8).totalRefused() == 0);
     });
     section("goodput beyond capacity stays at the capacity", [] {
         check(runAt(1.5).goodput() * 1.5 > 0.97);
@@ -67,8 +67,8 @@
              {routing_policy(two_choices{}), routing_policy(least_known_load{})}) {
             const auto known = runAt(0.95, policy);
             check(known.requests == turns.requests);
-            check(known.percentile(0.99) < turns.percentile(0.99));
-            check(known.inTime > turns.inTime);
+            check(known.latencyPercentile(0.99) < turns.latencyPercentile(0.99));
+            check(known.onTime > turns.onTime);
         }
     });
 }
@@ -80,11 +80,11 @@
 {
     routing_scenario scenario;
     scenario.entriesByZone = 5;
-    scenario.loadWithAnswers = false;
-    scenario.length = seconds(10);
+    scenario.doAnswersCarryLoad = false;
+    scenario.runTime = seconds(10);
     const auto result = run(scenario);
     check(result.goodput() > 0.998);
-    check(result.percentile(0.99) <= milliseconds(130));
+    check(result.latencyPercentile(0.99) <= milliseconds(130));
 }
 
 // Every upstream refuses connections. Callers get their refusal; the upstreams see at most a tenth
@@ -92,21 +92,21 @@
 Test(routingPolicy, allUpstreamsFail)
 {
     routing_scenario scenario;
-    scenario.allFail = true;
-    scenario.length = seconds(10);
+    scenario.areAllUnreachable = true;
+    scenario.runTime = seconds(10);
     const auto result = run(scenario);
     check(accountedFor(result) == result.requests);
     check(result.retries > 0);
     check(static_cast<double>(result.retries) < 0.105 * static_cast<double>(result.requests));
-    check(result.refused.at(error_kind::RetryBudgetSpent) == result.allRefused());
+    check(result.refusedByKind.at(error_kind::RetryBudgetSpent) == result.totalRefused());
 }
 
 // One upstream refuses connections at once and so always looks idle.
 Test(routingPolicy, oneUpstreamFails)
 {
     routing_scenario scenario;
-    scenario.fastFailing = true;
-    scenario.length = seconds(10);
+    scenario.isLastUnreachable = true;
+    scenario.runTime = seconds(10);
     const auto result = run(scenario);
     check(result.goodput() > 0.999);
     check(static_cast<double>(result.retries) < 0.002 * static_cast<double>(result.requests));
@@ -117,11 +117,11 @@
 Test(routingPolicy, oneUpstreamHangs)
 {
     routing_scenario scenario;
-    scenario.hanging = true;
-    scenario.length = seconds(10);
+    scenario.isLastHanging = true;
+    scenario.runTime = seconds(10);
     const auto result = run(scenario);
     check(accountedFor(result) + result.lost == result.requests);
     check(result.lost <= 60);
-    check(result.inTime + result.lost + 20 >= result.requests);
-    check(result.percentile(0.99) <= milliseconds(130));
+    check(result.onTime + result.lost + 20 >= result.requests);
+    check(result.latencyPercentile(0.99) <= milliseconds(130));
 }
--- a/tests/worker_presence_test.cpp
+++ b/tests/worker_presence_test.cpp
@@ -19,7 +19,7 @@
 {
     worker_announcement announcement;
     announcement.id = "worker";
-    announcement.bornMs = bornMs;
+    announcement.startTimeMs = bornMs;
     announcement.sequence = sequence;
     return announcement;
 }
@@ -51,7 +51,7 @@
             });
     section("an announcement that arrives after a newer one is ignored", [&] {
         auto leaving = announcementWith(3);
-        leaving.leaving = true;
+        leaving.isDraining = true;
         check(current.worker.handleAnnouncement(leaving) == news::ReadinessChanged);
         check(current.worker.handleAnnouncement(announcementWith(2)) == news::None);
         check(current.worker.isLeaving());
@@ -123,13 +123,13 @@
 {
     running_worker current;
     auto draining = announcementWith(40);
-    draining.leaving = true;
+    draining.isDraining = true;
     section("an announcement that the new incarnation is draining is applied", [] {
         running_worker crashed;
         check(crashed.worker.handleAnnouncement(announcementWith(40)) == news::None);
         check(crashed.worker.handleAnswer(BornMs + 5, crashed.now) == look::NewIncarnation);
         auto nextAnnouncement = announcementWith(12, BornMs + 5);
-        nextAnnouncement.leaving = true;
+        nextAnnouncement.isDraining = true;
         check(crashed.worker.handleAnnouncement(nextAnnouncement) == news::ReadinessChanged);
         check(crashed.worker.isLeaving());
     });
