--- a/cmake/zb.cmake
+++ b/cmake/zb.cmake
@@ -1,16 +1,16 @@
-# The few rules that every target of the workspace follows.
+# Functions and compiler flags for all targets of the workspace.
 
 add_library(zb_flags INTERFACE)
 target_compile_options(zb_flags INTERFACE -Wall -Wextra -Wpedantic -Werror -Wshadow -Wnon-virtual-dtor
-  -Wno-restrict) # GCC 12 reports std::string concatenation falsely (its bug 105651)
+  -Wno-restrict) # GCC 12 has false positives at std::string concatenation (GCC bug 105651)
 target_include_directories(zb_flags INTERFACE ${PROJECT_SOURCE_DIR}/include ${PROJECT_SOURCE_DIR}/libs)
 if(ZB_SANITIZE)
   target_compile_options(zb_flags INTERFACE -fsanitize=address,undefined -fno-omit-frame-pointer)
   target_link_options(zb_flags INTERFACE -fsanitize=address,undefined)
 endif()
 
-# zb_library(NAME [DEPS lib...]): a library from every .cpp of the folder; its headers are included
-# as "NAME/header.h".
+# zb_library(NAME [DEPS lib...]): a library of all .cpp files of the folder NAME; its headers are
+# included as "NAME/header.h".
 function(zb_library NAME)
   cmake_parse_arguments(ARG "" "" "DEPS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/${NAME}/*.cpp)
@@ -18,8 +18,8 @@
   target_link_libraries(zb_${NAME} PUBLIC zb_flags ${ARG_DEPS})
 endfunction()
 
-# zb_test(NAME [DEPS lib...] [ARGS word...]): tests/NAME.cpp as one Criterion program and one CTest
-# entry.
+# zb_test(NAME [DEPS lib...] [ARGS word...]): builds tests/NAME.cpp as a Criterion program and
+# registers it as one CTest test.
 function(zb_test NAME)
   cmake_parse_arguments(ARG "" "" "DEPS;ARGS" ${ARGN})
   add_executable(${NAME} ${NAME}.cpp)
@@ -29,15 +29,16 @@
   set_tests_properties(${NAME} PROPERTIES TIMEOUT 300)
 endfunction()
 
-# zb_bench(NAME [DEPS lib...]): bench/NAME.cpp as one program; run by hand or by a bounded test.
+# zb_bench(NAME [DEPS lib...]): builds bench/NAME.cpp as a program, which is run by hand or by a
+# test with a time limit.
 function(zb_bench NAME)
   cmake_parse_arguments(ARG "" "" "DEPS" ${ARGN})
   add_executable(${NAME} ${NAME}.cpp)
   target_link_libraries(${NAME} PRIVATE zb_flags ${ARG_DEPS} benchmark::benchmark)
 endfunction()
 
-# zb_process_test(NAME [ARGS word...]): a test that starts the daemons; alone, so that others do not
-# starve it.
+# zb_process_test(NAME [ARGS word...]): a test that starts the daemons. It runs serially, so that
+# other tests do not take its CPU time.
 function(zb_process_test NAME)
   cmake_parse_arguments(ARG "" "" "ARGS" ${ARGN})
   add_executable(${NAME} ${NAME}.cpp)
--- a/include/zinniabarrow/zinniabarrow.h
+++ b/include/zinniabarrow/zinniabarrow.h
@@ -1,10 +1,11 @@
-// zinniabarrow as a library: the coordination parts, without any I/O.
+// The zinniabarrow library: the coordination parts, without any I/O.
 //
-// Each part takes an event and `now`, and returns actions. It has no clock, socket, thread or
-// global generator inside; you bring those. examples/embedding.cpp shows one part at work.
+// Each part takes an event and the current time `now`, and returns actions for the caller to
+// execute. The parts have no clock, socket, thread or global random generator; the caller provides
+// those. See examples/embedding.cpp.
 #pragma once
 
-// Everyone's: time, errors and their answers, names, hashing, random numbers.
+// Shared basics: time, errors and their answers, names, hashing, random numbers.
 #include "base/answer_check.h"
 #include "base/errors.h"
 #include "base/hash.h"
@@ -12,11 +13,11 @@
 #include "base/random.h"
 #include "base/time.h"
 
-// The platform's records, and a table and object store in memory for tests.
+// The platform's records, and an in-memory table and object store for tests.
 #include "platform/memory_platform.h"
 #include "platform/records.h"
 
-// Requests: who may be routed to, which one to choose, when to retry, what to let through.
+// Requests: which upstreams may be used and which is chosen, retries, admission.
 #include "request/admission.h"
 #include "request/announcer.h"
 #include "request/latency_window.h"
@@ -24,16 +25,16 @@
 #include "request/retry_budget.h"
 #include "request/router.h"
 
-// Delivery: the life of one caller's request, at most once.
+// Delivery: executes a caller's request at most once.
 #include "delivery/attempt_guard.h"
 #include "delivery/claim_coordinator.h"
 #include "delivery/request_flow.h"
 
-// Placement: what fits where, learned sizes, interference, quotas, quarantine.
+// Placement: capacity, learned sizes, interference, quotas, quarantine.
 #include "placement/reservation_ledger.h"
 #include "placement/scheduler.h"
 
-// Work: who decides for which workers, tasks that run once, quotas over all shards.
+// Work: ownership of workers, tasks that run once, quotas over all shards.
 #include "work/ownership.h"
 #include "work/quota_parts.h"
 #include "work/task_coordinator.h"
@@ -41,7 +42,8 @@
 #include "work/trace_checker.h"
 #include "work/usage.h"
 
-// Configuration: the operators' folder as generations that only rise, and an agent's slice of it.
+// Configuration: the operators' folder as increasing generations, and the slice of it for one
+// agent.
 #include "config/content_slice.h"
 #include "config/generation_follower.h"
 #include "config/generations.h"
--- a/include/zinniabarrow/zinniabarrow_internal.h
+++ b/include/zinniabarrow/zinniabarrow_internal.h
@@ -1,7 +1,8 @@
-// What zinniabarrow's own daemons use beside the public parts. It may change without notice.
+// Internal parts that zinniabarrow's daemons use in addition to the public ones. They may change
+// without notice.
 #pragma once
 
-// Threads and rings, HTTP, metrics, the platform's client.
+// Actors, HTTP, metrics, the platform client.
 #include "runtime/event_actor.h"
 #include "runtime/http.h"
 #include "runtime/metrics.h"
@@ -10,5 +11,5 @@
 // Messages between the processes.
 #include "rpc/rpc.h"
 
-// Settings of the two roles.
+// Settings of the entry and the agent.
 #include "config/settings.h"
--- a/libs/base/answer_check.cpp
+++ b/libs/base/answer_check.cpp
@@ -24,8 +24,8 @@
     if (m_failure || m_head)
         return fail(error_kind::AnswerIncomplete);
     m_head = head;
-    // A late answer to an earlier request on the same connection would otherwise reach a caller
-    // that never asked for it.
+    // Otherwise a late answer to an earlier request on the same connection would reach a caller
+    // that did not ask for it.
     if (head.requestId != m_requestId)
         return fail(error_kind::OutcomeUnknown);
     if (head.status < FirstFinalStatus || head.status > LastStatus)
@@ -34,7 +34,8 @@
         return fail(error_kind::AnswerTooLarge);
     if (hasNoBody())
         return std::nullopt;
-    // Its end can't be told from a cut, so a short answer would pass for a whole one.
+    // The end of such a body can't be distinguished from a broken connection, so a truncated answer
+    // would be taken for a complete one.
     if (head.framing == body_framing::UntilClose || head.framing == body_framing::Conflicting)
         return fail(error_kind::AnswerIncomplete);
     if (head.framing == body_framing::Length && head.declaredBytes > m_limits.maxBodyBytes)
--- a/libs/base/answer_check.h
+++ b/libs/base/answer_check.h
@@ -1,9 +1,9 @@
-// Is an upstream's answer whole, and the answer to this request?
+// Checks that an upstream's answer is complete and belongs to the request.
 //
 //   answer_head    what the head of an answer declares
-//   answer_check   fed with head, body bytes and end; nothing else may call an answer whole
+//   answer_check   is given the head, body sizes and end; the only place that decides completeness
 //
-// http_pool feeds it for every answer that a daemon receives.
+// http_pool runs it on every answer that a daemon receives.
 #pragma once
 
 #include <cstdint>
@@ -17,16 +17,16 @@
 enum class body_framing {
     Length,     // Content-Length
     Chunked,    // Transfer-Encoding: chunked
-    UntilClose, // ends with the connection: a cut looks the same as the end
-    Conflicting // several or contradicting declarations
+    UntilClose, // ends when the connection closes: a truncated body can't be detected
+    Conflicting // several or contradictory declarations
 };
 
 struct answer_head
 {
     int status = 0;
-    std::string requestId; // echoed by the agent; empty where no echo is asked for
+    std::string requestId; // as echoed by the agent; empty where no echo is requested
     body_framing framing = body_framing::UntilClose;
-    std::uint64_t declaredBytes = 0; // for Length
+    std::uint64_t declaredBytes = 0; // Content-Length, for Length
     std::uint64_t headBytes = 0;
 };
 
@@ -36,8 +36,8 @@
     std::uint64_t maxBodyBytes = 8U << 20U;
 };
 
-// Each step gives the reason why the answer is no whole answer; the first reason stays. A failed
-// answer's connection is in doubt and must be dropped.
+// Each step returns the reason why the answer is not complete, or nullopt; the first reason is
+// kept. After a failure the connection must be dropped.
 class answer_check
 {
 public:
@@ -45,7 +45,7 @@
 
     std::optional<error_kind> checkHead(const answer_head &head);
     std::optional<error_kind> checkBody(std::uint64_t bytes);
-    // `lastChunkSeen` matters for Chunked. Nothing returned: the answer is whole.
+    // `lastChunkSeen` is used for Chunked only. Returns nullopt when the answer is complete.
     std::optional<error_kind> checkEnd(bool lastChunkSeen);
 
     std::uint64_t receivedBytes() const { return m_received; }
--- a/libs/base/bounded_ring.h
+++ b/libs/base/bounded_ring.h
@@ -1,4 +1,4 @@
-// A bounded ring between duties: many writers, one reader, never a waiting writer.
+// A thread-safe bounded queue between actors: several writers, one reader, and writers never block.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
         : m_items(capacity)
     { }
 
-    // False when the ring is full: the caller refuses the work and counts it.
+    // Returns false when the ring is full; the caller must refuse the work and count it.
     bool push(T &&item)
     {
         const std::lock_guard lock(m_mutex);
--- a/libs/base/errors.h
+++ b/libs/base/errors.h
@@ -1,4 +1,4 @@
-// Errors: one closed list of kinds, and one table from kind to answer.
+// The closed list of error kinds, and the table that gives each kind its HTTP answer.
 #pragma once
 
 #include <cstddef>
@@ -12,14 +12,14 @@
 
 namespace zinniabarrow {
 
-// Every way in which zinniabarrow refuses or fails. A new kind needs a row in errors.cpp.
+// Every way in which zinniabarrow refuses a request or fails. A new kind needs a row in errors.cpp.
 enum class error_kind {
-    // The caller's request is wrong: repeating it unchanged never helps.
+    // The request is invalid; repeating it unchanged never succeeds.
     BadRequest,
     RequestTooLarge,
     UnknownService,
     KeyReused,
-    // Refused before anything ran: the caller may come back.
+    // Refused before execution; the caller may retry.
     DeadlinePassed,
     DeadlineTooClose,
     QueueFull,
@@ -32,13 +32,13 @@
     Overloaded,
     KeyInProgress,
     PlatformUnavailable,
-    // The request may have run, or has.
+    // The request was executed, or may have been.
     AlreadyExecuted,
     OutcomeUnknown,
     AnswerIncomplete,
     AnswerTooLarge,
     AnswerLate,
-    // Between the system's own processes.
+    // Between zinniabarrow's own processes.
     StaleEpoch,
     StaleIncarnation,
     NotOwner,
@@ -54,18 +54,18 @@
     Internal,
 };
 
-// What the caller may conclude about its request.
+// What the caller may conclude: whether its request was executed.
 enum class executed { No, Yes, Unknown };
 
-// One row of the table from kind to answer.
+// One row of the error table.
 struct error_answer
 {
     error_kind kind;
-    std::string_view name;            // in logs, metrics and answers
-    int httpStatus;                   // status of the answer to a caller
-    executed execution;               // what is certain about the request
-    bool retryElsewhere;              // another upstream may be tried at once
-    milliseconds suggestedRetryDelay; // Retry-After; 0: coming back unchanged does not help
+    std::string_view name;            // used in logs, metrics and answers
+    int httpStatus;                   // HTTP status of the answer to the caller
+    executed execution;               // whether the request was executed
+    bool retryElsewhere;              // true: another upstream may be tried at once
+    milliseconds suggestedRetryDelay; // Retry-After; 0: an unchanged retry does not help
 };
 
 std::span<const error_answer> errorAnswers();
@@ -74,7 +74,7 @@
 std::string_view nameOf(executed execution);
 std::optional<error_kind> errorKindNamed(std::string_view name);
 
-// The exception of every library here. `what()` says what to do.
+// The exception type of all libraries here. `what()` says how to fix the problem.
 class error : public std::runtime_error
 {
 public:
--- a/libs/base/event_log.cpp
+++ b/libs/base/event_log.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A pipe that poll() calls writable takes this much at once, so that the write can't block.
+// A pipe that poll() reports as writable accepts this many bytes, so that write() does not block.
 constexpr std::size_t MaxWriteBytes = 4096;
 
 std::int64_t wallMilliseconds()
--- a/libs/base/event_log.h
+++ b/libs/base/event_log.h
@@ -1,5 +1,5 @@
-// The log of a daemon: one JSON line for each decision, on standard output, bounded and never
-// blocking. One thread.
+// The event log of a daemon: one JSON line per decision, written to standard output. It never
+// blocks, and its rate is limited. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -22,13 +22,13 @@
     log_field(std::string_view fieldName, int number);
 
     std::string_view name;
-    std::string json; // the value, as JSON
+    std::string json; // JSON-encoded value
 };
 
 struct log_limits
 {
-    std::size_t bytesPerSecond = 24 * 1024; // over a minute: 1.4 MB a process
-    std::size_t burstBytes = 128 * 1024;    // a takeover of some hundred jobs
+    std::size_t bytesPerSecond = 24 * 1024; // sustained rate; 1.4 MB per minute and process
+    std::size_t burstBytes = 128 * 1024;    // enough for the takeover of several hundred jobs
 };
 
 class event_log
@@ -39,12 +39,13 @@
     event_log(const event_log &) = delete;
     event_log &operator=(const event_log &) = delete;
 
-    // Drops the line, and counts it, when the budget is spent.
+    // Appends a line; drops and counts it when the byte budget is spent.
     void writeEvent(std::string_view event, std::initializer_list<log_field> fields);
-    // A line of which there are few in a life of the process, and without which the others can't be
-    // read: written whatever the budget.
+    // Appends a line regardless of the budget: for lines that occur a few times in the life of a
+    // process and that are needed to interpret the others.
     void writeAlways(std::string_view event, std::initializer_list<log_field> fields);
-    // Writes what the reader takes at once; the rest stays, up to a bound.
+    // Writes as much as the reader of standard output accepts without blocking. The rest stays in a
+    // bounded buffer.
     void flush();
     std::uint64_t droppedCount() const { return m_droppedTotal; }
 
@@ -57,7 +58,7 @@
     std::string m_pending;
     double m_budgetBytes;
     time_point m_refilledAt{};
-    std::uint64_t m_droppedSinceLastLine = 0; // the last line that said so
+    std::uint64_t m_droppedSinceLastLine = 0; // since the last "log_lines_dropped" line
     std::uint64_t m_droppedTotal = 0;
 };
 
--- a/libs/base/failover.h
+++ b/libs/base/failover.h
@@ -1,4 +1,5 @@
-// When a silent worker's task may start elsewhere (docs/design/OWNERSHIP.md).
+// Decides when the task of a worker without heartbeats may start on another worker
+// (docs/design/OWNERSHIP.md).
 #pragma once
 
 #include <string>
@@ -7,12 +8,12 @@
 namespace zinniabarrow {
 
 enum class failover_class {
-    Lease, // once every lease that the worker can hold has lapsed
-    Proof, // only on proof that the old attempt has ended
+    Lease, // after every lease that the worker can hold has expired
+    Proof, // only after proof that the old attempt has ended
 };
 
 std::string_view nameOf(failover_class failover);
 failover_class failoverClassFromName(std::string_view name);      // throws error BadRequest
-void fromName(const std::string &name, failover_class &failover); // the same
+void fromName(const std::string &name, failover_class &failover); // throws error BadRequest
 
 } // namespace zinniabarrow
--- a/libs/base/hash.h
+++ b/libs/base/hash.h
@@ -1,4 +1,4 @@
-// Rendezvous hashing: each key goes to the member that scores highest for it.
+// Rendezvous hashing: each key is assigned to the member with the highest score for it.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,11 @@
 
 namespace zinniabarrow {
 
-// Stable across processes and releases (XXH3, 64 bits).
+// 64-bit XXH3 hash; the same in all processes and releases.
 std::uint64_t stableHash(std::string_view text);
 
-// The members ordered by preference for `key`, best first. Losing a member moves only its keys.
+// Returns the members in order of preference for `key`, best first. Removing a member reassigns
+// only that member's keys.
 std::vector<std::string> rendezvousOrder(std::string_view key,
                                          const std::vector<std::string> &members);
 
--- a/libs/base/json.h
+++ b/libs/base/json.h
@@ -1,4 +1,4 @@
-// JSON text to values and back, with the line of a mistake.
+// Parses and writes JSON; parse errors name the line.
 #pragma once
 
 #include <string>
@@ -8,17 +8,17 @@
 
 namespace zinniabarrow {
 
-// Parses strictly (no comments, no duplicate keys, nothing after the value). Throws error
-// BadRequest that names the line.
+// Parses strictly: no comments, no duplicate keys, nothing after the value. Throws error
+// BadRequest, which names the line of the mistake.
 Json::Value parseJson(std::string_view text);
 
-// The same, and throws BadRequest when the value is not an object.
+// Like parseJson(); also throws error BadRequest when the value is not an object.
 Json::Value parseJsonObject(std::string_view text);
 
-// One line, keys in order, no trailing newline.
+// Writes one line with sorted keys and no trailing newline.
 std::string compactJson(const Json::Value &value);
 
-// Indented, for people.
+// Writes indented text for human readers.
 std::string prettyJson(const Json::Value &value);
 
 } // namespace zinniabarrow
--- a/libs/base/json_member.h
+++ b/libs/base/json_member.h
@@ -1,4 +1,4 @@
-// Typed access to the members of a JSON object, with an error that names the member.
+// Typed access to the members of a JSON object. Errors name the member.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,13 @@
 
 namespace zinniabarrow {
 
-// Each throws error BadRequest "member 'x': a string is needed" and the like.
+// Each throws error BadRequest, such as "member 'x': a string is needed".
 std::string stringMember(const Json::Value &object, const char *name);
 std::string stringMemberOr(const Json::Value &object, const char *name, const std::string &absent);
 std::int64_t integerMember(const Json::Value &object, const char *name);
 std::uint64_t countMember(const Json::Value &object, const char *name);      // zero or above
 std::uint32_t smallCountMember(const Json::Value &object, const char *name); // fits 32 bits
-int smallIntegerMember(const Json::Value &object, const char *name); // zero or above, fits an int
+int smallIntegerMember(const Json::Value &object, const char *name); // zero or above, below 2^31
 double numberMember(const Json::Value &object, const char *name);    // any finite number
 bool boolMember(const Json::Value &object, const char *name);
 const Json::Value &arrayMember(const Json::Value &object, const char *name);
--- a/libs/base/large_json.cpp
+++ b/libs/base/large_json.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A deeply nested text must not overflow the stack.
+// The iterative parser: a deeply nested text must not overflow the stack.
 constexpr unsigned ParseFlags = rapidjson::kParseIterativeFlag;
 
 [[noreturn]] void throwInvalidMember(const char *name, const char *needed)
@@ -44,7 +44,7 @@
     return element.GetInt();
 }
 
-constexpr const char *ArrayElementName = "of an array";
+constexpr const char *ArrayElementName = "(array element)";
 
 } // namespace
 
@@ -60,7 +60,7 @@
 const value *find(const value &object, const char *name)
 {
     if (!object.IsObject())
-        throwInvalidMember(name, "an object around it");
+        throwInvalidMember(name, "a surrounding object");
     const auto found = object.FindMember(name);
     return found == object.MemberEnd() ? nullptr : &found->value;
 }
--- a/libs/base/large_json.h
+++ b/libs/base/large_json.h
@@ -1,5 +1,5 @@
-// JSON texts that are large or come many times a second: read with a fifth of JsonCpp's work, and
-// without a tree of strings beside the text. For all else there is base/json.h.
+// Parsing of JSON texts that are large or arrive many times a second. It takes a fifth of JsonCpp's
+// CPU time and builds no separate tree of strings. For all other texts use base/json.h.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,21 @@
 
 using value = rapidjson::Value;
 
-// Throws error BadRequest, as all of these do where a member is of another type.
+// Throws error BadRequest, as do all functions below when a member has another type.
 rapidjson::Document parseObject(std::string_view text);
 
-const value *find(const value &object, const char *name); // null: there is no such member
+const value *find(const value &object, const char *name); // null when the member is absent
 std::string text(const value &object, const char *name);
 std::int64_t number(const value &object, const char *name);
 const value &array(const value &object, const char *name);
 
-// Members whose value is zero, empty or false may be left out.
+// Optional members: absent means zero, empty or false, or `absent`.
 std::string textOrEmpty(const value &object, const char *name);
 std::int64_t numberOr0(const value &object, const char *name);
-int countOr0(const value &object, const char *name); // of 32 bits, zero or above
+int countOr0(const value &object, const char *name); // 32 bits, zero or above
 double realOr(const value &object, const char *name, double absent);
 
-// Of an array's elements.
+// Values of array elements.
 std::string asText(const value &element);
 std::int64_t asNumber(const value &element);
 int asCount(const value &element);
--- a/libs/base/log.cpp
+++ b/libs/base/log.cpp
@@ -66,7 +66,7 @@
     fields["event"] = std::string(event);
     fields["role"] = m_role;
     fields["id"] = m_id;
-    // One print call for each line: lines of several threads never mix.
+    // One print call per line, so that lines of several threads do not mix.
     fmt::print(stderr, "{}\n", compactJson(fields));
 }
 
--- a/libs/base/log.h
+++ b/libs/base/log.h
@@ -1,4 +1,4 @@
-// Logs: JSON lines on standard error, one event name for each line.
+// Writes logs as JSON lines to standard error, each with one event name.
 #pragma once
 
 #include <optional>
@@ -14,7 +14,7 @@
 std::optional<log_level> logLevelNamed(std::string_view name);
 void fromName(const std::string &name, log_level &level); // throws error BadSettings
 
-// Writes whole lines, safe from several threads.
+// Thread-safe; lines of several threads do not mix.
 class logger
 {
 public:
--- a/libs/base/names.h
+++ b/libs/base/names.h
@@ -1,4 +1,4 @@
-// Names of enumerators: one table for each enum class, read in both directions.
+// Names of enumerators: one table per enum class, used for both directions.
 #pragma once
 
 #include <array>
@@ -18,7 +18,7 @@
 template <typename Enum, std::size_t Size>
 using name_table = std::array<enum_name<Enum>, Size>;
 
-// The name of `value`, or "unknown" where the table lacks it.
+// Returns the name of `value`, or "unknown" if the table lacks it.
 template <typename Enum, std::size_t Size>
 constexpr std::string_view nameOf(const name_table<Enum, Size> &table, Enum value)
 {
--- a/libs/base/resources.h
+++ b/libs/base/resources.h
@@ -1,15 +1,15 @@
-// An amount of processor, memory and accelerators.
+// An amount of CPU, memory and accelerators.
 #pragma once
 
 #include <cstdint>
 
 namespace zinniabarrow {
 
-// Integers only: sums of reservations never drift by rounding.
+// Integers, so that sums of reservations have no rounding errors.
 struct resources
 {
-    std::int64_t millicores = 0;   // thousandths of a processor
-    std::int64_t bytes = 0;        // memory
+    std::int64_t millicores = 0;   // thousandths of a CPU core
+    std::int64_t bytes = 0;        // memory in bytes
     std::int64_t accelerators = 0; // whole devices
 
     resources &operator+=(const resources &other);
@@ -18,12 +18,12 @@
     friend resources operator-(resources left, const resources &right) { return left -= right; }
     friend bool operator==(const resources &, const resources &) = default;
 
-    // True when every dimension is at most that of `room`.
+    // Returns whether every dimension is at most that of `capacity`.
     bool fitsIn(const resources &capacity) const;
     bool isNegative() const;
 };
 
-// The larger of the two in each dimension.
+// Returns the larger value of each dimension.
 resources maxOfEach(const resources &left, const resources &right);
 
 } // namespace zinniabarrow
--- a/libs/base/time.h
+++ b/libs/base/time.h
@@ -1,4 +1,4 @@
-// Time: one monotonic clock, passed into decisions as a value.
+// Time: one monotonic clock. Decision code is given the time as a value.
 #pragma once
 
 #include <chrono>
@@ -6,8 +6,8 @@
 
 namespace zinniabarrow {
 
-// Monotonic time of this process. Wall clocks are never compared between processes: a deadline
-// travels as the time that remains and becomes a time_point again where it arrives.
+// Monotonic time of this process. Wall clocks are never compared between processes: a deadline is
+// sent as the remaining time and converted back to a time_point on arrival.
 struct monotonic_clock
 {
     using duration = std::chrono::microseconds;
@@ -16,7 +16,7 @@
     using time_point = std::chrono::time_point<monotonic_clock>;
     static constexpr bool is_steady = true; // NOLINT(readability-identifier-naming)
 
-    // Only daemons call this; decision code is given `now`.
+    // Called by daemons only; decision code is given `now` instead.
     static time_point now() noexcept
     {
         return time_point(std::chrono::duration_cast<duration>(
--- a/libs/net/answer_deadline.h
+++ b/libs/net/answer_deadline.h
@@ -1,4 +1,4 @@
-// When a call that waits for an answer is late.
+// The deadline of a call that waits for an answer.
 #pragma once
 
 #include <algorithm>
@@ -9,15 +9,15 @@
 
 struct call_time_limits
 {
-    duration untilFirstByte; // until the first byte of the answer
-    duration betweenParts;   // between two parts of it
-    duration untilLastByte;  // until its last byte
+    duration untilFirstByte; // from sending the request to the first byte of the answer
+    duration betweenParts;   // the longest pause between two parts of the answer
+    duration untilLastByte;  // from sending the request to the last byte of the answer
 };
 
-// A large answer takes a slow link longer than any small one, and says nothing about the peer: as
-// long as its bytes keep coming it isn't late. Cut off at a fixed time instead it would be asked
-// for again from its first byte, and never be read whole. `whole` bounds a peer that sends a byte
-// now and then.
+// A large answer takes long on a slow link, which says nothing about the peer's health, so each
+// part that arrives extends the deadline. With one fixed deadline, a large answer would be
+// requested again from its first byte and never be read completely. `untilLastByte` limits a peer
+// that only sends a byte now and then.
 class answer_deadline
 {
 public:
--- a/libs/net/event_loop.cpp
+++ b/libs/net/event_loop.cpp
@@ -88,8 +88,8 @@
 void event_loop::runEvery(duration period, std::function<void()> work)
 {
     runAfter(period, [this, period, work = std::move(work)]() mutable {
-        // Renewals and reports go on after a turn that fails: who waits for them would wait for
-        // good.
+        // Periodic renewals and reports must continue after a call that throws; whoever depends on
+        // them would otherwise wait forever.
         try {
             work();
         } catch (...) {
--- a/libs/net/event_loop.h
+++ b/libs/net/event_loop.h
@@ -1,5 +1,5 @@
-// One thread's event loop: timers, work posted from outside, and signals. What runs on it must not
-// block. Boost.Asio stays in the .cpp files.
+// A single-threaded event loop: timers, posted functions and signals. Callbacks must not block.
+// Boost.Asio is included in the .cpp files and event_loop_impl.h only.
 #pragma once
 
 #include <exception>
@@ -10,34 +10,37 @@
 
 namespace zinniabarrow::net {
 
-// Monotonic time that goes on while the machine is suspended: leases that others hold against this
-// process run out meanwhile, and std::chrono::steady_clock would not show it.
+// Monotonic time that also advances while the machine is suspended (CLOCK_BOOTTIME). Leases that
+// others hold against this process expire meanwhile, which std::chrono::steady_clock would not
+// show.
 time_point suspendAwareNow();
 
 class event_loop
 {
 public:
     event_loop();
-    // `onStop` runs on the loop at the first SIGTERM or SIGINT from here on, also one that comes
-    // before run(); SIGPIPE and SIGHUP are ignored. What listens is made after its loop: a signal
-    // that nobody hears of would end the process with connections open.
+    // Calls `onStop` on the loop at the first SIGTERM or SIGINT after construction, also if it
+    // arrives before run(). Ignores SIGPIPE and SIGHUP. Create listeners after the loop: without
+    // the signal handler, a signal would end the process while connections are open.
     explicit event_loop(std::function<void()> onStop);
     ~event_loop();
     event_loop(const event_loop &) = delete;
     event_loop &operator=(const event_loop &) = delete;
 
-    // Returns after stop(). A callback that throws ends, and nothing else: one message that can't
-    // be read must not take the process, and all that it owns, with it. `failed` hears of it.
+    // Runs until stop(). When a callback throws, passes the exception to `onError` and goes on: one
+    // unreadable message must not end the process and everything that it owns.
     void run(const std::function<void(const std::exception &)> &onError);
-    void stop(); // from any callback
+    void stop(); // call from a callback
     void post(std::function<void()> work);
     void runAfter(duration delay, std::function<void()> work);
-    // Repeats until the loop stops; the next turn is counted from the end of the last.
+    // Repeats until the loop stops; each period starts when the previous call has returned, also by
+    // an exception.
     void runEvery(duration period, std::function<void()> work);
-    // How late timers fired, at most, over the last seconds: how far the loop is behind.
+    // The largest delay with which a timer fired during the last one to two seconds.
     duration lateness() const;
-    duration
-    overdueTime() const; // of the first timer that has come due: what came since may wait, too
+    // Returns by how much the oldest unfired timer is late; newer events may be waiting
+    // too.
+    duration overdueTime() const;
 
     struct impl;
     impl &internals() { return *m_impl; }
--- a/libs/net/event_loop_impl.h
+++ b/libs/net/event_loop_impl.h
@@ -1,4 +1,4 @@
-// The Asio side of event_loop, for the other files of this library only.
+// The Asio part of event_loop. Internal to this library.
 #pragma once
 
 #include <algorithm>
@@ -12,12 +12,13 @@
 
 namespace zinniabarrow::net {
 
-// Buffers of connections: how much of a body is read at once, and what an idle connection keeps.
+// Connection buffers: the bytes of a body that are read at once, and the capacity that an idle
+// connection may keep.
 constexpr std::size_t MaxReadBytes = 64 * 1024;
 constexpr std::size_t MaxIdleBufferBytes = 4 * 1024;
 
-// Once the head is read. Without room for it a large body is read in pieces of the buffer's first
-// size, half a kilobyte, each with a call of the system.
+// Call after the head is read. Without the reserved space, a large body would be read in pieces of
+// the buffer's initial size (half a kilobyte), each with a system call.
 template <typename Buffer, typename Parser>
 void reserveBodyBuffer(Buffer &buffer, const Parser &parser)
 {
@@ -26,7 +27,7 @@
         buffer.reserve(std::min<std::size_t>(*left, MaxReadBytes));
 }
 
-// An idle connection does not keep the memory of a large message.
+// Frees the memory of a large message before the connection becomes idle.
 template <typename Buffer>
 void shrinkLargeBuffer(Buffer &buffer)
 {
@@ -36,7 +37,7 @@
 
 struct event_loop::impl
 {
-    boost::asio::io_context io{1}; // one thread: no locks inside
+    boost::asio::io_context io{1}; // 1: one thread, so Asio needs no locks
     boost::asio::signal_set signals{io};
     loop_lateness timerLateness;
 };
--- a/libs/net/http_caller.cpp
+++ b/libs/net/http_caller.cpp
@@ -38,9 +38,9 @@
 
 struct http_caller::shared_state
 {
-    shared_state(event_loop &eventLoop, const caller_limits &bounds)
+    shared_state(event_loop &eventLoop, const caller_limits &callerLimits)
         : loop(eventLoop)
-        , limits(bounds)
+        , limits(callerLimits)
     { }
 
     event_loop &loop;
@@ -52,26 +52,27 @@
         auto &pool = idle[peer];
         const auto now = suspendAwareNow();
         while (!pool.empty()) {
-            auto link = std::move(pool.back());
+            auto pooledConnection = std::move(pool.back());
             pool.pop_back();
-            // A connection that carries bytes or an end before its next request is not used again:
-            // the bytes would be taken for the answer of that request.
-            const bool isSilent = peek(link->stream.socket()) == socket_peek::Nothing;
-            if (now - link->idleSince < limits.maxIdleTime && isSilent)
-                return link;
+            // An idle connection with unread bytes or a closed peer is not reused: the bytes would
+            // be taken for the answer to the next request.
+            const bool isSilent = peek(pooledConnection->stream.socket()) == socket_peek::Nothing;
+            if (now - pooledConnection->idleSince < limits.maxIdleTime && isSilent)
+                return pooledConnection;
         }
         return nullptr;
     }
 
-    void returnConnection(const std::string &peer, std::unique_ptr<pooled_connection> link)
+    void returnConnection(const std::string &peer,
+                          std::unique_ptr<pooled_connection> pooledConnection)
     {
         auto &pool = idle[peer];
         if (pool.size() >= limits.maxIdlePerPeer)
             return;
-        shrinkLargeBuffer(link->buffer);
-        link->idleSince = suspendAwareNow();
-        link->stream.expires_never();
-        pool.push_back(std::move(link));
+        shrinkLargeBuffer(pooledConnection->buffer);
+        pooledConnection->idleSince = suspendAwareNow();
+        pooledConnection->stream.expires_never();
+        pool.push_back(std::move(pooledConnection));
     }
 };
 
@@ -143,7 +144,7 @@
             return finish(call_failure::ConnectionRefused);
         if (failure)
             return finish(call_failure::NotConnected);
-        beast::error_code ignored; // without it requests are only slower
+        beast::error_code ignored; // failure only makes requests slower
         m_connection->stream.socket().set_option(tcp::no_delay(true), ignored);
         send();
     }
@@ -216,12 +217,13 @@
     void finish(call_result result)
     {
         m_connection.reset();
-        // Connections can go silent for good without a reset: those that were kept beside this one
-        // may have, too, and each would cost a call its whole time.
+        // Connections can stop working without a reset. The other idle connections to this peer may
+        // be affected too, and each of them would cost a call its whole deadline.
         const auto *failure = std::get_if<call_failure>(&result);
         if (failure != nullptr && mayHaveArrived(*failure))
             m_state->idle.erase(m_peer);
-        // From the loop, never from inside call(): the caller's own state is whole by then.
+        // Posted to the loop instead of called from call(), so that the caller's state is
+        // consistent by then.
         m_state->loop.post([done = std::move(m_callback), result = std::move(result)]() mutable {
             done(std::move(result));
         });
--- a/libs/net/http_caller.h
+++ b/libs/net/http_caller.h
@@ -1,5 +1,5 @@
-// An HTTP/1.1 client on the event loop: one pool of kept connections for each peer; each call has a
-// connection of its own until it is answered, and one in doubt is dropped.
+// HTTP/1.1 client on the event loop with a pool of idle connections per peer. Each call uses a
+// connection exclusively until it is answered; a connection whose call failed is dropped.
 #pragma once
 
 #include <cstddef>
@@ -16,18 +16,19 @@
 
 struct caller_limits
 {
-    std::size_t maxIdlePerPeer = 4;                 // kept for reuse
-    milliseconds maxIdleTime{20'000};               // below the listeners' own limit
-    milliseconds connectTimeout{400};               // then NotConnected
-    std::size_t answerBytesLimit = 4 * 1024 * 1024; // a larger answer ends the call as TooLarge
+    std::size_t maxIdlePerPeer = 4;   // idle connections kept for reuse, per peer
+    milliseconds maxIdleTime{20'000}; // must stay below listener_limits::maxIdleTime
+    milliseconds connectTimeout{400}; // a longer connect ends the call as NotConnected
+    // Bytes of an answer's body; a larger one ends the call as TooLarge.
+    std::size_t answerBytesLimit = 4 * 1024 * 1024;
 };
 
-// A call whose answer may be large.
+// Options of a call whose answer may be large.
 struct large_call
 {
     call_time_limits timeLimits;
-    std::size_t answerBytesLimit = 0; // in place of the limit of all calls
-    // The head of the answer has come, with the size of the body; 0: not declared.
+    std::size_t answerBytesLimit = 0; // bytes; replaces caller_limits::answerBytesLimit
+    // Called when the head of the answer has arrived, with the Content-Length; 0: not declared.
     std::function<void(std::uint64_t bytes)> onHead = [](std::uint64_t) {};
 };
 
@@ -41,7 +42,8 @@
     http_caller(const http_caller &) = delete;
     http_caller &operator=(const http_caller &) = delete;
 
-    // `done` is called once, from the loop.
+    // Sends the request to `peer` ("ip:port") without blocking. `done` is called exactly once, from
+    // the loop.
     void call(const std::string &peer, http_request request, duration timeLimit,
               call_callback done);
     void call(const std::string &peer, http_request request, large_call options,
--- a/libs/net/http_listener.cpp
+++ b/libs/net/http_listener.cpp
@@ -29,10 +29,11 @@
 
 struct http_listener::shared_state
 {
-    shared_state(event_loop &eventLoop, const listener_limits &bounds, handler handle)
+    shared_state(event_loop &eventLoop, const listener_limits &listenerLimits,
+                 handler requestHandler)
         : loop(eventLoop)
-        , limits(bounds)
-        , serve(std::move(handle))
+        , limits(listenerLimits)
+        , serve(std::move(requestHandler))
         , acceptor(eventLoop.internals().io)
     { }
 
@@ -42,16 +43,17 @@
     tcp::acceptor acceptor;
     std::list<connection *> connections;
     std::size_t inFlight = 0;
-    bool isClosing = false;  // each connection ends with its next answer
-    bool isDraining = false; // and those that wait for a request end at once
+    bool isClosing = false;  // each connection closes after its next answer
+    bool isDraining = false; // idle connections close as well, and no more are accepted
 };
 
 namespace {
 
-// A caller that breaks off during a burst of connections must not make others wait for a SYN that
-// is sent again after a second.
+// Large, so that a burst of connections does not overflow it: a caller whose SYN is dropped sends
+// it again only after a second.
 constexpr int ListenBacklog = 1024;
-// Of a connection that a draining listener took last: some round trips to a caller.
+// Time for the first request of a connection that was accepted last during a drain: a few round
+// trips.
 constexpr milliseconds FirstRequestTimeout{100};
 
 enum class connection_phase { Idle, Reading, Answering, Writing, Ended };
@@ -77,7 +79,7 @@
     }
     bool hasUnreadBytes() { return peek(m_stream.socket()) == socket_peek::Bytes; }
 
-    void read()
+    void readNextRequest()
     {
         m_phase = connection_phase::Idle;
         m_parser.emplace();
@@ -86,8 +88,7 @@
         m_stream.expires_never();
         startReadTimer(m_state->limits.maxIdleTime, &connection::handleIdleTimeout);
         readHead();
-        // An answer that was on its way out as the drain began may have promised to keep the
-        // connection.
+        // An answer that was being sent when the drain began may have announced keep-alive.
         if (m_state->isDraining)
             drain();
     }
@@ -98,15 +99,15 @@
             return;
         if (m_requestNumber > 0)
             return endIfIdle();
-        // Its first request may be on its way still.
+        // Its first request may still be in transit.
         startReadTimer(FirstRequestTimeout, &connection::endIfIdle);
     }
 
-    // Bytes may have been taken from the socket for a read whose callback waits its turn: only the
-    // outcome of the read tells, and a read that is cancelled has taken none.
+    // Bytes may already have been read from the socket by a read whose callback has not run yet,
+    // and only the result of the read shows it. A cancelled read has consumed no bytes.
     void endIfIdle()
     {
-        beast::error_code ignored; // no read is out on a broken connection
+        beast::error_code ignored; // a broken connection has no pending read
         if (m_phase == connection_phase::Idle)
             m_stream.socket().cancel(ignored);
     }
@@ -128,14 +129,15 @@
         m_stream.socket().close(ignored);
     }
 
-    // A request that has begun, or that has come and was not read yet, is still taken.
+    // A request that has begun, or whose bytes wait in the socket, is still served.
     void handleIdleTimeout()
     {
         startReadTimer(m_state->limits.readTimeout, &connection::end);
         endIfIdle();
     }
 
-    // The stream's own time limit closes the socket, whatever has come meanwhile.
+    // Used instead of the stream's own timeout, which closes the socket whatever has arrived
+    // meanwhile.
     void startReadTimer(milliseconds time, void (connection::*then)())
     {
         m_readTimer.expires_after(time);
@@ -146,7 +148,8 @@
         });
     }
 
-    // A head that came in part stays in the buffer, but for a whole request line, which is parsed.
+    // A partial head stays in the buffer, except for a complete request line, which the parser has
+    // already taken.
     bool hasPartialHead() const { return m_buffer.size() > 0 || m_parser->got_some(); }
 
     void readHead()
@@ -191,7 +194,7 @@
             return write({413, {}, R"({"error":"request_too_large"})"});
         }
         if (failure)
-            return end(); // closed or malformed
+            return end(); // closed by the peer, or malformed request
         auto message = m_parser->release();
         m_keepAlive = message.keep_alive();
         http_request request;
@@ -210,7 +213,7 @@
                        });
     }
 
-    // Ignores all but the first answer to the present request.
+    // Ignores all but the first answer to the current request.
     void handleAnswer(std::uint64_t requestNumber, http_response answer)
     {
         if (requestNumber != m_requestNumber || m_phase != connection_phase::Answering)
@@ -251,18 +254,18 @@
             m_stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
             return end();
         }
-        read();
+        readNextRequest();
     }
 
     beast::tcp_stream m_stream;
     std::shared_ptr<http_listener::shared_state> m_state;
-    asio::steady_timer m_readTimer; // with the peer, until its request is whole
+    asio::steady_timer m_readTimer; // limits idle time and reading, until the request is complete
     beast::flat_buffer m_buffer;
     std::optional<http::request_parser<http::string_body>> m_parser;
     std::optional<http::response<http::string_body>> m_answer;
     std::list<connection *>::iterator m_position;
     connection_phase m_phase = connection_phase::Idle;
-    std::uint64_t m_requestNumber = 0; // number of the present request
+    std::uint64_t m_requestNumber = 0; // number of the current request on this connection
     bool m_keepAlive = true;
 };
 
@@ -270,12 +273,12 @@
 {
     if (state->connections.size() >= state->limits.connectionLimit)
         return;
-    beast::error_code ignored; // without it answers are only slower
+    beast::error_code ignored; // failure only makes answers slower
     socket.set_option(tcp::no_delay(true), ignored);
-    std::make_shared<connection>(std::move(socket), state)->read();
+    std::make_shared<connection>(std::move(socket), state)->readNextRequest();
 }
 
-// Connections that were made and wait to be accepted; those that come later are refused.
+// Accepts the established connections that still wait; later ones are refused.
 void acceptRemaining(const std::shared_ptr<http_listener::shared_state> &state)
 {
     beast::error_code failure;
@@ -307,11 +310,11 @@
     : m_state(std::make_shared<shared_state>(loop, limits, std::move(serve)))
 {
     try {
-        const tcp::endpoint where(asio::ip::make_address(address.address),
-                                  static_cast<unsigned short>(address.port));
-        m_state->acceptor.open(where.protocol());
+        const tcp::endpoint listenEndpoint(asio::ip::make_address(address.address),
+                                           static_cast<unsigned short>(address.port));
+        m_state->acceptor.open(listenEndpoint.protocol());
         m_state->acceptor.set_option(tcp::acceptor::reuse_address(true));
-        m_state->acceptor.bind(where);
+        m_state->acceptor.bind(listenEndpoint);
         m_state->acceptor.listen(ListenBacklog);
     } catch (const boost::system::system_error &problem) {
         throw error(error_kind::BadSettings,
@@ -322,7 +325,7 @@
 
 http_listener::~http_listener()
 {
-    beast::error_code ignored; // closing a listening socket has no failure that matters
+    beast::error_code ignored; // no failure of closing a listening socket matters
     m_state->acceptor.close(ignored);
 }
 
@@ -335,7 +338,7 @@
 {
     m_state->isClosing = true;
     m_state->isDraining = true;
-    beast::error_code ignored; // no accept is out on a broken socket
+    beast::error_code ignored; // a broken socket has no pending accept
     m_state->acceptor.cancel(ignored);
     for (auto *openConnection : m_state->connections)
         openConnection->drain();
@@ -384,8 +387,8 @@
 
 socket_address http_listener::address() const
 {
-    const auto where = m_state->acceptor.local_endpoint();
-    return {where.address().to_string(), where.port()};
+    const auto listenEndpoint = m_state->acceptor.local_endpoint();
+    return {listenEndpoint.address().to_string(), listenEndpoint.port()};
 }
 
 } // namespace zinniabarrow::net
--- a/libs/net/http_listener.h
+++ b/libs/net/http_listener.h
@@ -1,5 +1,5 @@
-// An HTTP/1.1 server on the event loop: any number of open connections without a thread each; an
-// idle connection costs nothing until bytes come.
+// HTTP/1.1 server on the event loop. Connections need no thread of their own, and an idle
+// connection costs no CPU time until bytes arrive.
 #pragma once
 
 #include <cstddef>
@@ -13,32 +13,32 @@
 
 struct listener_limits
 {
-    std::size_t maxRequestBytes = 256 * 1024; // a larger request is answered 413
-    std::size_t maxHeadBytes = 16 * 1024;     // a larger head ends the connection
-    std::size_t connectionLimit = 1500;       // beyond: closed at once, so that descriptors remain
-    milliseconds readTimeout{10'000};         // a request is whole this long after its head
-    milliseconds maxIdleTime{60'000};  // between requests; one that has begun gets readWithin
-    milliseconds writeTimeout{10'000}; // an answer is taken whole within this
+    std::size_t maxRequestBytes = 256 * 1024; // bytes; a larger request body is answered with 413
+    std::size_t maxHeadBytes = 16 * 1024;     // bytes; a larger head closes the connection
+    std::size_t connectionLimit = 1500; // more are closed at once, to keep file descriptors free
+    milliseconds readTimeout{10'000};   // from a request's head to its last byte
+    milliseconds maxIdleTime{60'000};   // between requests; see readTimeout for a begun one
+    milliseconds writeTimeout{10'000};  // time for the client to read the whole answer
 };
 
-// What the open connections are at, at one moment.
+// Number of open connections in each state.
 struct listener_activity
 {
-    std::size_t idle = 0;      // nothing of a next request was read
-    std::size_t unread = 0;    // of the idle ones: bytes wait in the socket
+    std::size_t idle = 0;      // no byte of the next request was read
+    std::size_t unread = 0;    // those of `idle` with unread bytes in their socket
     std::size_t reading = 0;   // a request was read in part
-    std::size_t answering = 0; // a request is whole and has no answer yet
-    std::size_t writing = 0;   // an answer isn't out
+    std::size_t answering = 0; // a request is complete and its answer is pending
+    std::size_t writing = 0;   // an answer is being sent
 };
 
-using responder = std::function<void(http_response)>; // called once, at any later time
+using responder = std::function<void(http_response)>; // to be called once, at any later time
 
 class http_listener
 {
 public:
     using handler = std::function<void(http_request, responder)>;
 
-    // Listens at once. Throws error BadSettings when the address is taken.
+    // Starts listening immediately. Throws error BadSettings when the address is in use.
     http_listener(event_loop &loop, const socket_address &address, const listener_limits &limits,
                   handler serve);
     ~http_listener();
@@ -46,12 +46,13 @@
     http_listener &operator=(const http_listener &) = delete;
 
     void announceClose(); // answers carry "Connection: close" from now on
-    // Takes no more connections than those that wait to be accepted. Each ends once what has come
-    // on it is answered: at once where nothing has.
+    // Stops accepting, except for the connections that already wait to be accepted. Each connection
+    // closes once the requests that have arrived on it are answered; an idle one closes at once, or
+    // after a short wait for its first request.
     void drain();
-    bool isDrained() const;                      // after drain(): no connection is open any more
-    void answerAll(const http_response &answer); // each request that has no answer yet
-    std::size_t inFlight() const;                // requests read and not yet answered
+    bool isDrained() const; // drain() was called and no connection is open any more
+    void answerAll(const http_response &answer); // answers every request that has no answer yet
+    std::size_t inFlight() const;                // requests read but not answered yet
     listener_activity activity() const;
     socket_address address() const;
 
--- a/libs/net/loop_lateness.h
+++ b/libs/net/loop_lateness.h
@@ -1,4 +1,4 @@
-// How far an event loop is behind, by how late its timers fire.
+// Measures how far an event loop is behind, by how late its timers fire. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,8 @@
 class loop_lateness
 {
 public:
-    static constexpr milliseconds Window{1000}; // a look covers the present one and the one before
+    // maxLateness() covers the current and the previous window.
+    static constexpr milliseconds Window{1000};
 
     void addTimer(time_point due) { m_pendingTimers.insert(due); }
 
@@ -28,7 +29,7 @@
         return std::max(m_windowMax, m_previousWindowMax);
     }
 
-    // How long the first timer that should have fired has waited for it.
+    // Returns by how much the oldest unfired timer is late.
     duration overdueTime(time_point now) const
     {
         return m_pendingTimers.empty() ? duration{}
@@ -45,7 +46,7 @@
         m_windowEndsAt = now + Window;
     }
 
-    std::multiset<time_point> m_pendingTimers; // due times
+    std::multiset<time_point> m_pendingTimers; // due times of timers that have not fired
     time_point m_windowEndsAt{};
     duration m_windowMax{};
     duration m_previousWindowMax{};
--- a/libs/net/socket_peek.h
+++ b/libs/net/socket_peek.h
@@ -1,4 +1,4 @@
-// What a socket holds for its reader, without taking it. For the other files of this library only.
+// Looks at a socket's receive buffer without consuming bytes. Internal to this library.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,7 +7,7 @@
 
 enum class socket_peek { Nothing, Bytes, End };
 
-// End: the peer has closed, or the connection is broken.
+// End: the peer closed the connection, or the connection is broken. Makes the socket non-blocking.
 inline socket_peek peek(boost::asio::ip::tcp::socket &socket)
 {
     boost::system::error_code failure;
--- a/libs/platform/memory_platform.h
+++ b/libs/platform/memory_platform.h
@@ -1,5 +1,5 @@
-// The platform's table and object store in memory: the heart of the stand-in program and the fake
-// of the tests. One thread at a time.
+// The platform's table and object store, kept in memory. Used by the stand-in program and as a fake
+// in tests. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,20 @@
 class memory_platform
 {
 public:
-    // Table.
+    // --- Table.
     write_result commit(const table_transaction &transaction);
     std::optional<table_row> read(const std::string &key) const;
-    std::vector<table_row> scan(const std::string &prefix) const; // in the order of keys
-    std::uint64_t sequence() const { return m_sequence; }         // raised by every commit
+    std::vector<table_row> scan(const std::string &prefix) const; // sorted by key
+    std::uint64_t sequence() const { return m_sequence; } // incremented by every applied write
 
-    // Object store. `expected` set: written only if the object still has that version (0: absent).
+    // --- Object store. With `expected`, the write is applied only if the object still has that
+    // version (0: it must not exist).
     write_result putObject(const std::string &name, const std::string &content,
                            std::optional<std::uint64_t> expected);
     write_result removeObject(const std::string &name, std::optional<std::uint64_t> expected);
     std::optional<stored_object> getObject(const std::string &name) const;
-    std::vector<stored_object> listObjects(const std::string &prefix) const; // without content
+    // Returns the objects without their content.
+    std::vector<stored_object> listObjects(const std::string &prefix) const;
 
 private:
     std::uint64_t m_sequence = 0;
--- a/libs/platform/platform_json.cpp
+++ b/libs/platform/platform_json.cpp
@@ -26,7 +26,7 @@
 {
     const auto value = valueOf(OutcomeNames, name);
     if (!value)
-        throw error(error_kind::BadRequest, "member 'outcome': '" + name + "' is unknown");
+        throw error(error_kind::BadRequest, "member 'outcome': unknown value '" + name + "'");
     outcome = *value;
 }
 
--- a/libs/platform/platform_json.h
+++ b/libs/platform/platform_json.h
@@ -1,4 +1,4 @@
-// The platform's records as JSON, as its HTTP interface carries them.
+// Converts the platform's records to and from the JSON of its HTTP interface.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
 Json::Value toJson(const table_transaction &transaction);
 Json::Value toJson(const write_result &result);
 
-// Each throws error BadRequest that names the missing or wrong member.
+// Each throws error BadRequest, which names the missing or invalid member.
 table_row tableRowFromJson(const Json::Value &json);
 table_transaction tableTransactionFromJson(const Json::Value &json);
 write_result writeResultFromJson(const Json::Value &json);
--- a/libs/platform/records.h
+++ b/libs/platform/records.h
@@ -1,4 +1,4 @@
-// What crosses the border to the platform: rows, transactions, objects, and their outcomes.
+// Data exchanged with the platform: rows, transactions, objects and outcomes.
 #pragma once
 
 #include <cstdint>
@@ -15,43 +15,43 @@
 {
     std::string key;
     Json::Value value;
-    std::uint64_t version = 0; // change sequence of its last write; 0: the row does not exist
+    std::uint64_t version = 0; // table sequence of its last write; 0: the row does not exist
 };
 
-// Holds when the row's version is still the one that was read; 0: the row must not exist.
+// True if the row's version is still `version`; 0: the row must not exist.
 struct row_condition
 {
     std::string key;
     std::uint64_t version = 0;
 };
 
-// `value` absent: the row is removed.
+// Without `value`, the row is removed.
 struct row_write
 {
     std::string key;
     std::optional<Json::Value> value;
 };
 
-// All conditions hold and all writes apply, or nothing does.
+// Atomic: all writes are applied if all conditions hold, otherwise none is.
 struct table_transaction
 {
-    std::string operationId; // unique for each transaction; writers keep it inside the rows
+    std::string operationId; // unique per transaction; writers store it in the rows
     std::vector<row_condition> conditions;
     std::vector<row_write> writes;
 };
 
 enum class write_outcome {
     Applied,  // took effect
-    Conflict, // a condition did not hold: nothing changed
-    Refused,  // the platform refused before trying (down, over budget): nothing changed
-    Unknown,  // sent, and no answer: may or may not have taken effect
+    Conflict, // a condition did not hold; nothing changed
+    Refused,  // refused before execution (platform down or over budget); nothing changed
+    Unknown,  // sent without an answer: may or may not have taken effect
 };
 
 struct write_result
 {
     write_outcome outcome = write_outcome::Unknown;
-    std::uint64_t sequence = 0; // version of the written rows when Applied
-    std::string conflictKey;    // first row whose condition failed when Conflict
+    std::uint64_t sequence = 0; // Applied: version of the written rows
+    std::string conflictKey;    // Conflict: first row whose condition failed
 };
 
 // An object of the platform's object store.
@@ -59,7 +59,7 @@
 {
     std::string name;
     std::string content;
-    std::uint64_t version = 0; // raised by every write of this object; 0: absent
+    std::uint64_t version = 0; // increased by every write of this object; 0: it does not exist
 };
 
 } // namespace zinniabarrow
--- a/libs/rpc/rpc.cpp
+++ b/libs/rpc/rpc.cpp
@@ -63,7 +63,7 @@
             jsonrpc::Procedure & /*procedure*/, // NOLINT(readability-identifier-naming)
             const Json::Value & /*input*/) override
     {
-        // Nothing between the processes is a notification: every message is acknowledged.
+        // Not used: every message between the processes is acknowledged.
     }
 
     std::map<std::string, method> methods;
--- a/libs/rpc/rpc.h
+++ b/libs/rpc/rpc.h
@@ -1,6 +1,7 @@
-// JSON-RPC 2.0 between the system's processes. libjsonrpccpp does the protocol and is confined to
-// rpc.cpp, which is compiled as C++14 because its headers use dynamic exception specifications.
-// This header therefore stays within C++14 and knows no transport: the caller brings one.
+// JSON-RPC 2.0 between zinniabarrow's processes. libjsonrpccpp implements the protocol and is used
+// in rpc.cpp only, which is compiled as C++14 because the library's headers use dynamic exception
+// specifications. This header therefore stays within C++14. It contains no transport; the caller
+// provides one.
 #pragma once
 
 #include <functional>
@@ -12,8 +13,8 @@
 
 namespace zinniabarrow {
 
-// A call that brought no result. `code` is a JSON-RPC code, or RpcRefused when the called method
-// threw: `kind` then names the error kind.
+// A call that returned no result. `code` is a JSON-RPC code, or RpcRefused when the called method
+// threw; `kind` then names the error kind.
 class rpc_failure : public std::runtime_error
 {
 public:
@@ -30,10 +31,10 @@
     std::string m_kind;
 };
 
-constexpr int RpcRefused = -31000;  // the method itself refused
-constexpr int RpcNoAnswer = -32003; // nothing came back: the call may have run
+constexpr int RpcRefused = -31000;  // the method refused the call
+constexpr int RpcNoAnswer = -32003; // no answer came: the call may have been executed
 
-// Methods by name. Fill it first, then call `handle` from any thread.
+// Dispatches calls to methods by name. Bind all methods first; handle() is then thread-safe.
 class rpc_server
 {
 public:
@@ -46,7 +47,8 @@
 
     void bind(const std::string &name, method body);
 
-    // The answer's text for a request's text; broken requests get a JSON-RPC error.
+    // Returns the answer to the request, both as JSON text. An invalid request is answered with a
+    // JSON-RPC error.
     std::string handle(const std::string &request) const;
 
 private:
@@ -54,7 +56,7 @@
     std::unique_ptr<impl> m_impl;
 };
 
-// A method's body throws this to refuse with an error kind by name.
+// Thrown by a method to refuse the call; `kind` names an error kind.
 class rpc_refusal : public std::runtime_error
 {
 public:
@@ -68,10 +70,10 @@
     std::string m_kind;
 };
 
-// Sends a request's text and returns the answer's text, or throws std::runtime_error.
+// Sends the request text and returns the answer text. Throws std::runtime_error.
 using rpc_transport = std::function<std::string(const std::string &request)>;
 
-// Calls `name` over `transport`. Throws rpc_failure.
+// Calls the method `name` over `transport`. Throws rpc_failure.
 Json::Value rpcCall(const rpc_transport &transport, const std::string &name,
                     const Json::Value &parameters);
 
--- a/libs/runtime/body_stream.cpp
+++ b/libs/runtime/body_stream.cpp
@@ -33,8 +33,8 @@
     const auto hasRoom = [&] {
         return m_stopped || m_bufferedBytes == 0 || m_bufferedBytes + size <= StreamRingBytes;
     };
-    // A caller that reads slowly slows the upstream; one that does not read at all must not keep
-    // the upstream's slot for longer than the request may take.
+    // A caller that reads slowly slows the upstream down; one that does not read at all must not
+    // hold the upstream's slot for longer than the request's deadline.
     if (!hasRoom()) {
         const auto waitBegan = monotonic_clock::now();
         if (!m_changed.wait_until(lock, m_deadline, hasRoom))
@@ -45,7 +45,8 @@
         return m_end;
     m_bufferedBytes += size;
     m_chunks.emplace_back(data, size);
-    // The parts of an answer that will be whole wake nobody: its end does, once.
+    // Parts of a small answer do not wake the reader one by one; the end of the answer wakes it
+    // once.
     const bool shouldWakeReader = m_bufferedBytes > m_wakeAboveBytes;
     lock.unlock();
     if (shouldWakeReader)
@@ -80,8 +81,8 @@
         failLocked(error_kind::AnswerLate);
     if (!m_finished && !m_stopped)
         return false;
-    return m_end
-           || m_bufferedBytes <= bytes; // whole, but larger than that: streamed like the others
+    // A complete body larger than `bytes` is streamed like an incomplete one.
+    return m_end || m_bufferedBytes <= bytes;
 }
 
 std::string body_ring::takePart()
@@ -114,9 +115,9 @@
 void body_ring::abandon()
 {
     const std::lock_guard lock(m_mutex);
-    // A reader that has taken every declared byte is done, often a moment before the receiver has
-    // noted that the last byte was the last. Taken for one that went away, it would make a whole
-    // answer an unknown outcome; how the answer ended is the receiver's to say.
+    // A reader that has taken every declared byte is finished, often a moment before the receiver
+    // has noticed that the last byte was the last one. Treated as an abandoning reader, it would
+    // turn a complete answer into an unknown outcome; the receiver reports how the answer ended.
     const bool hasAll = m_declaredBytes && m_takenBytes == *m_declaredBytes;
     if (!m_finished && !hasAll)
         failLocked(error_kind::OutcomeUnknown);
@@ -137,8 +138,8 @@
     observer(end, receiverWait);
 }
 
-// Without the interrupt a receiver would stay in its read, and keep a connection that nobody wants,
-// until the peer sends or closes.
+// Without the interrupt, the receiver would stay blocked in its read and keep an unused connection
+// until the peer sends something or closes.
 void body_ring::failLocked(error_kind kind)
 {
     if (!m_end)
--- a/libs/runtime/body_stream.h
+++ b/libs/runtime/body_stream.h
@@ -1,8 +1,7 @@
-// The body of an answer while it arrives, between the thread that receives it and the one that
-// sends it on.
+// Streams the body of an answer from the thread that receives it to the thread that forwards it.
 //
-//   body_ring      a bounded ring of bytes: a full one slows the receiver, up to the deadline
-//   body_reader    the sender's end; letting go of it before the end drops the connection behind it
+//   body_ring      bounded byte buffer; when it is full, the receiver waits until the deadline
+//   body_reader    the forwarding side; destroying it early drops the upstream connection
 #pragma once
 
 #include <condition_variable>
@@ -20,41 +19,50 @@
 
 namespace zinniabarrow {
 
-// The stated bound on memory of one streamed answer in one process: the ring and one part that is
-// being sent. The kernel's socket buffers come on top.
+// Documented memory limit of one streamed answer in one process: the ring, and one part that is
+// being sent. Kernel socket buffers are not included.
 constexpr std::size_t StreamRingBytes = 256 * 1024;
 constexpr std::size_t StreamPartBytes = 64 * 1024;
 
-// How the receiving ended; nothing when the body is whole, OutcomeUnknown when the reader let go.
+// How receiving ended: nullopt when the body is complete, OutcomeUnknown when the reader stopped
+// reading early.
 using body_end = std::optional<error_kind>;
 
 class body_ring
 {
 public:
-    // `waited`: for how long the receiver had no room, because the reader was slower.
+    // Reports the end of the body. `waited` is the total time for which the receiver waited for
+    // space because the reader was slower.
     using end_observer = std::function<void(body_end, duration waited)>;
 
     explicit body_ring(time_point deadline);
 
-    // --- The receiver's side. `interrupt` makes a receiver that waits for bytes come back; it is
-    // never called after detach(). False: nobody wants the answer any more.
+    // --- Called by the receiving thread.
+    // Registers `interrupt`, which wakes a receiver that is blocked in a read and is never called
+    // after detachReceiver(). Returns false when the answer is no longer wanted; the receiver must
+    // then send no request.
     bool attachReceiver(std::function<void()> interrupt);
-    void setDeclaredLength(
-            std::optional<std::uint64_t> bytes); // as the head declares them; before push()
-    // Waits for room until the deadline. An error: the body is late or not wanted any more.
+    // Sets the Content-Length of the head, nullopt if it has none; to be called before push().
+    void setDeclaredLength(std::optional<std::uint64_t> bytes);
+    // Appends bytes; waits for space until the deadline. Returns an error when the deadline has
+    // passed or the answer is no longer wanted; the receiver must then stop.
     body_end push(const char *data, std::size_t size);
-    void detachReceiver(); // no interrupt from here on
+    void detachReceiver(); // the interrupt is not called after this
     void finish(body_end end);
 
-    // --- The sender's side.
-    // Waits until the body has ended (true) or more than `bytes` have come (false); at the deadline
-    // the receiver is interrupted and the body has ended as late.
+    // --- Called by the forwarding thread.
+    // Waits until the body has ended (returns true) or more than `bytes` have arrived (returns
+    // false). At the deadline it interrupts the receiver and ends the body with AnswerLate. A
+    // complete body larger than `bytes` returns false too, so that it is streamed.
     bool waitForEndOrBytes(std::size_t bytes);
-    // The next bytes in order, at most StreamPartBytes; empty at the end, see end().
+    // Returns the next bytes in order, at most StreamPartBytes; empty at the end of the body, see
+    // end().
     std::string takePart();
-    body_end end() const; // only once take() came back empty, or waitForEnd() was true
-    void abandon();       // nobody reads any more
-    // Called once, when the receiving has ended, on the thread that ends it.
+    // How receiving ended; only valid after takePart() returned empty or waitForEndOrBytes()
+    // returned true.
+    body_end end() const;
+    void abandon(); // the reader stops; discards the rest, interrupts an unfinished receiver
+    // `observer` is called once, on the thread that ends the receiving, or at once if it has ended.
     void observeEnd(end_observer observer);
 
 private:
@@ -64,14 +72,14 @@
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
     std::deque<std::string> m_chunks;
-    std::size_t m_bufferedBytes = 0; // in m_chunks
-    std::uint64_t m_takenBytes = 0;  // by the reader
+    std::size_t m_bufferedBytes = 0; // bytes in m_chunks
+    std::uint64_t m_takenBytes = 0;  // bytes that the reader has taken
     std::optional<std::uint64_t> m_declaredBytes;
-    std::size_t m_wakeAboveBytes = 0; // the reader waits for more than these
-    duration m_receiverWait{};        // by the receiver, for room
-    bool m_finished = false;          // by the receiver
-    bool m_stopped = false;           // abandoned or late: the receiver has to end
-    body_end m_end;                   // the first reason stays
+    std::size_t m_wakeAboveBytes = 0; // push() wakes the reader above this fill level
+    duration m_receiverWait{};        // time the receiver spent waiting for space
+    bool m_finished = false;          // set by finish()
+    bool m_stopped = false;           // abandoned, or deadline passed: the receiver must stop
+    body_end m_end;                   // the first reason is kept
     std::function<void()> m_interrupt;
     end_observer m_observer;
 };
@@ -80,7 +88,7 @@
 {
 public:
     explicit body_reader(std::shared_ptr<body_ring> ring);
-    ~body_reader(); // an unread rest is abandoned
+    ~body_reader(); // abandons the unread rest of the body
     body_reader(const body_reader &) = delete;
     body_reader &operator=(const body_reader &) = delete;
 
--- a/libs/runtime/event_actor.cpp
+++ b/libs/runtime/event_actor.cpp
@@ -13,7 +13,7 @@
 
 caf::actor_system_config &configureOneThread(caf::actor_system_config &config)
 {
-    // Every duty is detached and brings its own thread; the pool's threads would idle.
+    // Every actor is detached and has its own thread; more pool threads would be idle.
     config.set("scheduler.max-threads", 1);
     return config;
 }
@@ -47,15 +47,15 @@
         armTimer(self);
         return {
                 [this, self](wake_atom) {
-                    // Cleared before draining: an event pushed meanwhile wakes again, so none is
-                    // left lying in the ring.
+                    // Cleared before draining: an event posted during the drain wakes the actor
+                    // again, so that no event is left in the queue.
                     isWakePending.store(false);
                     drain();
                     armTimer(self);
                 },
                 [this, self](tick_atom, std::uint64_t timer) {
                     if (timer != newestTimerNumber)
-                        return; // an earlier deadline came up since
+                        return; // replaced by a timer for an earlier deadline
                     timerDueAt = Never;
                     if (ticks.nextTickAt() <= monotonic_clock::now())
                         ticks.tick();
@@ -64,8 +64,8 @@
         };
     }
 
-    // A timer that rings before the deadline, because that was put off since, is let ring: arming
-    // anew at each event would cost more than the one tick.
+    // If the deadline was postponed, the pending timer is left to fire: re-arming it at each event
+    // would cost more than that one tick.
     void armTimer(caf::event_based_actor *self)
     {
         const auto dueAt = std::max(ticks.nextTickAt(), ticksAllowedFrom);
@@ -76,9 +76,10 @@
         self->delayed_send(self, delay, tick_atom::value, ++newestTimerNumber);
     }
 
-    // A tick that leaves its deadline where it was would otherwise take the whole core.
+    // Lower limit of the delay: a tick that does not move its deadline forward would otherwise use
+    // a whole core.
     static constexpr milliseconds MinTimerDelay{1};
-    // The duty's owner is still being constructed when the thread starts.
+    // The owner of the actor is still being constructed when the thread starts.
     static constexpr milliseconds FirstTickDelay{10};
 
     caf::actor_system &system;
@@ -88,7 +89,7 @@
     std::atomic<bool> isStopped{false};
     caf::actor actor;
 
-    // Touched by the duty's thread alone.
+    // Used by the actor's thread only.
     const time_point ticksAllowedFrom = monotonic_clock::now() + FirstTickDelay;
     time_point timerDueAt = Never;
     std::uint64_t newestTimerNumber = 0;
@@ -98,7 +99,8 @@
 {
     if (period.count() == 0)
         return {[] { return Never; }, [] {}};
-    // Counted from the end of the tick before, so that slow ticks do not follow each other at once.
+    // The period starts at the end of the previous tick, so that slow ticks do not run back to
+    // back.
     auto due = std::make_shared<time_point>(monotonic_clock::now() + period);
     return {[due] { return *due; },
             [due, period, tick = std::move(tick)] {
--- a/libs/runtime/event_actor.h
+++ b/libs/runtime/event_actor.h
@@ -1,4 +1,5 @@
-// Duties: one thread for each, a CAF detached actor behind it, joined by bounded rings.
+// Actors that handle events one at a time. Each has its own thread (a detached CAF actor) and a
+// bounded queue in front of it.
 #pragma once
 
 #include <atomic>
@@ -14,7 +15,7 @@
 
 namespace zinniabarrow {
 
-// Owns the actor system. Outlives every duty started on it.
+// Owns the CAF actor system. Must outlive every actor that was started on it.
 class actor_runtime
 {
 public:
@@ -30,17 +31,18 @@
     std::unique_ptr<impl> m_impl;
 };
 
-// What a duty does though nothing happens, and when: Never, or the earliest of its deadlines.
-// `next` is asked after each drain and tick. A tick wakes two threads, so a duty at rest should
-// have few.
+// Work that an actor does without an event, and when. `nextTickAt` returns the earliest deadline,
+// or Never; it is called after each drain of the queue and after each tick. Every tick wakes two
+// threads, so an idle actor should have few.
 struct tick_schedule
 {
     std::function<time_point()> nextTickAt;
     std::function<void()> tick;
 };
-tick_schedule periodicTicks(duration period, std::function<void()> tick); // 0: never
+tick_schedule periodicTicks(duration period, std::function<void()> tick); // period 0: no ticks
 
-// The thread of a duty: runs `drain` after each wake, and `ticks.tick` when its time has come.
+// The thread of an actor: runs `drain` after each wake(), and `ticks.tick` when the time that
+// `ticks.nextTickAt` returned has come.
 class actor_thread
 {
 public:
@@ -49,15 +51,15 @@
     actor_thread(const actor_thread &) = delete;
     actor_thread &operator=(const actor_thread &) = delete;
 
-    void wake(); // from any thread; wakes that come before the drain are joined into one
-    void stop(); // returns after the last drain; calling it twice is fine
+    void wake(); // thread-safe; calls before the next drain are merged into one
+    void stop(); // returns after the last drain; may be called twice
 
 private:
     struct impl;
     std::unique_ptr<impl> m_impl;
 };
 
-// A duty that handles events of one type in the order of its ring.
+// An actor that handles events of one type in the order in which they were posted.
 template <typename Event>
 class event_actor
 {
@@ -78,7 +80,8 @@
                   system, [this] { drain(); }, std::move(ticks))
     { }
 
-    // False when the ring is full: the caller refuses the work and counts it.
+    // Thread-safe. Returns false when the queue is full: the caller must refuse the work and count
+    // it.
     bool post(Event event)
     {
         if (!m_ring.push(std::move(event)))
--- a/libs/runtime/http.cpp
+++ b/libs/runtime/http.cpp
@@ -24,16 +24,17 @@
 
 namespace {
 
-constexpr int ListenBacklog = 1024; // httplib's own is 5: bursts of connections would lose SYNs
-// The kernel's own would grow to several MiB for each connection, and hold a large answer that its
-// caller does not take. 256 KiB carry 40 MB/s over a way of 3 ms.
+// httplib's default of 5 would lose SYNs in bursts of connections.
+constexpr int ListenBacklog = 1024;
+// The kernel's automatic buffer size would grow to several MiB per connection, and would hold a
+// large answer that its caller does not read. 256 KiB carry 40 MB/s at a round trip time of 3 ms.
 constexpr int SocketBufferBytes = 256 * 1024;
 constexpr std::size_t RefusalThreads = 8;
 constexpr std::size_t MaxPendingRefusals = 64;
-constexpr milliseconds RefusalTimeout{250}; // to read a request only in order to refuse it
+constexpr milliseconds RefusalTimeout{250}; // for reading a request that will be refused
 constexpr std::size_t RequestsPerConnection = 1U << 30U;
-// Before the listening socket is closed. Looks and not a time: a process that stood still has
-// looked at nothing meanwhile.
+// Checks before the listening socket is closed. Counted as checks instead of a time span: a process
+// that was suspended has not checked anything meanwhile.
 constexpr int MaxAcceptChecks = 1000;
 constexpr milliseconds AcceptCheckInterval{1};
 
@@ -54,34 +55,36 @@
         {connection_event::StalledConnectionClosed, "made_room"},
 }};
 
-// How the thread that runs a connection has to treat it.
+// What the current thread does with its connection: assign it to a thread, serve it, answer it with
+// a refusal, or close it.
 enum class connection_handling { Admit, Serve, Refuse, Drop };
 thread_local connection_handling currentHandling = connection_handling::Serve;
 thread_local connection_stream *currentStream = nullptr;
 
-// Runs each connection on a thread of a bounded pool. Connections beyond the bound take the thread
-// of one that stalls, or go to a few threads that refuse at once; without them such a connection
-// would wait in a queue with no answer.
+// Runs each connection on a thread of a bounded pool. A connection beyond the limit takes over the
+// thread of a stalled one, or goes to a few threads that answer refusals at once; without those it
+// would wait in a queue unanswered.
 class bounded_task_queue : public httplib::TaskQueue
 {
 public:
-    bounded_task_queue(std::size_t bound, connection_table &book, http_server::observer onEvent)
-        : m_connectionLimit(bound)
-        , m_connectionTable(book)
+    bounded_task_queue(std::size_t threadCount, connection_table &connectionTable,
+                       http_server::observer onEvent)
+        : m_connectionLimit(threadCount)
+        , m_connectionTable(connectionTable)
         , m_onEvent(std::move(onEvent))
-        , m_servingThreads(bound)
+        , m_servingThreads(threadCount)
         , m_refusalThreads(RefusalThreads)
     { }
 
-    // On the thread that accepts. Whose connection it is decides first: counted before that, those
-    // beyond their address's share would leave no thread to others until threads had looked at
-    // them.
+    // Called on the accepting thread, which checks the address limit first. If connections were
+    // counted before that check, those beyond their address's limit would take all threads from
+    // other clients until a thread had checked them.
     void enqueue(std::function<void()> connection) override
     {
         runWith(connection_handling::Admit, connection);
     }
 
-    // False: every thread has a connection, and none of them stalls.
+    // Returns false when all threads are in use and no connection can be closed as stalled.
     bool reserveThread()
     {
         if (m_busyThreads.load() >= m_connectionLimit) {
@@ -95,7 +98,7 @@
         return true;
     }
 
-    // On the thread that was taken for it.
+    // Runs the connection on a thread reserved by reserveThread().
     void serve(std::function<void()> connection)
     {
         m_servingThreads.enqueue([this, connection = std::move(connection)] {
@@ -104,8 +107,8 @@
         });
     }
 
-    // Callers that stall keep a refusing thread too, for a moment. Those beyond a short queue are
-    // closed at once: the refusal of a well-behaved caller must not wait behind them all.
+    // Stalled callers hold a refusal thread too, for a short time. Connections beyond a short queue
+    // are closed at once: a well-behaved caller must not wait for its refusal behind all of them.
     void refuse(std::function<void()> connection)
     {
         if (m_pendingRefusals.load() >= MaxPendingRefusals) {
@@ -127,9 +130,9 @@
     }
 
 private:
-    static void runWith(connection_handling how, const std::function<void()> &connection)
+    static void runWith(connection_handling handling, const std::function<void()> &connection)
     {
-        currentHandling = how;
+        currentHandling = handling;
         connection();
         currentHandling = connection_handling::Serve;
     }
@@ -138,12 +141,12 @@
     connection_table &m_connectionTable;
     http_server::observer m_onEvent;
     std::atomic<std::size_t> m_busyThreads{0};
-    std::atomic<std::size_t> m_pendingRefusals{0}; // to be refused
+    std::atomic<std::size_t> m_pendingRefusals{0}; // connections queued for a refusal
     httplib::ThreadPool m_servingThreads;
     httplib::ThreadPool m_refusalThreads;
 };
 
-// cpp-httplib's server with its connections under deadlines and bounds.
+// cpp-httplib's server with deadlines and limits on its connections.
 class bounded_server : public httplib::Server
 {
 public:
@@ -157,7 +160,7 @@
         new_task_queue = [this] {
             m_queue =
                     new bounded_task_queue(m_limits.connectionLimit, m_connectionTable, m_onEvent);
-            return m_queue; // httplib deletes it when it has stopped
+            return m_queue; // httplib deletes it when it stops
         };
     }
 
@@ -207,11 +210,11 @@
             m_onEvent(connection_event::AnswerWriteTimedOut);
     }
 
-    // False when the connection is over.
+    // Returns false when the connection is to be closed.
     bool serveRequest(connection_stream &stream, time_point deadline, bool isLastRequest)
     {
-        const auto closing = [this] { return svr_sock_ == INVALID_SOCKET; };
-        if (!stream.waitForRequest(deadline, closing))
+        const auto isStopping = [this] { return svr_sock_ == INVALID_SOCKET; };
+        if (!stream.waitForRequest(deadline, isStopping))
             return false;
         bool closed = false;
         currentStream = &stream;
@@ -227,8 +230,8 @@
     bounded_task_queue *m_queue = nullptr;
 };
 
-// httplib would cut ranges out of the answer and compress it by itself, on top of what the upstream
-// made of these headers: the caller would get another body than its answer's.
+// By these headers httplib would extract ranges from the answer and compress it, although the
+// upstream has already applied them: the caller would get a body other than the answer's.
 void disableRangesAndCompression(httplib::Request &request)
 {
     request.ranges.clear();
@@ -259,8 +262,8 @@
                        [&](const char *each) { return strcasecmp(name.c_str(), each) == 0; });
 }
 
-// httplib asks for the body part by part. False ends the connection without the declared length or
-// the last chunk, so that the caller sees an error and never a short success.
+// Called by httplib for each part of the body. Returning false closes the connection without the
+// declared length or the last chunk, so that the caller sees an error instead of a short success.
 bool sendPart(body_reader &stream, httplib::DataSink &sink, bool chunked)
 {
     const auto part = stream.takePart();
@@ -272,7 +275,7 @@
     return true;
 }
 
-// `held` lives until the body has been sent.
+// `inFlightGuard` lives until the body has been sent.
 void streamResponse(httplib::Response &to, const http_response &from, const std::string &type,
                     const std::shared_ptr<void> &inFlightGuard)
 {
@@ -375,9 +378,9 @@
 template <typename Headers>
 std::size_t headerBytes(const Headers &headers)
 {
-    std::size_t bytes = LineEndBytes; // the empty line
+    std::size_t bytes = LineEndBytes; // the empty line after the headers
     for (const auto &[name, value] : headers) {
-        // httplib puts the connection's ends among the headers; they were never sent.
+        // httplib adds the addresses of the connection as headers; they were never on the wire.
         if (name.starts_with("REMOTE_") || name.starts_with("LOCAL_"))
             continue;
         bytes += name.size() + value.size() + HeaderOverheadBytes;
@@ -398,7 +401,7 @@
            + request.body.size();
 }
 
-// With the headers that httplib adds to an answer on a connection that stays open.
+// Counts the headers that httplib adds to an answer on a keep-alive connection.
 std::size_t sentBytes(const http_response &answer)
 {
     http_headers headers = answer.headers;
@@ -427,13 +430,13 @@
     const auto colon = text.rfind(':');
     socket_address address;
     if (colon == std::string::npos || colon == 0)
-        throw error(error_kind::BadSettings, "'" + text + "' is no address: write ip:port");
+        throw error(error_kind::BadSettings, "'" + text + "' is not an address: use ip:port");
     address.address = text.substr(0, colon);
     const char *begin = text.data() + colon + 1;
     const char *end = text.data() + text.size();
     const auto read = std::from_chars(begin, end, address.port);
     if (read.ec != std::errc() || read.ptr != end || address.port < 0 || address.port > LastPort)
-        throw error(error_kind::BadSettings, "'" + text + "' has no port from 0 to 65535");
+        throw error(error_kind::BadSettings, "'" + text + "' needs a port from 0 to 65535");
     return address;
 }
 
@@ -444,35 +447,36 @@
 
 bool canConnect(const socket_address &peer, milliseconds timeout)
 {
-    const int handle = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (handle < 0)
+    const int socketHandle = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+    if (socketHandle < 0)
         return false;
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(static_cast<std::uint16_t>(peer.port));
     bool connected = false;
     if (inet_pton(AF_INET, peer.address.c_str(), &address.sin_addr) == 1) {
-        const auto *where = reinterpret_cast<const sockaddr *>(&address);
-        connected = connect(handle, where, sizeof address) == 0;
-        pollfd waiting{handle, POLLOUT, 0};
+        const auto *serverAddress = reinterpret_cast<const sockaddr *>(&address);
+        connected = connect(socketHandle, serverAddress, sizeof address) == 0;
+        pollfd pollEntry{socketHandle, POLLOUT, 0};
         if (!connected && errno == EINPROGRESS
-            && poll(&waiting, 1, static_cast<int>(timeout.count())) == 1) {
+            && poll(&pollEntry, 1, static_cast<int>(timeout.count())) == 1) {
             int problem = 0;
             socklen_t size = sizeof problem;
-            connected =
-                    getsockopt(handle, SOL_SOCKET, SO_ERROR, &problem, &size) == 0 && problem == 0;
+            connected = getsockopt(socketHandle, SOL_SOCKET, SO_ERROR, &problem, &size) == 0
+                        && problem == 0;
         }
     }
-    close(handle);
+    close(socketHandle);
     return connected;
 }
 
 struct http_server::impl
 {
-    impl(socket_address where, http_server_limits bounds, handler handle, observer onEvent)
-        : address(std::move(where))
-        , limits(bounds)
-        , serve(std::move(handle))
+    impl(socket_address serverAddress, http_server_limits serverLimits, handler requestHandler,
+         observer onEvent)
+        : address(std::move(serverAddress))
+        , limits(serverLimits)
+        , serve(std::move(requestHandler))
         , server(
                   limits, onEvent ? std::move(onEvent) : [](connection_event) {})
     { }
@@ -483,7 +487,7 @@
     bounded_server server;
     std::thread acceptor;
     std::atomic<std::size_t> inFlight{0};
-    std::atomic<bool> closing{false};
+    std::atomic<bool> isClosing{false};
     socket_t listener = INVALID_SOCKET;
 
     void answer(const httplib::Request &from, httplib::Response &to)
@@ -495,7 +499,7 @@
             to.set_header("Connection", "close");
             return;
         }
-        // Until the last byte of a streamed body: a planned stop waits for it.
+        // Counted until the last byte of a streamed body: a shutdown waits for it.
         ++inFlight;
         const std::shared_ptr<void> inFlightGuard(nullptr, [this](void *) { --inFlight; });
         try {
@@ -505,16 +509,16 @@
         } catch (const std::exception &) {
             fillResponse(to, refusalAnswer(error_kind::Internal));
         }
-        if (closing)
+        if (isClosing)
             to.set_header("Connection", "close");
     }
 
-    // Closing the listening socket cuts off connections that were made and wait to be accepted.
+    // Closing the listening socket would reset established connections that are not accepted yet.
     void waitUntilAllAccepted() const
     {
         for (int checks = 0; checks < MaxAcceptChecks; ++checks) {
-            pollfd waiting{listener, POLLIN, 0};
-            if (poll(&waiting, 1, 0) != 1)
+            pollfd pollEntry{listener, POLLIN, 0};
+            if (poll(&pollEntry, 1, 0) != 1)
                 return;
             std::this_thread::sleep_for(AcceptCheckInterval);
         }
@@ -525,12 +529,13 @@
         const auto handleAny = [this](const httplib::Request &from, httplib::Response &to) {
             answer(from, to);
             disableRangesAndCompression(
-                    const_cast<httplib::Request &>(from)); // made non-const by httplib
+                    const_cast<httplib::Request &>(from)); // httplib created it as non-const
         };
         server.Get(".*", handleAny).Post(".*", handleAny).Put(".*", handleAny);
         server.Patch(".*", handleAny).Delete(".*", handleAny).Options(".*", handleAny);
         server.set_error_handler([](const httplib::Request &, httplib::Response &to) {
-            // httplib refused by itself (broken request line, body over the bound): say why.
+            // httplib refused the request itself (malformed request line, or body over the limit):
+            // add the reason.
             if (!to.body.empty() || to.has_header(ErrorHeader))
                 return;
             const bool tooLarge = to.status == 413;
@@ -540,13 +545,13 @@
             fillResponse(to, answer);
         });
         server.set_payload_max_length(limits.maxRequestBytes);
-        server.set_keep_alive_max_count(RequestsPerConnection);         // for the Keep-Alive header
+        server.set_keep_alive_max_count(RequestsPerConnection); // sent in the Keep-Alive header
         server.set_keep_alive_timeout(limits.keepAliveTimeout.count()); // likewise
         server.set_tcp_nodelay(true);
         server.set_socket_options([this](socket_t socket) {
             const int on = 1;
             setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-            setBufferSize(socket, SO_SNDBUF); // connections inherit it
+            setBufferSize(socket, SO_SNDBUF); // inherited by accepted connections
             listener = socket;
         });
     }
@@ -568,14 +573,14 @@
 void http_server::start()
 {
     auto &address = m_impl->address;
-    bool bound = true;
+    bool threadCount = true;
     if (address.port == 0) {
         address.port = m_impl->server.bind_to_any_port(address.address);
-        bound = address.port > 0;
+        threadCount = address.port > 0;
     } else {
-        bound = m_impl->server.bind_to_port(address.address, address.port);
+        threadCount = m_impl->server.bind_to_port(address.address, address.port);
     }
-    if (!bound)
+    if (!threadCount)
         throw error(error_kind::BadSettings,
                     "cannot listen on " + toText(address) + ": choose a free address");
     ::listen(m_impl->listener, ListenBacklog);
@@ -588,7 +593,7 @@
 {
     if (!m_impl->acceptor.joinable())
         return;
-    m_impl->closing = true;
+    m_impl->isClosing = true;
     m_impl->waitUntilAllAccepted();
     m_impl->server.stop();
     m_impl->acceptor.join();
@@ -596,7 +601,7 @@
 
 void http_server::announceClose(bool closing)
 {
-    m_impl->closing = closing;
+    m_impl->isClosing = closing;
 }
 
 socket_address http_server::address() const
@@ -640,28 +645,28 @@
     while (!m_idle.empty()) {
         auto candidate = std::move(m_idle.back());
         m_idle.pop_back();
-        // A connection idle for as long as the server's keep-alive may be closed by the server just
-        // as the request is sent: the outcome would be unknown for nothing.
+        // The server may close a connection that has been idle for its keep-alive time just as the
+        // request is sent, which would leave the outcome unknown needlessly.
         if (now - candidate->lastUsedAt < m_limits.maxIdleTime && hasNoUnreadBytes(*candidate))
             return candidate;
     }
     return std::make_unique<connection>(m_peer);
 }
 
-// Bytes beyond the length that the last answer declared would be read as the next one's: a caller
-// would get what belongs to another. The end of the connection shows here as well.
-bool http_pool::hasNoUnreadBytes(const connection &link)
+// Bytes beyond the declared length of the last answer would be read as the next answer, and a
+// caller would get data of another one. This check also detects a closed connection.
+bool http_pool::hasNoUnreadBytes(const connection &pooledConnection)
 {
-    pollfd waiting{link.client.socket(), POLLIN, 0};
-    return poll(&waiting, 1, 0) == 0;
+    pollfd pollEntry{pooledConnection.client.socket(), POLLIN, 0};
+    return poll(&pollEntry, 1, 0) == 0;
 }
 
-void http_pool::returnConnection(std::unique_ptr<connection> link)
+void http_pool::returnConnection(std::unique_ptr<connection> pooledConnection)
 {
-    link->lastUsedAt = monotonic_clock::now();
+    pooledConnection->lastUsedAt = monotonic_clock::now();
     const std::lock_guard lock(m_mutex);
     if (m_idle.size() < m_limits.maxIdleConnections)
-        m_idle.push_back(std::move(link));
+        m_idle.push_back(std::move(pooledConnection));
 }
 
 namespace {
@@ -727,18 +732,17 @@
 
 } // namespace
 
-// What httplib reports of one answer goes through here: answer_check decides, the sink gets the
-// body.
+// Receives one answer from httplib: answer_check checks it, the sink gets the body.
 struct http_pool::answer_receiver
 {
     using body_sink = std::function<std::optional<error_kind>(const char *, std::size_t)>;
 
     answer_receiver(const http_request &request, answer_echo echo, const http_pool_limits &limits,
-                    body_sink bytesTo)
+                    body_sink bodyTarget)
         : echoHeader(std::move(echo.header))
         , check(std::move(echo.value), request.method,
                 {answer_limits{}.maxHeadBytes, limits.answerBytesLimit})
-        , sink(std::move(bytesTo))
+        , bodySink(std::move(bodyTarget))
     { }
 
     bool handleHead(const httplib::Response &from)
@@ -758,7 +762,7 @@
     {
         failure = check.checkBody(size);
         if (!failure)
-            failure = sink(data, size);
+            failure = bodySink(data, size);
         return !failure;
     }
 
@@ -777,65 +781,67 @@
 
     std::string echoHeader;
     answer_check check;
-    body_sink sink;
-    http_response response; // head, once seen
+    body_sink bodySink;
+    http_response response; // status and headers, once received
     bool isHeadReceived = false;
-    body_ring *ring = nullptr; // whose reader may interrupt the receiving
+    body_ring *ring = nullptr; // for streamed answers: its reader may interrupt the receiving
     std::optional<error_kind> failure;
 };
 
 std::optional<error_kind> http_pool::receive(const http_request &request, time_point deadline,
-                                             answer_receiver &into)
+                                             answer_receiver &receiver)
 {
     const auto now = monotonic_clock::now();
     if (deadline <= now)
         return error_kind::UpstreamUnreachable;
     const auto remaining = std::chrono::duration_cast<microseconds>(deadline - now);
-    auto link = takeConnection();
-    link->client.set_connection_timeout(std::min<microseconds>(remaining, m_limits.connectTimeout));
-    link->client.set_read_timeout(remaining);
-    link->client.set_write_timeout(remaining);
+    auto pooledConnection = takeConnection();
+    pooledConnection->client.set_connection_timeout(
+            std::min<microseconds>(remaining, m_limits.connectTimeout));
+    pooledConnection->client.set_read_timeout(remaining);
+    pooledConnection->client.set_write_timeout(remaining);
     auto out = toHttplibRequest(request);
-    out.response_handler = [&](const httplib::Response &head) { return into.handleHead(head); };
+    out.response_handler = [&](const httplib::Response &head) { return receiver.handleHead(head); };
     out.content_receiver = [&](const char *data, std::size_t size, std::uint64_t, std::uint64_t) {
-        return into.handleBody(data, size);
+        return receiver.handleBody(data, size);
     };
     httplib::Response in;
     auto problem = httplib::Error::Success;
-    if (into.ring != nullptr && !into.ring->attachReceiver([&] { link->client.stop(); }))
-        return error_kind::UpstreamUnreachable; // nobody waits any more: not a byte is sent
-    const bool received = link->client.send(out, in, problem);
-    if (received
-        && !into.isHeadReceived) // httplib shows the head of an answer without a body only here
-        into.handleHead(in);
-    auto end = into.end(received, problem, deadline);
-    if (into.ring != nullptr)
-        into.ring->detachReceiver(); // the next user of the connection must not be interrupted
-    // A connection whose answer was not whole is in doubt: it goes with `link`.
-    into.response.requestBytes =
+    if (receiver.ring != nullptr
+        && !receiver.ring->attachReceiver([&] { pooledConnection->client.stop(); }))
+        return error_kind::UpstreamUnreachable; // the caller has stopped waiting: nothing was sent
+    const bool received = pooledConnection->client.send(out, in, problem);
+    // httplib reports the head of an answer without a body only here.
+    if (received && !receiver.isHeadReceived)
+        receiver.handleHead(in);
+    auto end = receiver.end(received, problem, deadline);
+    if (receiver.ring != nullptr)
+        receiver.ring->detachReceiver(); // must not interrupt the next call
+    // A connection whose answer was incomplete is not returned to the pool, but closed.
+    receiver.response.requestBytes =
             requestLineBytes(out.method, out.path) + headerBytes(out.headers) + out.body.size();
-    if (!end && strcasecmp(into.response.header("Connection").c_str(), "close") != 0)
-        returnConnection(std::move(link));
+    if (!end && strcasecmp(receiver.response.header("Connection").c_str(), "close") != 0)
+        returnConnection(std::move(pooledConnection));
     return end;
 }
 
 call_result http_pool::call(const http_request &request, time_point deadline)
 {
     std::string body;
-    answer_receiver into(request, {}, m_limits,
-                         [&](const char *data, std::size_t size) -> std::optional<error_kind> {
-                             // The read timeout restarts with every byte: an answer that drips
-                             // needs this.
-                             if (monotonic_clock::now() > deadline)
-                                 return error_kind::AnswerLate;
-                             body.append(data, size);
-                             return std::nullopt;
-                         });
-    if (const auto failed = receive(request, deadline, into))
+    answer_receiver receiver(request, {}, m_limits,
+                             [&](const char *data, std::size_t size) -> std::optional<error_kind> {
+                                 // httplib's read timeout restarts with every byte, so an answer
+                                 // that arrives slowly needs this check.
+                                 if (monotonic_clock::now() > deadline)
+                                     return error_kind::AnswerLate;
+                                 body.append(data, size);
+                                 return std::nullopt;
+                             });
+    if (const auto failed = receive(request, deadline, receiver))
         return failureOf(*failed);
-    into.response.streamBytes.reset();
-    into.response.body = std::move(body);
-    return std::move(into.response);
+    receiver.response.streamBytes.reset();
+    receiver.response.body = std::move(body);
+    return std::move(receiver.response);
 }
 
 call_result http_pool::callStreaming(http_request request, time_point deadline, answer_echo echo,
@@ -844,22 +850,22 @@
     if (deadline <= monotonic_clock::now())
         return call_failure::NotConnected;
     const auto ring = std::make_shared<body_ring>(deadline);
-    const auto head = std::make_shared<http_response>(); // written before the ring's first byte
+    const auto head = std::make_shared<http_response>(); // written before the first byte
     threads.run([this, ring, head, deadline, request = std::move(request),
                  echo = std::move(echo)]() mutable {
-        answer_receiver into(request, std::move(echo), m_limits, nullptr);
-        into.ring = ring.get();
+        answer_receiver receiver(request, std::move(echo), m_limits, nullptr);
+        receiver.ring = ring.get();
         bool isHeadCopied = false;
-        into.sink = [&](const char *data, std::size_t size) {
+        receiver.bodySink = [&](const char *data, std::size_t size) {
             if (!std::exchange(isHeadCopied, true)) {
-                *head = into.response;
-                ring->setDeclaredLength(into.response.streamBytes);
+                *head = receiver.response;
+                ring->setDeclaredLength(receiver.response.streamBytes);
             }
             return ring->push(data, size);
         };
-        const auto end = receive(request, deadline, into);
+        const auto end = receive(request, deadline, receiver);
         if (!isHeadCopied)
-            *head = std::move(into.response);
+            *head = std::move(receiver.response);
         ring->finish(end);
     });
     const auto reader = std::make_shared<body_reader>(ring);
--- a/libs/runtime/http.h
+++ b/libs/runtime/http.h
@@ -1,6 +1,6 @@
-// HTTP as the daemons use it: plain requests and responses, a server with a hard bound on
-// connections, and a client pool that says how far a failed call got. cpp-httplib stays in
-// http.cpp and http_connection.cpp.
+// HTTP for the daemons: request and response structs, a threaded server with a hard connection
+// limit, and a client pool that reports how far a failed call got. cpp-httplib is included in
+// http.cpp and http_connection.cpp only.
 #pragma once
 
 #include <atomic>
@@ -29,19 +29,19 @@
     bool operator()(const std::string &left, const std::string &right) const;
 };
 
-// Names compare without case; a repeated header keeps its last value.
+// Names are case-insensitive; of a repeated header the last value is kept.
 using http_headers = std::map<std::string, std::string, header_less>;
 
 struct http_request
 {
     std::string method = "GET";
-    std::string target = "/"; // path with query, as on the wire
+    std::string target = "/"; // path with query, not decoded
     http_headers headers;
     std::string body;
 
-    std::string path() const;                          // target without query
+    std::string path() const;                          // target without the query
     std::string header(const std::string &name) const; // empty when absent
-    std::string query(const std::string &name) const;  // empty when absent; not decoded
+    std::string query(const std::string &name) const;  // empty when absent; not percent-decoded
 };
 
 struct http_response
@@ -49,50 +49,52 @@
     int status = 200;
     http_headers headers;
     std::string body;
-    std::shared_ptr<body_reader> stream = nullptr; // the body while it arrives; null: in `body`
-    std::optional<std::uint64_t> streamBytes = {}; // its declared length; none: chunked
-    std::size_t requestBytes = 0; // by http_pool: of the whole request, its head included
+    // Set while the body still arrives; null: the body is in `body`.
+    std::shared_ptr<body_reader> stream = nullptr;
+    std::optional<std::uint64_t> streamBytes = {}; // Content-Length of the stream; nullopt: chunked
+    std::size_t requestBytes = 0; // set by http_pool: size of the request sent, head included
 
     std::string header(const std::string &name) const;
 };
 
-// Bytes on the wire, heads included, TCP/IP not, of calls that are answered 200: of a request that
-// a server took in, of the JSON answer that it gives, and of an answer that a client took in.
+// Bytes on the wire, HTTP heads included, TCP/IP headers not, of calls that are answered with 200:
+// of a request that a server received, of the JSON answer that it sends, and of an answer that a
+// client received.
 std::size_t receivedBytes(const http_request &request);
 std::size_t sentBytes(const http_response &answer);
 std::size_t receivedBytes(const http_response &answer);
 
 struct socket_address
 {
-    std::string address = "127.0.0.1"; // IP number
-    int port = 0;                      // 0: any free port, for servers
+    std::string address = "127.0.0.1"; // numeric IP address
+    int port = 0;                      // 0: any free port (servers only)
 };
 
-// Reads "ip:port"; throws error BadSettings.
+// Parses "ip:port". Throws error BadSettings.
 socket_address parseAddress(const std::string &text);
 std::string toText(const socket_address &address);
 
-// Does something accept connections there?
+// Returns true if a TCP connection to `peer` succeeds within the timeout. Blocks.
 bool canConnect(const socket_address &peer, milliseconds timeout);
 
 struct http_server_limits
 {
-    std::size_t connectionLimit = 128;         // threads, one for each connection
-    std::size_t maxRequestBytes = 1024 * 1024; // a larger request body is answered 413
-    seconds keepAliveTimeout{5};               // an idle connection is closed after this
-    std::size_t maxPerAddress = 0;             // connections of one caller's address; 0: no bound
-    milliseconds readTimeout{10'000};          // a request is whole this long after its first byte
-    milliseconds writeTimeout{30'000};         // an answer is taken whole within this
+    std::size_t connectionLimit = 128;         // connections at once; each has its own thread
+    std::size_t maxRequestBytes = 1024 * 1024; // bytes; a larger request body is answered with 413
+    seconds keepAliveTimeout{5};               // an idle connection is closed after this time
+    std::size_t maxPerAddress = 0;             // connections per client address; 0: no limit
+    milliseconds readTimeout{10'000};          // from the first byte of a request to its last one
+    milliseconds writeTimeout{30'000};         // time for the client to read the whole answer
 };
 
-// Connections that the server refused or ended by itself.
+// Reasons for which the server refuses or closes a connection on its own.
 enum class connection_event {
-    NoFreeThread,            // refused: every thread has a connection
-    AddressLimitReached,     // refused: the caller's address holds as many as it may
-    RefusalQueueFull,        // closed without an answer: too many wait to be refused
-    RequestTimedOut,         // ended: the request was not whole in time
-    AnswerWriteTimedOut,     // ended: the caller did not read its answer in time
-    StalledConnectionClosed, // ended: it stalled while others waited for a thread
+    NoFreeThread,            // refused: all threads are in use
+    AddressLimitReached,     // refused: the client address has reached maxPerAddress
+    RefusalQueueFull,        // closed without an answer: too many refusals are queued
+    RequestTimedOut,         // closed: the request did not arrive in time
+    AnswerWriteTimedOut,     // closed: the client did not read its answer in time
+    StalledConnectionClosed, // closed: it stalled while a new connection needed a thread
 };
 std::string_view nameOf(connection_event event);
 std::span<const connection_event> connectionEvents();
@@ -102,7 +104,7 @@
 public:
     using handler = std::function<http_response(const http_request &)>;
 
-    using observer = std::function<void(connection_event)>; // on the server's threads
+    using observer = std::function<void(connection_event)>; // called on the server's threads
 
     http_server(socket_address address, http_server_limits limits, handler serve,
                 observer onEvent = {});
@@ -110,12 +112,13 @@
     http_server(const http_server &) = delete;
     http_server &operator=(const http_server &) = delete;
 
-    // Binds and serves on threads of its own. Throws error BadSettings when the address is taken.
+    // Binds the address and starts the server's threads. Throws error BadSettings when the address
+    // is in use.
     void start();
-    // Stops accepting, answers what has come by then, also on connections that wait to be accepted;
-    // returns when every connection is closed.
+    // Stops accepting connections and answers all requests that have arrived by then, including
+    // those on connections that are not accepted yet. Returns when every connection is closed.
     void stop();
-    void announceClose(bool closing); // answers carry "Connection: close" from now on
+    void announceClose(bool closing); // true: answers carry "Connection: close" from now on
     socket_address address() const;
     std::size_t inFlight() const;
 
@@ -124,39 +127,43 @@
     std::unique_ptr<impl> m_impl;
 };
 
-// How far a call got that brought no whole answer.
+// How far a call got that returned no complete answer.
 enum class call_failure {
-    NotConnected,      // nothing was sent
-    ConnectionRefused, // the same: nobody listens there any more
-    IncompleteAnswer,  // sent, and no answer came that answer_check could prove whole
-    TimedOut,          // sent, and the deadline passed
-    TooLarge,          // the answer exceeds the bound
+    NotConnected,      // no connection in time; nothing was sent
+    ConnectionRefused, // no process listens there; nothing was sent
+    IncompleteAnswer,  // sent, but no answer that answer_check accepts as complete
+    TimedOut,          // sent, but the deadline passed
+    TooLarge,          // the answer exceeds its size limit
 };
 std::string_view nameOf(call_failure failure);
-// False: the other side knows nothing of the request.
+// False: the peer has certainly not received the request.
 bool mayHaveArrived(call_failure failure);
 
 using call_result = std::variant<http_response, call_failure>;
 
-// An answer with a larger body is streamed by http_pool::open.
+// Bytes. callStreaming() returns a larger body as a stream.
 constexpr std::size_t MaxBufferedAnswerBytes = 64 * 1024;
 
-// The header that the answer has to echo, so that one of an earlier request is never passed on.
+// A header that the answer must repeat. It keeps an answer to an earlier request on the same
+// connection from being forwarded.
 struct answer_echo
 {
-    std::string header; // empty: no echo is asked for
+    std::string header; // empty: no echo expected
     std::string value;
 };
 
 struct http_pool_limits
 {
-    std::size_t maxIdleConnections = 64; // kept for reuse
-    milliseconds maxIdleTime{2500};      // below the servers' keep-alive, see http.cpp
+    std::size_t maxIdleConnections = 64; // kept for reuse, per pool
+    // Must stay below the server's keepAliveTimeout, see http_pool::takeConnection().
+    milliseconds maxIdleTime{2500};
     milliseconds connectTimeout{500};
-    std::size_t answerBytesLimit = 8 * 1024 * 1024; // body of an answer, held whole or streamed
+    // Bytes of an answer's body, whether buffered or streamed.
+    std::size_t answerBytesLimit = 8 * 1024 * 1024;
 };
 
-// Connections to one peer. Each call has a connection of its own; one in doubt is dropped.
+// Pool of connections to one peer. Each call has a connection to itself; a connection whose call
+// failed is dropped. Thread-safe; calls block.
 class http_pool
 {
 public:
@@ -165,10 +172,10 @@
     http_pool(const http_pool &) = delete;
     http_pool &operator=(const http_pool &) = delete;
 
-    // The whole answer.
+    // Returns the whole answer, buffered.
     call_result call(const http_request &request, time_point deadline);
-    // The same up to WholeAnswerBytes; of a larger answer the head and a stream. The answer comes
-    // in on a thread of `threads`, which must not outlive the pool.
+    // Like call() for answers up to MaxBufferedAnswerBytes; for a larger one it returns the head
+    // and a stream. The answer is received on one of `threads`, which must not outlive the pool.
     call_result callStreaming(http_request request, time_point deadline, answer_echo echo,
                               receiver_threads &threads);
 
@@ -176,10 +183,10 @@
     struct connection;
     struct answer_receiver;
     std::optional<error_kind> receive(const http_request &request, time_point deadline,
-                                      answer_receiver &into);
+                                      answer_receiver &receiver);
     std::unique_ptr<connection> takeConnection();
-    static bool hasNoUnreadBytes(const connection &link);
-    void returnConnection(std::unique_ptr<connection> link);
+    static bool hasNoUnreadBytes(const connection &pooledConnection);
+    void returnConnection(std::unique_ptr<connection> pooledConnection);
 
     socket_address m_peer;
     http_pool_limits m_limits;
@@ -187,7 +194,7 @@
     std::vector<std::unique_ptr<connection>> m_idle;
 };
 
-// One pool for each peer, made at first use.
+// One http_pool per peer, created at first use. Thread-safe.
 class http_pools
 {
 public:
--- a/libs/runtime/http_connection.cpp
+++ b/libs/runtime/http_connection.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-// How long a connection may keep its thread waiting before it gives way to a new one. Idle is above
-// the time for which our own clients reuse a connection (http_pool_limits::idleAtMost).
+// How long a connection may stall before its thread may be given to a new connection. Idle is
+// longer than the time for which our own clients reuse a connection
+// (http_pool_limits::maxIdleTime).
 std::optional<milliseconds> gracePeriodOf(connection_phase phase)
 {
     switch (phase) {
@@ -26,7 +27,7 @@
     case connection_phase::Serving:
         break;
     }
-    return std::nullopt; // its request may run: only its own deadline ends it
+    return std::nullopt; // its request may be executing: only its own deadline ends it
 }
 
 void readAddress(const sockaddr_storage &from, std::string &ip, int &port)
@@ -76,7 +77,7 @@
     const std::lock_guard lock(m_mutex);
     const auto found = m_tracked.find(socket);
     if (found == m_tracked.end())
-        return; // one that is only refused has no place in the book
+        return; // a refused connection is not in the table
     found->second.phase = phase;
     found->second.phaseSince = monotonic_clock::now();
 }
@@ -84,25 +85,26 @@
 bool connection_table::closeLongestStalled(time_point now)
 {
     const std::lock_guard lock(m_mutex);
-    auto longest = m_tracked.end();
+    auto longestStalled = m_tracked.end();
     for (auto each = m_tracked.begin(); each != m_tracked.end(); ++each) {
         const auto gracePeriod = gracePeriodOf(each->second.phase);
         if (!gracePeriod || each->second.isClosing || each->second.phaseSince + *gracePeriod > now)
             continue;
-        if (longest == m_tracked.end() || each->second.phaseSince < longest->second.phaseSince)
-            longest = each;
+        if (longestStalled == m_tracked.end()
+            || each->second.phaseSince < longestStalled->second.phaseSince)
+            longestStalled = each;
     }
-    if (longest == m_tracked.end())
+    if (longestStalled == m_tracked.end())
         return false;
-    longest->second.isClosing = true;
-    shutdown(longest->first, SHUT_RDWR); // wakes its thread
+    longestStalled->second.isClosing = true;
+    shutdown(longestStalled->first, SHUT_RDWR); // wakes the thread that serves it
     return true;
 }
 
-connection_stream::connection_stream(socket_t socket, connection_table &book,
+connection_stream::connection_stream(socket_t socket, connection_table &connectionTable,
                                      const http_server_limits &limits)
     : m_socket(socket)
-    , m_connectionTable(book)
+    , m_connectionTable(connectionTable)
     , m_limits(limits)
 { }
 
@@ -119,11 +121,11 @@
 
 bool connection_stream::waitForSocket(short events, time_point deadline) const
 {
-    pollfd waiting{m_socket, events, 0};
+    pollfd pollEntry{m_socket, events, 0};
     while (true) {
         const auto remainingMs = std::max<milliseconds::rep>(
                 std::chrono::ceil<milliseconds>(deadline - monotonic_clock::now()).count(), 0);
-        const int readyCount = poll(&waiting, 1, static_cast<int>(remainingMs));
+        const int readyCount = poll(&pollEntry, 1, static_cast<int>(remainingMs));
         if (readyCount >= 0 || errno != EINTR)
             return readyCount > 0;
     }
--- a/libs/runtime/http_connection.h
+++ b/libs/runtime/http_connection.h
@@ -1,5 +1,5 @@
-// The server's side of one connection: what it waits for, until when, and which one gives way when
-// all threads are in use. Part of http.cpp: nothing else includes this.
+// The server's side of one connection: its phase, its deadlines, and which connection is closed
+// when all threads are in use. Internal to http.cpp; included nowhere else.
 #pragma once
 
 #include <algorithm>
@@ -18,24 +18,25 @@
 namespace zinniabarrow {
 
 enum class connection_phase {
-    Idle,    // no byte of a request has come
-    Reading, // a request is coming
-    Serving, // the handler has it
-    Writing, // the answer is going out
+    Idle,    // no byte of the next request has arrived
+    Reading, // a request has arrived in part
+    Serving, // the handler runs
+    Writing, // the answer is being sent
 };
 
-// All connections that have a thread, or were given one, by socket.
+// The connections that have a thread or were assigned one, by socket. Thread-safe.
 class connection_table
 {
 public:
-    // False: the caller's address holds `perAddress` connections already; 0 sets no bound.
+    // Returns whether `address` has fewer than `perAddress` connections; 0: no limit.
     bool isBelowAddressLimit(const std::string &address, std::size_t perAddress);
     void add(socket_t socket, const std::string &address);
-    void remove(socket_t socket); // before the socket is closed: its number is used again
-    void setPhase(socket_t socket, connection_phase phase); // also on progress in the same phase
+    void remove(socket_t socket); // call before closing the socket: its number is reused
+    void setPhase(socket_t socket, connection_phase phase); // also on progress in a phase
 
-    // Ends the connection that has kept its thread waiting for longest; false when none has for
-    // long enough. A caller that stalls would otherwise keep others out for its whole deadline.
+    // Closes the connection that has stalled the longest, to free its thread; false when none has
+    // exceeded its grace period. Without this, a stalled client would hold its thread until its
+    // deadline.
     bool closeLongestStalled(time_point now);
 
 private:
@@ -43,8 +44,8 @@
     {
         std::string address;
         connection_phase phase = connection_phase::Idle;
-        time_point phaseSince{}; // of the phase
-        bool isClosing = false;  // shut down to make room
+        time_point phaseSince{}; // start of the phase, or its last progress
+        bool isClosing = false;  // already shut down to free its thread
     };
 
     std::mutex m_mutex;
@@ -52,17 +53,20 @@
     std::map<std::string, std::size_t> m_countByAddress;
 };
 
-// A connection's bytes under deadlines. cpp-httplib's own stream restarts its time limit with every
-// byte: a caller that drips one byte each few seconds would hold a thread for hours.
+// Reads and writes one connection under deadlines. cpp-httplib's own stream restarts its timeout
+// with every byte, so that a client that sends one byte every few seconds would hold a thread for
+// hours.
 class connection_stream : public httplib::Stream
 {
 public:
-    connection_stream(socket_t socket, connection_table &book, const http_server_limits &limits);
+    connection_stream(socket_t socket, connection_table &connectionTable,
+                      const http_server_limits &limits);
 
-    // True when a request begins before the deadline; asks `closing` now and then.
+    // Returns true when a request begins before the deadline. Calls `isStopping` once per
+    // CloseCheckInterval and stops waiting when it returns true.
     template <typename Closing>
-    bool waitForRequest(time_point deadline, Closing closing);
-    void markServing(); // the request is whole, the handler runs
+    bool waitForRequest(time_point deadline, Closing isStopping);
+    void markServing(); // call when the request is complete and its handler starts
     bool hasRequestTimedOut() const { return m_hasRequestTimedOut; }
     bool hasWriteTimedOut() const { return m_hasWriteTimedOut; }
 
@@ -75,7 +79,7 @@
     socket_t socket() const override { return m_socket; }
 
 private:
-    static constexpr std::size_t BufferBytes = 4096; // heads are read byte by byte
+    static constexpr std::size_t BufferBytes = 4096; // httplib reads heads byte by byte
 
     bool waitForSocket(short events, time_point deadline) const;
     void setPhase(connection_phase phase);
@@ -90,25 +94,25 @@
     bool m_hasRequestTimedOut = false;
     bool m_hasWriteTimedOut = false;
     std::array<char, BufferBytes> m_buffer;
-    std::size_t m_bufferBegin = 0; // unread bytes of the buffer: from here
-    std::size_t m_bufferEnd = 0;   // to here
+    std::size_t m_bufferBegin = 0; // unread bytes: from here
+    std::size_t m_bufferEnd = 0;   // up to here
 };
 
 template <typename Closing>
-bool connection_stream::waitForRequest(time_point deadline, Closing closing)
+bool connection_stream::waitForRequest(time_point deadline, Closing isStopping)
 {
-    // How soon a planned stop ends an idle connection. Each look wakes a thread: at 20 ms the idle
-    // connections of an entry took more processor time than all of its duties.
+    // How soon an idle connection is closed at a shutdown. Every check wakes a thread: at 20 ms,
+    // the idle connections of an entry used more CPU time than all of its actors.
     constexpr milliseconds CloseCheckInterval{250};
     setPhase(connection_phase::Idle);
-    while (m_bufferBegin == m_bufferEnd && !closing()) {
+    while (m_bufferBegin == m_bufferEnd && !isStopping()) {
         const auto now = monotonic_clock::now();
         if (now >= deadline)
             break;
         if (waitForSocket(POLLIN, std::min<time_point>(deadline, now + CloseCheckInterval)))
             break;
     }
-    // What has come is read, whatever this thread was late for.
+    // Bytes that have already arrived are read even if this thread woke up after the deadline.
     if (m_bufferBegin == m_bufferEnd && !waitForSocket(POLLIN, monotonic_clock::now()))
         return false;
     setPhase(connection_phase::Reading);
--- a/libs/runtime/metrics.cpp
+++ b/libs/runtime/metrics.cpp
@@ -41,7 +41,7 @@
     std::map<std::string, prometheus::Histogram *> histograms;
     std::map<std::pair<std::string, std::string>, prometheus::Counter *> countersByReason;
     std::map<std::pair<std::string, byte_direction>, prometheus::Counter *>
-            controlBytesCounters; // by kind
+            controlBytesCounters; // by kind and direction
 
     prometheus::Family<prometheus::Counter> &family(std::string_view name)
     {
--- a/libs/runtime/metrics.h
+++ b/libs/runtime/metrics.h
@@ -1,4 +1,4 @@
-// Metrics: counters by reason, gauges and latency histograms, as Prometheus text.
+// Metrics in Prometheus text format: counters by reason, gauges and latency histograms.
 #pragma once
 
 #include <cstddef>
@@ -23,9 +23,10 @@
     metrics(const metrics &) = delete;
     metrics &operator=(const metrics &) = delete;
 
-    // Safe from several threads. `reason` becomes a label of that name.
+    // All members are thread-safe. `reason` is the value of the label "reason".
     void count(std::string_view name, std::string_view reason, double by = 1);
-    // control_bytes_total by kind of message and direction, HTTP heads included, TCP/IP not.
+    // Adds to control_bytes_total, by kind of message and direction; HTTP heads included, TCP/IP
+    // headers not.
     void countControlBytes(std::string_view kind, byte_direction direction, std::size_t bytes);
     void set(std::string_view name, double value);
     void observeMilliseconds(std::string_view name, double value);
--- a/libs/runtime/platform_client.cpp
+++ b/libs/runtime/platform_client.cpp
@@ -49,7 +49,8 @@
     }
     const auto &response = std::get<http_response>(result);
     if (response.status != Ok && response.status != ConflictStatus) {
-        // 503 and 429 mean refused before the write; any other status proves nothing.
+        // 503 and 429 mean that the write was refused before execution. Any other status leaves the
+        // outcome unknown.
         const bool wasRefused = response.status == 503 || response.status == 429;
         return {wasRefused ? write_outcome::Refused : write_outcome::Unknown, 0, {}};
     }
--- a/libs/runtime/platform_client.h
+++ b/libs/runtime/platform_client.h
@@ -1,4 +1,5 @@
-// The platform's table and object store over HTTP. Blocking: only a duty of its own calls it.
+// HTTP client for the platform's table and object store. Calls block, so each client is used by one
+// actor of its own.
 #pragma once
 
 #include <optional>
@@ -13,7 +14,7 @@
 
 struct table_snapshot
 {
-    std::uint64_t sequence = 0; // of the table when it was read
+    std::uint64_t sequence = 0; // table sequence at the time of the read
     std::vector<table_row> rows;
 };
 
@@ -22,17 +23,18 @@
 public:
     platform_client(const socket_address &platform, milliseconds timeout);
 
-    // Unknown when no answer came: the write may have taken effect.
+    // Outcome Unknown when no answer came: the write may have taken effect.
     write_result commit(const table_transaction &transaction);
     write_result putObject(const std::string &name, const std::string &content,
                            std::optional<std::uint64_t> expected);
     write_result removeObject(const std::string &name, std::optional<std::uint64_t> expected);
 
-    // Nothing when the platform did not answer.
+    // Returns nullopt when the platform did not answer.
     std::optional<table_snapshot> read(const std::vector<std::string> &keys,
                                        const std::vector<std::string> &prefixes);
     std::optional<std::vector<stored_object>> listObjects(const std::string &prefix);
-    // Version 0 when the object does not exist.
+    // The object has version 0 when it does not exist. Returns nullopt when the platform did not
+    // answer.
     std::optional<stored_object> getObject(const std::string &name);
 
 private:
--- a/libs/runtime/receiver_threads.cpp
+++ b/libs/runtime/receiver_threads.cpp
@@ -31,7 +31,7 @@
         else
             m_threads.emplace_back([this] { runJobs(); });
     }
-    m_changed.notify_one(); // unlocked, so that the thread that wakes does not wait at once again
+    m_changed.notify_one(); // after unlocking, so that the woken thread does not block on the mutex
 }
 
 void receiver_threads::runJobs()
--- a/libs/runtime/receiver_threads.h
+++ b/libs/runtime/receiver_threads.h
@@ -1,4 +1,5 @@
-// Threads that receive answers: started when first needed, kept for the next answer.
+// A pool of threads that receive answers; a thread starts when it is first needed and is then
+// reused.
 #pragma once
 
 #include <condition_variable>
@@ -10,8 +11,9 @@
 
 namespace zinniabarrow {
 
-// One job a thread at a time, and never a job that waits for a thread: there are as many threads as
-// there were answers at once, which the server's bound on connections limits.
+// Each thread runs one job at a time, and no job waits for a busy thread: there are as many threads
+// as there were simultaneous answers, which the server's connection limit bounds. run() is
+// thread-safe.
 class receiver_threads
 {
 public:
@@ -21,7 +23,7 @@
     receiver_threads &operator=(const receiver_threads &) = delete;
 
     void run(std::function<void()> job);
-    void stop(); // waits for the jobs
+    void stop(); // waits until all jobs have finished
 
 private:
     void runJobs();
@@ -29,7 +31,7 @@
     std::mutex m_mutex;
     std::condition_variable m_changed;
     std::deque<std::function<void()>> m_jobs;
-    std::size_t m_idle = 0; // threads that wait, less the jobs that wait for them
+    std::size_t m_idle = 0; // waiting threads minus the queued jobs that they will take
     bool m_stopping = false;
     std::vector<std::thread> m_threads;
 };
--- a/libs/runtime/refusal.cpp
+++ b/libs/runtime/refusal.cpp
@@ -12,7 +12,7 @@
     response.headers[ErrorHeader] = std::string(row.name);
     response.headers[ExecutedHeader] = std::string(nameOf(execution));
     if (retryAfter.count() > 0) {
-        constexpr milliseconds::rep Second = 1000; // Retry-After counts whole seconds: round up
+        constexpr milliseconds::rep Second = 1000; // Retry-After is in whole seconds; rounded up
         response.headers["Retry-After"] =
                 std::to_string((retryAfter.count() + Second - 1) / Second);
     }
--- a/tests/base_test.cpp
+++ b/tests/base_test.cpp
@@ -1,4 +1,4 @@
-// The base library: errors, names, JSON, hashing, rings.
+// Tests of the base library: errors, event log, JSON, hashing, bounded ring.
 #include <set>
 #include <string>
 
@@ -22,20 +22,21 @@
             check(errorKindNamed(row.name) == row.kind);
             names.insert(row.name);
         }
-        section("gives each kind a name of its own",
+        section("gives each kind a unique name",
                 [&] { check(names.size() == errorAnswers().size()); });
-        section("allows another try only where nothing ran", [] {
+        section("allows a retry elsewhere only if nothing was executed", [] {
             for (const auto &row : errorAnswers())
                 check(!row.retryElsewhere || row.execution == executed::No);
         });
-        section("tells a caller that may come back when to do so", [] {
+        section("gives every 503 a retry delay", [] {
             for (const auto &row : errorAnswers())
                 check(row.httpStatus != 503 || row.suggestedRetryDelay.count() > 0);
         });
     });
 }
 
-// The line that tells how a process ended was missing after a burst of others.
+// Guards against losing the line that reports how a process ended: a burst of other lines had used
+// up the byte budget.
 Test(base, log_lines_beyond_the_budget)
 {
     event_log log("entry", "entry-1", {0, 1});
@@ -48,7 +49,7 @@
 
 Test(base, json)
 {
-    section("broken text is refused with its line", [] {
+    section("invalid text is rejected with its line number", [] {
         try {
             parseJson("{\n\"a\": 1,\n}");
             check(!"accepted");
@@ -57,7 +58,7 @@
             check(std::string(problem.what()).find("Line 3") != std::string::npos);
         }
     });
-    section("deep nesting is refused, not recursed into", [] {
+    section("deep nesting is rejected without recursion", [] {
         try {
             parseJson(std::string(100000, '['));
             check(!"accepted");
@@ -69,7 +70,7 @@
 
 Test(base, rendezvous)
 {
-    section("losing a member moves only its keys", [] {
+    section("removing a member moves only its keys", [] {
         const std::vector<std::string> all{"a", "b", "c", "d"};
         const std::vector<std::string> fewer{"a", "b", "d"};
         for (int key = 0; key < 200; ++key) {
@@ -82,7 +83,7 @@
 
 Test(base, ring)
 {
-    section("a full ring refuses and keeps what it holds", [] {
+    section("a full ring rejects new items and keeps the old ones", [] {
         bounded_ring<int> ring(2);
         check(ring.push(1));
         check(ring.push(2));
--- a/tests/body_stream_test.cpp
+++ b/tests/body_stream_test.cpp
@@ -1,4 +1,5 @@
-// The ring between the thread that receives a large body and the one that sends it on.
+// Tests of body_ring, the buffer between the thread that receives a large body and the thread that
+// forwards it.
 #include <atomic>
 #include <thread>
 
@@ -34,10 +35,11 @@
 
 } // namespace
 
-// The time for which a caller that reads slowly held its answer up is told apart from the rest.
-Test(body_ring, time_that_the_reader_took)
+// The time that the receiver waited for a slow caller is reported separately from the rest of the
+// answer time.
+Test(body_ring, receiver_wait_for_slow_reader)
 {
-    constexpr std::size_t Whole = StreamRingBytes / PartBytes; // parts that the ring holds
+    constexpr std::size_t Whole = StreamRingBytes / PartBytes; // number of parts that fill the ring
     const auto waitedFor = [](std::size_t parts) {
         body_ring ring(muchLater());
         std::optional<duration> seen;
@@ -52,14 +54,14 @@
         require(seen.has_value());
         return *seen;
     };
-    section("what the ring holds waits for nobody",
+    section("a body that fits in the ring causes no wait",
             [&] { check(waitedFor(Whole) == duration(0)); });
-    section("what is beyond it waits for the reader",
+    section("a larger body waits for the reader",
             [&] { check(waitedFor(Whole + 1) > duration(0)); });
 }
 
-// A large answer is read more slowly than it arrives. The reader gets every byte, and the receiver
-// never holds more than the ring.
+// A large answer is read more slowly than it arrives. The reader must get every byte, and the
+// receiver must never buffer more than the ring holds.
 Test(body_ring, bounded)
 {
     constexpr std::size_t Parts = 1000;
@@ -73,7 +75,7 @@
         }
         ring.finish(std::nullopt);
     });
-    section("the first part is passed on before the end",
+    section("the first part is forwarded before the end",
             [&] { check(!ring.waitForEndOrBytes(4 * PartBytes)); });
     std::size_t taken = 0;
     for (auto part = ring.takePart(); !part.empty(); part = ring.takePart()) {
@@ -86,18 +88,18 @@
     check(!ring.end());
 }
 
-// A caller stops reading. The receiver waits for room until the deadline and no longer: after it
-// the connection and the upstream's slot behind it are free.
-Test(body_ring, late)
+// A caller stops reading. The receiver must wait for space until the deadline only; after that, the
+// connection and the upstream's slot are free again.
+Test(body_ring, deadline_passed)
 {
-    section("nobody reads", [] {
+    section("no reader: the receiver stops at the deadline", [] {
         body_ring ring(soon());
         bool interrupted = false;
         check(ring.attachReceiver([&] { interrupted = true; }));
         check(pushParts(ring, StreamRingBytes / PartBytes + 1) == error_kind::AnswerLate);
         check(interrupted);
     });
-    section("nothing comes: the receiver is interrupted in its read", [] {
+    section("no bytes arrive: the receiver is interrupted in its read", [] {
         body_ring ring(soon());
         std::atomic<bool> interrupted{false};
         ring.attachReceiver([&] { interrupted = true; });
@@ -112,10 +114,11 @@
     });
 }
 
-// A caller goes away, or the upstream's connection breaks. Whoever is left learns it, once.
-Test(body_ring, ends)
+// A caller disconnects, or the upstream's connection breaks. The other side must learn of it
+// exactly once.
+Test(body_ring, early_end)
 {
-    section("the reader lets go: the receiver stops", [] {
+    section("the reader stops early: the receiver stops", [] {
         const auto ring = std::make_shared<body_ring>(muchLater());
         int interrupts = 0;
         ring->attachReceiver([&] { ++interrupts; });
@@ -124,7 +127,7 @@
         check(interrupts == 1);
         check(pushParts(*ring, 1) == error_kind::OutcomeUnknown);
     });
-    section("after detach the connection belongs to another: no interrupt", [] {
+    section("after detachReceiver() there is no interrupt", [] {
         const auto ring = std::make_shared<body_ring>(muchLater());
         int interrupts = 0;
         ring->attachReceiver([&] { ++interrupts; });
@@ -132,7 +135,7 @@
         std::make_unique<body_reader>(ring).reset();
         check(interrupts == 0);
     });
-    section("a cut is seen after the bytes before it", [] {
+    section("an incomplete body is reported after its bytes", [] {
         body_ring ring(muchLater());
         pushParts(ring, 1);
         ring.finish(error_kind::AnswerIncomplete);
@@ -140,7 +143,7 @@
         check(ring.takePart().empty());
         check(ring.end() == error_kind::AnswerIncomplete);
     });
-    section("the end is told once, whether it came before or after the question", [] {
+    section("the end is reported once, whether observed before or after it", [] {
         for (const bool before : {false, true}) {
             body_ring ring(muchLater());
             int reportedEnds = 0;
@@ -157,10 +160,10 @@
     });
 }
 
-// The caller has the last declared byte and its connection's thread is done, before the receiving
-// thread has noted the end. The purchase ran and its answer was whole: a repeat that is told that
-// the outcome is unknown would send the caller to ask the rink.
-Test(body_ring, reader_done_before_the_receiver)
+// The caller has the last declared byte, and its thread is finished, before the receiving thread
+// has registered the end. The request ran and its answer was complete; reporting an unknown outcome
+// would make the caller check with the service whether its purchase went through.
+Test(body_ring, reader_finishes_before_receiver)
 {
     const auto endAfter = [](std::size_t takes) {
         body_ring ring(muchLater());
@@ -177,7 +180,8 @@
         ring.finish(std::nullopt);
         return reportedEnds;
     };
-    section("with every declared byte: as the receiver says, whole",
+    section("all declared bytes taken: the end is the one that the receiver reports",
             [&] { check(!endAfter(2).has_value()); });
-    section("with less, it went away", [&] { check(endAfter(1) == error_kind::OutcomeUnknown); });
+    section("fewer bytes taken: the reader abandoned the body",
+            [&] { check(endAfter(1) == error_kind::OutcomeUnknown); });
 }
--- a/tests/duty_test.cpp
+++ b/tests/duty_test.cpp
@@ -1,4 +1,5 @@
-// Duties: when their ticks come. Waits are on conditions; no time is measured.
+// Tests of when actors tick. Except for the last test, which checks a lower bound, the tests wait
+// on conditions and measure no time.
 #include <atomic>
 #include <future>
 
@@ -8,16 +9,16 @@
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
 
-// A duty sleeps until its earliest deadline. Were a deadline that an event brings forward not seen
-// before the one that the duty sleeps towards, a queued request would be refused late: here the
-// first timer is an hour away, and the test would never end.
-Test(duty, ticks_at_deadlines)
+// An actor sleeps until its earliest deadline. If an event moves the deadline forward and the actor
+// kept the old one, a queued request would be refused late. Here the first deadline is an hour
+// away, so the test would never end.
+Test(actor, ticks_at_deadlines)
 {
     actor_runtime system;
-    time_point deadline = Never; // touched by the duty alone
+    time_point deadline = Never; // used by the actor only
     std::promise<void> ticked;
     std::atomic<int> ticks{0};
-    event_actor<time_point> sleeper(
+    event_actor<time_point> deadlineActor(
             system, 16, [&](time_point &at) { deadline = at; },
             tick_schedule{[&] { return deadline; },
                           [&] {
@@ -25,45 +26,46 @@
                               if (++ticks == 1)
                                   ticked.set_value();
                           }});
-    section("brought forward by an event", [&] {
-        sleeper.post(monotonic_clock::now() + std::chrono::hours(1));
-        sleeper.post(monotonic_clock::now() + milliseconds(20));
+    section("an event moves the deadline forward", [&] {
+        deadlineActor.post(monotonic_clock::now() + std::chrono::hours(1));
+        deadlineActor.post(monotonic_clock::now() + milliseconds(20));
         ticked.get_future().wait();
     });
-    section("once for each deadline", [&] {
-        sleeper.stop();
+    section("one tick per deadline", [&] {
+        deadlineActor.stop();
         check(ticks == 1);
     });
 }
 
-Test(duty, without_a_deadline_there_is_no_tick)
+Test(actor, no_tick_without_deadline)
 {
     actor_runtime system;
     std::atomic<int> ticks{0};
-    std::atomic<int> asked{0};
+    std::atomic<int> nextTickCalls{0};
     std::promise<void> handled;
-    event_actor<int> resting(
+    event_actor<int> idleActor(
             system, 16, [&](int &) { handled.set_value(); },
             tick_schedule{[&] {
-                              ++asked;
+                              ++nextTickCalls;
                               return Never;
                           },
                           [&] { ++ticks; }});
-    resting.post(1);
+    idleActor.post(1);
     handled.get_future().wait();
-    resting.stop();
+    idleActor.stop();
     check(ticks == 0);
-    check(asked <= 2); // at its start and after the one event: it was not woken otherwise
+    // At the start and after the one event; any other wake-up would call it again.
+    check(nextTickCalls <= 2);
 }
 
-// A deadline that its tick leaves in the past must not take the whole core.
-Test(duty, a_deadline_left_in_the_past_does_not_spin)
+// A tick that leaves its deadline in the past must not use a whole core.
+Test(actor, past_deadline_does_not_spin)
 {
     actor_runtime system;
     std::atomic<int> ticks{0};
     std::promise<void> tenth;
     const auto startedAt = monotonic_clock::now();
-    event_actor<int> stuck(
+    event_actor<int> overdueActor(
             system, 16, [](int &) {},
             tick_schedule{[] { return time_point(); },
                           [&] {
@@ -71,6 +73,6 @@
                                   tenth.set_value();
                           }});
     tenth.get_future().wait();
-    check(monotonic_clock::now() - startedAt >= milliseconds(10 + 9)); // a pause before each
-    stuck.stop();
+    check(monotonic_clock::now() - startedAt >= milliseconds(10 + 9)); // a delay before each
+    overdueActor.stop();
 }
--- a/tests/http_caller_test.cpp
+++ b/tests/http_caller_test.cpp
@@ -1,4 +1,4 @@
-// How far a call on the event loop got that brings no answer.
+// Tests how http_caller classifies calls that get no answer.
 #include <optional>
 #include <string>
 #include <vector>
@@ -19,7 +19,7 @@
 
 namespace {
 
-// A port of this machine that takes no more connections than its queue holds, and answers none.
+// A local port whose accept queue can be filled; it never answers.
 class full_port
 {
 public:
@@ -42,7 +42,7 @@
     full_port(const full_port &) = delete;
     full_port &operator=(const full_port &) = delete;
 
-    // Beyond these the machine leaves connects without a word.
+    // Fills the accept queue; the kernel drops further connection attempts silently.
     void fill()
     {
         constexpr int Callers = 8;
@@ -79,17 +79,17 @@
 
 } // namespace
 
-// A worker that could not be reached in time is taken for one that has ended.
-Test(http_caller, who_is_not_there_and_who_is_not_reached)
+// Guards against mistaking a worker that could not be reached in time for one that has ended.
+Test(http_caller, refused_and_unreachable_peers)
 {
     full_port port;
-    section("nobody listens",
+    section("no process listens: the connection is refused",
             [&] { check(failureOfCall(port.address()) == call_failure::ConnectionRefused); });
-    section("somebody listens, and the connection is not made in time", [&] {
+    section("a process listens, but the connect times out", [&] {
         port.fill();
         check(failureOfCall(port.address()) == call_failure::NotConnected);
     });
-    section("neither has seen the request", [] {
+    section("only these two failures prove that the request did not arrive", [] {
         check(!mayHaveArrived(call_failure::ConnectionRefused));
         check(!mayHaveArrived(call_failure::NotConnected));
         check(mayHaveArrived(call_failure::IncompleteAnswer));
--- a/tests/http_listener_test.cpp
+++ b/tests/http_listener_test.cpp
@@ -1,4 +1,4 @@
-// The server on the event loop: what becomes of large requests, and of those that come as it ends.
+// Tests of http_listener: large requests, and requests that arrive while the server shuts down.
 #include <functional>
 #include <memory>
 #include <optional>
@@ -23,8 +23,8 @@
 
 struct post_result
 {
-    std::optional<int> status;       // of the answer; none: there was none
-    std::optional<std::size_t> body; // bytes that the server was given; none: it never was asked
+    std::optional<int> status;       // of the answer; nullopt: no answer
+    std::optional<std::size_t> body; // bytes that the handler got; nullopt: it was not called
 };
 
 post_result post(std::size_t bytes)
@@ -52,7 +52,7 @@
     return result;
 }
 
-// A server that is told to drain while its callers are at different points.
+// A server that starts to drain while its callers are in different states.
 class draining_server
 {
 public:
@@ -71,9 +71,10 @@
     std::vector<net::responder> &openResponders()
     {
         return m_openResponders;
-    } // of requests for /slow
+    } // responders of the pending requests for /slow
 
-    // Runs `then` as one callback, as soon as `condition` holds: nothing is read in between.
+    // Runs `then` as one callback once `condition` holds, so that the server reads nothing in
+    // between.
     using predicate = std::function<bool()>;
     void runWhen(predicate condition, std::function<void()> then)
     {
@@ -94,7 +95,7 @@
                 std::move(then));
     }
 
-    // True when it has drained; false when it does not for long.
+    // Returns true once the server has drained, false after 20 s.
     bool runUntilDrained()
     {
         bool drained = false;
@@ -116,28 +117,29 @@
 
 } // namespace
 
-// A caller sends a body that is larger than the limit, and its first bytes come together with the
-// head. Either the caller was cut off without a word, or the server took whatever came.
+// A caller sends a body above the limit, and its first bytes arrive together with the head. Guards
+// against closing the connection without an answer, and against accepting a body of any size.
 Test(http_listener, large_requests)
 {
-    section("up to the limit it is taken whole", [] {
+    section("a body up to the limit is accepted", [] {
         check(post(0).body == 0);
         check(post(1).body == 1);
         check(post(100'000).body == 100'000);
         check(post(100'000).status == 200);
     });
-    section("beyond, it is refused and the caller told so", [] {
+    section("a larger one is answered with 413", [] {
         const auto seen = post(100'001);
         check(!seen.body);
         check(seen.status == 413);
     });
 }
 
-// A caller's connection is closed without an answer. What was asked when the process judged that
-// nothing is open had arrived before, and wasn't read or wasn't worked through.
-Test(http_listener, requests_that_came_before_it_drains)
+// Guards against closing a connection without an answer when the server drains: the request had
+// arrived before the server decided that nothing was pending, but it was not read or not processed
+// yet.
+Test(http_listener, requests_that_arrived_before_the_drain)
 {
-    section("on an idle connection, in its socket", [] {
+    section("unread in the socket of an idle connection", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         server.runWhenIdle(1, [&] {
@@ -147,7 +149,7 @@
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
-    section("on a connection that waits to be accepted", [] {
+    section("on a connection that is not accepted yet", [] {
         draining_server server;
         std::optional<keep_alive_caller> caller;
         server.runWhenIdle(0, [&] {
@@ -158,7 +160,7 @@
         check(server.runUntilDrained());
         check(caller->readAnswer() == 200);
     });
-    section("on a connection that was just accepted, a moment later", [] {
+    section("shortly after the connection was accepted", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         server.runWhenIdle(1, [&] {
@@ -168,7 +170,7 @@
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
-    section("in part, and the rest comes later", [] {
+    section("a partial head whose rest arrives later", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         server.runWhenIdle(1, [&] {
@@ -180,7 +182,7 @@
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
-    section("after an answer that promised to keep the connection and isn't out yet", [] {
+    section("after a keep-alive answer that is still being sent", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         caller.send("POST", "/slow");
@@ -194,8 +196,8 @@
         check(caller.readAnswer() == 200);
         check(caller.readAnswer() == 200);
     });
-    // The parser had taken the line, and its buffer was empty as if nothing had come.
-    section("with its request line alone read", [] {
+    // The parser has taken the request line, so the buffer is empty as if nothing had arrived.
+    section("only the request line was read", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         caller.sendText("GET /quick HTTP/1.1\r\n");
@@ -208,7 +210,7 @@
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
-    section("and whose answer takes its time", [] {
+    section("with a slow answer", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         caller.send("POST", "/slow");
@@ -225,16 +227,17 @@
     });
 }
 
-// Callers wait for their whole time on a connection that nobody reads any more.
-Test(http_listener, drained)
+// Guards against connections that stay open although the server does not read them any more:
+// callers would wait on them until their deadline.
+Test(http_listener, drain_closes_connections)
 {
-    section("idle connections end, and new ones are refused", [] {
+    section("idle connections are closed and new ones refused", [] {
         draining_server server;
         const auto address = server.address();
         keep_alive_caller unused(address);
         keep_alive_caller served(address);
         served.send("GET", "/quick");
-        server.runWhen([&] { return !served.isOpen(); }, // its answer has come
+        server.runWhen([&] { return !served.isOpen(); }, // its answer has arrived
                        [&] {
                            check(served.readAnswer() == 200);
                            server.runWhenIdle(2, [&] { server.listener().drain(); });
@@ -244,7 +247,7 @@
         check(!served.isOpen());
         check(!keep_alive_caller(address).isOpen());
     });
-    section("one whose answer was on its way out ends as well", [] {
+    section("a connection whose answer is being sent is closed after it", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         caller.send("POST", "/slow");
@@ -256,7 +259,7 @@
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
-    section("a request that is given up gets one answer", [] {
+    section("a request that is answered by answerAll() gets one answer", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         caller.send("POST", "/slow");
@@ -272,14 +275,14 @@
     });
 }
 
-// A caller's connection is closed without an answer, at the end of the time for which it may be
-// idle: its request had begun to come before, or the server was behind and had not read it.
+// Guards against closing a connection without an answer at the end of its idle time: its request
+// had begun to arrive before, or the server was behind and had not read it.
 Test(http_listener, requests_at_the_end_of_the_idle_time)
 {
     net::listener_limits limits;
     limits.maxIdleTime = milliseconds(1000);
     const auto afterIdleTime = limits.maxIdleTime + milliseconds(100);
-    section("the rest of one comes after it", [&] {
+    section("the rest of a request arrives after the idle time", [&] {
         for (const std::string part : {"POST /quick HTTP/1.1\r\nContent-Le",
                                        "POST /quick HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo"}) {
             const std::string whole = "POST /quick HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody";
@@ -298,10 +301,10 @@
             check(caller.readAnswer() == 200);
         }
     });
-    section("it came while the server stood still", [&] {
+    section("requests arrive while the server is blocked", [&] {
         draining_server server(limits);
         std::vector<std::unique_ptr<keep_alive_caller>> callers;
-        constexpr int Callers = 200; // more than the loop takes from the system at once
+        constexpr int Callers = 200; // more than the loop reads from the kernel in one turn
         for (int each = 0; each < Callers; ++each)
             callers.push_back(std::make_unique<keep_alive_caller>(server.address()));
         server.runWhenIdle(Callers, [&] {
@@ -316,7 +319,7 @@
             cutOff += each->requestOutcome() == request_outcome::ClosedWithoutAnswer ? 1 : 0;
         check(cutOff == 0);
     });
-    section("a caller that sends nothing, or no more, is closed", [&] {
+    section("a caller that sends nothing, or only a part, is disconnected", [&] {
         limits.readTimeout = milliseconds(200);
         draining_server server(limits);
         keep_alive_caller unused(server.address());
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server against callers that stall: each holds a thread for a bounded time.
+// Tests of http_server with clients that stall: each may hold a thread for a limited time only.
 #include <atomic>
 #include <condition_variable>
 #include <map>
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr milliseconds WaitLimit{30'000}; // a bound on waits for conditions, not a measurement
-constexpr std::size_t LargeAnswer = 32 * 1024 * 1024; // more than the kernel takes from the server
+constexpr milliseconds WaitLimit{30'000};             // upper limit of waits; no test measures it
+constexpr std::size_t LargeAnswer = 32 * 1024 * 1024; // more than the kernel buffers for the server
 
-// A server that counts its events.
+// A server that counts its connection events.
 class counting_server
 {
 public:
@@ -68,12 +68,13 @@
     http_server m_server;
 };
 
-// A server whose thread that reports an event goes on only when it is let go: it is behind.
+// A server whose thread blocks at a given connection event until release(), so that it falls
+// behind.
 class blocked_server
 {
 public:
-    blocked_server(http_server_limits limits, connection_event heldAt)
-        : m_blockingEvent(heldAt)
+    blocked_server(http_server_limits limits, connection_event blockingEvent)
+        : m_blockingEvent(blockingEvent)
         , m_server(
                   {"127.0.0.1", 0}, limits, [](const http_request &) { return http_response{}; },
                   [this](connection_event event) { blockAt(event); })
@@ -88,11 +89,11 @@
         std::unique_lock lock(m_mutex);
         return m_changed.wait_for(lock, WaitLimit, [this] { return m_isBlocked; });
     }
-    // Stops it on a thread of its own.
+    // Starts to stop the server, on another thread.
     void beginStop()
     {
         m_stopping.emplace([this] { m_server.stop(); });
-        std::this_thread::sleep_for(milliseconds(200)); // it has begun to, or nearly always has
+        std::this_thread::sleep_for(milliseconds(200)); // by then the stop has almost always begun
     }
     void endStop()
     {
@@ -137,9 +138,9 @@
 
 } // namespace
 
-// A caller that drips its request a byte at a time is closed at the deadline of the whole request.
-// A time limit that starts anew with every byte would never end it: its thread would be gone.
-Test(http_server, dripping_request)
+// A client sends its request one byte at a time. It must be disconnected at the deadline of the
+// whole request; a timeout that restarts with every byte would let it hold its thread forever.
+Test(http_server, request_byte_by_byte)
 {
     counting_server server(fewThreads());
     stalled_callers callers(server.address());
@@ -155,8 +156,8 @@
     check(server.isAnswering());
 }
 
-// A caller that stops in the middle of its body is told that its request did not run.
-Test(http_server, half_a_body)
+// A client that stops in the middle of its body must be told that its request was not executed.
+Test(http_server, incomplete_body)
 {
     counting_server server(fewThreads());
     stalled_callers callers(server.address());
@@ -167,9 +168,8 @@
     check(server.isAnswering());
 }
 
-// Callers that never read their answers hold every thread until the answers' deadline, and no
-// longer.
-Test(http_server, answers_not_taken)
+// Clients that never read their answers may hold all threads until the write deadline only.
+Test(http_server, unread_answers)
 {
     counting_server server(fewThreads());
     stalled_callers callers(server.address());
@@ -179,9 +179,9 @@
     check(server.isAnswering());
 }
 
-// Every thread waits for a caller that stalls; deadlines are far away. A new caller is answered all
-// the same: the one that stalled longest gives way.
-Test(http_server, stalled_callers_give_way)
+// All threads are held by stalled clients whose deadlines are far away. A new client must be served
+// nevertheless: the connection that has stalled the longest is closed.
+Test(http_server, stalled_connections_are_closed_for_new_ones)
 {
     auto limits = fewThreads();
     limits.readTimeout = limits.writeTimeout = seconds(3600);
@@ -192,15 +192,14 @@
     const auto giveUpAt = monotonic_clock::now() + WaitLimit;
     bool answered = false;
     while (!answered && monotonic_clock::now() < giveUpAt)
-        answered =
-                server.isAnswering(); // refused as overloaded until they have stalled long enough
+        answered = server.isAnswering(); // refused as overloaded until the grace period has passed
     check(answered);
     check(server.count(connection_event::StalledConnectionClosed) >= 1);
 }
 
-// One address holds as many connections as it may; one more is refused with a time to come back,
-// another address is served.
-Test(http_server, address_share)
+// One address has as many connections as allowed. Another connection from it must be refused with a
+// Retry-After, and another address must be served.
+Test(http_server, address_limit)
 {
     auto limits = fewThreads();
     limits.maxPerAddress = 2;
@@ -209,12 +208,12 @@
     stalled_callers callers(server.address());
     for (unsigned caller = 0; caller < 2; ++caller) {
         require(callers.open("127.0.0.9", ""));
-        // Accepted connections are taken by threads in any order: of three at once any may be the
-        // one too many.
+        // Threads take accepted connections in any order: without this exchange, any of the three
+        // could be the one that is refused.
         require(callers.exchange("GET /seats HTTP/1.1\r\n\r\n", "whole "));
         require(callers.send("GET /seats HTT"));
     }
-    section("one more of the same address", [&] {
+    section("one more connection from the same address", [&] {
         require(callers.open("127.0.0.9", "GET /seats HTTP/1.1\r\n\r\n"));
         const auto answer = callers.readToEnd();
         check(answer.find("503") != std::string::npos);
@@ -225,8 +224,9 @@
     section("another address", [&] { check(server.isAnswering()); });
 }
 
-// Callers beyond their address's share leave no thread to others until a thread has looked at them.
-Test(http_server, address_share_before_threads)
+// Guards against connections beyond their address's limit taking threads from other clients until a
+// thread has checked them.
+Test(http_server, address_limit_before_thread_limit)
 {
     auto limits = fewThreads();
     limits.connectionLimit = 2;
@@ -239,7 +239,7 @@
         require(callers.exchange("GET /seats HTTP/1.1\r\n\r\n", "whole "));
         require(callers.send("GET /seats HTT"));
     }
-    section("with all threads in use, one more of the same address is refused for its share", [&] {
+    section("with all threads in use, one more is refused for the address limit", [&] {
         require(callers.open("127.0.0.9", "GET /seats HTTP/1.1\r\n\r\n"));
         check(callers.readToEnd().find("503") != std::string::npos);
         check(server.count(connection_event::AddressLimitReached) == 1);
@@ -248,18 +248,18 @@
     });
 }
 
-// A caller's connection is closed without an answer. Its request had reached the server before it
-// stopped, and the thread that was to take it was behind.
-Test(http_server, requests_that_came_before_it_stopped)
+// Guards against closing a connection without an answer: the request had reached the server before
+// it stopped, but the thread that should take it was behind.
+Test(http_server, requests_that_arrived_before_the_stop)
 {
-    section("on connections that wait to be accepted", [] {
+    section("on connections that are not accepted yet", [] {
         auto limits = fewThreads();
         limits.connectionLimit = 1;
         blocked_server server(limits, connection_event::NoFreeThread);
         keep_alive_caller first(server.address());
         require(first.send("GET", "/seats"));
         require(first.readAnswer() == 200);
-        keep_alive_caller second(server.address()); // the thread that accepts is held by it
+        keep_alive_caller second(server.address()); // its event blocks the accepting thread
         require(server.waitUntilBlocked());
         keep_alive_caller third(server.address());
         require(third.send("GET", "/seats"));
@@ -267,7 +267,7 @@
         server.endStop();
         check(third.requestOutcome() == request_outcome::Answered);
     });
-    section("in the socket of a connection", [] {
+    section("unread in the socket of a connection", [] {
         auto limits = fewThreads();
         limits.maxPerAddress = 1;
         blocked_server server(limits, connection_event::AddressLimitReached);
--- a/tests/keep_alive_caller.h
+++ b/tests/keep_alive_caller.h
@@ -1,4 +1,4 @@
-// A caller that keeps one connection open, sends when it is told to and reads when it is told to.
+// A client with one open keep-alive connection; the test decides when it sends and when it reads.
 #pragma once
 
 #include <arpa/inet.h>
@@ -15,30 +15,32 @@
 
 namespace zinniabarrow::tests {
 
-// What became of a request; the process may have closed the connection before it was sent.
+// The outcome of a request. The server may have closed the connection before it was sent.
 enum class request_outcome { Answered, ClosedWithoutAnswer };
 
 class keep_alive_caller
 {
 public:
-    // Connects at once; isOpen() is false when it was refused.
+    // Connects immediately; isOpen() is false when the connection was refused.
     explicit keep_alive_caller(const std::string &server)
         : m_server(server)
         , m_socket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
     {
         const auto address = parseAddress(server);
-        sockaddr_in there{};
-        there.sin_family = AF_INET;
-        there.sin_port = htons(static_cast<std::uint16_t>(address.port));
-        inet_pton(AF_INET, address.address.c_str(), &there.sin_addr);
-        m_isConnected =
-                connect(m_socket, reinterpret_cast<const sockaddr *>(&there), sizeof there) == 0;
+        sockaddr_in serverAddress{};
+        serverAddress.sin_family = AF_INET;
+        serverAddress.sin_port = htons(static_cast<std::uint16_t>(address.port));
+        inet_pton(AF_INET, address.address.c_str(), &serverAddress.sin_addr);
+        m_isConnected = connect(m_socket, reinterpret_cast<const sockaddr *>(&serverAddress),
+                                sizeof serverAddress)
+                        == 0;
     }
     ~keep_alive_caller() { close(m_socket); }
     keep_alive_caller(const keep_alive_caller &) = delete;
     keep_alive_caller &operator=(const keep_alive_caller &) = delete;
 
-    // The process has not closed the connection nor said that it will, and no bytes wait here.
+    // Returns true if the server has neither closed the connection nor announced that it will, and
+    // no unread bytes are waiting.
     bool isOpen() const
     {
         char byte = 0;
@@ -58,7 +60,8 @@
         }
         return false;
     }
-    // The process closed it and had read all that had arrived: it is reset otherwise.
+    // Returns true if the server closed the connection after reading everything that had arrived;
+    // otherwise the connection would be reset.
     bool isClosedInOrder() const
     {
         char byte = 0;
@@ -82,7 +85,7 @@
                == static_cast<ssize_t>(text.size());
     }
 
-    // The status of the next answer, if it comes whole.
+    // Reads the next answer; returns its status, or nullopt if it does not arrive completely.
     std::optional<int> readAnswer()
     {
         while (answerBytes() == 0) {
@@ -99,8 +102,9 @@
         constexpr std::size_t StatusAt = 9; // after "HTTP/1.1 "
         return std::stoi(m_answer.substr(StatusAt, 3));
     }
-    const std::string &answerText() const { return m_answer; } // the last one, as far as it came
-    // The last moment, in a wait for an answer or staysOpenFor(), at which it was not over.
+    // Text of the last answer, as far as it arrived.
+    const std::string &answerText() const { return m_answer; }
+    // The last time at which the connection was seen open, during readAnswer() or staysOpenFor().
     time_point lastSeenOpenAt() const { return m_lastSeenOpenAt; }
 
     request_outcome requestOutcome()
@@ -109,7 +113,7 @@
     }
 
 private:
-    // Of the first answer that was read; 0 while it isn't whole.
+    // Bytes of the first unparsed answer; 0 while it is incomplete.
     std::size_t answerBytes() const
     {
         constexpr std::string_view HeadEnd = "\r\n\r\n";
@@ -124,22 +128,23 @@
         return m_unparsed.size() >= bytes ? bytes : 0;
     }
 
-    // Empty: the connection is over, or nothing came for long.
+    // Returns an empty string when the connection is closed or nothing arrives within ReadTimeout.
     std::string readSome()
     {
         constexpr milliseconds ReadTimeout{20'000};
-        char piece[4096];
-        pollfd waiting{m_socket, POLLIN, 0};
+        char buffer[4096];
+        pollfd pollEntry{m_socket, POLLIN, 0};
         const auto giveUpAt = monotonic_clock::now() + ReadTimeout;
         for (auto now = monotonic_clock::now();
-             poll(&waiting, 1, static_cast<int>(PollInterval.count())) == 0;
+             poll(&pollEntry, 1, static_cast<int>(PollInterval.count())) == 0;
              now = monotonic_clock::now()) {
             m_lastSeenOpenAt = now;
             if (now > giveUpAt)
                 return {};
         }
-        const auto got = recv(m_socket, piece, sizeof piece, 0);
-        return got <= 0 ? std::string{} : std::string(piece, static_cast<std::size_t>(got));
+        const auto receivedBytes = recv(m_socket, buffer, sizeof buffer, 0);
+        return receivedBytes <= 0 ? std::string{}
+                                  : std::string(buffer, static_cast<std::size_t>(receivedBytes));
     }
 
     static constexpr milliseconds PollInterval{5};
@@ -147,8 +152,8 @@
     std::string m_server;
     int m_socket;
     bool m_isConnected = false;
-    bool m_isCloseAnnounced = false; // by the last answer
-    std::string m_unparsed;          // beyond the answers that were taken
+    bool m_isCloseAnnounced = false; // the last answer had "Connection: close"
+    std::string m_unparsed;          // bytes after the answers that were returned
     std::string m_answer;
     time_point m_lastSeenOpenAt{};
 };
--- a/tests/loop_lateness_test.cpp
+++ b/tests/loop_lateness_test.cpp
@@ -1,4 +1,4 @@
-// How far behind an event loop counts as being.
+// Tests of how the lateness of an event loop is measured.
 #include <criterion/criterion.h>
 
 #include "net/loop_lateness.h"
@@ -18,27 +18,28 @@
 
 } // namespace
 
-Test(loop_lateness, worst_of_the_last_seconds)
+Test(loop_lateness, maximum_of_the_last_seconds)
 {
     const time_point start{seconds(1000)};
     loop_lateness lateness;
-    section("nothing fired yet", [&] { check(lateness.maxLateness(start) == duration{}); });
-    section("the worst counts, not the last", [&] {
+    section("no timer has fired yet", [&] { check(lateness.maxLateness(start) == duration{}); });
+    section("the maximum counts, not the last value", [&] {
         fire(lateness, start, start + milliseconds(300));
         fire(lateness, start + milliseconds(350), start + milliseconds(360));
         check(lateness.maxLateness(start + milliseconds(400)) == milliseconds(300));
     });
-    section("it is forgotten after two windows at most", [&] {
+    section("it is forgotten after at most two windows", [&] {
         check(lateness.maxLateness(start + milliseconds(1400)) == milliseconds(300));
         fire(lateness, start + milliseconds(1500), start + milliseconds(1520));
         check(lateness.maxLateness(start + milliseconds(2600)) == milliseconds(20));
     });
-    section("a loop at which nothing fired for long is not behind",
+    section("a loop without timers for a long time is not late",
             [&] { check(lateness.maxLateness(start + seconds(60)) == duration{}); });
 }
 
-// A signal is handled after a stall, before any timer that came due in it.
-Test(loop_lateness, timers_that_are_overdue)
+// After a stall, a signal is handled before the timers that came due during it, so the lateness of
+// fired timers does not show the stall yet.
+Test(loop_lateness, overdue_timers)
 {
     const time_point start{seconds(1000)};
     loop_lateness lateness;
--- a/tests/section.h
+++ b/tests/section.h
@@ -1,4 +1,4 @@
-// Nested sections for Criterion: a test reads as a story, and a failure names its path.
+// Nested sections for Criterion. A failure message contains the titles of all enclosing sections.
 #pragma once
 
 #include <cstdio>
@@ -24,7 +24,7 @@
     return name;
 }
 
-// Runs `body` under `title`; an exception or a failed `check` inside prints the whole path.
+// Runs `body` under `title`. An exception or a failed `check` inside prints the path of titles.
 template <typename Body>
 void section(const std::string &title, Body &&body)
 {
@@ -41,10 +41,10 @@
 
 } // namespace zinniabarrow::tests
 
-// Fails the test (and goes on with it) with the section's path and the condition's text.
+// Reports a failure with the section path and the text of the condition; the test continues.
 #define check(condition) /* NOLINT(readability-identifier-naming) */                               \
     cr_expect((condition), "%s: %s", ::zinniabarrow::tests::sectionName().c_str(), #condition)
 
-// The same, and ends the test: for conditions without which the rest makes no sense.
+// Like check(), but ends the test: for conditions that the rest depends on.
 #define require(condition) /* NOLINT(readability-identifier-naming) */                             \
     cr_assert((condition), "%s: %s", ::zinniabarrow::tests::sectionName().c_str(), #condition)
--- a/tests/stalled_callers.h
+++ b/tests/stalled_callers.h
@@ -1,4 +1,4 @@
-// Callers that open connections, send a part of a request and then do nothing more.
+// Clients that open connections, send a part of a request and then stall.
 #pragma once
 
 #include <arpa/inet.h>
@@ -27,17 +27,21 @@
     stalled_callers(const stalled_callers &) = delete;
     stalled_callers &operator=(const stalled_callers &) = delete;
 
-    // One more, from that loopback address; false when it was refused on the spot.
+    // Opens one more connection from that loopback address and sends `part`. Returns false when it
+    // was refused at once.
     bool open(const std::string &from, const std::string &part)
     {
         const int handle = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        const int small = 4096; // so that an answer that is not read stays with the server
+        const int small = 4096; // small, so that an unread answer stays in the server
         setsockopt(handle, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-        const auto own = toSocketAddress(from, 0);
-        const auto there = toSocketAddress(m_server.address, m_server.port);
+        const auto localAddress = toSocketAddress(from, 0);
+        const auto serverAddress = toSocketAddress(m_server.address, m_server.port);
         const bool connected =
-                bind(handle, reinterpret_cast<const sockaddr *>(&own), sizeof own) == 0
-                && connect(handle, reinterpret_cast<const sockaddr *>(&there), sizeof there) == 0;
+                bind(handle, reinterpret_cast<const sockaddr *>(&localAddress), sizeof localAddress)
+                        == 0
+                && connect(handle, reinterpret_cast<const sockaddr *>(&serverAddress),
+                           sizeof serverAddress)
+                           == 0;
         if (connected)
             m_open.push_back(handle);
         else
@@ -45,15 +49,16 @@
         return connected && send(part);
     }
 
-    // Sends more on the newest one; false when its connection is over.
+    // Sends more on the newest connection; returns false when it is closed.
     bool send(const std::string &part)
     {
         return ::send(m_open.back(), part.data(), part.size(), MSG_NOSIGNAL)
                == static_cast<ssize_t>(part.size());
     }
 
-    // Sends a whole request on the newest one and takes its answer: the server holds the connection
-    // from then on, whichever of several its threads took first. False: there is no answer.
+    // Sends a complete request on the newest connection and reads its answer. After that the server
+    // is certain to count this connection, in whichever order its threads take new ones. Returns
+    // false when there is no answer.
     bool exchange(const std::string &request, const std::string &lastOfAnswer)
     {
         if (!send(request))
@@ -66,21 +71,21 @@
         return true;
     }
 
-    // Takes away those that the server has closed; returns how many stall on.
+    // Removes the connections that the server has closed; returns how many remain.
     std::size_t countStillOpen()
     {
         std::erase_if(m_open, [](int each) {
             char byte = 0;
-            const bool over = recv(each, &byte, 1, MSG_PEEK | MSG_DONTWAIT) >= 0
-                              || (errno != EAGAIN && errno != EWOULDBLOCK);
-            if (over)
+            const bool isClosed = recv(each, &byte, 1, MSG_PEEK | MSG_DONTWAIT) >= 0
+                                  || (errno != EAGAIN && errno != EWOULDBLOCK);
+            if (isClosed)
                 close(each);
-            return over;
+            return isClosed;
         });
         return m_open.size();
     }
 
-    // What came on the newest one until its end.
+    // Reads the newest connection until it is closed.
     std::string readToEnd()
     {
         std::string text;
@@ -89,18 +94,19 @@
     }
 
 private:
-    // Takes what comes next on the newest one; false when that is its end, or nothing comes.
+    // Appends the next bytes of the newest connection; returns false when it is closed or nothing
+    // arrives in time.
     bool receive(std::string &text)
     {
-        char piece[4096];
-        pollfd waiting{m_open.back(), POLLIN, 0};
+        char buffer[4096];
+        pollfd pollEntry{m_open.back(), POLLIN, 0};
         constexpr int ReadTimeoutMs = 10'000;
-        if (poll(&waiting, 1, ReadTimeoutMs) != 1)
+        if (poll(&pollEntry, 1, ReadTimeoutMs) != 1)
             return false;
-        const auto got = recv(m_open.back(), piece, sizeof piece, 0);
-        if (got <= 0)
+        const auto receivedBytes = recv(m_open.back(), buffer, sizeof buffer, 0);
+        if (receivedBytes <= 0)
             return false;
-        text.append(piece, static_cast<std::size_t>(got));
+        text.append(buffer, static_cast<std::size_t>(receivedBytes));
         return true;
     }
 
--- a/tests/thread_check.cpp
+++ b/tests/thread_check.cpp
@@ -1,6 +1,6 @@
-// What the duties share, under the thread sanitizer: a program of its own, because neither the test
-// library nor the actor library runs under it. Prints the closing line that CI reads; the sanitizer
-// turns a data race into exit code 66.
+// Runs the data structures that actors and HTTP threads share under the thread sanitizer. A
+// separate program, because neither Criterion nor CAF runs under that sanitizer. Prints a closing
+// line that CI reads; the sanitizer turns a data race into exit code 66.
 #include <atomic>
 #include <thread>
 #include <vector>
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr int Writers = 4;
-constexpr int ItemsEach = 20'000;
+constexpr int ItemsPerWriter = 20'000;
 constexpr std::size_t Capacity = 64;
 
 int passed = 0;
@@ -33,25 +33,26 @@
 struct item
 {
     int writer = 0;
-    int number = 0;
+    int sequence = 0;
 };
 
-// Writers that find the ring full count a refusal and go on; the one reader gets what was taken.
+// Writers count a refusal when the ring is full and go on; the reader must get every item that was
+// pushed.
 void checkRingLosesNothing()
 {
     bounded_ring<item> ring(Capacity);
-    std::atomic<int> taken{0};
+    std::atomic<int> pushed{0};
     std::atomic<int> refused{0};
     std::atomic<int> writing{Writers};
     std::vector<std::thread> writers;
     for (int writer = 0; writer < Writers; ++writer) {
         writers.emplace_back([&, writer] {
-            for (int number = 0; number < ItemsEach; ++number)
-                ++(ring.push({writer, number}) ? taken : refused);
+            for (int sequence = 0; sequence < ItemsPerWriter; ++sequence)
+                ++(ring.push({writer, sequence}) ? pushed : refused);
             --writing;
         });
     }
-    int read = 0;
+    int popped = 0;
     bool inOrder = true;
     std::vector<int> last(Writers, -1);
     while (true) {
@@ -61,46 +62,48 @@
             break;
         if (!next)
             continue;
-        ++read;
-        inOrder = inOrder && next->number > last[static_cast<std::size_t>(next->writer)];
-        last[static_cast<std::size_t>(next->writer)] = next->number;
+        ++popped;
+        inOrder = inOrder && next->sequence > last[static_cast<std::size_t>(next->writer)];
+        last[static_cast<std::size_t>(next->writer)] = next->sequence;
     }
     for (auto &writer : writers)
         writer.join();
-    check(read == taken, "everything that the ring took is read once");
-    check(taken + refused == Writers * ItemsEach, "everything else is a counted refusal");
-    check(inOrder, "each writer's items keep their order");
+    check(popped == pushed, "every pushed item is read once");
+    check(pushed + refused == Writers * ItemsPerWriter, "every other item is a counted refusal");
+    check(inOrder, "the items of each writer keep their order");
 }
 
-// HTTP threads count while another one reads the text.
+// Several threads count while another thread reads the text.
 void checkMetricsFromManyThreads()
 {
-    metrics counters;
-    std::vector<std::thread> counting;
+    metrics sharedMetrics;
+    std::vector<std::thread> countingThreads;
     for (int writer = 0; writer < Writers; ++writer) {
-        counting.emplace_back([&, writer] {
-            for (int number = 0; number < 1000; ++number) {
-                counters.count("refusals_total", number % 2 == 0 ? "queue_full" : "draining");
-                counters.set("gauge", writer);
-                counters.observeMilliseconds("latency_ms", number);
+        countingThreads.emplace_back([&, writer] {
+            for (int sequence = 0; sequence < 1000; ++sequence) {
+                sharedMetrics.count("refusals_total",
+                                    sequence % 2 == 0 ? "queue_full" : "draining");
+                sharedMetrics.set("gauge", writer);
+                sharedMetrics.observeMilliseconds("latency_ms", sequence);
             }
         });
     }
     std::size_t bytes = 0;
     for (int round = 0; round < 50; ++round)
-        bytes += counters.text().size();
-    for (auto &each : counting)
+        bytes += sharedMetrics.text().size();
+    for (auto &each : countingThreads)
         each.join();
-    check(bytes > 0, "the text is read meanwhile");
-    check(counters.value("refusals_total", "queue_full") == Writers * 500, "no count is lost");
+    check(bytes > 0, "the text is read while threads count");
+    check(sharedMetrics.value("refusals_total", "queue_full") == Writers * 500, "no count is lost");
 }
 
-// Sends one body through a ring; every third reader lets go midway. True when the bytes are right.
-bool streamOne(receiver_threads &threads, int number, std::atomic<int> &ends)
+// Sends one body through a ring; every third reader stops midway. Returns true when the number of
+// bytes is right.
+bool streamOne(receiver_threads &threads, int sequence, std::atomic<int> &reportedEnds)
 {
     constexpr std::size_t Chunk = 4096;
     constexpr std::size_t Chunks = 300;
-    const bool abandons = number % 3 == 0;
+    const bool abandons = sequence % 3 == 0;
     const auto ring = std::make_shared<body_ring>(monotonic_clock::now() + seconds(60));
     threads.run([ring] {
         body_end end;
@@ -114,7 +117,7 @@
     });
     body_reader reader(ring);
     ring->waitForEndOrBytes(Chunk);
-    reader.observeEnd([&](body_end, duration) { ++ends; });
+    reader.observeEnd([&](body_end, duration) { ++reportedEnds; });
     std::size_t bytes = 0;
     for (auto part = reader.takePart(); !part.empty(); part = reader.takePart()) {
         bytes += part.size();
@@ -124,26 +127,26 @@
     return bytes == Chunk * Chunks && !reader.end();
 }
 
-// A receiving and a sending thread for each body, and threads that are used again.
+// Each body has a receiving and a reading thread; the threads are reused.
 void checkBodiesAreWhole()
 {
     constexpr int Bodies = 150;
-    std::atomic<int> whole{0};
-    std::atomic<int> ends{0};
+    std::atomic<int> completeBodies{0};
+    std::atomic<int> reportedEnds{0};
     {
         receiver_threads threads;
         std::vector<std::thread> readers;
         for (int reader = 0; reader < Writers; ++reader) {
             readers.emplace_back([&] {
-                for (int number = 0; number < Bodies; ++number)
-                    whole += streamOne(threads, number, ends) ? 1 : 0;
+                for (int sequence = 0; sequence < Bodies; ++sequence)
+                    completeBodies += streamOne(threads, sequence, reportedEnds) ? 1 : 0;
             });
         }
         for (auto &reader : readers)
             reader.join();
     }
-    check(whole == Writers * Bodies, "every body that is read to its end is whole");
-    check(ends == Writers * Bodies, "every end is told once");
+    check(completeBodies == Writers * Bodies, "every body that is read to its end is complete");
+    check(reportedEnds == Writers * Bodies, "every end is reported once");
 }
 
 } // namespace
