--- a/libs/config/content_slice.h
+++ b/libs/config/content_slice.h
@@ -1,8 +1,9 @@
-// The part of a generation's content that one agent works by: its own service and pool. The whole
-// grows with every job of every team, and an agent has use for none of them.
+// A content slice: the part of a generation's content that one agent needs, which is its own
+// service and pool. Agents don't fetch the whole content, because it grows with every job of every
+// team and an agent uses no jobs.
 //
-// Asked with `generation_content`, where a peer that knows no slices ignores the scope and answers
-// the whole; both answers are taken.
+// Agents request a slice with the RPC `generation_content`. A peer of an older release doesn't know
+// slices; it ignores the scope and answers with the whole content. The agent accepts both answers.
 #pragma once
 
 #include <optional>
@@ -17,17 +18,24 @@
 
 class generation_follower;
 
+// The slice of `wholeContent` for this scope: its service and pool, as far as they exist, and no
+// jobs, teams or files.
 generation_content makeSlice(const generation_content &wholeContent, const content_scope &scope);
 
-// {digest, scope?, have?}: what a process asks for, and the answer of one that works by that
-// generation: {content}, {slice, slice_digest}, {slice_digest} when the asker has it, or {} when it
-// works by another generation.
-// The reader throws error BadRequest: call it before the question reaches a duty.
+// The query on the wire: {digest, scope?, have?}, where `have` is `heldSliceDigest`.
 Json::Value toJson(const read_content &query);
+
+// Throws error BadRequest on a malformed query. Call it before the query is handed to an
+// actor, which the exception would end.
 read_content readContentFromJson(const Json::Value &value);
+
+// The answer of the process whose follower is `source`: {content} for a query without a scope,
+// {slice, slice_digest} for one with a scope, {slice_digest} if the requester already holds that
+// slice, or {} if the digest isn't that of the content in force here.
 Json::Value answerReadContent(const generation_follower &source, const read_content &query);
 
-// The answer as an event; nothing when none came.
+// Converts an answer to the event of the query with the number `request`. Without an answer the
+// event says that the content was not found.
 content_read contentReadFromJson(std::uint64_t request, const std::optional<Json::Value> &answer);
 
 } // namespace zinniabarrow::config
--- a/libs/config/endpoint.h
+++ b/libs/config/endpoint.h
@@ -1,4 +1,4 @@
-// Addresses of processes: IP number and port.
+// Network addresses of processes: IP address and port.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +10,19 @@
 
 struct endpoint
 {
-    std::string address;    // IP number
+    std::string address;    // IPv4 or IPv6 address, without brackets
     std::uint16_t port = 0; //
     bool operator==(const endpoint &) const = default;
 };
 
-// "10.0.0.1:8080", or "[::1]:8080" for IPv6.
+// Formats an endpoint: "10.0.0.1:8080", or "[::1]:8080" for IPv6.
 std::string toText(const endpoint &endpoint);
 
-// Empty if `text` is no IP number with a port above 0.
+// Parses the format of `toText`. Returns nothing unless `text` is an IP address with a port above
+// 0.
 std::optional<endpoint> parseEndpoint(std::string_view text);
 
+// True for an IPv4 or IPv6 address without a port.
 bool isIpAddress(const std::string &text);
 
 } // namespace zinniabarrow::config
--- a/libs/config/fields.h
+++ b/libs/config/fields.h
@@ -1,4 +1,7 @@
-// Plain structs to JSON and back: each struct lists its members once, for both directions.
+// Converts plain structs to JSON and back. For each struct a function template `describe(archive,
+// object)` calls `archive(name, member)` once for each member; it serves both directions. For an
+// enum, `nameOf(value)` and `fromName(name, value)` do the same. The functions are found by
+// argument-dependent look-up, so they belong into the namespace of the type.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +21,7 @@
 
 namespace zinniabarrow::config {
 
-// The enumerator of a name; throws BadRequest where the table lacks it.
+// The enumerator with this name; throws BadRequest if the table has none.
 template <typename Enum, std::size_t Size>
 Enum enumFromName(const name_table<Enum, Size> &table, const std::string &name)
 {
@@ -28,8 +31,8 @@
     return *value;
 }
 
-// Reads members of one object. A member that is absent keeps its value; one of the wrong type
-// throws BadRequest that names it.
+// Reads the members of one JSON object. A member that is missing in the JSON keeps its value; one
+// of the wrong type throws BadRequest with the name of the member.
 class field_reader
 {
 public:
@@ -57,7 +60,7 @@
         }
     }
 
-    // Absent stays empty.
+    // A member that is missing in the JSON stays empty.
     template <typename T>
     void operator()(const char *name, std::optional<T> &member)
     {
@@ -133,7 +136,7 @@
     const Json::Value &m_object;
 };
 
-// Writes every member into one object.
+// Writes all members into one JSON object.
 class field_writer
 {
 public:
@@ -143,7 +146,7 @@
         m_object[name] = written(member);
     }
 
-    // Empty is left out.
+    // An empty optional is left out.
     template <typename T>
     void operator()(const char *name, const std::optional<T> &member)
     {
@@ -187,7 +190,8 @@
             return std::string(nameOf(member));
         } else {
             field_writer writer;
-            describe(writer, const_cast<T &>(member)); // the writer only reads
+            // `describe` takes a mutable reference for the reader's sake; the writer only reads.
+            describe(writer, const_cast<T &>(member));
             return writer.takeObject();
         }
     }
@@ -199,7 +203,8 @@
 Json::Value membersToJson(const T &object)
 {
     field_writer writer;
-    describe(writer, const_cast<T &>(object)); // the writer only reads
+    // `describe` takes a mutable reference for the reader's sake; the writer only reads.
+    describe(writer, const_cast<T &>(object));
     return writer.takeObject();
 }
 
--- a/libs/config/folder.cpp
+++ b/libs/config/folder.cpp
@@ -25,7 +25,8 @@
     return nameOf(PriorityNames, priority);
 }
 
-// Found by argument-dependent look-up from fields.h, so not in the unnamed namespace.
+// Called from config/fields.h through argument-dependent look-up, hence outside the unnamed
+// namespace.
 static void fromName(const std::string &name, priority_class &priority)
 {
     priority = enumFromName(PriorityNames, name);
@@ -111,7 +112,8 @@
 
 namespace {
 
-// Applies one file after the other and keeps account of whose values are still in force.
+// Applies the files one after the other. Counts how many values of each file are still in force, to
+// tell which files are overridden completely.
 class folder_merger
 {
 public:
@@ -158,7 +160,9 @@
         }
         eraseReplacedValues(pointer);
         target.removeMember(name);
-        recordValue(pointer); // a deletion is in force until a later file gives the member again
+        // A deletion counts as a value of its file: it is in force until a later file contains the
+        // member again.
+        recordValue(pointer);
     }
 
     text_location locationHere(const Json::Value &value) const
@@ -172,7 +176,7 @@
         ++m_valueCounts[m_file->file()];
     }
 
-    // What stood at `pointer` and below it is replaced by the file at hand.
+    // Removes the records of all values at and below `pointer`, which the current file replaces.
     void eraseReplacedValues(const std::string &pointer)
     {
         eraseSubtree(m_merged.valueLocations, pointer, [](const auto &) {});
@@ -201,8 +205,8 @@
 
     const json_text *m_file = nullptr;
     merged_folder m_merged;
-    std::map<std::string, std::string> m_fileOfValue; // file of each value or deletion, by pointer
-    std::map<std::string, int> m_valueCounts;         // how many of them a file still has
+    std::map<std::string, std::string> m_fileOfValue; // of each value or deletion, by JSON pointer
+    std::map<std::string, int> m_valueCounts; // number of values and deletions in force, by file
     std::map<std::string, std::string> m_lastReplacer;
 };
 
@@ -227,7 +231,7 @@
 static Json::Value fileSchemaDefinition()
 {
     auto definition = patchSchemaOf(folderSchema().definition());
-    definition["type"] = "object"; // a file that is null as a whole would delete the folder
+    definition["type"] = "object"; // not null, which would delete the values of all earlier files
     return definition;
 }
 
--- a/libs/config/folder.h
+++ b/libs/config/folder.h
@@ -1,9 +1,9 @@
-// The operators' folder: small JSON files, merged in the order of their names into one
-// configuration of services, jobs, instance pools and teams.
+// The operators' configuration folder: small JSON files that are merged into one configuration of
+// services, jobs, instance pools and teams.
 //
-// Merging (RFC 7396, JSON merge patch): files are taken in the byte order of their names. Objects
-// are merged member by member; any other value replaces the earlier one whole, arrays included;
-// null deletes what earlier files gave and is nothing where they gave nothing.
+// Each file is applied as a JSON merge patch (RFC 7396), in the byte order of the file names.
+// Objects are merged member by member. Any other value, arrays included, replaces the earlier value
+// as a whole. null deletes the value from earlier files; it has no effect if there is none.
 #pragma once
 
 #include <cstddef>
@@ -22,52 +22,58 @@
 
 namespace zinniabarrow::config {
 
+// Services and jobs of higher priority are placed first.
 enum class priority_class { Urgent, Normal, Low };
-std::string_view nameOf(priority_class priority);
+std::string_view nameOf(priority_class priority); // as in the files: "urgent", ...
 
+// A latency-critical service.
 struct service_spec
 {
-    std::string team;                // whose quota it counts against
-    std::string pool;                // whose workers run it
-    std::int64_t replicas = 1;       //
+    std::string team;                // the service counts against this team's quota
+    std::string pool;                // instance pool whose workers run the replicas
+    std::int64_t replicas = 1;       // number of replicas that run at once
     resources size;                  // of one replica
-    std::uint16_t port = 0;          // that a replica listens on; 0: given at start
-    milliseconds latencyTarget{100}; // 99th percentile of its answers
+    std::uint16_t port = 0;          // that a replica listens on; 0: assigned when it starts
+    milliseconds latencyTarget{100}; // for the 99th percentile of the answer times
     priority_class priority = priority_class::Normal; //
-    failover_class failover = failover_class::Lease;  //
-    std::string interferenceClass;                    // measured together; empty: its own name
+    failover_class failover = failover_class::Lease;  // when a silent worker's replica is replaced
+    std::string interferenceClass; // services and jobs of one class share interference
+                                   // measurements; empty: a class of its own, by its name
     bool operator==(const service_spec &) const = default;
 };
 
+// A batch job.
 struct job_spec
 {
-    std::string team;                                 // whose quota it counts against
-    std::string pool;                                 // whose workers run it
-    std::int64_t tasks = 1;                           //
+    std::string team;                                 // the job counts against this team's quota
+    std::string pool;                                 // instance pool whose workers run the tasks
+    std::int64_t tasks = 1;                           // number of tasks; each runs once
     resources size;                                   // of one task
     milliseconds runTimeEstimate{60'000};             // of one task
-    bool isCheckpointable = false;                    // an evicted task resumes where it was
+    bool isCheckpointable = false;                    // an evicted task resumes from its checkpoint
     priority_class priority = priority_class::Normal; //
-    failover_class failover = failover_class::Lease;  //
-    std::string interferenceClass;                    // measured together; empty: its own name
+    failover_class failover = failover_class::Lease;  // when a silent worker's task is replaced
+    std::string interferenceClass;                    // as in service_spec
     bool operator==(const job_spec &) const = default;
 };
 
+// An instance pool.
 struct pool_spec
 {
     std::vector<std::string> zones; // availability zones of its workers
-    std::int64_t workers = 1;       // how many it has
-    resources workerSize;           // size of the largest one
+    std::int64_t workers = 1;       // number of workers
+    resources workerSize;           // size of the largest worker
     bool operator==(const pool_spec &) const = default;
 };
 
 struct team_spec
 {
-    resources quota;   // of all its services and running tasks together
-    double weight = 1; // share of what is left over
+    resources quota;   // limit for the team's services and running tasks together
+    double weight = 1; // relative share of the capacity that quotas leave over
     bool operator==(const team_spec &) const = default;
 };
 
+// The merged configuration; all maps are by name.
 struct configuration
 {
     std::map<std::string, service_spec> services;
@@ -77,36 +83,40 @@
     bool operator==(const configuration &) const = default;
 };
 
-// Canonical: every member is written, keys in order.
+// Canonical form: writes every member, also those with default values, with keys in byte order.
 Json::Value toJson(const configuration &configuration);
 configuration configurationFromJson(const Json::Value &value); // throws BadRequest
 
 // One file of the folder as it was read.
 struct folder_file
 {
-    std::string name; // without the folder
+    std::string name; // file name without the folder
     std::string content;
 };
 
-// Files that belong to the folder end in ".json" and do not start with '.'; others are ignored.
+// True for names that end in ".json" and don't start with '.'. Other files in the folder are
+// ignored.
 bool isFolderFile(std::string_view name);
 
+// Result of merging the files of a folder.
 struct merged_folder
 {
-    Json::Value value{Json::objectValue};                // defaults are not filled in
-    std::map<std::string, text_location> valueLocations; // where each value in force was written
-    std::map<std::string, std::string> overriddenBy;     // file without a value left: by which file
+    Json::Value value{Json::objectValue}; // only what files contain; defaults are not filled in
+    std::map<std::string, text_location> valueLocations; // of each merged value, by JSON pointer
+    std::map<std::string, std::string> overriddenBy; // files of which no value is in force, with
+                                                     // the file that replaced the last value
 
-    // Where `pointer`, or its nearest parent that was written, stands.
+    // File and line of the value at this JSON pointer, or of its nearest parent that a file
+    // contains.
     text_location locationOf(const std::string &pointer) const;
 };
 
-// `files` may come in any order; the result is the same.
+// Merges files in the order of their names, whatever the order of `files`.
 merged_folder merge(std::vector<json_text> files);
 
-// The schema of the merged folder.
+// Schema of the merged folder.
 const json_schema &folderSchema();
-// The schema of one file: members may be missing, null deletes.
+// Schema of a single file: any member may be missing, and null deletes a member.
 const json_schema &folderFileSchema();
 
 } // namespace zinniabarrow::config
--- a/libs/config/folder_schema.h
+++ b/libs/config/folder_schema.h
@@ -1,4 +1,4 @@
-// Schema of the merged folder, embedded in the binary.
+// JSON schema of the merged configuration folder, embedded in the binary.
 #pragma once
 
 namespace zinniabarrow::config {
--- a/libs/config/generation_events.cpp
+++ b/libs/config/generation_events.cpp
@@ -14,7 +14,8 @@
 
 namespace { } // namespace
 
-// Found by argument-dependent look-up from fields.h, so not in the unnamed namespace.
+// Called from config/fields.h through argument-dependent look-up, hence outside the unnamed
+// namespace.
 template <typename Archive>
 void describe(Archive &archive, write_result &result)
 {
@@ -149,7 +150,7 @@
 
 namespace {
 
-// An event or action by its name, in the order of the variant.
+// Names of events and actions in JSON, in the order of the variants.
 constexpr std::array EventNames{
         "tick",       "report_heard",    "content_read",         "accepted_read", "folder_listed",
         "files_read", "content_written", "generation_committed", "look_now"};
--- a/libs/config/generation_events.h
+++ b/libs/config/generation_events.h
@@ -1,6 +1,8 @@
-// What happens to the parts that keep the generation in force, and what they ask for.
+// Events that generation_follower and generation_manager handle, and the actions that they return
+// for their caller to execute.
 //
-// `request` ties an answer to the question; an answer to an older question is ignored.
+// Actions that expect an answer carry a number `request`, and the event with the answer repeats it.
+// An answer to an earlier request is ignored.
 #pragma once
 
 #include <cstdint>
@@ -19,10 +21,11 @@
 
 // --- Events
 
+// Time has passed; sent at regular intervals.
 struct tick
 { };
 
-// A report of another process, by announcement or by `push_generation`.
+// A report of another process, received with an announcement or through `push_generation`.
 struct report_received
 {
     generation_report report;
@@ -32,21 +35,22 @@
 struct content_read
 {
     std::uint64_t request = 0;
-    bool isFound = false; // false also when the source could not be reached
+    bool isFound = false; // false also if the source could not be reached
     std::string content;
-    // Not empty: `content` is the slice with this digest, or empty where the asker has it.
+    // Empty: `content` is the whole content. Otherwise `content` is the slice with this digest, or
+    // empty if the requester already holds that slice.
     std::string sliceDigest{};
 };
 
-// Answer to `read_accepted`.
+// Answer to `read_accepted_row`.
 struct accepted_row_read
 {
     std::uint64_t request = 0;
-    bool isAnswered = false;
-    table_row row; // version 0: there is none
+    bool isAnswered = false; // false: the platform did not answer
+    table_row row;           // version 0: the row does not exist
 };
 
-// Answer to `list_folder`: names with FolderPrefix and versions, without content.
+// Answer to `list_folder`. The objects have names (with FolderPrefix) and versions, but no content.
 struct folder_listed
 {
     std::uint64_t request = 0;
@@ -54,7 +58,7 @@
     std::vector<stored_object> objects;
 };
 
-// Answer to `read_files`: those that were found, with content.
+// Answer to `read_files`: the objects that exist, with their content.
 struct files_read
 {
     std::uint64_t request = 0;
@@ -76,7 +80,8 @@
     write_result result;
 };
 
-// An operator has changed the folder, or asks what became of a file: look at once.
+// An operator has changed the folder or asks for the state of a file: scan the folder now instead
+// of at the next poll.
 struct scan_now
 { };
 
@@ -86,26 +91,26 @@
 
 // --- Actions
 
-// Read the row AcceptedRowKey.
+// Reads the row AcceptedRowKey from the table.
 struct read_accepted_row
 {
     std::uint64_t request = 0;
 };
 
-// List the objects below FolderPrefix.
+// Lists the objects whose names start with FolderPrefix.
 struct list_folder
 {
     std::uint64_t request = 0;
 };
 
-// Read these objects; names with FolderPrefix.
+// Reads these objects from the object store; the names include FolderPrefix.
 struct read_files
 {
     std::uint64_t request = 0;
     std::vector<std::string> names;
 };
 
-// Put this object, whatever is there: its name is made from its content.
+// Puts this object unconditionally. That is safe because its name contains its content's digest.
 struct write_content
 {
     std::uint64_t request = 0;
@@ -113,37 +118,39 @@
     std::string content;
 };
 
+// Commits a transaction that writes the row AcceptedRowKey if it has not changed.
 struct commit_generation
 {
     std::uint64_t request = 0;
     table_transaction transaction;
 };
 
-// Remove an object that no generation needs any more; its outcome does not matter.
+// Removes the content of a generation that is no longer needed. No answer is expected: an object
+// that stays behind does no harm.
 struct remove_content
 {
     std::string name;
 };
 
-// The part of a content that an agent works by.
+// Selects the part of a content that an agent needs.
 struct content_scope
 {
-    std::string service; // of its upstream
-    std::string pool;    // of its worker
+    std::string service; // that the agent's upstream serves
+    std::string pool;    // of the agent's worker
 };
 
-// Get the content with this digest: from the object store (MergedPrefix + digest) where `peer` is
-// empty, else from the process `peer`.
+// Reads the content with this digest from the process `peer`, or, if `peer` is empty, from the
+// object store, where its name is MergedPrefix + digest.
 struct read_content
 {
     std::uint64_t request = 0;
     std::string digest;
     std::string peer;
-    std::optional<content_scope> scope{}; // enough where the peer knows slices
-    std::string heldSliceDigest{};        // digest of the slice that is in force here
+    std::optional<content_scope> scope{}; // request only this slice, if the peer supports slices
+    std::string heldSliceDigest{};        // of the slice in force here; empty: none
 };
 
-// This process works by this generation from now on.
+// This generation is in force in this process from now on.
 struct adopt_generation
 {
     std::uint64_t generation = 0;
@@ -151,7 +158,7 @@
     std::shared_ptr<const configuration> mergedConfig;
 };
 
-// Tell `report` to these processes; none named: to all that are known.
+// Sends `report` to these processes; an empty list means all known processes.
 struct push_generation
 {
     generation_report report;
@@ -164,12 +171,13 @@
 
 using generation_actions = std::vector<generation_action>;
 
-// The event for a question that the platform or the peer did not answer, or whose write has this
-// outcome; none for actions that expect no answer.
+// The event that reports a failed action: a read without an answer, or a write with this outcome.
+// Nothing for actions that expect no answer.
 std::optional<generation_event> failureEventFor(const generation_action &action,
                                                 write_outcome outcome);
 
-// One JSON object with the member "event" or "action": for logs and golden files.
+// One JSON object with the name in the member "event" or "action"; used by the recorded sessions of
+// the tests.
 Json::Value toJson(const generation_event &event);
 generation_event generationEventFromJson(const Json::Value &value); // throws BadRequest
 Json::Value toJson(const generation_action &action);
--- a/libs/config/generation_follower.cpp
+++ b/libs/config/generation_follower.cpp
@@ -19,8 +19,8 @@
 
 generation_actions generation_follower::handle(const generation_event &event, time_point now)
 {
-    if (const auto *heard = std::get_if<report_received>(&event))
-        return receiveReport(heard->report, now);
+    if (const auto *received = std::get_if<report_received>(&event))
+        return receiveReport(received->report, now);
     if (const auto *answer = std::get_if<content_read>(&event))
         return handleContentRead(*answer, now);
     if (std::holds_alternative<tick>(event))
@@ -37,8 +37,8 @@
 generation_actions generation_follower::adoptContent(std::uint64_t generation,
                                                      const std::string &text)
 {
-    // Answers come late and in any order: an older generation that arrives after a newer one
-    // would take the configuration back, so it is dropped here, the only place that adopts.
+    // Answers may be late and out of order. An older generation that arrives after a newer one
+    // would revert the configuration, so it is dropped. applySlice checks the same for slices.
     if (generation <= m_generation)
         return {};
     m_content = std::make_shared<generation_content>(contentFromText(text));
@@ -120,8 +120,8 @@
                          m_sliceDigest}};
 }
 
-// The next source is asked at once, but after a whole round of failures only after a pause: all
-// sources down must not become a storm of questions.
+// The next source is tried at once. Only after all sources have failed there is a pause, so that an
+// outage of all sources doesn't cause a storm of requests.
 void generation_follower::markSourceFailed(time_point now)
 {
     ++m_counters.failedReads;
@@ -141,7 +141,7 @@
                                                                  : applySlice(answer);
             if (adoptActions)
                 return *adoptActions;
-        } catch (const error &) { // does not parse
+        } catch (const error &) { // the content does not parse
         }
         ++m_counters.invalidContents;
     }
@@ -149,8 +149,8 @@
     return checkDeadline(now);
 }
 
-// A cut or mixed-up content under the right name would put a wrong configuration in force at this
-// process alone; its digest shows it, and the next source is asked.
+// Checks the digest: a truncated or mixed-up content under the right name would put a wrong
+// configuration in force in this process only. If it doesn't match, the next source is tried.
 std::optional<generation_actions> generation_follower::applyWholeContent(const std::string &text)
 {
     if (digestOf(text) != m_fetch->digest)
@@ -158,9 +158,12 @@
     return adoptContent(m_fetch->generation, text);
 }
 
-// The digest of the whole can't be checked by its slice: the source answers only for a generation
-// that it works by, and the slice's own digest shows a cut. "You have it" is believed only for the
-// very slice in force here: a newcomer would otherwise work by nothing and report the generation.
+// The digest of the whole content can't be checked with a slice. Instead the source answers only
+// for the generation in force there, and the slice has a digest of its own, which shows truncation.
+//
+// The answer may leave out the content if the requester already holds the slice. That is accepted
+// only for exactly the slice in force here: otherwise a process that has just started would report
+// the generation without having any content.
 std::optional<generation_actions> generation_follower::applySlice(const content_read &answer)
 {
     if (!m_settings.scope)
--- a/libs/config/generation_follower.h
+++ b/libs/config/generation_follower.h
@@ -1,5 +1,6 @@
-// Decides which generation a process works by: the highest that it has heard of and whose content
-// it holds, never a lower one than before. Enough for an agent; an entry's keeper has one inside.
+// Decides which generation of the configuration is in force in a process: the highest one that it
+// knows of and whose content it has fetched. The generation in force never decreases. An agent uses
+// a follower by itself; in an entry it is part of the generation_manager.
 #pragma once
 
 #include <cstdint>
@@ -17,57 +18,58 @@
 {
     std::string process;                  // id of this process
     std::string role;                     // "entry" or "agent"
-    milliseconds readTimeout{1000};       // then the next source is asked
-    std::optional<content_scope> scope{}; // of an agent: a slice is enough
+    milliseconds readTimeout{1000};       // for a content; then the next source is tried
+    std::optional<content_scope> scope{}; // set for an agent: fetch only this slice
 };
 
 struct follower_counters
 {
-    std::uint64_t adoptedGenerations = 0; // generations taken up
-    std::uint64_t failedReads = 0;        // contents that a source did not give in time
+    std::uint64_t adoptedGenerations = 0; // generations that came into force here
+    std::uint64_t failedReads = 0;        // reads without a usable content from the source in time
     std::uint64_t invalidContents = 0; // contents that did not match their digest or did not parse
-    std::uint64_t digestConflicts = 0; // reports of the same generation with another content
+    std::uint64_t digestConflicts = 0; // reports of a known generation with another digest
 };
 
+// Returns actions instead of doing any input or output, so the caller owns threads and connections.
 class generation_follower
 {
 public:
     explicit generation_follower(follower_settings settings);
 
-    // report_heard, content_read and tick; other events do nothing. Gives read_content,
+    // Handles report_received, content_read and tick; ignores other events. Returns read_content,
     // adopt_generation and push_generation.
     generation_actions handle(const generation_event &event, time_point now);
 
-    // A generation that the table names: its content lies in the object store.
+    // Called for the generation that the table names; its content is in the object store.
     generation_actions considerStored(std::uint64_t generation, const std::string &digest,
                                       time_point now);
-    // A generation whose content is at hand.
+    // Puts a generation in force whose content the caller already has. Does nothing if it is not
+    // above the one in force.
     generation_actions adoptContent(std::uint64_t generation, const std::string &text);
 
     std::uint64_t generation() const { return m_generation; } // in force here; 0: none yet
-    std::uint64_t highestKnownGeneration() const
-    {
-        return m_highestKnown;
-    } // here, at peers or in the table
+    // The highest generation seen here, in reports of peers or in the table.
+    std::uint64_t highestKnownGeneration() const { return m_highestKnown; }
     const std::string &digest() const { return m_digest; }
     const generation_content &content() const { return *m_content; }
     std::shared_ptr<const configuration> mergedConfig() const;
     generation_report report() const;
     const follower_counters &counters() const { return m_counters; }
 
-    // For a peer that asks; empty unless it is the whole content in force.
+    // The content for a peer that requests it. Nothing unless `digest` is that of the generation in
+    // force and this process holds its whole content.
     std::optional<std::string> contentTextFor(const std::string &digest) const;
 
 private:
-    // The generation being fetched, and who may have its content.
+    // A generation that is being fetched, and the sources that may have its content.
     struct content_fetch
     {
         std::uint64_t generation = 0;
         std::string digest;
         std::vector<std::string> sources; // process ids; "": the object store
-        std::size_t nextSource = 0;       // source to ask next, round and round
-        std::uint64_t pendingRequest = 0; // being waited for; 0: none
-        time_point deadline{};            // of that request, or of the pause before the next
+        std::size_t nextSource = 0;       // index of the source to try next, modulo their number
+        std::uint64_t pendingRequest = 0; // request without an answer so far; 0: none
+        time_point deadline{}; // of that request, or the end of the pause before the next
     };
 
     generation_actions receiveReport(const generation_report &report, time_point now);
@@ -85,8 +87,8 @@
     std::uint64_t m_generation = 0;
     std::uint64_t m_highestKnown = 0;
     std::string m_digest;
-    std::string m_contentText; // empty where a slice is in force
-    std::string m_sliceDigest; // empty where the whole is in force
+    std::string m_contentText; // empty if only a slice is held
+    std::string m_sliceDigest; // empty if the whole content is held
     std::shared_ptr<const generation_content> m_content;
     std::optional<content_fetch> m_fetch;
     std::uint64_t m_lastRequest = 0;
--- a/libs/config/generation_records.cpp
+++ b/libs/config/generation_records.cpp
@@ -36,7 +36,8 @@
     return nameOf(FileStateNames, state);
 }
 
-// Found by argument-dependent look-up from fields.h, so not in the unnamed namespace.
+// Called from config/fields.h through argument-dependent look-up, hence outside the unnamed
+// namespace.
 static void fromName(const std::string &name, file_state &state)
 {
     state = enumFromName(FileStateNames, name);
@@ -84,7 +85,8 @@
 
 namespace {
 
-// A member that must be there: its absence means another kind of message, not a default.
+// Throws if the member is missing. Required members have no defaults: without one of them this is a
+// message of another kind.
 void requireMember(const Json::Value &value, const char *name)
 {
     if (!value.isObject() || !value.isMember(name))
@@ -156,11 +158,11 @@
     return readMembers<generation_report>(value);
 }
 
-Json::Value toJson(const lagging_process &laggard)
+Json::Value toJson(const lagging_process &laggingProcess)
 {
-    auto value = toJson(laggard.report);
-    value["reason"] = std::string(nameOf(laggard.reason));
-    value["silence_ms"] = Json::Int64(laggard.silence.count());
+    auto value = toJson(laggingProcess.report);
+    value["reason"] = std::string(nameOf(laggingProcess.reason));
+    value["silence_ms"] = Json::Int64(laggingProcess.silence.count());
     return value;
 }
 
@@ -169,8 +171,8 @@
                                                   milliseconds silenceLimit)
 {
     std::vector<lagging_process> found;
-    for (const auto &[report, heardAt] : reports) {
-        const auto sinceLastReport = std::chrono::duration_cast<milliseconds>(now - heardAt);
+    for (const auto &[report, receivedAt] : reports) {
+        const auto sinceLastReport = std::chrono::duration_cast<milliseconds>(now - receivedAt);
         if (report.generation < generation)
             found.push_back({report, lag_reason::Behind, sinceLastReport});
         else if (sinceLastReport > silenceLimit)
--- a/libs/config/generation_records.h
+++ b/libs/config/generation_records.h
@@ -1,4 +1,7 @@
-// What the processes keep and tell about generations of the configuration.
+// Records about generations of the configuration: what is stored at the platform, what processes
+// report to each other, and what operators see.
+//
+// A generation is one accepted state of the whole configuration folder; generations are numbered.
 #pragma once
 
 #include <cstdint>
@@ -16,49 +19,54 @@
 
 namespace zinniabarrow::config {
 
-// Names at the platform.
-inline constexpr std::string_view FolderPrefix = "folder/";        // objects: the operators' files
-inline constexpr std::string_view MergedPrefix = "config/merged/"; // objects: accepted contents
+// Names in the platform's object store and table.
+inline constexpr std::string_view FolderPrefix = "folder/"; // objects: the operators' files
+inline constexpr std::string_view MergedPrefix =
+        "config/merged/"; // objects: contents of generations, named by digest
 inline constexpr std::string_view AcceptedRowKey =
         "config/accepted"; // row: the accepted generation
 
-using file_versions = std::map<std::string, std::uint64_t>; // by name without FolderPrefix
+// Version of each file, as the object store assigned it, by file name without FolderPrefix.
+using file_versions = std::map<std::string, std::uint64_t>;
 
-// Content of one generation. It lies in the object store under a name made from its digest, since
-// a row of the table must stay small however large the folder grows.
+// Content of one generation. It is stored as an object, because a row of the table must stay small
+// however large the folder grows.
 struct generation_content
 {
     configuration mergedConfig;                      //
-    file_versions files;                             // that it was merged from
-    std::map<std::string, std::string> overriddenBy; // file without a value left: by which file
+    file_versions files;                             // the files that were merged
+    std::map<std::string, std::string> overriddenBy; // as in merged_folder
 };
 
-std::string contentText(const generation_content &content);  // canonical
+std::string contentText(const generation_content &content);  // canonical JSON
 generation_content contentFromText(const std::string &text); // throws BadRequest
-std::string digestOf(const std::string &text);               // 16 hexadecimal digits and the length
+
+// 16 hexadecimal digits of a hash and the length of the text, such as "00c5f3a09b1e7d42-1830".
+std::string digestOf(const std::string &text);
 std::string digestOf(const file_versions &files);
 
-// The row that makes a generation the accepted one.
+// The table row that tells which generation is the accepted one.
 struct accepted_row
 {
-    std::uint64_t generation = 0;             // from 1; only rises
-    std::string digest;                       // of the content
-    std::string folderDigest;                 // digest of the file versions that it was merged from
-    std::string operationId;                  // of the transaction that wrote it
-    std::vector<std::string> previousDigests; // digests of the generations before, newest first
+    std::uint64_t generation = 0;             // from 1; never decreases
+    std::string digest;                       // of the generation's content
+    std::string folderDigest;                 // of the file versions that were merged
+    std::string operationId;                  // of the transaction that wrote the row
+    std::vector<std::string> previousDigests; // of the contents of earlier generations that are
+                                              // still stored, newest first
 };
 
 Json::Value toJson(const accepted_row &row);
 accepted_row acceptedRowFromJson(const Json::Value &value); // throws BadRequest
 
-// What a process says about the generation it works by. Entries and agents put it into their
-// announcements and exchange it when it changes.
+// Tells which generation is in force in a process. Entries and agents send it with their
+// announcements, and push it to others when it changes.
 struct generation_report
 {
-    std::string process;          // its id
+    std::string process;          // id of the process
     std::string role;             // "entry" or "agent"
     std::uint64_t generation = 0; // in force there; 0: none yet
-    std::string digest;           // of its content
+    std::string digest;           // of the generation's content
     bool operator==(const generation_report &) const = default;
 };
 
@@ -72,11 +80,12 @@
 };
 
 enum class lag_reason {
-    Behind, // works by an older generation
-    Silent, // has not been heard of for too long
+    Behind, // an older generation is in force there
+    Silent, // its last report is too old to rely on
 };
 std::string_view nameOf(lag_reason reason);
 
+// A process in which the accepted generation is not in force, or may not be.
 struct lagging_process
 {
     generation_report report;
@@ -84,29 +93,31 @@
     milliseconds silence{0}; // since its last report
 };
 
-Json::Value toJson(const lagging_process &laggard);
+Json::Value toJson(const lagging_process &laggingProcess);
 
-// The processes that do not work by `generation`, or may not: silent for longer than `silence`.
+// The processes that report a generation below `generation`, and those whose last report is older
+// than `silenceLimit`.
 std::vector<lagging_process> findLaggingProcesses(const std::vector<received_report> &reports,
                                                   std::uint64_t generation, time_point now,
                                                   milliseconds silenceLimit = milliseconds(3000));
 
 enum class file_state {
-    InForce,    // part of the generation in force
-    Superseded, // a newer version, or a file with a later name, has taken its place
-    Refused,    // the folder as it stands is refused; the generation before stays in force
-    Pending,    // not judged yet
+    InForce,    // this version is part of the generation in force
+    Superseded, // replaced by a newer version, or all its values by files with later names
+    Refused,    // the folder with this version is invalid; the generation before stays in force
+    Pending,    // not validated yet
 };
 std::string_view nameOf(file_state state);
 
+// What became of one version of a file in the folder.
 struct file_status
 {
     std::string name;
-    std::uint64_t version = 0; // 0: the file's absence
+    std::uint64_t version = 0; // 0: the removal of the file
     file_state state = file_state::Pending;
-    std::uint64_t generation = 0;  // in force where this was asked
-    std::string reason;            // for people; empty when in force
-    std::vector<problem> problems; // when refused, those of this file first
+    std::uint64_t generation = 0;  // in force in the process that answered
+    std::string reason;            // for operators to read; empty if in force
+    std::vector<problem> problems; // if refused: all of the folder, those of this file first
 };
 
 Json::Value toJson(const file_status &status);
--- a/libs/config/generations.cpp
+++ b/libs/config/generations.cpp
@@ -1,5 +1,5 @@
-// Sections: Questions and rounds | Time | One round, step by step | Reports of other processes |
-// For operators
+// Sections: Requests and rounds | Timing | Steps of a round | Reports of other processes |
+// Status for operators
 
 #include "config/generations.h"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t MaxKeptContents = 8; // of earlier generations, for processes that lag
+constexpr std::size_t MaxKeptContents = 8; // of earlier generations, for lagging processes
 constexpr std::size_t MaxReports = 10'000;
 
 void append(generation_actions &actions, generation_actions more)
@@ -21,7 +21,7 @@
     std::move(more.begin(), more.end(), std::back_inserter(actions));
 }
 
-// The files that belong to the folder, by name without its prefix.
+// Versions of the files that belong to the folder, by name without FolderPrefix.
 file_versions versionsOf(const std::vector<stored_object> &objects)
 {
     file_versions versions;
@@ -86,12 +86,12 @@
     return actions;
 }
 
-// --- Questions and rounds ------------------------------------------------------------------------
+// --- Requests and rounds -------------------------------------------------------------------------
 
-template <typename Question>
-generation_actions generation_manager::sendQuery(phase next, Question query, time_point now)
+template <typename Query>
+generation_actions generation_manager::sendQuery(phase nextPhase, Query query, time_point now)
 {
-    m_phase = next;
+    m_phase = nextPhase;
     m_deadline = now + m_settings.answerTimeout;
     query.request = ++m_lastRequest;
     return {std::move(query)};
@@ -116,15 +116,16 @@
     return endRound(now + m_settings.pollInterval);
 }
 
-// The folder changed while it was read: what was read is a mixture that no operator wrote.
-generation_actions generation_manager::restartRound(time_point now)
+// The folder changed while it was read, so the contents that were read may be a mixture of states
+// that no operator wrote.
+generation_actions generation_manager::abandonChangedRound(time_point now)
 {
     ++m_counters.changedListings;
     m_nextListing = now;
     return endRound(now + m_settings.pollInterval);
 }
 
-// --- Time ----------------------------------------------------------------------------------------
+// --- Timing --------------------------------------------------------------------------------------
 
 generation_actions generation_manager::onTick(time_point now)
 {
@@ -140,7 +141,7 @@
     return actions;
 }
 
-// Operators and their scripts may ask often: one look in `poll` is enough for all of them.
+// Operators and their scripts may ask often; one scan in each poll interval serves all of them.
 generation_actions generation_manager::onScanNow(time_point now)
 {
     if (now < m_nextScan)
@@ -157,9 +158,9 @@
     return now >= m_nextListing || isRowOutdated();
 }
 
-// The listing of a large folder, fetched in every round by every entry, would take more of the
-// network than all other control. Larger folders are listed less often; operators' tools say
-// `look_now`.
+// If every entry listed a large folder in every round, the listings would take more of the network
+// than all other control traffic. So larger folders are listed less often. Operators' tools don't
+// have to wait for it, since they send `scan_now`.
 void generation_manager::scheduleListing(const file_versions &listing, time_point now)
 {
     constexpr std::size_t ListingOverheadBytes = 40;
@@ -177,7 +178,7 @@
     return sendQuery(phase::ReadingRow, read_accepted_row{}, now);
 }
 
-// --- One round, step by step ---------------------------------------------------------------------
+// --- Steps of a round ----------------------------------------------------------------------------
 
 generation_actions generation_manager::onAcceptedRow(const accepted_row_read &event, time_point now)
 {
@@ -195,19 +196,22 @@
     m_rowVersion = event.row.version;
     m_isRowRead = true;
     generation_actions actions;
-    // The answer to a write was lost: the row tells whether it took effect. Without this an entry
-    // would report its own accepted edit as lost to somebody else.
+    // If the answer to an earlier write was lost, the row's operation id tells whether the write
+    // took effect. Without this check the entry would take the generation that it wrote itself for
+    // one of another entry.
     if (m_proposal && !m_unconfirmedOperation.empty()
         && m_acceptedRow.operationId == m_unconfirmedOperation) {
         m_unconfirmedOperation.clear();
         ++m_counters.confirmedByReadBack;
-        append(actions, m_follower.adoptContent(m_acceptedRow.generation, m_proposal->text));
+        append(actions,
+               m_follower.adoptContent(m_acceptedRow.generation, m_proposal->proposedText));
     }
     append(actions, m_follower.considerStored(m_acceptedRow.generation, m_acceptedRow.digest, now));
     const bool hasHighestKnown =
             m_follower.generation() > 0 && m_follower.generation() >= m_highestKnownAtRead;
-    // A newcomer that knows no more than a row restored from an older copy would give a number
-    // anew that another entry already works by; so it accepts nothing before it has listened.
+    // The row may have been restored from an older backup. An entry that has just started and knows
+    // only this row would assign a generation number that is already in force at another entry, so
+    // it accepts nothing before it has received its peers' reports.
     if (!hasHeardPeers(now) || !isListingDue(now)) {
         append(actions, endRound(now + m_settings.pollInterval));
     } else if (isRowOutdated() && hasHighestKnown) {
@@ -221,10 +225,10 @@
     return actions;
 }
 
-// A table that was restored from an older copy names a generation below one that was in force, or
-// another content for the same one. Taking it would revert an accepted configuration; so what is
-// in force is written again under a higher number, or, where its content is lost, the folder as it
-// stands now.
+// True if the table was restored from an older backup: its row has a lower generation than one that
+// was in force, or another content for the same generation. Following it would revert an accepted
+// configuration. So the content in force is written again under a higher number, or, if that
+// content is lost, the current state of the folder.
 bool generation_manager::isRowOutdated() const
 {
     if (m_acceptedRow.generation < m_highestKnownAtRead)
@@ -248,7 +252,7 @@
 generation_actions generation_manager::handleFirstListing(const file_versions &listing,
                                                           time_point now)
 {
-    m_listing = listing;
+    m_roundListing = listing;
     scheduleListing(listing, now);
     const auto folderDigest = digestOf(listing);
     const bool isAccepted = m_acceptedRow.generation > 0
@@ -259,8 +263,8 @@
     }
     if (m_refusal.folderDigest == folderDigest)
         return endRound(now + m_settings.pollInterval);
-    // An object store that comes back empty looks like an operator who removed every file, and
-    // would stop every service. Removing all takes a file that says so.
+    // An empty listing may mean that the object store lost its data; accepting it would stop every
+    // service. To remove everything, an operator leaves a file with an empty object.
     if (listing.empty()) {
         ++m_counters.refusedFolders;
         m_refusal = {folderDigest,
@@ -274,7 +278,7 @@
 generation_actions generation_manager::readChangedFiles(time_point now)
 {
     read_files query;
-    for (const auto &[name, version] : m_listing) {
+    for (const auto &[name, version] : m_roundListing) {
         const auto cached = m_cachedFiles.find(name);
         const bool isHeld = cached != m_cachedFiles.end() && cached->second.version == version;
         if (!isHeld && query.names.size() < m_settings.maxFilesPerRead)
@@ -291,33 +295,33 @@
         return {};
     if (!event.isAnswered)
         return failRound(now);
-    std::size_t held = 0;
+    std::size_t readCount = 0;
     for (const auto &object : event.objects) {
         if (!object.name.starts_with(FolderPrefix))
             continue;
         const auto name = object.name.substr(FolderPrefix.size());
-        if (object.version != versionIn(m_listing, name))
-            return restartRound(now);
+        if (object.version != versionIn(m_roundListing, name))
+            return abandonChangedRound(now);
         m_cachedFiles[name] = {object.version, object.content};
-        ++held;
+        ++readCount;
     }
-    if (held == 0)
-        return restartRound(now);
+    if (readCount == 0)
+        return abandonChangedRound(now);
     return readChangedFiles(now);
 }
 
 generation_actions generation_manager::handleSecondListing(const file_versions &listing,
                                                            time_point now)
 {
-    if (listing != m_listing)
-        return restartRound(now);
+    if (listing != m_roundListing)
+        return abandonChangedRound(now);
     return validateFolder(now);
 }
 
 std::vector<folder_file> generation_manager::filesOfListing()
 {
     std::erase_if(m_cachedFiles,
-                  [&](const auto &cached) { return !m_listing.contains(cached.first); });
+                  [&](const auto &cached) { return !m_roundListing.contains(cached.first); });
     std::vector<folder_file> files;
     for (const auto &[name, cached] : m_cachedFiles)
         files.push_back({name, cached.content});
@@ -326,41 +330,43 @@
 
 generation_actions generation_manager::validateFolder(time_point now)
 {
-    auto checked = checkFolder(filesOfListing(), m_settings.limits);
-    const auto folderDigest = digestOf(m_listing);
-    if (!checked.isAcceptable()) {
+    auto folderCheck = checkFolder(filesOfListing(), m_settings.limits);
+    const auto folderDigest = digestOf(m_roundListing);
+    if (!folderCheck.isAcceptable()) {
         ++m_counters.refusedFolders;
-        m_refusal = {folderDigest, std::move(checked.problems)};
+        m_refusal = {folderDigest, std::move(folderCheck.problems)};
         return endRound(now + m_settings.pollInterval);
     }
     m_refusal = {};
-    generation_content content{std::move(checked.mergedConfig), m_listing,
-                               std::move(checked.merged.overriddenBy)};
+    generation_content content{std::move(folderCheck.mergedConfig), m_roundListing,
+                               std::move(folderCheck.merged.overriddenBy)};
     return proposeGeneration(contentText(content), folderDigest, now);
 }
 
 generation_actions generation_manager::proposeGeneration(std::string text, std::string folderDigest,
                                                          time_point now)
 {
-    proposal next;
-    next.text = std::move(text);
-    next.row.generation =
+    proposal newProposal;
+    newProposal.proposedText = std::move(text);
+    newProposal.row.generation =
             std::max(m_acceptedRow.generation, m_follower.highestKnownGeneration()) + 1;
-    next.row.digest = digestOf(next.text);
-    next.row.folderDigest = std::move(folderDigest);
-    next.row.operationId = newOperationId();
-    auto earlier = m_acceptedRow.previousDigests;
+    newProposal.row.digest = digestOf(newProposal.proposedText);
+    newProposal.row.folderDigest = std::move(folderDigest);
+    newProposal.row.operationId = newOperationId();
+    auto earlierDigests = m_acceptedRow.previousDigests;
     if (m_acceptedRow.generation > 0)
-        earlier.insert(earlier.begin(), m_acceptedRow.digest);
-    std::erase(earlier, next.row.digest);
-    const auto kept = std::min(earlier.size(), MaxKeptContents);
-    next.row.previousDigests.assign(earlier.begin(),
-                                    earlier.begin() + static_cast<std::ptrdiff_t>(kept));
-    next.unneededDigests.assign(earlier.begin() + static_cast<std::ptrdiff_t>(kept), earlier.end());
-    m_proposal = std::move(next);
-    // The content goes first: a row whose content is missing could not be taken up by anyone.
+        earlierDigests.insert(earlierDigests.begin(), m_acceptedRow.digest);
+    std::erase(earlierDigests, newProposal.row.digest);
+    const auto keptCount = std::min(earlierDigests.size(), MaxKeptContents);
+    newProposal.row.previousDigests.assign(earlierDigests.begin(),
+                                           earlierDigests.begin()
+                                                   + static_cast<std::ptrdiff_t>(keptCount));
+    newProposal.unneededDigests.assign(
+            earlierDigests.begin() + static_cast<std::ptrdiff_t>(keptCount), earlierDigests.end());
+    m_proposal = std::move(newProposal);
+    // The content is written first, since no process could adopt a row whose content is missing.
     const auto name = std::string(MergedPrefix) + m_proposal->row.digest;
-    return sendQuery(phase::WritingContent, write_content{0, name, m_proposal->text}, now);
+    return sendQuery(phase::WritingContent, write_content{0, name, m_proposal->proposedText}, now);
 }
 
 generation_actions generation_manager::onContent(const content_written &event, time_point now)
@@ -394,22 +400,23 @@
         m_unconfirmedOperation.clear();
         return failRound(now);
     case write_outcome::Unknown:
-        // Neither taken as done nor tried again: the next round begins by reading the row back.
+        // Neither assumed as done nor repeated: the next round begins by reading the row, which
+        // tells.
         ++m_counters.unknownWrites;
         m_nextListing = now;
         return endRound(now);
     }
     ++m_counters.acceptedGenerations;
     m_unconfirmedOperation.clear();
-    auto actions = m_follower.adoptContent(m_proposal->row.generation, m_proposal->text);
+    auto actions = m_follower.adoptContent(m_proposal->row.generation, m_proposal->proposedText);
     for (const auto &digest : m_proposal->unneededDigests)
         actions.push_back(remove_content{std::string(MergedPrefix) + digest});
     endRound(now + m_settings.pollInterval);
     return actions;
 }
 
-// Never the same twice, also across restarts under the same id: an operation of an earlier life
-// must not pass for one of this life.
+// Unique also across restarts of a process with the same id: an operation of an earlier incarnation
+// must not be taken for one of this incarnation.
 std::string generation_manager::newOperationId()
 {
     const auto high = static_cast<std::uint64_t>(m_random()) << 32U;
@@ -462,13 +469,13 @@
         return known.second.report.role == "entry";
     });
     const bool haveAllReported = static_cast<std::size_t>(entries) >= m_settings.peerCount;
-    // Without the table the whole wait is used: one lost answer must not pass for an outage, in
-    // which the peers would be all there is to ask.
+    // Until the row was read, the entry waits for the full time: a single lost answer must not be
+    // taken for an outage of the table, in which the peers would be the only source.
     return haveAllReported && m_isRowRead;
 }
 
-// A newcomer that served at once would work by nothing, or by a generation that the others have
-// left: callers would be sent to services that are gone.
+// An entry that served callers right after its start would have no configuration or an outdated
+// one, and would send callers to services that no longer exist.
 void generation_manager::updateReadiness(time_point now)
 {
     if (m_isReady || generation() < m_follower.highestKnownGeneration() || !hasHeardPeers(now))
@@ -490,7 +497,7 @@
     m_latestFolderDigest = digestOf(listing);
 }
 
-// --- For operators -------------------------------------------------------------------------------
+// --- Status for operators ------------------------------------------------------------------------
 
 file_status generation_manager::statusOf(const std::string &name, std::uint64_t version) const
 {
@@ -509,7 +516,7 @@
         status.state = file_state::InForce;
     } else if (version > 0 && std::max(inForce, listed) > version) {
         status.state = file_state::Superseded;
-        status.reason = fmt::format("version {} has taken its place", std::max(inForce, listed));
+        status.reason = fmt::format("superseded by version {}", std::max(inForce, listed));
     } else if (version > 0 && listed == 0 && versionIn(m_removedVersions, name) >= version) {
         status.state = file_state::Superseded;
         status.reason = "the file was removed";
@@ -519,8 +526,8 @@
     return status;
 }
 
-// A refusal speaks of the folder as it was judged. Until a later listing is judged too, the reasons
-// against the earlier one would be told of its repair.
+// The problems belong to the state of the folder that was validated. They are not reported for a
+// newer listing that is not validated yet, since that may be the one that repairs them.
 const std::vector<problem> &generation_manager::problems() const
 {
     static const std::vector<problem> none;
--- a/libs/config/generations.h
+++ b/libs/config/generations.h
@@ -1,11 +1,18 @@
-// The entry's part in configuration: watches the operators' folder, accepts it as a generation by
-// a conditional write, and keeps the highest accepted generation in force.
+// Manages the configuration in an entry: polls the operators' folder, accepts its state as a new
+// generation by a conditional write, and puts the highest accepted generation in force. All entries
+// do this at once; no leader is needed.
 //
-// One round: read the accepted row and, where it is time, list the folder, read the files that
-// changed, list again, validate the whole, write the content, write the row on the condition that
-// it is still as read. Since the row is read before the folder is listed, a row that is still
-// unchanged at the write means that no newer listing was accepted meanwhile: generations follow the
-// folder's own order, whichever entries race.
+// One round of polling:
+// 1. Read the accepted row. End the round here if the folder needn't be listed yet.
+// 2. List the folder, read the files that changed, and list the folder again. If the two listings
+//    differ, the round is abandoned.
+// 3. Merge and validate all files.
+// 4. Write the content of the new generation, then the accepted row, on the condition that the row
+//    has not changed since step 1.
+//
+// The row is read before the folder is listed. So if the row is still unchanged when it is written,
+// no other entry has accepted a newer listing in the meantime. Generations therefore follow the
+// order of the changes to the folder, whichever entries race.
 #pragma once
 
 #include <cstdint>
@@ -25,34 +32,34 @@
 
 struct generation_manager_settings
 {
-    std::string process;             // id of this entry
-    std::size_t peerCount = 0;       // other entries that the settings name
-    milliseconds pollInterval{1000}; // between two looks at the accepted row
-    std::size_t maxListBytesPerSecond =
-            1024;                         // a second that looking at the folder may cost at most
-    milliseconds answerTimeout{1500};     // of the platform; then the outcome is unknown
-    milliseconds contentTimeout{1000};    // of a content; then the next source is asked
-    milliseconds peerListenTime{2000};    // a newcomer without the table listens this long to peers
-    milliseconds pushInterval{1000};      // between two pushes to processes that lag
-    milliseconds reportRetention{60'000}; // silence after which a process's report is dropped
-    std::size_t maxFilesPerRead = 32;     // files asked for at once
-    folder_limits limits;                 //
+    std::string process;                      // id of this entry
+    std::size_t peerCount = 0;                // number of other entries in the settings
+    milliseconds pollInterval{1000};          // between two rounds
+    std::size_t maxListBytesPerSecond = 1024; // limit on the average traffic of folder listings
+    milliseconds answerTimeout{1500};     // for the platform; after it a write's outcome is unknown
+    milliseconds contentTimeout{1000};    // for a content; after it the next source is tried
+    milliseconds peerListenTime{2000};    // longest wait for peers' reports after a start
+    milliseconds pushInterval{1000};      // between two pushes to lagging processes
+    milliseconds reportRetention{60'000}; // a process's report is dropped when it gets older
+    std::size_t maxFilesPerRead = 32;     // files requested at once
+    folder_limits limits;                 // bounds that the folder must keep
 };
 
 struct generation_manager_counters
 {
-    std::uint64_t rounds = 0;              // begun
-    std::uint64_t acceptedGenerations = 0; // generations that this entry wrote
-    std::uint64_t refusedFolders = 0;      // folders refused
-    std::uint64_t conflicts = 0;           // writes that lost to another entry
-    std::uint64_t unknownWrites = 0;       // answers lost
-    std::uint64_t confirmedByReadBack = 0; // of these, found in force by reading back
-    std::uint64_t changedListings = 0;     // rounds given up because the folder changed meanwhile
-    std::uint64_t platformFailures = 0;    // questions that the platform did not answer
-    std::uint64_t invalidRows = 0;         // accepted rows that could not be read
-    std::uint64_t rewrittenRows = 0;       // rows found lower than what is in force, written anew
+    std::uint64_t rounds = 0;              // rounds begun
+    std::uint64_t acceptedGenerations = 0; // generations whose row this entry wrote
+    std::uint64_t refusedFolders = 0;      // states of the folder that failed validation
+    std::uint64_t conflicts = 0;           // row writes that lost against another entry
+    std::uint64_t unknownWrites = 0;       // row writes with an unknown outcome
+    std::uint64_t confirmedByReadBack = 0; // of these, writes that a later read found applied
+    std::uint64_t changedListings = 0;     // rounds abandoned because the folder changed
+    std::uint64_t platformFailures = 0;    // requests that the platform did not answer
+    std::uint64_t invalidRows = 0;         // accepted rows that did not parse
+    std::uint64_t rewrittenRows = 0;       // outdated rows (restored from a backup) written again
 };
 
+// Returns actions instead of doing any input or output, like generation_follower.
 class generation_manager
 {
 public:
@@ -61,8 +68,8 @@
 
     generation_actions handle(const generation_event &event, time_point now);
 
-    // True once this entry may serve: it works by the highest generation that the table knows, or,
-    // with the table out of reach, that its peers know. Stays true.
+    // True once this entry may serve callers: the highest generation that the table, or, while the
+    // table is unreachable, the peers know is in force here. Stays true from then on.
     bool isReady() const { return m_isReady; }
 
     const generation_follower &follower() const { return m_follower; }
@@ -70,14 +77,14 @@
     generation_report report() const { return m_follower.report(); }
     const generation_manager_counters &counters() const { return m_counters; }
 
-    // Reports of the other processes, as last heard.
+    // Latest report of each other process.
     std::vector<received_report> reports() const;
 
-    // What became of one version of a file; version 0 asks for its removal.
+    // What became of one version of a file; version 0 means the removal of the file.
     file_status statusOf(const std::string &name, std::uint64_t version) const;
-    // All files of the folder and of the generation in force.
+    // Status of all files that are in the folder or in the generation in force.
     std::vector<file_status> files() const;
-    // Why the folder as last read is refused; none: it is not.
+    // Problems of the folder as last listed; empty unless it is refused.
     const std::vector<problem> &problems() const;
 
 private:
@@ -91,24 +98,26 @@
         Committing,
     };
 
+    // Content of a file of the folder, kept to read only files that changed.
     struct cached_file
     {
         std::uint64_t version = 0;
         std::string content;
     };
 
+    // The latest state of the folder that failed validation.
     struct refusal
     {
-        std::string folderDigest; // digest of the file versions that were refused
+        std::string folderDigest; // of the file versions
         std::vector<problem> problems;
     };
 
-    // What is to become the next generation.
+    // The generation that this entry is writing.
     struct proposal
     {
         accepted_row row;
-        std::string text;
-        std::vector<std::string> unneededDigests; // digests that no row names any more afterwards
+        std::string proposedText;
+        std::vector<std::string> unneededDigests; // contents to remove once the row is written
     };
 
     generation_actions onTick(time_point now);
@@ -132,12 +141,12 @@
     bool isListingDue(time_point now) const;
     void scheduleListing(const file_versions &listing, time_point now);
 
-    template <typename Question>
-    generation_actions sendQuery(phase next, Question query, time_point now);
+    template <typename Query>
+    generation_actions sendQuery(phase nextPhase, Query query, time_point now);
     bool isAwaited(phase expected, std::uint64_t request) const;
     generation_actions endRound(time_point nextRound);
     generation_actions failRound(time_point now);
-    generation_actions restartRound(time_point now);
+    generation_actions abandonChangedRound(time_point now);
     bool isRowOutdated() const;
     bool hasHeardPeers(time_point now) const;
     void rememberListing(const file_versions &listing);
@@ -155,21 +164,21 @@
 
     phase m_phase = phase::Idle;
     std::uint64_t m_lastRequest = 0;
-    time_point m_deadline{};    // of the question being waited for
+    time_point m_deadline{};    // of the pending request
     time_point m_nextRound{};   //
-    time_point m_nextListing{}; // the row is read in every round, the folder listed less often
-    time_point m_nextScan{};    // earliest answer to another `look_now`
+    time_point m_nextListing{}; // rounds before this time read only the row
+    time_point m_nextScan{};    // `scan_now` is ignored before this time
     time_point m_nextPush{};    //
 
-    bool m_isRowRead = false;               // in this life
+    bool m_isRowRead = false;               // read at least once since the start
     std::uint64_t m_rowVersion = 0;         // as read at the beginning of the round
-    accepted_row m_acceptedRow;             //
-    std::uint64_t m_highestKnownAtRead = 0; // generation known when the row was asked for
-    std::string m_unconfirmedOperation;     // a write whose answer was lost
-    file_versions m_listing;                // of this round
-    std::optional<file_versions> m_latestListing;
-    std::string m_latestFolderDigest; // its digest
-    file_versions m_removedVersions;  // last versions of files that have left the folder
+    accepted_row m_acceptedRow;             // as read at the beginning of the round
+    std::uint64_t m_highestKnownAtRead = 0; // highest known generation before the row was read
+    std::string m_unconfirmedOperation;     // operation id of a row write with unknown outcome
+    file_versions m_roundListing;           // first listing of this round
+    std::optional<file_versions> m_latestListing; // latest one, also of an abandoned round
+    std::string m_latestFolderDigest;             // of m_latestListing
+    file_versions m_removedVersions;              // last version of each file that was removed
     std::map<std::string, cached_file> m_cachedFiles;
     refusal m_refusal;
     std::optional<proposal> m_proposal;
--- a/libs/config/json_text.cpp
+++ b/libs/config/json_text.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t MaxShownLength = 80;
 
-// The parser names the line only in its message: "* Line 3, Column 5".
+// The parser tells the line only in its error message: "* Line 3, Column 5".
 int lineInMessage(const std::string &message)
 {
     constexpr std::string_view Mark = "Line ";
@@ -27,9 +27,9 @@
 {
     std::replace(message.begin(), message.end(), '\n', ' ');
     const auto column = message.find("Column ");
-    const auto gap = message.find("  ", column == std::string::npos ? 0 : column);
-    if (gap != std::string::npos)
-        message.erase(0, message.find_first_not_of(' ', gap));
+    const auto reasonGap = message.find("  ", column == std::string::npos ? 0 : column);
+    if (reasonGap != std::string::npos)
+        message.erase(0, message.find_first_not_of(' ', reasonGap));
     while (!message.empty() && message.back() == ' ')
         message.pop_back();
     return message;
--- a/libs/config/json_text.h
+++ b/libs/config/json_text.h
@@ -1,4 +1,4 @@
-// JSON text that remembers its lines, and the problems found in it.
+// Parsed JSON text with line numbers, and the problems that are found in it.
 #pragma once
 
 #include <string>
@@ -9,32 +9,32 @@
 
 namespace zinniabarrow::config {
 
-// One thing that is wrong in an operator's file.
+// Something wrong in an operator's file: its location, what was found and what is allowed.
 struct problem
 {
     std::string file;    // name of the file; empty: the folder as a whole
-    int line = 0;        // from 1; 0: no line can be named
-    std::string pointer; // JSON pointer of the member, "" for the whole text
-    std::string found;   // what the file says
-    std::string allowed; // what it may say
+    int line = 0;        // from 1; 0: the problem has no line
+    std::string pointer; // JSON pointer (RFC 6901) of the value; empty: the whole text
+    std::string found;   // what the file contains
+    std::string allowed; // what it may contain
     bool operator==(const problem &) const = default;
 };
 
-// "file:line: pointer: found …, allowed: …"
+// "file:line: pointer: found …; allowed: …"
 std::string toText(const problem &problem);
 Json::Value toJson(const problem &problem);
-problem problemFromJson(const Json::Value &value);
+problem problemFromJson(const Json::Value &value); // throws BadRequest
 
-// A parsed text with the line of each of its values.
+// A parsed text that knows the line of each of its values.
 class json_text
 {
 public:
-    // Parses strictly; throws `syntax_error` on text that is not one JSON value.
+    // Parses strict JSON. Throws `syntax_error` if `text` is not exactly one JSON value.
     json_text(std::string file, std::string text);
 
     const std::string &file() const { return m_file; }
     const Json::Value &root() const { return m_root; }
-    int lineOf(const Json::Value &value) const; // `value` must lie inside `root()`
+    int lineOf(const Json::Value &value) const; // from 1; `value` must be part of `root()`
 
 private:
     std::string m_file;
@@ -42,19 +42,20 @@
     Json::Value m_root;
 };
 
-// The text is no JSON: half-written, duplicate keys, or a slip.
+// Thrown for text that is not valid JSON, such as a file that was only half written, or that has
+// duplicate keys.
 struct syntax_error
 {
     problem detail;
 };
 
-// The pointer of a member or an element inside `parent` (RFC 6901).
+// The JSON pointer (RFC 6901) of a member or element of the value at `parent`.
 std::string childPointer(const std::string &parent, std::string_view name);
 
-// One value on one line; numbers in the shortest form that reads back the same.
+// The value as JSON on one line. Numbers have the shortest form that parses to the same value.
 std::string valueText(const Json::Value &value);
 
-// One value on one line, cut to a length that fits a message.
+// A description for messages: the number of members or elements, or the value, cut if it is long.
 std::string shortText(const Json::Value &value);
 
 } // namespace zinniabarrow::config
--- a/libs/config/operator_view.cpp
+++ b/libs/config/operator_view.cpp
@@ -37,7 +37,8 @@
     lagging_process result;
     result.report = generationReportFromJson(value);
     if (!value["silence_ms"].isInt64() || !value["reason"].isString())
-        throw error(error_kind::BadRequest, "members reason and silence_ms are missing");
+        throw error(error_kind::BadRequest,
+                    "members reason and silence_ms are missing or of the wrong type");
     const bool isSilent = value["reason"].asString() == nameOf(lag_reason::Silent);
     result.reason = isSilent ? lag_reason::Silent : lag_reason::Behind;
     result.silence = milliseconds(value["silence_ms"].asInt64());
@@ -54,7 +55,7 @@
     view.localReport = manager.report();
     view.isReady = manager.isReady();
     view.otherProcessCount = reports.size();
-    view.lagging = findLaggingProcesses(reports, manager.generation(), now, silenceLimit);
+    view.laggingProcesses = findLaggingProcesses(reports, manager.generation(), now, silenceLimit);
     view.files = manager.files();
     view.problems = manager.problems();
     return view;
@@ -66,7 +67,7 @@
     value["here"] = toJson(view.localReport);
     value["ready"] = view.isReady;
     value["processes"] = Json::UInt64(view.otherProcessCount);
-    value["lagging"] = toJsonArray(view.lagging);
+    value["lagging"] = toJsonArray(view.laggingProcesses);
     value["files"] = toJsonArray(view.files);
     value["problems"] = toJsonArray(view.problems);
     return value;
@@ -75,14 +76,15 @@
 folder_view folderViewFromJson(const Json::Value &value)
 {
     folder_view view;
-    for (const auto &lagging : arrayMember(value, "lagging"))
-        view.lagging.push_back(laggingProcessFromJson(lagging));
+    for (const auto &laggingRecord : arrayMember(value, "lagging"))
+        view.laggingProcesses.push_back(laggingProcessFromJson(laggingRecord));
     for (const auto &file : arrayMember(value, "files"))
         view.files.push_back(fileStatusFromJson(file));
     for (const auto &problem : arrayMember(value, "problems"))
         view.problems.push_back(problemFromJson(problem));
     if (!value["ready"].isBool() || !value["processes"].isUInt64())
-        throw error(error_kind::BadRequest, "members ready and processes are missing");
+        throw error(error_kind::BadRequest,
+                    "members ready and processes are missing or of the wrong type");
     view.localReport = generationReportFromJson(value["here"]);
     view.isReady = value["ready"].asBool();
     view.otherProcessCount = value["processes"].asUInt64();
@@ -94,8 +96,8 @@
     auto table = fmt::format("generation {} in force at {} ({}), {} other processes, {} lagging\n",
                              view.localReport.generation, view.localReport.process,
                              view.isReady ? "ready" : "not ready", view.otherProcessCount,
-                             view.lagging.size());
-    for (const auto &[report, reason, silenceLimit] : view.lagging) {
+                             view.laggingProcesses.size());
+    for (const auto &[report, reason, silenceLimit] : view.laggingProcesses) {
         table += fmt::format("  {:<24} {:<6} generation {:<8} {:<7} last heard {} ms ago\n",
                              report.process, report.role, report.generation, nameOf(reason),
                              silenceLimit.count());
@@ -134,8 +136,8 @@
     if (file.state == file_state::Superseded)
         return rollout_state::Superseded;
     const bool isInForceHere = file.state == file_state::InForce;
-    return isInForceHere && view.lagging.empty() ? rollout_state::InForceEverywhere
-                                                 : rollout_state::Waiting;
+    return isInForceHere && view.laggingProcesses.empty() ? rollout_state::InForceEverywhere
+                                                          : rollout_state::Waiting;
 }
 
 } // namespace zinniabarrow::config
--- a/libs/config/operator_view.h
+++ b/libs/config/operator_view.h
@@ -1,4 +1,4 @@
-// What operators see of the configuration: a table for people, JSON for programs.
+// The state of the configuration as operators see it: as a table for people, as JSON for programs.
 #pragma once
 
 #include <cstddef>
@@ -13,33 +13,34 @@
 
 namespace zinniabarrow::config {
 
-// The configuration as one entry knows it.
+// The state of the configuration folder as one entry knows it.
 struct folder_view
 {
-    generation_report localReport;        // of the entry that answers
-    bool isReady = false;                 // it may serve
-    std::size_t otherProcessCount = 0;    // others that it has heard of
-    std::vector<lagging_process> lagging; // of these, at an older generation or silent
-    std::vector<file_status> files;       //
-    std::vector<problem> problems;        // why the folder as it stands is refused
+    generation_report localReport;                 // of the entry that answers
+    bool isReady = false;                          // the entry may serve callers
+    std::size_t otherProcessCount = 0;             // processes whose reports it has
+    std::vector<lagging_process> laggingProcesses; // of these, the ones that are behind or silent
+    std::vector<file_status> files;                //
+    std::vector<problem> problems;                 // why the folder is refused; empty if it is not
 };
 
+// Lists a process as lagging if its last report is older than `silenceLimit`.
 folder_view folderViewOf(const generation_manager &manager, time_point now,
                          milliseconds silenceLimit = milliseconds(3000));
 Json::Value toJson(const folder_view &view);
 folder_view folderViewFromJson(const Json::Value &value); // throws BadRequest
-std::string toTable(const folder_view &view);
+std::string toTable(const folder_view &view);             // text of several lines
 
-// Result of the offline check of a folder.
+// Result of checking a folder without a running system, as lines of text and as a JSON array.
 std::string problemTable(const std::vector<problem> &problems);
 Json::Value problemsToJson(const std::vector<problem> &problems);
 
-// How far one version of a file has come.
+// How far a version of a file has been rolled out.
 enum class rollout_state {
-    Waiting,           // not judged, or some process still lags: look again
-    InForceEverywhere, // in force at every process that was heard of
-    Refused,
-    Superseded,
+    Waiting,           // not validated yet, or some process still lags: ask again later
+    InForceEverywhere, // in force in every known process
+    Refused,           // as file_state::Refused
+    Superseded,        // as file_state::Superseded
 };
 std::string_view nameOf(rollout_state state);
 
--- a/libs/config/report_throttle.h
+++ b/libs/config/report_throttle.h
@@ -1,4 +1,4 @@
-// When the generation that a process works by goes along with a message that is sent anyway.
+// Decides which heartbeats carry a generation report.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +10,9 @@
 
 namespace zinniabarrow::config {
 
-// A report is most of a heartbeat's bytes and rarely news. It goes with every message until that
-// one was answered, and then again after a while: the receiver forgets reports that it does not
-// hear for `generation_settings::forgetAfter`.
+// A report makes up most of a heartbeat's bytes and rarely changes. So it is included in every
+// message until the receiver has answered one that carried it, and then repeated at intervals,
+// because a receiver drops reports older than `generation_manager_settings::reportRetention`.
 class report_throttle
 {
 public:
@@ -20,9 +20,11 @@
         : m_repeatInterval(repeatInterval)
     { }
 
+    // True if the next message to `receiver` should carry `report`.
     bool isDue(const std::string &receiver, const generation_report &report, time_point now) const;
+    // The receiver has answered a message that carried `report`.
     void recordAnswer(const std::string &receiver, const generation_report &report, time_point now);
-    // The receiver was replaced, or says that it knows nothing.
+    // The receiver was replaced, or reports that it lost its state: send the report again.
     void resetReceiver(const std::string &receiver) { m_acknowledged.erase(receiver); }
 
 private:
@@ -35,7 +37,7 @@
 
     const milliseconds m_repeatInterval;
     std::map<std::string, acknowledged_report>
-            m_acknowledged; // by receiver; bounded by the settings' entries
+            m_acknowledged; // by receiver; as many as the settings have entries
 };
 
 } // namespace zinniabarrow::config
--- a/libs/config/resources.h
+++ b/libs/config/resources.h
@@ -1,11 +1,12 @@
-// Amounts of resources in settings and in the folder.
+// Reads and writes amounts of resources in settings and in the configuration folder.
 #pragma once
 
 #include "base/resources.h"
 
 namespace zinniabarrow {
 
-// Found by argument-dependent look-up from config/fields.h, so in the namespace of resources.
+// Called from config/fields.h through argument-dependent look-up, hence in the namespace of
+// `resources`.
 template <typename Archive>
 void describe(Archive &archive, resources &size)
 {
--- a/libs/config/schema.cpp
+++ b/libs/config/schema.cpp
@@ -1,4 +1,4 @@
-// GCC 12 warns wrongly inside <regex>, which valijson includes, once sanitizers are on.
+// GCC 12 with sanitizers gives a false warning inside <regex>, which valijson includes.
 #if defined(__GNUC__) && !defined(__clang__)
 #pragma GCC diagnostic ignored "-Wmaybe-uninitialized"
 #endif
@@ -107,7 +107,7 @@
     return fmt::format("{}", fmt::join(parts, ", "));
 }
 
-// Walks text and schema together and names each fault where it lies.
+// Compares a value with a schema recursively and reports each problem with its location.
 class schema_checker
 {
 public:
@@ -226,7 +226,7 @@
     return definition["type"].isArray();
 }
 
-// A definition names one type, or one type and null.
+// The type of a definition is a name, or an array of a name and "null".
 std::string typeName(const Json::Value &types)
 {
     return types.isArray() ? types[0].asString() : types.asString();
@@ -295,8 +295,9 @@
     auto problems = finder.takeProblems();
     if (!problems.empty())
         return problems;
-    // The schema library has the last word: a word of the schema that the walk above does not
-    // know must refuse the text rather than let it pass without a place.
+    // schema_checker supports only some keywords of JSON Schema. The library checks all of them: a
+    // problem that only the library finds is reported without a line of its own rather than
+    // accepted.
     valijson::Validator validator;
     valijson::ValidationResults results;
     const valijson::adapters::JsonCppAdapter target(root);
@@ -305,7 +306,7 @@
         for (const auto &fault : results) {
             const auto pointer = fmt::format("{}", fmt::join(fault.context, ""));
             problems.push_back({location.file, location.line, pointer,
-                                "a value that the schema refuses", fault.description});
+                                "a value that violates the schema", fault.description});
         }
     }
     return problems;
--- a/libs/config/schema.h
+++ b/libs/config/schema.h
@@ -1,5 +1,5 @@
-// JSON schemas: the verdict on a text, and for each fault its line, what was found, what is
-// allowed.
+// Checks JSON texts against a JSON schema. For each problem the result has the line, what was found
+// and what is allowed.
 #pragma once
 
 #include <functional>
@@ -14,18 +14,20 @@
 
 namespace zinniabarrow::config {
 
-// Where the value at `pointer` was written. A missing member is asked for with its own pointer and
-// the value of its parent.
+// File and line of a value.
 struct text_location
 {
     std::string file;
-    int line = 0;
+    int line = 0; // from 1; 0: unknown
 };
+
+// Returns the location of the value at `pointer`. For a missing member it is called with the
+// pointer of that member and the value of its parent.
 using location_finder =
         std::function<text_location(const std::string &pointer, const Json::Value &value)>;
 
-// A compiled schema. Beside JSON Schema's own words it knows the formats "name" (letters, digits,
-// '.', '_' and '-'), "ip" and "ip:port".
+// A compiled schema. In addition to the keywords of JSON Schema it supports the formats "name" (see
+// `isName`), "ip" (an IP address) and "ip:port" (see `parseEndpoint`).
 class json_schema
 {
 public:
@@ -36,6 +38,7 @@
     json_schema &operator=(const json_schema &) = delete;
 
     const Json::Value &definition() const { return m_definition; }
+    // The problems of the text; empty if it is valid.
     std::vector<problem> check(const json_text &text) const;
     std::vector<problem> check(const Json::Value &root, const location_finder &locationOf) const;
 
@@ -45,19 +48,21 @@
     std::unique_ptr<compiled> m_compiled;
 };
 
-// The values that the schema's "default" members give, as one object.
+// An object with the "default" values of the schema.
 Json::Value defaultsOf(const Json::Value &definition);
 
-// The definition for a text that is merged with others: members may be missing, and null deletes.
+// Converts a schema to that of a merge patch (RFC 7396): any member may be missing, and null
+// deletes a member.
 Json::Value patchSchemaOf(Json::Value definition);
 
-// One line on what a value may be: "an integer from 1 to 65535".
+// Describes in one line what a value may be, such as "integer from 1 to 65535".
 std::string describeAllowed(const Json::Value &definition);
 
-// A Markdown table with a row for each scalar or array below: key, allowed, default, meaning.
+// A Markdown table for the documentation, with a row for each scalar or array: key, allowed,
+// default, meaning.
 std::string schemaTable(const Json::Value &definition);
 
-// True for 1 to 63 letters, digits, '.', '_' and '-', the first a letter or digit.
+// True for 1 to 63 ASCII letters, digits, '.', '_' and '-' that start with a letter or digit.
 bool isName(std::string_view text);
 
 } // namespace zinniabarrow::config
--- a/libs/config/settings.cpp
+++ b/libs/config/settings.cpp
@@ -29,7 +29,8 @@
     return nameOf(RoutingPolicyNames, policy);
 }
 
-// Found by argument-dependent look-up from fields.h, so not in the unnamed namespace.
+// Called from config/fields.h through argument-dependent look-up, hence outside the unnamed
+// namespace.
 static void fromName(const std::string &name, routing_policy &policy)
 {
     policy = enumFromName(RoutingPolicyNames, name);
@@ -197,7 +198,7 @@
     }
 }
 
-// Refuses a pair of settings that cannot hold together, at the line of `key`.
+// Throws unless two settings are consistent. The message has the line of `key`.
 void requireConsistent(bool isConsistent, const json_text &text, const Json::Value &parent,
                        const char *key, const std::string &pointer, const std::string &allowed)
 {
--- a/libs/config/settings.h
+++ b/libs/config/settings.h
@@ -1,4 +1,5 @@
-// Settings of the two daemon roles: JSON text, checked against a schema, into plain structs.
+// Settings of the two kinds of daemons, entry and agent. Settings files are JSON; they are checked
+// against a schema and read into plain structs.
 #pragma once
 
 #include <cstddef>
@@ -19,107 +20,122 @@
 
 struct listen_settings
 {
-    std::string address;               // IP number of this process
-    std::uint16_t port = 0;            // 0: any free port
-    std::optional<endpoint> advertise; // told to the others; none: the address above
+    std::string address;               // IP address to listen on
+    std::uint16_t port = 0;            // TCP port; 0: any free port
+    std::optional<endpoint> advertise; // told to other processes, if they reach this one under
+                                       // another address; empty: the address listened on
 };
 
 struct platform_settings
 {
     endpoint address;           // of the platform's table and object store
-    milliseconds timeout{1000}; // for one read or write; then its outcome is unknown
+    milliseconds timeout{1000}; // for one read or write; after it the outcome is unknown
 };
 
+// Retry budget for callers' requests.
 struct retry_settings
 {
-    double budgetShare = 0.1; // retries allowed for each first try
-    double minPerSecond = 3;  // retries a second that are always allowed
+    double budgetShare = 0.1; // retries allowed for each first attempt
+    double minPerSecond = 3;  // retries per second that are always allowed
 };
 
-// How much each of the three measures counts when they pull apart; only their ratios matter.
+// Weights of the three goals of placement where they conflict; only the ratios matter.
 struct policy_weights
 {
-    double tailLatency = 1;  // of services
-    double throughput = 0.5; // of batch jobs
-    double evictions = 0.5;  // fewer is better
+    double tailLatency = 1;  // low tail latency of services
+    double throughput = 0.5; // high throughput of batch jobs
+    double evictions = 0.5;  // few evictions
 };
 
 struct placement_settings
 {
     milliseconds tickInterval{100};       // between two rounds of placement
-    std::size_t backlogPerWorker = 4;     // batch tasks placed ahead; 0: none
+    std::size_t backlogPerWorker = 4;     // batch tasks placed ahead on each worker, to start while
+                                          // the platform is down; 0: none
     std::size_t maxTasksPerCommit = 64;   // tasks written in one transaction of the table
-    std::size_t jobQuarantineWorkers = 3; // distinct workers a job fails on before it is held
-    std::size_t workerQuarantineJobs = 3; // distinct jobs that fail on a worker before it is left
-    std::size_t evictionsPerMinute = 6;   // by one entry, for interference
+    std::size_t jobQuarantineWorkers = 3; // a job that failed on so many distinct workers is
+                                          // quarantined
+    std::size_t workerQuarantineJobs = 3; // a worker on which so many distinct jobs failed is
+                                          // quarantined
+    std::size_t evictionsPerMinute = 6;   // limit for evictions by one entry due to interference
 };
 
+// How an upstream is chosen for a request.
 enum class routing_policy { TwoChoices, RoundRobin, LeastKnownLoad };
 std::string_view nameOf(routing_policy policy);
 
 struct routing_settings
 {
     routing_policy policy = routing_policy::TwoChoices;
-    double spillThreshold =
-            1; // share of the own zone's slots in use above which other zones are used
+    double spillThreshold = 1; // if a larger share of the own availability zone's slots is in
+                               // use, requests spill to other zones
 };
 
-// One entry: carries callers' requests, schedules workers, accepts configuration.
+// An entry carries callers' requests, places jobs and services on workers, and accepts
+// configuration.
 struct entry_settings
 {
-    std::string id;                           // unique among all processes
-    std::string region;                       //
-    std::string zone;                         // availability zone
-    listen_settings listen;                   // for callers
-    listen_settings rpc;                      // for entries and agents
-    std::vector<endpoint> peers;              // rpc addresses of the other entries; none
-    platform_settings platform;               //
-    std::size_t shards = 1;                   // the workers are split into; alike on all entries
-    milliseconds shardLease{1'800'000};       // owner's lease on a shard: the horizon of an outage
-    milliseconds agentLease{15'000};          // short lease given to agents, without the table
-    milliseconds clockMargin{500};            // added wherever another process's lease must be over
-    milliseconds announceTimeout{3000};       // after which an announcer counts as gone
-    std::size_t maxAnswerBytes = 67'108'864;  // of an answer; large ones are streamed
-    std::size_t maxBodyBytes = 1'048'576;     // of a caller's request
-    std::size_t maxConnections = 256;         // of callers at once; a thread each
-    std::size_t maxConnectionsPerAddress = 0; // of one caller's address; 0: no bound
-    milliseconds requestReadTimeout{10'000};  // from a request's first byte until it is whole
-    milliseconds answerWriteTimeout{30'000};  // until the caller has taken its answer
-    milliseconds defaultRequestDeadline{10'000}; // for requests that name none
+    std::string id;                          // unique among all processes
+    std::string region;                      //
+    std::string zone;                        // availability zone
+    listen_settings listen;                  // for callers
+    listen_settings rpc;                     // for entries and agents
+    std::vector<endpoint> peers;             // rpc addresses of the other entries; may be empty
+    platform_settings platform;              //
+    std::size_t shards = 1;                  // number of shards of workers; equal on all entries
+    milliseconds shardLease{1'800'000};      // of an entry on a shard; tasks keep running through a
+                                             // platform outage of at most this length
+    milliseconds agentLease{15'000};         // that a shard's owner gives to agents by itself,
+                                             // without a write to the table
+    milliseconds clockMargin{500};           // waited in addition before another process's lease
+                                             // counts as expired
+    milliseconds announceTimeout{3000};      // a process that sent no announcement for this long
+                                             // counts as gone
+    std::size_t maxAnswerBytes = 67'108'864; // body of an answer; large bodies are streamed
+    std::size_t maxBodyBytes = 1'048'576;    // body of a caller's request
+    std::size_t maxConnections = 256;        // callers' connections at once; each has a thread
+    std::size_t maxConnectionsPerAddress = 0; // connections at once from one address; 0: no limit
+    milliseconds requestReadTimeout{10'000};  // from the first to the last byte of a request
+    milliseconds answerWriteTimeout{30'000};  // until the caller has received its answer
+    milliseconds defaultRequestDeadline{10'000}; // for requests without a deadline
     retry_settings retry;                        //
-    milliseconds drainTimeout{30'000};           // longest wait for requests in flight at a stop
-    policy_weights weights;                      //
-    milliseconds configPollInterval{1000};       // between two looks at the accepted generation
-    placement_settings placement;                //
-    routing_settings routing;                    //
-    log_level logLevel = log_level::Info;        // lowest level written
+    milliseconds drainTimeout{30'000};     // longest wait for requests in flight before a stop
+    policy_weights weights;                //
+    milliseconds configPollInterval{1000}; // between two polls of the accepted generation
+    placement_settings placement;          //
+    routing_settings routing;              //
+    log_level logLevel = log_level::Info;  // lowest level that is logged
 };
 
 struct upstream_settings
 {
-    endpoint address;             // of the upstream beside the agent
-    std::string service;          // that it serves
-    std::size_t slots = 8;        // requests it runs at once
-    std::size_t connections = 64; // it accepts at once
+    endpoint address;             // of the upstream on the agent's instance
+    std::string service;          // service that the upstream serves
+    std::size_t slots = 8;        // requests that it processes at once
+    std::size_t connections = 64; // connections that it accepts at once
 };
 
 struct worker_settings
 {
-    endpoint address; // of the worker's own interface
+    endpoint address; // of the worker's control interface
     std::string id;   // unique among all workers
-    std::string pool; // instance pool it belongs to
-    resources size;   // all it has
+    std::string pool; // instance pool that the worker belongs to
+    resources size;   // total resources of the worker
 };
 
 struct agent_lease_settings
 {
-    milliseconds clockMargin{500};  // stop this long before a lease from the owner ends
-    milliseconds taskLease{10'000}; // given to the worker for each task; outlasts an agent restart
-    milliseconds renewInterval{1000};       // between two renewals of the tasks' leases
-    milliseconds ownerReportInterval{4000}; // between two reports that the owner answers
+    milliseconds clockMargin{500};    // a lease from the owner counts as expired this long before
+                                      // its end
+    milliseconds taskLease{10'000};   // given to the worker for each task; long enough to outlast a
+                                      // restart of the agent
+    milliseconds renewInterval{1000}; // between two renewals of the task leases
+    milliseconds ownerReportInterval{4000}; // between two reports to the shard's owner, while it
+                                            // answers; renewInterval otherwise
 };
 
-// One agent: admits requests to its upstream, runs the tasks of its worker, announces both.
+// An agent admits requests to its upstream, runs the tasks of its worker, and announces both to the
+// entries.
 struct agent_settings
 {
     std::string id;                          // unique among all processes
@@ -127,27 +143,29 @@
     std::string zone;                        // availability zone
     std::string rack;                        //
     listen_settings listen;                  // for entries: requests and rpc
-    std::vector<endpoint> entries;           // their rpc addresses; one or more
+    std::vector<endpoint> entries;           // rpc addresses of the entries; at least one
     upstream_settings upstream;              //
     worker_settings worker;                  //
     milliseconds announceInterval{500};      // between two announcements
     agent_lease_settings lease;              //
-    std::size_t queueLength = 16;            // requests that wait for a slot
-    std::size_t maxBodyBytes = 1'048'576;    // of a request
-    std::size_t maxAnswerBytes = 67'108'864; // of an answer; large ones are streamed
-    milliseconds drainTimeout{30'000};       // longest wait for requests in flight at a stop
-    log_level logLevel = log_level::Info;    // lowest level written
+    std::size_t queueLength = 16;            // most requests that wait for a slot
+    std::size_t maxBodyBytes = 1'048'576;    // body of a request
+    std::size_t maxAnswerBytes = 67'108'864; // body of an answer; large bodies are streamed
+    milliseconds drainTimeout{30'000};       // longest wait for requests in flight before a stop
+    log_level logLevel = log_level::Info;    // lowest level that is logged
 };
 
-// Throw error BadSettings; its text has a line for each fault: file, line, what was found and what
-// is allowed. Unknown keys are faults.
+// Parse a settings file; `fileName` is used only in error messages. They throw error BadSettings;
+// its text has one line for each problem: file, line, JSON pointer, what was found and what is
+// allowed. Unknown keys are problems too.
 entry_settings entrySettingsFrom(const std::string &fileName, const std::string &text);
 agent_settings agentSettingsFrom(const std::string &fileName, const std::string &text);
 
 Json::Value toJson(const entry_settings &settings);
 Json::Value toJson(const agent_settings &settings);
 
-// The schemas; docs/SETTINGS.md is made from them (`schemaTable`).
+// The schemas of the settings files. The tables in docs/SETTINGS.md are generated from them with
+// `schemaTable`.
 const Json::Value &entrySettingsSchema();
 const Json::Value &agentSettingsSchema();
 
--- a/libs/config/settings_schema.h
+++ b/libs/config/settings_schema.h
@@ -1,4 +1,4 @@
-// Schemas of the two settings files, embedded in the binary.
+// JSON schemas of the settings files of entries and agents, embedded in the binary.
 #pragma once
 
 namespace zinniabarrow::config {
--- a/libs/config/validate.cpp
+++ b/libs/config/validate.cpp
@@ -18,7 +18,7 @@
 
 struct dimension
 {
-    const char *name; // as in the files
+    const char *name; // key in the files
     std::int64_t resources::*amount;
 };
 
@@ -28,7 +28,8 @@
         dimension{"accelerators", &resources::accelerators},
 };
 
-// Sums that stop at the largest number: a wrapped sum would let an absurd folder fit its pool.
+// Saturating arithmetic: on overflow a sum would wrap around, and a folder with absurdly large
+// numbers would seem to fit its pools.
 std::int64_t cappedSum(std::int64_t a, std::int64_t b)
 {
     std::int64_t sum = 0;
@@ -43,13 +44,13 @@
 
 resources multiplied(const resources &size, std::int64_t count)
 {
-    resources all;
+    resources totalSize;
     for (const auto &dimension : Dimensions)
-        all.*dimension.amount = cappedProduct(size.*dimension.amount, count);
-    return all;
+        totalSize.*dimension.amount = cappedProduct(size.*dimension.amount, count);
+    return totalSize;
 }
 
-// The first dimension in which `size` is over `limit`, or null.
+// The first dimension in which `size` exceeds `limit`, or null.
 const dimension *exceededDimension(const resources &size, const resources &limit)
 {
     for (const auto &dimension : Dimensions) {
@@ -69,15 +70,15 @@
     return count;
 }
 
-// What a service or job needs of others; both are checked alike.
+// What a service or job requires of its team and pool; both kinds are checked alike.
 struct resource_requirement
 {
-    std::string pointer; // "/services/tickets"
+    std::string pointer; // JSON pointer, such as "/services/tickets"
     std::string team;
     std::string pool;
     resources size;            // of one replica or task
-    std::int64_t replicas = 0; // that run at once whatever happens; 0 for jobs
-    text_location place;       // where it was first written
+    std::int64_t replicas = 0; // that must run at once; 0 for jobs, whose tasks can wait
+    text_location definedAt;   // of its first occurrence in the files
 };
 
 class configuration_checker
@@ -96,22 +97,22 @@
     }
 
 private:
-    // In the order in which they were written, so that of two files that are too much together the
-    // later one is refused.
+    // In the order of files and lines, so that if two files together exceed a limit, the problem is
+    // reported for the later one.
     std::vector<resource_requirement> requirementsInFileOrder() const
     {
-        std::vector<resource_requirement> all;
+        std::vector<resource_requirement> requirements;
         for (const auto &[name, service] : m_config.services)
-            all.push_back(
+            requirements.push_back(
                     requirementOf(childPointer("/services", name), service, service.replicas));
         for (const auto &[name, job] : m_config.jobs)
-            all.push_back(requirementOf(childPointer("/jobs", name), job, 0));
-        std::stable_sort(all.begin(), all.end(),
+            requirements.push_back(requirementOf(childPointer("/jobs", name), job, 0));
+        std::stable_sort(requirements.begin(), requirements.end(),
                          [](const resource_requirement &a, const resource_requirement &b) {
-                             return std::pair(a.place.file, a.place.line)
-                                    < std::pair(b.place.file, b.place.line);
+                             return std::pair(a.definedAt.file, a.definedAt.line)
+                                    < std::pair(b.definedAt.file, b.definedAt.line);
                          });
-        return all;
+        return requirements;
     }
 
     template <typename Spec>
@@ -168,15 +169,15 @@
                  "the quota of team " + requirement.team);
     }
 
-    // Replicas of services run all at once, so their sum must fit; tasks of jobs wait for room.
+    // All replicas of services run at once, so their sum must fit. Tasks of jobs wait for capacity.
     void addToSum(resources &sum, const resource_requirement &requirement, const resources &limit,
                   const std::string &limitName)
     {
-        const auto all = multiplied(requirement.size, requirement.replicas);
+        const auto requiredSum = multiplied(requirement.size, requirement.replicas);
         for (const auto &dimension : Dimensions) {
             auto &amount = sum.*dimension.amount;
             const auto before = amount;
-            amount = cappedSum(amount, all.*dimension.amount);
+            amount = cappedSum(amount, requiredSum.*dimension.amount);
             const auto limitAmount = limit.*dimension.amount;
             if (before <= limitAmount && amount > limitAmount) {
                 report(requirement.pointer,
--- a/libs/config/validate.h
+++ b/libs/config/validate.h
@@ -1,5 +1,6 @@
-// Validation of the whole folder before any of it is accepted: each file against its schema, the
-// merged whole against its own, references, and sums against pools and quotas.
+// Validates a configuration folder as a whole before any part of it is accepted: each file and the
+// merged folder against their schemas, references to pools and teams, and sums of resources against
+// pools and quotas.
 #pragma once
 
 #include <cstddef>
@@ -10,23 +11,23 @@
 
 namespace zinniabarrow::config {
 
+// Limits on the size of a folder.
 struct folder_limits
 {
-    std::size_t maxFiles = 4096;            //
+    std::size_t maxFiles = 4096;            // number of files
     std::size_t maxFileBytes = 256 * 1024;  // of one file
     std::size_t maxBytes = 8 * 1024 * 1024; // of all files together
 };
 
 struct folder_check
 {
-    std::vector<problem> problems; // none: the folder may be accepted
-    merged_folder merged;          // empty when a file is broken by itself
-    configuration mergedConfig;    // only where there are no problems
+    std::vector<problem> problems; // empty: the folder may be accepted
+    merged_folder merged;          // left empty if limits are exceeded or a single file is invalid
+    configuration mergedConfig;    // set only if the merged folder satisfies its schema
     bool isAcceptable() const { return problems.empty(); }
 };
 
-// Files that do not belong to the folder (`isFolderFile`) are ignored. `files` may come in any
-// order.
+// Validates these files, in any order. Files for which `isFolderFile` is false are ignored.
 folder_check checkFolder(const std::vector<folder_file> &files, const folder_limits &limits = {});
 
 } // namespace zinniabarrow::config
--- a/tests/config_docs_test.cpp
+++ b/tests/config_docs_test.cpp
@@ -1,4 +1,6 @@
-// Pages that are made from the schemas. ZB_WRITE_DOCS=1 writes the tables anew.
+// Guards against documentation that differs from the program: tables of settings that are generated
+// from the schemas, and limits of the folder. With ZB_WRITE_DOCS=1 the test writes the tables again
+// instead of comparing them.
 #include <cstdlib>
 #include <fstream>
 
--- a/tests/config_files.h
+++ b/tests/config_files.h
@@ -1,4 +1,4 @@
-// Files that the tests of the configuration share.
+// Configuration files that several tests share.
 #pragma once
 
 #include <filesystem>
@@ -29,7 +29,7 @@
     return files;
 }
 
-// One pool and one team that services and jobs can refer to.
+// A file with one pool and one team that services and jobs can refer to.
 inline std::string baseFile()
 {
     return R"({
--- a/tests/config_records_test.cpp
+++ b/tests/config_records_test.cpp
@@ -50,7 +50,8 @@
     view.localReport = {"entry-1", "entry", 7, "abc-1"};
     view.isReady = true;
     view.otherProcessCount = 3;
-    view.lagging = {{{"agent-02", "agent", 6, "abd-1"}, lag_reason::Behind, milliseconds(120)}};
+    view.laggingProcesses = {
+            {{"agent-02", "agent", 6, "abd-1"}, lag_reason::Behind, milliseconds(120)}};
     const problem fault{"b.json", 4, "/services/holds/team", "unknown team \"x\"", "gate"};
     view.files = {{"a.json", 12, file_state::InForce, 7, "", {}},
                   {"b.json", 15, file_state::Refused, 7, toText(fault), {fault}}};
@@ -60,8 +61,9 @@
 
 } // namespace
 
-// A peer answers with another content, another with nothing, a third in time. The process must not
-// work by a wrong configuration, and must not give up while someone has the right one.
+// One peer answers with a wrong content, another doesn't answer, a third one answers correctly. The
+// process must not put a wrong configuration in force, and must keep trying while some peer has the
+// right one.
 Test(config_records, follower)
 {
     generation_follower agent({"a1", "agent", milliseconds(1000)});
@@ -71,16 +73,16 @@
     const auto *query = contentQueryIn(actions);
     require(query && query->peer == "e1" && query->digest == digestOf(text));
     const auto first = *query;
-    section("another content is not adopted; the next source is asked", [&] {
+    section("a wrong content is not adopted; the next source is tried", [&] {
         agent.handle(reportOf("e2", 5, text), Start);
         actions = agent.handle(content_read{first.request, true, older}, Start);
         query = contentQueryIn(actions);
         require(query && query->peer == "e2");
         check(agent.generation() == 0 && agent.counters().invalidContents == 1);
     });
-    section("a source that is silent is left after a second", [&] {
+    section("a source that does not answer is given up after a second", [&] {
         check(agent.handle(tick{}, Start + milliseconds(900)).empty());
-        check(agent.handle(tick{}, Start + milliseconds(1000)).empty()); // all asked: pause
+        check(agent.handle(tick{}, Start + milliseconds(1000)).empty()); // all sources tried: pause
         actions = agent.handle(tick{}, Start + milliseconds(2000));
         query = contentQueryIn(actions);
         require(query && query->peer == "e1");
@@ -93,7 +95,7 @@
         check(agent.mergedConfig()->services.at("tickets").replicas == 2);
         check(agent.contentTextFor(digestOf(text)) == text && !agent.contentTextFor("other"));
     });
-    section("lower generations change nothing, whoever names them", [&] {
+    section("lower generations change nothing, whatever their source", [&] {
         check(agent.handle(reportOf("e3", 4, older), Start).empty());
         check(agent.considerStored(5, digestOf(older), Start).empty());
         check(agent.adoptContent(3, older).empty());
@@ -109,7 +111,7 @@
 
 Test(config_records, messages)
 {
-    section("records come back as they were", [] {
+    section("records are unchanged after conversion to JSON and back", [] {
         const generation_report report{"e1", "entry", 7, "abc"};
         check(generationReportFromJson(toJson(report)) == report);
         const auto content = contentOf(3);
@@ -117,7 +119,7 @@
         const auto view = exampleView();
         check(toJson(folderViewFromJson(toJson(view))) == toJson(view));
     });
-    section("wrong input is refused and names the member", [] {
+    section("malformed input is refused with an error that names the member", [] {
         check(refusalOf(generationReportFromJson, R"({"process": "e1", "role": "entry"})")
               == "member generation is missing");
         check(refusalOf(generationReportFromJson,
@@ -135,14 +137,15 @@
         check(refusalOf(folderViewFromJson, "{}") == "member lagging must be an array");
         check(refusalOf(generationEventFromJson, R"({"event": "nothing"})") == "unknown event");
     });
-    section("mangled messages never do worse than an error", [] {
-        const auto whole = compactJson(toJson(exampleView())) + contentText(contentOf(1));
+    section("randomly corrupted messages cause at most an error", [] {
+        const auto characterSource = compactJson(toJson(exampleView())) + contentText(contentOf(1));
         for (std::uint64_t seed = 0; seed < 3000; ++seed) {
             random_generator random(seed);
             auto text =
                     seed % 2 == 0 ? compactJson(toJson(exampleView())) : contentText(contentOf(1));
             for (auto count = 1 + drawIndex(random, 3); count > 0; --count)
-                text[drawIndex(random, text.size())] = whole[drawIndex(random, whole.size())];
+                text[drawIndex(random, text.size())] =
+                        characterSource[drawIndex(random, characterSource.size())];
             refusalOf(folderViewFromJson, seed % 2 == 0 ? text : "{}");
             refusalOf([&](const Json::Value &) { return contentFromText(text); }, "{}");
         }
@@ -151,7 +154,7 @@
 
 Test(config_records, operators_view)
 {
-    section("the table for people", [] {
+    section("the table for operators", [] {
         const auto table = toTable(exampleView());
         check(table
               == "generation 7 in force at entry-1 (ready), 3 other processes, 1 lagging\n"
@@ -164,14 +167,14 @@
                  "the folder as it stands is refused:\n"
                  "b.json:4: /services/holds/team: found unknown team \"x\"; allowed: gate\n");
     });
-    section("how far a file has come", [] {
+    section("the rollout state of a file", [] {
         auto view = exampleView();
         check(rolloutStateOf(view, view.files[0]) == rollout_state::Waiting);
         check(rolloutStateOf(view, view.files[1]) == rollout_state::Refused);
-        view.lagging.clear();
+        view.laggingProcesses.clear();
         check(rolloutStateOf(view, view.files[0]) == rollout_state::InForceEverywhere);
     });
-    section("laggards are behind or silent", [] {
+    section("lagging processes are behind or silent", [] {
         const std::vector<received_report> reports{{{"a", "agent", 6, ""}, Start},
                                                    {{"b", "agent", 7, ""}, Start},
                                                    {{"c", "agent", 7, ""}, Start - seconds(4)}};
@@ -181,9 +184,10 @@
     });
 }
 
-// An operator waits for a change to be in force everywhere. An agent tells its generation with its
-// heartbeats, and leaves it out once it is known; were it left out before the entry had it, or for
-// longer than entries remember, the agent would look behind or silent.
+// An agent reports its generation with its heartbeats, and leaves the report out once the entry has
+// answered it. If it left the report out too early, or for longer than entries keep reports, the
+// agent would seem to be behind or silent, and an operator would wait in vain for a change to be in
+// force everywhere.
 Test(config_records, when_a_generation_is_told)
 {
     report_throttle pace(seconds(4));
@@ -196,8 +200,9 @@
         check(!pace.isDue("e1", first, start + milliseconds(3'999)));
         check(pace.isDue("e2", first, start));
     });
-    section("again after a while", [&] { check(pace.isDue("e1", first, start + seconds(4))); });
-    section("at once when it has changed, also if the answer to an older one comes late", [&] {
+    section("again after the repeat interval",
+            [&] { check(pace.isDue("e1", first, start + seconds(4))); });
+    section("at once when it has changed, also if the answer to an older report arrives late", [&] {
         check(pace.isDue("e1", second, start));
         pace.recordAnswer("e1", first, start + seconds(1));
         check(pace.isDue("e1", second, start + seconds(1)));
--- a/tests/config_session_test.cpp
+++ b/tests/config_session_test.cpp
@@ -1,5 +1,6 @@
-// A whole session of one entry as JSON lines: each event in, with the actions that came out. The
-// test replays the events and compares every line to the byte. ZB_WRITE_GOLDEN=1 records it anew.
+// Guards against unintended changes in the behaviour of generation_manager. A recorded session of
+// one entry has one JSON line for each event, with the actions that it caused. The test replays the
+// events and compares all lines byte by byte. ZB_WRITE_GOLDEN=1 records the session again.
 #include <cstdlib>
 #include <fstream>
 #include <sstream>
@@ -22,7 +23,7 @@
 namespace {
 
 const std::string GoldenPath = "tests/golden/config_session.jsonl";
-constexpr std::uint64_t SessionSeed = 1; // of the first life in config_world
+constexpr std::uint64_t SessionSeed = 1; // of the first incarnation in config_simulation
 
 std::string sessionLine(time_point at, const generation_event &event,
                         const generation_actions &actions)
@@ -39,7 +40,8 @@
 const std::string Tickets = R"({"services": {"tickets": {"team": "gate", "pool": "rink",
 "replicas": 2, "size": {"millicores": 100, "bytes": 10}}}})";
 
-// Start, an edit, a refused edit and its repair, a lost answer, a conflict, a platform outage.
+// Records a start, an edit, a refused edit and its repair, a lost answer, a conflict and a platform
+// outage.
 std::string recordSession()
 {
     std::string session;
@@ -111,12 +113,12 @@
     if (std::getenv("ZB_WRITE_GOLDEN"))
         std::ofstream(GoldenPath) << recordSession();
     const auto golden = fileText(GoldenPath);
-    section("the session tells of every turn", [&] {
+    section("the recorded session covers all cases", [&] {
         for (const auto *part : {"adopt_generation", "commit_generation", "\"unknown\"",
                                  "\"conflict\"", "push_generation", "nobody", "\"answered\":false"})
             check(golden.find(part) != std::string::npos);
     });
-    section("and replays", [&] {
+    section("the replay gives the same lines", [&] {
         const auto again = replayed(golden);
         check(again.size() == golden.size());
         check(again == golden);
--- a/tests/config_simulation.h
+++ b/tests/config_simulation.h
@@ -1,5 +1,10 @@
-// Entries, agents and the in-memory platform in virtual time, with faults at chosen steps. Every
-// run checks what must always hold of generations.
+// Simulates entries, agents and the in-memory platform in virtual time, with faults injected at
+// chosen steps. Each run checks the invariants of generations, listed below.
+//
+// - In each process the generation in force only rises.
+// - Each generation has one content, and no invalid configuration is ever in force.
+// - Accepted generations only rise, and no file in one is older than in the generation before.
+// - An entry isn't ready until it has at least the generation that was accepted when it started.
 #pragma once
 
 #include <algorithm>
@@ -18,14 +23,14 @@
 
 using namespace zinniabarrow::config;
 
-// What happens to one question or message on its way.
+// A fault that is injected into one request or message.
 enum class fault {
     None,
-    Unreachable,    // refused before anything happened
-    LostQuery,      // never arrived; no answer
-    LostReply,      // took effect; no answer
-    UnknownOutcome, // took effect; the client says that it does not know
-    Delayed,        // takes effect and is answered long after the asker has given up
+    Unreachable,    // refused; had no effect
+    LostQuery,      // never arrives, so it has no effect and no answer
+    LostReply,      // takes effect, but the answer is lost
+    UnknownOutcome, // takes effect, but the client reports an unknown outcome
+    Delayed,        // takes effect and is answered long after the sender's timeout
 };
 
 struct simulated_process
@@ -33,13 +38,13 @@
     std::string id;
     std::unique_ptr<generation_manager> manager;   // of an entry
     std::unique_ptr<generation_follower> follower; // of an agent
-    int incarnation = 0;                           // raised by every end
+    int incarnation = 0;                           // raised each time the process ends
     bool isAlive = false;
     bool isCutFromPlatform = false;
     bool isCutFromPeers = false;
     bool wasReady = false;
-    std::uint64_t minReadyGeneration = 0; // accepted when this life began
-    std::uint64_t lastAdopted = 0;        // in this life
+    std::uint64_t minReadyGeneration = 0; // accepted when this incarnation started
+    std::uint64_t lastAdopted = 0;        // in this incarnation
     time_point pausedUntil{};
     time_point nextAnnounce{};
 
@@ -60,11 +65,11 @@
     memory_platform platform;
     bool isPlatformDown = false;
     time_point now{seconds(1000)};
-    int step = 0;           // questions and messages so far, announcements aside
-    int platformReads = 0;  // as they reached it
+    int step = 0;           // requests and messages so far, without announcements
+    int platformReads = 0;  // requests that reached the platform
     int platformWrites = 0; //
     milliseconds maxConvergenceTime{
-            0}; // from a generation's acceptance until all live processes had it
+            0}; // from the acceptance of a generation until it is in force in all live processes
 
     void addEntry(const std::string &id, std::size_t peers = 0)
     {
@@ -112,21 +117,21 @@
         platform.removeObject(std::string(FolderPrefix) + name, std::nullopt);
     }
 
-    // An operator's command asks this entry to look.
+    // An operator's command makes this entry scan the folder now.
     void scanNow(const std::string &id) { deliver(id, process(id).incarnation, scan_now{}); }
 
-    void runAfter(milliseconds delay, std::function<void()> chosenFault)
+    void runAfter(milliseconds delay, std::function<void()> callback)
     {
-        m_queue.emplace(now + delay, std::move(chosenFault));
+        m_queue.emplace(now + delay, std::move(callback));
     }
 
     void runFor(milliseconds length)
     {
         for (const auto end = now + length; now < end; now += Delay) {
             while (!m_queue.empty() && m_queue.begin()->first <= now) {
-                const auto chosenFault = std::move(m_queue.begin()->second);
+                const auto callback = std::move(m_queue.begin()->second);
                 m_queue.erase(m_queue.begin());
-                chosenFault();
+                callback();
             }
             if (now >= m_nextTick)
                 tickAll();
@@ -140,7 +145,7 @@
         return row ? acceptedRowFromJson(row->value).generation : 0;
     }
 
-    // All live processes work by the accepted generation.
+    // True if the accepted generation is in force in all live processes.
     bool hasConverged() const
     {
         return acceptedGeneration() > 0 && haveAllReached(acceptedGeneration());
@@ -193,19 +198,20 @@
                 continue;
             simulated.nextAnnounce = now + AnnounceInterval;
             for (const auto &[other, target] : m_processes) {
-                if (target.manager) // agents hear only what is pushed
+                if (target.manager) // agents receive no announcements, only pushed reports
                     send(simulated, target, simulated.usedFollower().report());
             }
         }
     }
 
-    void deliver(const std::string &id, int life, const generation_event &event)
+    void deliver(const std::string &id, int targetIncarnation, const generation_event &event)
     {
         auto &simulated = process(id);
-        if (!simulated.isAlive || simulated.incarnation != life)
+        if (!simulated.isAlive || simulated.incarnation != targetIncarnation)
             return;
         if (now < simulated.pausedUntil) {
-            m_queue.emplace(simulated.pausedUntil, [=, this] { deliver(id, life, event); });
+            m_queue.emplace(simulated.pausedUntil,
+                            [=, this] { deliver(id, targetIncarnation, event); });
             return;
         }
         const auto actions = simulated.manager ? simulated.manager->handle(event, now)
@@ -216,7 +222,7 @@
         checkReady(simulated);
     }
 
-    // A newcomer must not serve by less than was accepted when it began.
+    // An entry must not be ready before it has the generation that was accepted when it started.
     static void checkReady(simulated_process &simulated)
     {
         if (!simulated.manager || simulated.wasReady || !simulated.manager->isReady())
@@ -244,9 +250,10 @@
         check(adopted.generation > simulated.lastAdopted);
         simulated.lastAdopted = adopted.generation;
         const auto known = m_digests.emplace(adopted.generation, adopted.digest).first;
-        check(known->second == adopted.digest); // one content for one generation
+        check(known->second == adopted.digest); // each generation has one content
         for (const auto &[name, service] : adopted.mergedConfig->services)
-            check(adopted.mergedConfig->teams.contains(service.team)); // never an invalid whole
+            check(adopted.mergedConfig->teams.contains(
+                    service.team)); // never an invalid configuration
     }
 
     void pushReport(const simulated_process &simulated, const push_generation &push)
@@ -267,8 +274,8 @@
     {
         if (&from == &to || !to.isAlive || from.isCutFromPeers || to.isCutFromPeers)
             return;
-        runAfter(Delay, [=, this, id = to.id, life = to.incarnation] {
-            deliver(id, life, report_received{report});
+        runAfter(Delay, [=, this, id = to.id, targetIncarnation = to.incarnation] {
+            deliver(id, targetIncarnation, report_received{report});
         });
     }
 
@@ -280,9 +287,9 @@
                 isToPeer ? simulated.isCutFromPeers : simulated.isCutFromPlatform || isPlatformDown;
         if (isCut)
             chosenFault = fault::Unreachable;
-        const auto reply = [=, this, id = simulated.id,
-                            life = simulated.incarnation](const generation_event &event) {
-            runAfter(Delay, [=, this] { deliver(id, life, event); });
+        const auto reply = [=, this, id = simulated.id, targetIncarnation = simulated.incarnation](
+                                   const generation_event &event) {
+            runAfter(Delay, [=, this] { deliver(id, targetIncarnation, event); });
         };
         if (chosenFault == fault::LostQuery)
             return;
@@ -301,7 +308,8 @@
 
     generation_event answerTo(const generation_action &action)
     {
-        return std::visit([this](const auto &simulated) { return answer(simulated); }, action);
+        return std::visit([this](const auto &specificAction) { return answer(specificAction); },
+                          action);
     }
 
     generation_event answer(const read_accepted_row &query)
@@ -329,9 +337,9 @@
     {
         if (!query.peer.empty()) {
             const auto &peer = process(query.peer);
-            const bool isThere = peer.isAlive && !peer.isCutFromPeers;
+            const bool isReachable = peer.isAlive && !peer.isCutFromPeers;
             const auto text =
-                    isThere ? peer.usedFollower().contentTextFor(query.digest) : std::nullopt;
+                    isReachable ? peer.usedFollower().contentTextFor(query.digest) : std::nullopt;
             return content_read{query.request, text.has_value(), text.value_or("")};
         }
         ++platformReads;
@@ -352,10 +360,13 @@
             checkAcceptance();
         return generation_committed{query.request, result};
     }
-    generation_event answer(const auto &) { return tick{}; } // not asked
+    generation_event answer(const auto &)
+    {
+        return tick{};
+    } // for actions without an answer; never called
 
-    // Accepted generations only rise, their content is there, and no file of one is older than in
-    // the one before.
+    // Accepted generations only rise, their content is stored, and no file in one is older than in
+    // the generation before.
     void checkAcceptance()
     {
         const auto row = acceptedRowFromJson(platform.read(std::string(AcceptedRowKey))->value);
@@ -371,11 +382,12 @@
     }
 
     std::map<std::string, simulated_process> m_processes;
-    std::map<std::string, std::size_t> m_peers; // settings of each entry
+    std::map<std::string, std::size_t> m_peers; // setting of each entry
     std::multimap<time_point, std::function<void()>> m_queue;
     time_point m_nextTick{};
     std::map<std::uint64_t, std::string> m_digests;
-    std::map<std::uint64_t, time_point> m_acceptedAt; // not yet everywhere
+    std::map<std::uint64_t, time_point>
+            m_acceptedAt; // of generations that aren't in force everywhere yet
     std::uint64_t m_highestAccepted = 0;
     file_versions m_acceptedFiles;
     int m_incarnationCount = 0;
--- a/tests/content_slice_test.cpp
+++ b/tests/content_slice_test.cpp
@@ -1,4 +1,5 @@
-// An agent's part of the configuration: bytes a change, and what lost, late and older answers do.
+// Tests the content slices that agents fetch: the bytes for each change, and that lost, late, wrong
+// or outdated answers never put a wrong configuration in force.
 #include <cstdio>
 
 #include "base/errors.h"
@@ -38,7 +39,7 @@
     return generation_follower(settings);
 }
 
-// An entry that works by `generation`.
+// An entry in which this generation is in force.
 struct entry_with_content
 {
     entry_with_content(std::uint64_t generation, const generation_content &content)
@@ -54,18 +55,18 @@
     return std::get<read_content>(actions[0]);
 }
 
-// Question and answer over the wire; counts their bytes.
+// Converts query and answer to JSON text and back, as between processes, and counts their bytes.
 content_read askOverWire(const generation_follower &entry, const read_content &query,
                          std::size_t &bytes)
 {
-    const auto asked = compactJson(toJson(query));
-    const auto answered =
-            compactJson(answerReadContent(entry, readContentFromJson(parseJson(asked))));
-    bytes += asked.size() + answered.size();
-    return contentReadFromJson(query.request, parseJson(answered));
+    const auto queryText = compactJson(toJson(query));
+    const auto answerText =
+            compactJson(answerReadContent(entry, readContentFromJson(parseJson(queryText))));
+    bytes += queryText.size() + answerText.size();
+    return contentReadFromJson(query.request, parseJson(answerText));
 }
 
-// The agent hears of the entry's generation and takes it up; returns the bytes that it cost.
+// The agent receives the entry's report and adopts its generation. Returns the bytes transferred.
 std::size_t followEntry(generation_follower &agent, const generation_follower &entry)
 {
     std::size_t bytes = 0;
@@ -75,7 +76,7 @@
     return bytes;
 }
 
-// What the same change costs a process that asks for the whole.
+// The bytes that the same change takes for a process that fetches the whole content.
 std::size_t wholeBytes(const generation_follower &entry)
 {
     generation_follower wholeFollower(follower_settings{"agent", "agent"});
@@ -84,8 +85,9 @@
 
 } // namespace
 
-// 1,200 changes a day at 2 KB a second leave 144 kB for each change, however many jobs all teams
-// have. What an agent asks for must not grow with them; the generation still rises at every agent.
+// The control traffic must not grow with the number of jobs: 1,200 changes a day at 2 KB per second
+// leave 144 kB for each change. So the bytes that an agent fetches for a change must not depend on
+// the jobs of all teams, though the generation rises at every agent.
 Test(content_slice, bytes_of_a_change)
 {
     for (const int jobs : {1'000, 10'000}) {
@@ -110,49 +112,54 @@
     }
 }
 
-// An operator is told that a change is in force when each process says so. An agent must never say
-// it without the content, nor go back: answers are lost, late, cut, or "you have it" to one that
-// hasn't.
-Test(content_slice, answers_that_go_wrong)
+// An operator sees a change as in force when every process reports its generation. Answers can be
+// lost, late or truncated, or omit a content that the agent doesn't hold. The agent must never
+// report a generation without its content, nor return to an older one.
+Test(content_slice, faulty_answers)
 {
     const entry_with_content first(1, contentOf(10, 3));
     const entry_with_content second(2, contentOf(10, 4));
     std::size_t bytes = 0;
-    section("a lost answer is asked for again, and a late one after a newer changes nothing", [&] {
-        auto agent = agentFollower();
-        const auto lost =
-                contentQueryIn(agent.handle(report_received{first.follower.report()}, Start));
-        const auto late = askOverWire(first.follower, lost, bytes);
-        generation_actions again;
-        for (auto now = Start; again.empty() && now < Start + seconds(5); now += milliseconds(100))
-            again = agent.handle(tick{}, now);
-        agent.handle(askOverWire(first.follower, contentQueryIn(again), bytes), Start);
-        check(agent.generation() == 1);
-        followEntry(agent, second.follower);
-        check(agent.handle(late, Start).empty() && agent.generation() == 2);
-        check(agent.content().mergedConfig.services.at("tickets").replicas == 4);
-    });
-    section("an entry that works by another generation by now gives nothing", [&] {
+    section("after a lost answer the query is repeated; a late answer after a newer one changes "
+            "nothing",
+            [&] {
+                auto agent = agentFollower();
+                const auto lost = contentQueryIn(
+                        agent.handle(report_received{first.follower.report()}, Start));
+                const auto late = askOverWire(first.follower, lost, bytes);
+                generation_actions again;
+                for (auto now = Start; again.empty() && now < Start + seconds(5);
+                     now += milliseconds(100))
+                    again = agent.handle(tick{}, now);
+                agent.handle(askOverWire(first.follower, contentQueryIn(again), bytes), Start);
+                check(agent.generation() == 1);
+                followEntry(agent, second.follower);
+                check(agent.handle(late, Start).empty() && agent.generation() == 2);
+                check(agent.content().mergedConfig.services.at("tickets").replicas == 4);
+            });
+    section("an entry with another generation in force answers without content", [&] {
         auto agent = agentFollower();
         const auto query =
                 contentQueryIn(agent.handle(report_received{first.follower.report()}, Start));
         check(!askOverWire(second.follower, query, bytes).isFound);
     });
-    section("a cut slice, and another agent's under this digest", [&] {
-        for (const bool isCut : {true, false}) {
-            auto agent = agentFollower();
-            const auto query =
-                    contentQueryIn(agent.handle(report_received{first.follower.report()}, Start));
-            auto answer = askOverWire(first.follower, query, bytes);
-            if (isCut)
-                answer.content.pop_back();
-            else
-                answer.content = contentText(makeSlice(contentOf(10, 3), {"lockers", "shared"}));
-            agent.handle(answer, Start);
-            check(agent.generation() == 0 && agent.counters().invalidContents == 1);
-        }
-    });
-    section("\"you have it\" to a newcomer, or for another slice", [&] {
+    section("a truncated slice, and the slice of another agent under this digest, are refused",
+            [&] {
+                for (const bool isCut : {true, false}) {
+                    auto agent = agentFollower();
+                    const auto query = contentQueryIn(
+                            agent.handle(report_received{first.follower.report()}, Start));
+                    auto answer = askOverWire(first.follower, query, bytes);
+                    if (isCut)
+                        answer.content.pop_back();
+                    else
+                        answer.content =
+                                contentText(makeSlice(contentOf(10, 3), {"lockers", "shared"}));
+                    agent.handle(answer, Start);
+                    check(agent.generation() == 0 && agent.counters().invalidContents == 1);
+                }
+            });
+    section("an answer that omits the content is refused by an agent that holds none", [&] {
         auto agent = agentFollower();
         const auto query =
                 contentQueryIn(agent.handle(report_received{first.follower.report()}, Start));
@@ -163,37 +170,38 @@
     });
 }
 
-// Processes are replaced one by one, the agents first.
-Test(content_slice, releases_side_by_side)
+// During an upgrade processes of two releases run together: processes are replaced one by one, the
+// agents first. Each must be able to fetch contents from the other release.
+Test(content_slice, mixed_releases)
 {
     const entry_with_content entry(1, contentOf(10, 3));
-    section("an older entry ignores the scope and gives the whole", [&] {
+    section("an older entry ignores the scope and answers with the whole content", [&] {
         auto agent = agentFollower();
         auto query = contentQueryIn(agent.handle(report_received{entry.follower.report()}, Start));
         query.scope.reset();
         std::size_t bytes = 0;
         agent.handle(askOverWire(entry.follower, query, bytes), Start);
         check(agent.generation() == 1 && agent.digest() == entry.follower.digest());
-        section("then a newer one a slice, and an older one the whole again", [&] {
+        section("then a newer entry answers with a slice", [&] {
             followEntry(agent, entry_with_content(2, contentOf(10, 4)).follower);
             check(agent.generation() == 2 && agent.content().mergedConfig.jobs.empty());
         });
     });
-    section("an older agent and an entry ask for the whole", [&] {
+    section("an older agent and an entry request the whole content", [&] {
         generation_follower wholeFollower(follower_settings{"agent", "agent"});
         followEntry(wholeFollower, entry.follower);
         check(wholeFollower.content().mergedConfig.jobs.size() == 10);
     });
-    section("an agent gives nobody its slice for the whole", [&] {
+    section("an agent does not offer its slice as the whole content", [&] {
         auto agent = agentFollower();
         followEntry(agent, entry.follower);
         check(!agent.contentTextFor(entry.follower.digest()));
     });
 }
 
-// A question is read before it reaches the entry's configuration duty: a broken one that threw
-// there would end the duty, and no configuration would come into force any more.
-Test(content_slice, broken_questions)
+// A malformed query must be refused before it reaches the entry's configuration actor. An exception
+// there would end the actor, and no configuration would come into force any more.
+Test(content_slice, malformed_queries)
 {
     for (const auto *text : {R"({})", R"({"digest":7})", R"({"digest":"d","scope":"tickets"})",
                              R"({"digest":"d","scope":{"service":"tickets"}})",
--- a/tests/folder_test.cpp
+++ b/tests/folder_test.cpp
@@ -42,24 +42,24 @@
 
 Test(folder, merge)
 {
-    section("the later name wins, member by member", [] {
+    section("files with later names take precedence, member by member", [] {
         const auto result = checkWithBase({{"b.json", service(R"("replicas": 3, "port": 80)")},
                                            {"a.json", Tickets},
                                            {"c.json", service(R"("replicas": 2)")}});
         const auto &tickets = result.mergedConfig.services.at("tickets");
         check(tickets.replicas == 2 && tickets.port == 80 && tickets.team == "gate");
-        section("and each value knows its file and line", [&] {
+        section("the file and line of each value are known", [&] {
             check(result.merged.locationOf("/services/tickets/replicas").file == "c.json");
             check(result.merged.locationOf("/services/tickets/port").file == "b.json");
             check(result.merged.locationOf("/services/tickets/none").file == "a.json");
         });
     });
-    section("arrays are replaced whole", [] {
+    section("arrays are replaced as a whole", [] {
         const auto result =
                 checkWithBase({{"a.json", R"({"pools": {"rink": {"zones": ["imereti-a"]}}})"}});
         check(result.mergedConfig.pools.at("rink").zones == std::vector<std::string>{"imereti-a"});
     });
-    section("null deletes a member, an object or a kind", [] {
+    section("null deletes a member, an object, or all objects of a kind", [] {
         const auto one = checkWithBase({{"a.json", Tickets},
                                         {"b.json", service(R"("replicas": 7)")},
                                         {"c.json", service(R"("replicas": null)")}});
@@ -72,31 +72,32 @@
         const auto nothing = checkWithBase({{"a.json", R"({"jobs": {"absent": null}})"}});
         check(nothing.isAcceptable());
     });
-    section("what was deleted starts from nothing when a later file gives it again", [] {
+    section("an object that is deleted and then given again does not keep its earlier members", [] {
         const auto again = checkWithBase({{"a.json", Tickets},
                                           {"b.json", R"({"services": {"tickets": null}})"},
                                           {"c.json", service(R"("replicas": 2)")}});
         check(again.problems.size() == 3); // team, pool and size are gone
         check(again.problems.front().file == "c.json");
     });
-    section("a file without a value left is named with the file that took its place", [] {
+    section("a file whose values are all replaced is reported, with the replacing file", [] {
         const auto result = checkWithBase({{"a.json", Tickets},
                                            {"b.json", service(R"("replicas": 2)")},
                                            {"c.json", service(R"("replicas": 3)")}});
         check(result.merged.overriddenBy
               == (std::map<std::string, std::string>{{"b.json", "c.json"}}));
     });
-    section("other files in the folder are left alone", [] {
+    section("other files in the folder are ignored", [] {
         check(checkWithBase({{"README.md", "# no JSON"}, {".a.json.swp", "{"}, {"a.json", Tickets}})
                       .isAcceptable());
     });
 }
 
-// An operator sees file, line, what was found and what is allowed, and nothing of the folder is
-// taken up: half an edit in force would be a configuration that nobody wrote.
+// For an invalid folder an operator sees file, line, what was found and what is allowed, and no
+// part of the folder is accepted: if a part of an edit came into force, the configuration would be
+// one that nobody wrote.
 Test(folder, validation)
 {
-    section("half a file, an unknown key, a wrong type", [] {
+    section("a truncated file, an unknown key, a wrong type", [] {
         check(firstProblem({{"a.json", "{\n\"jobs\": {"}}).starts_with("a.json:2: /: found "));
         check(firstProblem({{"a.json", "{\n\n\"job\": {}}"}})
               == "a.json:3: /job: found unknown key \"job\"; allowed: jobs, pools, services, "
@@ -109,18 +110,18 @@
                       .find("/jobs/a~1b: found the name")
               != std::string::npos);
     });
-    section("a member that no file gives", [] {
+    section("a required member that no file contains", [] {
         check(firstProblem({{"a.json", service(R"("team": "gate", "pool": "rink")")}})
                       .starts_with("a.json:1: /services/tickets/size: found nothing; allowed: "));
     });
-    section("references", [] {
+    section("references to unknown teams and pools", [] {
         check(firstProblem({{"a.json", Tickets}, {"b.json", service("\n\n\"team\": \"gates\"")}})
               == "b.json:3: /services/tickets/team: found unknown team \"gates\"; allowed: gate");
         check(firstProblem({{"a.json", Tickets}, {"b.json", R"({"pools": {"rink": null}})"}})
               == "a.json:1: /services/tickets/pool: found unknown pool \"rink\"; allowed: none, as "
                  "the folder has no pool");
     });
-    section("what never fits names its limit", [] {
+    section("a size that never fits is reported with its limit", [] {
         check(firstProblem(
                       {{"a.json", Tickets}, {"b.json", service(R"("size": {"bytes": 60001})")}})
               == "b.json:1: /services/tickets/size/bytes: found 60001; allowed: at most 60000, the "
@@ -134,7 +135,7 @@
                       .find("allowed: at most 999, the quota of team gate; it never fits")
               != std::string::npos);
     });
-    section("sums against the pool and the quota", [] {
+    section("sums that exceed the pool or the quota", [] {
         // 11 workers of 16000 millicores and 60000 bytes; a quota of 160000 millicores.
         check(firstProblem({{"a.json", Tickets},
                             {"b.json", service(R"("replicas": 200, "size": {"bytes": 30001})")}})
@@ -145,7 +146,7 @@
                             "160000, the quota of team gate")
               != std::string::npos);
     });
-    section("of two services that are too much together the later file is refused", [] {
+    section("if two services together exceed a limit, the problem is in the later file", [] {
         const auto half = service(R"("replicas": 100)");
         auto other = Tickets;
         other.replace(other.find("tickets"), 7, "holds");
@@ -157,7 +158,7 @@
                             {"d.json", otherHalf}})
                       .starts_with("b.json:1: /services/tickets: found 200000 millicores"));
     });
-    section("services that fit alone are too much for the pool together", [] {
+    section("services that fit one by one exceed the pool together", [] {
         auto other = Tickets;
         other.replace(other.find("tickets"), 7, "holds");
         check(firstProblem({{"a.json", other},
@@ -169,7 +170,7 @@
                               "b.json:1: /services/tickets: found 200000 millicores of "
                               "services up to this one; allowed: at most 176000, the workers"));
     });
-    section("absurd numbers do not wrap around to small ones", [] {
+    section("sums of very large numbers do not wrap around", [] {
         const auto text = firstProblem({{"a.json", Tickets}, {"b.json", R"({
                     "teams": {"gate": {"quota": {"bytes": 9007199254740992}}},
                     "pools": {"rink": {"workers": 100000, "worker": {"bytes": 9007199254740992}}},
@@ -184,7 +185,7 @@
         const auto result = checkFolder({{"a.json", Tickets}, {"b.json", "{}"}}, small);
         check(result.problems.size() == 2 && result.problems[0].file == "a.json");
     });
-    section("the example folder is accepted and merges as its page says", [] {
+    section("the example folder is accepted and merged as documented", [] {
         const auto result = checkFolder(folderAt("examples/folder"));
         require(result.isAcceptable());
         check(result.mergedConfig.services.at("tickets").replicas == 9);
@@ -217,7 +218,8 @@
     return value;
 }
 
-// A member of a valid folder, at random, is set to a random value; the outcome may be valid or not.
+// A file that sets random members of a valid folder to random values. The resulting folder may be
+// valid or not.
 std::string randomPatch(random_generator &random)
 {
     static const std::vector<std::string> pointers = {"services.tickets.replicas",
@@ -240,7 +242,7 @@
                                       ? Json::Value(static_cast<int>(drawIndex(random, 400)))
                                       : randomValue(random, 2);
         } catch (const Json::Exception &) {
-            continue; // the path runs through a value that is no object
+            continue; // the path passes through a value that is not an object
         }
     }
     return compactJson(root);
@@ -276,7 +278,7 @@
     return folder;
 }
 
-// An independent oracle: plain RFC 7396 without places.
+// An independent implementation of RFC 7396, without locations, to compare with.
 void applyPlainPatch(Json::Value &target, const Json::Value &change)
 {
     if (!change.isObject()) {
@@ -303,7 +305,7 @@
     return merged;
 }
 
-// What an accepted whole must fulfil, written again without the code under test.
+// Checks independently of the code under test what must hold for an accepted configuration.
 bool isConsistent(const configuration &mergedConfiguration)
 {
     std::map<std::string, double> poolCores;
@@ -336,8 +338,8 @@
 
 } // namespace
 
-// Operators may write anything at any time. Whatever they write, the check must come to an end
-// with a verdict, and an accepted whole must hold together.
+// Operators may write anything at any time. For random files the check must terminate with a result
+// that doesn't depend on their order, and an accepted configuration must be consistent.
 Test(folder, properties)
 {
     constexpr int Folders = 4000;
@@ -363,7 +365,7 @@
             check(configurationFromJson(toJson(result.mergedConfig)) == result.mergedConfig);
         });
     }
-    section("both verdicts are well represented", [&] {
+    section("both results are frequent", [&] {
         check(accepted > Folders / 10 && accepted < Folders * 9 / 10);
         cr_log_info("%d of %d folders accepted", accepted, Folders);
     });
--- a/tests/generations_test.cpp
+++ b/tests/generations_test.cpp
@@ -35,9 +35,9 @@
 std::int64_t replicasAt(config_simulation &simulation, const std::string &id,
                         const std::string &name)
 {
-    const auto whole = simulation.process(id).usedFollower().mergedConfig();
-    const auto found = whole->services.find(name);
-    return found == whole->services.end() ? -1 : found->second.replicas;
+    const auto fileContent = simulation.process(id).usedFollower().mergedConfig();
+    const auto found = fileContent->services.find(name);
+    return found == fileContent->services.end() ? -1 : found->second.replicas;
 }
 
 file_state stateAt(config_simulation &simulation, const std::string &entry, const std::string &file,
@@ -59,7 +59,7 @@
     config_simulation simulation;
     addProcesses(simulation);
     std::uint64_t first = 0;
-    section("an edit is in force at every process", [&] {
+    section("an edit comes into force in every process", [&] {
         first = simulation.put("tickets.json", service("tickets", 2));
         check(stateAt(simulation, "e1", "tickets.json", first) == file_state::Pending);
         simulation.runFor(seconds(2));
@@ -75,7 +75,7 @@
         check(stateAt(simulation, "e1", "tickets.json", first) == file_state::Superseded);
         check(stateAt(simulation, "e1", "tickets.json", second) == file_state::InForce);
     });
-    section("a file with a later name takes its place", [&] {
+    section("a file with a later name overrides it", [&] {
         const auto later = simulation.put("tickets.late.json", service("tickets", 4));
         simulation.runFor(seconds(2));
         const auto early = simulation.entry("e1").statusOf(
@@ -85,14 +85,14 @@
         check(stateAt(simulation, "e1", "tickets.late.json", later) == file_state::InForce);
         check(replicasAt(simulation, "a1", "tickets") == 4);
     });
-    section("a removal is followed like an edit", [&] {
+    section("a removal has a status like an edit", [&] {
         simulation.remove("tickets.late.json");
         check(stateAt(simulation, "e1", "tickets.late.json", 0) == file_state::Pending);
         simulation.runFor(seconds(2));
         check(stateAt(simulation, "e1", "tickets.late.json", 0) == file_state::InForce);
         check(replicasAt(simulation, "a1", "tickets") == 3);
     });
-    section("an idle system reads twice a round and writes nothing", [&] {
+    section("an idle system reads at most twice in each round and writes nothing", [&] {
         simulation.platformReads = 0;
         simulation.platformWrites = 0;
         simulation.runFor(seconds(10));
@@ -101,9 +101,9 @@
     });
 }
 
-// An operator saves a file that refers to a team that is not there. It is refused with file and
-// line at every entry; everything goes on by the generation before. The next edit, by anyone, that
-// repairs the folder is taken up.
+// An operator saves a file that refers to an unknown team. Every entry must refuse it with file and
+// line, and the generation before must stay in force. The next edit that repairs the folder,
+// whoever makes it, must be accepted.
 Test(generations, refused_edit)
 {
     config_simulation simulation;
@@ -114,7 +114,7 @@
     const auto bad = simulation.put("holds.json", service("holds", 1, "nobody"));
     const auto good = simulation.put("season.json", service("season", 1));
     simulation.runFor(seconds(2));
-    section("it is refused at every entry, with place and reason", [&] {
+    section("it is refused at every entry, with location and reason", [&] {
         for (const auto *entry : {"e1", "e2"}) {
             const auto status = simulation.entry(entry).statusOf("holds.json", bad);
             check(status.state == file_state::Refused);
@@ -123,22 +123,22 @@
                      "gate");
         }
     });
-    section("so is what came with it, and the fault is named", [&] {
+    section("a valid file saved with it is refused too, with the same problem", [&] {
         const auto status = simulation.entry("e1").statusOf("season.json", good);
         check(status.state == file_state::Refused && status.problems[0].file == "holds.json");
     });
-    section("the accepted generation stays in force, and the folder is judged only once", [&] {
+    section("the accepted generation stays in force, and the folder is validated only once", [&] {
         check(simulation.acceptedGeneration() == before
               && replicasAt(simulation, "a1", "holds") == -1);
         check(simulation.entry("e1").counters().refusedFolders == 1);
     });
-    section("an entry that starts now sees the same", [&] {
+    section("an entry that starts now refuses it too", [&] {
         simulation.restart("e1");
         simulation.runFor(seconds(4));
         check(stateAt(simulation, "e1", "holds.json", bad) == file_state::Refused);
         check(simulation.entry("e1").generation() == before);
     });
-    section("the repair is taken up", [&] {
+    section("the repair is accepted", [&] {
         simulation.put("holds.json", service("holds", 1));
         simulation.runFor(seconds(2));
         check(simulation.hasConverged() && replicasAt(simulation, "a1", "holds") == 1);
@@ -147,9 +147,9 @@
     });
 }
 
-// An operator repairs a refused file and follows it. The entry lists the folder, reads the files,
-// and judges; between the listing and the judgement it still holds the reasons against the file as
-// it was. Told as the repair's, they would say `refused` of a file that is in force a moment later.
+// An operator repairs a refused file and watches its status. Between the listing of the folder and
+// its validation the entry still has the problems of the earlier version. If it reported them for
+// the repaired version, that version would be `refused` and then in force a moment later.
 Test(generations, repair_is_not_refused_for_its_predecessor)
 {
     config_simulation simulation;
@@ -159,39 +159,40 @@
     simulation.runFor(seconds(2));
     require(simulation.entry("e1").counters().refusedFolders == 1);
     const auto repair = simulation.put("holds.json", service("holds", 1));
-    int asked = 0;
+    int statusChecks = 0;
     simulation.onHandled = [&](const simulated_process &each, const auto &, const auto &) {
         if (!each.manager)
             return;
-        ++asked;
+        ++statusChecks;
         check(each.manager->statusOf("holds.json", repair).state != file_state::Refused);
     };
     simulation.runFor(seconds(3));
-    check(asked > 0);
+    check(statusChecks > 0);
     check(stateAt(simulation, "e1", "holds.json", repair) == file_state::InForce);
 }
 
-// An editor writes half a file, and another one goes on writing while an entry reads. A mixture of
-// both in force would be a configuration that no operator wrote, so nothing is taken up until two
-// listings around the reading agree and all files parse.
+// An editor has written only half of a file, or files change while an entry reads them. A mixture
+// of states in force would be a configuration that no operator wrote. So nothing may be accepted
+// until the listings before and after the reading are equal and all files parse.
 Test(generations, half_written)
 {
     config_simulation simulation;
     simulation.addEntry("e1");
     simulation.put("00-basis.json", baseFile());
-    section("half a file is refused, the whole one accepted", [&] {
-        const auto whole = service("tickets", 2);
-        const auto half = simulation.put("tickets.json", whole.substr(0, whole.size() / 2));
+    section("half a file is refused, the complete one accepted", [&] {
+        const auto fileContent = service("tickets", 2);
+        const auto half =
+                simulation.put("tickets.json", fileContent.substr(0, fileContent.size() / 2));
         simulation.runFor(seconds(1));
         check(stateAt(simulation, "e1", "tickets.json", half) == file_state::Refused);
         check(simulation.acceptedGeneration() == 0);
-        simulation.put("tickets.json", whole);
+        simulation.put("tickets.json", fileContent);
         simulation.runFor(seconds(1));
         check(replicasAt(simulation, "e1", "tickets") == 2);
     });
-    section("a file that changes between the listings starts the round again", [&] {
-        // Moving a service from one file to another: with the old a.json and the new b.json it
-        // would be there twice, with the new a.json and the old b.json not at all.
+    section("if a file changes between the listings, the round is repeated", [&] {
+        // A service moves from one file to another. With the old a.json and the new b.json it would
+        // exist twice, with the new a.json and the old b.json not at all.
         simulation.put("a.json", service("moved", 1));
         simulation.put("b.json", "{}");
         simulation.runFor(seconds(2));
@@ -217,8 +218,9 @@
     });
 }
 
-// Two operators save the same file at the same moment, through different entries. The object store
-// orders the writes; one sees its version superseded, the other in force, at both entries alike.
+// Two operators save the same file at the same time, through different entries. The object store
+// orders the writes. At both entries the earlier version must become superseded and the later one
+// come into force.
 Test(generations, racing_operators)
 {
     config_simulation simulation;
@@ -231,12 +233,12 @@
         check(stateAt(simulation, entry, "tickets.json", alice) == file_state::Superseded);
         check(stateAt(simulation, entry, "tickets.json", bob) == file_state::InForce);
     }
-    section("both entries tried, one wrote", [&] {
+    section("each generation was written by exactly one entry", [&] {
         const auto &one = simulation.entry("e1").counters();
         const auto &two = simulation.entry("e2").counters();
         check(one.acceptedGenerations + two.acceptedGenerations == simulation.acceptedGeneration());
     });
-    section("one entry's slow write does not undo the other's newer one", [&] {
+    section("a delayed write of one entry does not revert a newer one of the other", [&] {
         bool isSlowed = false;
         simulation.chooseFault = [&](const simulated_process &each, const generation_action &action,
                                      int) {
@@ -256,8 +258,9 @@
     });
 }
 
-// The platform is slow: an answer comes after its question was given up and asked again. Taken for
-// the answer to the new question, an old listing could pass for the second of two that agree.
+// The platform is slow: an answer arrives after its request timed out and was repeated. If it were
+// taken for the answer to the new request, an outdated listing could count as the second of two
+// equal ones.
 Test(generations, slow_platform)
 {
     generation_manager_settings settings;
@@ -265,22 +268,22 @@
     const time_point start{seconds(1000)};
     generation_manager manager(settings, random_generator(1), start);
     const auto toListing = [&](time_point now) {
-        const auto asked = manager.handle(tick{}, now);
-        const auto request = std::get<read_accepted_row>(asked.at(0)).request;
+        const auto queryActions = manager.handle(tick{}, now);
+        const auto request = std::get<read_accepted_row>(queryActions.at(0)).request;
         const auto actions = manager.handle(accepted_row_read{request, true, {}}, now);
         return std::get<list_folder>(actions.at(0)).request;
     };
     const std::vector<stored_object> listing{{std::string(FolderPrefix) + "a.json", "", 1}};
     const auto first = toListing(start);
-    check(manager.handle(tick{}, start + seconds(2)).empty()); // given up
+    check(manager.handle(tick{}, start + seconds(2)).empty()); // timed out
     const auto second = toListing(start + seconds(3));
     check(manager.handle(folder_listed{first, true, listing}, start + seconds(3)).empty());
     check(!manager.handle(folder_listed{second, true, listing}, start + seconds(3)).empty());
     check(manager.counters().platformFailures == 1);
 }
 
-// The entry writes the accepting row, the platform does it, and the answer is lost. The operator
-// must not be told that the edit failed, and the edit must not be made twice: the row is read back.
+// The write of the accepted row takes effect, but its answer is lost. The entry must read the row
+// back: it must not report to the operator that the edit failed, and must not accept it twice.
 Test(generations, lost_answer)
 {
     config_simulation simulation;
@@ -288,63 +291,68 @@
     simulation.addAgent("a1");
     simulation.put("00-basis.json", baseFile());
     for (const auto kind : {fault::UnknownOutcome, fault::LostReply}) {
-        section(kind == fault::UnknownOutcome ? "the client says so" : "no answer ever comes", [&] {
-            bool isLost = false;
-            simulation.chooseFault = [&](const auto &, const generation_action &action, int) {
-                if (isLost || !isAction<commit_generation>(action))
-                    return fault::None;
-                isLost = true;
-                return kind;
-            };
-            const auto settled = simulation.entry("e1").counters().confirmedByReadBack;
-            const auto generation = simulation.acceptedGeneration();
-            simulation.put("tickets.json", service("tickets", static_cast<int>(settled) + 1));
-            simulation.runFor(seconds(4));
-            check(simulation.entry("e1").counters().confirmedByReadBack == settled + 1);
-            check(simulation.acceptedGeneration() == generation + 1 && simulation.hasConverged());
-        });
+        section(kind == fault::UnknownOutcome ? "the client reports an unknown outcome"
+                                              : "no answer arrives",
+                [&] {
+                    bool isLost = false;
+                    simulation.chooseFault = [&](const auto &, const generation_action &action,
+                                                 int) {
+                        if (isLost || !isAction<commit_generation>(action))
+                            return fault::None;
+                        isLost = true;
+                        return kind;
+                    };
+                    const auto settled = simulation.entry("e1").counters().confirmedByReadBack;
+                    const auto generation = simulation.acceptedGeneration();
+                    simulation.put("tickets.json",
+                                   service("tickets", static_cast<int>(settled) + 1));
+                    simulation.runFor(seconds(4));
+                    check(simulation.entry("e1").counters().confirmedByReadBack == settled + 1);
+                    check(simulation.acceptedGeneration() == generation + 1
+                          && simulation.hasConverged());
+                });
     }
     check(simulation.entry("e1").counters().acceptedGenerations == 0);
 }
 
-// One entry is cut off from the platform and from the others while edits are accepted. It goes on
-// by its older generation; when it is back it must take up the newer one and push its own on
-// nobody.
+// One entry is partitioned from the platform and from the other processes while edits are accepted,
+// and keeps the older generation in force. When it is reconnected it must adopt the newer
+// generation and must not impose its own on the others.
 Test(generations, partition)
 {
     config_simulation simulation;
     addProcesses(simulation);
     simulation.put("tickets.json", service("tickets", 2));
     simulation.runFor(seconds(2));
-    auto &lost = simulation.process("e2");
-    lost.isCutFromPlatform = lost.isCutFromPeers = true;
+    auto &isolatedEntry = simulation.process("e2");
+    isolatedEntry.isCutFromPlatform = isolatedEntry.isCutFromPeers = true;
     simulation.put("tickets.json", service("tickets", 3));
     simulation.runFor(seconds(5));
     check(replicasAt(simulation, "e2", "tickets") == 2
           && replicasAt(simulation, "a1", "tickets") == 3);
-    section("status names it while it lags", [&] {
+    section("the status lists it while it lags", [&] {
         const auto view = folderViewOf(simulation.entry("e1"), simulation.now);
-        require(view.lagging.size() == 1);
-        check(view.lagging[0].report.process == "e2");
+        require(view.laggingProcesses.size() == 1);
+        check(view.laggingProcesses[0].report.process == "e2");
         check(rolloutStateOf(view, view.files[1]) == rollout_state::Waiting);
     });
-    section("peers alone bring it back", [&] {
-        lost.isCutFromPeers = false;
+    section("it recovers from its peers alone", [&] {
+        isolatedEntry.isCutFromPeers = false;
         simulation.runFor(seconds(2));
         check(replicasAt(simulation, "e2", "tickets") == 3);
     });
-    section("and then all is in force everywhere", [&] {
-        lost.isCutFromPlatform = false;
+    section("then the change is in force everywhere", [&] {
+        isolatedEntry.isCutFromPlatform = false;
         simulation.runFor(seconds(2));
         const auto view = folderViewOf(simulation.entry("e1"), simulation.now);
         check(rolloutStateOf(view, view.files[1]) == rollout_state::InForceEverywhere);
     });
 }
 
-// All entries are replaced while the platform is down. A newcomer that served at once would know no
-// service and refuse callers; it learns the generation from those who still have it, here the
-// agent.
-Test(generations, newcomers)
+// All entries are replaced while the platform is down. A new entry that served at once would know
+// no service and refuse callers. It must first fetch the generation from a process that still has
+// it, here the agent.
+Test(generations, new_entries)
 {
     config_simulation simulation;
     addProcesses(simulation);
@@ -353,13 +361,13 @@
     simulation.isPlatformDown = true;
     simulation.restart("e1");
     simulation.restart("e2");
-    section("the agent's generation is adopted before serving", [&] {
+    section("the agent's generation is adopted before an entry is ready", [&] {
         simulation.runFor(milliseconds(10));
         check(!simulation.entry("e1").isReady());
         simulation.runFor(seconds(4));
         check(simulation.entry("e1").isReady() && replicasAt(simulation, "e1", "tickets") == 2);
     });
-    section("edits wait for the platform, and numbers go on from there", [&] {
+    section("edits wait for the platform, and get the next generation number", [&] {
         const auto generation = simulation.acceptedGeneration();
         simulation.put("tickets.json", service("tickets", 3));
         simulation.runFor(seconds(4));
@@ -368,7 +376,7 @@
         simulation.runFor(seconds(4));
         check(simulation.acceptedGeneration() == generation + 1 && simulation.hasConverged());
     });
-    section("where nobody knows anything, no entry serves", [&] {
+    section("if no process has a generation, no entry is ready", [&] {
         simulation.isPlatformDown = true;
         for (const auto *id : {"e1", "e2", "a1"})
             simulation.restart(id);
@@ -380,8 +388,8 @@
     });
 }
 
-// The platform's operators restore the table, or the object store, from an older copy. Callers must
-// not be sent back to an older configuration, and services must not be stopped.
+// The table or the object store is restored from an older backup. The configuration must not return
+// to an older state, and services must not be stopped.
 Test(generations, platform_restored)
 {
     config_simulation simulation;
@@ -395,13 +403,13 @@
         simulation.runFor(seconds(2));
     }
     const auto highest = simulation.acceptedGeneration();
-    section("an older row is raised above what is in force", [&] {
+    section("an older row is replaced by one above the generation in force", [&] {
         simulation.platform.commit({"restore", {}, {{row, old}}});
         simulation.runFor(seconds(3));
         check(simulation.acceptedGeneration() > highest && simulation.hasConverged());
         check(replicasAt(simulation, "a1", "tickets") == 5);
     });
-    section("also while the folder as it stands is refused", [&] {
+    section("also while the folder is refused", [&] {
         simulation.put("bad.json", service("holds", 1, "nobody"));
         simulation.runFor(seconds(1));
         const auto raised = simulation.acceptedGeneration();
@@ -412,7 +420,7 @@
         simulation.remove("bad.json");
         simulation.runFor(seconds(1));
     });
-    section("also when its number is the same and its content is not", [&] {
+    section("also if it has the same generation number but another content", [&] {
         auto fork = old;
         fork["generation"] = Json::UInt64(simulation.acceptedGeneration());
         fork["folder"] = simulation.platform.read(row)->value["folder"];
@@ -422,10 +430,11 @@
               && simulation.hasConverged());
         check(replicasAt(simulation, "e2", "tickets") == 5);
     });
-    section("a newcomer waits for its peers before it believes the row", [&] {
+    section("a new entry waits for reports of its peers before it relies on the row", [&] {
         const auto before = simulation.platform.read(row)->value;
         simulation.put("tickets.json", service("tickets", 5) + "\n");
-        simulation.runFor(milliseconds(2150)); // the peer's next announcement is not due at once
+        simulation.runFor(
+                milliseconds(2150)); // so that the peer's next announcement isn't due at once
         simulation.platform.commit({"restore", {}, {{row, before}}});
         simulation.process("e2").isCutFromPlatform = true;
         simulation.restart("e1");
@@ -436,14 +445,14 @@
         simulation.runFor(seconds(3));
         check(simulation.hasConverged() && replicasAt(simulation, "e2", "tickets") == 5);
     });
-    section("a folder that comes back empty stops nothing", [&] {
+    section("a folder that is restored empty stops no service", [&] {
         for (const auto *name : {"00-basis.json", "tickets.json"})
             simulation.remove(name);
         simulation.runFor(seconds(3));
         check(replicasAt(simulation, "a1", "tickets") == 5);
         check(simulation.entry("e1").problems().at(0).found == "no file at all");
     });
-    section("a row that cannot be read stops nothing", [&] {
+    section("a row that does not parse stops no service", [&] {
         simulation.platform.commit({"break", {}, {{row, Json::Value("x")}}});
         simulation.runFor(seconds(3));
         check(simulation.entry("e1").counters().invalidRows > 0);
@@ -451,6 +460,7 @@
     });
 }
 
+// Guards against rows, reads and listings that grow with the number of files in the folder.
 Test(generations, sizes)
 {
     config_simulation simulation;
@@ -464,7 +474,7 @@
         simulation.put(fmt::format("job-{:04}.json", i), job);
     }
     simulation.runFor(seconds(4));
-    section("the row stays small however large the folder is", [&] {
+    section("the row stays small although the folder is large", [&] {
         check(simulation.entry("e1").generation() == 1);
         for (int i = 0; i < 20; ++i) {
             simulation.put("tickets.json", service("tickets", i));
@@ -474,7 +484,7 @@
         const auto row = simulation.platform.read(std::string(AcceptedRowKey));
         check(compactJson(row->value).size() < 1024);
     });
-    section("contents that nobody can need any more are removed",
+    section("contents that are no longer needed are removed",
             [&] { check(simulation.platform.listObjects(std::string(MergedPrefix)).size() <= 9); });
     section("one edit reads one file", [&] {
         simulation.platformReads = 0;
@@ -484,7 +494,7 @@
         check(replicasAt(simulation, "e1", "tickets") == 2
               && simulation.platformReads == 1 + 2 + 1);
     });
-    section("a large folder is listed seldom, and once however many operators ask", [&] {
+    section("a large folder is listed rarely, and once even if many operators ask for a scan", [&] {
         simulation.platformReads = 0;
         simulation.runFor(seconds(60));
         check(simulation.platformReads <= 60 + 1);
@@ -495,7 +505,7 @@
         }
         check(simulation.platformReads <= 2 + 1);
     });
-    section("and an edit is found without being asked for", [&] {
+    section("an edit is found without a request for a scan", [&] {
         simulation.put("tickets.json", service("tickets", 3));
         simulation.runFor(seconds(120));
         check(replicasAt(simulation, "e1", "tickets") == 3);
@@ -504,16 +514,16 @@
 
 namespace {
 
-constexpr int Steps = 80;         // covers all edits of the scenario; the rest is idle polling
-constexpr int SettlingSteps = 24; // left for things to settle
+constexpr int Steps = 80;         // cover all edits of the scenario; later steps are idle polling
+constexpr int SettlingSteps = 24; // steps that remain after the last fault
 
-// What strikes at one step of the scenario.
+// A fault, or an event beside it, that is injected at one step of the scenario.
 struct injected_fault
 {
     const char *name;
-    fault kind;                                          // of the step itself
-    std::function<void(config_simulation &)> alsoInject; // beside it
-    bool hasBoundedDelay = true; // in force everywhere within 4 s all the same
+    fault kind; // injected into the request or message of this step
+    std::function<void(config_simulation &)> alsoInject; // further effects
+    bool hasBoundedDelay = true; // changes must still be in force everywhere within 4 s
 };
 
 std::vector<injected_fault> injectedFaults()
@@ -565,14 +575,15 @@
     };
 }
 
-// Edits by several operators, one of them refused and repaired, one a removal.
+// Runs a scenario: edits by several operators, of which one is refused and then repaired, and one
+// is a removal. Faults are given with the step at which they are injected.
 void scenario(config_simulation &simulation,
               const std::vector<std::pair<int, injected_fault>> &injected)
 {
     simulation.chooseFault = [&](const auto &, const auto &, int step) {
         auto kind = fault::None;
-        for (const auto &[struckStep, each] : injected) {
-            if (step != struckStep)
+        for (const auto &[faultyStep, each] : injected) {
+            if (step != faultyStep)
                 continue;
             each.alsoInject(simulation);
             kind = std::max(kind, each.kind);
@@ -606,10 +617,11 @@
 
 } // namespace
 
-// Whatever goes wrong at whichever step, and however operators race, in the end each operator sees
-// one truth at every entry. On the way (checked in config_world.h) accepted generations only rise,
-// no process steps back, a generation has one content, and no invalid whole is ever in force.
-Test(generations, every_step_struck)
+// Injects each fault at each step. Whatever fails and however operators race, in the end all
+// entries must give each operator the same status. During the run config_simulation.h checks that
+// accepted generations only rise, that no process returns to an older one, that a generation has
+// one content, and that no invalid configuration is ever in force.
+Test(generations, fault_at_every_step)
 {
     const auto all = injectedFaults();
     config_simulation faultFreeRun;
@@ -630,8 +642,9 @@
     }
 }
 
-// Two faults together, at random but seeded: bounded to a few hundred runs.
-Test(generations, two_strikes)
+// Injects two faults together, chosen at random with a fixed seed. A few hundred runs, because all
+// combinations would be too many.
+Test(generations, two_faults)
 {
     constexpr int Runs = 600;
     const auto all = injectedFaults();
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -34,7 +34,7 @@
     return text.replace(position, from.size(), to);
 }
 
-// Every default of the schema is a member of the written struct with the same value.
+// Checks that each default of the schema is also the default of the struct's member.
 void compareDefaults(const Json::Value &defaults, const Json::Value &members)
 {
     for (const auto &name : defaults.getMemberNames()) {
@@ -52,7 +52,7 @@
 
 Test(settings, accepted)
 {
-    section("the example of an entry gives its values and the defaults for the rest", [] {
+    section("the example for an entry is read, with defaults for the missing keys", [] {
         const auto entry =
                 entrySettingsFrom("entry.json", fileText("examples/settings/entry.json"));
         check(entry.id == "entry-1" && entry.listen.port == 8080);
@@ -60,21 +60,22 @@
         check(entry.shardLease == milliseconds(1'800'000) && entry.shards == 1);
         check(toJson(entrySettingsFrom("again", compactJson(toJson(entry)))) == toJson(entry));
     });
-    section("the example of an agent too", [] {
+    section("the example for an agent is read", [] {
         const auto agent =
                 agentSettingsFrom("agent.json", fileText("examples/settings/agent.json"));
         check(agent.upstream.slots == 8 && agent.upstream.connections == 64);
         check(agent.worker.size == (resources{16000, 60'000'000'000, 0}));
         check(toJson(agentSettingsFrom("again", compactJson(toJson(agent)))) == toJson(agent));
     });
-    section("the defaults of the schema are those of the structs", [] {
+    section("the defaults in the schema and in the structs are equal", [] {
         compareDefaults(defaultsOf(entrySettingsSchema()), toJson(entry_settings{}));
         compareDefaults(defaultsOf(agentSettingsSchema()), toJson(agent_settings{}));
     });
 }
 
-// The operator sees a daemon that does not start, with one line for each fault: where it is, what
-// was found, what is allowed. A silently ignored slip in a key would run with the default instead.
+// A daemon with invalid settings must not start, and must print one line for each problem: its
+// location, what was found and what is allowed. If a misspelt key were ignored, the daemon would
+// run with the default instead.
 Test(settings, refused)
 {
     const auto entry = fileText("examples/settings/entry.json");
@@ -96,16 +97,16 @@
                       .starts_with("entry.json:7: /peers/1: found \"rink.ge:8090\"; allowed: an IP "
                                    "address and port"));
     });
-    section("all faults at once, one a line", [&] {
+    section("all problems are reported, one per line", [&] {
         const auto text = refusalOf(replaced(replaced(entry, "8090", "-1"), "8080", "true"));
         check(std::count(text.begin(), text.end(), '\n') == 1);
     });
-    section("half a file and a doubled key", [&] {
+    section("a truncated file and a duplicate key", [&] {
         check(refusalOf(entry.substr(0, entry.size() / 2)).starts_with("entry.json:"));
         check(refusalOf(replaced(entry, "\"region\"", "\"id\"")).find("Duplicate key")
               != std::string::npos);
     });
-    section("two settings that cannot hold together", [&] {
+    section("two settings that contradict each other", [&] {
         check(refusalOf(replaced(entry, "\"weights\"", "\"lease_ms\": 2000, \"weights\""))
               == "entry.json:9: /lease_ms: found 2000; allowed: more than agent_lease_ms and "
                  "clock_margin_ms together");
