--- a/bench/config_bench.cpp
+++ b/bench/config_bench.cpp
@@ -1,4 +1,5 @@
-// What one change of the configuration costs an entry, by the number of jobs in the folder.
+// Processor time that a change of the configuration takes at an entry, by the number of jobs in the
+// folder: checking the folder, and parsing the accepted content.
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
 
--- a/bench/delivery_bench.cpp
+++ b/bench/delivery_bench.cpp
@@ -1,4 +1,4 @@
-// Slopes of the delivery library: bytes and processor time for each request.
+// Cost of the delivery library per request, in bytes and processor time, by number of requests.
 #include <malloc.h>
 
 #include <benchmark/benchmark.h>
@@ -30,7 +30,7 @@
             now + seconds(30)};
 }
 
-// Answers every action at once, as an entry with a healthy table and upstream.
+// Answers every action immediately, like an entry whose table and upstream work.
 class healthy_entry
 {
 public:
@@ -74,6 +74,7 @@
             "e1.1", {}, [](error_kind) { return true; }, [](const std::string &) { return true; }};
 };
 
+// Records of finished attempts that an agent keeps.
 void remembered(benchmark::State &state)
 {
     const auto count = static_cast<int>(state.range(0));
@@ -91,6 +92,7 @@
     state.SetItemsProcessed(state.iterations() * count);
 }
 
+// Requests that wait for their upstream's choice, without a key.
 void inFlight(benchmark::State &state)
 {
     const auto count = static_cast<int>(state.range(0));
@@ -106,7 +108,8 @@
     state.SetItemsProcessed(state.iterations() * count);
 }
 
-// Keyed requests from arrival to the record of their end, 1 KiB of answer kept.
+// Requests with an idempotency key, from arrival to the record of their end; each answer of 1 KiB
+// is kept.
 void keyedAndKept(benchmark::State &state)
 {
     const auto count = static_cast<int>(state.range(0));
--- a/bench/load_signal_bench.cpp
+++ b/bench/load_signal_bench.cpp
@@ -1,9 +1,11 @@
-// The trigger of relief: a plain moving average against the recency-weighted count over slices with
-// rising and falling sets (Adaptive fault tolerance by switching between replication and erasure
-// codes, formula 1 and Table 2), on the same seeded sequence of late requests per slice.
+// Compares two signals that trigger the relief of services: a plain moving average, and the
+// recency-weighted count over time slices with thresholds for rising and falling counts ("Adaptive
+// fault tolerance by switching between replication and erasure codes", formula 1 and Table 2). Both
+// get the same seeded sequences of late requests per slice.
 //
-// Each is tuned on one sequence and judged on others. Wrong: slices in which the signal differs
-// from the truth. Raises: how often it went up; each calls for an action that costs batch work.
+// Each signal is tuned on one sequence and evaluated on others. Wrong: slices in which the signal
+// differs from the simulated state. Raises: how often the signal went up; each triggers an action
+// that costs batch work.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -23,15 +25,16 @@
 using zinniabarrow::placement::load_signal_settings;
 
 constexpr int SliceCount = 50'000;
-constexpr double RaiseCost = 3; // in wrong slices
+constexpr double RaiseCost = 3; // one raise counts as this many wrong slices
 
 struct slice
 {
-    double lateCount = 0; // late requests
+    double lateCount = 0; // late requests in the slice
     bool isDisturbed = false;
 };
 
-// Calm with single spikes, and disturbances that last 8 to 60 slices, some weak and some strong.
+// Alternates between calm phases and disturbances of 8 to 60 slices, weak or strong. `spikes` is
+// the probability of a single spike per slice.
 std::vector<slice> makeSequence(std::uint64_t seed, double spikes)
 {
     random_generator random(seed);
@@ -52,13 +55,14 @@
     return slices;
 }
 
-// Formula 1: the newest of `slices` counts a half, the one before a quarter, and so on. Table 2: it
-// goes up only while rising; a falling one goes down at `fall`, a rising one only a margin below.
+// Formula 1: the newest slice has weight 1/2, the one before 1/4, and so on, over `sliceLimit`
+// slices. Table 2: the signal is raised only while the count rises. It is cleared below
+// `fallThreshold` when the count falls, and only `margin` further below otherwise.
 struct recency_signal
 {
     std::size_t sliceLimit = 8;
-    double rise = 5;
-    double fall = 3;
+    double riseThreshold = 5;
+    double fallThreshold = 3;
     double margin = 1;
     std::deque<double> counts;
     bool isActive = false;
@@ -69,13 +73,13 @@
         counts.push_back(count);
         if (counts.size() > sliceLimit)
             counts.pop_front();
-        double weighted = 0;
+        double weightedSum = 0;
         double weight = 0.5;
-        for (auto each = counts.rbegin(); each != counts.rend(); ++each, weight /= 2)
-            weighted += *each * weight;
-        if (!isActive && change > 0 && weighted > rise)
+        for (auto current = counts.rbegin(); current != counts.rend(); ++current, weight /= 2)
+            weightedSum += *current * weight;
+        if (!isActive && change > 0 && weightedSum > riseThreshold)
             isActive = true;
-        else if (isActive && weighted < (change < 0 ? fall : fall - margin))
+        else if (isActive && weightedSum < (change < 0 ? fallThreshold : fallThreshold - margin))
             isActive = false;
     }
 };
@@ -100,18 +104,18 @@
 
 struct score
 {
-    int wrongSlices = 0;    // slices
-    int raises = 0;         //
-    int falseRaises = 0;    // while calm
-    int episodes = 0;       //
-    int missedEpisodes = 0; // episodes never seen
-    double meanDelay = 0;   // slices until it is raised, mean over those seen
+    int wrongSlices = 0;
+    int raises = 0;
+    int falseRaises = 0;    // raises while calm
+    int episodes = 0;       // disturbances
+    int missedEpisodes = 0; // disturbances without a raised signal
+    double meanDelay = 0;   // slices until the signal is raised, over the detected disturbances
 
     double cost() const { return wrongSlices + RaiseCost * raises; }
 };
 
 template <typename Signal>
-score judge(Signal signal, const std::vector<slice> &sequence)
+score evaluateSignal(Signal signal, const std::vector<slice> &sequence)
 {
     score result;
     int slicesSinceStart = 0;
@@ -119,21 +123,21 @@
     bool isDetected = true;
     bool wasRaised = false;
     bool wasDisturbed = false;
-    for (const auto &each : sequence) {
-        if (each.isDisturbed && !wasDisturbed) {
+    for (const auto &current : sequence) {
+        if (current.isDisturbed && !wasDisturbed) {
             ++result.episodes;
             slicesSinceStart = 0;
             isDetected = false;
         }
-        if (!each.isDisturbed && wasDisturbed && !isDetected)
+        if (!current.isDisturbed && wasDisturbed && !isDetected)
             ++result.missedEpisodes;
-        wasDisturbed = each.isDisturbed;
-        signal.add(each.lateCount);
+        wasDisturbed = current.isDisturbed;
+        signal.add(current.lateCount);
         const bool raised = isRaised(signal);
-        result.wrongSlices += raised != each.isDisturbed ? 1 : 0;
+        result.wrongSlices += raised != current.isDisturbed ? 1 : 0;
         result.raises += raised && !wasRaised ? 1 : 0;
-        result.falseRaises += raised && !wasRaised && !each.isDisturbed ? 1 : 0;
-        if (each.isDisturbed && raised && !isDetected) {
+        result.falseRaises += raised && !wasRaised && !current.isDisturbed ? 1 : 0;
+        if (current.isDisturbed && raised && !isDetected) {
             isDetected = true;
             totalDelay += slicesSinceStart;
         }
@@ -153,7 +157,7 @@
         for (double rise = 2.5; rise <= 9; rise += 0.25) {
             for (double fall = 1.5; fall <= rise; fall += 0.25) {
                 const average_signal candidate{{slices, rise, fall}, {}};
-                const double cost = judge(candidate, sequence).cost();
+                const double cost = evaluateSignal(candidate, sequence).cost();
                 if (cost >= lowestCost)
                     continue;
                 lowestCost = cost;
@@ -173,7 +177,7 @@
             for (double fall = 1.5; fall <= rise; fall += 0.25) {
                 for (const double margin : {0.0, 0.5, 1.0, 2.0}) {
                     const recency_signal candidate{slices, rise, fall, margin, {}, false};
-                    const double cost = judge(candidate, sequence).cost();
+                    const double cost = evaluateSignal(candidate, sequence).cost();
                     if (cost >= lowestCost)
                         continue;
                     lowestCost = cost;
@@ -202,13 +206,13 @@
                average.settings.windowSamples, average.settings.riseAbove,
                average.settings.fallBelow);
     fmt::print("recency-weighted: {} slices, rises above {}, falls below {}, margin {}\n",
-               recency.sliceLimit, recency.rise, recency.fall, recency.margin);
+               recency.sliceLimit, recency.riseThreshold, recency.fallThreshold, recency.margin);
     fmt::print("{:18} {:>5} {:>7} {:>7} {:>7} {:>9} {:>7} {:>7} {:>8}\n", "signal", "seed", "wrong",
                "raises", "false", "episodes", "missed", "delay", "cost");
     for (const std::uint64_t seed : {2, 3, 4, 5, 6}) {
         const auto sequence = makeSequence(seed, spikes);
-        print("moving average", seed, judge(average, sequence));
-        print("recency-weighted", seed, judge(recency, sequence));
+        print("moving average", seed, evaluateSignal(average, sequence));
+        print("recency-weighted", seed, evaluateSignal(recency, sequence));
     }
 }
 
--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -1,4 +1,5 @@
-// Membership at several sizes in virtual time: bytes for each node, and how long news take.
+// Membership at several sizes in virtual time: bytes per node, and how long changes take to reach
+// all entries.
 //
 //   membership_bench            the tables
 //   membership_bench --benchmark_filter=...   the processor time of the decisions, by size
@@ -25,7 +26,7 @@
     return settings;
 }
 
-// Milliseconds until `done`, or -1 after two minutes.
+// Milliseconds until `condition` holds, or -1 after two minutes.
 template <typename Condition>
 std::int64_t measureTimeUntil(mesh &nodes, Condition &&condition)
 {
--- a/bench/membership_mesh.h
+++ b/bench/membership_mesh.h
@@ -1,7 +1,7 @@
-// Agents and entries that exchange the real messages in virtual time, with every byte counted.
+// Simulates agents and entries that exchange their real messages in virtual time, and counts bytes.
 //
 //   mesh_settings   sizes and delays
-//   mesh            runs on step by step; ways can be cut, nodes stopped and started again
+//   mesh            advances in steps; nodes can be disconnected, stopped and restarted
 #pragma once
 
 #include <cstdint>
@@ -25,10 +25,10 @@
 {
     int agents = 11;
     int entries = 3;
-    milliseconds step{100};     // a message arrives one step after it was sent
-    int packetHeaderBytes = 28; // of the headers of one datagram
-    double lossFraction = 0;    // of messages that never arrive
-    std::uint64_t seed = 1;     // of the losses
+    milliseconds step{100};     // a message is delivered one step after it was sent
+    int packetHeaderBytes = 28; // per datagram
+    double lossFraction = 0;    // fraction of messages that are lost, 0 to 1
+    std::uint64_t seed = 1;     // of the random message loss
     announcer_settings announcerSettings;
     membership_settings membershipSettings;
 };
@@ -47,11 +47,12 @@
     membership &entry(int index) { return *m_entries.at(entryName(index)).membershipState; }
     announcer &agent(int index) { return *m_agents.at(agentName(index)); }
     const std::vector<std::string> &entryNames() const { return m_entryNames; }
+    // Whether the entry may route to the agent's upstream.
     bool canRoute(int entryIndex, int agentIndex) const;
-    int countRoutableAt(int entryIndex) const; // upstreams that this entry may route to
+    int countRoutableAt(int entryIndex) const; // upstreams that the entry may route to
     int countEntriesRoutingTo(int agentIndex) const;
 
-    // Between two nodes, in both directions.
+    // Drops all messages between two nodes, in both directions.
     void disconnect(const std::string &firstNode, const std::string &secondNode);
     void reconnectAll() { m_disconnected.clear(); }
 
@@ -64,7 +65,7 @@
     {
         std::uint64_t sent = 0; // bytes, packet headers included
         std::uint64_t received = 0;
-        std::uint64_t messages = 0; // both ways
+        std::uint64_t messages = 0; // sent and received
     };
     const traffic &trafficOf(const std::string &node) { return m_traffic[node]; }
     void resetTraffic() { m_traffic.clear(); }
@@ -73,7 +74,7 @@
     struct entry_node
     {
         std::unique_ptr<membership> membershipState;
-        std::set<std::string> routable; // as a router would have it
+        std::set<std::string> routable; // agents that a router would route to
     };
 
     void step();
--- a/bench/overload_scenario.cpp
+++ b/bench/overload_scenario.cpp
@@ -23,13 +23,13 @@
         , m_admission(settings)
     {
         for (const auto &[team, rate] : m_requestsPerSecondByTeam)
-            m_events.push({m_now + exponential(1 / rate), "", team});
+            m_events.push({m_now + drawExponential(1 / rate), "", team});
     }
 
     overload_result run(time_point end)
     {
         while (m_events.top().dueAt < end) {
-            const arrival_or_end next = m_events.top();
+            const pending_event next = m_events.top();
             m_events.pop();
             m_now = next.dueAt;
             if (next.id.empty())
@@ -41,12 +41,12 @@
     }
 
 private:
-    struct arrival_or_end
+    struct pending_event
     {
         time_point dueAt;
-        std::string id; // of a finished request; empty: the team's next arrival
+        std::string id; // of the request that completes; empty: the team's next request arrives
         std::string team;
-        bool operator<(const arrival_or_end &other) const { return dueAt > other.dueAt; }
+        bool operator<(const pending_event &other) const { return dueAt > other.dueAt; }
     };
     struct sent_request
     {
@@ -55,17 +55,17 @@
         duration serviceTime{};
     };
 
-    duration exponential(double mean)
+    duration drawExponential(double mean)
     {
-        const std::chrono::duration<double> drawn(-std::log(1 - drawUniform(m_random)) * mean);
-        return duration(1) + std::chrono::duration_cast<duration>(drawn);
+        const std::chrono::duration<double> drawnTime(-std::log(1 - drawUniform(m_random)) * mean);
+        return duration(1) + std::chrono::duration_cast<duration>(drawnTime);
     }
 
     void arrive(const std::string &team)
     {
         const std::string id = team + std::to_string(m_nextNumber++);
         m_admitted[id] = {team, m_now + Timeout, {}};
-        m_events.push({m_now + exponential(1 / m_requestsPerSecondByTeam.at(team)), "", team});
+        m_events.push({m_now + drawExponential(1 / m_requestsPerSecondByTeam.at(team)), "", team});
         applyActions(m_admission.handle(admission::arrived{id, "tickets", team, 0, m_now + Timeout},
                                         m_now));
     }
@@ -84,7 +84,7 @@
         for (const auto &action : actions) {
             if (const auto *started = std::get_if<admission::start>(&action)) {
                 auto &request = m_admitted.at(started->id);
-                request.serviceTime = exponential(ServiceSeconds);
+                request.serviceTime = drawExponential(ServiceSeconds);
                 m_events.push({m_now + request.serviceTime, started->id, request.team});
             } else {
                 ++m_result.refused;
@@ -97,7 +97,7 @@
     admission m_admission;
     random_generator m_random{Seed};
     time_point m_now{};
-    std::priority_queue<arrival_or_end> m_events;
+    std::priority_queue<pending_event> m_events;
     std::map<std::string, sent_request> m_admitted;
     overload_result m_result;
     int m_nextNumber = 0;
--- a/bench/overload_scenario.h
+++ b/bench/overload_scenario.h
@@ -1,4 +1,5 @@
-// One admission under more requests than its upstream can serve, in virtual time.
+// Simulates one admission controller, also under more requests than its upstream can serve, in
+// virtual time.
 #pragma once
 
 #include <map>
@@ -12,14 +13,15 @@
 
 struct overload_result
 {
-    int onTime = 0; // ended before the caller's deadline
-    int late = 0;   // ended after it
+    int onTime = 0; // completed before the caller's deadline
+    int late = 0;   // completed after it
     int refused = 0;
     std::map<std::string, int> onTimeByTeam;
 };
 
-// Poisson arrivals of several teams, exponential service of 20 ms at 8 slots, callers that wait for
-// 200 ms. Team names hold no digits.
+// Simulates Poisson arrivals of several teams, exponential service times with a mean of 20 ms and
+// callers with a deadline of 200 ms. 8 slots by default. Team names must not contain digits:
+// request ids are the name and a number.
 overload_result runOverload(const std::map<std::string, double> &perSecondByTeam, seconds length,
                             const admission_settings &settings = {});
 
--- a/bench/placement_bench.cpp
+++ b/bench/placement_bench.cpp
@@ -1,4 +1,6 @@
-// Compares placement policies on one seeded sequence at two loads: `placement_bench [seed...]`.
+// Compares placement policies on the same seeded sequences at two loads.
+//
+//   placement_bench [seed...]
 #include <cstdlib>
 #include <vector>
 
--- a/bench/placement_model.cpp
+++ b/bench/placement_model.cpp
@@ -23,39 +23,39 @@
 constexpr int ServiceClasses = 3;
 constexpr int InstancesPerClass = 12;
 constexpr int BatchClasses = 6;
-constexpr double CheckpointInterval =
-        120;                          // seconds between the checkpoints that a task takes itself
-constexpr double CheckpointTime = 5;  // seconds, when it is asked to
-constexpr double RestartTime = 20;    // seconds of work to load a checkpoint
+// Seconds between the checkpoints that a task writes on its own.
+constexpr double CheckpointInterval = 120;
+constexpr double CheckpointTime = 5;  // seconds, to write a checkpoint on preemption
+constexpr double RestartTime = 20;    // seconds, to load a checkpoint
 constexpr double UsageInterval = 10;  // seconds
 constexpr double LatencyInterval = 5; // seconds
 constexpr duration UsageLag = seconds(10);
 constexpr duration LatencyLag = seconds(8);
 constexpr int BacklogJobs = 40;
 constexpr int UnlimitedWork = 1 << 30;
-// Log slowdown of each service class for each processor of each batch class: who disturbs whom
-// depends on the pair.
+// Logarithm of the slowdown of a service class (row) per processor used by a batch class (column):
+// interference depends on the pair.
 constexpr std::array<std::array<double, BatchClasses>, ServiceClasses> InterferenceEffects{{
         {0.16, 0.02, 0.05, 0.01, 0.005, 0.03},
         {0.02, 0.14, 0.01, 0.05, 0.005, 0.03},
         {0.08, 0.01, 0.01, 0.01, 0.005, 0.12},
 }};
-constexpr std::array<double, ServiceClasses> UndisturbedRatio{-0.7, -0.5,
-                                                              -0.6}; // log(p99 / target)
+// Logarithm of (p99 latency / target) of each service class without interference.
+constexpr std::array<double, ServiceClasses> UndisturbedRatio{-0.7, -0.5, -0.6};
 
 struct model_task
 {
     task_spec spec;
     int batchClass = 0;
-    double usableProcessors = 1; // processors that it can use
-    double peakBytes = 0;        //
-    double totalWork = 0;        // processor seconds in all
-    double doneWork = 0;         //
-    double checkpointedWork = 0; // of `done`, safe
-    double restartWork = 0;      // processor seconds before `done` goes on
-    double timeOnWorker = 0;     // seconds on this worker
-    double processorLimit = 0;   // processors
-    double stopDelay = -1;       // seconds until it has stopped; below zero: not asked
+    double usableProcessors = 1; // most processors that it can use
+    double peakBytes = 0;        // memory
+    double totalWork = 0;        // processor seconds
+    double doneWork = 0;         // processor seconds
+    double checkpointedWork = 0; // part of doneWork that a checkpoint has saved
+    double restartWork = 0;      // processor seconds to load the checkpoint, before doneWork grows
+    double timeOnWorker = 0;     // seconds since it was placed
+    double processorLimit = 0;   // processors that it may use
+    double stopDelay = -1;       // seconds until it has stopped; negative: not preempted
     bool alwaysFails = false;
     bool isRunning = false;
     bool hasRunBefore = false;
@@ -124,7 +124,7 @@
     std::deque<delayed_sample> m_samples;
     std::vector<double> m_latencyRatios; // p99 / target
     std::vector<double> m_urgentDelays;  // seconds
-    double m_slowdownSum = 0;            // sum
+    double m_slowdownSum = 0;            // for the mean
     model_result m_result;
 };
 
@@ -153,10 +153,10 @@
 
 void placement_model::addServices()
 {
-    for (int kind = 0; kind < ServiceClasses; ++kind) {
+    for (int serviceClass = 0; serviceClass < ServiceClasses; ++serviceClass) {
         for (int index = 0; index < InstancesPerClass; ++index) {
             model_task task;
-            task.spec.jobId = "service-" + std::to_string(kind);
+            task.spec.jobId = "service-" + std::to_string(serviceClass);
             task.spec.taskIndex = index;
             task.spec.kind = task_kind::Service;
             task.spec.jobClass = task.spec.jobId;
@@ -164,7 +164,7 @@
             task.spec.pool = "main";
             task.spec.declared = {2'500, 5 * Gigabyte, 0};
             task.spec.replicas = InstancesPerClass;
-            task.batchClass = kind;
+            task.batchClass = serviceClass;
             task.usableProcessors = 1.5;
             task.peakBytes = 4.0 * Gigabyte;
             task.totalWork = UnlimitedWork;
@@ -179,7 +179,7 @@
     const double need = 1 + static_cast<double>(batchClass % 4);
     const double peak = drawBetween(3, 12) * Gigabyte;
     const bool isBadJob = m_settings.hasFailures && drawIndex(m_random, 50) == 0;
-    // Declared sizes are far off, in both directions.
+    // Declared sizes differ widely from the real ones, in both directions.
     const double declaredNeed = need * std::exp(0.6 * drawNormal() + 0.3);
     const double declaredPeak = peak * std::exp(0.6 * drawNormal());
     const auto job = "job-" + std::to_string(m_nextJob++);
@@ -217,7 +217,7 @@
 void placement_model::submitJobs()
 {
     if (elapsedSeconds() == 30)
-        addServices(); // among batch that is there already
+        addServices(); // batch jobs run already
     for (int jobs = elapsedSeconds() == 0 ? BacklogJobs : 0; jobs > 0; --jobs)
         submitRandomBatch();
     if (isDueEvery(m_settings.jobInterval))
@@ -281,7 +281,7 @@
            && elapsedSeconds() < 4'200;
 }
 
-// The work since the last checkpoint is done again.
+// Removes the task from its worker; the work since its last checkpoint is lost.
 void placement_model::stopTask(model_task &task)
 {
     m_result.wastedHours += task.doneWork - task.checkpointedWork;
@@ -293,7 +293,7 @@
     task.pendingAt = elapsedSeconds();
 }
 
-// False when the task has left its worker.
+// Returns false when the task has left its worker.
 bool placement_model::advanceTask(model_task &task)
 {
     const auto ref = task.spec.ref();
@@ -348,7 +348,7 @@
         advanceTask(m_tasks.at(ref));
 }
 
-// Memory grows over the first part of a task's work.
+// Memory use of a batch task grows from 30% to its peak over the first 40% of its work.
 double placement_model::usedBytesOf(const model_task &task) const
 {
     if (task.spec.kind == task_kind::Service)
@@ -375,7 +375,8 @@
             continue;
         ++m_result.memoryKills;
         stopTask(*task);
-        m_placer.taskReleased(task->spec.ref(), worker, m_now); // not the program's fault
+        // Released, not failed: the task itself is not to blame.
+        m_placer.taskReleased(task->spec.ref(), worker, m_now);
     }
 }
 
@@ -397,8 +398,8 @@
 {
     if (!isDueEvery(LatencyInterval))
         return;
-    std::map<std::string, std::array<double, BatchClasses>>
-            batchProcessors; // processors in use, by worker
+    // Processors in use, by worker and batch class.
+    std::map<std::string, std::array<double, BatchClasses>> batchProcessors;
     for (const auto &[ref, task] : m_tasks) {
         if (task.spec.kind == task_kind::Batch && task.isRunning)
             batchProcessors[task.worker].at(static_cast<std::size_t>(task.batchClass)) +=
@@ -408,15 +409,16 @@
     for (const auto &[ref, task] : m_tasks) {
         if (task.spec.kind != task_kind::Service || !task.isRunning)
             continue;
-        const auto kind = static_cast<std::size_t>(task.batchClass);
-        // The load of each service goes up and down over the hour.
-        const double load = 0.25 * std::sin(elapsedSeconds() / 600 + static_cast<double>(kind));
+        const auto serviceClass = static_cast<std::size_t>(task.batchClass);
+        // The load of each service varies periodically over about an hour.
+        const double load =
+                0.25 * std::sin(elapsedSeconds() / 600 + static_cast<double>(serviceClass));
         double interferenceEffect = 0;
         for (std::size_t other = 0; other < BatchClasses; ++other)
-            interferenceEffect +=
-                    InterferenceEffects.at(kind).at(other) * batchProcessors[task.worker].at(other);
+            interferenceEffect += InterferenceEffects.at(serviceClass).at(other)
+                                  * batchProcessors[task.worker].at(other);
         const double ratio =
-                UndisturbedRatio.at(kind) + load + interferenceEffect + 0.08 * drawNormal();
+                UndisturbedRatio.at(serviceClass) + load + interferenceEffect + 0.08 * drawNormal();
         m_latencyRatios.push_back(std::exp(ratio));
         m_slowdownSum += std::exp(interferenceEffect);
         const microseconds p99(std::llround(std::exp(ratio) * 20'000));
@@ -493,9 +495,9 @@
     withoutLearning.settings.interference.learn = false;
     withoutLearning.settings.weights = {0.7, 0.2, 0.1};
     named_policy mtkvari{"chosen, Mtkvari's weights", {}};
-    mtkvari.settings.weights = {0.7, 0.2, 0.1}; // seat holds cannot wait
+    mtkvari.settings.weights = {0.7, 0.2, 0.1}; // seat holds are latency-critical
     named_policy vtav{"chosen, VTAV's weights", {}};
-    vtav.settings.weights = {0.2, 0.4, 0.4}; // watchers must finish and not be restarted
+    vtav.settings.weights = {0.2, 0.4, 0.4}; // watchers must finish without restarts
     auto withoutRelief = mtkvari;
     withoutRelief.name = "Mtkvari's, no relief";
     withoutRelief.settings.relieveServices = false;
--- a/bench/placement_slope_bench.cpp
+++ b/bench/placement_slope_bench.cpp
@@ -1,7 +1,8 @@
-// Slopes of the placer: time of decisions and memory, by workers and tasks. Prints one table.
+// Cost of the placer, by number of workers and tasks: processor time of decisions, and memory.
+// Prints one table.
 //
-// Time is processor time of this machine and is read by people; memory is counted in bytes asked of
-// the allocator.
+// Processor time depends on this machine and is meant to be read by people. Memory is the number of
+// bytes requested from the allocator.
 #include <chrono>
 #include <cstdint>
 #include <cstdlib>
@@ -19,7 +20,7 @@
 
 std::size_t liveBytes = 0;
 
-// The size of each block is kept in front of it.
+// Each block is preceded by its size.
 constexpr std::size_t HeaderBytes = alignof(std::max_align_t);
 
 void *countedAllocate(std::size_t size)
@@ -67,7 +68,7 @@
 constexpr int TasksPerJob = 25;
 constexpr int ClassCount = 40;
 
-// Processor time of this process: other programs on the machine count little.
+// Processor time of this process, which other programs on the machine influence little.
 double processorSeconds()
 {
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
@@ -94,7 +95,7 @@
         }
     }
 
-    // One job in thirteen is a service, as 1,900 of 24,900 tasks.
+    // One job in 13 is a service, which matches 1,900 services of 24,900 tasks.
     void submit(int tasks)
     {
         for (int submitted = 0; submitted < tasks; ++nextJob) {
@@ -114,7 +115,7 @@
         }
     }
 
-    // Returns the number of tasks that were placed.
+    // Plans once and returns the number of tasks that were placed.
     std::size_t plan()
     {
         std::size_t count = 0;
@@ -147,7 +148,7 @@
             testedPlacer.usageSampled({place.task, place.worker, {300, Gigabyte, 0}, now}, now);
     }
 
-    // One second at the peak: 210 tasks end, 210 are submitted, in ten plans.
+    // Processor time of one second at peak load: 210 tasks end and 210 are submitted, in ten plans.
     double measurePeakSecond()
     {
         const double beginSeconds = processorSeconds();
--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -1,4 +1,5 @@
-// Compares the routing policies on one seeded sequence in virtual time, and prints tables.
+// Compares the routing policies on the same seeded sequence of requests in virtual time, and prints
+// tables.
 //
 //   routing_bench            all tables
 //   routing_bench --benchmark_filter=...   the processor time of the decisions, by size
@@ -177,7 +178,7 @@
     return routes;
 }
 
-// One attempt: choose, start, end.
+// One attempt: choose an upstream, start, end.
 void attemptOf(benchmark::State &state)
 {
     auto routes = makeRouter(static_cast<int>(state.range(0)), two_choices{});
@@ -190,7 +191,8 @@
 }
 BENCHMARK(attemptOf)->Arg(11)->Arg(79)->Arg(790);
 
-// One request through an admission whose slots are taken and whose queue holds `waiting`.
+// One request through an admission controller whose slots are taken and whose queue holds
+// `state.range(0)` requests.
 void requestThroughGate(benchmark::State &state)
 {
     admission controller({});
--- a/bench/routing_scenario.cpp
+++ b/bench/routing_scenario.cpp
@@ -20,7 +20,8 @@
 constexpr milliseconds TickPeriod{20};
 constexpr int Teams = 3;
 
-// Events in the order of their times; those of one time in the order of their making.
+// Event queue in virtual time. Events that are due at the same time run in the order in which they
+// were scheduled.
 class virtual_time
 {
 public:
@@ -86,7 +87,7 @@
     entry_node *entry = nullptr;
     time_point sentAt;
     time_point deadline;
-    duration work{}; // service time at an upstream of ordinary speed
+    duration work{}; // service time at an upstream of speed 1
     int attempts = 0;
     std::set<std::string> tried;
 };
@@ -169,7 +170,7 @@
         m_entries.push_back(std::make_unique<entry_node>(
                 entry_node{zone, router(settings, m_scenario.policy, random),
                            retry_budget(budget, m_clock.now())}));
-        // The upstreams have been there for a while.
+        // The upstreams joined long enough ago that their slow start is over.
         for (const auto &node : m_upstreams) {
             m_entries.back()->requestRouter.apply(upstream_joined{node->announced},
                                                   m_clock.now() - settings.slowStartTime);
@@ -191,7 +192,7 @@
         m_clock.schedule(m_scenario.reportPeriod, [this, &node] { publishLoad(node); });
     }
 
-    duration exponential(std::chrono::duration<double> mean)
+    duration drawExponential(std::chrono::duration<double> mean)
     {
         const auto drawnTime = -std::log(1.0 - drawUniform(m_random)) * mean;
         return std::max(duration(1), std::chrono::duration_cast<duration>(drawnTime));
@@ -199,8 +200,8 @@
 
     void scheduleArrival(time_point end)
     {
-        const duration gap =
-                exponential(std::chrono::duration<double>(1.0 / (m_capacity * m_scenario.load)));
+        const duration gap = drawExponential(
+                std::chrono::duration<double>(1.0 / (m_capacity * m_scenario.load)));
         if (m_clock.now() + gap > end)
             return;
         m_clock.schedule(gap, [this, end] {
@@ -218,7 +219,7 @@
         pending->entry = m_entries[number % m_entries.size()].get();
         pending->sentAt = m_clock.now();
         pending->deadline = m_clock.now() + m_scenario.timeout;
-        pending->work = exponential(m_scenario.serviceTime);
+        pending->work = drawExponential(m_scenario.serviceTime);
         m_clock.schedule(m_scenario.callerDelay, [this, pending] {
             pending->entry->budget.requestStarted(m_clock.now());
             startAttempt(pending);
@@ -280,7 +281,8 @@
                                             m_clock.now()));
     }
 
-    // The entry gives up at the caller's deadline: the request may have run.
+    // The entry gives up at the caller's deadline and doesn't retry: the request may have been
+    // executed.
     void recordLost(const std::shared_ptr<request> &pending, const route &target, time_point sentAt)
     {
         ++m_result.lost;
@@ -364,7 +366,7 @@
     virtual_time m_clock;
     std::vector<std::unique_ptr<upstream_node>> m_upstreams;
     std::vector<std::unique_ptr<entry_node>> m_entries;
-    double m_capacity = 0; // requests a second
+    double m_capacity = 0; // of all upstreams, requests per second
     scenario_result m_result;
 };
 
--- a/examples/embedding.cpp
+++ b/examples/embedding.cpp
@@ -1,6 +1,7 @@
-// A coordination part as a library: admission in front of a server of your own.
+// Embeds one component as a library: admission control in front of your own server.
 //
-// The part decides; this program brings the time (here a virtual one) and would bring the sockets.
+// The component only decides. The program passes the time (here simulated) and does the network I/O
+// (here left out).
 #include <string>
 #include <variant>
 
@@ -41,9 +42,9 @@
                                 now));
     };
     submitRequest("a", milliseconds(1000)); // the slot is free
-    submitRequest("b", milliseconds(1000)); // waits
-    submitRequest("c", milliseconds(5));    // could never be done in 5 ms: refused at once
+    submitRequest("b", milliseconds(1000)); // waits in the queue
+    submitRequest("c", milliseconds(5));    // can't be completed within 5 ms: refused immediately
     now += milliseconds(10);
-    print(controller.handle(admission::finished{"a", milliseconds(10)}, now)); // b's turn
+    print(controller.handle(admission::finished{"a", milliseconds(10)}, now)); // b starts
     return 0;
 }
--- a/standins/batch.cpp
+++ b/standins/batch.cpp
@@ -28,7 +28,7 @@
     return line["task"].asString().compare(0, prefix.size(), prefix) == 0;
 }
 
-// Every task of an accepted job, in the form of the trace.
+// Adds a trace line for each task of an accepted job.
 void addAcceptedTasks(const Json::Value &log, std::vector<Json::Value> &lines)
 {
     const auto first = log["first_task"].asUInt();
@@ -44,7 +44,7 @@
     }
 }
 
-// What the entries decided comes from their logs, in the form of the trace.
+// Converts the entries' decisions from their logs to trace lines.
 void addEntryDecisions(const fleet &system, std::vector<Json::Value> &lines)
 {
     for (unsigned index = 0; index < system.options().entries; ++index) {
@@ -116,7 +116,7 @@
                 }
             }
         } catch (const rpc_failure &) {
-            continue; // an entry that is down knows no tasks
+            continue; // the entry is not running
         }
     }
     return states;
--- a/standins/batch.h
+++ b/standins/batch.h
@@ -1,4 +1,5 @@
-// The folder and the season batch of the demo and the process tests, and what became of it.
+// Configuration files and the batch job of the demo and the process tests, and checks of its
+// outcome.
 #pragma once
 
 #include <string>
@@ -15,26 +16,27 @@
 {
     std::string job = "season";
     int tasks = 40;
-    int runMs = 300; // of one task
+    int runMs = 300; // run time of one task
     std::string failover = "lease";
     std::int64_t millicores = 2000;
     std::int64_t bytes = 4'000'000'000;
     std::string priority = "normal";
 };
 
-// Teams, the pool and the fleet's service: the file every folder starts with.
+// The configuration file with the team, the pool and the fleet's service, which every folder needs.
 Json::Value makeBaseConfig(const fleet_options &options);
 Json::Value makeBatchConfig(const batch_options &options);
 
-// Tasks by state over all shards of all entries that answer, for the job of that name.
+// Number of tasks of the named job by state, summed over the shards of all entries that answer.
 std::map<std::string, unsigned> taskStates(fleet &system, const std::string &job);
 
-// The workers' traces and the entries' placements in the order of time, checked.
-// Complete: it was given time to finish, so what has not happened is lost.
+// Merges the workers' traces and the entries' logs by time and checks them with
+// work::trace_checker. `isFinished`: all jobs had time to finish, so that a task that hasn't ended
+// is reported as lost.
 std::vector<work::trace_violation> checkFleetTrace(const fleet &system, bool isFinished = false);
-// Events of that name in the workers' traces whose task belongs to `job`.
+// Number of events of that name in the workers' traces whose task belongs to `job`.
 unsigned countTraced(const fleet &system, const std::string &event, const std::string &job);
-// The same by worker.
+// The same, by worker.
 std::map<std::string, unsigned> countTracedByWorker(const fleet &system, const std::string &event,
                                                     const std::string &job);
 
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -1,11 +1,11 @@
-// zinniabarrow_demo: the whole path on loopback at Mtkvari's size, every feature as living
-// documentation.
+// zinniabarrow_demo: runs a complete system on loopback, at the size of Mtkvari's deployment, and
+// demonstrates its features.
 //
 //   1. start: platform, 11 workers with upstreams and agents, 3 entries, as separate processes
-//   2. configuration: a folder with team, pool, service and a season batch is accepted
-//   3. load: callers read, hold and buy over all entries, and repeat some purchases elsewhere
-//   4. batch: its tasks run beside the service, under leases, and finish once
-//   5. table: what was asked, answered and refused; exit code 0 only if every promise was kept
+//   2. configuration: submits a folder with a team, a pool, a service and a batch job
+//   3. load: callers read, hold and buy through all entries, and repeat some purchases at another
+//   4. batch: its tasks run beside the service under leases; each finishes exactly once
+//   5. table: prints the outcomes; exit code 0 only if no guarantee was violated
 #include <algorithm>
 #include <cstdio>
 #include <thread>
@@ -24,11 +24,11 @@
 
 namespace {
 
-// Bounded: keyed purchases write two rows each, and the platform takes several hundred a second.
+// Keyed purchases write two rows each, and the platform accepts several hundred rows a second.
 constexpr unsigned RequestsPerSecond = 300;
 constexpr unsigned BatchTasks = 100;
 
-// What became of the season batch.
+// Outcome of the batch job.
 struct batch_result
 {
     unsigned finishedTasks = 0;
@@ -62,7 +62,7 @@
     fmt::print("{:<34}{:>10.1f}\n", "p99 ms", percentile(result.milliseconds, 0.99));
 }
 
-// Times in ms of reads that go one after the other to `address`.
+// Sends reads one after the other to `address` and returns their latencies in ms.
 std::vector<double> timeReads(const std::string &address, const std::string &target)
 {
     constexpr unsigned Reads = 300;
@@ -80,7 +80,7 @@
     return times;
 }
 
-// What entry and agent add to a call of an upstream, side by side in this run.
+// Compares reads sent directly to an upstream with reads through entry and agent.
 void printAddedLatency(fleet &system)
 {
     const auto direct = timeReads(system.upstreamAddress(0), "/seats");
@@ -94,7 +94,7 @@
     row("through entry and agent", forwarded);
 }
 
-// Starts the fleet, with its batch job running where `tasks` is not 0, and lets it be.
+// Starts the fleet, with `tasks` long-running batch tasks, and prints its cost while idle.
 int runIdle(const std::string &binaries, seconds observedTime, unsigned tasks)
 {
     fleet_options options;
@@ -113,8 +113,8 @@
         return tasks == 0 || taskStates(system, longRunning.job)["running"] == tasks;
     };
     if (!waitUntil(areAllRunning, seconds(30)))
-        throw error(error_kind::Internal, "not every task runs: read the logs");
-    std::this_thread::sleep_for(seconds(5)); // the first announcements are over
+        throw error(error_kind::Internal, "not all tasks are running; see the logs");
+    std::this_thread::sleep_for(seconds(5)); // the initial announcements have been sent
     fmt::print("{} workers, {} entries, {} tasks, {} s\n", options.workers, options.entries, tasks,
                observedTime.count());
     printIdleCost(system, observedTime);
@@ -135,7 +135,7 @@
                            == options.workers;
                 },
                 seconds(20)))
-        throw error(error_kind::NoUpstream, "not every upstream was announced: read the logs");
+        throw error(error_kind::NoUpstream, "not all upstreams were announced; see the logs");
 
     batch_options season;
     season.tasks = BatchTasks;
@@ -179,14 +179,14 @@
 int main(int count, char **arguments)
 {
     try {
-        TCLAP::CmdLine command("zinniabarrow's whole path on loopback", ' ', "0.1");
-        TCLAP::ValueArg<std::string> binaries("", "binaries", "folder of the programs", true, "",
+        TCLAP::CmdLine command("zinniabarrow demo: a complete system on loopback", ' ', "0.1");
+        TCLAP::ValueArg<std::string> binaries("", "binaries", "folder with the programs", true, "",
                                               "DIR", command);
-        TCLAP::ValueArg<unsigned> requests("", "requests", "how many to send", false, 4000, "n",
+        TCLAP::ValueArg<unsigned> requests("", "requests", "number of requests", false, 4000, "n",
                                            command);
-        TCLAP::ValueArg<unsigned> perSecond("", "per-second", "pace of the requests", false,
+        TCLAP::ValueArg<unsigned> perSecond("", "per-second", "requests sent per second", false,
                                             RequestsPerSecond, "n", command);
-        TCLAP::ValueArg<unsigned> idle("", "idle", "only watch an idle fleet for so many seconds",
+        TCLAP::ValueArg<unsigned> idle("", "idle", "only measure an idle fleet, for s seconds",
                                        false, 0, "s", command);
         TCLAP::ValueArg<unsigned> tasks("", "tasks", "batch tasks that run in the idle fleet",
                                         false, 0, "n", command);
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -41,7 +41,8 @@
     return text.str();
 }
 
-// 127.x.y.z from the pid: no other fleet on this machine has it.
+// 127.x.y.z, derived from the process id and the number of fleets in this process, so that fleets
+// on this machine don't share an address.
 std::string uniqueLoopbackAddress()
 {
     static unsigned fleets = 0;
@@ -77,7 +78,7 @@
 struct exec_parameters
 {
     pid_t parent = 0;
-    int errorPipeEnd = -1; // written to when the program can't be started
+    int errorPipeEnd = -1; // receives errno when the program can't be started
     const char *outFile = nullptr;
     const char *errorFile = nullptr;
 };
@@ -89,17 +90,18 @@
         dup2(opened, target);
 }
 
-// Between fork and exec: calls nothing but what is safe after the fork of a threaded process.
-//
-// A test that fails or crashes ends without its destructors. Its processes would stay, and after a
-// few such tests there would be no threads left to start another fleet with; so the kernel ends
-// them with the test.
 constexpr unsigned FirstClosedDescriptor = 3; // after standard input, output and error
 
+// Runs between fork and exec, so it only makes calls that are safe after the fork of a threaded
+// process.
+//
+// PR_SET_PDEATHSIG: a test that crashes ends without running its destructors. Its processes would
+// stay, and after a few such tests no threads would be left to start another fleet. So the kernel
+// kills the child when the test ends.
 [[noreturn]] void executeProgram(const exec_parameters &start, char *const *arguments)
 {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != start.parent) // it ended before the line above
+    if (getppid() != start.parent) // the parent ended before prctl
         _exit(127);
     redirectDescriptor(0, "/dev/null", O_RDONLY);
     redirectDescriptor(1, start.outFile, O_WRONLY | O_CREAT | O_APPEND);
@@ -107,7 +109,7 @@
     sigset_t noSignals;
     sigemptyset(&noSignals);
     sigprocmask(SIG_SETMASK, &noSignals, nullptr);
-    // A socket that listens here would go on listening in the child after it was closed here.
+    // A listening socket of the parent would stay open in the child after the parent closed it.
     close_range(FirstClosedDescriptor, ~0U, CLOSE_RANGE_CLOEXEC);
     execv(arguments[0], arguments);
     const int errorNumber = errno;
@@ -126,7 +128,7 @@
     for (const auto &word : command)
         arguments.push_back(const_cast<char *>(word.c_str()));
     arguments.push_back(nullptr);
-    // The child closes its end when its program starts, or writes why it could not.
+    // The child's end is closed by exec; when exec fails, the child writes errno to it first.
     int errorPipe[2];
     if (pipe2(errorPipe, O_CLOEXEC) != 0)
         throw std::runtime_error("cannot start " + command[0] + ": " + std::strerror(errno));
@@ -171,7 +173,7 @@
             return kibibytes * Kibibyte;
         }
     }
-    throw std::runtime_error("the process is gone: read " + m_errorFile);
+    throw std::runtime_error("the process has exited; see " + m_errorFile);
 }
 
 bool child_process::isRunning()
@@ -211,7 +213,7 @@
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "zinniabarrow-XXXXXX").string();
     if (mkdtemp(pattern.data()) == nullptr)
-        throw std::runtime_error("cannot make a scratch folder: check the temporary directory");
+        throw std::runtime_error("cannot create a scratch folder in the temporary directory");
     m_scratchFolder = pattern;
     createLinks();
 }
@@ -321,7 +323,7 @@
     const auto id = workerId(index);
     const auto traceFile = m_scratchFolder + "/" + id + ".out";
     if (std::find(m_traceFiles.begin(), m_traceFiles.end(), traceFile) == m_traceFiles.end())
-        m_traceFiles.push_back(traceFile); // a restarted worker appends to its file
+        m_traceFiles.push_back(traceFile); // a restarted worker appends to the same file
     m_workers.at(index) = start(id, {m_options.binaries + "/zinniabarrow_standin", "worker",
                                      "--listen", workerAddress(index), "--id", id, "--millicores",
                                      std::to_string(m_options.millicores), "--bytes",
@@ -359,7 +361,7 @@
             settings["peers"].append(linkedAddress(name, "entry-" + std::to_string(peer)));
     }
     settings["platform"]["address"] = linkedAddress(name, "platform");
-    settings["max_connections"] = 96; // a thread each: many fleets' processes share this machine
+    settings["max_connections"] = 96; // one thread each; many fleets share the machine
     merge(settings, m_options.entrySettings);
     const auto file = writeSettings(name, settings);
     m_entries.at(index) =
@@ -436,7 +438,7 @@
     };
     if (waitUntil(ready, StartTimeout))
         return;
-    throw std::runtime_error("entry " + std::to_string(index) + " is not ready: read its log\n"
+    throw std::runtime_error("entry " + std::to_string(index) + " did not become ready; its log:\n"
                              + readFile(m_entries.at(index)->errorFile()));
 }
 
@@ -469,7 +471,7 @@
                                 .call({"PUT", "/objects/folder/" + name, {}, prettyJson(content)},
                                       monotonic_clock::now() + CallTimeout);
     if (!std::holds_alternative<http_response>(result))
-        throw std::runtime_error("the platform took no file");
+        throw std::runtime_error("no answer from the platform when storing a file");
 }
 
 void fleet::removeFolderFile(const std::string &name)
@@ -478,7 +480,7 @@
                                 .call({"DELETE", "/objects/folder/" + name, {}, {}},
                                       monotonic_clock::now() + CallTimeout);
     if (!std::holds_alternative<http_response>(result))
-        throw std::runtime_error("the platform removed no file");
+        throw std::runtime_error("no answer from the platform when removing a file");
 }
 
 Json::Value fleet::rpc(unsigned entryIndex, const std::string &method,
@@ -502,7 +504,7 @@
     for (const auto &name : m_traceFiles) {
         std::ifstream file(name);
         std::string line;
-        while (std::getline(file, line) && !file.eof()) { // at eof: a line that is being written
+        while (std::getline(file, line) && !file.eof()) { // at eof the line is still being written
             auto value = parseJson(line);
             if (value.isMember("at_us"))
                 lines.push_back(std::move(value));
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -1,4 +1,5 @@
-// The whole path as separate processes on loopback, for the demo and the process tests.
+// A complete system (platform, workers, upstreams, entries, agents) as separate processes on
+// loopback, for the demo and the process tests.
 #pragma once
 
 #include <map>
@@ -16,11 +17,12 @@
 
 namespace zinniabarrow::standins {
 
-// One process that this program started; killed when destroyed.
+// A child process; it is killed when this object is destroyed.
 class child_process
 {
 public:
-    // Standard output and error go to the named files.
+    // Standard output and error are appended to the named files. Throws std::runtime_error when the
+    // program can't be started.
     child_process(const std::vector<std::string> &command, std::string outFile,
                   std::string errorFile);
     ~child_process();
@@ -28,10 +30,10 @@
     child_process &operator=(const child_process &) = delete;
 
     void signal(int number) const;
-    std::size_t peakMemoryBytes() const; // resident, since its start
+    std::size_t peakMemoryBytes() const; // peak resident size since its start
     pid_t processId() const { return m_pid; }
-    bool isRunning();                      // reaps it when it has ended
-    int waitForExit(milliseconds timeout); // exit code; -1 when still running then
+    bool isRunning();                      // also reaps the process when it has exited
+    int waitForExit(milliseconds timeout); // exit code, 128 + signal; -1 on timeout
     const std::string &outFile() const { return m_outFile; }
     const std::string &errorFile() const { return m_errorFile; }
 
@@ -43,7 +45,7 @@
     std::string m_errorFile;
 };
 
-// Runs a command to its end; returns exit code and standard output.
+// Exit code and output of a command that runCommand ran to its end.
 struct command_result
 {
     int exitCode = 0;
@@ -53,7 +55,7 @@
 command_result runCommand(const std::vector<std::string> &command, const std::string &scratchFolder,
                           milliseconds timeout = seconds(20));
 
-// What a link is laid between, in the direction in which connections are made.
+// The two ends of a link; connections are made in the direction from `from` to `to`.
 struct link_ends
 {
     std::string from; // "entry-0", "agent-2", or "entries" for all of them
@@ -63,7 +65,7 @@
 
 struct fleet_options
 {
-    std::string binaries; // folder of the programs
+    std::string binaries; // folder with the built programs
     unsigned entries = 3;
     unsigned workers = 11; // each with an upstream and an agent
     std::string region = "kartli";
@@ -71,16 +73,16 @@
     std::string service = "tickets";
     std::int64_t millicores = 16'000;    // of each worker
     std::int64_t bytes = 60'000'000'000; // of each worker
-    int upstreamWorkMs = 5;              // time of one request at the upstream
-    bool hasInterference = false; // an instance's tasks slow its upstream (worker's fault "noise")
+    int upstreamWorkMs = 5;              // service time of one request at the upstream, ms
+    bool hasInterference = false; // tasks slow their instance's upstream (worker's fault "noise")
     Json::Value entrySettings{Json::objectValue}; // merged over the defaults
     Json::Value agentSettings{Json::objectValue}; // merged over the defaults
-    // An agent announces one address, so that the link to it is shared: {"entries", "agent-2"}.
-    std::vector<link_ends> links; // laid before the processes start
+    // An agent announces one address, so all entries share the link to it: {"entries", "agent-2"}.
+    std::vector<link_ends> links; // created before the processes start
 };
 
-// Each role's processes by index. A fleet has a loopback address of its own, so that fleets of
-// tests that run side by side never share a port.
+// The processes of each role are addressed by index. Each fleet uses its own loopback address, so
+// that tests that run concurrently never share a port.
 class fleet
 {
 public:
@@ -96,9 +98,9 @@
     void startUpstream(unsigned index);
     void startEntry(unsigned index);
     void startAgent(unsigned index);
-    // A second agent of the same id for the same upstream and worker, at another port.
+    // Starts a second agent with the same id, upstream and worker on another port.
     std::unique_ptr<child_process> startDuplicateAgent(unsigned index) const;
-    void waitForEntry(unsigned index); // until it is ready to serve; throws with its log
+    void waitForEntry(unsigned index); // until it is ready; on timeout throws with its log
 
     std::unique_ptr<child_process> &platform() { return m_platform; }
     std::unique_ptr<child_process> &worker(unsigned index) { return m_workers.at(index); }
@@ -110,7 +112,7 @@
     std::string workerAddress(unsigned index) const;
     std::string upstreamAddress(unsigned index) const;
     std::string entryAddress(unsigned index) const;    // for callers
-    std::string entryRpcAddress(unsigned index) const; // for processes and operators
+    std::string entryRpcAddress(unsigned index) const; // for other processes and operators
     std::string agentAddress(unsigned index) const;
 
     link &linkBetween(const std::string &from, const std::string &to);
@@ -119,23 +121,23 @@
     const std::string &scratchFolder() const { return m_scratchFolder; }
     std::string workerId(unsigned index) const;
 
-    // Calls a stand-in's fault route. Throws when it does not answer.
+    // Posts to a stand-in's /fault route. Throws std::runtime_error when it doesn't answer.
     void setFault(const std::string &address, const Json::Value &fault);
     std::string getText(const std::string &address, const std::string &target);
     Json::Value getJson(const std::string &address, const std::string &target);
-    // Puts a file into the configuration folder, straight in the platform's store.
+    // Writes a file of the configuration folder directly to the platform's object store.
     void putFolderFile(const std::string &name, const Json::Value &content);
     void removeFolderFile(const std::string &name);
-    // An operator's call to an entry.
+    // Calls an entry's RPC interface as an operator does.
     Json::Value rpc(unsigned entryIndex, const std::string &method, const Json::Value &parameters);
 
-    // Every line that the workers' stand-ins traced.
+    // All trace lines that the stand-in workers have written.
     std::vector<Json::Value> workerTrace() const;
 
 private:
     std::string address(int port) const;
     std::string addressOf(const std::string &process) const;
-    // The link's address where one is laid, else the process's own.
+    // The link's address if there is a link from `from` to `to`, else the address of `to`.
     std::string linkedAddress(const std::string &from, const std::string &to) const;
     void createLinks();
     Json::Value agentSettings(unsigned index) const;
@@ -147,7 +149,7 @@
     std::string m_loopbackAddress;
     std::string m_scratchFolder;
     http_pools m_pools;
-    std::map<link_ends, std::unique_ptr<link>> m_links; // outlive the processes
+    std::map<link_ends, std::unique_ptr<link>> m_links; // destroyed after the processes
     std::unique_ptr<child_process> m_platform;
     std::vector<std::unique_ptr<child_process>> m_workers;
     std::vector<std::unique_ptr<child_process>> m_upstreams;
@@ -156,7 +158,7 @@
     std::vector<std::string> m_traceFiles;
 };
 
-// Polls `holds` every 10 ms; false when it did not hold within `atMost`.
+// Polls `condition` every 10 ms; returns false when it didn't hold within `timeout`.
 template <typename Condition>
 bool waitUntil(Condition condition, milliseconds timeout);
 
--- a/standins/idle.cpp
+++ b/standins/idle.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-// Of one process, since its start; `between` gives what came in the time watched.
+// Cost of one process since its start; costDifference gives the cost of an observed period.
 struct process_cost
 {
-    double ticks = 0;                    // of the processor clock
+    double ticks = 0;                    // clock ticks of processor time
     double wakeups = 0;                  // voluntary context switches of all threads
     std::map<std::string, double> bytes; // by kind and direction
 };
 
 double clockTicks(pid_t process)
 {
-    constexpr int FieldsAfterName = 11; // utime and stime follow these
+    constexpr int FieldsAfterName = 11; // utime and stime follow these fields
     std::ifstream file("/proc/" + std::to_string(process) + "/stat");
     std::string text((std::istreambuf_iterator<char>(file)), {});
     std::istringstream fields(text.substr(text.rfind(')') + 1));
@@ -54,7 +54,7 @@
     return sum;
 }
 
-// Reads zinniabarrow_control_bytes_total{direction="sent",kind="report"} 697
+// Parses metrics such as zinniabarrow_control_bytes_total{direction="sent",kind="report"} 697
 std::map<std::string, double> controlBytes(http_pools &pools, const std::string &address)
 {
     const auto result = pools.poolFor(address).call({"GET", "/metrics", {}, {}},
--- a/standins/idle.h
+++ b/standins/idle.h
@@ -1,5 +1,5 @@
-// What the processes of a fleet cost while no caller asks anything: processor time and wake-ups
-// from /proc, bytes of control from their metrics.
+// Cost of a fleet's processes while no caller sends requests: processor time and wake-ups from
+// /proc, bytes of control messages from their metrics.
 #pragma once
 
 #include "base/time.h"
@@ -7,7 +7,8 @@
 
 namespace zinniabarrow::standins {
 
-// Watches `system` for `watched` and prints a table by role: the mean process and the busiest one.
+// Observes `system` for `observedTime` and prints a table by role: the mean process and the busiest
+// one.
 void printIdleCost(fleet &system, seconds observedTime);
 
 } // namespace zinniabarrow::standins
--- a/standins/job_platform.cpp
+++ b/standins/job_platform.cpp
@@ -34,20 +34,20 @@
     return std::chrono::duration_cast<milliseconds>(suspendAwareNow().time_since_epoch()).count();
 }
 
-// What all workers have seen together; a lock, since tests read it from their own thread.
+// What all workers have done. Guarded by `mutex`, since tests read it from another thread.
 struct run_history
 {
     mutable std::mutex mutex;
     int startedRuns = 0;
     int doneRuns = 0;
-    std::map<std::string, std::string> workerByTask; // task to worker
-    std::set<std::string> doneTasks;                 // tasks that were done
+    std::map<std::string, std::string> workerByTask; // running tasks
+    std::set<std::string> doneTasks;                 // tasks with a completed run
     std::vector<std::string> violations;
     std::map<std::string, std::int64_t> epochByLease;
-    std::set<std::string> cancelledJobs; // jobs that agents read as cancelled
+    std::set<std::string> cancelledJobs; // jobs whose cancel row was written
 };
 
-// Longer than an agent needs to find its worker gone.
+// Longer than an agent needs to detect that its worker is gone.
 constexpr milliseconds LeaseAnswerDelay{800};
 
 std::string workerName(std::size_t index)
@@ -158,7 +158,7 @@
     }
 
     std::map<std::string, Json::Value> m_rows;
-    std::map<std::string, Json::Value> m_removedRows; // the feed tells them
+    std::map<std::string, Json::Value> m_removedRows; // reported by the feed
     std::int64_t m_version = 1;
     int m_answersToLose = 0;
     bool m_isUnavailable = false;
@@ -189,7 +189,7 @@
         return makeListing(body["last-seen"].asInt64());
     }
 
-    // Runs whose work is over, and all of them once the lease is.
+    // Ends the runs whose work is done, and all runs when the lease has expired.
     void endDueRuns()
     {
         const auto running = m_runsByTask;
@@ -201,7 +201,7 @@
         }
     }
 
-    // Its process is gone, and all that ran in it.
+    // Drops all runs without recording ends, as when the process is killed.
     void terminate()
     {
         isTerminated = true;
@@ -221,7 +221,7 @@
 
     bool isUnresponsive = false;
     bool isTerminated = false;
-    bool announcesStart = true; // in its announcements
+    bool announcesStart = true; // includes its start time in heartbeats
     std::string id() const { return m_id; }
     std::int64_t startTimeMs() const { return m_startTimeMs; }
     std::int64_t millicores() const { return m_millicores; }
@@ -269,12 +269,12 @@
         ++m_history.startedRuns;
         const auto elsewhere = m_history.workerByTask.find(task);
         if (elsewhere != m_history.workerByTask.end())
-            m_history.violations.push_back(
-                    fmt::format("{} starts on {} and runs on {}", task, m_id, elsewhere->second));
+            m_history.violations.push_back(fmt::format("{} was started on {} while it runs on {}",
+                                                       task, m_id, elsewhere->second));
         if (m_history.doneTasks.contains(task))
-            m_history.violations.push_back(task + " starts again after it was done");
+            m_history.violations.push_back(task + " was started again after it had completed");
         if (static_cast<std::int64_t>(m_runsByTask.size() + 1) * 1000 > m_millicores)
-            m_history.violations.push_back(m_id + " is given more than it holds");
+            m_history.violations.push_back(m_id + " was given more than its capacity");
         m_history.workerByTask[task] = m_id;
     }
 
@@ -369,9 +369,9 @@
             agentTargets.push_back(agent);
         }
         thread = std::thread([this] {
-            loop.run([this](const std::exception &problem) {
+            loop.run([this](const std::exception &failure) {
                 const std::lock_guard lock(history.mutex);
-                history.violations.emplace_back(problem.what());
+                history.violations.emplace_back(failure.what());
             });
         });
     }
@@ -393,7 +393,7 @@
                 });
     }
 
-    // A feed waits for a change, in steps of 50 ms.
+    // A feed request waits for a change: retries every 50 ms, `retriesLeft` times at most.
     void serveStore(const http_request &request, responder reply, int retriesLeft)
     {
         const bool shouldWait = request.path() == "/-/rows-feed" && retriesLeft > 0
@@ -428,7 +428,7 @@
         reply(std::move(answer));
     }
 
-    // The row of a lease that a call writes.
+    // A lease row that a request writes.
     struct written_lease
     {
         std::string key;
@@ -475,11 +475,12 @@
         request.method = "POST";
         request.target = "/-/instances/" + worker.id() + "/deregister";
         request.body = "{}";
+        // The result is ignored: an agent that is down detects the loss by polling.
         caller.call(agentTargets.at(index), std::move(request), milliseconds(500),
-                    [](const call_result & /*an agent that is down looks for itself*/) {});
+                    [](const call_result & /*result*/) {});
     }
 
-    // It has gone, and its last announcement comes in after its departure.
+    // Sends a heartbeat 50 ms after the deregistration.
     void terminateBeforeAnnouncement(std::size_t index)
     {
         terminateWorker(index);
@@ -513,8 +514,9 @@
         request.method = "POST";
         request.target = "/-/instances/" + worker.id() + "/heartbeat";
         request.body = compactJson(body);
+        // The result is ignored: an agent that is down receives the next heartbeat.
         caller.call(agent, std::move(request), milliseconds(500),
-                    [](const call_result & /*an agent that is down hears the next one*/) {});
+                    [](const call_result & /*result*/) {});
     }
 
     net::event_loop loop;
@@ -524,13 +526,14 @@
     store_standin store;
     std::vector<std::unique_ptr<worker_standin>> workerStandins;
     std::vector<std::unique_ptr<net::http_listener>> listeners;
-    std::vector<socket_address> workerAddresses;   // where each worker listens
-    std::vector<std::string> agentTargets;         // where each worker announces itself
-    std::map<std::string, int> announcementCounts; // times, by worker, in its present life
-    std::size_t workerToTerminate = 0;             // worker that goes
-    std::string triggerLease;  // when this lease is written next; empty: none does
-    std::string delayedLease;  // answers to writes of it are held,
-    time_point delayedUntil{}; // until then
+    std::vector<socket_address> workerAddresses; // where each worker listens
+    std::vector<std::string> agentTargets;       // the agent of each worker
+    // Heartbeats sent by each worker in its current incarnation.
+    std::map<std::string, int> announcementCounts;
+    std::size_t workerToTerminate = 0; // when triggerLease is written
+    std::string triggerLease;          // key of a lease row; empty: none
+    std::string delayedLease;          // key of the lease row whose write answers are delayed
+    time_point delayedUntil{};         // end of that delay
     std::thread thread;
 };
 
--- a/standins/job_platform.h
+++ b/standins/job_platform.h
@@ -1,5 +1,5 @@
-// The users' platform as jobs meet it: a store of rows and workers that run tasks under leases, in
-// this process on a thread of its own. It notes what it sees, and what it should never have seen.
+// Stand-in of the users' platform for tests of jobs: a row store and workers that run tasks under
+// leases. It runs in this process on its own thread, and records runs and violations of guarantees.
 #pragma once
 
 #include <memory>
@@ -17,7 +17,7 @@
     std::vector<socket_address> workers;
     std::vector<socket_address> agentAddresses; // where each worker announces itself
     std::int64_t millicores = 4000;             // of each worker
-    milliseconds taskTime{300};                 // each task
+    milliseconds taskTime{300};                 // run time of each task
 };
 
 class job_platform
@@ -28,26 +28,28 @@
     job_platform(const job_platform &) = delete;
     job_platform &operator=(const job_platform &) = delete;
 
-    void loseWriteAnswers(int writeCount); // the next writes take effect, their answers are lost
-    void setStoreUnavailable(bool isUnavailable); // the store answers 503 and does nothing
-    void makeUnresponsive(std::size_t worker);    // it runs on and answers nothing any more
-    // Its process is gone: what ran there has ended, nothing listens, its agent is told.
+    void loseWriteAnswers(int writeCount);        // applies the next writes, drops their answers
+    void setStoreUnavailable(bool isUnavailable); // the store answers 503 without any effect
+    void makeUnresponsive(std::size_t worker);    // its runs go on, but it answers no calls
+    // Ends the worker's process and all its runs, closes its listener and sends its deregistration
+    // to the agent.
     void terminateWorker(std::size_t worker);
-    void terminateBeforeAnnouncement(
-            std::size_t worker); // its last announcement comes in after its departure
-    // The same at the moment at which that worker's lease, of this key, is written next; the
-    // answers to writes of it come only after a while.
+    // The same, but the worker's last heartbeat reaches the agent after the deregistration.
+    void terminateBeforeAnnouncement(std::size_t worker);
+    // Terminates the worker when the lease row with key `lease` is written next, and then delays
+    // the answers to writes of that row for a while.
     void terminateAtLeaseWrite(std::size_t worker, const std::string &lease);
-    // One that had gone lives anew under its name; only looks at it tell when it was born.
+    // Restarts a terminated worker with the same id. It reports its start time only in answers to
+    // polls, not in heartbeats.
     void restartWorker(std::size_t worker);
-    bool isCancelStored(const std::string &job) const;       // its row is written
-    std::int64_t leaseEpoch(const std::string &lease) const; // as stored; 0: there is no such row
-    void setTaskTime(milliseconds taskTime);                 // of tasks that start from now on
-    int startCount() const;                                  // that began a run
-    int doneCount() const;                                   // runs that ended so
+    bool isCancelStored(const std::string &job) const;       // the job's cancel row was written
+    std::int64_t leaseEpoch(const std::string &lease) const; // as stored; 0 without such a row
+    void setTaskTime(milliseconds taskTime);                 // for tasks that start from now on
+    int startCount() const;                                  // runs that have started
+    int doneCount() const;                                   // runs that have completed
     int countRunsOn(std::size_t worker) const;
-    std::size_t busiestWorker() const; // where most runs are
-    std::vector<std::string> violations() const;
+    std::size_t busiestWorker() const;           // the one with the most runs
+    std::vector<std::string> violations() const; // of guarantees, in words; also internal errors
 
     struct impl;
 
--- a/standins/link.cpp
+++ b/standins/link.cpp
@@ -111,7 +111,7 @@
     m_listener = -1;
 }
 
-// A target that refuses is shown to the caller as a reset, the nearest that a relay can do.
+// When the target refuses the connection, the caller's is reset: the relay has accepted it already.
 void link::acceptConnection()
 {
     const int caller = accept4(m_listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -166,7 +166,7 @@
                 buffer.unsentBytes.assign(chunk.data(), static_cast<std::size_t>(receivedBytes));
             buffer.dueAt = monotonic_clock::now() + milliseconds(m_delayMs);
         } else if (receivedBytes == 0) {
-            buffer.isSourceClosed = !shouldDiscard; // the end of a lost answer is lost too
+            buffer.isSourceClosed = !shouldDiscard; // end of stream is discarded like the data
         } else if (errno != EAGAIN) {
             isConnectionBroken = !shouldDiscard;
         }
--- a/standins/link.h
+++ b/standins/link.h
@@ -1,4 +1,4 @@
-// A network link between two processes: a TCP relay that passes, is cut, goes silent or is slow.
+// A network link between two processes: a TCP relay that can be slowed down, cut or blackholed.
 #pragma once
 
 #include <atomic>
@@ -13,14 +13,14 @@
 
 enum class link_state {
     Passing,
-    Slow,           // each piece waits for the delay
-    Cut,            // connections are reset, new ones refused
-    Blackholed,     // connections stand, and nothing moves on them: half-open
-    AnswersDropped, // what goes to the target arrives, what comes back does not
+    Slow,           // each chunk is delayed
+    Cut,            // connections are reset and new ones refused
+    Blackholed,     // connections stay open but carry no data (half-open)
+    AnswersDropped, // requests reach the target, its answers are discarded
 };
 
-// Listens at one address and carries every connection to the target. What a silent link holds back
-// arrives late once it passes again, as packets do that were sent again and again.
+// Listens at one address and relays each connection to the target. Data that a blackholed link
+// holds back is delivered once the link passes again, like retransmitted packets.
 class link
 {
 public:
@@ -29,22 +29,20 @@
     link(const link &) = delete;
     link &operator=(const link &) = delete;
 
-    // Returns once the relay works by it. `delay` is for Slow alone.
+    // Returns when the relay has applied the state. `delay` is used by Slow only.
     void setState(link_state state, milliseconds delay = milliseconds(0));
     std::string address() const { return toText(m_listen); }
-    unsigned acceptedConnections() const
-    {
-        return m_acceptedConnections;
-    } // connections, from the start
+    // Connections accepted since the link was created.
+    unsigned acceptedCount() const { return m_acceptedConnections; }
 
 private:
-    // One direction of a connection: what was read from one side and waits for the other.
+    // One direction of a connection: data read from one side and not yet written to the other.
     struct relay_buffer
     {
         std::string unsentBytes;
-        time_point dueAt{};
-        bool isSourceClosed = false;   // the reading side has closed
-        bool isCloseForwarded = false; // and the writing side was told
+        time_point dueAt{};            // earliest time at which unsentBytes may be written
+        bool isSourceClosed = false;   // end of stream was read
+        bool isCloseForwarded = false; // the writing side was shut down as well
     };
     struct connection
     {
@@ -74,7 +72,7 @@
     std::atomic<milliseconds::rep> m_delayMs{0};
     std::atomic<unsigned> m_acceptedConnections{0};
     std::atomic<bool> m_isStopping{false};
-    int m_listener = -1;                   // the relay's thread alone, as all below
+    int m_listener = -1;                   // used by the relay thread only, like m_connections
     std::vector<connection> m_connections; //
     std::thread m_relayThread;
 };
--- a/standins/load.cpp
+++ b/standins/load.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr milliseconds AnswerGracePeriod{1000}; // an entry's own answer comes by the deadline
+constexpr milliseconds AnswerGracePeriod{1000}; // the entry answers by the deadline itself
 constexpr unsigned MaxRepeats = 10;
 constexpr milliseconds RepeatInterval{200};
 
@@ -93,14 +93,14 @@
             if (kind < 9)
                 purchase.headers["Idempotency-Key"] = operation;
             sendRequest(entry, purchase, operation);
-            if (kind == 8) // the balancer repeats it at another entry
+            if (kind == 8) // as a load balancer that retries at another entry
                 repeatWhileInProgress((entry + 1) % entries, purchase, operation);
         }
         ++m_completedRequests;
     }
 }
 
-// Comes back as long as it is told that the first try is still open.
+// Repeats the purchase as long as the answer is that the first attempt is still in progress.
 void load_generator::repeatWhileInProgress(unsigned entry, const http_request &purchase,
                                            const std::string &operation)
 {
--- a/standins/load.h
+++ b/standins/load.h
@@ -1,4 +1,5 @@
-// Callers: a paced, seeded load over all entries that remembers what each request came to.
+// Load generator: callers that send requests to all entries at a given rate, seeded, and record the
+// outcome of each request.
 #pragma once
 
 #include <atomic>
@@ -14,29 +15,29 @@
 
 struct load_options
 {
-    unsigned requests = 600;     // first tries; repeats come on top
-    unsigned perSecond = 150;    // keyed ones write two rows each of several hundred a second
+    unsigned requests = 600;     // first attempts; repeats are added
+    unsigned perSecond = 150;    // keyed ones write two rows; the platform takes several hundred/s
     unsigned callers = 24;       // threads
     milliseconds deadline{5000}; // of each request
-    std::string prefix = "op";   // of the operations' names
+    std::string prefix = "op";   // of operation names
 };
 
-// What the requests came to.
+// Outcomes of the requests; `mutex` guards all fields.
 struct load_result
 {
     std::mutex mutex;
     unsigned sentRequests = 0;
     unsigned answeredRequests = 0;
-    unsigned replayedAnswers = 0;   // of these from the answer kept from the first try
-    unsigned inProgressAnswers = 0; // repeats that came while the first try was still open
-    unsigned wrongAnswers = 0;      // an answer that was another's, or not whole
-    std::map<std::string, unsigned> refusedByReason; // by reason, or by how the call failed
-    std::set<std::string>
-            mayHaveExecuted; // operations with a try that is not known not to have run
-    std::set<std::string>
-            reportedNotExecuted;         // operations with a try that was said not to have run
-    std::set<std::string> nonIdempotent; // operations that must not run twice
-    std::vector<double> milliseconds;    // of answered requests
+    unsigned replayedAnswers = 0;   // of these, stored answers of the first attempt
+    unsigned inProgressAnswers = 0; // repeats refused while the first attempt was in progress
+    unsigned wrongAnswers = 0;      // answers that belong to another request or are incomplete
+    std::map<std::string, unsigned> refusedByReason; // by error reason or kind of call failure
+    // Operations with an attempt that may have been executed.
+    std::set<std::string> mayHaveExecuted;
+    // Operations with an attempt that was reported as not executed.
+    std::set<std::string> reportedNotExecuted;
+    std::set<std::string> nonIdempotent; // operations that must not be executed twice
+    std::vector<double> milliseconds;    // latencies of answered requests
 
     unsigned countRefusals() const;
     unsigned countRefusalsFor(const std::string &reason) const;
@@ -47,11 +48,11 @@
 public:
     load_generator(fleet &system, load_options options, load_result &result);
 
-    // Returns when the last caller is done.
+    // Sends all requests; returns when the last caller has finished.
     void run();
     unsigned completedRequests() const { return m_completedRequests; }
 
-    // One request; the reason of its refusal, or empty when the whole answer came.
+    // Sends one request. Returns the reason of its refusal, empty when the complete answer arrived.
     std::string sendRequest(unsigned entry, http_request request, const std::string &operation);
 
 private:
@@ -67,13 +68,15 @@
     std::atomic<unsigned> m_completedRequests{0};
 };
 
-// How often each operation ran, over all upstreams that answer.
+// How often each operation was executed, summed over all upstreams that run.
 std::map<std::string, unsigned> countExecutions(fleet &system);
 
-// Non-idempotent operations that ran twice, operations that ran although every try was said not to
-// have run, and requests beyond an upstream's slots; in words.
+// Describes each violation: non-idempotent operations that were executed twice, operations that
+// were executed although every attempt was reported as not executed, and upstreams that had more
+// concurrent requests than slots.
 std::vector<std::string> findGuaranteeViolations(fleet &system, const load_result &result);
 
+// The value at `fraction` (0 to 1) of the sorted values; 0 when there are none.
 double percentile(std::vector<double> values, double fraction);
 
 } // namespace zinniabarrow::standins
--- a/standins/main.cpp
+++ b/standins/main.cpp
@@ -1,5 +1,5 @@
 // zinniabarrow_standin platform|worker|upstream: prints its address as one JSON line, then serves
-// until SIGTERM.
+// until SIGTERM or SIGINT.
 #include <csignal>
 #include <cstdio>
 #include <iostream>
@@ -60,8 +60,8 @@
     sigemptyset(&stopSignals);
     sigaddset(&stopSignals, SIGTERM);
     sigaddset(&stopSignals, SIGINT);
-    sigprocmask(SIG_BLOCK, &stopSignals,
-                nullptr); // before any thread starts, so that all inherit it
+    // Before any thread starts, so that all threads inherit the mask.
+    sigprocmask(SIG_BLOCK, &stopSignals, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
     try {
         const std::string kind = argumentCount > 1 ? arguments[1] : "";
@@ -74,7 +74,7 @@
         std::fflush(stdout);
         int stopSignal = 0;
         sigwait(&stopSignals, &stopSignal);
-        std::_Exit(ExitOk); // a stand-in owes nobody a graceful stop
+        std::_Exit(ExitOk); // a stand-in needs no graceful shutdown
     } catch (const error &failure) {
         fmt::print(stderr, "{}\n", failure.what());
         return ExitFailed;
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -1,4 +1,4 @@
-// The platform's stand-in: memory_platform behind HTTP, with budgets and faults.
+// Stand-in of the platform: memory_platform behind HTTP, with rate limits and injected faults.
 #include <atomic>
 #include <mutex>
 #include <thread>
@@ -32,7 +32,7 @@
     return std::strtoull(text.c_str(), nullptr, 10);
 }
 
-// A budget refilled every second.
+// A rate limit: an amount that is refilled every second.
 class rate_budget
 {
 public:
@@ -46,7 +46,7 @@
             m_remaining = m_perSecond;
             m_refillAt = now + seconds(1);
         }
-        // A transaction larger than a whole second's budget passes when nothing else was done.
+        // A transaction larger than the budget of a second passes if nothing else was charged.
         if (amount > m_remaining && m_remaining < m_perSecond)
             return false;
         m_remaining -= std::min<std::size_t>(amount, m_remaining);
@@ -121,7 +121,8 @@
         return charged.tryTake(amount, monotonic_clock::now());
     }
 
-    // The effect stands, the answer is dropped: the client sees its deadline pass.
+    // Drops the answer if a fault asks for it; the write stays applied. The client gets a 500,
+    // which does not tell the outcome.
     http_response answerUnlessLost(const write_result &result)
     {
         long answersLeft = m_answersToLose;
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -1,4 +1,4 @@
-// Stand-ins for the outside systems: each is one HTTP server with faults by command.
+// Stand-ins of the external systems. Each is an HTTP server; faults are injected by request.
 #pragma once
 
 #include <atomic>
@@ -10,9 +10,9 @@
 
 namespace zinniabarrow::standins {
 
-// Every stand-in also takes POST /fault {"pause_ms": n}: it does nothing for n ms, then goes on.
+// Every stand-in accepts POST /fault {"pause_ms": n}: it suspends all work for n ms, then resumes.
 
-// While paused, every thread of the stand-in that passes `wait` stays there.
+// Blocks the threads of a stand-in in `waitWhilePaused` until the pause is over.
 class pause_gate
 {
 public:
@@ -23,7 +23,7 @@
     std::atomic<time_point> m_pausedUntil{time_point{}};
 };
 
-// A running stand-in; it serves until destroyed.
+// A running stand-in; it serves requests until it is destroyed.
 class standin
 {
 public:
@@ -31,50 +31,54 @@
     virtual socket_address address() const = 0;
 };
 
-// The platform's table and object store, with the budgets of the brief.
-// POST /fault {"down": bool, "slow_ms": n, "lose_answers": n}: down answers 503 before any effect;
-// lose_answers drops the answers of the next n writes after they took effect.
+// The platform's table and object store, with limited write and read rates.
+// POST /fault {"down": bool, "slow_ms": n, "lose_answers": n}: `down` answers 503 without any
+// effect; `slow_ms` delays each request; `lose_answers` drops the answers to the next n writes
+// after they were applied.
 struct platform_options
 {
     socket_address address;
-    unsigned writesPerSecond = 500; // rows; a transaction above the budget is refused with 429
+    unsigned writesPerSecond = 500; // rows; a transaction above the rate is refused with 429
     unsigned readsPerSecond = 2000; // calls
 };
 std::unique_ptr<standin> startPlatform(const platform_options &options);
 
-// A worker: runs tasks under leases and starts whatever it is given.
+// A worker: runs tasks under leases and starts every task without a check of its own capacity.
 // POST /fault {"fail_starts": bool, "slow_ms": n, "unreachable": bool, "lose_answers": n,
-// "noise": {job: x}}: each running task of that job slows the instance's upstream by x times its
-// service time, by less when it is throttled. GET /noise tells the sum.
+// "noise": {job: x}}: `fail_starts` lets each task fail right after its start; `unreachable`
+// answers 503; `noise`: each running task of that job adds x times the service time to requests of
+// the instance's upstream, less while the task is throttled. GET /noise returns the sum over all
+// tasks.
 struct worker_options
 {
     socket_address address;
     std::string id;
-    std::int64_t millicores = 16'000;    // for the trace; nothing is checked against it
-    std::int64_t bytes = 60'000'000'000; // the same
-    std::int64_t accelerators = 0;       // the same
-    milliseconds usageLag{500};          // usage is reported as it was this long ago
+    std::int64_t millicores = 16'000;    // written to the trace; not enforced
+    std::int64_t bytes = 60'000'000'000; // likewise
+    std::int64_t accelerators = 0;       // likewise
+    milliseconds usageLag{500};          // age of the usage samples that are reported
 };
 std::unique_ptr<standin> startWorker(const worker_options &options);
 
-// An upstream: `slots` requests at a time, `connections` at most, echoes the request it was sent.
-// GET /large?bytes=n answers n pattern bytes; &framing=chunked without a length; &extra=n sends n
-// bytes more than it declares. POST /fault {"slow_ms": n, "cut": n, "unavailable": bool,
-// "target_ms": n}: cut ends the next n answers midway; target_ms begins to count anew how many
-// answers took longer.
+// An upstream that echoes each request. It has `slots` for concurrent requests; more are served
+// too, but counted as overruns. GET /large?bytes=n answers n pattern bytes; &framing=chunked omits
+// the length; &extra=n sends n bytes more than declared. POST /fault {"slow_ms": n, "cut": n,
+// "unavailable": bool, "target_ms": n}: `cut` closes the connection halfway through the next n
+// answers; `target_ms` sets the latency target and resets the counts of answers within and beyond
+// it.
 struct upstream_options
 {
     socket_address address;
     std::string id;
     unsigned slots = 8;
     unsigned connections = 64;
-    milliseconds workTime{5}; // time one request takes
-    std::optional<socket_address>
-            workerAddress{}; // on the same instance: its tasks' noise slows this one
+    milliseconds workTime{5}; // service time of one request
+    // Worker on the same instance, if any; the noise of its tasks slows the upstream.
+    std::optional<socket_address> workerAddress{};
 };
 std::unique_ptr<standin> startUpstream(const upstream_options &options);
 
-// Bytes `offset` to `offset + size` of the body of /large.
+// Bytes [`offset`, `offset + size`) of the body of /large.
 std::string patternBytes(std::uint64_t offset, std::size_t size);
 
 } // namespace zinniabarrow::standins
--- a/standins/upstream.cpp
+++ b/standins/upstream.cpp
@@ -1,5 +1,5 @@
-// An upstream's stand-in: a fixed number of slots, echoes its request, counts each operation it
-// ran.
+// Stand-in of an upstream: has a number of slots, echoes its requests and counts the executions of
+// each operation.
 #include <atomic>
 #include <condition_variable>
 #include <map>
@@ -21,8 +21,8 @@
 constexpr milliseconds NoisePollInterval{50};
 constexpr milliseconds NoiseTimeout{1000};
 constexpr std::size_t RequestsPerConnection = 1U << 30U;
-constexpr std::size_t PartBytes = 64 * 1024; // of a large body, at a time
-constexpr int WriteTimeoutSeconds = 60;      // seconds until one is given up
+constexpr std::size_t PartBytes = 64 * 1024; // of a large body, written at a time
+constexpr int WriteTimeoutSeconds = 60;      // until a slow reader is disconnected
 
 std::uint64_t numberParameter(const httplib::Request &request, const char *name)
 {
@@ -105,7 +105,8 @@
         return fault;
     }
 
-    // How often each operation ran; more than the slots at a time is counted as overrun.
+    // Counters, and how often each operation was executed. A request that starts when all slots are
+    // taken is an overrun.
     Json::Value executionsJson()
     {
         const std::lock_guard lock(m_mutex);
@@ -138,7 +139,8 @@
         --m_runningRequests;
     }
 
-    // By what the instance's tasks do, not as measured: it repeats on a busy machine too.
+    // Computed from the noise of the instance's tasks instead of measured, so that results repeat
+    // on a busy machine too.
     milliseconds serviceTime() const
     {
         const auto work = static_cast<double>(m_options.workTime.count()) * (1 + m_noise);
@@ -157,7 +159,7 @@
         }
     }
 
-    // Declares the whole length, sends half of it, and ends the connection.
+    // Declares the full length, sends half the body and closes the connection.
     static void sendIncomplete(httplib::Response &response, const std::string &body)
     {
         response.set_content_provider(
@@ -190,7 +192,7 @@
             reply(response, echo);
     }
 
-    // True for the next answers of those that a fault has asked to cut.
+    // True if a fault asks to cut this answer; counts it.
     bool shouldCutAnswer()
     {
         long answersLeft = m_answersToCut;
@@ -201,7 +203,7 @@
         return answersLeft > 0;
     }
 
-    // Holds its slot until the last part goes out, or the connection is gone.
+    // Holds a slot until the last part is sent or the connection is closed.
     struct slot_holder
     {
         explicit slot_holder(upstream_standin &slotOwner)
@@ -262,13 +264,13 @@
     unsigned m_maxRunningRequests = 0;
     unsigned m_overruns = 0;
     std::atomic<bool> m_isStopping{false};
-    std::atomic<double> m_noise{0}; // part of the service time that comes on top
+    std::atomic<double> m_noise{0}; // added to the service time, as a fraction of it
     std::atomic<milliseconds> m_targetTime{milliseconds(0)};
-    std::atomic<unsigned> m_answersWithinTarget{0}; // answers since the target was set
+    std::atomic<unsigned> m_answersWithinTarget{0}; // since the target was set
     std::atomic<unsigned> m_answersBeyondTarget{0};
     std::atomic<long> m_addedDelayMs{0};
     std::atomic<long> m_answersToCut{0};
-    std::atomic<long> m_cutAnswers{0}; // answers that were cut
+    std::atomic<long> m_cutAnswers{0}; // total
     pause_gate m_pauseGate;
     std::atomic<bool> m_isUnavailable{false};
     httplib::Server m_server;
@@ -281,7 +283,7 @@
 std::string patternBytes(std::uint64_t offset, std::size_t size)
 {
     constexpr std::uint64_t LetterCount = 26;
-    constexpr std::uint64_t LineBytes = 64; // each line of letters begins with another one
+    constexpr std::uint64_t LineBytes = 64; // each line starts with a different letter
     std::string bytes(size, '\0');
     for (std::size_t index = 0; index < size; ++index) {
         const auto position = offset + index;
--- a/standins/worker.cpp
+++ b/standins/worker.cpp
@@ -1,6 +1,7 @@
-// A worker's stand-in: runs tasks under leases, starts whatever it is given, reports usage late.
+// Stand-in of a worker: runs tasks under leases, starts every task without a check of its capacity
+// and reports usage with a lag.
 //
-// What docs/design/OWNERSHIP.md asks of a worker is work::worker_tasks.
+// work::worker_tasks implements the rules that docs/design/OWNERSHIP.md sets for workers.
 #include <atomic>
 #include <cstdio>
 #include <deque>
@@ -22,21 +23,21 @@
 namespace {
 
 constexpr milliseconds TickInterval{10};
-constexpr milliseconds MaxTickTime{100}; // on a busy machine
+constexpr milliseconds MaxTickTime{100}; // most progress per tick; ticks are late on a busy machine
 constexpr char ProgressMark = '#';
 
-// One attempt of a task, from its start until it is forgotten.
+// One attempt of a task, from its start to its end.
 struct task_run
 {
     work::task_attempt attempt;
     Json::Value spec;
-    std::int64_t totalWorkMs = 0; // needed in all; 0: runs until stopped
-    double progressMs = 0;        // progress, from the checkpoint on
-    std::string checkpoint;       // object name and progress in ms
-    double speedFraction = 1;     // of full speed, below 1 when throttled
+    std::int64_t totalWorkMs = 0; // total; 0: runs until stopped
+    double progressMs = 0;        // work done, including that up to the checkpoint
+    std::string checkpoint;       // object name, ProgressMark and progress in ms
+    double speedFraction = 1;     // below 1 when throttled
 };
 
-// Rises with every life of the instance.
+// Increases with every restart of the instance.
 std::uint64_t newIncarnation()
 {
     const auto sinceUnixEpoch = std::chrono::system_clock::now().time_since_epoch();
@@ -49,14 +50,14 @@
     return spec.isMember(name) ? spec[name].asInt64() : 0;
 }
 
-// Milliseconds done at a checkpoint; none without one.
+// Progress in ms at a checkpoint; 0 without one.
 double progressMsFrom(const std::string &checkpoint)
 {
     const auto markPosition = checkpoint.rfind(ProgressMark);
     return markPosition == std::string::npos ? 0 : std::atof(checkpoint.c_str() + markPosition + 1);
 }
 
-// The operators' name of the job, without its generation.
+// The job's name as the operators wrote it, without the generation after '@'.
 std::string jobNameWithoutGeneration(const work::task_id &task)
 {
     return task.job.substr(0, task.job.find('@'));
@@ -102,7 +103,7 @@
         if (m_isUnreachable)
             return {503, {}, "{}"};
         const auto answer = handleCall(request, path);
-        // The effect stands, the answer is dropped.
+        // If a fault asks to lose the answer, the call stays executed and the answer is replaced.
         long answersLeft = m_answersToLose;
         while (answersLeft > 0
                && !m_answersToLose.compare_exchange_weak(answersLeft, answersLeft - 1)) { }
@@ -112,7 +113,7 @@
     http_response handleCall(const http_request &request, const std::string &path)
     {
         const std::lock_guard lock(m_mutex);
-        endExpiredRuns(monotonic_clock::now()); // before anything else, also after a pause
+        endExpiredRuns(monotonic_clock::now()); // before any call, also after a pause
         if (path == "/usage")
             return serveUsage();
         if (path == "/noise")
@@ -154,16 +155,16 @@
         return {200, {}, compactJson(fault)};
     }
 
-    // --- Trace lines go to standard output; the trace checker reads them.
+    // --- Trace lines, written to standard output for work::trace_checker.
 
     static void printTraceLine(Json::Value &line)
     {
         line["at_us"] = Json::Int64(monotonic_clock::now().time_since_epoch().count());
         const auto text = compactJson(line) + "\n";
-        // One write for each line: stdio splits a line at the end of its buffer, and a reader then
-        // sees half of it, for good when the worker is killed in between.
+        // One write call per line: stdio splits lines at the end of its buffer, so that a reader
+        // sees half a line, permanently if the worker is killed in between.
         if (::write(STDOUT_FILENO, text.data(), text.size()) != static_cast<ssize_t>(text.size()))
-            throw error(error_kind::Internal, "the trace could not be written whole");
+            throw error(error_kind::Internal, "a trace line could not be written completely");
     }
 
     Json::Value sizeToTrace(const Json::Value &spec) const
@@ -200,7 +201,7 @@
         printTraceLine(line);
     }
 
-    // --- What the agent asks for.
+    // --- Calls of the agent.
 
     http_response serveListing(const Json::Value &body)
     {
@@ -228,7 +229,7 @@
         case work::start_result::AlreadyRunning:
             return {200, {}, "{}"};
         case work::start_result::TooLate:
-            return {410, {}, "{}"}; // the agent decides anew
+            return {410, {}, "{}"}; // the agent makes a new decision
         case work::start_result::Refused:
             break;
         }
@@ -266,7 +267,7 @@
         return {200, {}, "{}"};
     }
 
-    // A real worker writes the object; here its name carries the progress.
+    // A real worker writes a checkpoint object; here the name carries the progress.
     http_response serveCheckpoint(const work::task_attempt &attempt, const std::string &object)
     {
         if (m_tasks.runs(attempt)) {
@@ -291,8 +292,8 @@
         return {200, {}, "{}"};
     }
 
-    // What the running tasks do to the upstream on this instance, less where they are throttled;
-    // and how often each job's tasks were.
+    // Sum of the slowdown that the running tasks cause at the instance's upstream, reduced by their
+    // throttling, and how often tasks of each job were throttled.
     http_response serveNoise() const
     {
         double sum = 0;
@@ -321,9 +322,9 @@
         return {200, {}, compactJson(m_usageSamples.empty() ? empty : m_usageSamples.front())};
     }
 
-    // --- Running.
+    // --- Runs.
 
-    // The task ended by itself or by a checkpoint.
+    // Records the end of a task that completed, failed or was evicted with a checkpoint.
     void recordRunEnd(const work::task_id &task, work::task_outcome outcome,
                       const std::string &detail)
     {
@@ -346,10 +347,10 @@
         auto lastTickAt = monotonic_clock::now();
         while (!m_isStopping) {
             std::this_thread::sleep_for(TickInterval);
-            m_pauseGate.waitWhilePaused(); // a frozen instance runs nothing
+            m_pauseGate.waitWhilePaused(); // a paused instance runs nothing
             const auto now = monotonic_clock::now();
             const std::lock_guard lock(m_mutex);
-            // Time spent frozen is no progress.
+            // Limited, so that a pause does not count as progress.
             advanceRuns(now, std::min<duration>(now - lastTickAt, MaxTickTime));
             sampleUsage();
             lastTickAt = now;
@@ -399,7 +400,7 @@
     std::map<work::task_id, task_run> m_runs;
     std::deque<Json::Value> m_usageSamples;
     Json::Value m_noiseByJob{Json::objectValue};      // by job
-    std::map<std::string, unsigned> m_throttleCounts; // by job: tasks that were slowed down
+    std::map<std::string, unsigned> m_throttleCounts; // by job
     pause_gate m_pauseGate;
     std::atomic<bool> m_shouldFailStarts{false};
     std::atomic<bool> m_isUnreachable{false};
