--- a/app/admission_actor.cpp
+++ b/app/admission_actor.cpp
@@ -129,7 +129,7 @@
         return refuse(*refusal);
     if (const auto *refusal = std::get_if<delivery::guard_refusal>(&chosen)) {
         m_metrics.count("attempts_refused_total", nameOf(refusal->kind));
-        auto response = refusalAnswer(refusal->kind, refusal->ran, milliseconds(0));
+        auto response = refusalAnswer(refusal->kind, refusal->executionState, milliseconds(0));
         if (refusal->hasEnded)
             response.headers[EndedHeader] = "yes";
         return response;
--- a/app/forwarding.cpp
+++ b/app/forwarding.cpp
@@ -38,8 +38,9 @@
     if (kind) {
         delivery::attempt_refused refused;
         refused.kind = *kind;
-        refused.ran = executedNamed(response.header(ExecutedHeader));
-        refused.hasEnded = refused.ran == executed::No || response.header(EndedHeader) == "yes";
+        refused.executionState = executedNamed(response.header(ExecutedHeader));
+        refused.hasEnded =
+                refused.executionState == executed::No || response.header(EndedHeader) == "yes";
         refused.retryAfter = milliseconds(std::atoll(response.header("Zb-Retry-After-Ms").c_str()));
         return refused;
     }
@@ -75,7 +76,7 @@
     if (std::holds_alternative<delivery::complete_answer>(outcome))
         return request::attempt_outcome::Answered;
     const auto *refused = std::get_if<delivery::attempt_refused>(&outcome);
-    if (refused == nullptr || refused->ran != executed::No
+    if (refused == nullptr || refused->executionState != executed::No
         || refused->kind == error_kind::UpstreamUnreachable)
         return request::attempt_outcome::Failed;
     if (refused->kind == error_kind::Draining || refused->kind == error_kind::Starting)
--- a/app/request_actor.cpp
+++ b/app/request_actor.cpp
@@ -29,8 +29,8 @@
     request::membership_settings out;
     out.entryId = self.id;
     out.incarnation = self.incarnation;
-    out.minPeriod = std::max<milliseconds>(settings.announceTimeout / out.missedHeartbeatLimit,
-                                           milliseconds(100));
+    out.minHeartbeatPeriod = std::max<milliseconds>(
+            settings.announceTimeout / out.missedHeartbeatLimit, milliseconds(100));
     return out;
 }
 
@@ -202,7 +202,7 @@
                                          const http_response &lastAnswer) const
 {
     if (const auto *refusal = std::get_if<delivery::refuse_request>(&step.answer))
-        return refusalAnswer(refusal->kind, refusal->ran, refusal->retryAfter);
+        return refusalAnswer(refusal->kind, refusal->executionState, refusal->retryAfter);
     http_response answer;
     if (const auto *replay = std::get_if<delivery::replay_answer>(&step.answer)) {
         answer.status = replay->stored.status;
@@ -446,7 +446,7 @@
     if (const auto *refusal = std::get_if<delivery::refuse_request>(&action.answer))
         m_metrics.count("refusals_total", nameOf(refusal->kind));
     else if (const auto *passed = std::get_if<delivery::pass_answer>(&action.answer);
-             passed != nullptr && passed->streaming)
+             passed != nullptr && passed->isStreaming)
         m_metrics.count("answers_total", "streamed");
     else
         m_metrics.count("answers_total", "whole");
--- a/libs/delivery/attempt_guard.cpp
+++ b/libs/delivery/attempt_guard.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Safe for every repeat: says nothing about whether the first copy ran.
+// A valid answer to any duplicate: it does not say whether the first copy was executed.
 constexpr guard_refusal OutcomeNotKnown{error_kind::OutcomeUnknown, executed::Unknown, false};
 constexpr guard_refusal DeadlineRefusal{error_kind::DeadlinePassed, executed::No, true};
 
@@ -21,8 +21,8 @@
                                                          time_point now)
 {
     removeExpired(now);
-    // Meant for an agent that has been replaced: that one may have started it, and its memory is
-    // gone, while the upstream lives on.
+    // Addressed to an earlier process of this agent. That one may have started the attempt; its
+    // memory is lost, but the upstream still runs.
     if (attempt.incarnation != m_incarnation)
         return OutcomeNotKnown;
     const auto id = stableHash(attempt.requestId);
@@ -31,8 +31,9 @@
         if (auto refusal = checkRepeat(found->second, attempt))
             return refusal;
     } else if (m_records.size() >= m_settings.maxRememberedRequests) {
-        // Full: forgetting one would let its doubled copy start, and a refusal that is not
-        // remembered can't promise that a second copy of this one stays out.
+        // The memory is full. Removing a record would allow a duplicate of that request to start.
+        // The refusal says Unknown because it is not recorded: a duplicate of this attempt may
+        // still start later.
         return guard_refusal{error_kind::Overloaded, executed::Unknown, false};
     }
     auto &record = m_records[id];
@@ -46,20 +47,22 @@
     return std::nullopt;
 }
 
-// A request that is known here: only a newer attempt after the end of the one before may pass.
+// Checks an attempt of a request that has a record. Only a newer attempt may be admitted, and only
+// after the end of the previous one.
 std::optional<guard_refusal> attempt_guard::checkRepeat(request_record &record,
                                                         const incoming_attempt &attempt) const
 {
     if (attempt.attempt <= record.attempt) {
-        // Refused here and never to start: a copy may hear the same.
-        const bool same = attempt.attempt == record.attempt;
-        return same && record.currentState == state::Refused && record.ran == executed::No
+        // The attempt was refused and will never start, so its duplicate may get the same answer.
+        const bool isSameAttempt = attempt.attempt == record.attempt;
+        return isSameAttempt && record.currentState == state::Refused
+                               && record.executionState == executed::No
                        ? DeadlineRefusal
                        : OutcomeNotKnown;
     }
     if (record.currentState == state::Waiting || record.currentState == state::Running)
         return OutcomeNotKnown;
-    if (record.ran != executed::No && !attempt.idempotent)
+    if (record.executionState != executed::No && !attempt.idempotent)
         return OutcomeNotKnown;
     return std::nullopt;
 }
@@ -76,20 +79,20 @@
     if (record->currentState == state::Refused)
         return DeadlineRefusal;
     record->currentState = state::Running;
-    record->ran = executed::Unknown;
+    record->executionState = executed::Unknown;
     recordEvent(stableHash(requestId), *record, now);
     return std::nullopt;
 }
 
-void attempt_guard::recordEnd(const std::string &requestId, std::uint32_t attempt, executed ran,
-                              time_point now)
+void attempt_guard::recordEnd(const std::string &requestId, std::uint32_t attempt,
+                              executed executionState, time_point now)
 {
     auto *record = find(requestId, attempt);
     if (record == nullptr || record->currentState == state::Ended
         || record->currentState == state::Refused)
         return;
     if (record->currentState == state::Running)
-        record->ran = ran; // the upstream's own word
+        record->executionState = executionState; // as the upstream reported
     record->currentState = record->currentState == state::Running ? state::Ended : state::Refused;
     recordEvent(stableHash(requestId), *record, now);
 }
@@ -101,8 +104,8 @@
     const auto id = stableHash(requestId);
     auto found = m_records.find(id);
     if (found == m_records.end() || found->second.attempt < attempt) {
-        // The cancel overtook its forward: remembered, so that the forward does not start. When
-        // memory is full the forward is refused for that reason anyway.
+        // The cancel arrived before its attempt. It is recorded so that the attempt does not start.
+        // If the memory is full, the attempt will be refused because of that.
         if (found != m_records.end() && found->second.currentState == state::Running)
             return false;
         if (found == m_records.end() && m_records.size() >= m_settings.maxRememberedRequests)
@@ -144,7 +147,7 @@
             continue;
         if (found->second.currentState == state::Running
             || found->second.currentState == state::Waiting)
-            recordEvent(id, found->second, now); // never while it may still run
+            recordEvent(id, found->second, now); // kept while it may still run
         else
             m_records.erase(found);
     }
--- a/libs/delivery/attempt_guard.h
+++ b/libs/delivery/attempt_guard.h
@@ -1,8 +1,9 @@
-// At most once on the agent's side: each attempt starts once, in time, and not after its cancel.
+// At-most-once execution on the agent's side: ensures that each attempt starts at most once, before
+// its deadline, and never after it was cancelled.
 //
-//   guard_settings    bounds
-//   incoming_attempt  a forward as it arrived
-//   attempt_guard     asked on arrival, again right before the start, and told of the end
+//   guard_settings    limits of the memory
+//   incoming_attempt  an attempt as an entry forwarded it
+//   attempt_guard     called when an attempt arrives, is about to start, ends or is cancelled
 #pragma once
 
 #include <cstddef>
@@ -20,42 +21,46 @@
 
 struct guard_settings
 {
-    std::size_t maxRememberedRequests = 200'000; // requests
-    milliseconds retentionTime{90'000}; // after the last event of a request; above any deadline
+    std::size_t maxRememberedRequests = 200'000;
+    // Since the last event of a request; longer than any deadline.
+    milliseconds retentionTime{90'000};
 };
 
 struct incoming_attempt
 {
     std::string requestId;
     std::uint32_t attempt = 0;
-    std::uint64_t incarnation = 0; // of the agent that the entry meant
+    std::uint64_t incarnation = 0; // of the agent that the entry addressed
     bool idempotent = false;       // may run again after an attempt that ran
-    time_point deadline = Never;   // arrival plus the time that remained
+    time_point deadline = Never;   // arrival time plus the time that was left then
 };
 
-// Becomes the attempt_refused of the entry.
+// Sent to the entry, which handles it as an attempt_refused.
 struct guard_refusal
 {
     error_kind kind = error_kind::OutcomeUnknown;
-    executed ran = executed::Unknown;
-    bool hasEnded = false; // nothing of this attempt is running here
+    executed executionState = executed::Unknown;
+    bool hasEnded = false; // the attempt is certainly not running in this agent
 };
 
-// One thread at a time.
+// Not thread-safe.
 class attempt_guard
 {
 public:
     attempt_guard(std::uint64_t incarnation, guard_settings settings);
 
-    // May this forward be taken in (queued)? Nothing: yes.
+    // Called when an attempt arrives. Without a result it may be queued.
     std::optional<guard_refusal> admitAttempt(const incoming_attempt &attempt, time_point now);
-    // May it start now? Asked after any wait, right before the first byte goes to the upstream.
+    // Called after any wait, right before the first byte is sent to the upstream. Without a result
+    // it may start.
     std::optional<guard_refusal> startAttempt(const std::string &requestId, std::uint32_t attempt,
                                               time_point now);
-    // It is over: refused before its start (`ran` No) or not running any more.
-    void recordEnd(const std::string &requestId, std::uint32_t attempt, executed ran,
+    // Called when an attempt was refused before its start (`executionState` is No) or no longer
+    // runs.
+    void recordEnd(const std::string &requestId, std::uint32_t attempt, executed executionState,
                    time_point now);
-    // Nobody waits for it any more. True: it has not started and never will.
+    // Called when the entry no longer waits for the attempt. True: it has not started and never
+    // will.
     bool cancelAttempt(const std::string &requestId, std::uint32_t attempt, time_point now);
 
     std::size_t rememberedRequests() const { return m_records.size(); }
@@ -65,9 +70,9 @@
 
     struct request_record
     {
-        std::uint32_t attempt = 0;           // the newest
-        state currentState = state::Waiting; // of the newest
-        executed ran = executed::No;         // what all attempts so far have done
+        std::uint32_t attempt = 0;              // newest attempt
+        state currentState = state::Waiting;    // of the newest attempt
+        executed executionState = executed::No; // outcome of all attempts so far
         bool idempotent = false;
         time_point deadline = Never;
         time_point lastEventAt{};
--- a/libs/delivery/claim_coordinator.cpp
+++ b/libs/delivery/claim_coordinator.cpp
@@ -1,5 +1,5 @@
-// Sections: Claims and their ends | Verdicts and memory | Open records |
-// Time: sending, reading, giving up | Answers of the table | Eras and sweeping
+// Sections: Claims and their ends | Verdicts and cached claims | Open claims |
+// Timers: sending, reading, timeouts | Results from the table | Eras and sweeping
 
 #include "delivery/claim_coordinator.h"
 
@@ -15,7 +15,8 @@
 namespace {
 
 const std::string EraKey = "claim-era";
-constexpr std::uint64_t MaxErasInProgress = 1; // a request ends long before two eras have begun
+// A request always ends before two further eras have begun.
+constexpr std::uint64_t MaxErasInProgress = 1;
 
 std::size_t storedBytes(const claim_row &row)
 {
@@ -45,12 +46,10 @@
     : m_entryId(std::move(entryId))
     , m_settings(settings)
     , m_isEntryAlive(std::move(isEntryAlive))
-    , m_sweepPrefix(stableHash(m_entryId)) // entries start their sweeps apart
+    , m_sweepPrefix(stableHash(m_entryId)) // entries start with different parts of the table
 { }
 
-// --- The holder's side --------------------------------------------------------------------------
-
-// --- Claims and their ends -----------------------------------------------------------------------
+// --- Claims and their ends ----------------------------------------------------------------------
 
 void claim_coordinator::claim(const claim_request &request, time_point now)
 {
@@ -117,14 +116,16 @@
         return;
     claim->wantedRow.state = state;
     claim->wantedRow.answer = std::move(answer);
-    // Records of an end travel with the claims of others; alone they wait for company.
+    // Records of an end share transactions with other claims; an end alone waits for endRecordDelay
+    // so that others can join it.
     if (claim->currentPhase == phase::Stored)
         queueCommit(m_rowKeys[requestId], *claim, m_now + m_settings.endRecordDelay);
     runDueWork();
 }
 
-// The claimant has gone without forwarding. What never left this process is forgotten; what may be
-// in the table is marked NotRun there, so that the caller's repeat may run.
+// Called when a claimant is gone without having forwarded anything. A claim that was never sent is
+// removed; one that may be in the table is marked NotRun there, so that a repeat of the request may
+// run.
 void claim_coordinator::dropClaim(const std::string &key)
 {
     auto &claim = m_openClaims.at(key);
@@ -135,9 +136,7 @@
         eraseClaim(key);
 }
 
-// --- Memory of this entry -----------------------------------------------------------------------
-
-// --- Verdicts and memory -------------------------------------------------------------------------
+// --- Verdicts and cached claims -----------------------------------------------------------------
 
 std::optional<claim_verdict>
 claim_coordinator::verdictFromMemory(const claim_request &request) const
@@ -145,7 +144,8 @@
     const auto openEntry = m_openClaims.find(request.rowKey);
     if (openEntry != m_openClaims.end()) {
         const auto &row = openEntry->second.wantedRow;
-        // Until the table has taken it, a release frees nothing: another entry could be refused.
+        // A released claim is not free until the table has stored the release: another entry would
+        // still refuse a repeat.
         const bool sameBody = row.requestHash == request.requestHash;
         if (row.state == claim_state::NotRun || (row.state == claim_state::Started && sameBody))
             return claim_refused{error_kind::KeyInProgress};
@@ -167,8 +167,8 @@
         return claim_refused{error_kind::AlreadyExecuted};
     if (row.state == claim_state::Unknown)
         return claim_refused{error_kind::OutcomeUnknown};
-    // Started. An entry that died, or that lost its record of the end, never completes it; this
-    // entry would still have it open.
+    // The claim is Started. An entry that died or lost its record of the end never completes it; if
+    // it were this entry's claim, it would still be open.
     const bool canStillEnd = row.entryId != m_entryId && m_isEntryAlive(row.entryId)
                              && row.era + MaxErasInProgress >= m_era;
     return claim_refused{canStillEnd ? error_kind::KeyInProgress : error_kind::OutcomeUnknown};
@@ -176,7 +176,7 @@
 
 bool claim_coordinator::isKeyFree(const claim_row &row) const
 {
-    // m_era may lag behind the table, which makes rows look younger than they are: safe.
+    // m_era may lag behind the table, which is safe: rows then look younger than they are.
     return row.state == claim_state::NotRun || row.era + m_settings.keyLifetimeEras < m_era;
 }
 
@@ -214,9 +214,7 @@
     m_actions.emplace_back(claim_decided{claim.wantedRow.requestId, std::move(verdict)});
 }
 
-// --- Scheduling ---------------------------------------------------------------------------------
-
-// --- Open records --------------------------------------------------------------------------------
+// --- Open claims --------------------------------------------------------------------------------
 
 void claim_coordinator::queueCommit(const std::string &key, open_claim &claim, time_point dueAt)
 {
@@ -248,7 +246,7 @@
     m_openClaims.erase(key);
 }
 
-// --- Time: sending, reading, giving up -----------------------------------------------------------
+// --- Timers: sending, reading, timeouts ---------------------------------------------------------
 
 void claim_coordinator::tick(time_point now)
 {
@@ -267,7 +265,8 @@
     sweepIfDue();
 }
 
-// A hanging table must not hold a request: it is refused while it certainly has not run.
+// A table that does not respond must not hold up a request: it is refused while it is certain that
+// it has not run.
 void claim_coordinator::timeOutClaims()
 {
     while (!m_timeouts.empty() && m_timeouts.begin()->first <= m_now) {
@@ -280,7 +279,8 @@
 
 void claim_coordinator::sendReads()
 {
-    // What is in doubt is bounded by the transactions in flight, and so are these reads.
+    // The number of uncertain rows is limited by the transactions in flight, which limits these
+    // reads as well.
     if (m_isTableDown || m_readQueue.empty())
         return;
     std::vector<std::string> keys;
@@ -289,12 +289,12 @@
         m_readQueue.erase(m_readQueue.begin());
         m_openClaims.at(keys.back()).currentPhase = phase::Reading;
     }
-    const auto id = nextId();
+    const auto id = nextOperationId();
     m_actions.emplace_back(read_claims{id, keys});
     m_readsInFlight[id] = std::move(keys);
 }
 
-// Group commit: what waits when a transaction may go out goes together.
+// Group commit: all queued claims share one transaction once a transaction may be sent.
 void claim_coordinator::sendCommits()
 {
     if (!canCommit() || m_commitQueue.empty() || m_now < commitAllowedAt()
@@ -309,8 +309,8 @@
     m_commitsPacedUntil = std::max(m_commitsPacedUntil, m_now) + m_settings.commitInterval;
 }
 
-// The rate of transactions is bounded by the gap; a few may go together, so that claims that come
-// close to each other at an ordinary load don't wait.
+// commitInterval limits the rate of transactions; commitBurst of them may follow each other
+// directly, so that claims that arrive close together at normal load don't wait.
 time_point claim_coordinator::commitAllowedAt() const
 {
     return m_commitsPacedUntil - (m_settings.commitBurst - 1) * m_settings.commitInterval;
@@ -323,9 +323,9 @@
 
 void claim_coordinator::sendCommit(const std::vector<std::string> &keys)
 {
-    table_transaction transaction{nextId(), {}, {}};
-    // A row written with an era that has passed would be swept too early, and a late repeat would
-    // run again: the era must still be the one that the row says.
+    table_transaction transaction{nextOperationId(), {}, {}};
+    // A row that is written with an old era would be removed too early, and a late repeat would run
+    // again. So the era must still be the current one when the row is written.
     transaction.conditions.push_back({EraKey, m_eraVersion});
     for (const auto &key : keys) {
         auto &claim = m_openClaims.at(key);
@@ -354,9 +354,7 @@
     return wake;
 }
 
-// --- The table's answers ------------------------------------------------------------------------
-
-// --- Answers of the table ------------------------------------------------------------------------
+// --- Results from the table ---------------------------------------------------------------------
 
 void claim_coordinator::handleCommitResult(const claims_committed &event, time_point now)
 {
@@ -391,21 +389,21 @@
             commitApplied(key, result.sequence);
             break;
         case write_outcome::Conflict:
-            // One row stopped the whole transaction. Reading all of them tells which, in one read,
-            // so that the others are lost to nobody's conflict and go out again together.
+            // One row made the whole transaction fail. Reading all of its rows shows which one, and
+            // the others are sent again together.
             if (eraPassed)
                 queueCommit(key, claim, m_now);
             else
                 queueRead(key, claim);
             break;
         case write_outcome::Unknown:
-            // The answer is lost, the write may have applied: nothing is forwarded before the
-            // row has been read and carries our own request id.
+            // The transaction may have been applied although its result is lost: nothing is
+            // forwarded until the row has been read and has our own request id.
             claim.hasUnknownCommit = true;
             queueRead(key, claim);
             break;
         case write_outcome::Refused:
-            queueCommit(key, claim, m_now); // goes out when the table is back
+            queueCommit(key, claim, m_now); // sent when the table is available again
             break;
         }
     }
@@ -420,10 +418,10 @@
     confirmStored(key, claim, claim.sentState);
 }
 
-// The table is known to hold our row with `stored`.
+// Called when the table certainly has our row with the state `stored`.
 void claim_coordinator::confirmStored(const std::string &key, open_claim &claim, claim_state stored)
 {
-    claim.hasUnknownCommit = false; // an older transaction's condition can't hold any more
+    claim.hasUnknownCommit = false; // conditions of older transactions fail from now on
     m_timeouts.erase({claim.timeoutAt, key});
     claim.currentPhase = phase::Stored;
     if (stored != claim.wantedRow.state) {
@@ -486,8 +484,8 @@
     auto &claim = m_openClaims.at(key);
     if (row == nullptr) {
         claim.version = 0;
-        // Written even for a claimant that has gone: the transaction without an answer may apply
-        // at any later time, and would block the key for its whole life.
+        // The row is written even if the claimant is gone: the transaction without a result may be
+        // applied at any later time and would block the key for its whole lifetime.
         if (claim.awaitsVerdict || claim.isGranted || claim.hasUnknownCommit)
             queueCommit(key, claim, m_now);
         else
@@ -504,7 +502,7 @@
         claim.wantedRow.era = stored.era;
         confirmStored(key, claim, stored.state);
     } catch (const error &) {
-        // A row that nobody can read proves nothing: the request must not run.
+        // An unreadable row proves nothing, so the request must not run.
         sendVerdict(claim, claim_refused{error_kind::OutcomeUnknown});
         eraseClaim(key);
     }
@@ -523,15 +521,15 @@
     eraseClaim(key);
 }
 
-// --- Outage -------------------------------------------------------------------------------------
+// --- Outages of the table -----------------------------------------------------------------------
 
 void claim_coordinator::tableAnswered()
 {
     m_isTableDown = false;
 }
 
-// While the table is down one small read probes it, however much waits; a single lost answer costs
-// one round trip, since the first probe goes out at once.
+// While the table is unavailable, a single small read probes it, however many claims are waiting.
+// The first probe is sent at once, so that a single lost answer costs only one round trip.
 void claim_coordinator::tableFailed()
 {
     const bool isReadInFlight = m_nextEraReadAt == Never;
@@ -548,8 +546,8 @@
         tableAnswered();
 }
 
-// Claims that wait to be sent or read back are refused at once: they have not run, and callers
-// learn it now instead of after their patience.
+// Claims that wait to be sent or read back are refused at once: they have not run, and their
+// callers learn it before claimTimeout.
 void claim_coordinator::refuseUnsentClaims()
 {
     std::vector<std::string> keys;
@@ -565,16 +563,14 @@
     }
 }
 
-// --- Age and sweeping ---------------------------------------------------------------------------
-
-// --- Eras and sweeping ---------------------------------------------------------------------------
+// --- Eras and sweeping --------------------------------------------------------------------------
 
 void claim_coordinator::readEraIfDue()
 {
     if (m_now < m_nextEraReadAt)
         return;
     m_nextEraReadAt = Never;
-    m_eraReadId = nextId();
+    m_eraReadId = nextOperationId();
     m_actions.emplace_back(read_claims{m_eraReadId, {EraKey}});
 }
 
@@ -591,18 +587,18 @@
     m_eraVersion = version;
     m_era = row == nullptr ? 0 : eraFromJson(row->value).value_or(0);
     m_nextEraReadAt = m_now + m_settings.eraDuration / 4;
-    // Raised only after it was seen unchanged for its length on one clock, so that the eras never
-    // run ahead of time, whoever raises them and whatever was paused.
+    // Incremented only after it was seen unchanged for eraDuration on one clock. So eras never
+    // advance faster than time, whichever entry increments them and whatever was paused.
     if (m_era == 0 || m_now - m_eraVersionSeenAt >= m_settings.eraDuration)
-        raiseEra();
+        incrementEra();
 }
 
-void claim_coordinator::raiseEra()
+void claim_coordinator::incrementEra()
 {
     Json::Value value(Json::objectValue);
     value["era"] = Json::UInt64(m_era + 1);
     m_nextEraReadAt = Never;
-    m_eraCommitId = nextId();
+    m_eraCommitId = nextOperationId();
     m_actions.emplace_back(
             commit_claims{{m_eraCommitId, {{EraKey, m_eraVersion}}, {{EraKey, value}}}});
 }
@@ -610,7 +606,7 @@
 void claim_coordinator::handleEraCommit(const write_result &result)
 {
     m_eraCommitId.clear();
-    m_nextEraReadAt = m_now; // reads back whatever happened
+    m_nextEraReadAt = m_now; // read back, whatever the result was
     recordTableOutcome(result.outcome);
     if (m_isTableDown)
         refuseUnsentClaims();
@@ -621,7 +617,7 @@
     if (m_now < m_nextSweepAt || m_era == 0 || m_isTableDown)
         return;
     m_nextSweepAt = Never;
-    m_sweepReadId = nextId();
+    m_sweepReadId = nextOperationId();
     m_actions.emplace_back(scan_claims{m_sweepReadId, claimRowPrefix(m_sweepPrefix)});
 }
 
@@ -644,11 +640,11 @@
         return;
     m_actions.emplace_back(
             increment_counter{flow_counter::ClaimSwept, std::nullopt, expired.size()});
-    // Whatever becomes of it, a later scan finds what is left.
-    m_actions.emplace_back(commit_claims{makeRemoval(nextId(), expired)});
+    // The result is ignored: a later scan finds the rows that are left.
+    m_actions.emplace_back(commit_claims{makeRemoval(nextOperationId(), expired)});
 }
 
-std::string claim_coordinator::nextId()
+std::string claim_coordinator::nextOperationId()
 {
     return fmt::format("{}/c{}", m_entryId, ++m_lastId);
 }
--- a/libs/delivery/claim_coordinator.h
+++ b/libs/delivery/claim_coordinator.h
@@ -1,12 +1,13 @@
-// Claims on idempotency keys: who may run a keyed request, and what became of it.
+// Claims on idempotency keys: which request may run under a key, and what its outcome was.
 //
-//   claim_state      what a row of the table says
-//   claim_row        the row's value, toJson / claimRowFromJson
-//   claim_settings   bounds and times
-//   claim_verdict    granted, refused or replayed
-//   claim_book       group commits, read-backs, the memory of this entry, age, sweeping
+//   claim_state         state of a claim in the table
+//   claim_row           value of a claim's row; toJson and claimRowFromJson
+//   claim_settings      limits, intervals and timeouts
+//   claim_verdict       granted, refused or replayed
+//   claim_coordinator   commits claims in groups, reads uncertain rows back, caches ended claims,
+//                       removes expired rows
 //
-// Why this gives at most once: docs/design/AT_MOST_ONCE.md.
+// docs/design/AT_MOST_ONCE.md explains why a keyed request runs at most once.
 #pragma once
 
 #include <cstddef>
@@ -30,20 +31,20 @@
 
 enum class claim_state {
     Started,  // may be running, or may have been run by an entry that died
-    Finished, // ran; its answer is in the row when it was small enough
-    NotRun,   // certainly did not run: the key is free again
-    Unknown,  // its entry does not know whether it ran
+    Finished, // was executed; the row has the answer if it was small enough
+    NotRun,   // certainly not executed: the key is free again
+    Unknown,  // its entry does not know whether it was executed
 };
 
-// The value of a row under "claim/".
+// Value of a row whose key starts with "claim/".
 struct claim_row
 {
-    std::string requestId;         // the writer's own operation id
+    std::string requestId;         // of the request that holds the claim
     std::string entryId;           // incarnation of the entry that holds the claim
     std::uint64_t requestHash = 0; // of method, path and body
     claim_state state = claim_state::Started;
-    std::uint64_t era = 0;                 // era of the claim, see claim_settings::eraLength
-    std::optional<complete_answer> answer; // set when Finished and small enough
+    std::uint64_t era = 0; // in which the claim was made, see claim_settings::eraDuration
+    std::optional<complete_answer> answer; // set if Finished and small enough
 };
 
 std::string_view nameOf(claim_state state);
@@ -54,21 +55,21 @@
 
 struct claim_settings
 {
-    int commitBurst = 5;                     // transactions that may go at once after a pause
-    milliseconds commitInterval{20};         // between two transactions of this entry, on average
-    milliseconds endRecordDelay{100};        // a record of an end waits so long for company
-    milliseconds tableRetryInterval{250};    // between two probes of a table that is down
-    milliseconds claimTimeout{1000};         // a claim not settled by then is refused as not run
-    std::size_t maxBatchRows = 64;           // rows in one transaction
-    std::size_t maxCommitsInFlight = 4;      // transactions in flight
-    std::size_t maxOpenClaims = 8192;        // claims not yet settled for good
-    std::size_t maxCachedClaims = 8192;      // ended requests in this entry's memory
-    std::size_t maxCachedBytes = 16U << 20U; // bytes of their answers
-    std::size_t maxAnswerBytes = 4096;       // larger answers are not stored
-    std::size_t maxKeyBytes = 256;           // longer keys are refused
-    // The age of rows is counted in eras: a row of the table that some entry raises once it has
-    // seen it unchanged for eraLength on its own clock. A key lives for at least
-    // keyLifeEras * eraLength, and longer when the table is down.
+    int commitBurst = 5;              // transactions that may be sent at once after a pause
+    milliseconds commitInterval{20};  // average time between two transactions of this entry
+    milliseconds endRecordDelay{100}; // how long a record of an end waits to share a transaction
+    milliseconds tableRetryInterval{250}; // between two probes while the table is unavailable
+    milliseconds claimTimeout{1000};      // a claim without verdict by then is refused as not run
+    std::size_t maxBatchRows = 64;        // rows in one transaction
+    std::size_t maxCommitsInFlight = 4;   // transactions without a result
+    std::size_t maxOpenClaims = 8192;     // claims whose final state is not stored yet
+    std::size_t maxCachedClaims = 8192;   // ended claims in this entry's memory
+    std::size_t maxCachedBytes = 16U << 20U; // bodies of their answers
+    std::size_t maxAnswerBytes = 4096;       // larger bodies are not stored
+    std::size_t maxKeyBytes = 256;           // longer idempotency keys are refused
+    // The age of rows is counted in eras. The current era is a row of the table; an entry
+    // increments it after it has seen it unchanged for eraDuration on its own clock. A key lives
+    // for at least keyLifetimeEras * eraDuration, and longer if the table is unavailable.
     milliseconds eraDuration{600'000};
     std::uint64_t keyLifetimeEras = 12;
     milliseconds sweepInterval{5000}; // between two scans for expired rows
@@ -86,6 +87,7 @@
 };
 using claim_verdict = std::variant<claim_granted, claim_refused, claim_replayed>;
 
+// The verdict on a call of claim().
 struct claim_decided
 {
     std::string requestId;
@@ -95,37 +97,41 @@
 struct claim_request
 {
     std::string requestId;
-    std::string rowKey; // claimKey()
+    std::string rowKey; // from claimRowKey()
     std::uint64_t requestHash = 0;
 };
 
-// The row of a key: scoped to service and team, spread over 4096 prefixes for the sweep.
+// Row key of an idempotency key. It contains service and team, and one of 4096 prefixes, so that
+// the sweep can scan the table in parts.
 std::string claimRowKey(const std::string &service, const std::string &team,
                         const std::string &key);
 
-std::string claimRowPrefix(std::size_t index); // of the index-th part of the sweep, modulo 4096
+// Prefix of one part of the table; `index` modulo 4096.
+std::string claimRowPrefix(std::size_t index);
 
-// Is this incarnation of an entry believed to be alive? A wrong answer changes only the words of a
-// refusal, never whether something runs.
+// Whether this incarnation of an entry is believed to be alive. A wrong answer changes only the
+// error kind of a refusal, never whether a request runs.
 using entry_alive_check = std::function<bool(const std::string &entryId)>;
 
 using claim_action =
         std::variant<claim_decided, commit_claims, read_claims, scan_claims, increment_counter>;
 
-// One thread at a time. Whatever a call decides is waiting in takeActions() afterwards.
+// Not thread-safe. After each call, takeActions() returns the actions to carry out.
 class claim_coordinator
 {
 public:
     claim_coordinator(std::string entryId, claim_settings settings, entry_alive_check isEntryAlive);
 
-    // Asks for the right to run; answered by one claim_settled, at once or later.
+    // Asks for permission to run a request. The verdict follows in one claim_decided, at once or
+    // later.
     void claim(const claim_request &request, time_point now);
-    // The holder of a claim reports its end. Nothing may be forwarded for it afterwards.
+    // Called by the holder of a claim when its request has ended: executed, not executed, or
+    // unknown. Nothing may be forwarded under the claim afterwards.
     void recordFinished(const std::string &requestId, const complete_answer &answer,
                         time_point now);
     void recordNotRun(const std::string &requestId, time_point now);
     void recordUnknown(const std::string &requestId, time_point now);
-    // The request ended before its claim was settled: no claim_settled follows.
+    // Called when the request ended before the verdict: no claim_decided follows.
     void abandonClaim(const std::string &requestId, time_point now);
 
     void handleCommitResult(const claims_committed &event, time_point now);
@@ -134,25 +140,27 @@
 
     std::vector<claim_action> takeActions();
     time_point nextWake() const;
-    std::size_t openClaimCount() const { return m_openClaims.size(); } // not yet settled for good
+    // Final state not stored yet.
+    std::size_t openClaimCount() const { return m_openClaims.size(); }
     std::size_t cachedBytes() const { return m_cachedBytes; }
 
 private:
-    // Queued: waits for a transaction. Committing: in one. MustRead: a transaction ended in doubt.
-    // Reading: its row is being read. Held: the table says what is wanted for now.
+    // CommitQueued: waits for a transaction. Committing: in a transaction. ReadQueued: the result
+    // of a transaction is uncertain. Reading: its row is being read. Stored: the table has the
+    // wanted row.
     enum class phase { CommitQueued, Committing, ReadQueued, Reading, Stored };
 
     struct open_claim
     {
-        claim_row wantedRow;                          // as it is wanted in the table
-        claim_state sentState = claim_state::Started; // state in the newest transaction
+        claim_row wantedRow;                          // row that the table should have
+        claim_state sentState = claim_state::Started; // state in the last transaction
         phase currentPhase = phase::CommitQueued;
-        bool awaitsVerdict = true;     // a claim_settled is owed
-        bool isGranted = false;        // the holder may have forwarded
-        bool hasUnknownCommit = false; // a transaction without an answer may still apply
-        std::uint64_t version = 0;     // of the row as last known; 0: absent
-        time_point nextCommitAt{};     // next transaction, while Queued
-        time_point timeoutAt{};        // end of patience, while waiting
+        bool awaitsVerdict = true;     // claim_decided has not been returned yet
+        bool isGranted = false;        // the holder may have forwarded the request
+        bool hasUnknownCommit = false; // a transaction without a result may still be applied
+        std::uint64_t version = 0;     // last known version of the row; 0: absent
+        time_point nextCommitAt{};     // due time of the next transaction, while CommitQueued
+        time_point timeoutAt{};        // end of claimTimeout, while awaitsVerdict
     };
 
     struct cached_claim
@@ -162,7 +170,7 @@
         std::list<std::string>::iterator agePosition;
     };
 
-    // Row keys in the order of a time.
+    // Row keys, ordered by a point in time.
     using timed_keys = std::set<std::pair<time_point, std::string>>;
 
     std::optional<claim_verdict> verdictFromMemory(const claim_request &request) const;
@@ -202,38 +210,38 @@
     void sendCommit(const std::vector<std::string> &keys);
     void readEraIfDue();
     void handleEraRead(const claims_read &event);
-    void raiseEra();
+    void incrementEra();
     void handleEraCommit(const write_result &result);
     void sweepIfDue();
     void handleSweepScan(const claims_read &event);
-    std::string nextId();
+    std::string nextOperationId();
 
     std::string m_entryId;
     claim_settings m_settings;
     entry_alive_check m_isEntryAlive;
-    std::map<std::string, open_claim> m_openClaims; // by row key
-    std::map<std::string, std::string> m_rowKeys;   // row key by request id
-    timed_keys m_commitQueue;
-    std::set<std::string> m_readQueue;
-    timed_keys m_timeouts;
+    std::map<std::string, open_claim> m_openClaims;                    // by row key
+    std::map<std::string, std::string> m_rowKeys;                      // row key by request id
+    timed_keys m_commitQueue;                                          // by nextCommitAt
+    std::set<std::string> m_readQueue;                                 // row keys
+    timed_keys m_timeouts;                                             // by timeoutAt
     std::map<std::string, std::vector<std::string>> m_commitsInFlight; // row keys by operation id
     std::map<std::string, std::vector<std::string>> m_readsInFlight;   // row keys by read id
     std::map<std::string, cached_claim> m_cachedClaims;                // by row key
     std::list<std::string> m_cachedByAge;                              // row keys, oldest first
     std::size_t m_cachedBytes = 0;
     std::uint64_t m_lastId = 0;
-    time_point m_commitsPacedUntil{}; // each transaction moves it on by commitGap
-    bool m_isTableDown = false;       // since the last failure nothing has succeeded
-    std::uint64_t m_era = 0;          // 0: not known, nothing is committed
-    std::uint64_t m_eraVersion = 0;
-    time_point m_eraVersionSeenAt{}; // when m_eraVersion was first seen
-    time_point m_nextEraReadAt{};    // Never while a read or a raise is under way
+    time_point m_commitsPacedUntil{}; // each transaction advances it by commitInterval
+    bool m_isTableDown = false;       // no success since the last failure
+    std::uint64_t m_era = 0;          // 0: not known, so nothing can be committed
+    std::uint64_t m_eraVersion = 0;   // version of the row of the era
+    time_point m_eraVersionSeenAt{};  // when m_eraVersion was first seen
+    time_point m_nextEraReadAt{};     // Never while a read or an increment is in flight
     std::string m_eraReadId;
     std::string m_eraCommitId;
-    time_point m_nextSweepAt{}; // Never while a scan is under way
-    std::size_t m_sweepPrefix = 0;
+    time_point m_nextSweepAt{};    // Never while a scan is in flight
+    std::size_t m_sweepPrefix = 0; // index of the part to scan next
     std::string m_sweepReadId;
-    time_point m_now{}; // of the call being handled
+    time_point m_now{}; // time of the call that is being processed
     std::vector<claim_action> m_actions;
 };
 
--- a/libs/delivery/claim_row.cpp
+++ b/libs/delivery/claim_row.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t SweepPrefixes = 4096;
+constexpr std::size_t SweepPrefixCount = 4096;
 
 constexpr name_table<claim_state, 4> StateNames{{
         {claim_state::Started, "started"},
@@ -21,7 +21,7 @@
         {claim_state::Unknown, "unknown"},
 }};
 
-// Bodies are bytes, JSON strings are text: hexadecimal digits carry any byte.
+// Bodies may contain any bytes, JSON strings only text: bodies are stored as hexadecimal digits.
 std::string toHex(const std::string &bytes)
 {
     std::string digits;
@@ -35,7 +35,8 @@
     try {
         boost::algorithm::unhex(digits, std::back_inserter(bytes));
     } catch (const boost::algorithm::hex_decode_error &) {
-        throw error(error_kind::BadRequest, "claim row: bad member \"body\"");
+        throw error(error_kind::BadRequest,
+                    "claim row: member \"body\" must have hexadecimal digits only");
     }
     return bytes;
 }
@@ -49,12 +50,12 @@
 
 std::string claimRowPrefix(std::size_t index)
 {
-    return fmt::format("claim/{:03x}/", index % SweepPrefixes);
+    return fmt::format("claim/{:03x}/", index % SweepPrefixCount);
 }
 
 std::string claimRowKey(const std::string &service, const std::string &team, const std::string &key)
 {
-    // Lengths keep two scopes apart whose parts hold the separator.
+    // The lengths keep scopes apart whose parts contain the separator.
     const auto scope =
             fmt::format("{}:{}/{}:{}/{}", service.size(), service, team.size(), team, key);
     return claimRowPrefix(stableHash(scope)) + scope;
@@ -107,11 +108,13 @@
     row.entryId = stringMember(value, "entry");
     const auto hash = stringMember(value, "hash");
     if (hash.size() != 16 || hash.find_first_not_of("0123456789abcdef") != std::string::npos)
-        throw error(error_kind::BadRequest, "claim row: bad member \"hash\"");
+        throw error(error_kind::BadRequest,
+                    "claim row: member \"hash\" must have 16 hexadecimal digits");
     row.requestHash = std::stoull(hash, nullptr, 16);
     const auto state = valueOf(StateNames, stringMember(value, "state"));
     if (!state)
-        throw error(error_kind::BadRequest, "claim row: bad member \"state\"");
+        throw error(error_kind::BadRequest,
+                    "claim row: member \"state\" must be the name of a claim state");
     row.state = *state;
     row.era = countMember(value, "era");
     if (value.isMember("answer"))
--- a/libs/delivery/flow_json.cpp
+++ b/libs/delivery/flow_json.cpp
@@ -36,7 +36,7 @@
 {
     const auto kind = errorKindNamed(stringMember(value, "kind"));
     if (!kind)
-        throw error(error_kind::BadRequest, "bad member \"kind\"");
+        throw error(error_kind::BadRequest, "member \"kind\" must be the name of an error kind");
     return *kind;
 }
 
@@ -45,7 +45,8 @@
 {
     const auto found = valueOf(table, stringMember(value, name));
     if (!found)
-        throw error(error_kind::BadRequest, fmt::format("bad member \"{}\"", name));
+        throw error(error_kind::BadRequest,
+                    fmt::format("member \"{}\" has an unknown value", name));
     return *found;
 }
 
@@ -71,7 +72,7 @@
     Json::Value value(Json::objectValue);
     value["outcome"] = "refused";
     value["kind"] = toJsonString(nameOf(refusal.kind));
-    value["executed"] = toJsonString(nameOf(refusal.ran));
+    value["executed"] = toJsonString(nameOf(refusal.executionState));
     value["ended"] = refusal.hasEnded;
     value["retry_after_ms"] = Json::Int64(refusal.retryAfter.count());
     return value;
@@ -124,7 +125,7 @@
         return attempt_timed_out{};
     if (name == "too_large")
         return attempt_too_large{};
-    throw error(error_kind::BadRequest, "bad member \"outcome\"");
+    throw error(error_kind::BadRequest, "member \"outcome\" must be the name of an outcome");
 }
 
 // --- Events -------------------------------------------------------------------------------------
@@ -292,7 +293,7 @@
     Json::Value operator()(const pass_answer &answer) const
     {
         Json::Value value(Json::objectValue);
-        value["answer"] = answer.streaming ? "streaming" : "passed";
+        value["answer"] = answer.isStreaming ? "streaming" : "passed";
         value["attempt"] = answer.attempt;
         value["status"] = answer.status;
         return value;
@@ -310,7 +311,7 @@
         Json::Value value(Json::objectValue);
         value["answer"] = "refused";
         value["kind"] = toJsonString(nameOf(answer.kind));
-        value["executed"] = toJsonString(nameOf(answer.ran));
+        value["executed"] = toJsonString(nameOf(answer.executionState));
         value["retry_after_ms"] = Json::Int64(answer.retryAfter.count());
         return value;
     }
@@ -415,7 +416,7 @@
         return flow_tick{};
     if (name == "drain")
         return flow_drain_started{};
-    throw error(error_kind::BadRequest, "bad member \"event\"");
+    throw error(error_kind::BadRequest, "member \"event\" must be the name of an event");
 }
 
 } // namespace zinniabarrow::delivery
--- a/libs/delivery/flow_json.h
+++ b/libs/delivery/flow_json.h
@@ -1,6 +1,6 @@
-// Events and actions of request_flow as JSON: for logs, golden sessions and their replay.
+// Events and actions of request_flow as JSON: for logs, and for recorded sessions and their replay.
 //
-// Deadlines are written as the milliseconds that remain ("deadline_ms"), never as points in time.
+// Deadlines are written as the remaining milliseconds ("deadline_ms"), not as points in time.
 #pragma once
 
 #include <json/json.h>
@@ -17,7 +17,7 @@
 // {"action": name, ...members}
 Json::Value toJson(const flow_action &action, time_point now);
 
-// The short form of sessions; the platform's own form is in platform/platform_json.h.
+// Short form for recorded sessions; the form for the platform is in platform/platform_json.h.
 Json::Value toSessionJson(const table_transaction &transaction);
 
 } // namespace zinniabarrow::delivery
--- a/libs/delivery/request_flow.cpp
+++ b/libs/delivery/request_flow.cpp
@@ -22,7 +22,8 @@
     return std::find(list.begin(), list.end(), method) != list.end();
 }
 
-// A key protects a change. Reading again harms nobody, so its claim would be a wasted write.
+// Idempotency keys protect changes. Repeating a read is harmless, so a claim for it would only cost
+// a write.
 bool needsClaim(const request_arrived &event)
 {
     return !event.idempotencyKey.empty() && !contains(SafeMethods, event.method);
@@ -33,11 +34,13 @@
     return stableHash(fmt::format("{}\n{}\n{:x}", event.method, event.path, event.bodyHash));
 }
 
-// A refusal may say "not run" only when both its kind and the one who refused say so.
-executed provenExecution(error_kind kind, executed ran)
+// A refusal counts as proof that the request was not executed only if both its kind and its sender
+// say so.
+executed provenExecution(error_kind kind, executed executionState)
 {
-    return ran == executed::No && answerFor(kind).execution != executed::No ? executed::Unknown
-                                                                            : ran;
+    return executionState == executed::No && answerFor(kind).execution != executed::No
+                   ? executed::Unknown
+                   : executionState;
 }
 
 } // namespace
@@ -48,14 +51,17 @@
 }
 
 request_flow::request_flow(std::string entryId, flow_settings settings,
-                           retry_permit isRetryPermitted, entry_alive_check isEntryAlive)
+                           retry_allowed_check isRetryPermitted, entry_alive_check isEntryAlive)
     : m_settings(settings)
     , m_isRetryPermitted(std::move(isRetryPermitted))
     , m_claims(std::move(entryId), settings.claims, std::move(isEntryAlive))
 {
-    // Two eras after its claim a request must be over, or a repeat would be told so too early.
+    // Two eras after its claim, a request is assumed to have ended. If it could still run, a repeat
+    // would be told too early that the outcome is unknown.
     if (settings.claims.eraDuration <= settings.maxRequestTime + settings.lateOutcomeTimeout)
-        throw error(error_kind::BadSettings, "claims.eraLength must exceed the time of a request");
+        throw error(error_kind::BadSettings,
+                    "claims.eraDuration must exceed the sum of maxRequestTime and "
+                    "lateOutcomeTimeout");
 }
 
 std::vector<flow_action> request_flow::handle(const flow_event &event, time_point now)
@@ -81,7 +87,8 @@
 
 void request_flow::on(const request_arrived &event)
 {
-    // Handled again, it could be forwarded to another agent, which has not seen it.
+    // A duplicate could otherwise be forwarded to another agent, which has no record of the
+    // request.
     if (m_requests.contains(event.id) || m_endedIds.contains(event.id))
         return count(flow_counter::DuplicateEvent);
     count(flow_counter::Arrived);
@@ -111,7 +118,8 @@
     auto *request = find(event.id, step::Choosing);
     if (request == nullptr)
         return;
-    // The process may have been paused since: the deadline is looked at before the act.
+    // The process may have been paused since the upstream was requested, so the deadline is checked
+    // before the request is forwarded.
     if (request->arrived.deadline <= m_now)
         return handleDeadline(*request);
     request->currentStep = step::Forwarded;
@@ -126,10 +134,10 @@
     auto *request = find(event.id, step::Choosing);
     if (request == nullptr)
         return;
-    // After a refusal of its own the request learns that reason: it says more.
+    // If an agent has refused the request, its refusal says more than the lack of an upstream.
     if (request->lastRefusal)
-        return refuseActive(*request, request->lastRefusal->kind, request->lastRefusal->ran,
-                            request->lastRefusal->retryAfter);
+        return refuseActive(*request, request->lastRefusal->kind,
+                            request->lastRefusal->executionState, request->lastRefusal->retryAfter);
     const bool isProvenNotRun = answerFor(event.kind).execution == executed::No;
     refuseActive(*request, isProvenNotRun ? event.kind : error_kind::NoUpstream, executed::No);
 }
@@ -143,8 +151,8 @@
         return count(flow_counter::StaleEvent);
     if (request->arrived.deadline <= m_now)
         return handleDeadline(*request);
-    // From here on there is no retry: the caller has the first bytes. The claim stays open until
-    // the body has ended, so that a repeat meanwhile learns that the key is in progress.
+    // No retry is possible from here on: the caller has the first bytes. The claim stays open until
+    // the body has ended, so that a repeat until then is told that the key is in progress.
     count(flow_counter::Streamed);
     m_actions.emplace_back(answer_caller{event.id, pass_answer{event.attempt, event.status, true}});
     request->currentStep = step::Streaming;
@@ -154,7 +162,7 @@
 void request_flow::on(const attempt_ended &event)
 {
     const auto found = m_requests.find(event.id);
-    // An event of an earlier attempt, or of an answered request, must not become this answer.
+    // Events of an earlier attempt or of an answered request must not decide this answer.
     if (found == m_requests.end() || found->second.attempt != event.attempt
         || found->second.currentStep == step::Choosing)
         return count(flow_counter::StaleEvent);
@@ -192,8 +200,8 @@
 {
     for (auto output = m_claims.takeActions(); !output.empty(); output = m_claims.takeActions()) {
         for (auto &action : output) {
-            if (const auto *settled = std::get_if<claim_decided>(&action))
-                handleClaimDecision(*settled);
+            if (const auto *decided = std::get_if<claim_decided>(&action))
+                handleClaimDecision(*decided);
             else if (auto *commit = std::get_if<commit_claims>(&action))
                 m_actions.emplace_back(std::move(*commit));
             else if (auto *read = std::get_if<read_claims>(&action))
@@ -206,39 +214,39 @@
     }
 }
 
-void request_flow::handleClaimDecision(const claim_decided &settled)
+void request_flow::handleClaimDecision(const claim_decided &decided)
 {
-    auto *request = find(settled.requestId, step::Claiming);
+    auto *request = find(decided.requestId, step::Claiming);
     if (request == nullptr)
         return;
-    if (std::holds_alternative<claim_granted>(settled.verdict)) {
+    if (std::holds_alternative<claim_granted>(decided.verdict)) {
         request->holdsClaim = true;
         return requestUpstream(*request);
     }
-    if (const auto *replay = std::get_if<claim_replayed>(&settled.verdict)) {
+    if (const auto *replay = std::get_if<claim_replayed>(&decided.verdict)) {
         count(flow_counter::Replayed);
-        m_actions.emplace_back(answer_caller{settled.requestId, replay_answer{replay->answer}});
-        return removeRequest(settled.requestId);
+        m_actions.emplace_back(answer_caller{decided.requestId, replay_answer{replay->answer}});
+        return removeRequest(decided.requestId);
     }
-    const auto kind = std::get<claim_refused>(settled.verdict).kind;
+    const auto kind = std::get<claim_refused>(decided.verdict).kind;
     const bool isClaimUnavailable =
             kind == error_kind::PlatformUnavailable || kind == error_kind::Overloaded;
     if (isClaimUnavailable && isIdempotent(request->arrived.method)) {
-        // Running it again has the same effect by the method's definition: an outage need not
-        // stop it.
+        // An idempotent method may run again without a claim, so an outage of the table does not
+        // affect it.
         count(flow_counter::ProceededUnclaimed);
         return requestUpstream(*request);
     }
     refuseActive(*request, kind, answerFor(kind).execution);
 }
 
-void request_flow::recordClaimEnd(active_request &request, executed ran)
+void request_flow::recordClaimEnd(active_request &request, executed executionState)
 {
     if (!std::exchange(request.holdsClaim, false))
         return;
-    if (ran == executed::No)
+    if (executionState == executed::No)
         m_claims.recordNotRun(request.arrived.id, m_now);
-    else if (ran == executed::Yes)
+    else if (executionState == executed::Yes)
         m_claims.recordFinished(request.arrived.id, complete_answer{}, m_now);
     else
         m_claims.recordUnknown(request.arrived.id, m_now);
@@ -262,15 +270,16 @@
 
 void request_flow::handleOutcome(active_request &request, const attempt_refused &refusal)
 {
-    const auto ran = provenExecution(refusal.kind, refusal.ran);
-    request.lastRefusal = refuse_request{refusal.kind, ran, refusal.retryAfter};
-    request.mayHaveRun |= ran != executed::No;
-    const bool canRunElsewhere = ran == executed::No && answerFor(refusal.kind).retryElsewhere;
-    const bool canRunAgain =
-            ran == executed::Unknown && refusal.hasEnded && isIdempotent(request.arrived.method);
+    const auto executionState = provenExecution(refusal.kind, refusal.executionState);
+    request.lastRefusal = refuse_request{refusal.kind, executionState, refusal.retryAfter};
+    request.mayHaveRun |= executionState != executed::No;
+    const bool canRunElsewhere =
+            executionState == executed::No && answerFor(refusal.kind).retryElsewhere;
+    const bool canRunAgain = executionState == executed::Unknown && refusal.hasEnded
+                             && isIdempotent(request.arrived.method);
     if ((canRunElsewhere || canRunAgain) && tryRetry(request, refusal.kind))
         return;
-    refuseActive(request, refusal.kind, ran, refusal.retryAfter);
+    refuseActive(request, refusal.kind, executionState, refusal.retryAfter);
 }
 
 void request_flow::handleOutcome(active_request &request, const attempt_unreachable &)
@@ -295,8 +304,9 @@
     refuseActive(request, error_kind::AnswerTooLarge, executed::Yes);
 }
 
-// No hedging: one attempt at a time, and the next only when the one before is known not to have run
-// or, for idempotent methods, known to have ended. True when another attempt begins.
+// There is no hedging: attempts follow each other, and the next one starts only if the previous one
+// was certainly not executed or, for idempotent methods, has certainly ended. Returns true if
+// another attempt was requested.
 bool request_flow::tryRetry(active_request &request, error_kind kind)
 {
     if (request.attempt >= m_settings.maxAttempts)
@@ -325,23 +335,25 @@
     removeRequest(request.arrived.id);
 }
 
-void request_flow::refuseActive(active_request &request, error_kind kind, executed ran,
+void request_flow::refuseActive(active_request &request, error_kind kind, executed executionState,
                                 milliseconds retryAfter)
 {
-    // What an earlier attempt may have done counts for the whole request.
-    if (request.mayHaveRun && ran == executed::No)
-        ran = executed::Unknown;
-    // Callers of non-idempotent requests know one word for every unknown outcome.
-    const bool unknown = ran == executed::Unknown && answerFor(kind).execution != executed::Unknown;
+    // An earlier attempt may have been executed, which counts for the whole request.
+    if (request.mayHaveRun && executionState == executed::No)
+        executionState = executed::Unknown;
+    // For non-idempotent requests, every unknown outcome is reported with the same error kind.
+    const bool isOutcomeUnknown =
+            executionState == executed::Unknown && answerFor(kind).execution != executed::Unknown;
     const bool isCutChange =
             kind == error_kind::AnswerIncomplete && !isIdempotent(request.arrived.method);
-    if (unknown || isCutChange)
+    if (isOutcomeUnknown || isCutChange)
         kind = error_kind::OutcomeUnknown;
     count(flow_counter::Refused, kind);
     m_actions.emplace_back(answer_caller{
             request.arrived.id,
-            refuse_request{kind, ran, std::max(retryAfter, answerFor(kind).suggestedRetryDelay)}});
-    recordClaimEnd(request, ran);
+            refuse_request{kind, executionState,
+                           std::max(retryAfter, answerFor(kind).suggestedRetryDelay)}});
+    recordClaimEnd(request, executionState);
     removeRequest(request.arrived.id);
 }
 
@@ -364,8 +376,8 @@
     m_actions.emplace_back(cancel_attempt{request.arrived.id, request.attempt, request.agentId});
     if (!request.holdsClaim)
         return refuseActive(request, error_kind::AnswerLate, executed::Unknown);
-    // The attempt may still run. Its late outcome settles the claim; until then repeats learn that
-    // the key is in progress, which is true.
+    // The attempt may still run, and its late outcome will decide the claim. Until then repeats are
+    // told correctly that the key is in progress.
     count(flow_counter::Refused, error_kind::AnswerLate);
     m_actions.emplace_back(
             answer_caller{request.arrived.id, refuse_request{error_kind::AnswerLate,
@@ -375,34 +387,35 @@
     scheduleWake(request, m_now + m_settings.lateOutcomeTimeout);
 }
 
-// The body has ended: whole, and the claim records that it ran, or cut. A cut says nothing about
-// the request, so that a repeat of the key learns `outcome_unknown` and never runs.
+// Called when the body of a streamed answer has ended. If it is complete, the claim records that
+// the request was executed. If the connection broke, nothing is known about the execution: a repeat
+// of the key is answered `outcome_unknown` and never runs.
 void request_flow::finishStreamed(active_request &request, const attempt_outcome &outcome)
 {
-    const bool whole = std::holds_alternative<complete_answer>(outcome);
-    count(whole ? flow_counter::Passed : flow_counter::StreamCut);
-    recordClaimEnd(request, whole ? executed::Yes : executed::Unknown);
+    const bool isComplete = std::holds_alternative<complete_answer>(outcome);
+    count(isComplete ? flow_counter::Passed : flow_counter::StreamCut);
+    recordClaimEnd(request, isComplete ? executed::Yes : executed::Unknown);
     removeRequest(request.arrived.id);
 }
 
-// The caller has its answer; what became of the attempt still settles the claim.
+// The caller has already been answered, but the outcome of the attempt still decides the claim.
 void request_flow::handleLateOutcome(active_request &request, const attempt_outcome &outcome)
 {
     count(flow_counter::LateOutcome);
-    auto ran = executed::Unknown;
+    auto executionState = executed::Unknown;
     if (const auto *answer = std::get_if<complete_answer>(&outcome)) {
         m_claims.recordFinished(request.arrived.id, *answer, m_now);
         request.holdsClaim = false;
     } else if (const auto *refusal = std::get_if<attempt_refused>(&outcome)) {
-        ran = provenExecution(refusal->kind, refusal->ran);
+        executionState = provenExecution(refusal->kind, refusal->executionState);
     } else if (std::holds_alternative<attempt_unreachable>(outcome)) {
-        ran = executed::No;
+        executionState = executed::No;
     } else if (std::holds_alternative<attempt_too_large>(outcome)) {
-        ran = executed::Yes;
+        executionState = executed::Yes;
     }
-    if (request.mayHaveRun && ran == executed::No)
-        ran = executed::Unknown;
-    recordClaimEnd(request, ran);
+    if (request.mayHaveRun && executionState == executed::No)
+        executionState = executed::Unknown;
+    recordClaimEnd(request, executionState);
     removeRequest(request.arrived.id);
 }
 
--- a/libs/delivery/request_flow.h
+++ b/libs/delivery/request_flow.h
@@ -1,9 +1,10 @@
-// The life of one caller's request in an entry: claim its key, choose, forward, retry or answer.
+// Processing of a caller's request in an entry: claim its key, choose an upstream, forward, retry,
+// answer.
 //
-//   flow_settings   bounds
-//   request_flow    the state machine for all requests of an entry
+//   flow_settings   limits and timeouts
+//   request_flow    state machine for all requests of an entry
 //
-// The events and actions are in flow_messages.h; the claims are kept by claim_book.h.
+// flow_messages.h has the events and actions; claim_coordinator.h manages the claims.
 #pragma once
 
 #include <cstddef>
@@ -24,37 +25,38 @@
 
 struct flow_settings
 {
-    std::size_t maxInFlight = 4096;          // requests; more are refused as Overloaded
-    std::size_t maxEndedIds = 16'384;        // ids of ended requests that are remembered
-    std::uint32_t maxAttempts = 3;           // forwards of one request
-    milliseconds minRetryTime{20};           // time left below which no retry starts
-    milliseconds maxRequestTime{60'000};     // later deadlines are cut to this
-    milliseconds lateOutcomeTimeout{30'000}; // how long a late outcome may still settle a claim
-    milliseconds drainTimeout{5'000};        // how long a drain waits for the table
+    std::size_t maxInFlight = 4096;          // requests; further ones are refused as Overloaded
+    std::size_t maxEndedIds = 16'384;        // remembered ids of ended requests
+    std::uint32_t maxAttempts = 3;           // attempts of one request, including the first
+    milliseconds minRetryTime{20};           // no retry if less time is left before the deadline
+    milliseconds maxRequestTime{60'000};     // later deadlines are reduced to this
+    milliseconds lateOutcomeTimeout{30'000}; // wait for the outcome after the caller was answered
+    milliseconds drainTimeout{5'000};        // how long a drain waits for records to be stored
     claim_settings claims;
 };
 
-// May a try that ended with this kind be followed by another one? (the budget for retries)
-using retry_permit = std::function<bool(error_kind)>;
+// Whether an attempt that ended with this kind may be followed by another one: the retry budget.
+using retry_allowed_check = std::function<bool(error_kind)>;
 
-// Is a method defined to have the same effect when run once or more often?
+// Whether an HTTP method has the same effect when it is executed once or several times.
 bool isIdempotent(std::string_view method);
 
-// One thread at a time. Every request that is taken in gets exactly one answer_caller.
+// Not thread-safe. Returns exactly one answer_caller for each request that arrives.
 class request_flow
 {
 public:
-    // `entryId` names this incarnation of the entry; no other one may ever use it again.
-    request_flow(std::string entryId, flow_settings settings, retry_permit isRetryPermitted,
+    // `entryId` names this incarnation of the entry and must never be used by another one.
+    request_flow(std::string entryId, flow_settings settings, retry_allowed_check isRetryPermitted,
                  entry_alive_check isEntryAlive);
 
+    // Processes one event and returns the actions to carry out, in order.
     std::vector<flow_action> handle(const flow_event &event, time_point now);
 
-    // The time by which a flow_tick is due; Never when nothing waits.
+    // Time at which a flow_tick is due; Never if nothing waits.
     time_point nextWake() const;
 
-    std::size_t inFlight() const { return m_inFlight; } // requests without their whole answer
-    std::size_t openClaims() const { return m_claims.openClaimCount(); } // not settled for good
+    std::size_t inFlight() const { return m_inFlight; } // requests without a complete answer
+    std::size_t openClaims() const { return m_claims.openClaimCount(); } // final state not stored
     std::size_t cachedAnswerBytes() const { return m_claims.cachedBytes(); }
     bool isDraining() const { return m_isDraining; }
 
@@ -65,13 +67,13 @@
     {
         request_arrived arrived;
         step currentStep = step::Claiming;
-        bool holdsClaim = false;           // the claim is ours: the book wants to know the end
-        bool mayHaveRun = false;           // some attempt may have run
-        std::uint32_t attempt = 0;         // the newest forward
-        std::string agentId;               // of the newest forward
-        std::vector<std::string> excluded; // agents that refused
+        bool holdsClaim = false;           // the outcome must be recorded in m_claims
+        bool mayHaveRun = false;           // one of its attempts may have been executed
+        std::uint32_t attempt = 0;         // number of the last attempt
+        std::string agentId;               // of the last attempt
+        std::vector<std::string> excluded; // agents of earlier attempts
         std::optional<refuse_request> lastRefusal;
-        time_point nextWakeAt = Never; // deadline, or the end of waiting for a late outcome
+        time_point nextWakeAt = Never; // deadline, or end of lateOutcomeTimeout
     };
 
     void on(const request_arrived &event);
@@ -93,18 +95,18 @@
 
     void finishStreamed(active_request &request, const attempt_outcome &outcome);
     void handleLateOutcome(active_request &request, const attempt_outcome &outcome);
-    void handleClaimDecision(const claim_decided &settled);
+    void handleClaimDecision(const claim_decided &decided);
     void takeClaimActions();
     void requestUpstream(active_request &request);
     bool tryRetry(active_request &request, error_kind kind);
     void passAnswer(active_request &request, const complete_answer &answer);
-    void refuseActive(active_request &request, error_kind kind, executed ran,
+    void refuseActive(active_request &request, error_kind kind, executed executionState,
                       milliseconds retryAfter = milliseconds(0));
     void refuseNew(const request_arrived &event, error_kind kind);
-    void recordClaimEnd(active_request &request, executed ran);
+    void recordClaimEnd(active_request &request, executed executionState);
     void handleDeadline(active_request &request);
     void scheduleWake(active_request &request, time_point when);
-    void removeRequest(std::string id); // by value: the id may belong to the request that goes
+    void removeRequest(std::string id); // by value: the id may be a member of the removed request
     void rememberEnded(const std::string &id);
     void processDueWakes();
     void reportDrainIfDone();
@@ -113,18 +115,18 @@
     active_request *find(const std::string &id, step expected);
 
     flow_settings m_settings;
-    retry_permit m_isRetryPermitted;
+    retry_allowed_check m_isRetryPermitted;
     claim_coordinator m_claims;
-    std::map<std::string, active_request> m_requests;
-    std::set<std::pair<time_point, std::string>> m_wakes;
-    std::set<std::string> m_endedIds;        // ids, so that a doubled event starts nothing
-    std::deque<std::string> m_endedIdsByAge; // the same, oldest first
-    std::size_t m_inFlight = 0;
+    std::map<std::string, active_request> m_requests;     // by request id
+    std::set<std::pair<time_point, std::string>> m_wakes; // request ids by nextWakeAt
+    std::set<std::string> m_endedIds;        // so that a duplicate request_arrived has no effect
+    std::deque<std::string> m_endedIdsByAge; // the same ids, oldest first
+    std::size_t m_inFlight = 0;              // requests without a complete answer
     bool m_isDraining = false;
     bool m_isDrainReported = false;
-    time_point m_drainDeadline = Never; // set when the last request of a drain is answered
-    time_point m_now{};                 // of the event being handled
-    std::vector<flow_action> m_actions; // of the event being handled
+    time_point m_drainDeadline = Never; // set when the last request of a drain has been answered
+    time_point m_now{};                 // time of the event that is being processed
+    std::vector<flow_action> m_actions; // produced by the event that is being processed
 };
 
 } // namespace zinniabarrow::delivery
--- a/libs/request/admission.cpp
+++ b/libs/request/admission.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-constexpr std::size_t MaxServiceEstimates = 64; // further services share the overall estimate
-constexpr std::size_t MaxIdleTeams = 256;       // bound on team records that hold no request
-constexpr int SmoothingDivisor = 8;             // weight of a sample: 1/8
+constexpr std::size_t MaxServiceEstimates = 64; // further services use the overall estimate
+constexpr std::size_t MaxIdleTeams = 256;       // teams without requests that are kept
+constexpr int SmoothingDivisor = 8;             // weight of a new sample: 1/8
 constexpr int MaxPriority = 9;
 constexpr double OverShareFactor = 1.75; // times the fair share of the queue
 
-// A high priority makes a team's time cheaper; it never makes it free, so no team starves.
+// A higher priority makes a team's service time count less, but never zero, so that no team
+// starves.
 double weightOf(int priority)
 {
     return 1.0 + std::clamp(priority, 0, MaxPriority);
@@ -48,7 +49,7 @@
 
 void admission::on(const arrived &details, time_point now)
 {
-    // The same message delivered twice must not run the request twice.
+    // A message that is delivered twice must not run the request twice.
     if (isKnown(details.id)) {
         ++m_counters.ignored;
         return;
@@ -62,7 +63,7 @@
     m_waiting.push_back(details);
     ++m_teams[details.team].waitingCount;
     if (m_waiting.size() > static_cast<std::size_t>(m_settings.queueLimit))
-        plan(now); // a free slot may take one
+        plan(now); // if a slot is free, a request starts and leaves the queue
     if (m_waiting.size() > static_cast<std::size_t>(m_settings.queueLimit))
         shedRequest(details.team, now);
 }
@@ -80,11 +81,11 @@
     auto &team = m_teams[ended.team];
     --team.runningCount;
     team.servedTime += weightedTime(details.elapsedTime - ended.chargedTime, ended.priority);
-    // A caller that reads slowly says nothing of its service. An answer that was cut shows only
-    // that the whole would have taken longer.
-    const auto own = details.elapsedTime - details.slowCallerTime;
-    if (details.isComplete || own > estimateFor(ended.service).mean)
-        updateEstimate(ended.service, own);
+    // The time spent waiting for a slow caller is not service time. An incomplete answer only shows
+    // that the complete one would have taken longer, so it can only raise the estimate.
+    const auto ownTime = details.elapsedTime - details.slowCallerTime;
+    if (details.isComplete || ownTime > estimateFor(ended.service).mean)
+        updateEstimate(ended.service, ownTime);
     removeIdleTeams();
 }
 
@@ -118,8 +119,9 @@
                           [&](const auto &waiting) { return waiting.id == id; });
 }
 
-// A team that was idle starts level with the least served one. Without this it would come back with
-// credit for all the time it asked for nothing, and hold every slot until that was used up.
+// An idle team that becomes active starts with the servedTime of the least served active team.
+// Otherwise the time during which it sent no requests would count as credit, and it would get every
+// slot until the credit is used up.
 void admission::markTeamActive(const std::string &team)
 {
     bool anyActive = false;
@@ -142,13 +144,14 @@
     const bool isOverLimit = m_teams.size() > MaxIdleTeams;
     std::erase_if(m_teams, [&](const auto &entry) {
         const auto &state = entry.second;
-        const bool idle = state.waitingCount + state.runningCount == 0;
-        return idle && (isOverLimit || state.servedTime <= m_virtualTime);
+        const bool isIdle = state.waitingCount + state.runningCount == 0;
+        return isIdle && (isOverLimit || state.servedTime <= m_virtualTime);
     });
 }
 
-// The queue is over its limit by one: the team that holds most of it gives one up. Without this a
-// team that floods the queue would have every other team refused at the door.
+// Called when the queue exceeds its limit by one request: removes one of the team with the most
+// waiting requests. Otherwise a team that floods the queue would cause all other teams to be
+// refused.
 void admission::shedRequest(const std::string &arrivingTeam, time_point now)
 {
     std::string largest = arrivingTeam;
@@ -165,7 +168,8 @@
     refuseRequest(id, kind, now);
 }
 
-// Clearly over: among equal teams the queue is simply full, and another upstream may have room.
+// Only a team clearly above its fair share is refused with FairShareExceeded. If teams have about
+// equal shares, the queue is simply full, and another upstream may have capacity.
 bool admission::isOverShare(const std::string &team) const
 {
     const auto waitingTeams = std::count_if(m_teams.begin(), m_teams.end(), [](const auto &entry) {
@@ -175,7 +179,7 @@
     return m_teams.at(team).waitingCount > share * OverShareFactor;
 }
 
-// The least urgent request of the team: lowest priority, latest deadline, newest.
+// Index of the team's least urgent request: lowest priority, then latest deadline, then newest.
 std::size_t admission::leastUrgentOf(const std::string &team) const
 {
     std::size_t leastUrgent = m_waiting.size();
@@ -196,8 +200,8 @@
     return leastUrgent;
 }
 
-// Indexes into m_waiting in the order in which slots will be given: least served team first; in a
-// team by priority, then by deadline, then by arrival.
+// Indexes into m_waiting in the order in which they will get slots: the least served team first;
+// within a team by priority, then deadline, then arrival.
 std::vector<std::size_t> admission::dispatchOrder() const
 {
     std::vector<std::size_t> sorted(m_waiting.size());
@@ -209,61 +213,63 @@
         return std::pair(-a.priority, a.deadline) < std::pair(-b.priority, b.deadline);
     });
     std::map<std::string, std::vector<std::size_t>> byTeam;
+    // Each list is in reverse order, so that the next request is at its back.
     for (auto index = sorted.rbegin(); index != sorted.rend(); ++index)
-        byTeam[m_waiting[*index].team].push_back(*index); // the next one at the back
+        byTeam[m_waiting[*index].team].push_back(*index);
 
-    using turn = std::pair<double, std::string>;
-    std::priority_queue<turn, std::vector<turn>, std::greater<>> turns;
+    using team_turn = std::pair<double, std::string>;
+    std::priority_queue<team_turn, std::vector<team_turn>, std::greater<>> teamsByServedTime;
     for (const auto &[team, indexes] : byTeam)
-        turns.emplace(m_teams.at(team).servedTime, team);
+        teamsByServedTime.emplace(m_teams.at(team).servedTime, team);
     std::vector<std::size_t> order;
-    while (!turns.empty()) {
-        const auto [served, team] = turns.top();
-        turns.pop();
+    while (!teamsByServedTime.empty()) {
+        const auto [served, team] = teamsByServedTime.top();
+        teamsByServedTime.pop();
         auto &indexes = byTeam[team];
         const auto &next = m_waiting[indexes.back()];
         order.push_back(indexes.back());
         indexes.pop_back();
         if (!indexes.empty())
-            turns.emplace(served + weightedTime(estimateFor(next.service).mean, next.priority),
-                          team);
+            teamsByServedTime.emplace(
+                    served + weightedTime(estimateFor(next.service).mean, next.priority), team);
     }
     return order;
 }
 
-// When each slot is expected to be free; `now` for one that is free.
+// Expected times at which the slots become free; `now` for free slots.
 std::vector<time_point> admission::slotFreeTimes(time_point now) const
 {
-    std::vector<time_point> times;
+    std::vector<time_point> freeTimes;
     for (const auto &[id, request] : m_running) {
-        const auto &known = estimateFor(request.service);
+        const auto &currentEstimate = estimateFor(request.service);
         const duration age = now - request.startedAt;
-        // A request that is overdue by d is expected to need about d more. With the mean alone a
-        // frozen upstream would look ready at every moment, and the queue would wait in vain.
-        const duration remaining =
-                std::max({known.mean - age, age - known.mean, known.deviation, duration(1)});
-        times.push_back(now + remaining);
+        // A request that is overdue by d is expected to need about d more. With the mean alone, a
+        // frozen upstream would seem about to finish at any moment, and queued requests would wait
+        // for it in vain.
+        const duration remaining = std::max({currentEstimate.mean - age, age - currentEstimate.mean,
+                                             currentEstimate.deviation, duration(1)});
+        freeTimes.push_back(now + remaining);
     }
     const int limit = std::min(m_settings.slots, m_settings.connections - m_unusableConnections);
-    while (static_cast<int>(times.size()) < limit)
-        times.push_back(now);
-    return times;
+    while (static_cast<int>(freeTimes.size()) < limit)
+        freeTimes.push_back(now);
+    return freeTimes;
 }
 
-// Gives the expected slot times to the waiting requests in turn: starts those whose slot is free,
-// refuses those that could not end before their deadline.
+// Assigns the expected free times of the slots to the waiting requests in dispatch order. Starts
+// the requests whose slot is free and refuses those that can't end before their deadline.
 void admission::plan(time_point now)
 {
-    const auto times = slotFreeTimes(now);
-    std::priority_queue<time_point, std::vector<time_point>, std::greater<>> slots(times.begin(),
-                                                                                   times.end());
+    const auto freeTimes = slotFreeTimes(now);
+    std::priority_queue<time_point, std::vector<time_point>, std::greater<>> slots(
+            freeTimes.begin(), freeTimes.end());
     const auto order = dispatchOrder();
     std::vector<decision> decisions(m_waiting.size(), decision::Wait);
     bool anyStarted = false;
     for (const std::size_t index : order) {
         const time_point expectedStart = slots.empty() ? Never : slots.top();
-        const bool idle = m_running.empty() && !anyStarted;
-        decisions[index] = decide(m_waiting[index], expectedStart, idle, now);
+        const bool isIdle = m_running.empty() && !anyStarted;
+        decisions[index] = decide(m_waiting[index], expectedStart, isIdle, now);
         if (decisions[index] == decision::Refuse || slots.empty())
             continue;
         slots.pop();
@@ -273,29 +279,30 @@
     applyDecisions(order, decisions, now);
 }
 
-// `begins`: when its slot is expected to be free, Never if no slot is usable.
-admission::decision admission::decide(const arrived &request, time_point expectedStart, bool idle,
+// `expectedStart`: when the request's slot is expected to be free; Never if no slot is usable.
+admission::decision admission::decide(const arrived &request, time_point expectedStart, bool isIdle,
                                       time_point now) const
 {
-    const auto &known = estimateFor(request.service);
+    const auto &currentEstimate = estimateFor(request.service);
     const auto margin = std::chrono::duration_cast<duration>(
-            std::chrono::duration<double, duration::period>(known.deviation)
+            std::chrono::duration<double, duration::period>(currentEstimate.deviation)
             * m_settings.deadlineMargin);
-    const duration needed = known.mean + margin;
-    // Connections in doubt are closed soon: the request waits for that while it still can.
+    const duration needed = currentEstimate.mean + margin;
+    // Unusable connections are soon closed, so the request waits for that as long as its deadline
+    // allows.
     if (expectedStart == Never)
         return now + needed > request.deadline ? decision::Refuse : decision::Wait;
-    // With nothing running, a request goes through whatever was learned. Otherwise one slow
-    // spell could teach a service time above every deadline, and since nothing would run, the
-    // estimate could never come down again.
-    const bool isProbe = idle && expectedStart == now && request.deadline > now;
+    // If nothing is running, a request is started whatever the estimate is. Otherwise a slow period
+    // could raise the estimate above every deadline, and since nothing would run, it could never
+    // fall again.
+    const bool isProbe = isIdle && expectedStart == now && request.deadline > now;
     if (expectedStart + needed > request.deadline && !isProbe)
         return decision::Refuse;
     return expectedStart == now ? decision::Start : decision::Wait;
 }
 
-// Starts come before refusals, so that Retry-After counts them as backlog; both in the order in
-// which slots are given, so that whoever was next gets the first place to come back.
+// Starts are processed before refusals, so that Retry-After counts the started requests as backlog.
+// Both are in dispatch order, so that the request that was next gets the earliest retry time.
 void admission::applyDecisions(const std::vector<std::size_t> &order,
                                const std::vector<decision> &decisions, time_point now)
 {
@@ -333,8 +340,9 @@
     m_actions.emplace_back(refuse{id, kind, retryAfterFor(kind, now)});
 }
 
-// Each refused request gets a place of its own behind the backlog, one service time per slot apart.
-// With the same answer for all, the refused would come back together and be refused together.
+// Each refused request gets its own retry time after the backlog; successive times are the mean
+// service time divided by the number of slots apart. With the same time for all, the refused
+// requests would be retried together and be refused together.
 milliseconds admission::retryAfterFor(error_kind kind, time_point now)
 {
     const auto fixed = answerFor(kind).suggestedRetryDelay;
@@ -351,11 +359,11 @@
 
 duration admission::backlog(time_point now) const
 {
-    const auto times = slotFreeTimes(now);
-    if (times.empty())
+    const auto freeTimes = slotFreeTimes(now);
+    if (freeTimes.empty())
         return m_settings.maxRetryAfter;
-    std::priority_queue<time_point, std::vector<time_point>, std::greater<>> slots(times.begin(),
-                                                                                   times.end());
+    std::priority_queue<time_point, std::vector<time_point>, std::greater<>> slots(
+            freeTimes.begin(), freeTimes.end());
     for (const auto &waiting : m_waiting) {
         const time_point expectedStart = slots.top();
         slots.pop();
@@ -366,11 +374,12 @@
 
 void admission::updateEstimate(const std::string &service, duration measured)
 {
-    const auto update = [measured](estimate &known) {
-        const duration difference =
-                measured > known.mean ? measured - known.mean : known.mean - measured;
-        known.deviation = movingAverage(known.deviation, difference);
-        known.mean = movingAverage(known.mean, measured);
+    const auto update = [measured](estimate &currentEstimate) {
+        const duration difference = measured > currentEstimate.mean
+                                            ? measured - currentEstimate.mean
+                                            : currentEstimate.mean - measured;
+        currentEstimate.deviation = movingAverage(currentEstimate.deviation, difference);
+        currentEstimate.mean = movingAverage(currentEstimate.mean, measured);
     };
     update(m_overallEstimate);
     const auto found = m_estimates.find(service);
--- a/libs/request/admission.h
+++ b/libs/request/admission.h
@@ -1,11 +1,12 @@
-// Admission: which requests the agent lets through to its one upstream, when, and which it refuses.
+// Admission control in an agent: decides when each request is sent to the agent's upstream, and
+// which requests are refused.
 //
-//   admission_settings   hard limits of the upstream, queue length, first estimates
-//   admission            events in (arrived, finished, ...), actions out (start, refuse)
-//   admission_counters   what happened so far, refusals by reason
+//   admission_settings   limits of the upstream, length of the queue, initial estimates
+//   admission            takes events (arrived, finished, ...), returns actions (start, refuse)
+//   admission_counters   totals since the start, refusals by error kind
 //
-// A request either starts, waits in a short queue, or is refused at once with the reason. A queued
-// request is refused as soon as it is known that it cannot end before its deadline.
+// A request is started, waits in a short queue, or is refused at once with an error kind. A queued
+// request is refused as soon as its expected end is later than its deadline.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +22,12 @@
 
 struct admission_settings
 {
-    int slots = 8;                       // requests the upstream runs at once
-    int connections = 64;                // connections the upstream accepts
-    int queueLimit = 16;                 // requests that wait here
-    milliseconds initialServiceTime{20}; // estimate until the first request has finished
-    double deadlineMargin = 1.0;         // mean deviations kept free before a deadline
-    milliseconds minRetryAfter{50};      // bounds of the Retry-After that is handed out
+    int slots = 8;                       // requests that the upstream runs at the same time
+    int connections = 64;                // connections that the upstream accepts
+    int queueLimit = 16;                 // requests that may wait in the queue
+    milliseconds initialServiceTime{20}; // estimate until a request has finished
+    double deadlineMargin = 1.0;         // safety margin, in mean deviations of the service time
+    milliseconds minRetryAfter{50};      // lower and upper bound of the Retry-After of a refusal
     milliseconds maxRetryAfter{10 * 1000};
 };
 
@@ -35,8 +36,8 @@
     std::uint64_t arrived = 0;
     std::uint64_t started = 0;
     std::uint64_t finished = 0;
-    std::uint64_t cancelled = 0; // given up by the caller while waiting
-    std::uint64_t ignored = 0;   // doubled arrivals, finishes of unknown requests
+    std::uint64_t cancelled = 0; // cancelled by the caller while they waited
+    std::uint64_t ignored = 0;   // duplicate arrivals, and ends of requests that are not running
     std::map<error_kind, std::uint64_t> refused;
 };
 
@@ -46,26 +47,28 @@
     // Events.
     struct arrived
     {
-        std::string id; // unique among the requests that wait or run
+        std::string id; // unique among the waiting and running requests
         std::string service;
         std::string team;
-        int priority = 0;    // of the service; 0..9, higher goes first
-        time_point deadline; // the caller's
+        int priority = 0;    // of the service, 0..9; higher priorities start first
+        time_point deadline; // of the caller
     };
-    struct finished // the upstream no longer works on the request, however it ended
+    // The upstream has stopped working on the request, whatever the outcome.
+    struct finished
     {
         std::string id;
-        duration elapsedTime{};    // from `start`
-        duration slowCallerTime{}; // of it, while the answer waited for a caller that reads slowly
-        bool isComplete = true;    // nothing of the answer was left out
+        duration elapsedTime{};    // since the `start` action
+        duration slowCallerTime{}; // part of it spent waiting for a slowly reading caller
+        bool isComplete = true;    // the whole answer was delivered
     };
-    struct cancelled // the caller is gone; a request that runs keeps its slot until `finished`
+    // The caller has disconnected. A running request keeps its slot until `finished`.
+    struct cancelled
     {
         std::string id;
     };
     struct connections_changed
     {
-        int unusableCount = 0; // open connections that carry no request and cannot take one
+        int unusableCount = 0; // open connections without a request that can't take a new one
     };
     struct drain_started
     { };
@@ -83,24 +86,25 @@
     {
         std::string id;
         error_kind errorKind = error_kind::Internal;
-        milliseconds retryAfter{}; // 0: coming back does not help
+        milliseconds retryAfter{}; // 0: a retry would be refused as well
     };
     using action = std::variant<start, refuse>;
 
     explicit admission(admission_settings settings);
 
+    // Processes one event and returns the actions that the caller must carry out, in order.
     std::vector<action> handle(const event &newEvent, time_point now);
 
     bool isDrained() const { return m_isDraining && m_running.empty() && m_waiting.empty(); }
     int runningCount() const { return static_cast<int>(m_running.size()); }
     int waitingCount() const { return static_cast<int>(m_waiting.size()); }
-    duration serviceTime(const std::string &service) const; // learned mean
-    duration backlog(time_point now) const; // until a request that arrives now would start
+    duration serviceTime(const std::string &service) const; // estimated mean
+    duration backlog(time_point now) const; // expected wait of a request that arrives now
     const admission_counters &counters() const { return m_counters; }
 
 private:
     enum class decision { Wait, Start, Refuse };
-    // Mean and mean deviation of the service time, both moving.
+    // Moving averages of the service time and of its absolute deviation from the mean.
     struct estimate
     {
         duration mean{};
@@ -112,11 +116,11 @@
         std::string team;
         int priority = 0;
         time_point startedAt;
-        duration chargedTime{}; // service time already counted against the team
+        duration chargedTime{}; // service time that already counts as used by the team
     };
     struct team_state
     {
-        double servedTime = 0; // weighted service time in microseconds
+        double servedTime = 0; // service time used, weighted by priority, in microseconds
         int waitingCount = 0;
         int runningCount = 0;
     };
@@ -137,7 +141,7 @@
     std::vector<std::size_t> dispatchOrder() const;
     std::vector<time_point> slotFreeTimes(time_point now) const;
     void plan(time_point now);
-    decision decide(const arrived &request, time_point expectedStart, bool idle,
+    decision decide(const arrived &request, time_point expectedStart, bool isIdle,
                     time_point now) const;
     void applyDecisions(const std::vector<std::size_t> &order,
                         const std::vector<decision> &decisions, time_point now);
@@ -149,14 +153,14 @@
 
     admission_settings m_settings;
     admission_counters m_counters;
-    std::vector<arrived> m_waiting; // in the order of arrival
-    std::map<std::string, running_request> m_running;
-    std::map<std::string, team_state> m_teams;
-    std::map<std::string, estimate> m_estimates;
-    estimate m_overallEstimate;
-    std::vector<action> m_actions; // of the event being handled
-    double m_virtualTime = 0;      // least served time of an active team, never falls
-    time_point m_nextRetryAt{};    // place handed out to the last refused request
+    std::vector<arrived> m_waiting;                   // in order of arrival
+    std::map<std::string, running_request> m_running; // by request id
+    std::map<std::string, team_state> m_teams;        // by team name
+    std::map<std::string, estimate> m_estimates;      // by service
+    estimate m_overallEstimate;                       // over all services
+    std::vector<action> m_actions; // produced by the event that is being processed
+    double m_virtualTime = 0;      // lowest servedTime of an active team; never decreases
+    time_point m_nextRetryAt{};    // retry time that was given to the last refused request
     int m_unusableConnections = 0;
     bool m_isDraining = false;
 };
--- a/libs/request/announcement.cpp
+++ b/libs/request/announcement.cpp
@@ -16,7 +16,7 @@
         {upstream_state::Leaving, "leaving"},
 }};
 
-// Compact forms keep to signed 64 bits: other JSON readers stop there.
+// Numbers are limited to signed 64 bits, since other JSON readers don't support more.
 Json::Value toJsonNumber(std::uint64_t value)
 {
     return Json::Value(static_cast<Json::Int64>(value));
@@ -43,7 +43,7 @@
     return id;
 }
 
-// Messages that are sent all the time are arrays: the same members in a fixed order, without names.
+// Frequent messages are JSON arrays: the values of these members in this order, without names.
 constexpr std::array HeartbeatMembers{"agentId",  "incarnation", "sequence", "state",
                                       "inFlight", "queued",      "latencyUs"};
 constexpr std::array DigestMembers{"from", "incarnation", "sequence", "since", "upTo", "records"};
@@ -232,7 +232,7 @@
 
 digest_ack digestAckFromJson(const Json::Value &values)
 {
-    const Json::Value json = unpackValues(values, AckMembers, "a digest's answer");
+    const Json::Value json = unpackValues(values, AckMembers, "an acknowledgement of a digest");
     return {idMember(json, "from"), unsignedMember(json, "incarnation"),
             unsignedMember(json, "upTo")};
 }
--- a/libs/request/announcement.h
+++ b/libs/request/announcement.h
@@ -1,12 +1,12 @@
-// Messages by which upstreams and entries know each other.
+// Messages with which agents announce their upstreams to entries, and entries inform each other.
 //
-//   announcement    an agent about its upstream, whole: at start, on a change, when asked for it
-//   heartbeat       the same agent later on, compact: what changes all the time
-//   announce_reply  the entry's answer: accepted or not, and when to announce next
-//   digest          one entry to another: what changed since the last acknowledged digest
-//   digest_ack      how far the receiver has come
+//   announcement    full description of an upstream: at start, after a change, on an entry's
+//   request heartbeat       periodic compact message of the same agent: state and load only
+//   announce_reply  the entry's reply: accepted or refused, and the heartbeat period
+//   digest          sent by one entry to another: what changed since the last acknowledged digest
+//   digest_ack      reply to a digest: the version up to which the receiver has applied changes
 //
-// fromJson throws error BadRequest and names the member that is wrong.
+// The ...FromJson functions throw error BadRequest, whose text names the invalid member.
 #pragma once
 
 #include <cstdint>
@@ -23,18 +23,18 @@
 namespace zinniabarrow::request {
 
 enum class upstream_state {
-    Starting, // takes no requests yet
+    Starting, // does not accept requests yet
     Serving,
-    Leaving, // takes no new requests; the last state of an incarnation
+    Leaving, // accepts no new requests; final state of an incarnation
 };
 std::string_view nameOf(upstream_state state);
 
-// What the upstream's agent knows of its load.
+// The load of an upstream as its agent sees it.
 struct upstream_load
 {
-    int inFlight = 0;   // requests that run
+    int inFlight = 0;   // requests that are running
     int queued = 0;     // requests that wait in the agent
-    duration latency{}; // learned service time
+    duration latency{}; // estimated mean service time
 };
 
 struct announced_size
@@ -54,9 +54,9 @@
     std::string service;
     std::string workerId;
     announced_size workerSize;
-    int slots = 0;                 // requests the upstream runs at once
-    std::uint64_t incarnation = 0; // of the agent's process, newer ones are higher
-    std::uint64_t sequence = 0;    // within the incarnation, raised by every message
+    int slots = 0;                 // requests that the upstream runs at the same time
+    std::uint64_t incarnation = 0; // of the agent's process; a newer process has a higher number
+    std::uint64_t sequence = 0;    // increased by each message of the incarnation
     upstream_state state = upstream_state::Starting;
     upstream_load load;
 };
@@ -71,16 +71,17 @@
     upstream_state state = upstream_state::Starting;
     upstream_load load;
 };
-Json::Value toJson(const heartbeat &message); // an array, see announcement.cpp
+Json::Value toJson(const heartbeat &message); // JSON array without member names
 heartbeat heartbeatFromJson(const Json::Value &values);
 heartbeat heartbeatOf(const announcement &full);
 
 struct announce_reply
 {
-    std::uint64_t sequence = 0; // of the message that is answered
-    std::optional<error_kind> refusalKind;
-    std::uint64_t knownIncarnation = 0; // the newest the entry has seen of this agent
-    bool needsFullAnnouncement = false; // the entry lacks the whole announcement
+    std::uint64_t sequence = 0;            // of the message that this replies to
+    std::optional<error_kind> refusalKind; // absent: accepted
+    // Highest incarnation of this agent that the entry has seen.
+    std::uint64_t knownIncarnation = 0;
+    bool needsFullAnnouncement = false; // the entry does not have the agent's announcement
     milliseconds period{};              // until the next heartbeat is due
 };
 Json::Value toJson(const announce_reply &message);
@@ -89,28 +90,28 @@
 struct digest_record
 {
     announcement upstream;
-    bool hasDirectHeartbeats = false; // the sender hears this agent itself
+    bool hasDirectHeartbeats = false; // the sender itself receives heartbeats of this agent
 };
 
 struct digest
 {
-    std::string senderId;           // entry id
+    std::string senderId;           // id of the sending entry
     std::uint64_t incarnation = 0;  // of the sending entry's process
-    std::uint64_t sequence = 0;     // within the incarnation
-    std::uint64_t sinceVersion = 0; // the receiver's last acknowledged version
-    std::uint64_t upToVersion = 0;  // version reached with these records
+    std::uint64_t sequence = 0;     // increased by each digest of the incarnation
+    std::uint64_t sinceVersion = 0; // version that the receiver acknowledged last
+    std::uint64_t upToVersion = 0;  // version that the receiver has after applying the records
     std::vector<digest_record> records;
 };
-Json::Value toJson(const digest &message); // an array
+Json::Value toJson(const digest &message); // JSON array without member names
 digest digestFromJson(const Json::Value &values);
 
 struct digest_ack
 {
-    std::string senderId;          // entry id of the receiver of the digest
-    std::uint64_t incarnation = 0; // of the digest's sender, as the receiver saw it
-    std::uint64_t upToVersion = 0; // version applied; lower than `since` asks for a resync
+    std::string senderId;          // id of the entry that received the digest
+    std::uint64_t incarnation = 0; // of the digest's sender, as known to the receiver
+    std::uint64_t upToVersion = 0; // version applied; below sinceVersion: requests a resync
 };
-Json::Value toJson(const digest_ack &message); // an array
+Json::Value toJson(const digest_ack &message); // JSON array without member names
 digest_ack digestAckFromJson(const Json::Value &values);
 
 } // namespace zinniabarrow::request
--- a/libs/request/announcer.cpp
+++ b/libs/request/announcer.cpp
@@ -40,8 +40,9 @@
 std::vector<std::string>
 announcer::preferredTargets(const std::set<std::string> &unresponsive) const
 {
-    // Only a few entries hear the agent all the time, but one that is cut off from these must not
-    // go on sending requests to an upstream that leaves: Leaving is told to all.
+    // Normally only a few entries receive this agent's messages and pass them on in digests.
+    // Leaving is sent to all entries: one that is disconnected from those few must not keep sending
+    // requests to an upstream that is leaving.
     if (m_self.state == upstream_state::Leaving
         || m_settings.entries.size() <= m_settings.announceToAllUpTo) {
         return m_settings.entries;
@@ -67,15 +68,16 @@
         return messages;
     for (auto &[entry, target] : m_targets)
         checkUnresponsive(target, now);
-    // A deaf entry is tried now and then beside those that stand in for it. In their place, two
-    // dead entries that are tried in the same moment would leave the agent unheard.
+    // An unresponsive entry is contacted from time to time in addition to its substitute. If it
+    // were contacted instead of the substitute, two failed entries contacted at the same time would
+    // leave the agent without any entry that receives its heartbeats.
     const auto currentTargets = targets();
     std::set<std::string> dueEntries(currentTargets.begin(), currentTargets.end());
     for (const auto &entry : preferredTargets({}))
         dueEntries.insert(entry);
     for (auto &[entry, target] : m_targets) {
         if (!dueEntries.contains(entry)) {
-            target.hasSent = false; // its silence from now on means nothing
+            target.hasSent = false; // not a target: missing replies from now on are expected
             continue;
         }
         const bool isDone = m_self.state == upstream_state::Leaving && target.isAnnouncementAcked;
@@ -85,9 +87,10 @@
     return messages;
 }
 
-// An entry that is gone answers nothing. If the agent kept to it, and the other entries that hear
-// the agent went too, a healthy upstream would leave routing everywhere. Heartbeats may go without
-// an answer and answers may be lost, so whole announcements, each of which is answered, go first.
+// A failed entry does not reply. If the agent kept sending to it, and the other entries that
+// receive the agent's heartbeats failed as well, a healthy upstream would be removed from routing
+// everywhere. Since heartbeats may remain unanswered and replies may be lost, the entry is first
+// sent full announcements, each of which must be answered.
 void announcer::checkUnresponsive(announce_target &target, time_point now) const
 {
     if (!target.hasSent || target.isUnresponsive
@@ -129,10 +132,11 @@
     if (reply.period.count() > 0)
         target.period = reply.period;
     if (reply.refusalKind == error_kind::StaleIncarnation) {
-        // Before the first acceptance the clock may have stepped back since an earlier process:
-        // step over what the entries remember. Afterwards it is this process that is the old one
-        // (it was paused and has been replaced): to outbid its successor would have two agents
-        // take turns on one worker.
+        // Before the first acceptance, the wall clock may have been set back since an earlier
+        // process: continue with an incarnation above the one that the entries know. After an
+        // acceptance, this process is the older one: it was paused and has been replaced. If it
+        // raised its incarnation above that of its successor, two agents would take turns on one
+        // worker.
         if (!m_wasAccepted && reply.knownIncarnation >= m_self.incarnation) {
             m_self.incarnation = reply.knownIncarnation + 1;
             resetAcks();
@@ -153,8 +157,9 @@
         return;
     }
     m_wasAccepted = true;
-    // The answer to an earlier message does not show that the entry knows of the Leaving: it would
-    // not be repeated, and the entry would go on sending requests.
+    // A reply to an earlier message does not show that the entry knows the Leaving state. If it
+    // counted as an acknowledgement, Leaving would not be repeated and the entry would keep sending
+    // requests.
     if (target.isAnnouncementAcked || reply.sequence < target.ackableFromSequence)
         return;
     target.isAnnouncementAcked = true;
--- a/libs/request/announcer.h
+++ b/libs/request/announcer.h
@@ -1,10 +1,11 @@
-// Announcer: what an agent tells which entry, and when.
+// Announcer: decides which entries an agent sends announcements and heartbeats to, and when.
 //
-//   announcer_settings   the entries from the agent's settings, how many of them hear it
-//   announcer            clock ticks and answers in, messages out
+//   announcer_settings   addresses of the entries, periods and limits
+//   announcer            takes clock ticks and replies, returns the messages to send
 //
-// Any loss is made good by a later message: a whole announcement is repeated until it is answered,
-// Leaving is repeated to every entry, an entry that does not answer is replaced by another.
+// Lost messages are repaired by later ones: an announcement is repeated until it is acknowledged,
+// the Leaving state is sent to every entry, and an entry that does not reply is replaced by
+// another.
 #pragma once
 
 #include <cstdint>
@@ -21,14 +22,14 @@
 
 struct announcer_settings
 {
-    std::vector<std::string> entries;  // their addresses
-    std::size_t targetCount = 2;       // entries that hear this agent; all when they are few
-    std::size_t announceToAllUpTo = 3; // up to here all of them hear it
-    milliseconds initialPeriod{1000};  // until an entry has named one
-    milliseconds announcementRetryInterval{500}; // of a whole announcement without an answer
-    int requestReplyAfterPeriods = 5;            // periods without an answer until one is asked for
-    int replaceAfterPeriods = 7;                 // and until the entry is replaced by another
-    milliseconds unresponsiveRetryInterval{30 * 1000}; // with such an entry, beside the others
+    std::vector<std::string> entries;  // addresses of all entries
+    std::size_t targetCount = 2;       // entries that receive the heartbeats of this agent
+    std::size_t announceToAllUpTo = 3; // up to this many entries, all receive heartbeats
+    milliseconds initialPeriod{1000};  // heartbeat period until an entry has replied with one
+    milliseconds announcementRetryInterval{500}; // between announcements that are not acknowledged
+    int requestReplyAfterPeriods = 5; // periods without a reply until an announcement is sent
+    int replaceAfterPeriods = 7;      // periods without a reply until the entry is replaced
+    milliseconds unresponsiveRetryInterval{30 * 1000}; // between messages to a replaced entry
 };
 
 class announcer
@@ -36,40 +37,44 @@
 public:
     struct outgoing_message
     {
-        std::string entry;
+        std::string entry; // address
         std::variant<announcement, heartbeat> message;
     };
 
-    // `self` carries the incarnation, which must be newer than that of an earlier process: the wall
-    // clock in milliseconds at the start will do, see `answered`.
+    // The incarnation in `self` must be higher than that of any earlier process of this agent. The
+    // wall clock at the start, in milliseconds, is sufficient: see handleReply for a clock that was
+    // set back.
     announcer(announcer_settings settings, announcement self);
 
-    // Leaving is final.
+    // Leaving is final: later changes of the state are ignored.
     void setState(upstream_state state);
     void setLoad(const upstream_load &load) { m_self.load = load; }
 
-    // What is due. Call it several times in the shortest period, and after setState.
+    // Returns the messages that are due. Call it several times per heartbeat period, and after
+    // setState.
     std::vector<outgoing_message> tick(time_point now);
 
+    // Processes the reply of `entry` to an announcement or heartbeat.
     void handleReply(const std::string &entry, const announce_reply &reply, time_point now);
 
-    // A newer process announces under this agent's id: stop serving and exit gracefully.
+    // A newer process uses this agent's id: this one must stop serving and exit gracefully.
     bool isSuperseded() const { return m_isSuperseded; }
-    // Every entry has answered the Leaving, or was given up.
+    // Every entry has acknowledged the Leaving state or is unresponsive.
     bool isLeaveComplete() const;
+    // Addresses of the entries that messages are currently sent to.
     std::vector<std::string> targets() const;
     const announcement &self() const { return m_self; }
 
 private:
     struct announce_target
     {
-        bool isAnnouncementAcked = false;      // has answered this state and incarnation
-        std::uint64_t ackableFromSequence = 0; // sequence; answers to earlier messages do not count
-        time_point nextSendAt{};               // when a message is due
-        time_point lastReplyAt{};              // or first written to
-        bool hasSent = false;
-        bool isUnresponsive = false; // did not answer, until it does
-        milliseconds period{};
+        bool isAnnouncementAcked = false;      // acknowledged the current state and incarnation
+        std::uint64_t ackableFromSequence = 0; // replies to earlier messages are no acks
+        time_point nextSendAt{};               // when the next message is due
+        time_point lastReplyAt{};    // last reply, or the first message if there was no reply yet
+        bool hasSent = false;        // a message was sent since this entry became a target
+        bool isUnresponsive = false; // did not reply for replaceAfterPeriods; cleared by a reply
+        milliseconds period{};       // between heartbeats, as requested by the entry
     };
 
     outgoing_message makeMessage(const std::string &entry, announce_target &target, time_point now);
@@ -80,7 +85,7 @@
 
     announcer_settings m_settings;
     announcement m_self;
-    std::map<std::string, announce_target> m_targets; // by entry
+    std::map<std::string, announce_target> m_targets; // all entries, by address
     bool m_wasAccepted = false;                       // by any entry, in this incarnation
     bool m_isSuperseded = false;
 };
--- a/libs/request/latency_window.h
+++ b/libs/request/latency_window.h
@@ -1,7 +1,7 @@
-// The tail latency of an upstream's newest answers, and when it was measured.
-//
-// Only answers of the last window count. Without that bound, a service with few requests would go
-// on reporting what it was minutes ago as new, and its neighbours would be throttled for it.
+// The 99th percentile of an upstream's latency over its recent answers, with the time of the
+// measurement. Only answers within the time window count: otherwise a service with few requests
+// would keep reporting latencies of several minutes ago as current, and batch tasks next to it
+// would be throttled for them.
 #pragma once
 
 #include <optional>
@@ -14,8 +14,8 @@
 
 struct latency_reading
 {
-    microseconds p99{0};   // of the window's answers
-    time_point measuredAt; // the mean of when they were served
+    microseconds p99{0};   // over the answers in the window
+    time_point measuredAt; // mean of the times at which the answers were served
 };
 
 class latency_window
@@ -27,11 +27,11 @@
     { }
 
     void add(duration latency, time_point endedAt);
-    // Absent without an answer in the window: that says nothing about the service.
+    // Absent if no answer ended within the window: nothing is known about the latency then.
     std::optional<latency_reading> read(time_point now) const;
 
 private:
-    static constexpr std::size_t MaxAnswers = 1024; // the newest
+    static constexpr std::size_t MaxAnswers = 1024; // only the newest are kept
 
     struct answer
     {
--- a/libs/request/membership.cpp
+++ b/libs/request/membership.cpp
@@ -17,7 +17,8 @@
         {leave_reason::NotReady, "not_ready"},
 }};
 
-// Fewer than announcer_settings::unansweredLimit: the agent must not take this entry for deaf.
+// Must be less than announcer_settings::replaceAfterPeriods, or agents would replace this entry as
+// unresponsive.
 constexpr int HeartbeatsPerReply = 4;
 
 } // namespace
@@ -44,23 +45,24 @@
         return makeRefusal(error_kind::StaleIncarnation, message);
     }
     announce_outcome outcome;
-    member *known = findOrAddMember(message);
-    if (!known)
+    member *memberRecord = findOrAddMember(message);
+    if (!memberRecord)
         return makeRefusal(error_kind::OverCapacity, message);
     ++m_counters.accepted;
-    applyAnnouncement(*known, message, outcome.changes);
-    const auto earlierPeriod = known->period;
-    recordHeartbeat(*known, now);
-    updateRoutability(*known, outcome.changes, now);
-    if (known->isRoutable) {
+    applyAnnouncement(*memberRecord, message, outcome.changes);
+    const auto earlierPeriod = memberRecord->period;
+    recordHeartbeat(*memberRecord, now);
+    updateRoutability(*memberRecord, outcome.changes, now);
+    if (memberRecord->isRoutable) {
         outcome.changes.emplace_back(
                 upstream_reported{message.agentId, message.incarnation, message.load});
     }
-    outcome.reply = {message.sequence, std::nullopt, message.incarnation, false, known->period};
-    outcome.shouldReply = isFull || known->period != earlierPeriod
-                          || ++known->unansweredHeartbeats >= HeartbeatsPerReply;
+    outcome.reply = {message.sequence, std::nullopt, message.incarnation, false,
+                     memberRecord->period};
+    outcome.shouldReply = isFull || memberRecord->period != earlierPeriod
+                          || ++memberRecord->unansweredHeartbeats >= HeartbeatsPerReply;
     if (outcome.shouldReply)
-        known->unansweredHeartbeats = 0;
+        memberRecord->unansweredHeartbeats = 0;
     return outcome;
 }
 
@@ -84,17 +86,18 @@
 announce_outcome membership::makeRefusal(error_kind kind, const announcement &message)
 {
     const auto found = m_members.find(message.agentId);
-    const auto known = found == m_members.end() ? 0 : found->second.lastMessage.incarnation;
+    const auto newestIncarnation =
+            found == m_members.end() ? 0 : found->second.lastMessage.incarnation;
     announce_outcome outcome;
-    outcome.reply = {message.sequence, kind, known, false, grantedPeriod()};
+    outcome.reply = {message.sequence, kind, newestIncarnation, false, grantedPeriod()};
     return outcome;
 }
 
-// A late message of an old incarnation would bring back the address of an instance that is gone;
-// one of an older sequence would take back a Leaving. Both are refused by their numbers alone.
-bool membership::isStale(const member &known, const announcement &message) const
+// A late message of an old incarnation would restore the address of an instance that is gone, and
+// one with an old sequence would revert a Leaving. Both are recognized by their numbers alone.
+bool membership::isStale(const member &memberRecord, const announcement &message) const
 {
-    const auto &last = known.lastMessage;
+    const auto &last = memberRecord.lastMessage;
     if (message.incarnation != last.incarnation)
         return message.incarnation < last.incarnation;
     const bool isLeavingReverted =
@@ -114,44 +117,46 @@
     return &m_members[message.agentId];
 }
 
-// Takes over a message that is not late.
-void membership::applyAnnouncement(member &known, const announcement &message, changes &out)
+// Takes over a message that is not stale.
+void membership::applyAnnouncement(member &memberRecord, const announcement &message, changes &out)
 {
-    const bool newIncarnation = message.incarnation > known.lastMessage.incarnation
-                                || known.lastMessage.agentId.empty();
+    const bool newIncarnation = message.incarnation > memberRecord.lastMessage.incarnation
+                                || memberRecord.lastMessage.agentId.empty();
     if (newIncarnation) {
-        if (known.isRoutable) {
-            out.emplace_back(upstream_left{known.lastMessage.agentId, known.lastMessage.incarnation,
+        if (memberRecord.isRoutable) {
+            out.emplace_back(upstream_left{memberRecord.lastMessage.agentId,
+                                           memberRecord.lastMessage.incarnation,
                                            leave_reason::Replaced});
             ++m_counters.left[leave_reason::Replaced];
         }
-        m_directMemberCount -= known.hasDirectHeartbeats ? 1 : 0;
-        known = member{};
+        m_directMemberCount -= memberRecord.hasDirectHeartbeats ? 1 : 0;
+        memberRecord = member{};
     }
-    const bool changed = newIncarnation || message.state != known.lastMessage.state
-                         || message.address != known.lastMessage.address
-                         || message.slots != known.lastMessage.slots;
-    known.lastMessage = message;
+    const bool changed = newIncarnation || message.state != memberRecord.lastMessage.state
+                         || message.address != memberRecord.lastMessage.address
+                         || message.slots != memberRecord.lastMessage.slots;
+    memberRecord.lastMessage = message;
     if (changed)
-        bumpVersion(known);
+        bumpVersion(memberRecord);
 }
 
-void membership::recordHeartbeat(member &known, time_point now)
+void membership::recordHeartbeat(member &memberRecord, time_point now)
 {
-    if (known.lastMessage.state == upstream_state::Leaving) {
-        m_directMemberCount -= known.hasDirectHeartbeats ? 1 : 0;
-        known.hasDirectHeartbeats = false;
+    if (memberRecord.lastMessage.state == upstream_state::Leaving) {
+        m_directMemberCount -= memberRecord.hasDirectHeartbeats ? 1 : 0;
+        memberRecord.hasDirectHeartbeats = false;
         return;
     }
-    known.lastInterval = known.hadDirectHeartbeat ? now - known.lastHeartbeatAt : duration{};
-    known.lastHeartbeatAt = now;
-    known.hadDirectHeartbeat = true;
-    if (!known.hasDirectHeartbeats) {
-        known.hasDirectHeartbeats = true;
+    memberRecord.lastInterval =
+            memberRecord.hadDirectHeartbeat ? now - memberRecord.lastHeartbeatAt : duration{};
+    memberRecord.lastHeartbeatAt = now;
+    memberRecord.hadDirectHeartbeat = true;
+    if (!memberRecord.hasDirectHeartbeats) {
+        memberRecord.hasDirectHeartbeats = true;
         ++m_directMemberCount;
-        bumpVersion(known);
+        bumpVersion(memberRecord);
     }
-    known.period = grantedPeriod();
+    memberRecord.period = grantedPeriod();
 }
 
 digest_outcome membership::handleMessage(const digest &message, time_point now)
@@ -165,13 +170,14 @@
     if (sender->hasReceivedDigest
         && messageNumber <= std::pair(sender->incarnation, sender->sequence)) {
         ++m_counters.staleDigests;
-        digest_outcome late;
+        digest_outcome staleOutcome;
         if (message.incarnation < sender->incarnation)
-            late.ack = digest_ack{m_settings.entryId, sender->incarnation, 0};
-        return late;
+            staleOutcome.ack = digest_ack{m_settings.entryId, sender->incarnation, 0};
+        return staleOutcome;
     }
     if (message.incarnation != sender->incarnation) {
-        // A new process under the peer's name: its versions start again, its old word is void.
+        // A new process of the peer: its versions start again, and the reports of the old one are
+        // void.
         removeMonitoringPeer(message.senderId);
         sender->incarnation = message.incarnation;
         sender->appliedVersion = 0;
@@ -182,37 +188,39 @@
     digest_outcome outcome;
     for (const auto &record : message.records)
         applyRecord(record, message.senderId, outcome.changes, now);
-    // The sender believes that this entry knows more than it does (this process is new): the ack
-    // names what is applied, and the sender starts again from there. Without it the records
-    // before `since` would never be seen here.
+    // If sinceVersion is higher than the applied version, the sender assumes that this entry has
+    // records that it lacks, because this process is new. The ack then has the version that is
+    // really applied, and the sender continues from there. Otherwise the records before
+    // sinceVersion would never arrive.
     if (message.sinceVersion <= sender->appliedVersion)
         sender->appliedVersion = std::max(sender->appliedVersion, message.upToVersion);
-    const bool news = !message.records.empty() || message.sinceVersion != sender->appliedVersion;
-    if (news)
+    const bool hasChanges =
+            !message.records.empty() || message.sinceVersion != sender->appliedVersion;
+    if (hasChanges)
         outcome.ack = digest_ack{m_settings.entryId, message.incarnation, sender->appliedVersion};
     return outcome;
 }
 
-void membership::applyRecord(const digest_record &record, const std::string &from, changes &out,
-                             time_point now)
+void membership::applyRecord(const digest_record &record, const std::string &reportingPeer,
+                             changes &out, time_point now)
 {
     const auto &upstream = record.upstream;
     const bool isReported = record.hasDirectHeartbeats || upstream.state == upstream_state::Leaving;
     if (!isReported && !m_members.contains(upstream.agentId))
         return;
-    member *known = findOrAddMember(upstream);
-    if (!known)
+    member *memberRecord = findOrAddMember(upstream);
+    if (!memberRecord)
         return;
-    const bool isNew = known->lastMessage.agentId.empty();
-    if (isNew || !isStale(*known, upstream))
-        applyAnnouncement(*known, upstream, out);
-    if (upstream.incarnation == known->lastMessage.incarnation) {
+    const bool isNew = memberRecord->lastMessage.agentId.empty();
+    if (isNew || !isStale(*memberRecord, upstream))
+        applyAnnouncement(*memberRecord, upstream, out);
+    if (upstream.incarnation == memberRecord->lastMessage.incarnation) {
         if (record.hasDirectHeartbeats)
-            known->monitoringPeers.insert(from);
+            memberRecord->monitoringPeers.insert(reportingPeer);
         else
-            known->monitoringPeers.erase(from);
+            memberRecord->monitoringPeers.erase(reportingPeer);
     }
-    updateRoutability(*known, out, now);
+    updateRoutability(*memberRecord, out, now);
 }
 
 void membership::handleMessage(const digest_ack &message)
@@ -220,8 +228,9 @@
     const auto found = m_peers.find(message.senderId);
     if (found == m_peers.end())
         return;
-    // The clock stepped back since an earlier process of this entry: its peers would take every
-    // digest for a late one. An entry that was acknowledged before is itself the old process.
+    // The wall clock was set back since an earlier process of this entry, so its peers would treat
+    // every digest as stale: continue above the incarnation that they know. An entry that was
+    // acknowledged before is itself the older process and does not do so.
     if (message.incarnation > m_settings.incarnation && !m_wasAcknowledged)
         m_settings.incarnation = message.incarnation + 1;
     if (message.incarnation != m_settings.incarnation)
@@ -238,25 +247,27 @@
 std::vector<membership_change> membership::tick(time_point now)
 {
     changes out;
-    for (auto &[id, known] : m_members) {
-        if (known.hasDirectHeartbeats && known.lastHeartbeatAt + heartbeatTimeout(known) <= now) {
-            known.hasDirectHeartbeats = false;
+    for (auto &[id, memberRecord] : m_members) {
+        if (memberRecord.hasDirectHeartbeats
+            && memberRecord.lastHeartbeatAt + heartbeatTimeout(memberRecord) <= now) {
+            memberRecord.hasDirectHeartbeats = false;
             --m_directMemberCount;
-            bumpVersion(known);
+            bumpVersion(memberRecord);
         }
-        updateRoutability(known, out, now);
+        updateRoutability(memberRecord, out, now);
     }
     removeDeparted(now);
     return out;
 }
 
-// Instances are replaced all the time. If the names of old ones were kept, the bounds would in the
-// end refuse the new ones.
+// Instances are replaced all the time. If departed ones were kept, maxMembers and maxPeers would
+// eventually cause new ones to be refused.
 void membership::removeDeparted(time_point now)
 {
     std::erase_if(m_members, [&](const auto &entry) {
-        const auto &known = entry.second;
-        return known.departedAt != Never && known.departedAt + m_settings.departedRetention <= now;
+        const auto &memberRecord = entry.second;
+        return memberRecord.departedAt != Never
+               && memberRecord.departedAt + m_settings.departedRetention <= now;
     });
     std::erase_if(m_peers, [&](const auto &entry) {
         const auto lastContact = std::max(entry.second.lastDigestAt, entry.second.digestSentAt);
@@ -264,47 +275,49 @@
     });
 }
 
-// Tells the router where the answer to "may it be routed to" has changed.
-void membership::updateRoutability(member &known, changes &out, time_point now)
+// Reports a change to the router if the upstream became routable or stopped being so.
+void membership::updateRoutability(member &memberRecord, changes &out, time_point now)
 {
-    const bool alive = known.hasDirectHeartbeats || isMonitoredByPeer(known, now);
-    const bool leaving = known.lastMessage.state == upstream_state::Leaving;
-    const bool serving = known.lastMessage.state == upstream_state::Serving;
-    if (alive && !leaving)
-        known.departedAt = Never;
-    else if (known.departedAt == Never)
-        known.departedAt = now;
-    if (serving && alive && !known.isRoutable) {
-        known.isRoutable = true;
-        out.emplace_back(upstream_joined{known.lastMessage});
+    const bool isAlive = memberRecord.hasDirectHeartbeats || isMonitoredByPeer(memberRecord, now);
+    const bool leaving = memberRecord.lastMessage.state == upstream_state::Leaving;
+    const bool isServing = memberRecord.lastMessage.state == upstream_state::Serving;
+    if (isAlive && !leaving)
+        memberRecord.departedAt = Never;
+    else if (memberRecord.departedAt == Never)
+        memberRecord.departedAt = now;
+    if (isServing && isAlive && !memberRecord.isRoutable) {
+        memberRecord.isRoutable = true;
+        out.emplace_back(upstream_joined{memberRecord.lastMessage});
         return;
     }
-    if (!known.isRoutable || (serving && alive))
+    if (!memberRecord.isRoutable || (isServing && isAlive))
         return;
-    known.isRoutable = false;
-    const auto reason = leaving   ? leave_reason::Left
-                        : serving ? leave_reason::Silent
-                                  : leave_reason::NotReady;
+    memberRecord.isRoutable = false;
+    const auto reason = leaving     ? leave_reason::Left
+                        : isServing ? leave_reason::Silent
+                                    : leave_reason::NotReady;
     ++m_counters.left[reason];
-    out.emplace_back(
-            upstream_left{known.lastMessage.agentId, known.lastMessage.incarnation, reason});
+    out.emplace_back(upstream_left{memberRecord.lastMessage.agentId,
+                                   memberRecord.lastMessage.incarnation, reason});
 }
 
-bool membership::isMonitoredByPeer(const member &known, time_point now) const
+bool membership::isMonitoredByPeer(const member &memberRecord, time_point now) const
 {
-    return std::any_of(
-            known.monitoringPeers.begin(), known.monitoringPeers.end(), [&](const auto &id) {
-                const auto found = m_peers.find(id);
-                return found != m_peers.end() && found->second.lastDigestAt + peerTimeout() > now;
-            });
+    return std::any_of(memberRecord.monitoringPeers.begin(), memberRecord.monitoringPeers.end(),
+                       [&](const auto &id) {
+                           const auto found = m_peers.find(id);
+                           return found != m_peers.end()
+                                  && found->second.lastDigestAt + peerTimeout() > now;
+                       });
 }
 
-// Each entry tells of the agents that it hears itself, so a record crosses the mesh once and not
-// once by every way. Leaving is told by everyone: it must reach an entry that is cut off from both
-// the agent and the entries that heard it.
-bool membership::shouldShare(const member &known) const
+// An entry reports only agents whose heartbeats it receives itself, so that a record is sent to
+// each peer once and not by every peer. Leaving is reported by all entries: it must also reach an
+// entry that is disconnected both from the agent and from the entries that receive its heartbeats.
+bool membership::shouldShare(const member &memberRecord) const
 {
-    return known.hadDirectHeartbeat || known.lastMessage.state == upstream_state::Leaving;
+    return memberRecord.hadDirectHeartbeat
+           || memberRecord.lastMessage.state == upstream_state::Leaving;
 }
 
 std::optional<digest> membership::digestFor(const std::string &peerId, time_point now)
@@ -312,19 +325,19 @@
     peer *receiver = findOrAddPeer(peerId);
     if (!receiver)
         return std::nullopt;
-    const bool due = !receiver->hasSent || receiver->digestSentAt + digestPeriod() <= now;
+    const bool isDue = !receiver->hasSent || receiver->digestSentAt + digestPeriod() <= now;
     const std::uint64_t since = receiver->ackedVersion;
-    if (!due && m_version <= std::max(receiver->sentVersion, since))
+    if (!isDue && m_version <= std::max(receiver->sentVersion, since))
         return std::nullopt;
     std::vector<const member *> changed;
     bool hasUnsentChange = false;
-    for (const auto &[id, known] : m_members) {
-        if (known.version <= since || !shouldShare(known))
+    for (const auto &[id, memberRecord] : m_members) {
+        if (memberRecord.version <= since || !shouldShare(memberRecord))
             continue;
-        changed.push_back(&known);
-        hasUnsentChange = hasUnsentChange || known.version > receiver->sentVersion;
+        changed.push_back(&memberRecord);
+        hasUnsentChange = hasUnsentChange || memberRecord.version > receiver->sentVersion;
     }
-    if (!due && !hasUnsentChange)
+    if (!isDue && !hasUnsentChange)
         return std::nullopt;
     std::sort(changed.begin(), changed.end(),
               [](const member *a, const member *b) { return a->version < b->version; });
@@ -334,8 +347,8 @@
         changed.resize(m_settings.maxDigestRecords);
         message.upToVersion = changed.back()->version;
     }
-    for (const member *known : changed)
-        message.records.push_back({known->lastMessage, known->hasDirectHeartbeats});
+    for (const member *memberRecord : changed)
+        message.records.push_back({memberRecord->lastMessage, memberRecord->hasDirectHeartbeats});
     receiver->sentVersion = message.upToVersion;
     receiver->digestSentAt = now;
     receiver->hasSent = true;
@@ -345,9 +358,9 @@
 std::vector<announcement> membership::routableUpstreams() const
 {
     std::vector<announcement> result;
-    for (const auto &[id, known] : m_members) {
-        if (known.isRoutable)
-            result.push_back(known.lastMessage);
+    for (const auto &[id, memberRecord] : m_members) {
+        if (memberRecord.isRoutable)
+            result.push_back(memberRecord.lastMessage);
     }
     return result;
 }
@@ -355,21 +368,21 @@
 std::vector<announcement> membership::knownUpstreams() const
 {
     std::vector<announcement> result;
-    for (const auto &[id, known] : m_members)
-        result.push_back(known.lastMessage);
+    for (const auto &[id, memberRecord] : m_members)
+        result.push_back(memberRecord.lastMessage);
     return result;
 }
 
-// At the bound, the upstream that has been gone longest is forgotten first. A live one never is:
-// else a flood of new names would push serving upstreams out of routing.
+// At the limit, the upstream that departed first is removed. Live ones never are, or a flood of new
+// names would push serving upstreams out of routing.
 bool membership::evictOldestDeparted()
 {
     auto oldest = m_members.end();
-    for (auto at = m_members.begin(); at != m_members.end(); ++at) {
-        if (at->second.departedAt == Never)
+    for (auto candidate = m_members.begin(); candidate != m_members.end(); ++candidate) {
+        if (candidate->second.departedAt == Never)
             continue;
-        if (oldest == m_members.end() || at->second.departedAt < oldest->second.departedAt)
-            oldest = at;
+        if (oldest == m_members.end() || candidate->second.departedAt < oldest->second.departedAt)
+            oldest = candidate;
     }
     if (oldest == m_members.end())
         return false;
@@ -390,16 +403,16 @@
 
 void membership::removeMonitoringPeer(const std::string &peerId)
 {
-    for (auto &[id, known] : m_members)
-        known.monitoringPeers.erase(peerId);
+    for (auto &[id, memberRecord] : m_members)
+        memberRecord.monitoringPeers.erase(peerId);
 }
 
-// Heartbeats of all agents heard here together stay within their share of the control budget.
+// Keeps the heartbeats of all agents that this entry receives within heartbeatBytesPerSecond.
 milliseconds membership::grantedPeriod() const
 {
     const auto bytes = static_cast<std::int64_t>(m_directMemberCount) * m_settings.heartbeatBytes;
     const milliseconds needed(bytes * 1000 / m_settings.heartbeatBytesPerSecond);
-    return std::clamp(needed, m_settings.minPeriod, m_settings.maxPeriod);
+    return std::clamp(needed, m_settings.minHeartbeatPeriod, m_settings.maxHeartbeatPeriod);
 }
 
 milliseconds membership::digestPeriod() const
@@ -411,18 +424,21 @@
     return std::max(needed, m_settings.minDigestPeriod);
 }
 
-// An agent that missed the answer with a shorter period still keeps to its old one: going by the
-// promise alone would take it for silent, and drop a healthy upstream from routing.
-duration membership::heartbeatTimeout(const member &known) const
+// An agent that missed the reply with a shorter period keeps its old period. A timeout that relies
+// on the new one alone would make the agent silent and remove a healthy upstream from routing.
+duration membership::heartbeatTimeout(const member &memberRecord) const
 {
-    const duration interval = std::min<duration>(known.lastInterval, m_settings.maxPeriod);
-    const duration period = std::max<duration>(known.period, interval);
-    // Half a period for the way: else the heartbeat after two lost ones comes a moment too late.
+    const duration interval =
+            std::min<duration>(memberRecord.lastInterval, m_settings.maxHeartbeatPeriod);
+    const duration period = std::max<duration>(memberRecord.period, interval);
+    // Half a period allows for the transmission time: otherwise the heartbeat after two lost ones
+    // would arrive just too late.
     return period * m_settings.missedHeartbeatLimit + period / 2;
 }
 
-// A peer that died says nothing about the agents it heard. They need some periods to notice and to
-// announce to another entry; dropping them sooner would take healthy upstreams out of routing.
+// The failure of a peer says nothing about the agents whose heartbeats it received. They need some
+// periods to notice it and to announce to another entry; a shorter timeout would remove healthy
+// upstreams from routing.
 duration membership::peerTimeout() const
 {
     return digestPeriod() * m_settings.missedDigestLimit
@@ -436,10 +452,10 @@
     if (entries.size() <= count)
         return entries;
     std::vector<std::string> targets;
-    std::vector<std::string> silent;
+    std::vector<std::string> unresponsiveEntries;
     for (const auto &entry : rendezvousOrder(agentId, entries))
-        (unresponsive.contains(entry) ? silent : targets).push_back(entry);
-    targets.insert(targets.end(), silent.begin(), silent.end());
+        (unresponsive.contains(entry) ? unresponsiveEntries : targets).push_back(entry);
+    targets.insert(targets.end(), unresponsiveEntries.begin(), unresponsiveEntries.end());
     targets.resize(count);
     return targets;
 }
--- a/libs/request/membership.h
+++ b/libs/request/membership.h
@@ -1,12 +1,13 @@
-// Membership: which upstreams an entry may route to.
+// Membership: the set of upstreams that an entry may route requests to.
 //
-//   membership_settings   own identity, periods, bounds
+//   membership_settings   identity of this entry, periods, limits
 //   membership_change     upstream_joined, upstream_left, upstream_reported: input of the router
-//   membership            announcements, heartbeats and digests in; changes and digests out
-//   announceTargets       which entries an agent announces to
+//   membership            takes announcements, heartbeats and digests; returns changes and digests
+//   announceTargets       the entries that an agent announces its upstream to
 //
-// An upstream is routable while its state is Serving and somebody hears its agent: this entry, or
-// a peer entry that vouches for it and is itself heard. Leaving counts at once, through any peer.
+// An upstream is routable while its state is Serving and an entry receives heartbeats of its agent:
+// this entry, or a peer entry that reports so in its digests and whose digests still arrive. The
+// Leaving state takes effect at once, whichever peer reports it.
 #pragma once
 
 #include <cstdint>
@@ -25,23 +26,23 @@
 
 struct membership_settings
 {
-    std::string entryId;                // of this entry
-    std::uint64_t incarnation = 0;      // of this process, newer ones are higher
-    milliseconds minPeriod{1000};       // between heartbeats, when agents are few
-    milliseconds maxPeriod{15 * 1000};  // between heartbeats, when they are many
-    int heartbeatBytes = 105;           // of one heartbeat and its part of an answer, as sent
-    int heartbeatBytesPerSecond = 1300; // share of the control budget
-    int missedHeartbeatLimit = 3;       // without a heartbeat, until an agent is silent
-    milliseconds minDigestPeriod{1000}; // between digests to a peer without news
-    int digestBytes = 80;               // of one digest without news, as sent
-    int digestBytesPerSecond = 500;     // share of the control budget, both directions
-    int reannouncePeriods = 10;         // that agents need to find another entry
-    int missedDigestLimit = 3;          // until a peer's word counts no more
-    milliseconds departedRetention{10 * 60
-                                   * 1000}; // upstreams that are gone, to know late messages
-    std::size_t maxMembers = 4096;          // remembered ones included
-    std::size_t maxPeers = 64;
-    std::size_t maxDigestRecords = 16; // bound on one digest; the rest follows
+    std::string entryId;                   // id of this entry
+    std::uint64_t incarnation = 0;         // of this process; a newer process has a higher number
+    milliseconds minHeartbeatPeriod{1000}; // shortest heartbeat period, used with few agents
+    milliseconds maxHeartbeatPeriod{15 * 1000}; // longest heartbeat period, used with many agents
+    int heartbeatBytes = 105; // size on the wire of one heartbeat and its share of the replies
+    int heartbeatBytesPerSecond = 1300; // share of the bandwidth for control messages
+    int missedHeartbeatLimit = 3;       // missed heartbeats until an agent counts as silent
+    milliseconds minDigestPeriod{1000}; // shortest period of digests without changes, per peer
+    int digestBytes = 80;               // size on the wire of one digest without changes
+    int digestBytesPerSecond = 500;     // share of the control bandwidth, both directions
+    int reannouncePeriods = 10; // heartbeat periods that agents need to move to another entry
+    int missedDigestLimit = 3;  // missed digests until a peer's reports no longer count
+    // How long departed upstreams are kept, so that late messages about them are recognized.
+    milliseconds departedRetention{10 * 60 * 1000};
+    std::size_t maxMembers = 4096;     // including departed upstreams that are still kept
+    std::size_t maxPeers = 64;         // peer entries
+    std::size_t maxDigestRecords = 16; // records in one digest; the rest follows in the next one
 };
 
 struct upstream_joined
@@ -50,10 +51,10 @@
 };
 
 enum class leave_reason {
-    Left,     // announced Leaving
-    Silent,   // nobody hears its agent
-    Replaced, // a newer incarnation is there
-    NotReady, // Serving no more, and not Leaving
+    Left,     // its agent announced Leaving
+    Silent,   // no entry receives heartbeats of its agent
+    Replaced, // a newer incarnation has announced itself
+    NotReady, // state changed from Serving to Starting
 };
 std::string_view nameOf(leave_reason reason);
 
@@ -64,6 +65,7 @@
     leave_reason reason = leave_reason::Left;
 };
 
+// New load figures of a routable upstream.
 struct upstream_reported
 {
     std::string agentId;
@@ -76,23 +78,23 @@
 struct announce_outcome
 {
     announce_reply reply;
-    bool shouldReply = true; // false: the agent would learn nothing new, no answer is needed
+    bool shouldReply = true; // false: the reply would tell the agent nothing new
     std::vector<membership_change> changes;
 };
 
 struct digest_outcome
 {
-    std::optional<digest_ack> ack; // absent: no news, or the digest came late
+    std::optional<digest_ack> ack; // absent: the digest had no changes or was stale
     std::vector<membership_change> changes;
 };
 
 struct membership_counters
 {
     std::uint64_t accepted = 0;      // announcements and heartbeats
-    std::uint64_t staleMessages = 0; // old incarnation or sequence
-    std::uint64_t overLimit = 0;     // refused for the bound on members or peers
+    std::uint64_t staleMessages = 0; // refused for an old incarnation or sequence
+    std::uint64_t overLimit = 0;     // refused because of maxMembers or maxPeers
     std::uint64_t staleDigests = 0;
-    std::uint64_t resyncs = 0; // peers that had to start from the beginning
+    std::uint64_t resyncs = 0; // peers that had to be sent all records again
     std::map<leave_reason, std::uint64_t> left;
 };
 
@@ -106,17 +108,18 @@
     digest_outcome handleMessage(const digest &message, time_point now);
     void handleMessage(const digest_ack &message);
 
-    // What went silent meanwhile. Call it several times in the shortest period.
+    // Returns the upstreams that became silent. Call it several times per heartbeat period.
     std::vector<membership_change> tick(time_point now);
 
-    // The digest that is due for `peer`: at once after a change, else every digestPeriod().
+    // Returns the digest that is due for `peer`: at once after a change, otherwise every
+    // digestPeriod().
     std::optional<digest> digestFor(const std::string &peer, time_point now);
 
-    // Between digests to a peer without news; by the number of peers.
+    // Time between digests without changes to the same peer; grows with the number of peers.
     milliseconds digestPeriod() const;
 
     std::vector<announcement> routableUpstreams() const;
-    std::vector<announcement> knownUpstreams() const; // silent and left ones included
+    std::vector<announcement> knownUpstreams() const; // includes silent and departed ones
     std::size_t size() const { return m_members.size(); }
     const membership_counters &counters() const { return m_counters; }
 
@@ -124,40 +127,40 @@
     struct member
     {
         announcement lastMessage;
-        time_point lastHeartbeatAt{};          // directly, by this entry
-        milliseconds period{};                 // promised to the agent
+        time_point lastHeartbeatAt{};          // last message received directly by this entry
+        milliseconds period{};                 // heartbeat period that the agent was told
         duration lastInterval{};               // between its last two heartbeats
-        int unansweredHeartbeats = 0;          // heartbeats since the last answer
-        bool hasDirectHeartbeats = false;      // directly, and not silent since
-        bool hadDirectHeartbeat = false;       // directly, in this incarnation
-        std::set<std::string> monitoringPeers; // peers that hear it
-        std::uint64_t version = 0;             // of this entry's table, at the last change
-        bool isRoutable = false;               // as last told to the router
-        time_point departedAt = Never;         // since when nobody hears it or it is leaving
+        int unansweredHeartbeats = 0;          // heartbeats since the last reply
+        bool hasDirectHeartbeats = false;      // received by this entry, and not timed out
+        bool hadDirectHeartbeat = false;       // this entry received one in this incarnation
+        std::set<std::string> monitoringPeers; // peers that receive its heartbeats
+        std::uint64_t version = 0;             // value of m_version at its last change
+        bool isRoutable = false;               // as last reported to the router
+        time_point departedAt = Never;         // since when it is silent or leaving
     };
     struct peer
     {
         std::uint64_t incarnation = 0;
         std::uint64_t sequence = 0;       // of its last digest
-        std::uint64_t appliedVersion = 0; // version of its table that is applied here
-        time_point lastDigestAt{};
+        std::uint64_t appliedVersion = 0; // version of its table that this entry has applied
+        time_point lastDigestAt{};        // when its last digest arrived
         bool hasReceivedDigest = false;
-        std::uint64_t ackedVersion = 0; // version of this table that it has applied
-        std::uint64_t sentVersion = 0;  // version last sent
-        time_point digestSentAt{};
+        std::uint64_t ackedVersion = 0; // version of this entry's table that it acknowledged
+        std::uint64_t sentVersion = 0;  // version of this entry's table that was last sent to it
+        time_point digestSentAt{};      // when a digest was last sent to it
         bool hasSent = false;
     };
     using changes = std::vector<membership_change>;
 
     member *findOrAddMember(const announcement &message);
-    bool isStale(const member &known, const announcement &message) const;
-    void applyAnnouncement(member &known, const announcement &message, changes &out);
-    void recordHeartbeat(member &known, time_point now);
-    void applyRecord(const digest_record &record, const std::string &from, changes &out,
+    bool isStale(const member &memberRecord, const announcement &message) const;
+    void applyAnnouncement(member &memberRecord, const announcement &message, changes &out);
+    void recordHeartbeat(member &memberRecord, time_point now);
+    void applyRecord(const digest_record &record, const std::string &reportingPeer, changes &out,
                      time_point now);
-    void updateRoutability(member &known, changes &out, time_point now);
-    bool isMonitoredByPeer(const member &known, time_point now) const;
-    bool shouldShare(const member &known) const;
+    void updateRoutability(member &memberRecord, changes &out, time_point now);
+    bool isMonitoredByPeer(const member &memberRecord, time_point now) const;
+    bool shouldShare(const member &memberRecord) const;
     bool evictOldestDeparted();
     peer *findOrAddPeer(const std::string &id);
     void removeMonitoringPeer(const std::string &peerId);
@@ -165,22 +168,23 @@
     announce_outcome makeRefusal(error_kind kind, const announcement &message);
     void removeDeparted(time_point now);
     milliseconds grantedPeriod() const;
-    duration heartbeatTimeout(const member &known) const;
+    duration heartbeatTimeout(const member &memberRecord) const;
     duration peerTimeout() const;
-    void bumpVersion(member &known) { known.version = ++m_version; }
+    void bumpVersion(member &memberRecord) { memberRecord.version = ++m_version; }
 
     membership_settings m_settings;
     membership_counters m_counters;
     std::map<std::string, member> m_members; // by agent id
     std::map<std::string, peer> m_peers;     // by entry id
-    std::uint64_t m_version = 0;
+    std::uint64_t m_version = 0;             // of this entry's table; increased by each change
     std::uint64_t m_digestSequence = 0;
-    std::size_t m_directMemberCount = 0;
-    bool m_wasAcknowledged = false; // by any peer, in this incarnation
+    std::size_t m_directMemberCount = 0; // members with direct heartbeats
+    bool m_wasAcknowledged = false;      // by any peer, in this incarnation
 };
 
-// The entries that `agentId` announces to: all of them when there are at most `count`, else the
-// first `count` in rendezvous order, leaving out those that do not answer while others do.
+// Returns the entries that `agentId` announces to: all of them if there are at most `count`,
+// otherwise the first `count` in rendezvous order. Entries in `unresponsive` come last and are used
+// only if the others are too few.
 std::vector<std::string> announceTargets(const std::string &agentId,
                                          const std::vector<std::string> &entries, std::size_t count,
                                          const std::set<std::string> &unresponsive = {});
--- a/libs/request/retry_budget.cpp
+++ b/libs/request/retry_budget.cpp
@@ -62,8 +62,9 @@
         return retry_denial::NoTimeLeft;
     if (failed.attempts >= m_settings.maxAttempts)
         return retry_denial::AttemptLimit;
-    // When every upstream fails, unlimited retries multiply the load by the attempt limit and keep
-    // the upstreams down. Retries bounded by a share of the requests add at most that share.
+    // If every upstream fails, unlimited retries multiply the load by the limit of attempts and
+    // keep the upstreams from recovering. Retries that are limited to a share of the requests add
+    // at most that share.
     if (m_tokens < 1.0)
         return retry_denial::BudgetSpent;
     return std::nullopt;
--- a/libs/request/retry_budget.h
+++ b/libs/request/retry_budget.h
@@ -1,8 +1,8 @@
-// Retry budget: whether a failed attempt may be repeated at another upstream.
+// Retry budget: decides whether a failed attempt may be retried at another upstream.
 //
-//   retry_budget_settings   share of requests, floor, attempts
-//   retry_verdict           retry_now, or give_up with what to answer
-//   retry_budget            one for each service in an entry
+//   retry_budget_settings   token bucket of retries, limit of attempts
+//   retry_verdict           retry_now, or give_up with the error to answer
+//   retry_budget            token bucket; an entry has one per service
 #pragma once
 
 #include <cstdint>
@@ -19,18 +19,18 @@
 struct retry_budget_settings
 {
     double retriesPerRequest = 0.1;   // retries earned by each request
-    double minRetriesPerSecond = 1.0; // retries earned with no traffic at all
-    double maxSavedRetries = 20.0;    // retries that can be saved up
-    int maxAttempts = 3;              // attempts for one request, the first included
+    double minRetriesPerSecond = 1.0; // retries earned per second, also without traffic
+    double maxSavedRetries = 20.0;    // capacity of the bucket
+    int maxAttempts = 3;              // attempts of one request, including the first
 };
 
-// Why an attempt is not repeated.
+// Why an attempt is not retried.
 enum class retry_denial {
-    MayHaveRun,    // the first try is not known not to have run
-    SameElsewhere, // it did not run, and another upstream would say the same
-    NoTimeLeft,    // another attempt could not end before the deadline
-    AttemptLimit,  // this request has had its attempts
-    BudgetSpent,   // too many retries among the recent requests
+    MayHaveRun,    // the request may have been executed
+    SameElsewhere, // it was not executed, and other upstreams would refuse it as well
+    NoTimeLeft,    // another attempt would end after the deadline
+    AttemptLimit,  // the request has had maxAttempts attempts
+    BudgetSpent,   // no token is left
 };
 std::string_view nameOf(retry_denial denial);
 
@@ -39,7 +39,7 @@
 struct give_up
 {
     retry_denial denialReason = retry_denial::MayHaveRun;
-    error_kind kind = error_kind::Internal; // what to answer
+    error_kind kind = error_kind::Internal; // error to answer the caller with
 };
 using retry_verdict = std::variant<retry_now, give_up>;
 
@@ -47,15 +47,15 @@
 {
     error_kind kind = error_kind::Internal;
     int attempts = 1;        // made so far for this request
-    time_point deadline;     // the caller's
-    duration expectedTime{}; // that another attempt needs
+    time_point deadline;     // of the caller
+    duration expectedTime{}; // expected duration of another attempt
 };
 
 struct retry_counters
 {
     std::uint64_t requests = 0;
-    std::map<error_kind, std::uint64_t> retried; // by the error that was retried
-    std::map<retry_denial, std::uint64_t> denied;
+    std::map<error_kind, std::uint64_t> retried;  // by error kind of the failed attempt
+    std::map<retry_denial, std::uint64_t> denied; // by reason
 };
 
 class retry_budget
@@ -63,10 +63,10 @@
 public:
     retry_budget(retry_budget_settings settings, time_point now);
 
-    // A new request of a caller, not a retry.
+    // Adds the share of a new request to the budget. Not called for retries.
     void requestStarted(time_point now);
 
-    // Takes one retry out of the budget when the answer is retry_now.
+    // Decides on a retry; takes one token if the verdict is retry_now.
     retry_verdict requestRetry(const failed_attempt &failed, time_point now);
 
     double availableRetries() const { return m_tokens; }
@@ -79,8 +79,8 @@
 
     retry_budget_settings m_settings;
     retry_counters m_counters;
-    double m_tokens;
-    time_point m_floorAddedAt; // floor earned up to here
+    double m_tokens;           // available retries
+    time_point m_floorAddedAt; // minRetriesPerSecond has been added up to this time
 };
 
 } // namespace zinniabarrow::request
--- a/libs/request/router.cpp
+++ b/libs/request/router.cpp
@@ -21,8 +21,8 @@
 constexpr std::array<std::string_view, 3> PolicyNames{"two_choices", "round_robin",
                                                       "least_known_load"};
 
-constexpr int LatencySmoothing = 8; // weight of a sample: 1/8
-constexpr double LoadSmoothing = 8; // weight of a report: 1/8
+constexpr int LatencySmoothing = 8; // weight of a new sample: 1/8
+constexpr double LoadSmoothing = 8; // weight of a new report: 1/8
 
 } // namespace
 
@@ -49,18 +49,18 @@
 
 void router::on(const upstream_joined &change, time_point now)
 {
-    const auto &about = change.upstream;
-    const bool first = m_byService[about.service].empty();
-    auto &joined = m_upstreams[about.agentId];
+    const auto &announcedUpstream = change.upstream;
+    const bool first = m_byService[announcedUpstream.service].empty();
+    auto &joined = m_upstreams[announcedUpstream.agentId];
     joined = upstream{};
-    joined.announced = about;
-    joined.proximity = localityOf(about);
+    joined.announced = announcedUpstream;
+    joined.proximity = localityOf(announcedUpstream);
     joined.serviceTime = m_settings.initialServiceTime;
-    joined.averageOthersLoad = about.load.inFlight + about.load.queued;
-    // With nobody there to compare with, there is no share to start slowly from.
+    joined.averageOthersLoad = announcedUpstream.load.inFlight + announcedUpstream.load.queued;
+    // The first upstream of a service gets all requests anyway, so it skips the slow start.
     joined.slowStartedAt = first ? now - m_settings.slowStartTime : now;
-    recordLoad(joined, about.load, now);
-    m_byService[about.service].insert(about.agentId);
+    recordLoad(joined, announcedUpstream.load, now);
+    m_byService[announcedUpstream.service].insert(announcedUpstream.agentId);
 }
 
 void router::on(const upstream_left &change, time_point)
@@ -74,17 +74,17 @@
 
 void router::on(const upstream_reported &change, time_point now)
 {
-    if (upstream *known = find(change.agentId, change.incarnation)) {
-        known->isLeaving = false;
-        recordLoad(*known, change.load, now);
+    if (upstream *match = find(change.agentId, change.incarnation)) {
+        match->isLeaving = false;
+        recordLoad(*match, change.load, now);
     }
 }
 
-router::locality router::localityOf(const announcement &about) const
+router::locality router::localityOf(const announcement &announcedUpstream) const
 {
-    if (about.region != m_settings.region)
+    if (announcedUpstream.region != m_settings.region)
         return locality::OtherRegion;
-    return about.zone == m_settings.zone ? locality::OwnZone : locality::OwnRegion;
+    return announcedUpstream.zone == m_settings.zone ? locality::OwnZone : locality::OwnRegion;
 }
 
 router::upstream *router::find(const std::string &agentId, std::uint64_t incarnation)
@@ -112,8 +112,8 @@
         if (sameLocality.empty())
             continue;
         upstream *best = pick(service, sameLocality, now);
-        // A zone further away is taken only when it is less loaded: else two full zones would
-        // send each other their requests, and each would pay the way for nothing.
+        // A more distant zone is chosen only if it is less loaded. Otherwise two full zones would
+        // exchange their requests and pay for the longer distance without any gain.
         if (!chosen || estimatedLoad(*best, now) < estimatedLoad(*chosen, now))
             chosen = best;
         if (estimatedLoad(*chosen, now) <= m_settings.spillAboveLoad)
@@ -124,7 +124,7 @@
                  chosen->announced.incarnation};
 }
 
-// The upstreams that may be taken now.
+// The upstreams that may get a request now.
 router::candidates router::eligibleUpstreams(const std::string &service,
                                              const std::set<std::string> &excluded, time_point now,
                                              bool &anyBackingOff)
@@ -139,7 +139,7 @@
             continue;
         if (candidate.state == health::Ejected && candidate.ejectedUntil <= now)
             candidate.state = health::Probing;
-        // After the cool-down one attempt at a time shows whether the upstream has recovered.
+        // After the cool-down, one attempt at a time probes whether the upstream has recovered.
         const bool isProbeRunning = candidate.state == health::Probing && candidate.ownAttempts > 0;
         if (candidate.state == health::Ejected || isProbeRunning)
             continue;
@@ -185,7 +185,7 @@
 router::upstream *router::pickBy(least_known_load, const std::string &, const candidates &from,
                                  time_point now)
 {
-    // Starting at a random place breaks ties evenly.
+    // A random start position distributes ties evenly.
     const std::size_t offset = drawIndex(m_random, from.size());
     upstream *best = from[offset];
     for (std::size_t i = 1; i < from.size(); ++i) {
@@ -196,8 +196,8 @@
     return best;
 }
 
-// The part of a full share that a newcomer gets. A cold upstream that looked idle would draw every
-// request of every entry at once.
+// Share of a full load that a new upstream gets. Without it, a new upstream with cold caches would
+// look idle and get every request of every entry at once.
 double router::slowStartFactor(const upstream &target, time_point now) const
 {
     const std::chrono::duration<double> elapsed = now - target.slowStartedAt;
@@ -208,10 +208,10 @@
     return m_settings.slowStartShare + (1.0 - m_settings.slowStartShare) * progress;
 }
 
-// What others have sent, known from reports alone. Within a service time most of a report is out of
-// date, and then the upstream's usual load says more. With a longer life, or with nothing in place
-// of an old report, all entries run after the upstream that last reported little, together, until
-// it refuses and the next one is overrun.
+// Requests that other entries have sent, as far as reports show. A report is mostly outdated after
+// one service time; from then on the average load is the better estimate. With a longer half-life,
+// or without the average, all entries would send to the upstream that last reported a low load
+// until it refuses, and then to the next one.
 double router::estimatedOthersLoad(const upstream &target, time_point now) const
 {
     const std::chrono::duration<double> age = now - target.reportedAt;
@@ -220,7 +220,7 @@
            + (target.reportedOthersLoad - target.averageOthersLoad) * std::exp2(-age / halfLife);
 }
 
-// Requests for each slot with one more there, as far as this entry knows.
+// Expected requests per slot if one more request is sent to the upstream.
 double router::estimatedLoad(const upstream &target, time_point now) const
 {
     const double slots = std::max(1, target.announced.slots) * slowStartFactor(target, now);
@@ -229,35 +229,35 @@
 
 void router::attemptStarted(const route &to, time_point)
 {
-    if (upstream *known = find(to.agentId, to.incarnation))
-        ++known->ownAttempts;
+    if (upstream *match = find(to.agentId, to.incarnation))
+        ++match->ownAttempts;
 }
 
 void router::attemptEnded(const attempt_ended &attempt, time_point now)
 {
     ++m_counters.ended[attempt.outcome];
-    upstream *known = find(attempt.upstream.agentId, attempt.upstream.incarnation);
-    if (!known)
+    upstream *match = find(attempt.upstream.agentId, attempt.upstream.incarnation);
+    if (!match)
         return;
-    known->ownAttempts = std::max(0, known->ownAttempts - 1);
+    match->ownAttempts = std::max(0, match->ownAttempts - 1);
     if (attempt.load)
-        recordLoad(*known, *attempt.load, now);
+        recordLoad(*match, *attempt.load, now);
     switch (attempt.outcome) {
     case attempt_outcome::Answered: {
-        auto &latency = m_averageLatency[known->announced.service];
+        auto &latency = m_averageLatency[match->announced.service];
         latency += (attempt.latency - latency) / (latency.count() == 0 ? 1 : LatencySmoothing);
-        recordSuccess(*known, now);
+        recordSuccess(*match, now);
         break;
     }
     case attempt_outcome::Refused:
-        recordSuccess(*known, now);
-        known->backOffUntil = now + std::min(attempt.retryAfter, m_settings.maxBackoff);
+        recordSuccess(*match, now);
+        match->backOffUntil = now + std::min(attempt.retryAfter, m_settings.maxBackoff);
         break;
     case attempt_outcome::Leaving:
-        known->isLeaving = true;
+        match->isLeaving = true;
         break;
     case attempt_outcome::Failed:
-        recordFailure(*known, now);
+        recordFailure(*match, now);
         break;
     }
 }
@@ -298,8 +298,8 @@
     ++m_counters.readmitted;
 }
 
-// Without the cap, a fault of the entry's own network would eject everyone, and the few that were
-// left would be overrun by the traffic of all.
+// Without the cap, a fault of the entry's own network would eject all upstreams, and the few that
+// are left would be overloaded by the whole traffic.
 bool router::canEject(const std::string &service) const
 {
     const int all = upstreamCount(service);
--- a/libs/request/router.h
+++ b/libs/request/router.h
@@ -1,9 +1,9 @@
-// Router: to which upstream an entry sends a request.
+// Router: chooses the upstream that an entry sends a request to.
 //
-//   router_settings   spill, slow start, ejection and ageing
+//   router_settings   zones, slow start, ejection, backoff
 //   routing_policy    two_choices, round_robin or least_known_load
-//   router            membership changes and attempts in, choices out
-//   router_counters   choices by zone, ejections, refusals by reason
+//   router            takes membership changes and the results of attempts, returns choices
+//   router_counters   choices by zone, ejections, refusals by error kind
 #pragma once
 
 #include <cstdint>
@@ -24,27 +24,27 @@
 
 struct router_settings
 {
-    std::string zone;            // of this entry
-    std::string region;          // of this entry
-    double spillAboveLoad = 1.0; // known load for each slot above which other zones are asked
-    milliseconds initialServiceTime{20};   // until an upstream reports one
-    milliseconds slowStartTime{10 * 1000}; // until a newcomer gets its whole share
-    double slowStartShare = 0.1;           // at the start
-    int ejectAfterFailures = 5;            // in a row
-    double maxEjectedShare =
-            0.3; // at most, of a service's upstreams; one may be out if there are two
-    milliseconds initialCoolDown{2000}; // of the first ejection, doubled by each further one
-    milliseconds maxCoolDown{60 * 1000};
-    milliseconds maxBackoff{20}; // after an upstream refused for its load
+    std::string zone;                    // of this entry
+    std::string region;                  // of this entry
+    double spillAboveLoad = 1.0;         // requests per slot above which other zones are considered
+    milliseconds initialServiceTime{20}; // until an upstream has reported its service time
+    milliseconds slowStartTime{10 * 1000}; // until a new upstream gets its full share
+    double slowStartShare = 0.1;           // share of a new upstream at the start, 1.0: full
+    int ejectAfterFailures = 5;            // consecutive failures
+    double maxEjectedShare = 0.3; // of a service's upstreams; one may be ejected if there are two
+    milliseconds initialCoolDown{2000};  // first ejection; doubled by each further one
+    milliseconds maxCoolDown{60 * 1000}; // upper bound of the doubled cool-down
+    // Longest pause after an upstream refused a request because of its load.
+    milliseconds maxBackoff{20};
 };
 
-// Takes the less loaded of two upstreams drawn at random.
+// Picks two upstreams at random and takes the less loaded one.
 struct two_choices
 { };
 // Takes the upstreams in turn.
 struct round_robin
 { };
-// Takes the least loaded of all, as far as is known.
+// Takes the upstream with the lowest estimated load.
 struct least_known_load
 { };
 using routing_policy = std::variant<two_choices, round_robin, least_known_load>;
@@ -56,14 +56,15 @@
     std::string address;
     std::uint64_t incarnation = 0;
 };
-// NoUpstream: none is known, or all are excluded. Overloaded: all of them refused just now.
+// The error is NoUpstream if no upstream is known or all are excluded, and Overloaded if all of
+// them refused a request just now because of their load.
 using routing_decision = std::variant<route, error_kind>;
 
 enum class attempt_outcome {
-    Answered, // whole answer, whatever its status
-    Refused,  // refused for load or deadline, not run
-    Leaving,  // refused as Draining or Starting, not run
-    Failed,   // unreachable, cut, or timed out
+    Answered, // complete answer, whatever its HTTP status
+    Refused,  // refused because of load or deadline, not executed
+    Leaving,  // refused with Draining or Starting, not executed
+    Failed,   // unreachable, connection lost, or timed out
 };
 std::string_view nameOf(attempt_outcome outcome);
 
@@ -73,19 +74,19 @@
     attempt_outcome outcome = attempt_outcome::Answered;
     duration latency{};                // of the whole attempt
     std::optional<upstream_load> load; // as reported with the answer
-    milliseconds retryAfter{};         // of a refusal
+    milliseconds retryAfter{};         // only with Refused
 };
 
 struct router_counters
 {
-    std::uint64_t ownZone = 0;
-    std::uint64_t ownRegion = 0; // spilled to another zone
-    std::uint64_t otherRegion = 0;
+    std::uint64_t ownZone = 0;     // requests sent to an upstream in the entry's zone
+    std::uint64_t ownRegion = 0;   // sent to another zone of the entry's region
+    std::uint64_t otherRegion = 0; // sent to another region
     std::uint64_t ejected = 0;
-    std::uint64_t ejectionsCapped = 0;
-    std::uint64_t readmitted = 0;
-    std::map<error_kind, std::uint64_t> refused;
-    std::map<attempt_outcome, std::uint64_t> ended;
+    std::uint64_t ejectionsCapped = 0;              // not ejected because of maxEjectedShare
+    std::uint64_t readmitted = 0;                   // ejected upstreams that were admitted again
+    std::map<error_kind, std::uint64_t> refused;    // requests without a route, by error kind
+    std::map<attempt_outcome, std::uint64_t> ended; // attempts, by outcome
 };
 
 class router
@@ -93,16 +94,18 @@
 public:
     router(router_settings settings, routing_policy policy, random_generator random);
 
+    // Applies a change that membership returned.
     void apply(const membership_change &change, time_point now);
 
+    // Chooses an upstream of `service` whose agent id is not in `excluded`.
     routing_decision choose(const std::string &service, const std::set<std::string> &excluded,
                             time_point now);
 
-    // Each started attempt is ended exactly once, also when its upstream has gone meanwhile.
+    // Each started attempt must be ended exactly once, even if its upstream has left meanwhile.
     void attemptStarted(const route &upstream, time_point now);
     void attemptEnded(const attempt_ended &attempt, time_point now);
 
-    // Moving average of the answered attempts of a service; zero while unknown.
+    // Moving average over the answered attempts of a service; zero if there were none.
     duration expectedLatency(const std::string &service) const;
 
     int upstreamCount(const std::string &service) const;
@@ -116,18 +119,18 @@
     {
         announcement announced;
         locality proximity = locality::OwnZone;
-        int ownAttempts = 0;          // attempts of this entry
-        int reportedOthersLoad = 0;   // reported load that is not this entry's
-        double averageOthersLoad = 0; // moving average of `others`
-        time_point reportedAt{};
-        duration serviceTime{};     // reported
-        time_point slowStartedAt{}; // slow start counts from here
-        time_point backOffUntil{};  // refused for its load
-        bool isLeaving = false;     // said so in an answer
+        int ownAttempts = 0;          // running attempts of this entry
+        int reportedOthersLoad = 0;   // reported requests that are not this entry's
+        double averageOthersLoad = 0; // moving average of reportedOthersLoad
+        time_point reportedAt{};      // time of the last load report
+        duration serviceTime{};       // as reported
+        time_point slowStartedAt{};   // start of the slow start
+        time_point backOffUntil{};    // gets no requests until then because it refused one
+        bool isLeaving = false;       // refused an attempt with Draining or Starting
         health state = health::Admitted;
-        int consecutiveFailures = 0;  // in a row
-        int consecutiveEjections = 0; // without a success in between
-        time_point ejectedUntil{};
+        int consecutiveFailures = 0;
+        int consecutiveEjections = 0; // without a successful attempt in between
+        time_point ejectedUntil{};    // end of the cool-down, while Ejected
     };
     using candidates = std::vector<upstream *>;
 
@@ -135,7 +138,7 @@
     void on(const upstream_left &change, time_point now);
     void on(const upstream_reported &change, time_point now);
 
-    locality localityOf(const announcement &about) const;
+    locality localityOf(const announcement &announcedUpstream) const;
     upstream *find(const std::string &agentId, std::uint64_t incarnation);
     candidates eligibleUpstreams(const std::string &service, const std::set<std::string> &excluded,
                                  time_point now, bool &anyBackingOff);
@@ -161,10 +164,10 @@
     routing_policy m_policy;
     random_generator m_random;
     router_counters m_counters;
-    std::map<std::string, upstream> m_upstreams; // by agent id
-    std::map<std::string, std::set<std::string>> m_byService;
-    std::map<std::string, duration> m_averageLatency; // by service
-    std::map<std::string, std::uint64_t> m_nextTurn;  // of round_robin, by service
+    std::map<std::string, upstream> m_upstreams;              // by agent id
+    std::map<std::string, std::set<std::string>> m_byService; // agent ids by service
+    std::map<std::string, duration> m_averageLatency;         // of answered attempts, by service
+    std::map<std::string, std::uint64_t> m_nextTurn;          // position of round_robin, by service
 };
 
 } // namespace zinniabarrow::request
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission in front of one upstream: limits, deadlines, fairness, overload, drain.
+// Admission control in front of one upstream: limits, deadlines, fairness, overload, drain.
 #include <algorithm>
 #include <map>
 #include <string>
@@ -14,7 +14,7 @@
 
 namespace {
 
-// An admission with a clock that is set by hand; keeps what was started and refused.
+// An admission with a manual clock; records which requests were started and refused.
 struct admission_fixture
 {
     explicit admission_fixture(admission_settings settings = {})
@@ -24,8 +24,8 @@
     void handle(const admission::event &newEvent)
     {
         for (const auto &action : controller.handle(newEvent, now)) {
-            if (const auto *startOf = std::get_if<admission::start>(&action))
-                started.push_back(startOf->id);
+            if (const auto *startAction = std::get_if<admission::start>(&action))
+                started.push_back(startAction->id);
             if (const auto *refusal = std::get_if<admission::refuse>(&action))
                 refused[refusal->id] = *refusal;
         }
@@ -37,7 +37,7 @@
         handle(admission::arrived{id, "tickets", team, priority, now + timeout});
     }
 
-    // `count` requests named by `prefix` and a number.
+    // Sends `count` requests whose ids are `prefix` and a number.
     void arriveMany(const std::string &prefix, int count, milliseconds timeout,
                     const std::string &team = "club")
     {
@@ -74,31 +74,31 @@
 
 Test(admission, limits)
 {
-    section("eight slots are given, never a ninth", [] {
+    section("eight requests run at the same time, never nine", [] {
         admission_fixture fixture;
         fixture.arriveMany("r", 20, Patient);
         check(fixture.started.size() == 8);
         check(fixture.controller.waitingCount() == 12);
-        section("a finished request frees one", [&] {
+        section("a finished request frees its slot", [&] {
             fixture.finish("r0", milliseconds(20));
             check(fixture.started.size() == 9);
         });
-        section("the same finish told twice frees no second one", [&] {
+        section("a duplicate finish frees no second slot", [&] {
             fixture.finish("r0", milliseconds(20));
             check(fixture.started.size() == 9);
             check(fixture.controller.counters().ignored == 1);
         });
-        section("an arrival delivered twice starts no second time", [&] {
+        section("a duplicate arrival starts no second request", [&] {
             fixture.arrive("r1", Patient);
             check(fixture.controller.runningCount() == 8
                   && fixture.controller.waitingCount() == 11);
         });
-        section("a cancelled request that runs keeps its slot", [&] {
+        section("a running request that is cancelled keeps its slot", [&] {
             fixture.handle(admission::cancelled{"r1"});
             check(fixture.started.size() == 9 && fixture.controller.runningCount() == 8);
         });
     });
-    section("connections in doubt count against the limit of 64", [] {
+    section("unusable connections count against the limit of 64", [] {
         admission_fixture fixture;
         fixture.handle(admission::connections_changed{60});
         fixture.arriveMany("r", 8, Patient);
@@ -106,7 +106,7 @@
         fixture.handle(admission::connections_changed{59});
         check(fixture.started.size() == 5);
     });
-    section("the queue is bounded", [] {
+    section("the length of the queue is limited", [] {
         admission_fixture fixture;
         fixture.arriveMany("r", 8 + 16 + 1, Patient);
         check(fixture.controller.waitingCount() == 16);
@@ -114,58 +114,59 @@
     });
 }
 
-// The caller gets `deadline_too_close` and `executed: no` the moment it arrives, with the time to
-// come back. Eight requests of 20 ms (deviation 10 ms) run; one that waits for the first turn ends
-// after 40 ms and needs 10 ms of margin, one for the second turn 20 ms more.
+// A request that can't end before its deadline is refused on arrival with `deadline_too_close`,
+// `executed: no` and a Retry-After. Eight requests of 20 ms (deviation 10 ms) are running; a
+// request that waits for the first free slot ends after 40 ms and needs a margin of 10 ms, one in
+// the second round needs 20 ms more.
 Test(admission, deadlinesByPosition)
 {
     admission_fixture fixture;
     fixture.arriveMany("running", 8, Patient);
-    section("the first turn needs 50 ms", [&] {
+    section("the first round needs 50 ms", [&] {
         fixture.arrive("a", milliseconds(49));
         check(fixture.wasRefused("a", error_kind::DeadlineTooClose));
         check(fixture.refused["a"].retryAfter >= milliseconds(20));
         fixture.arrive("b", milliseconds(50));
         check(!fixture.refused.contains("b"));
     });
-    section("the second turn needs 70 ms", [&] {
+    section("the second round needs 70 ms", [&] {
         fixture.arriveMany("first", 7, milliseconds(50));
         fixture.arrive("c", milliseconds(69));
         check(fixture.wasRefused("c", error_kind::DeadlineTooClose));
         fixture.arrive("d", milliseconds(70));
         check(!fixture.refused.contains("d"));
     });
-    section("one that is past its deadline is told so, and not to come back", [&] {
+    section("after its deadline a request is refused without a Retry-After", [&] {
         fixture.arrive("e", milliseconds(0));
         check(fixture.wasRefused("e", error_kind::DeadlinePassed));
         check(fixture.refused["e"].retryAfter.count() == 0);
     });
 }
 
-// The upstream is frozen (SIGSTOP): nothing finishes. A request that waits behind it with a second
-// to go is refused near the middle of that second, while the caller can still go elsewhere, since
-// what is overdue is expected to take as long again. It is not held until its deadline.
+// The upstream is frozen (SIGSTOP), so nothing finishes. A request with one second left is refused
+// near the middle of that second, while its caller can still use another upstream, because an
+// overdue request is expected to need as long again. It must not be held until its deadline.
 Test(admission, frozenUpstream)
 {
     admission_fixture fixture;
     fixture.arriveMany("running", 8, Patient);
     fixture.arrive("waiting", milliseconds(1000));
-    const time_point startOf = fixture.now;
-    while (fixture.refused.empty() && fixture.now < startOf + seconds(2)) {
+    const time_point startAction = fixture.now;
+    while (fixture.refused.empty() && fixture.now < startAction + seconds(2)) {
         fixture.now += milliseconds(10);
         fixture.handle(admission::tick{});
     }
     check(fixture.wasRefused("waiting", error_kind::DeadlineTooClose));
-    check(fixture.now - startOf == milliseconds(500));
-    section("later callers with a second to go are refused at once", [&] {
-        fixture.now = startOf + seconds(2);
+    check(fixture.now - startAction == milliseconds(500));
+    section("later requests with one second left are refused at once", [&] {
+        fixture.now = startAction + seconds(2);
         fixture.arrive("later", milliseconds(1000));
         check(fixture.wasRefused("later", error_kind::DeadlineTooClose));
     });
 }
 
-// One spell taught a service time far above every deadline. The upstream is quick again, but if
-// every caller were refused, nothing would run and nothing better would ever be learned.
+// A slow period raised the estimated service time far above every deadline. The upstream is fast
+// again, but if every request were refused, nothing would run and the estimate could not fall.
 Test(admission, recoversFromOneSlowSpell)
 {
     admission_fixture fixture;
@@ -185,56 +186,57 @@
     check(fixture.controller.serviceTime("tickets") < milliseconds(30));
 }
 
-// A school's bulk booking floods the queue of one upstream, then a parent at the gate sends one
-// request. The flood gives up its newest, and the parent is next.
-// Callers with short deadlines are refused, because another one took its large answer slowly.
+// Guards against requests with short deadlines being refused because another caller read its large
+// answer slowly, which must not count as service time.
 Test(admission, callersThatReadSlowly)
 {
-    const auto takesShortDeadlines = [](admission_fixture &slowFixture) {
-        slowFixture.arrive("long", Patient);
-        slowFixture.arrive("short", milliseconds(1500));
-        return slowFixture.hasStarted("long") && slowFixture.hasStarted("short");
+    const auto takesShortDeadlines = [](admission_fixture &subject) {
+        subject.arrive("long", Patient);
+        subject.arrive("short", milliseconds(1500));
+        return subject.hasStarted("long") && subject.hasStarted("short");
     };
     const auto afterAnswers = [](milliseconds took, milliseconds slowCallerTime, bool isComplete) {
-        admission_fixture slowFixture;
+        admission_fixture subject;
         for (int index = 0; index < 20; ++index) {
             const auto id = "before" + std::to_string(index);
-            slowFixture.arrive(id, Patient);
-            slowFixture.finish(id, took, slowCallerTime, isComplete);
+            subject.arrive(id, Patient);
+            subject.finish(id, took, slowCallerTime, isComplete);
         }
-        return slowFixture;
+        return subject;
     };
-    section("their time is not the service's", [&] {
-        auto slowFixture = afterAnswers(milliseconds(9000), milliseconds(8900), true);
-        check(takesShortDeadlines(slowFixture));
+    section("the time of slow callers is not service time", [&] {
+        auto subject = afterAnswers(milliseconds(9000), milliseconds(8900), true);
+        check(takesShortDeadlines(subject));
     });
-    section("a service that is slow itself is known as that", [&] {
-        auto slowFixture = afterAnswers(milliseconds(9000), milliseconds(1000), true);
-        check(!takesShortDeadlines(slowFixture));
+    section("a slow service raises the estimate", [&] {
+        auto subject = afterAnswers(milliseconds(9000), milliseconds(1000), true);
+        check(!takesShortDeadlines(subject));
     });
-    section("nor is a cut answer's, but what its upstream took until then is", [&] {
-        auto slowFixture = afterAnswers(milliseconds(20), milliseconds(0), true);
+    section("the time until an answer broke off is service time", [&] {
+        auto subject = afterAnswers(milliseconds(20), milliseconds(0), true);
         for (int index = 0; index < 20; ++index) {
             const auto id = "cut" + std::to_string(index);
-            slowFixture.arrive(id, Patient);
-            slowFixture.finish(id, milliseconds(9000), milliseconds(1), false);
+            subject.arrive(id, Patient);
+            subject.finish(id, milliseconds(9000), milliseconds(1), false);
         }
-        check(!takesShortDeadlines(slowFixture));
+        check(!takesShortDeadlines(subject));
     });
-    section("an answer that its caller left teaches no shorter time than it would have had", [&] {
-        auto slowFixture = afterAnswers(milliseconds(4000), milliseconds(0), true);
+    section("an answer that its caller left does not lower the estimate", [&] {
+        auto subject = afterAnswers(milliseconds(4000), milliseconds(0), true);
         for (int index = 0; index < 20; ++index) {
             const auto id = "left" + std::to_string(index);
-            slowFixture.arrive(id, Patient);
-            slowFixture.finish(id, milliseconds(2000), milliseconds(1990), false);
+            subject.arrive(id, Patient);
+            subject.finish(id, milliseconds(2000), milliseconds(1990), false);
         }
-        check(!takesShortDeadlines(slowFixture));
+        check(!takesShortDeadlines(subject));
     });
 }
 
+// One team's bulk requests fill the queue of an upstream; then another team sends one request. The
+// team with the full share loses its newest request, and the other team's request is next.
 Test(admission, teams)
 {
-    section("one request of another team gets into a full queue, and goes first", [] {
+    section("one request of another team gets into a full queue and starts first", [] {
         admission_fixture fixture;
         fixture.arriveMany("flood", 24, Patient, "school");
         fixture.arrive("gate", Patient, "parent");
@@ -242,7 +244,7 @@
         fixture.finish("flood0", milliseconds(20));
         check(fixture.started.back() == "gate");
     });
-    section("a team that comes back after a long silence has saved up no credit", [] {
+    section("a team that was idle for a long time has no credit", [] {
         admission_fixture fixture;
         for (int i = 0; i < 1000; ++i) {
             fixture.arrive("busy" + std::to_string(i), Patient, "school");
@@ -257,7 +259,7 @@
                                            [](const auto &id) { return id[0] == 'p'; });
         check(parents >= 4 && parents <= 7);
     });
-    section("seven times the traffic takes nothing from a team within its share", [] {
+    section("a team within its share is not affected by another one's sevenfold load", [] {
         const auto result = runOverload({{"flood", 1400.0}, {"light", 100.0}}, seconds(20));
         check(result.onTimeByTeam.at("light") > 0.97 * 20 * 100 * 0.95);
         check(result.onTimeByTeam.at("flood") > 20 * 250);
@@ -270,19 +272,19 @@
     fixture.arriveMany("running", 8, Patient);
     fixture.arriveMany("plain", 15, Patient);
     fixture.arrive("urgent", Patient, "club", 5);
-    section("a full queue gives up what has the lowest priority and came last", [&] {
+    section("a full queue loses the newest request of the lowest priority", [&] {
         fixture.arrive("urgent2", Patient, "club", 5);
         check(fixture.wasRefused("plain14", error_kind::QueueFull));
         check(!fixture.refused.contains("urgent2"));
     });
-    section("higher priority of the same team goes first", [&] {
+    section("within a team, higher priorities start first", [&] {
         fixture.finish("running0", milliseconds(20));
         check(fixture.started.back() == "urgent");
     });
 }
 
-// The callers send up to four times what the upstream can do. As many as before get their answer in
-// time; the rest are told at once, and hardly any answer comes too late to be of use.
+// Callers send up to four times what the upstream can process. As many requests as before are
+// answered in time; the rest are refused at once, and hardly any answer is late.
 Test(admission, goodputStaysFlat)
 {
     constexpr double Capacity = 8 / 0.020;
@@ -297,8 +299,8 @@
     }
 }
 
-// All callers of a burst are refused in the same moment. Told the same time to come back, they
-// would come back together and be refused together; each gets a place of its own.
+// All callers of a burst are refused at the same time. With the same Retry-After they would return
+// together and be refused together, so each gets its own.
 Test(admission, retryAfterSpreadsCallers)
 {
     admission_fixture fixture;
@@ -313,8 +315,8 @@
     check(spread > milliseconds(400) && spread < milliseconds(600)); // 200 at 2.5 ms each
 }
 
-// The operator stops the agent. Callers that come now are told `draining` and go elsewhere; every
-// request that was accepted before runs to its end, also those that still waited.
+// The operator stops the agent. New requests are refused with `draining` and go to other upstreams;
+// every request accepted before runs to its end, including the waiting ones.
 Test(admission, drain)
 {
     admission_fixture fixture;
@@ -330,15 +332,15 @@
     check(fixture.controller.isDrained());
 }
 
-// A service is slow for a while; then its callers go away. What the agent reports must be of the
-// newest answers alone, and nothing when there are none: else an hour of old figures would be told
-// as new, and the neighbours that have nothing to do with it would be throttled.
+// A service is slow for a while, then gets no requests. The agent must report the latency of recent
+// answers only, and none if there are no answers: otherwise figures of an hour ago would be
+// reported as current, and uninvolved tasks on the worker would be throttled.
 Test(admission, latencyWindowForgets)
 {
     latency_window window(seconds(2));
     time_point now{seconds(100)};
     check(!window.read(now));
-    section("the tail, measured when it was served", [&] {
+    section("the 99th percentile and its time of measurement", [&] {
         for (int i = 0; i < 100; ++i)
             window.add(milliseconds(i < 98 ? 20 : 400), now);
         const auto reading = window.read(now + seconds(1));
@@ -346,10 +348,11 @@
         check(reading->p99 == milliseconds(400));
         check(reading->measuredAt < now && reading->measuredAt > now - milliseconds(100));
     });
-    section("new answers push old ones out", [&] {
+    section("old answers do not count", [&] {
         now += seconds(3);
         window.add(milliseconds(20), now);
         check(window.read(now)->p99 == milliseconds(20));
     });
-    section("without new ones there is no reading", [&] { check(!window.read(now + seconds(3))); });
+    section("without recent answers there is no reading",
+            [&] { check(!window.read(now + seconds(3))); });
 }
