--- a/tests/at_most_once_test.cpp
+++ b/tests/at_most_once_test.cpp
@@ -1,5 +1,5 @@
-// At most once, whole: every step of a keyed request against every fault, with an upstream that
-// counts its executions.
+// At-most-once execution: every step of a keyed request is combined with every fault, and the
+// upstream counts its executions.
 #include <fmt/core.h>
 
 #include "delivery_simulation.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-// One order: the first try, and repeats through both entries, also long after everything is over.
+// One order: the first try, and repeats through both entries, some long after the end.
 void sendOrder(delivery_simulation &simulation, const std::string &method, const std::string &key)
 {
     simulation.settings.claims.sweepInterval = milliseconds(1000); // sweeps are steps too
@@ -24,7 +24,7 @@
                         milliseconds(100 + tries[i].second), method, key);
 }
 
-// What must hold after every run, whatever happened in it.
+// Must hold after every run, whatever faults it had.
 void checkGuarantees(delivery_simulation &simulation, const std::string &description,
                      bool mayRepeat)
 {
@@ -35,7 +35,8 @@
               description.c_str());
     for (const auto &[id, refusals] : simulation.refusals) {
         for (const auto &refusal : refusals) {
-            const bool isTruthful = refusal.ran != executed::No || simulation.runs[id] == 0;
+            const bool isTruthful =
+                    refusal.executionState != executed::No || simulation.runs[id] == 0;
             cr_expect(isTruthful, "%s: %s ran, its answer says that it did not",
                       description.c_str(), id.c_str());
         }
@@ -47,7 +48,7 @@
     }
 }
 
-// A fault that proves nothing ran must not leave the order behind: some later repeat runs it.
+// After a fault that proves that nothing ran, a later repeat must run the order.
 void checkProgress(delivery_simulation &simulation, const std::string &description, fault single)
 {
     using enum fault;
@@ -65,7 +66,7 @@
                bool streaming = false)
 {
     delivery_simulation simulation;
-    simulation.streaming = streaming;
+    simulation.hasLargeAnswers = streaming;
     simulation.faults = faults;
     if (key.empty())
         simulation.send("e1/r0", "e1", milliseconds(100), method, key);
@@ -80,7 +81,7 @@
 int stepsOf(const std::string &method, bool streaming = false)
 {
     delivery_simulation simulation;
-    simulation.streaming = streaming;
+    simulation.hasLargeAnswers = streaming;
     sendOrder(simulation, method, "k");
     simulation.runUntil(milliseconds(2500));
     return simulation.step;
@@ -94,41 +95,42 @@
         delivery_simulation simulation;
         sendOrder(simulation, "POST", "k");
         simulation.runUntil(milliseconds(60'000));
-        section("runs once and is answered whole", [&] {
+        section("the order runs once and its answer is passed on", [&] {
             check(simulation.runsByOrder["k"] == 1);
             check(simulation.answers["e1/r0"] == std::vector<std::string>{"passed"});
         });
-        section("a repeat in between learns that it is in progress",
+        section("a repeat meanwhile is refused as in progress",
                 [&] { check(simulation.answers["e2/r1"].front() == "key_in_progress"); });
-        section("later repeats get the first answer, at either entry", [&] {
+        section("later repeats get the first answer through either entry", [&] {
             for (const auto *id : {"e1/r2", "e2/r3", "e1/r4", "e2/r5"})
                 check(simulation.answers[id].front() == "replayed");
         });
     });
 }
 
-// Entry e1 dies while the upstream runs the order. Nobody is left to record the end, so repeats at
-// e2 must not be told for ever that the order is in progress.
+// Entry e1 dies while the upstream executes the order, so the end is never recorded. Repeats
+// through e2 must not be refused as in progress for ever.
 Test(at_most_once, entry_dies_while_it_runs)
 {
-    for (const bool known : {false, true}) {
+    for (const bool isKnownDead : {false, true}) {
         delivery_simulation simulation;
         simulation.send("e1/1", "e1", milliseconds(100), "POST", "k");
         simulation.runUntil(milliseconds(120));
         check(simulation.runsByOrder["k"] == 1);
-        if (known)
+        if (isKnownDead)
             simulation.deadEntries.insert("e1");
         simulation.send("e2/2", "e2", milliseconds(121), "POST", "k");
         simulation.runUntil(milliseconds(1000));
         check(simulation.answers["e2/2"].front()
-              == (known ? "outcome_unknown" : "key_in_progress"));
+              == (isKnownDead ? "outcome_unknown" : "key_in_progress"));
     }
 }
 
-// The caller sees one truthful answer to each try. Any step (arrival, claim, its answer, choice,
-// forward, start, answer, record of the end) is hit by any fault: a dying or frozen entry, replaced
-// agents, lost, doubled and late messages, a table that is down, hangs, or applies a write late.
-// The claim in the table, the read-back and the agents' memory each stop another way to run twice.
+// Each try gets one true answer. Every step (arrival, claim, its result, choice, forward, start,
+// answer, record of the end) is combined with every fault: a dying or frozen entry, replaced
+// agents, lost, duplicate and late messages, a table that is unavailable, does not respond, or
+// applies a write late. The claim in the table, the read-back and the memory of the agents each
+// prevent another way of running twice.
 Test(at_most_once, every_step_and_fault)
 {
     const auto steps = stepsOf("POST");
@@ -145,7 +147,7 @@
     }
 }
 
-// The same with three faults in one run, drawn from a seeded generator: failures come together.
+// The same with three simultaneous faults in each run, drawn from a seeded generator.
 Test(at_most_once, faults_together)
 {
     const auto steps = stepsOf("POST");
@@ -160,14 +162,15 @@
     }
 }
 
-// The order's answer is large: the caller has its first part before the body has ended, and then
-// any message is hit by any fault. No repeat runs the order again; while the body is under way the
-// key is in progress, after it the repeat learns that the order ran, or that nobody knows.
+// The answer is large: the caller gets its first part before the body has ended, and every message
+// is combined with every fault. No repeat executes the order again. While the body is being sent
+// the key is in progress; afterwards a repeat is told that the order was executed or that its
+// outcome is unknown.
 Test(at_most_once, streamed_answers)
 {
     section("without faults", [] {
         delivery_simulation simulation;
-        simulation.streaming = true;
+        simulation.hasLargeAnswers = true;
         sendOrder(simulation, "POST", "k");
         simulation.runUntil(milliseconds(60'000));
         check(simulation.runsByOrder["k"] == 1);
@@ -176,9 +179,9 @@
         for (const auto *id : {"e1/r2", "e2/r3", "e1/r4", "e2/r5"})
             check(simulation.answers[id].front() == "already_executed");
     });
-    section("cut midway: nobody knows, at either entry", [] {
+    section("if the connection breaks, the outcome is unknown through either entry", [] {
         delivery_simulation simulation;
-        simulation.streaming = true;
+        simulation.hasLargeAnswers = true;
         simulation.refusingAgents.clear();
         simulation.disconnectingAgents = {"a1"};
         sendOrder(simulation, "POST", "k");
--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -1,4 +1,5 @@
-// The agent's memory of attempts, and the proof that an answer is whole.
+// attempt_guard, the agent's memory of attempts, and answer_check, which proves that an answer is
+// complete.
 #include "base/answer_check.h"
 #include "delivery/attempt_guard.h"
 #include "delivery/flow_messages.h"
@@ -19,21 +20,21 @@
 
 bool isUnknown(const std::optional<guard_refusal> &refusal)
 {
-    return refusal && refusal->ran == executed::Unknown && !refusal->hasEnded;
+    return refusal && refusal->executionState == executed::Unknown && !refusal->hasEnded;
 }
 
 bool isNotRun(const std::optional<guard_refusal> &refusal)
 {
-    return refusal && refusal->ran == executed::No && refusal->hasEnded;
+    return refusal && refusal->executionState == executed::No && refusal->hasEnded;
 }
 
 } // namespace
 
-// A forward reaches the agent twice, or late, or after its cancel. The caller must not be charged
-// twice, and "not run" may be said only of what never starts here.
+// An attempt reaches the agent twice, late, or after its cancel. The request must not be executed
+// twice, and the agent may say "not run" only of attempts that never start on it.
 Test(attempt_guard, copies)
 {
-    section("a second copy never starts, whatever became of the first", [] {
+    section("a duplicate never starts, whatever happened to the first copy", [] {
         attempt_guard guard(1, {});
         check(!guard.admitAttempt(attemptOf(1), Start));
         check(isUnknown(guard.admitAttempt(attemptOf(1), Start)));
@@ -43,7 +44,7 @@
         guard.recordEnd("r", 1, executed::Yes, Start);
         check(isUnknown(guard.admitAttempt(attemptOf(1), Start)));
     });
-    section("a newer attempt waits for the end of the one before", [] {
+    section("a newer attempt is admitted only after the end of the previous one", [] {
         attempt_guard guard(1, {});
         check(!guard.admitAttempt(attemptOf(1), Start));
         check(isUnknown(guard.admitAttempt(attemptOf(2), Start)));
@@ -51,7 +52,7 @@
         check(!guard.admitAttempt(attemptOf(2), Start));
         check(isUnknown(guard.admitAttempt(attemptOf(1), Start)));
     });
-    section("after one that ran only an idempotent one may follow", [] {
+    section("after an attempt that was executed, only an idempotent one is admitted", [] {
         for (const bool idempotent : {false, true}) {
             attempt_guard guard(1, {});
             guard.admitAttempt(attemptOf(1), Start);
@@ -60,7 +61,7 @@
             check(guard.admitAttempt(attemptOf(2, idempotent), Start).has_value() != idempotent);
         }
     });
-    section("meant for the agent before this one: that one may have started it", [] {
+    section("an attempt for an earlier incarnation may have been started by that one", [] {
         attempt_guard guard(2, {});
         check(isUnknown(guard.admitAttempt(attemptOf(1), Start)));
     });
@@ -68,22 +69,24 @@
 
 Test(attempt_guard, late)
 {
-    section("past its deadline it is refused as not run, on arrival and before the start", [] {
-        attempt_guard guard(1, {});
-        check(isNotRun(guard.admitAttempt(attemptOf(1), Start + seconds(1))));
-        check(isNotRun(guard.admitAttempt(attemptOf(1), Start)));
-        check(!guard.admitAttempt({"q", 1, 1, false, Start + milliseconds(500)}, Start));
-        check(isNotRun(guard.startAttempt("q", 1, Start + milliseconds(500))));
-    });
-    section("cancelled before the start it never starts, also when the cancel came first", [] {
-        attempt_guard guard(1, {});
-        check(guard.cancelAttempt("r", 1, Start));
-        check(isNotRun(guard.admitAttempt(attemptOf(1), Start)));
-        check(!guard.admitAttempt({"q", 1, 1, false, Start + seconds(1)}, Start));
-        check(guard.cancelAttempt("q", 1, Start));
-        check(isNotRun(guard.startAttempt("q", 1, Start)));
-    });
-    section("a running one is not called cancelled", [] {
+    section("after its deadline an attempt is refused as not run, on arrival and before the start",
+            [] {
+                attempt_guard guard(1, {});
+                check(isNotRun(guard.admitAttempt(attemptOf(1), Start + seconds(1))));
+                check(isNotRun(guard.admitAttempt(attemptOf(1), Start)));
+                check(!guard.admitAttempt({"q", 1, 1, false, Start + milliseconds(500)}, Start));
+                check(isNotRun(guard.startAttempt("q", 1, Start + milliseconds(500))));
+            });
+    section("an attempt cancelled before its start never starts, even if the cancel came first",
+            [] {
+                attempt_guard guard(1, {});
+                check(guard.cancelAttempt("r", 1, Start));
+                check(isNotRun(guard.admitAttempt(attemptOf(1), Start)));
+                check(!guard.admitAttempt({"q", 1, 1, false, Start + seconds(1)}, Start));
+                check(guard.cancelAttempt("q", 1, Start));
+                check(isNotRun(guard.startAttempt("q", 1, Start)));
+            });
+    section("a running attempt is not reported as cancelled", [] {
         attempt_guard guard(1, {});
         guard.admitAttempt(attemptOf(1), Start);
         guard.startAttempt("r", 1, Start);
@@ -96,11 +99,11 @@
     attempt_guard guard(1, {100, milliseconds(90'000)});
     for (int i = 0; i < 100; ++i)
         guard.admitAttempt({std::to_string(i), 1, 1, false, Start + seconds(1)}, Start);
-    section("full: new ones are refused and nothing is forgotten", [&] {
+    section("a full memory refuses new requests and keeps all records", [&] {
         check(isUnknown(guard.admitAttempt({"new", 1, 1, false, Start + seconds(1)}, Start)));
         check(isUnknown(guard.admitAttempt({"0", 1, 1, false, Start + seconds(1)}, Start)));
     });
-    section("ended ones are forgotten after their time, running ones are not", [&] {
+    section("ended requests are removed after retentionTime, running ones are kept", [&] {
         guard.startAttempt("0", 1, Start);
         for (int i = 1; i < 100; ++i)
             guard.recordEnd(std::to_string(i), 1, executed::No, Start);
@@ -110,8 +113,8 @@
     });
 }
 
-// An upstream dies in the middle of an answer, or answers late on a connection that has been used
-// again. The caller must get an error, never a short answer and never another caller's.
+// An upstream dies in the middle of an answer, or answers late on a connection that was reused. The
+// caller must get an error, never an incomplete answer or that of another caller.
 Test(answer_check, whole_answers)
 {
     const auto run = [](answer_head head, std::uint64_t bytes, bool lastChunk,
@@ -123,33 +126,33 @@
         return answer.checkEnd(lastChunk);
     };
     using enum body_framing;
-    section("are those with all bytes declared, or with the last chunk", [&] {
+    section("have all declared bytes, or the last chunk", [&] {
         check(!run({200, "r", Length, 10, 50}, 10, false));
         check(!run({200, "r", Chunked, 0, 50}, 10, true));
         check(!run({204, "r", UntilClose, 0, 50}, 0, false));
         check(!run({200, "r", Length, 10, 50}, 0, false, "HEAD"));
     });
-    section("are not those that are cut, or too long for what they declare", [&] {
+    section("do not break off and are not longer than declared", [&] {
         check(run({200, "r", Length, 10, 50}, 9, false) == error_kind::AnswerIncomplete);
         check(run({200, "r", Length, 10, 50}, 11, false) == error_kind::AnswerIncomplete);
         check(run({200, "r", Chunked, 0, 50}, 10, false) == error_kind::AnswerIncomplete);
         check(run({204, "r", Length, 0, 50}, 1, false) == error_kind::AnswerIncomplete);
     });
-    section("are not those whose end can't be proved", [&] {
+    section("have an end that can be proved", [&] {
         check(run({200, "r", UntilClose, 0, 50}, 10, true) == error_kind::AnswerIncomplete);
         check(run({200, "r", Conflicting, 10, 50}, 10, true) == error_kind::AnswerIncomplete);
         check(run({100, "r", Length, 0, 50}, 0, true) == error_kind::AnswerIncomplete);
         check(answer_check("r", "GET", {}).checkEnd(true) == error_kind::AnswerIncomplete);
     });
-    section("are not those of another request", [&] {
+    section("belong to the request", [&] {
         check(run({200, "q", Length, 1, 50}, 1, true) == error_kind::OutcomeUnknown);
     });
-    section("are bounded", [&] {
+    section("are limited in size", [&] {
         check(run({200, "r", Length, 1001, 50}, 0, true) == error_kind::AnswerTooLarge);
         check(run({200, "r", Chunked, 0, 50}, 1001, true) == error_kind::AnswerTooLarge);
         check(run({200, "r", Length, 1, 101}, 1, true) == error_kind::AnswerTooLarge);
     });
-    section("become the outcome of their attempt", [] {
+    section("failures become the outcome of their attempt", [] {
         check(std::holds_alternative<attempt_too_large>(outcomeOf(error_kind::AnswerTooLarge)));
         check(std::holds_alternative<attempt_cut>(outcomeOf(error_kind::OutcomeUnknown)));
     });
--- a/tests/claim_coordinator_test.cpp
+++ b/tests/claim_coordinator_test.cpp
@@ -1,4 +1,4 @@
-// Claims on keys: their cost in writes, their life, and what an outage of the table does.
+// Claims on idempotency keys: number of writes, lifetime, outages of the table.
 #include <fmt/core.h>
 
 #include "delivery_simulation.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Keyed orders sent evenly over a second, half through each entry.
+// Sends keyed orders evenly over one second, half through each entry.
 void sendBurst(delivery_simulation &simulation, int orders, int keyOffset = 0)
 {
     for (int i = 0; i < orders; ++i) {
@@ -43,8 +43,8 @@
 
 } // namespace
 
-// The platform takes several hundred writes a second from everyone.
-Test(claim_book, writes_of_a_burst)
+// The platform accepts several hundred writes a second from all its users together.
+Test(claim_coordinator, writes_of_a_burst)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
@@ -56,16 +56,18 @@
                simulation.transactions, simulation.rowsWritten,
                latencyPercentile(simulation, 0.5).count(),
                latencyPercentile(simulation, 0.99).count());
-    section("each order is answered", [&] { check(countOf(simulation, "passed") == 800); });
-    section("two rows for each order: its claim and its end", [&] { check(rows <= 2.01 * 800); });
-    section("transactions follow the time, not the orders",
+    section("every order is answered", [&] { check(countOf(simulation, "passed") == 800); });
+    section("two rows are written per order: its claim and its end",
+            [&] { check(rows <= 2.01 * 800); });
+    section("the number of transactions depends on time, not on the orders",
             [&] { check(transactions <= 0.16 * 800); });
-    section("the claim costs a commit and its gap, no more",
+    section("a claim adds no more than a commit and a commitInterval",
             [&] { check(latencyPercentile(simulation, 0.99) <= milliseconds(27 + 2 + 20 + 3)); });
 }
 
-// An ordinary load, at random times: a claim costs its round trip to the table and next to no wait.
-Test(claim_book, latency_at_ordinary_load)
+// At ordinary load with random arrival times, a claim costs its round trip to the table and almost
+// no wait.
+Test(claim_coordinator, latency_at_ordinary_load)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
@@ -86,9 +88,9 @@
     check(simulation.transactions <= 1.5 * 600);
 }
 
-// Callers of e2 reuse keys that e1 has claimed, in one batch with new keys. The conflict of one row
-// must not fail the others: all are read at once, and the rest goes out again.
-Test(claim_book, conflict_in_a_batch)
+// Requests at e2 reuse keys that e1 has claimed, in one transaction with new keys. The conflict of
+// one row must not fail the others: all rows are read at once, and the others are sent again.
+Test(claim_coordinator, conflict_in_a_batch)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
@@ -108,7 +110,7 @@
     check(simulation.transactions - before <= 6);
 }
 
-Test(claim_book, repeats)
+Test(claim_coordinator, repeats)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
@@ -122,44 +124,45 @@
     simulation.send("e1/get", "e1", milliseconds(1600), "GET", "k");
     simulation.send("e1/endless", "e1", milliseconds(1600), "POST", std::string(300, 'x'));
     simulation.runUntil(milliseconds(2000));
-    section("with another body are refused, at either entry", [&] {
+    section("a repeat with another body is refused through either entry", [&] {
         check(simulation.answers["e2/other"].front() == "key_reused");
         check(simulation.answers["e1/other"].front() == "key_reused");
     });
-    section("get the stored answer",
+    section("a repeat gets the stored answer",
             [&] { check(simulation.answers["e2/same"].front() == "replayed"); });
-    section("of an answer too large to store learn that it ran", [&] {
+    section("a repeat without a stored answer is told that the request was executed", [&] {
         check(simulation.answers["e2/big"].front() == "already_executed");
-        check(simulation.refusals["e2/big"].front().ran == executed::Yes);
+        check(simulation.refusals["e2/big"].front().executionState == executed::Yes);
     });
-    section("of a claim that this entry has lost sight of learn that its outcome is unknown", [&] {
-        const auto key = claimRowKey("tickets", "kartli", "lost");
-        simulation.send("e2/lost", "e2", milliseconds(2100), "POST", "lost");
-        simulation.runUntil(milliseconds(2500));
-        auto row = claimRowFromJson(simulation.platform.read(key)->value);
-        row.entryId = "e1";
-        row.state = claim_state::Started;
-        simulation.platform.commit({"test", {}, {{key, toJson(row)}}});
-        simulation.send("e1/lost", "e1", milliseconds(2600), "POST", "lost");
-        simulation.runUntil(milliseconds(3000));
-        check(simulation.answers["e1/lost"].front() == "outcome_unknown");
-    });
-    section("reading needs no claim",
+    section("a repeat of this entry's own forgotten claim is told that the outcome is unknown",
+            [&] {
+                const auto key = claimRowKey("tickets", "kartli", "lost");
+                simulation.send("e2/lost", "e2", milliseconds(2100), "POST", "lost");
+                simulation.runUntil(milliseconds(2500));
+                auto row = claimRowFromJson(simulation.platform.read(key)->value);
+                row.entryId = "e1";
+                row.state = claim_state::Started;
+                simulation.platform.commit({"test", {}, {{key, toJson(row)}}});
+                simulation.send("e1/lost", "e1", milliseconds(2600), "POST", "lost");
+                simulation.runUntil(milliseconds(3000));
+                check(simulation.answers["e1/lost"].front() == "outcome_unknown");
+            });
+    section("a GET needs no claim",
             [&] { check(simulation.answers["e1/get"].front() == "passed"); });
-    section("an endless key is refused",
+    section("a key that is too long is refused",
             [&] { check(simulation.answers["e1/endless"].front() == "bad_request"); });
 }
 
-// The table refuses, or hangs, for two seconds. Keyed purchases are refused as not run, at once;
-// what is idempotent or has no key goes on, since no promise hangs on its claim.
-Test(claim_book, outage)
+// The table refuses or does not respond for two seconds. Keyed POST requests are refused at once as
+// not run. Idempotent requests and those without a key go on, since they need no claim to be safe.
+Test(claim_coordinator, outage)
 {
     for (const auto kind : {fault::TableRefuses, fault::TableHangs}) {
         delivery_simulation simulation;
         simulation.refusingAgents.clear();
         simulation.send("e1/warm", "e1", milliseconds(100), "POST", "warm");
         simulation.runUntil(milliseconds(490));
-        simulation.faults[simulation.step + 1] = kind; // hits the next message
+        simulation.faults[simulation.step + 1] = kind; // affects the next message
         int sent = 0;
         for (int at = 500; at < 2300; at += 100) {
             for (const auto *method : {"POST", "PUT"}) {
@@ -174,8 +177,9 @@
         check(countOf(simulation, "platform_unavailable") == sent);
         check(countOf(simulation, "passed") == 2 * sent + 2);
         check(simulation.flow("e1").openClaims() == 0);
-        // Only a table that hangs makes callers wait, and only those who find the outage: a commit
-        // and its read-back time out (602 ms here), six times two keyed orders come meanwhile.
+        // Only a table that does not respond makes callers wait, and only those who are first to
+        // notice the outage: a commit and its read-back time out (602 ms here), and six times two
+        // keyed orders arrive meanwhile.
         int slow = 0;
         for (const auto &[id, at] : simulation.answeredAt)
             slow += at - simulation.sentAt.at(id) > milliseconds(100) ? 1 : 0;
@@ -184,9 +188,10 @@
     }
 }
 
-// The table goes under load, with claims in doubt and records to write. They must not all knock at
-// it: each entry sends one probe at a time, and settles everything when the table is back.
-Test(claim_book, outage_under_load)
+// The table fails under load, with uncertain claims and records to write. They must not all send
+// requests to it: each entry sends one probe at a time, and completes all claims when the table is
+// back.
+Test(claim_coordinator, outage_under_load)
 {
     for (const auto kind : {fault::TableRefuses, fault::TableHangs}) {
         delivery_simulation simulation;
@@ -205,9 +210,9 @@
     }
 }
 
-// The table takes a claim 700 ms late, long after its caller was refused as not run. Left alone the
-// row would say "started" for ever and block the order; it is barred by a row that says "not run".
-Test(claim_book, claim_that_applies_late)
+// The table applies a claim 700 ms late, long after its request was refused as not run. The row
+// would stay "started" for ever and block the order, so a row with "not run" must prevent it.
+Test(claim_coordinator, claim_that_applies_late)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
@@ -222,25 +227,25 @@
     check(simulation.runsByOrder["k"] == 1);
 }
 
-// The entry is stopped while the table is down. The caller has its answer already; the record of
-// the end is still to be written, so that a repeat elsewhere gets it. The entry waits for that, in
-// bounds.
-Test(claim_book, drain_in_an_outage)
+// The entry is stopped while the table is unavailable. The caller has been answered, but the record
+// of the end must still be written so that a repeat through another entry gets the answer. The
+// entry waits for that, but at most for drainTimeout.
+Test(claim_coordinator, drain_in_an_outage)
 {
-    for (const int waits : {500, 5000}) {
+    for (const int drainTime : {500, 5000}) {
         delivery_simulation simulation;
         simulation.refusingAgents.clear();
-        simulation.settings.drainTimeout = milliseconds(waits);
+        simulation.settings.drainTimeout = milliseconds(drainTime);
         simulation.send("e1/1", "e1", milliseconds(100), "POST", "k");
         simulation.runUntil(milliseconds(140));
         check(simulation.answers["e1/1"].front() == "passed");
         simulation.faults[simulation.step + 1] =
-                fault::TableRefuses; // from 150 on, for two seconds
+                fault::TableRefuses; // from 150 ms on, for two seconds
         simulation.drain("e1", milliseconds(150));
         simulation.runUntil(milliseconds(10'000));
         const auto row = simulation.platform.read(claimRowKey("tickets", "kartli", "k"));
         const auto drainedAt = simulation.drainedAt.at("e1");
-        if (waits == 500) {
+        if (drainTime == 500) {
             check(drainedAt == time_point(milliseconds(650)));
             continue;
         }
@@ -250,8 +255,8 @@
     }
 }
 
-// The table does not answer for longer than a claim may wait.
-Test(claim_book, patience)
+// The table does not respond for longer than claimTimeout.
+Test(claim_coordinator, patience)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
@@ -265,9 +270,9 @@
     check(latencyPercentile(simulation, 1) == milliseconds(100));
 }
 
-// Keys live for a stated time and no row stays for ever. Entries raise the era only after they have
-// seen it unchanged for its length, so a row may live longer than stated, never shorter.
-Test(claim_book, life_of_keys)
+// Keys live for a stated time, and no row stays for ever. Entries increment the era only after they
+// have seen it unchanged for eraDuration, so a row may live longer than stated, never shorter.
+Test(claim_coordinator, life_of_keys)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
@@ -280,21 +285,21 @@
     simulation.runUntil(milliseconds(3000));
     check(simulation.platform.scan("claim/").size() == 200);
     sendBurst(simulation, 200, 1000);
-    section("within it a key is known, also to an entry whose memory is gone", [&] {
+    section("within its lifetime a key is known, also to an entry without cached claims", [&] {
         simulation.send("e3/repeat", "e3", milliseconds(12'000), "POST", "k7");
         simulation.runUntil(milliseconds(12'500));
         check(simulation.answers["e3/repeat"].front() == "replayed");
     });
-    section("after it the rows are swept in bounded batches", [&] {
+    section("after its lifetime the rows are removed in limited batches", [&] {
         simulation.runUntil(milliseconds(40'000));
         check(simulation.platform.scan("claim/").empty());
         check(simulation.counts["claim_swept"] >= 400);
     });
 }
 
-// Another entry has raised the era and this one has not seen it. A claim written with the old era
-// would be swept too early, and a late repeat would run again.
-Test(claim_book, era_that_has_passed)
+// Another entry has incremented the era, and this one has not noticed. A claim written with the old
+// era would be removed too early, and a late repeat would run again.
+Test(claim_coordinator, era_that_has_passed)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
@@ -310,9 +315,9 @@
     check(claimRowFromJson(row->value).era == 9);
 }
 
-Test(claim_book, memory)
+Test(claim_coordinator, memory)
 {
-    section("ended requests are bounded by the bytes of their answers", [] {
+    section("cached claims are limited by the bytes of their answers", [] {
         delivery_simulation simulation;
         simulation.refusingAgents.clear();
         simulation.settings.claims.maxCachedBytes = 60; // an answer here has 7 or 8 bytes
@@ -323,11 +328,11 @@
         check(simulation.flow("e1").cachedAnswerBytes() <= 60);
         check(simulation.flow("e1").cachedAnswerBytes() >= 50);
     });
-    section("keys of two scopes never share a row", [] {
+    section("keys of two services or teams never share a row", [] {
         check(claimRowKey("a", "b/c", "k") != claimRowKey("a/b", "c", "k"));
         check(claimRowKey("a", "b", "k") != claimRowKey("a", "", "b/k"));
     });
-    section("a row that can't be read is refused with the member's name", [] {
+    section("the error for an unreadable row names the member", [] {
         try {
             claimRowFromJson(parseJson(R"({"request":"r","entry":"e","hash":"x"})"));
             check(!"accepted");
--- a/tests/delivery_simulation.h
+++ b/tests/delivery_simulation.h
@@ -1,5 +1,5 @@
-// Entries, agents, one upstream behind each, the table and a caller, on a virtual clock. Every
-// message is a numbered step, and a fault may hit any step.
+// Simulation of entries, agents with one upstream each, the table and callers, on a virtual clock.
+// Every message is a numbered step, and any step can be combined with a fault.
 #pragma once
 
 #include <algorithm>
@@ -23,17 +23,17 @@
 
 enum class fault {
     None,
-    EntryDies,           // the entry of this step: it and what is under way to it are gone
+    EntryDies,           // the entry of this step; messages to it are lost
     EntryFreezes,        // for three seconds, longer than every deadline here
-    AgentDies,           // all agents are replaced, their upstreams live on
-    AnswerLost,          // the step takes effect, its answer never comes
-    SecondAnswerArrives, // a commit is sent twice by the network, the second answer arrives
-    Duplicated,          // at once
-    Delayed,             // three seconds, longer than every deadline here
-    DuplicatedLate,      // again half a second later
+    AgentDies,           // all agents are replaced, their upstreams keep running
+    AnswerLost,          // the step takes effect, but its answer is lost
+    SecondAnswerArrives, // a commit is duplicated, and only the second result arrives
+    Duplicated,          // both copies at the same time
+    Delayed,             // by three seconds, longer than every deadline here
+    DuplicatedLate,      // a second copy arrives half a second later
     TableRefuses,        // for two seconds
-    TableHangs,          // for two seconds: answers are Unknown, nothing applies
-    WriteDelayed,        // a commit is answered Unknown and applies 700 ms later
+    TableHangs,          // for two seconds: results are Unknown, nothing is applied
+    WriteDelayed,        // the result of a commit is Unknown; it is applied 700 ms later
     Last
 };
 
@@ -42,49 +42,49 @@
 public:
     flow_settings settings;
     std::map<int, fault> faults;                // by step
-    std::set<std::string> refusingAgents{"a1"}; // agents that are full
-    std::set<std::string> disconnectingAgents;  // agents whose connections break in the answer
-    bool streaming = false; // answers are large: their head comes before their end
+    std::set<std::string> refusingAgents{"a1"}; // agents whose queue is full
+    std::set<std::string> disconnectingAgents;  // agents whose connections break during the answer
+    bool hasLargeAnswers = false;               // the head of an answer arrives before its end
     memory_platform platform;
-    std::map<std::string, int> runs;           // by request id
-    std::map<std::string, int> runsByOrder;    // by order: the key, or the request without one
-    std::set<std::string> overlappingRequests; // requests that ran twice at once
+    std::map<std::string, int> runs;           // executions, by request id
+    std::map<std::string, int> runsByOrder;    // executions, by key, or by request id without a key
+    std::set<std::string> overlappingRequests; // requests with two executions at the same time
     std::map<std::string, std::vector<refuse_request>> refusals; // by request id
-    std::map<std::string, std::vector<std::string>>
-            answers; // by request id: "passed", "replayed" or the kind
-    std::map<std::string, time_point> answeredAt;
-    std::map<std::string, time_point> sentAt;
-    std::map<std::string, std::string> entryOf;  // by request id
-    std::map<std::string, std::string> orderOf;  // by request id
-    std::map<std::string, std::uint64_t> counts; // by name of the counter
-    std::map<std::string, time_point> drainedAt; // by entry
+    // By request id: "passed", "replayed" or the error kind.
+    std::map<std::string, std::vector<std::string>> answers;
+    std::map<std::string, time_point> answeredAt; // by request id
+    std::map<std::string, time_point> sentAt;     // by request id
+    std::map<std::string, std::string> entryOf;   // by request id
+    std::map<std::string, std::string> orderOf;   // by request id
+    std::map<std::string, std::uint64_t> counts;  // by counter name
+    std::map<std::string, time_point> drainedAt;  // by entry
     std::set<std::string> deadEntries;
-    std::uint64_t tableCalls = 0; // commits, reads and scans that were sent
+    std::uint64_t tableCalls = 0; // commits, reads and scans sent to the table
     std::uint64_t transactions = 0;
     std::uint64_t rowsWritten = 0;
-    std::vector<std::string> trace; // JSON lines of entry `traced`
+    std::vector<std::string> trace; // events and actions of tracedEntry as lines of JSON
     std::string tracedEntry;
     int step = 0;
     time_point now{};
 
-    // The caller sends one try to `entry` at `when`.
+    // A caller sends a request to `entry` at `when`.
     void send(const std::string &id, const std::string &entry, milliseconds when,
               const std::string &method, const std::string &key, std::uint64_t bodyHash = 1,
-              milliseconds patience = milliseconds(1000))
+              milliseconds timeout = milliseconds(1000))
     {
         entryOf[id] = entry;
         sentAt[id] = time_point(when);
         orderOf[id] = key.empty() ? id : key;
-        post(entry, time_point(when) - now, [=, this](fault) {
-            event(entry, request_arrived{id, "tickets", method, "/hold/" + key, "kartli", key,
-                                         bodyHash, time_point(when) + patience});
+        schedule(entry, time_point(when) - now, [=, this](fault) {
+            handleEvent(entry, request_arrived{id, "tickets", method, "/hold/" + key, "kartli", key,
+                                               bodyHash, time_point(when) + timeout});
         });
     }
 
     void drain(const std::string &entry, milliseconds when)
     {
-        post(entry, time_point(when) - now,
-             [=, this](fault) { event(entry, flow_drain_started{}); });
+        schedule(entry, time_point(when) - now,
+                 [=, this](fault) { handleEvent(entry, flow_drain_started{}); });
     }
 
     void runUntil(milliseconds end)
@@ -97,9 +97,10 @@
             const auto last = std::exchange(now, std::max(now, std::min(wake.first, next)));
             m_eventsAtSameTime = now == last ? m_eventsAtSameTime + 1 : 0;
             if (m_eventsAtSameTime > 10'000)
-                throw error(error_kind::Internal, "time stands still: a wake that does nothing");
+                throw error(error_kind::Internal, "too many events without progress of the time: "
+                                                  "nextWake() is never reached");
             if (wake.first < next)
-                event(wake.second, flow_tick{});
+                handleEvent(wake.second, flow_tick{});
             else
                 deliverNext();
         }
@@ -108,10 +109,12 @@
 
     request_flow &flow(const std::string &entry)
     {
-        const auto alive = [this](const std::string &id) { return !deadEntries.contains(id); };
+        const auto isEntryAlive = [this](const std::string &id) {
+            return !deadEntries.contains(id);
+        };
         return m_flows
                 .try_emplace(
-                        entry, entry, settings, [](error_kind) { return true; }, alive)
+                        entry, entry, settings, [](error_kind) { return true; }, isEntryAlive)
                 .first->second;
     }
 
@@ -123,7 +126,7 @@
         effect deliver;
     };
 
-    void post(const std::string &entry, duration delay, effect deliver)
+    void schedule(const std::string &entry, duration delay, effect deliver)
     {
         m_messages.emplace(now + delay, message{entry, std::move(deliver)});
     }
@@ -136,8 +139,8 @@
     std::pair<time_point, std::string> nextWake()
     {
         std::pair<time_point, std::string> first{Never, ""};
-        for (auto &[entry, each] : m_flows) {
-            auto wake = std::max(each.nextWake(), now);
+        for (auto &[entry, entryFlow] : m_flows) {
+            auto wake = std::max(entryFlow.nextWake(), now);
             if (isFrozen(entry))
                 wake = std::max(wake, m_frozenUntil.at(entry));
             if (!deadEntries.contains(entry) && wake < first.first)
@@ -165,21 +168,21 @@
             m_tableFaultUntil = now + seconds(2);
         }
         if (activeFault == fault::Delayed)
-            return post(item.entry, seconds(3), item.deliver);
+            return schedule(item.entry, seconds(3), item.deliver);
         if (activeFault == fault::DuplicatedLate)
-            post(item.entry, milliseconds(500), item.deliver);
+            schedule(item.entry, milliseconds(500), item.deliver);
         if (activeFault == fault::Duplicated)
             item.deliver(activeFault);
         item.deliver(activeFault);
     }
 
-    void event(const std::string &entry, const flow_event &event)
+    void handleEvent(const std::string &entry, const flow_event &event)
     {
         if (deadEntries.contains(entry))
             return;
         if (isFrozen(entry)) {
-            post(entry, m_frozenUntil.at(entry) - now,
-                 [=, this](fault) { this->event(entry, event); });
+            schedule(entry, m_frozenUntil.at(entry) - now,
+                     [=, this](fault) { this->handleEvent(entry, event); });
             return;
         }
         const auto actions = flow(entry).handle(event, now);
@@ -188,7 +191,7 @@
         for (const auto &action : actions) {
             if (entry == tracedEntry)
                 record(toJson(action, now));
-            std::visit([&](const auto &each) { perform(entry, each); }, action);
+            std::visit([&](const auto &entryFlow) { perform(entry, entryFlow); }, action);
         }
     }
 
@@ -205,27 +208,28 @@
             std::erase(agents, agent);
         const auto answer = agents.empty() ? flow_event(no_upstream_available{action.id})
                                            : upstream_chosen{action.id, agents.front()};
-        post(entry, milliseconds(0), [=, this](fault) { event(entry, answer); });
+        schedule(entry, milliseconds(0), [=, this](fault) { handleEvent(entry, answer); });
     }
 
     void perform(const std::string &entry, const forward_request &action)
     {
         const auto incarnation = m_incarnation;
         const auto remaining = milliseconds(millisecondsUntil(action.deadline, now));
-        post(entry, milliseconds(1), [=, this](fault activeFault) {
+        schedule(entry, milliseconds(1), [=, this](fault activeFault) {
             const auto ended = [=, this](const attempt_outcome &outcome) {
-                const bool lost = activeFault == fault::AnswerLost || incarnation != m_incarnation
-                                  || disconnectingAgents.contains(action.agentId);
-                const attempt_outcome seen = lost ? attempt_outcome(attempt_cut{}) : outcome;
-                post(entry, milliseconds(1), [=, this](fault) {
-                    event(entry, attempt_ended{action.id, action.attempt, seen});
+                const bool isLost = activeFault == fault::AnswerLost || incarnation != m_incarnation
+                                    || disconnectingAgents.contains(action.agentId);
+                const attempt_outcome seen = isLost ? attempt_outcome(attempt_cut{}) : outcome;
+                schedule(entry, milliseconds(1), [=, this](fault) {
+                    handleEvent(entry, attempt_ended{action.id, action.attempt, seen});
                 });
             };
             const auto refused = [=](const guard_refusal &refusal) {
-                ended(attempt_refused{refusal.kind, refusal.ran, refusal.hasEnded,
+                ended(attempt_refused{refusal.kind, refusal.executionState, refusal.hasEnded,
                                       milliseconds(0)});
             };
-            // Entry and agent have each their own clock: what travels is the time that remains.
+            // Entry and agent have separate clocks, so the remaining time is sent instead of the
+            // deadline.
             const incoming_attempt incoming{action.id, action.attempt, incarnation, false,
                                             now + remaining};
             if (const auto refusal = guard(action.agentId).admitAttempt(incoming, now))
@@ -234,7 +238,7 @@
                 guard(action.agentId).recordEnd(action.id, action.attempt, executed::No, now);
                 return refused({error_kind::QueueFull, executed::No, true});
             }
-            post(entry, milliseconds(5), [=, this](fault) {
+            schedule(entry, milliseconds(5), [=, this](fault) {
                 if (const auto refusal =
                             guard(action.agentId).startAttempt(action.id, action.attempt, now))
                     return refused(*refusal);
@@ -242,8 +246,8 @@
                 if (++m_running[action.id] > 1)
                     overlappingRequests.insert(action.id);
                 ++runsByOrder[orderOf[action.id]];
-                post(entry, milliseconds(20), [=, this](fault) {
-                    if (streaming)
+                schedule(entry, milliseconds(20), [=, this](fault) {
+                    if (hasLargeAnswers)
                         return stream(entry, action, ended);
                     --m_running[action.id];
                     guard(action.agentId).recordEnd(action.id, action.attempt, executed::Yes, now);
@@ -253,14 +257,14 @@
         });
     }
 
-    // The head and the first part at once, the end of the body 40 ms later.
+    // The head and the first part of the body are sent at once, its end 40 ms later.
     template <typename Ended>
     void stream(const std::string &entry, const forward_request &action, const Ended &ended)
     {
-        post(entry, milliseconds(1), [=, this](fault) {
-            event(entry, answer_started{action.id, action.attempt, 201});
+        schedule(entry, milliseconds(1), [=, this](fault) {
+            handleEvent(entry, answer_started{action.id, action.attempt, 201});
         });
-        post(entry, milliseconds(40), [=, this](fault) {
+        schedule(entry, milliseconds(40), [=, this](fault) {
             --m_running[action.id];
             guard(action.agentId).recordEnd(action.id, action.attempt, executed::Yes, now);
             ended(complete_answer{201, {}, 1U << 20U, std::nullopt});
@@ -269,7 +273,7 @@
 
     void perform(const std::string &entry, const cancel_attempt &action)
     {
-        post(entry, milliseconds(1), [=, this](fault) {
+        schedule(entry, milliseconds(1), [=, this](fault) {
             guard(action.agentId).cancelAttempt(action.id, action.attempt, now);
         });
     }
@@ -289,22 +293,23 @@
     void perform(const std::string &entry, const commit_claims &action)
     {
         ++tableCalls;
-        post(entry, milliseconds(1), [=, this](fault activeFault) {
-            const bool down = now < m_tableFaultUntil;
+        schedule(entry, milliseconds(1), [=, this](fault activeFault) {
+            const bool isTableDown = now < m_tableFaultUntil;
             write_result result;
-            if (down && m_tableFault == fault::TableRefuses)
+            if (isTableDown && m_tableFault == fault::TableRefuses)
                 result.outcome = write_outcome::Refused;
             else if (activeFault == fault::WriteDelayed)
-                post(entry, milliseconds(700), [=, this](fault) { commit(action.transaction); });
-            else if (!down)
+                schedule(entry, milliseconds(700),
+                         [=, this](fault) { commit(action.transaction); });
+            else if (!isTableDown)
                 result = commit(action.transaction);
             if (activeFault == fault::SecondAnswerArrives)
                 result = commit(action.transaction);
             if (activeFault == fault::AnswerLost)
                 result = write_result{};
-            const bool slow = result.outcome == write_outcome::Unknown;
-            post(entry, milliseconds(slow ? 300 : 1), [=, this](fault) {
-                event(entry, claims_committed{action.transaction.operationId, result});
+            const bool isSlow = result.outcome == write_outcome::Unknown;
+            schedule(entry, milliseconds(isSlow ? 300 : 1), [=, this](fault) {
+                handleEvent(entry, claims_committed{action.transaction.operationId, result});
             });
         });
     }
@@ -339,10 +344,11 @@
                     const std::function<std::vector<table_row>()> &read)
     {
         ++tableCalls;
-        post(entry, milliseconds(1), [=, this](fault activeFault) {
+        schedule(entry, milliseconds(1), [=, this](fault activeFault) {
             const bool failed = now < m_tableFaultUntil || activeFault == fault::AnswerLost;
             const claims_read answer{readId, !failed, failed ? std::vector<table_row>() : read()};
-            post(entry, milliseconds(failed ? 300 : 1), [=, this](fault) { event(entry, answer); });
+            schedule(entry, milliseconds(failed ? 300 : 1),
+                     [=, this](fault) { handleEvent(entry, answer); });
         });
     }
 
@@ -363,8 +369,8 @@
     std::multimap<time_point, message> m_messages;
     std::map<std::string, time_point> m_frozenUntil;
     std::uint64_t m_incarnation = 1;
-    std::map<std::string, int> m_running; // by request id
-    int m_eventsAtSameTime = 0;           // events without time going on
+    std::map<std::string, int> m_running; // executions in progress, by request id
+    int m_eventsAtSameTime = 0;           // consecutive events at the same time
     fault m_tableFault = fault::None;
     time_point m_tableFaultUntil{};
 };
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,5 @@
-// Membership: late messages, silence, leaving, partitions, digests, bounds, bytes.
+// Membership: stale messages, silent agents, leaving, network partitions, digests, limits,
+// bandwidth.
 #include <string>
 
 #include "base/json.h"
@@ -52,7 +53,7 @@
     throw error(error_kind::Internal, "nobody left");
 }
 
-// One digest from `from` to `to`, with its answer. True when there was one to send.
+// Sends one digest from `from` to `to` and its ack back. Returns true if a digest was due.
 bool exchangeDigest(membership &from, const std::string &fromId, membership &to,
                     const std::string &toId, time_point now, bool answerLost = false)
 {
@@ -75,8 +76,9 @@
 
 } // namespace
 
-// An agent was replaced. Messages of the old process still arrive, out of order and twice. If one
-// counted, callers would be sent to an address where nobody listens, or to an upstream that leaves.
+// An agent was replaced, and messages of the old process still arrive, out of order and duplicated.
+// If one took effect, requests would be sent to an address where nothing listens or to an upstream
+// that is leaving.
 Test(membership, lateMessagesChangeNothing)
 {
     auto entry = makeEntry("e0");
@@ -86,15 +88,15 @@
         return outcome.reply.refusalKind == error_kind::StaleIncarnation && outcome.changes.empty()
                && outcome.reply.knownIncarnation == entry.knownUpstreams().front().incarnation;
     };
-    section("of an old incarnation", [&] {
+    section("messages of an old incarnation are refused", [&] {
         check(refused(makeAnnouncement(1, 99)));
         check(refused(makeAnnouncement(1, 100, upstream_state::Leaving)));
     });
-    section("of an old sequence, or doubled", [&] {
+    section("messages with an old sequence and duplicates are refused", [&] {
         check(refused(makeAnnouncement(2, 4, upstream_state::Starting)));
         check(refused(makeAnnouncement(2, 5)));
     });
-    section("serving after leaving", [&] {
+    section("Serving after Leaving is refused", [&] {
         check(countOf<upstream_left>(
                       entry.handleMessage(makeAnnouncement(2, 6, upstream_state::Leaving), Start)
                               .changes)
@@ -102,17 +104,17 @@
         check(refused(makeAnnouncement(2, 7)));
         check(entry.routableUpstreams().empty());
     });
-    section("while leaving may be said again, so that its repetition ends", [&] {
+    section("a repeated Leaving is accepted, so that the agent stops repeating it", [&] {
         const auto outcome =
                 entry.handleMessage(makeAnnouncement(2, 8, upstream_state::Leaving), Start);
         check(!outcome.reply.refusalKind);
     });
-    section("and a newer incarnation is welcome", [&] {
+    section("a newer incarnation is accepted", [&] {
         const auto outcome = entry.handleMessage(makeAnnouncement(3, 1), Start);
         check(countOf<upstream_joined>(outcome.changes) == 1);
         check(entry.routableUpstreams().front().address == "10.0.0.3:7100");
     });
-    section("it replaces the old one even if that never said that it leaves", [&] {
+    section("a newer incarnation replaces one that never announced Leaving", [&] {
         const auto outcome = entry.handleMessage(makeAnnouncement(4, 1), Start);
         check(reasonOf(outcome.changes) == leave_reason::Replaced);
         check(countOf<upstream_joined>(outcome.changes) == 1);
@@ -123,25 +125,25 @@
 {
     auto entry = makeEntry("e0");
     entry.handleMessage(makeAnnouncement(1, 1), Start);
-    section("an upstream leaves routing three and a half periods after its last message", [&] {
+    section("an upstream is not routable three and a half periods after its last message", [&] {
         check(entry.tick(Start + milliseconds(3499)).empty());
         const auto changes = entry.tick(Start + milliseconds(3500));
         check(reasonOf(changes) == leave_reason::Silent);
     });
-    section("one heartbeat brings it back", [&] {
+    section("one heartbeat makes it routable again", [&] {
         const auto outcome =
                 entry.handleMessage(heartbeatOf(makeAnnouncement(1, 2)), Start + seconds(10));
         check(countOf<upstream_joined>(outcome.changes) == 1);
     });
-    section("the heartbeat of an unknown one asks for the whole announcement", [&] {
+    section("the reply to a heartbeat of an unknown agent asks for the announcement", [&] {
         auto other = makeEntry("e1");
         const auto outcome = other.handleMessage(heartbeatOf(makeAnnouncement(1, 3)), Start);
         check(outcome.reply.needsFullAnnouncement && other.size() == 0);
     });
 }
 
-// The entry hears fewer agents and names a shorter period; the answer is lost. The agent goes on in
-// its old rhythm, and callers must not lose a healthy upstream for that.
+// The entry receives heartbeats of fewer agents than before and requests a shorter period, but the
+// reply is lost. The agent keeps its old period, and its healthy upstream must stay routable.
 Test(membership, lostPeriod)
 {
     auto entry = makeEntry("e0");
@@ -163,8 +165,8 @@
     check(entry.routableUpstreams().size() == 1);
 }
 
-// Entry c is cut off from the agent and from the only entry that hears it. The agent leaves; the
-// news reach c through b, and c sends nothing more there.
+// Entry c is disconnected from the agent and from the only entry that receives its heartbeats. The
+// agent leaves; c learns it through b and sends no more requests to the upstream.
 Test(membership, leavingThroughAnyPeer)
 {
     auto a = makeEntry("a");
@@ -176,31 +178,32 @@
     require(c.routableUpstreams().size() == 1);
     const time_point later = Start + milliseconds(100);
     a.handleMessage(makeAnnouncement(1, 2, upstream_state::Leaving), later);
-    section("a change is sent at once, not at the next period", [&] {
+    section("a change is sent at once, not after the next period", [&] {
         check(exchangeDigest(a, "a", b, "b", later));
         check(b.routableUpstreams().empty());
     });
-    section("b passes it on to c", [&] {
+    section("b forwards the change to c", [&] {
         check(exchangeDigest(b, "b", c, "c", later));
         check(c.routableUpstreams().empty());
         check(c.counters().left.at(leave_reason::Left) == 1);
     });
-    section("and nothing else is said without news", [&] {
+    section("digests without changes have no records", [&] {
         exchangeDigest(b, "b", c, "c", later + seconds(2));
         const auto idle = b.digestFor("c", later + seconds(4));
         check(idle && idle->records.empty());
     });
 }
 
-// Entry b routes to an upstream on the word of a. When a says that the agent went silent, or a
-// itself is heard no more, b stops; when a is replaced, the word of the old process is void.
+// Entry b routes to an upstream because a reports its heartbeats. It must stop when a reports the
+// agent as silent or when no digests of a arrive; when a is replaced, the reports of the old
+// process are void.
 Test(membership, wordOfPeers)
 {
     auto a = makeEntry("a");
     auto b = makeEntry("b");
     a.handleMessage(makeAnnouncement(1, 1), Start);
     exchangeDigest(a, "a", b, "b", Start);
-    section("a hears silence", [&] {
+    section("a reports that the agent is silent", [&] {
         a.tick(Start + milliseconds(3500));
         exchangeDigest(a, "a", b, "b", Start + milliseconds(3500));
         check(b.routableUpstreams().empty());
@@ -208,19 +211,19 @@
         exchangeDigest(a, "a", b, "b", Start + seconds(4));
         check(b.routableUpstreams().size() == 1);
     });
-    section("a is silent itself", [&] {
+    section("no digests of a arrive", [&] {
         const auto limit = 3 * b.digestPeriod() + milliseconds(10000);
         check(b.tick(Start + seconds(4) + limit - milliseconds(1)).empty());
         check(reasonOf(b.tick(Start + seconds(4) + limit)) == leave_reason::Silent);
     });
-    section("a digest without news is enough to count again", [&] {
+    section("a digest without changes makes the reports of a count again", [&] {
         const time_point later = Start + seconds(20);
         a.handleMessage(makeAnnouncement(1, 3), later);
         exchangeDigest(a, "a", b, "b", later);
         b.tick(later);
         check(b.routableUpstreams().size() == 1);
     });
-    section("a new process in the place of a vouches for nothing yet", [&] {
+    section("a new process of a has not reported any agent yet", [&] {
         auto restarted = makeEntry("a", 2);
         exchangeDigest(restarted, "a", b, "b", Start + seconds(21));
         b.tick(Start + seconds(21));
@@ -229,18 +232,20 @@
         b.tick(Start + seconds(40));
         check(b.routableUpstreams().empty() && b.counters().staleDigests == 1);
     });
-    section("unless its clock stepped back: it steps over what b remembers", [&] {
-        auto withOlderClock = makeEntry("a", 1);
-        withOlderClock.handleMessage(makeAnnouncement(1, 4), Start + seconds(50));
-        exchangeDigest(withOlderClock, "a", b, "b", Start + seconds(50));
-        check(b.routableUpstreams().empty());
-        exchangeDigest(withOlderClock, "a", b, "b", Start + seconds(55));
-        check(b.routableUpstreams().size() == 1);
-        section("while a process that was acknowledged before gives way", [&] {
-            exchangeDigest(a, "a", b, "b", Start + seconds(60));
-            check(a.digestFor("b", Start + seconds(70))->incarnation == 1);
-        });
-    });
+    section("a new process whose clock was set back raises its incarnation above the known one",
+            [&] {
+                auto withOlderClock = makeEntry("a", 1);
+                withOlderClock.handleMessage(makeAnnouncement(1, 4), Start + seconds(50));
+                exchangeDigest(withOlderClock, "a", b, "b", Start + seconds(50));
+                check(b.routableUpstreams().empty());
+                exchangeDigest(withOlderClock, "a", b, "b", Start + seconds(55));
+                check(b.routableUpstreams().size() == 1);
+                section("a process that was acknowledged before does not raise its incarnation",
+                        [&] {
+                            exchangeDigest(a, "a", b, "b", Start + seconds(60));
+                            check(a.digestFor("b", Start + seconds(70))->incarnation == 1);
+                        });
+            });
 }
 
 Test(membership, digests)
@@ -255,7 +260,7 @@
         }
     };
     deliver(40);
-    section("are bounded, and the rest follows as soon as one is acknowledged", [&] {
+    section("digests are limited in size; the rest follows after an acknowledgement", [&] {
         check(a.digestFor("b", Start)->records.size() == 16);
         auto receiver = makeEntry("c");
         int sent = 0;
@@ -263,14 +268,14 @@
             ++sent;
         check(sent == 3 && receiver.routableUpstreams().size() == 40);
     });
-    section("are sent again when the answer was lost", [&] {
+    section("digests are sent again if the acknowledgement was lost", [&] {
         check(exchangeDigest(a, "a", b, "b", Start + seconds(5), true));
         check(b.routableUpstreams().size() == 16);
         while (exchangeDigest(a, "a", b, "b", Start + seconds(10))) { }
         check(b.routableUpstreams().size() == 40);
         check(b.counters().staleDigests == 0);
     });
-    section("start from the beginning for a receiver that was replaced", [&] {
+    section("a replaced receiver is sent all records", [&] {
         auto restarted = makeEntry("b", 2);
         exchangeDigest(a, "a", restarted, "b", Start + seconds(20));
         while (exchangeDigest(a, "a", restarted, "b", Start + seconds(20))) { }
@@ -279,8 +284,8 @@
     });
 }
 
-// Somebody floods the entry with new names. Serving upstreams stay; the flood is refused and
-// counted, and upstreams that are gone make room first.
+// The entry is flooded with new names. Serving upstreams stay, the flood is refused and counted,
+// and departed upstreams are removed first.
 Test(membership, bound)
 {
     membership_settings settings;
@@ -297,7 +302,7 @@
     check(deliver("flood", upstream_state::Serving) == error_kind::OverCapacity);
     check(entry.counters().overLimit == 1);
     check(entry.size() == 2 && entry.routableUpstreams().size() == 2);
-    section("peers that have been replaced make room as well", [&] {
+    section("replaced peers are removed as well", [&] {
         for (int i = 0; i < 64; ++i)
             check(entry.digestFor("peer-" + std::to_string(i), Start).has_value());
         check(!entry.digestFor("another", Start));
@@ -306,8 +311,8 @@
     });
 }
 
-// Two processes for one agent id. The new one was started while the old one was paused; when that
-// wakes up it must give way. A clock that stepped back must not lock a new process out.
+// Two processes use one agent id: the newer one was started while the older one was paused, and the
+// older one must stop when it resumes. A clock that was set back must not keep a new process out.
 Test(membership, agentsReplaced)
 {
     auto entry = makeEntry("e0");
@@ -325,12 +330,12 @@
     exchangeMessages(old, Start);
     announcer fresh(settings, makeAnnouncement(6, 0));
     exchangeMessages(fresh, Start + seconds(10));
-    section("the one that woke up stops announcing", [&] {
+    section("the older process stops announcing when it resumes", [&] {
         exchangeMessages(old, Start + seconds(11));
         check(old.isSuperseded() && old.tick(Start + seconds(20)).empty());
         check(entry.knownUpstreams().front().incarnation == 6);
     });
-    section("a new one with an older clock steps over what is remembered", [&] {
+    section("a new process with an older clock raises its incarnation above the known one", [&] {
         announcer withOlderClock(settings, makeAnnouncement(3, 0));
         exchangeMessages(withOlderClock, Start + seconds(12));
         exchangeMessages(withOlderClock, Start + seconds(12));
@@ -339,7 +344,7 @@
         exchangeMessages(fresh, Start + seconds(13));
         check(fresh.isSuperseded());
     });
-    section("an answer to an earlier message does not end the repetition of leaving", [&] {
+    section("a reply to an earlier message does not acknowledge Leaving", [&] {
         announcer leaving(settings, makeAnnouncement(9, 0));
         const auto before = leaving.tick(Start);
         leaving.setState(upstream_state::Leaving);
@@ -351,16 +356,16 @@
     });
 }
 
-// Real announcers and memberships with every message counted. The operator sees an upstream that
-// leaves without new work within seconds at every entry, also at one that was cut off from it.
+// Real announcers and memberships; every message is counted. An upstream that leaves must get no
+// new requests within seconds at every entry, including one that is disconnected from its agent.
 Test(membership, mesh)
 {
-    section("agents and entries find each other from their settings alone", [] {
+    section("agents and entries find each other with nothing but their settings", [] {
         mesh nodes(meshOf(11, 5));
         nodes.runFor(seconds(5));
         for (int i = 0; i < 5; ++i)
             check(nodes.countRoutableAt(i) == 11);
-        section("leaving reaches an entry that is cut off from the agent", [&] {
+        section("Leaving reaches an entry that is disconnected from the agent", [&] {
             nodes.disconnect(mesh::agentName(3), mesh::entryName(2));
             nodes.disconnect(mesh::agentName(3), mesh::entryName(4));
             nodes.agent(3).setState(upstream_state::Leaving);
@@ -368,7 +373,7 @@
             check(nodes.countEntriesRoutingTo(3) == 0);
             nodes.reconnectAll();
         });
-        section("and entries that are cut off from one another", [&] {
+        section("Leaving reaches entries that are disconnected from one another", [&] {
             for (int one = 0; one < 5; ++one) {
                 for (int other = one + 1; other < 5; ++other)
                     nodes.disconnect(mesh::entryName(one), mesh::entryName(other));
@@ -381,7 +386,7 @@
             nodes.runFor(seconds(5));
             check(nodes.countEntriesRoutingTo(4) == 5);
         });
-        section("a killed agent leaves routing everywhere", [&] {
+        section("the upstream of a killed agent is not routable at any entry", [&] {
             nodes.stopAgent(5);
             nodes.runFor(seconds(5));
             check(nodes.countEntriesRoutingTo(5) == 0);
@@ -389,7 +394,7 @@
             nodes.runFor(seconds(2));
             check(nodes.countEntriesRoutingTo(5) == 5);
         });
-        section("a replaced entry knows all again, and nobody else loses one", [&] {
+        section("a replaced entry learns all upstreams again, and no other entry loses one", [&] {
             nodes.stopEntry(1);
             nodes.startEntry(1);
             nodes.runFor(seconds(3));
@@ -397,26 +402,28 @@
             check(nodes.countRoutableAt(0) == 10);
         });
     });
-    section("healthy agents outlive the entries that heard them, more than once", [] {
-        mesh nodes(meshOf(11, 4));
-        nodes.runFor(seconds(5));
-        for (int second = 0; second < 240; ++second) {
-            for (const int dead : {0, 1}) {
-                if (second % 120 == 0)
-                    nodes.stopEntry(dead);
-                if (second % 120 == 60)
-                    nodes.startEntry(dead);
-            }
-            nodes.runFor(seconds(1));
-            require(nodes.countRoutableAt(2) == 11 && nodes.countRoutableAt(3) == 11);
-        }
-    });
-    section("one message in ten is lost: no healthy upstream leaves, a leaving one does", [] {
+    section("healthy agents stay routable when the entries that receive their heartbeats fail "
+            "repeatedly",
+            [] {
+                mesh nodes(meshOf(11, 4));
+                nodes.runFor(seconds(5));
+                for (int second = 0; second < 240; ++second) {
+                    for (const int dead : {0, 1}) {
+                        if (second % 120 == 0)
+                            nodes.stopEntry(dead);
+                        if (second % 120 == 60)
+                            nodes.startEntry(dead);
+                    }
+                    nodes.runFor(seconds(1));
+                    require(nodes.countRoutableAt(2) == 11 && nodes.countRoutableAt(3) == 11);
+                }
+            });
+    section("with one message in ten lost, only leaving upstreams stop being routable", [] {
         auto settings = meshOf(40, 5);
         settings.lossFraction = 0.1;
         mesh nodes(settings);
         nodes.runFor(seconds(10));
-        int replaced = 0; // entries that were taken for dead
+        int replaced = 0; // times an entry was replaced as unresponsive
         for (int second = 0; second < 300; ++second) {
             nodes.runFor(seconds(1));
             for (int i = 0; i < 40; ++i) {
@@ -433,7 +440,7 @@
         for (int i = 0; i < 20; ++i)
             check(nodes.countEntriesRoutingTo(i) == 0);
     });
-    section("790 agents and 15 entries keep within 2 KB a second for each node", [] {
+    section("790 agents and 15 entries use at most 2 KB a second per node", [] {
         mesh nodes(meshOf(790, 15));
         nodes.runFor(seconds(60));
         nodes.resetTraffic();
@@ -445,12 +452,12 @@
         }
         const auto &bytes = nodes.trafficOf(mesh::agentName(789));
         check(bytes.sent + bytes.received < 60 * 60);
-        section("leaving is in force everywhere within half a second", [&] {
+        section("Leaving takes effect at every entry within half a second", [&] {
             nodes.agent(400).setState(upstream_state::Leaving);
             nodes.runFor(milliseconds(500));
             check(nodes.countEntriesRoutingTo(400) == 0);
         });
-        section("a killed agent is out everywhere within 30 seconds", [&] {
+        section("a killed agent is not routable at any entry within 30 seconds", [&] {
             nodes.stopAgent(401);
             nodes.runFor(seconds(30));
             check(nodes.countEntriesRoutingTo(401) == 0);
@@ -462,7 +469,7 @@
 Test(membership, messages)
 {
     const auto full = makeAnnouncement(3, 9);
-    section("survive the way through text", [&] {
+    section("messages are unchanged after conversion to text and back", [&] {
         const auto again = announcementFromJson(parseJson(compactJson(toJson(full))));
         check(toJson(again) == toJson(full));
         const auto compact = heartbeatOf(full);
@@ -472,7 +479,7 @@
         const digest_ack ack{"a", 1, 2};
         check(toJson(digestAckFromJson(toJson(ack))) == toJson(ack));
     });
-    section("are refused with the name of a missing or wrong member", [&] {
+    section("the error names a missing or invalid member", [&] {
         for (const auto &name : toJson(full).getMemberNames()) {
             for (const bool missing : {true, false}) {
                 auto json = toJson(full);
@@ -489,7 +496,7 @@
             }
         }
     });
-    section("wrong shapes are refused, not crashed on", [] {
+    section("JSON of another structure is refused", [] {
         for (const char *text : {"[]", "{}", "3", "[1,2,3,4,5,6,7]", "[\"a\",1,1,0,1,[[]]]",
                                  "[\"a\",1,1,0,1,5]", "[\"a\",-1,1]", "null"}) {
             const auto json = parseJson(text);
--- a/tests/record_request_session.cpp
+++ b/tests/record_request_session.cpp
@@ -1,5 +1,6 @@
-// Prints the recorded session, to be read and then kept as tests/golden/request_session.jsonl. No
-// test runs this: a changed decision must show as a difference to the kept file.
+// Prints the recorded session, which is reviewed and then stored as
+// tests/golden/request_session.jsonl. No test runs this program, so that a changed decision shows
+// as a difference from the stored file.
 #include <fmt/core.h>
 
 #include "request_session.h"
--- a/tests/request_flow_test.cpp
+++ b/tests/request_flow_test.cpp
@@ -1,4 +1,4 @@
-// The decisions about one request: when another attempt may start, and which answer is true.
+// Decisions about a single request: when another attempt may start, and how the caller is answered.
 #include <algorithm>
 
 #include "delivery/request_flow.h"
@@ -12,12 +12,12 @@
 
 constexpr time_point Start{milliseconds(1000)};
 
-// One unkeyed request that has been forwarded to agent a1.
+// A request without a key that has been forwarded to agent a1.
 struct forwarded_request
 {
-    explicit forwarded_request(const std::string &method, bool permit = true)
+    explicit forwarded_request(const std::string &method, bool isPermitted = true)
         : flow(
-                "e1", {}, [permit](error_kind) { return permit; },
+                "e1", {}, [isPermitted](error_kind) { return isPermitted; },
                 [](const auto &) { return true; })
     {
         flow.handle(flow_tick{}, Start);
@@ -54,7 +54,7 @@
 bool isRefusedAs(const std::vector<flow_action> &actions, error_kind kind, executed ran)
 {
     const auto *refusal = refusalIn(actions);
-    return refusal != nullptr && refusal->kind == kind && refusal->ran == ran;
+    return refusal != nullptr && refusal->kind == kind && refusal->executionState == ran;
 }
 
 bool retries(const std::string &method, const attempt_outcome &outcome)
@@ -71,32 +71,31 @@
 
 Test(request_flow, retries)
 {
-    section("what certainly did not run is tried elsewhere, whatever the method", [] {
+    section("a request that was certainly not executed is retried, whatever its method", [] {
         for (const auto *method : {"GET", "POST", "PUT"}) {
             check(retries(method, attempt_unreachable{}));
             check(retries(method, refusalOf(error_kind::QueueFull, executed::No)));
         }
     });
-    section("the agent that refused is not asked again", [] {
+    section("the agent that refused is excluded from the retry", [] {
         const auto actions = forwarded_request("POST").end(attempt_unreachable{});
         check(find<choose_upstream>(actions)->excluded == std::vector<std::string>{"a1"});
     });
-    section("what may have run is never tried again, unless idempotent and known to have ended",
-            [] {
-                check(!retries("POST", attempt_cut{true}));
-                check(!retries("GET", attempt_cut{false}));
-                check(retries("GET", attempt_cut{true}));
-                check(!retries("POST", refusalOf(error_kind::OutcomeUnknown, executed::Unknown)));
-                check(!retries("PUT", attempt_timed_out{}));
-                check(!retries("PUT", attempt_too_large{}));
-            });
-    section("a refusal whose kind does not mean 'not run' is no proof of it", [] {
+    section("a request that may have run is retried only if it is idempotent and has ended", [] {
+        check(!retries("POST", attempt_cut{true}));
+        check(!retries("GET", attempt_cut{false}));
+        check(retries("GET", attempt_cut{true}));
+        check(!retries("POST", refusalOf(error_kind::OutcomeUnknown, executed::Unknown)));
+        check(!retries("PUT", attempt_timed_out{}));
+        check(!retries("PUT", attempt_too_large{}));
+    });
+    section("a refusal of another kind is no proof that the request did not run", [] {
         const auto contradictory = refusalOf(error_kind::AnswerIncomplete, executed::No);
         check(!retries("POST", contradictory));
         check(isRefusedAs(forwarded_request("POST").end(contradictory), error_kind::OutcomeUnknown,
                           executed::Unknown));
     });
-    section("no retry without permission, time or attempts left", [] {
+    section("no retry without budget, time or attempts left", [] {
         const auto denied = forwarded_request("POST", false).end(attempt_unreachable{});
         check(isRefusedAs(denied, error_kind::UpstreamUnreachable, executed::No));
         const auto late =
@@ -112,8 +111,9 @@
     });
 }
 
-// The caller of an idempotent request whose first try was cut is refused by every other agent. The
-// last refusal says "not run", but the first try may have run: the answer must not claim otherwise.
+// The first attempt of an idempotent request was cut, and all other agents refuse the request. The
+// last refusal says "not run", but the first attempt may have been executed, so the answer must not
+// say so.
 Test(request_flow, refusal_after_a_try_that_may_have_run)
 {
     forwarded_request request("PUT");
@@ -126,34 +126,34 @@
 
 Test(request_flow, answers)
 {
-    section("a whole answer is passed on, once", [] {
+    section("a complete answer is passed on once", [] {
         forwarded_request request("POST");
         const auto actions = request.end(complete_answer{201, {}, 2, "ok"});
         check(std::get<pass_answer>(find<answer_caller>(actions)->answer).status == 201);
         check(!find<answer_caller>(request.end(complete_answer{201, {}, 2, "ok"})));
         check(request.flow.inFlight() == 0);
     });
-    section("an outcome that is not known is answered as such at once", [] {
+    section("an unknown outcome is reported at once", [] {
         check(isRefusedAs(forwarded_request("POST").end(attempt_cut{}), error_kind::OutcomeUnknown,
                           executed::Unknown));
         check(isRefusedAs(forwarded_request("GET").end(attempt_cut{}), error_kind::AnswerIncomplete,
                           executed::Unknown));
     });
-    section("an answer of an earlier attempt is not the answer", [] {
+    section("the answer of an earlier attempt is ignored", [] {
         forwarded_request request("POST");
         request.end(attempt_unreachable{});
         request.flow.handle(upstream_chosen{"r", "a2"}, Start);
         check(!find<answer_caller>(request.end(complete_answer{200, {}, 0, ""}, 1)));
         check(find<answer_caller>(request.end(complete_answer{200, {}, 0, ""}, 2)));
     });
-    section("at the deadline: the final answer, and a cancel to the agent", [] {
+    section("at the deadline the caller is answered and the attempt is cancelled", [] {
         forwarded_request request("POST");
         check(request.flow.nextWake() == Start + milliseconds(500));
         const auto actions = request.flow.handle(flow_tick{}, Start + milliseconds(500));
         check(isRefusedAs(actions, error_kind::AnswerLate, executed::Unknown));
         check(find<cancel_attempt>(actions)->agentId == "a1");
     });
-    section("the agent's own Retry-After is kept when it is longer", [] {
+    section("a longer Retry-After of the agent is kept", [] {
         auto refusal = refusalOf(error_kind::QueueFull, executed::No);
         refusal.retryAfter = milliseconds(7000);
         const auto actions = forwarded_request("POST", false).end(refusal);
@@ -170,8 +170,8 @@
     });
 }
 
-// A planned stop: the caller in flight gets its whole answer, a new one is refused as not run, and
-// the entry says that it is done only after that.
+// Planned stop: a request in flight gets its complete answer, a new one is refused as not run, and
+// the entry reports the end of the drain only afterwards.
 Test(request_flow, drain)
 {
     forwarded_request request("POST");
@@ -187,7 +187,7 @@
 
 Test(request_flow, bounds)
 {
-    section("more than the bound in flight is refused as not run", [] {
+    section("requests above maxInFlight are refused as not run", [] {
         flow_settings settings;
         settings.maxInFlight = 1;
         request_flow flow(
@@ -198,7 +198,7 @@
         check(!find<answer_caller>(flow.handle(first, Start)));
         check(isRefusedAs(flow.handle(second, Start), error_kind::Overloaded, executed::No));
     });
-    section("settings under which a key could expire during its request are refused", [] {
+    section("an eraDuration shorter than a request is refused", [] {
         flow_settings settings;
         settings.claims.eraDuration = milliseconds(1000);
         try {
@@ -210,8 +210,8 @@
     });
 }
 
-// A caller has the first bytes of a large answer when its connection breaks further up. There is no
-// other attempt and no second answer, and the drain waits for the end of the body.
+// The caller has the first bytes of a large answer when the connection to the upstream breaks. No
+// other attempt and no second answer follow, and a drain waits for the end of the body.
 Test(request_flow, streamed_answers)
 {
     const auto begin = [](forwarded_request &request, std::uint32_t attempt = 1,
@@ -225,7 +225,7 @@
         check(find<answer_caller>(begin(request)) == nullptr);
         check(request.flow.inFlight() == 1);
     });
-    section("no outcome leads to another attempt or answer", [&] {
+    section("no outcome causes another attempt or answer", [&] {
         for (const attempt_outcome &outcome :
              {attempt_outcome(attempt_cut{true}), attempt_outcome(attempt_unreachable{}),
               attempt_outcome(refusalOf(error_kind::QueueFull, executed::No)),
@@ -238,19 +238,19 @@
             check(request.flow.inFlight() == 0);
         }
     });
-    section("one that begins after the deadline is refused as late", [&] {
+    section("an answer that starts after the deadline is refused as late", [&] {
         forwarded_request request("POST");
         const auto actions = begin(request, 1, milliseconds(501));
         check(isRefusedAs(actions, error_kind::AnswerLate, executed::Unknown));
     });
-    section("one of an earlier attempt is not passed on", [&] {
+    section("the answer of an earlier attempt is not passed on", [&] {
         forwarded_request request("POST");
         request.end(attempt_unreachable{});
         request.flow.handle(upstream_chosen{"r", "a2"}, Start + milliseconds(20));
         check(find<answer_caller>(begin(request, 1, milliseconds(30))) == nullptr);
         check(find<answer_caller>(begin(request, 2, milliseconds(30))) != nullptr);
     });
-    section("a drain waits for the end of the body, but not for ever", [&] {
+    section("a drain waits for the end of the body for a limited time", [&] {
         forwarded_request request("GET");
         begin(request);
         check(find<flow_drained>(
--- a/tests/request_session_test.cpp
+++ b/tests/request_session_test.cpp
@@ -1,4 +1,4 @@
-// Replays the events of the recorded session and compares every action to the byte.
+// Replays the events of the recorded session; all actions must be identical to the recorded ones.
 #include <fstream>
 
 #include "request_session.h"
@@ -40,7 +40,7 @@
 
 Test(request_session, broken_lines)
 {
-    section("an event that can't be read is refused with the member's name", [] {
+    section("the error for an unreadable event names the member", [] {
         const std::vector<std::pair<std::string, std::string>> broken{
                 {R"({"event":"nonsense"})", "event"},
                 {R"({"event":"upstream_chosen","id":"r"})", "agent"},
--- a/tests/retry_budget_test.cpp
+++ b/tests/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-// Retries: only where nothing ran, within a budget, with time left.
+// Retries happen only if nothing was executed, the budget allows it, and time is left.
 #include "request/retry_budget.h"
 #include "section.h"
 
@@ -30,7 +30,7 @@
 
 Test(retryBudget, verdicts)
 {
-    section("no error that may have run is ever retried", [] {
+    section("no attempt that may have been executed is ever retried", [] {
         for (const auto &row : errorAnswers()) {
             retry_budget budget({}, Start);
             const auto verdict = budget.requestRetry(failedBy(row.kind), Start);
@@ -38,7 +38,7 @@
             check(row.execution == executed::No || denied(verdict, retry_denial::MayHaveRun));
         }
     });
-    section("nor one without the time for another attempt", [] {
+    section("no retry if there is no time for another attempt", [] {
         retry_budget budget({}, Start);
         auto failed = failedBy(error_kind::UpstreamUnreachable);
         failed.deadline = Start + milliseconds(20);
@@ -46,7 +46,7 @@
         failed.deadline += milliseconds(1);
         check(granted(budget.requestRetry(failed, Start)));
     });
-    section("nor one that has had its attempts", [] {
+    section("no retry after maxAttempts attempts", [] {
         retry_budget budget({}, Start);
         auto failed = failedBy(error_kind::QueueFull);
         failed.attempts = 3;
@@ -54,8 +54,8 @@
     });
 }
 
-// Every upstream is down. Without a budget each request would be sent three times, and the load on
-// the upstreams that try to come back would be threefold. The caller reads `retry_budget_spent`.
+// Every upstream is down. Without a budget each request would be sent three times, and recovering
+// upstreams would get three times the load. The caller is answered `retry_budget_spent`.
 Test(retryBudget, noStorm)
 {
     retry_budget budget({}, Start);
@@ -70,25 +70,25 @@
         for (; granted(budget.requestRetry(failed, now)); ++failed.attempts)
             ++retries;
     }
-    section("a tenth of the requests and one a second, no more", [&] {
+    section("retries are at most a tenth of the requests plus one a second", [&] {
         check(retries <= Requests / 10 + 10 + 1);
         check(retries >= Requests / 10);
     });
-    section("the answer and the counters say why", [&] {
+    section("the answer and the counters have the reason", [&] {
         const auto verdict = budget.requestRetry(failedBy(error_kind::UpstreamUnreachable), Start);
         check(std::get<give_up>(verdict).kind == error_kind::RetryBudgetSpent);
         check(budget.counters().denied.at(retry_denial::BudgetSpent) > 8000);
         check(budget.counters().retried.at(error_kind::UpstreamUnreachable)
               == static_cast<std::uint64_t>(retries));
     });
-    section("a long quiet time saves up a bounded burst", [&] {
+    section("a long time without traffic saves up a limited number of retries", [&] {
         budget.requestStarted(now + std::chrono::hours(1));
         check(budget.availableRetries() <= 20.0);
     });
 }
 
-// With one caller a minute, a share of the requests would never earn a whole retry, and the one
-// failed connection of the day would reach the caller.
+// With one request a minute, a share of the requests would never earn a whole retry, and a single
+// failed connection would reach the caller.
 Test(retryBudget, floorForLittleTraffic)
 {
     retry_budget budget({}, Start);
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,4 @@
-// Routing: zones, newcomers, ejection and readmission, answers that name the fault.
+// Routing: zones, new upstreams, ejection and readmission, errors.
 #include <map>
 #include <string>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A router with a clock that is set by hand, in zone a of kartli.
+// A router in zone a of kartli with a manual clock.
 struct router_fixture
 {
     explicit router_fixture(routing_policy policy = two_choices{}, router_settings settings = {})
@@ -39,7 +39,7 @@
         subject.apply(upstream_joined{about}, now);
     }
 
-    // `count` upstreams that have been there for a while.
+    // Adds `count` upstreams and lets their slow start pass.
     void joinMany(int count)
     {
         for (int i = 0; i < count; ++i)
@@ -78,7 +78,7 @@
         }
     }
 
-    // How often each is taken in a thousand requests that end at once.
+    // How often each upstream is chosen for a thousand requests that end at once.
     std::map<std::string, int> shares()
     {
         std::map<std::string, int> counts;
@@ -96,13 +96,13 @@
 Test(router, answersThatNameTheFault)
 {
     router_fixture fixture;
-    section("no upstream is known, or all were tried", [&] {
+    section("no_upstream: none is known, or all are excluded", [&] {
         check(fixture.chosen() == "no_upstream");
         fixture.joinMany(2);
         check(fixture.chosen({"u0"}) == "u1");
         check(fixture.chosen({"u0", "u1"}) == "no_upstream");
     });
-    section("all refused for their load: overloaded, for 20 ms at the most", [&] {
+    section("overloaded: all refused because of their load, for at most 20 ms", [&] {
         for (const auto *id : {"u0", "u1"}) {
             fixture.start(id);
             fixture.end(id, attempt_outcome::Refused, milliseconds(5000));
@@ -111,7 +111,7 @@
         fixture.now += milliseconds(20);
         check(fixture.chosen().front() == 'u');
     });
-    section("one that says it is draining is not asked again before it announces", [&] {
+    section("a draining upstream gets no requests until it announces again", [&] {
         fixture.start("u0");
         fixture.end("u0", attempt_outcome::Leaving);
         check(fixture.shares()["u1"] == 1000);
@@ -127,19 +127,19 @@
     fixture.join("other", "kartli-b");
     fixture.join("far", "uusimaa-a", "uusimaa");
     fixture.now += seconds(20);
-    section("the own zone comes first", [&] { check(fixture.shares()["near"] == 1000); });
-    section("up to one request for each slot", [&] {
+    section("the entry's own zone is preferred", [&] { check(fixture.shares()["near"] == 1000); });
+    section("up to one request per slot", [&] {
         fixture.start("near", 7);
         check(fixture.chosen() == "near");
         fixture.start("near", 1);
         check(fixture.chosen() == "other");
     });
-    section("two full zones do not swap their requests", [&] {
+    section("two full zones do not exchange their requests", [&] {
         fixture.start("other", 8);
         fixture.start("far", 8);
         check(fixture.chosen() == "near");
     });
-    section("the other region comes last", [&] {
+    section("another region is the last choice", [&] {
         router_fixture two;
         two.join("other", "kartli-b");
         two.join("far", "uusimaa-a", "uusimaa");
@@ -149,8 +149,8 @@
     });
 }
 
-// A worker was replaced. To every entry the new upstream looks idle, and without a slow start it
-// would be sent nearly everything while its caches are cold.
+// A worker was replaced. Every entry sees the new upstream as idle and, without a slow start, would
+// send nearly all requests to it while its caches are cold.
 Test(router, slowStart)
 {
     for (const routing_policy &policy :
@@ -169,8 +169,9 @@
     }
 }
 
-// An upstream refuses connections. It fails at once, so it always looks idle and would draw ever
-// more requests; callers would see their retries used up. After five failures it is left alone.
+// An upstream refuses connections. Since its attempts fail at once, it always looks idle and would
+// get more and more requests, which use up the retries of the callers. It is ejected after five
+// failures.
 Test(router, ejection)
 {
     router_fixture fixture;
@@ -178,16 +179,16 @@
     fixture.fail("u0", 4);
     check(fixture.shares()["u0"] > 0);
     fixture.fail("u0", 1);
-    section("five failures in a row put an upstream out",
+    section("five consecutive failures eject an upstream",
             [&] { check(fixture.shares()["u0"] == 0); });
-    section("a success in between starts the count again", [&] {
+    section("a success resets the count of failures", [&] {
         fixture.fail("u1", 4);
         fixture.start("u1");
         fixture.end("u1", attempt_outcome::Answered);
         fixture.fail("u1", 4);
         check(fixture.shares()["u1"] > 0);
     });
-    section("after the cool-down one attempt at a time is a trial", [&] {
+    section("after the cool-down one attempt at a time probes the upstream", [&] {
         fixture.now += seconds(2);
         for (int i = 1; i < 11; ++i)
             fixture.start("u" + std::to_string(i), 2);
@@ -195,14 +196,14 @@
         fixture.start("u0");
         check(fixture.shares()["u0"] == 0);
     });
-    section("a failed trial doubles the cool-down", [&] {
+    section("a failed probe doubles the cool-down", [&] {
         fixture.end("u0", attempt_outcome::Failed);
         fixture.now += milliseconds(3999);
         check(fixture.shares()["u0"] == 0);
         fixture.now += milliseconds(1);
         check(fixture.shares()["u0"] > 0);
     });
-    section("a good one readmits it, slowly", [&] {
+    section("a successful probe readmits it with a slow start", [&] {
         fixture.start("u0");
         fixture.end("u0", attempt_outcome::Answered);
         check(fixture.subject.counters().readmitted == 1);
@@ -212,8 +213,8 @@
     });
 }
 
-// The entry's own network is at fault: every upstream fails. If all were ejected, no request could
-// go out when the network is back, and the last few would be overrun.
+// The entry's own network fails, so all upstreams fail. If all were ejected, no request could be
+// sent when the network is back, and the last few would be overloaded.
 Test(router, ejectionIsCapped)
 {
     router_fixture fixture;
@@ -222,7 +223,7 @@
         fixture.fail("u" + std::to_string(i), 5);
     check(fixture.subject.ejectedCount("tickets") == 3);
     check(fixture.subject.counters().ejectionsCapped == 8);
-    section("of two, one may be out; the only one never is", [] {
+    section("one of two upstreams may be ejected, a single one never", [] {
         for (const int count : {1, 2}) {
             router_fixture few;
             few.joinMany(count);
@@ -233,7 +234,7 @@
     });
 }
 
-// The answer to an attempt at the old process arrives when the new one has joined.
+// An attempt of the old incarnation ends after the new incarnation has joined.
 Test(router, attemptsOfReplacedUpstreams)
 {
     router_fixture fixture(least_known_load{});
@@ -242,16 +243,16 @@
     fixture.subject.apply(upstream_left{"u0", 1, leave_reason::Replaced}, fixture.now);
     fixture.join("u0", "kartli-a", "kartli", 2);
     fixture.now += seconds(20);
-    section("they do not count as load of the new one", [&] {
+    section("its attempts do not count as load of the new incarnation", [&] {
         fixture.start("u1");
         check(fixture.chosen() == "u0");
     });
-    section("nor do their failures", [&] {
+    section("its failures do not count for the new incarnation", [&] {
         for (int i = 0; i < 8; ++i)
             fixture.end("u0", attempt_outcome::Failed);
         check(fixture.subject.ejectedCount("tickets") == 0);
     });
-    section("a late leave of the old one changes nothing", [&] {
+    section("a late leave of the old incarnation has no effect", [&] {
         fixture.subject.apply(upstream_left{"u0", 1, leave_reason::Left}, fixture.now);
         check(fixture.subject.upstreamCount("tickets") == 2);
     });
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -1,4 +1,4 @@
-// Regression bounds on the comparison of routing_bench: one seeded sequence, virtual time.
+// Regression limits for the comparison in routing_bench: one seeded sequence in virtual time.
 #include <string>
 
 #include "routing_scenario.h"
@@ -49,7 +49,7 @@
     for (const bound &limit : {bound{0.5, 22, 120, 235, 0.999}, bound{0.8, 23, 122, 240, 0.999},
                                bound{0.95, 28, 140, 260, 0.998}, bound{1.5, 62, 215, 335, 0.65}})
         checkBounds(runAt(limit.load), limit);
-    section("nothing is refused below capacity", [] {
+    section("no request is refused below the capacity", [] {
         check(runAt(0.5).totalRefused() == 0);
         check(runAt(0.8).totalRefused() == 0);
     });
@@ -61,7 +61,7 @@
 
 Test(routingPolicy, comparison)
 {
-    section("known load beats taking turns where one upstream is slow", [] {
+    section("with a slow upstream, policies by load are better than round_robin", [] {
         const auto turns = runAt(0.95, round_robin{});
         for (const routing_policy &policy :
              {routing_policy(two_choices{}), routing_policy(least_known_load{})}) {
@@ -73,9 +73,10 @@
     });
 }
 
-// Many entries, each with a small part of the traffic, know the load from one announcement a
-// second. If they trusted it for longer than a service time, all would run after the upstream that
-// last reported little, and one in five callers would be refused at four fifths of the capacity.
+// Many entries, each with a small part of the traffic, know the load from one announcement a second
+// only. If they relied on it for longer than a service time, all would send to the upstream that
+// last reported a low load, and one in five requests would be refused at four fifths of the
+// capacity.
 Test(routingPolicy, manyEntriesWithStaleLoad)
 {
     routing_scenario scenario;
@@ -87,8 +88,8 @@
     check(result.latencyPercentile(0.99) <= milliseconds(130));
 }
 
-// Every upstream refuses connections. Callers get their refusal; the upstreams see at most a tenth
-// more attempts than there are requests, so that they are not kept down by retries.
+// Every upstream refuses connections. All requests are refused; the number of attempts exceeds that
+// of the requests by a tenth at most, so that retries do not keep the upstreams from recovering.
 Test(routingPolicy, allUpstreamsFail)
 {
     routing_scenario scenario;
@@ -101,7 +102,7 @@
     check(result.refusedByKind.at(error_kind::RetryBudgetSpent) == result.totalRefused());
 }
 
-// One upstream refuses connections at once and so always looks idle.
+// One upstream refuses connections at once, so it always looks idle.
 Test(routingPolicy, oneUpstreamFails)
 {
     routing_scenario scenario;
@@ -112,8 +113,9 @@
     check(static_cast<double>(result.retries) < 0.002 * static_cast<double>(result.requests));
 }
 
-// One upstream takes requests and never answers. Those that are there are lost: they may have run,
-// so nobody repeats them. Few may follow, and everybody else is served as before.
+// One upstream accepts requests and never answers. Its requests are lost: they may have been
+// executed, so they are not retried. Few further requests are sent to it, and all others are
+// answered as before.
 Test(routingPolicy, oneUpstreamHangs)
 {
     routing_scenario scenario;
