--- a/app/admission_actor.cpp
+++ b/app/admission_actor.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 8192;
-constexpr seconds TailLatencyWindow{2}; // answers that the tail latency is taken from
+constexpr seconds TailLatencyWindow{2}; // tail latency is taken over the answers of this period
 constexpr milliseconds TickInterval{20};
 
 request::admission_settings admissionSettings(const config::agent_settings &settings)
@@ -115,12 +115,12 @@
                                            const delivery::incoming_attempt &attempt)
 {
     const auto key = keyOf(attempt.requestId, attempt.attempt);
-    auto decided = std::make_shared<std::promise<verdict>>();
-    auto decision = decided->get_future();
+    auto arrivalVerdict = std::make_shared<std::promise<verdict>>();
+    auto decision = arrivalVerdict->get_future();
     arrival newArrival{
             {key, request.header(ServiceHeader), request.header(TeamHeader), 0, attempt.deadline},
             attempt,
-            decided};
+            arrivalVerdict};
     if (!m_actor->post(std::move(newArrival)))
         return refuse({key, error_kind::Overloaded,
                        answerFor(error_kind::Overloaded).suggestedRetryDelay});
@@ -135,7 +135,8 @@
         return response;
     }
     const auto startedAt = monotonic_clock::now();
-    // A process that was paused checks again right before the act: the deadline may be over.
+    // The process may have been paused since the decision: the deadline is checked again right
+    // before the request is sent.
     http_response response = startedAt < attempt.deadline
                                      ? runAtUpstream(request, attempt.deadline)
                                      : refusalAnswer(error_kind::DeadlinePassed);
@@ -145,7 +146,8 @@
                            executed::Unknown,
                            monotonic_clock::now() - startedAt};
     if (response.stream) {
-        // The upstream works until its last byte has come: the slot is held as long.
+        // The upstream works on the request until its last byte has arrived, so the slot is held
+        // that long.
         response.stream->observeEnd(
                 [this, attemptEnd, startedAt](body_end end, duration waited) mutable {
                     if (end)
@@ -170,7 +172,8 @@
 void admission_actor::reportEnd(attempt_end attemptEnd, time_point startedAt)
 {
     attemptEnd.event.elapsedTime = monotonic_clock::now() - startedAt;
-    // A slot that is never given back would be lost: the ring is sized for every connection.
+    // If this event were lost, its slot would never be freed. The ring is large enough for every
+    // connection, so the loop ends.
     while (!m_actor->post(attemptEnd))
         m_metrics.count("ring_full_total", "finished");
 }
@@ -178,8 +181,8 @@
 http_response admission_actor::runAtUpstream(const http_request &request, time_point deadline)
 {
     const auto id = request.header(RequestIdHeader);
-    const auto result =
-            m_upstream.callStreaming(requestForUpstream(request, id), deadline, {}, m_receivers);
+    const auto result = m_upstream.callStreaming(requestForUpstream(request, id), deadline, {},
+                                                 m_receiverThreads);
     if (const auto *failure = std::get_if<call_failure>(&result)) {
         const auto kind = kindOf(*failure);
         m_metrics.count("upstream_failures_total", nameOf(kind));
@@ -215,8 +218,8 @@
 request::upstream_load admission_actor::load() const
 {
     request::upstream_load load;
-    load.inFlight = m_running;
-    load.queued = m_waiting;
+    load.inFlight = m_runningCount;
+    load.queued = m_waitingCount;
     load.latency = duration(m_latencyMicroseconds);
     return load;
 }
@@ -229,11 +232,11 @@
 
 void admission_actor::stop()
 {
-    m_receivers.stop();
+    m_receiverThreads.stop();
     m_actor->stop();
 }
 
-// --- On the duty's thread -----------------------------------------------------------------------
+// --- On the actor's thread ----------------------------------------------------------------------
 
 void admission_actor::handle(event &newEvent)
 {
@@ -243,7 +246,7 @@
 
 void admission_actor::on(arrival &newEvent, time_point now)
 {
-    // A doubled, late or misdirected forward must not run.
+    // A duplicated, late or misdirected attempt must not run.
     if (const auto refusal = m_guard.admitAttempt(newEvent.attempt, now)) {
         newEvent.decisionPromise->set_value(*refusal);
         return;
@@ -255,7 +258,8 @@
 void admission_actor::on(const attempt_end &newEvent, time_point now)
 {
     m_guard.recordEnd(newEvent.requestId, newEvent.attempt, newEvent.ran, now);
-    // One that was late took at least so long: an upstream that answers nothing in time is slow.
+    // A late attempt took at least that long; it counts, so that an upstream that answers nothing
+    // by the deadline is seen as slow.
     if (newEvent.ran == executed::Yes || newEvent.isLate)
         recordAnswerTime(newEvent.answeredAfter, now);
     feed(newEvent.event);
@@ -264,13 +268,13 @@
 void admission_actor::on(const cancel_requested &newEvent, time_point now)
 {
     if (!m_guard.cancelAttempt(newEvent.requestId, newEvent.attempt, now))
-        return; // it runs, or was never here: its end decides
+        return; // it is running or unknown here: its end decides
     const auto key = keyOf(newEvent.requestId, newEvent.attempt);
     feed(request::admission::cancelled{key});
     const auto waiting = m_attempts.find(key);
     if (waiting == m_attempts.end())
         return;
-    waiting->second.decided->set_value(
+    waiting->second.verdictPromise->set_value(
             request::admission::refuse{key, error_kind::DeadlinePassed, milliseconds(0)});
     m_attempts.erase(waiting);
 }
@@ -280,13 +284,13 @@
     feed(newEvent);
 }
 
-void admission_actor::recordAnswerTime(duration took, time_point now)
+void admission_actor::recordAnswerTime(duration answerTime, time_point now)
 {
     const std::lock_guard lock(m_answerTimesMutex);
-    m_answerTimes.add(took, now);
+    m_answerTimes.add(answerTime, now);
 }
 
-// Only what waits can come to nothing by time alone.
+// Only waiting requests can expire without an event.
 time_point admission_actor::nextTick() const
 {
     return m_admission.waitingCount() == 0 ? Never : m_lastTickAt + TickInterval;
@@ -303,8 +307,8 @@
     const auto now = monotonic_clock::now();
     for (const auto &action : m_admission.handle(newEvent, now))
         applyDecision(action, now);
-    m_running = m_admission.runningCount();
-    m_waiting = m_admission.waitingCount();
+    m_runningCount = m_admission.runningCount();
+    m_waitingCount = m_admission.waitingCount();
     m_latencyMicroseconds = m_admission.serviceTime(m_settings.upstream.service).count();
 }
 
@@ -320,13 +324,12 @@
     const auto &attempt = waiting.attempt;
     if (const auto *refusal = std::get_if<request::admission::refuse>(&action)) {
         m_guard.recordEnd(attempt.requestId, attempt.attempt, executed::No, now);
-        waiting.decided->set_value(*refusal);
+        waiting.verdictPromise->set_value(*refusal);
     } else if (const auto late = m_guard.startAttempt(attempt.requestId, attempt.attempt, now)) {
-        waiting.decided->set_value(*late);
-        feed(request::admission::finished{key, duration(0), duration(0),
-                                          true}); // gives its slot back
+        waiting.verdictPromise->set_value(*late);
+        feed(request::admission::finished{key, duration(0), duration(0), true}); // frees its slot
     } else {
-        waiting.decided->set_value(std::get<request::admission::start>(action));
+        waiting.verdictPromise->set_value(std::get<request::admission::start>(action));
     }
 }
 
--- a/app/admission_actor.h
+++ b/app/admission_actor.h
@@ -1,4 +1,5 @@
-// The agent's admission duty: which requests reach the upstream, when, and what comes back.
+// The agent's admission control: decides which requests reach the upstream and when, runs them
+// there and answers the entry.
 #pragma once
 
 #include <functional>
@@ -23,21 +24,25 @@
 class admission_actor
 {
 public:
-    // `unreachable` is called when the upstream refused a connection.
+    // `onUnreachable` is called, on an HTTP thread, when the upstream refused a connection.
     admission_actor(actor_runtime &system, const config::agent_settings &settings,
                     std::uint64_t incarnation, metrics &counters,
                     std::function<void()> onUnreachable);
     ~admission_actor();
 
-    // Runs on the HTTP thread of an entry's connection until the request's end.
+    // Runs on the HTTP thread of an entry's connection; returns when the request has its answer or,
+    // for a streamed answer, its head.
     http_response serve(const http_request &request);
-    // The entry's caller is gone: a request that waits must not start.
+    // Cancels an attempt whose caller is gone: it must not start if it still waits.
     void cancel(const std::string &requestId, std::uint32_t attempt);
 
     void drain();
-    bool isDrained() const { return m_running == 0 && m_waiting == 0 && m_openRequests == 0; }
+    bool isDrained() const
+    {
+        return m_runningCount == 0 && m_waitingCount == 0 && m_openRequests == 0;
+    }
     request::upstream_load load() const;
-    // Of the upstream's newest answers; absent while there are none.
+    // Tail latency over the upstream's most recent answers; nothing while there are none.
     std::optional<request::latency_reading> tailLatency() const;
     void stop();
 
@@ -46,7 +51,7 @@
                                  delivery::guard_refusal>;
     struct arrival
     {
-        request::admission::arrived event; // its id is the key: request id and attempt
+        request::admission::arrived event; // id: keyOf(request id, attempt)
         delivery::incoming_attempt attempt;
         std::shared_ptr<std::promise<verdict>> decisionPromise;
     };
@@ -56,8 +61,8 @@
         std::string requestId;
         std::uint32_t attempt = 0;
         executed ran = executed::Unknown;
-        duration answeredAfter{0}; // until the answer, or its first part, was there
-        bool isLate = false;       // no answer by the deadline
+        duration answeredAfter{0}; // until the answer, or its first part, arrived
+        bool isLate = false;       // the upstream did not answer by the deadline
     };
     struct cancel_requested
     {
@@ -69,7 +74,7 @@
     struct waiting_attempt
     {
         delivery::incoming_attempt attempt;
-        std::shared_ptr<std::promise<verdict>> decided;
+        std::shared_ptr<std::promise<verdict>> verdictPromise;
     };
 
     http_response admitAndRun(const http_request &request,
@@ -82,7 +87,7 @@
     void on(const attempt_end &newEvent, time_point now);
     void on(const cancel_requested &newEvent, time_point now);
     void on(const request::admission::drain_started &newEvent, time_point now);
-    void recordAnswerTime(duration took, time_point now);
+    void recordAnswerTime(duration answerTime, time_point now);
     void applyDecision(const request::admission::action &action, time_point now);
     time_point nextTick() const;
     void tick();
@@ -92,21 +97,21 @@
     metrics &m_metrics;
     std::function<void()> m_onUnreachable;
     http_pool m_upstream;
-    std::atomic<int> m_running{0};
-    std::atomic<int> m_waiting{0};
-    std::atomic<int> m_openRequests{0}; // requests between their arrival and their answer
+    std::atomic<int> m_runningCount{0};
+    std::atomic<int> m_waitingCount{0};
+    std::atomic<int> m_openRequests{0}; // requests that arrived and are not answered yet
     std::atomic<std::int64_t> m_latencyMicroseconds{0};
-    mutable std::mutex m_answerTimesMutex; // of the next
+    mutable std::mutex m_answerTimesMutex; // guards m_answerTimes
     request::latency_window m_answerTimes;
 
-    // Touched by the duty's thread alone.
+    // Used only on the actor's thread.
     request::admission m_admission;
     time_point m_lastTickAt{};
     delivery::attempt_guard m_guard;
-    std::map<std::string, waiting_attempt> m_attempts; // that wait, by key
+    std::map<std::string, waiting_attempt> m_attempts; // waiting ones, by keyOf()
 
-    std::unique_ptr<event_actor<event>> m_actor; // its thread uses all of the above
-    receiver_threads m_receivers;                // last: its threads post to the duty
+    std::unique_ptr<event_actor<event>> m_actor; // after the members above, which its thread uses
+    receiver_threads m_receiverThreads;          // last: its threads post to m_actor
 };
 
 } // namespace zinniabarrow
--- a/app/agent.cpp
+++ b/app/agent.cpp
@@ -20,8 +20,8 @@
 
 constexpr milliseconds RpcTimeout{500};
 constexpr milliseconds PollInterval{10};
-constexpr milliseconds MinLeavingTime{
-        1500}; // entries that were not reached hear it from the others
+// In this time, entries that this agent cannot reach learn from other entries that it leaves.
+constexpr milliseconds MinLeavingTime{1500};
 constexpr std::size_t EntryConnections = 192;
 
 class agent_daemon
@@ -46,14 +46,14 @@
     void start()
     {
         m_server.start();
-        m_announce.emplace(
+        m_announcements.emplace(
                 m_actorRuntime, m_settings, m_self, advertisedAddress(), m_sender,
                 [this] { return m_admission.load(); }, [this] { return m_configFollower.report(); },
                 [this] { stopSuperseded(); });
         m_supervisor.emplace(m_actorRuntime, m_settings, m_self, advertisedAddress(), m_sender,
                              m_metrics, [this] { return m_admission.tailLatency(); });
         m_probe.emplace(m_actorRuntime, upstreamAddress(),
-                        [this](bool up) { handleUpstreamChange(up); });
+                        [this](bool isReachable) { handleUpstreamChange(isReachable); });
         m_isStarted = true;
         m_isReady = true;
         Json::Value fields(Json::objectValue);
@@ -67,18 +67,18 @@
         m_log.info("drain_started");
         m_isReady = false;
         m_probe->stop();
-        m_announce->setState(request::upstream_state::Leaving);
+        m_announcements->setState(request::upstream_state::Leaving);
         m_supervisor->setServing(false);
         m_admission.drain();
-        const auto giveUpAt = startedAt + m_settings.drainTimeout;
-        const auto done = [&](time_point now) {
+        const auto drainDeadline = startedAt + m_settings.drainTimeout;
+        const auto isDone = [&](time_point now) {
             return m_admission.isDrained() && m_server.inFlight() == 0
-                   && m_announce->isLeaveComplete() && now - startedAt >= MinLeavingTime;
+                   && m_announcements->isLeaveComplete() && now - startedAt >= MinLeavingTime;
         };
-        while (!done(monotonic_clock::now()) && monotonic_clock::now() < giveUpAt)
+        while (!isDone(monotonic_clock::now()) && monotonic_clock::now() < drainDeadline)
             std::this_thread::sleep_for(PollInterval);
         m_server.stop();
-        m_announce->stop();
+        m_announcements->stop();
         m_supervisor->stop();
         m_configFollower.stop();
         m_admission.stop();
@@ -104,13 +104,13 @@
         return {m_settings.upstream.address.address, m_settings.upstream.address.port};
     }
 
-    void handleUpstreamChange(bool up)
+    void handleUpstreamChange(bool isReachable)
     {
         Json::Value fields(Json::objectValue);
-        fields["reachable"] = up;
+        fields["reachable"] = isReachable;
         m_log.info("upstream_changed", fields);
-        m_announce->setState(up ? request::upstream_state::Serving
-                                : request::upstream_state::Starting);
+        m_announcements->setState(isReachable ? request::upstream_state::Serving
+                                              : request::upstream_state::Starting);
     }
 
     void bindMethods()
@@ -121,7 +121,7 @@
             return Json::Value(Json::objectValue);
         });
         m_endpoint.bind("drain", [this](const Json::Value & /*parameters*/) {
-            m_signals.request(); // as if the platform had asked it to stop
+            m_signals.request(); // the same as SIGTERM from the platform
             return Json::Value(Json::objectValue);
         });
         m_endpoint.bind("generation", [this](const Json::Value &parameters) {
@@ -137,7 +137,8 @@
     supervisor_actor &supervisor()
     {
         if (!m_isReady)
-            throw rpc_refusal(std::string(nameOf(error_kind::Starting)), "try again later");
+            throw rpc_refusal(std::string(nameOf(error_kind::Starting)),
+                              "the agent is starting or stopping: try again later");
         return *m_supervisor;
     }
 
@@ -147,7 +148,7 @@
             if (auto answer = m_endpoint.serve(request))
                 return *answer;
         }
-        if (!m_isStarted) { // an entry that still knows an earlier life of this agent
+        if (!m_isStarted) { // an entry that routes to an earlier incarnation of this agent
             auto answer = refusalAnswer(error_kind::Starting);
             answer.headers[RequestIdHeader] = request.header(RequestIdHeader);
             return answer;
@@ -164,10 +165,10 @@
     rpc_sender m_sender;
     admission_actor m_admission;
     config_follower_actor m_configFollower;
-    std::atomic<bool> m_isStarted{false}; // every duty stands
-    std::atomic<bool> m_isReady{false};   // and no stop was asked for
+    std::atomic<bool> m_isStarted{false}; // all actors are constructed
+    std::atomic<bool> m_isReady{false};   // started, and no stop was requested
     rpc_endpoint m_endpoint;
-    std::optional<announcement_actor> m_announce;
+    std::optional<announcement_actor> m_announcements;
     std::optional<supervisor_actor> m_supervisor;
     std::optional<upstream_probe> m_probe;
     http_server m_server;
--- a/app/agent.h
+++ b/app/agent.h
@@ -1,11 +1,11 @@
-// The agent's daemon: one beside each upstream, on its worker.
+// The agent daemon: one runs beside each upstream, on the upstream's worker.
 #pragma once
 
 #include "config/settings.h"
 
 namespace zinniabarrow {
 
-// Serves until SIGTERM, drains, returns the exit code.
+// Serves until SIGTERM, then drains. Returns the exit code.
 int runAgent(const config::agent_settings &settings);
 
 } // namespace zinniabarrow
--- a/app/announcement_actor.cpp
+++ b/app/announcement_actor.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::size_t RingCapacity = 1024;
 constexpr milliseconds TickInterval{100};
-constexpr milliseconds ReportRepeatInterval{
-        4000}; // two may be lost before operators are told of silence
+// Two reports may be lost before operators see this process as silent.
+constexpr milliseconds ReportRepeatInterval{4000};
 
 request::announcement ownAnnouncement(const config::agent_settings &settings,
                                       const process_identity &self, const std::string &ownAddress)
@@ -83,14 +83,14 @@
     }
     const auto &answer = std::get<announce_reply>(newEvent);
     if (!answer.reply)
-        return; // the announcer repeats, and turns to another entry when one stays silent
+        return; // the announcer repeats it, and turns to another entry when one does not answer
     try {
         handleReply(answer);
     } catch (const error &) {
-        return; // the same as no reply
+        return; // handled like a missing reply
     }
     m_isLeaveComplete = m_announcer.isLeaveComplete();
-    // An agent that was replaced while it was paused must not go on beside its successor.
+    // An agent that was paused and replaced meanwhile must not run beside its replacement.
     if (m_announcer.isSuperseded() && !m_isSupersededReported) {
         m_isSupersededReported = true;
         m_onSuperseded();
@@ -103,8 +103,7 @@
     const auto reply = request::announceReplyFromJson(*answer.reply);
     m_announcer.handleReply(answer.entry, reply, now);
     if (reply.needsFullAnnouncement)
-        m_reportThrottle.resetReceiver(
-                answer.entry); // it was replaced, and knows no generations either
+        m_reportThrottle.resetReceiver(answer.entry); // it was replaced and lost the reports too
     else if (answer.sentReport)
         m_reportThrottle.recordAnswer(answer.entry, *answer.sentReport, now);
 }
@@ -120,8 +119,8 @@
 void announcement_actor::send(const request::announcer::outgoing_message &message)
 {
     Json::Value parameters(Json::objectValue);
-    if (const auto *whole = std::get_if<request::announcement>(&message.message))
-        parameters["whole"] = toJson(*whole);
+    if (const auto *fullAnnouncement = std::get_if<request::announcement>(&message.message))
+        parameters["whole"] = toJson(*fullAnnouncement);
     else
         parameters["beat"] = toJson(std::get<request::heartbeat>(message.message));
     const auto entry = message.entry;
--- a/app/announcement_actor.h
+++ b/app/announcement_actor.h
@@ -1,4 +1,4 @@
-// The agent's announce duty: tells the entries of its upstream and worker.
+// Announces the agent's upstream and worker to the entries.
 #pragma once
 
 #include <functional>
@@ -25,7 +25,8 @@
                        std::function<void()> onSuperseded);
     ~announcement_actor();
 
-    // Leaving goes to every entry at once, and again until each has answered or was given up.
+    // Leaving is sent to every entry immediately and repeated until each one has acknowledged it or
+    // was given up.
     void setState(request::upstream_state state);
     bool isLeaveComplete() const { return m_isLeaveComplete; }
     void stop();
@@ -34,7 +35,7 @@
     struct announce_reply
     {
         std::string entry;
-        std::optional<config::generation_report> sentReport; // by the message that is answered
+        std::optional<config::generation_report> sentReport; // with the answered message
         std::optional<Json::Value> reply;
     };
     using event = std::variant<request::upstream_state, announce_reply>;
@@ -48,14 +49,15 @@
     std::function<request::upstream_load()> m_load;
     std::function<config::generation_report()> m_generationReport;
     std::atomic<bool> m_isLeaveComplete{false};
-    std::function<void()> m_onSuperseded; // a newer process announces under this id: stop
+    std::function<void()> m_onSuperseded; // called once when a newer process announces under this
+                                          // id: stop this one
     bool m_isSupersededReported = false;
 
-    // Touched by the duty's thread alone.
+    // Used only on the actor's thread.
     request::announcer m_announcer;
     config::report_throttle m_reportThrottle;
 
-    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all of the above
+    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all members above
 };
 
 } // namespace zinniabarrow
--- a/app/config_actor.cpp
+++ b/app/config_actor.cpp
@@ -14,8 +14,8 @@
 constexpr std::size_t RingCapacity = 8192;
 constexpr milliseconds TickInterval{100};
 constexpr milliseconds PlatformReplyTimeout{2000};
-// A process that was not heard for so long is named as silent: three of the longest periods
-// between announcements of a fleet of today's size.
+// A process that was not heard from for this long is shown as silent: three times the longest
+// interval between announcements in a fleet of the current size.
 constexpr milliseconds SilenceTimeout{10'000};
 constexpr std::uint64_t OperationSeedStream = 11;
 
@@ -35,7 +35,7 @@
     const auto name = stringMember(parameters, "name");
     if (!config::isFolderFile(name) || name.find('/') != std::string::npos)
         throw rpc_refusal(std::string(nameOf(error_kind::BadRequest)),
-                          "'" + name + "' is no file of the folder: end the name in .json");
+                          "'" + name + "' is not a file of the folder: its name must end in .json");
     return std::string(config::FolderPrefix) + name;
 }
 
@@ -51,14 +51,14 @@
 config_actor::config_actor(actor_runtime &system, const config::entry_settings &settings,
                            const process_identity &self, platform_executor &platform,
                            rpc_sender &sender, metrics &counters, const logger &log,
-                           std::function<void(adopted_configuration)> adopted)
+                           std::function<void(adopted_configuration)> onAdopted)
     : m_settings(settings)
     , m_self(self)
     , m_platform(platform)
     , m_sender(sender)
     , m_metrics(counters)
     , m_log(log)
-    , m_onAdopted(std::move(adopted))
+    , m_onAdopted(std::move(onAdopted))
     , m_manager(managerSettings(settings, self),
                 random_generator(self.incarnation, OperationSeedStream), monotonic_clock::now())
 {
@@ -79,7 +79,7 @@
 
 void config_actor::post(config::generation_event newEvent)
 {
-    // A lost answer is like one that the platform never gave: the keeper asks again.
+    // A lost event is handled like a missing answer of the platform: the manager asks again.
     if (!m_actor->post(std::move(newEvent)))
         m_metrics.count("ring_full_total", "configuration");
 }
@@ -95,21 +95,21 @@
     return m_report;
 }
 
-void config_actor::membersChanged(const members_snapshot &snapshot)
+void config_actor::updateMembers(const members_snapshot &snapshot)
 {
-    process_addresses known;
+    process_addresses knownAddresses;
     for (const auto &agent : snapshot.agents)
-        known.addresses[agent.agentId] = agent.address;
+        knownAddresses.addresses[agent.agentId] = agent.address;
     for (const auto &[id, address] : snapshot.entryAddresses)
-        known.addresses[id] = address;
-    m_actor->post(std::move(known));
+        knownAddresses.addresses[id] = address;
+    m_actor->post(std::move(knownAddresses));
 }
 
 Json::Value config_actor::queryAndWait(
-        std::function<Json::Value(const config::generation_manager &, time_point)> how)
+        std::function<Json::Value(const config::generation_manager &, time_point)> query)
 {
     return postAndAwaitReply([&](const reply_promise &reply) {
-        return m_actor->post(manager_query{how, reply});
+        return m_actor->post(manager_query{query, reply});
     });
 }
 
@@ -123,9 +123,9 @@
 
 Json::Value config_actor::readContent(const Json::Value &parameters)
 {
-    const auto wanted = config::readContentFromJson(parameters);
-    return queryAndWait([wanted](const config::generation_manager &manager, time_point) {
-        return answerReadContent(manager.follower(), wanted);
+    const auto contentRequest = config::readContentFromJson(parameters);
+    return queryAndWait([contentRequest](const config::generation_manager &manager, time_point) {
+        return answerReadContent(manager.follower(), contentRequest);
     });
 }
 
@@ -167,8 +167,9 @@
                           "another operator changed the file: read it again, then write");
     if (result.outcome == write_outcome::Refused)
         throw rpc_refusal(std::string(nameOf(error_kind::PlatformUnavailable)),
-                          "the platform refused: nothing was written, try again later");
-    post(config::scan_now{}); // the operator waits for this file: do not wait for the next round
+                          "the platform refused the write: nothing was written, try again later");
+    // The operator waits for this file, so scan now instead of at the next interval.
+    post(config::scan_now{});
     return toJson(result);
 }
 
@@ -191,14 +192,14 @@
     });
 }
 
-// --- On the duty's thread -----------------------------------------------------------------------
+// --- On the actor's thread ----------------------------------------------------------------------
 
 void config_actor::handle(event &newEvent)
 {
-    if (auto *asked = std::get_if<manager_query>(&newEvent)) {
-        asked->reply->set_value(asked->answer(m_manager, monotonic_clock::now()));
-    } else if (auto *known = std::get_if<process_addresses>(&newEvent)) {
-        m_addresses = std::move(known->addresses);
+    if (auto *pendingQuery = std::get_if<manager_query>(&newEvent)) {
+        pendingQuery->reply->set_value(pendingQuery->answer(m_manager, monotonic_clock::now()));
+    } else if (auto *knownAddresses = std::get_if<process_addresses>(&newEvent)) {
+        m_processAddresses = std::move(knownAddresses->addresses);
     } else {
         feed(std::get<config::generation_event>(newEvent));
     }
@@ -208,7 +209,7 @@
 {
     for (const auto &action : m_manager.handle(newEvent, monotonic_clock::now()))
         std::visit([this](const auto &each) { perform(each); }, action);
-    m_ready = m_manager.isReady();
+    m_isReady = m_manager.isReady();
 }
 
 void config_actor::perform(const config::read_accepted_row &action)
@@ -283,7 +284,7 @@
         return;
     }
     const auto request = action.request;
-    m_sender.call(m_addresses[action.peer], "generation_content", toJson(action),
+    m_sender.call(m_processAddresses[action.peer], "generation_content", toJson(action),
                   [this, request](const std::optional<Json::Value> &answer) {
                       post(config::contentReadFromJson(request, answer));
                   });
@@ -307,13 +308,13 @@
 void config_actor::perform(const config::push_generation &action)
 {
     if (action.processes.empty()) {
-        for (const auto &[id, address] : m_addresses)
+        for (const auto &[id, address] : m_processAddresses)
             push(address, action.report);
         return;
     }
     for (const auto &id : action.processes) {
-        const auto address = m_addresses.find(id);
-        if (address != m_addresses.end())
+        const auto address = m_processAddresses.find(id);
+        if (address != m_processAddresses.end())
             push(address->second, action.report);
     }
 }
--- a/app/config_actor.h
+++ b/app/config_actor.h
@@ -1,5 +1,5 @@
-// The entry's configuration duty: watches the operators' folder, accepts generations, tells the
-// other processes, and answers operators.
+// The entry's side of configuration: watches the operators' folder, accepts generations, pushes
+// them to the other processes and answers operators' commands.
 #pragma once
 
 #include <functional>
@@ -34,20 +34,20 @@
     config_actor(actor_runtime &system, const config::entry_settings &settings,
                  const process_identity &self, platform_executor &platform, rpc_sender &sender,
                  metrics &counters, const logger &log,
-                 std::function<void(adopted_configuration)> adopted);
+                 std::function<void(adopted_configuration)> onAdopted);
     ~config_actor();
 
-    // May this entry serve callers? Not before it knows the highest generation in force.
-    bool isReady() const { return m_ready; }
+    // Whether this entry may serve callers: only once it knows the highest generation in force.
+    bool isReady() const { return m_isReady; }
     std::uint64_t generation() const { return m_generation; }
 
     void receiveReport(const config::generation_report &report);
-    Json::Value ownReport() const; // this entry's own
-    void membersChanged(const members_snapshot &snapshot);
+    Json::Value ownReport() const; // which generation this entry runs
+    void updateMembers(const members_snapshot &snapshot);
 
-    // JSON-RPC bodies; they wait for the duty or for the platform.
-    Json::Value
-    handleGenerationPush(const Json::Value &parameters);    // {report}; answers the own report
+    // JSON-RPC methods. They block until the actor or the platform has answered.
+    // {report}; returns this entry's own report
+    Json::Value handleGenerationPush(const Json::Value &parameters);
     Json::Value readContent(const Json::Value &parameters); // {digest}
     Json::Value folderView();
     Json::Value fileStatus(const Json::Value &parameters); // {name, version}
@@ -69,7 +69,7 @@
     using event = std::variant<config::generation_event, manager_query, process_addresses>;
 
     Json::Value
-    queryAndWait(std::function<Json::Value(const config::generation_manager &, time_point)> how);
+    queryAndWait(std::function<Json::Value(const config::generation_manager &, time_point)> query);
     Json::Value writeFile(std::function<write_result(platform_client &)> write);
 
     void handle(event &newEvent);
@@ -93,17 +93,17 @@
     metrics &m_metrics;
     const logger &m_log;
     std::function<void(adopted_configuration)> m_onAdopted;
-    std::atomic<bool> m_ready{false};
+    std::atomic<bool> m_isReady{false};
     std::atomic<std::uint64_t> m_generation{0};
 
     mutable std::mutex m_mutex;
-    Json::Value m_report; // under m_mutex
+    Json::Value m_report; // guarded by m_mutex
 
-    // Touched by the duty's thread alone.
+    // Used only on the actor's thread.
     config::generation_manager m_manager;
-    std::map<std::string, std::string> m_addresses; // by process id
+    std::map<std::string, std::string> m_processAddresses; // by process id
 
-    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all of the above
+    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all members above
 };
 
 } // namespace zinniabarrow
--- a/app/config_follower_actor.cpp
+++ b/app/config_follower_actor.cpp
@@ -89,7 +89,7 @@
     return m_report;
 }
 
-// An agent has no business with the object store: whatever the source, an entry is asked.
+// Agents do not access the object store: whatever source the follower names, an entry is asked.
 void config_follower_actor::fetchContent(const config::read_content &action)
 {
     const auto known = m_entryAddresses.find(action.peer);
--- a/app/config_follower_actor.h
+++ b/app/config_follower_actor.h
@@ -1,4 +1,4 @@
-// The agent's part in configuration: works by the highest generation that the entries tell of.
+// The agent's side of configuration: applies the highest generation that any entry reports.
 #pragma once
 
 #include <future>
@@ -24,9 +24,9 @@
                           rpc_sender &sender, metrics &counters, const logger &log);
     ~config_follower_actor();
 
-    // JSON-RPC body: {report, address}; answers this process's own report.
+    // JSON-RPC method, {report, address}: returns this process's own report.
     Json::Value handleGenerationPush(const Json::Value &parameters);
-    // Goes with every announcement, so that entries know who works by which generation.
+    // Sent with every announcement, so that entries know which generation each process runs.
     config::generation_report report() const;
     void stop();
 
@@ -34,7 +34,7 @@
     struct generation_push
     {
         config::generation_report report;
-        std::string address; // of the entry that tells
+        std::string address; // rpc address of the entry that pushes
         reply_promise reply;
     };
     using event = std::variant<generation_push, config::content_read>;
@@ -48,14 +48,14 @@
     const logger &m_log;
 
     mutable std::mutex m_mutex;
-    config::generation_report m_report; // under m_mutex
+    config::generation_report m_report; // guarded by m_mutex
 
-    // Touched by the duty's thread alone.
+    // Used only on the actor's thread.
     config::generation_follower m_follower;
-    std::map<std::string, std::string> m_entryAddresses; // of entries, by id
-    std::string m_lastEntryAddress;                      // of the entry that told last
+    std::map<std::string, std::string> m_entryAddresses; // rpc addresses, by entry id
+    std::string m_lastEntryAddress; // rpc address of the entry that pushed most recently
 
-    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all of the above
+    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all members above
 };
 
 } // namespace zinniabarrow
--- a/app/entry.cpp
+++ b/app/entry.cpp
@@ -17,8 +17,8 @@
 
 constexpr milliseconds RpcTimeout{500};
 constexpr milliseconds PollInterval{10};
-constexpr milliseconds UnreadyBeforeDrain{
-        500}; // the balancer sees /readyz fail before anything closes
+// In this time, load balancers see /readyz fail before connections are closed.
+constexpr milliseconds UnreadyBeforeDrain{500};
 constexpr std::size_t RpcConnections = 128;
 
 class entry_daemon
@@ -36,13 +36,13 @@
         , m_configuration(m_actorRuntime, settings, m_self, m_folderPlatform, m_sender, m_metrics,
                           m_log,
                           [this](adopted_configuration adopted) {
-                              m_scheduling.configurationAdopted(std::move(adopted));
+                              m_scheduling.applyConfiguration(std::move(adopted));
                           })
         , m_requests(
                   m_actorRuntime, settings, m_self, m_claimsPlatform, m_sender, m_metrics, m_log,
                   [this](const members_snapshot &members) {
-                      m_configuration.membersChanged(members);
-                      m_scheduling.membersChanged(members);
+                      m_configuration.updateMembers(members);
+                      m_scheduling.updateMembers(members);
                   },
                   [this] { return m_configuration.ownReport(); })
         , m_endpoint(m_metrics, [this] { return m_isServing && m_configuration.isReady(); })
@@ -78,12 +78,12 @@
         std::this_thread::sleep_for(UnreadyBeforeDrain);
         m_requests.drain();
         m_scheduling.drain();
-        const auto giveUpAt = startedAt + m_settings.drainTimeout;
-        const auto done = [&] {
+        const auto drainDeadline = startedAt + m_settings.drainTimeout;
+        const auto isDone = [&] {
             return m_requests.isDrained() && m_scheduling.isDrained()
                    && m_callerServer.inFlight() == 0;
         };
-        while (!done() && monotonic_clock::now() < giveUpAt)
+        while (!isDone() && monotonic_clock::now() < drainDeadline)
             std::this_thread::sleep_for(PollInterval);
         m_callerServer.stop();
         m_rpcServer.stop();
@@ -159,7 +159,7 @@
         m_endpoint.bind("status", [this](const auto &) { return status(); });
     }
 
-    // Announcements and digests carry the sender's generation.
+    // Announcements and digests may carry the sender's generation report.
     void receiveGenerationReport(const Json::Value &parameters)
     {
         if (parameters.isMember("config"))
--- a/app/forwarding.cpp
+++ b/app/forwarding.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t MaxStoredAnswerBytes = 4096; // larger ones are not kept with a claim
+constexpr std::size_t MaxStoredAnswerBytes = 4096; // larger answers are not stored with a claim
 
 std::optional<request::upstream_load> loadOf(const http_response &response)
 {
@@ -24,7 +24,7 @@
     return load;
 }
 
-// Anything but a clear word is unknown.
+// Any other value means unknown.
 executed executedNamed(const std::string &name)
 {
     if (name == nameOf(executed::No))
@@ -44,15 +44,15 @@
         refused.retryAfter = milliseconds(std::atoll(response.header("Zb-Retry-After-Ms").c_str()));
         return refused;
     }
-    delivery::complete_answer whole;
-    whole.status = response.status;
-    whole.bodyBytes = response.body.size();
+    delivery::complete_answer completeAnswer;
+    completeAnswer.status = response.status;
+    completeAnswer.bodyBytes = response.body.size();
     const auto type = response.header("Content-Type");
     if (!type.empty())
-        whole.headers["Content-Type"] = type;
+        completeAnswer.headers["Content-Type"] = type;
     if (!response.stream && response.body.size() <= MaxStoredAnswerBytes)
-        whole.body = response.body;
-    return whole;
+        completeAnswer.body = response.body;
+    return completeAnswer;
 }
 
 delivery::attempt_outcome outcomeOf(call_failure failure)
@@ -130,7 +130,7 @@
     if (!end)
         return started;
     started.outcome = delivery::outcomeOf(*end);
-    // A caller that went away says nothing about the upstream.
+    // When the caller has gone away, that says nothing about the upstream.
     if (*end != error_kind::OutcomeUnknown)
         started.routingResult.outcome = request::attempt_outcome::Failed;
     return started;
@@ -158,7 +158,7 @@
         sent.outcome = outcomeOf(sent.answer);
         sent.routingResult.load = loadOf(sent.answer);
         if (!std::holds_alternative<delivery::complete_answer>(sent.outcome))
-            sent.answer.stream.reset(); // a refusal is never passed on as it is
+            sent.answer.stream.reset(); // a refusal's body is not passed to the caller
     } else {
         sent.outcome = outcomeOf(std::get<call_failure>(result));
     }
--- a/app/forwarding.h
+++ b/app/forwarding.h
@@ -1,4 +1,4 @@
-// Forwarding one attempt of a caller's request to an agent, on the caller's HTTP thread.
+// Forwards one attempt of a caller's request to an agent, on the caller's HTTP thread.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace zinniabarrow {
 
-// "/tickets/hold?x" asks service tickets for "/hold?x".
+// Splits a caller's target: "/tickets/hold?x" means "/hold?x" at service "tickets".
 struct service_target
 {
     std::string service;
@@ -19,15 +19,15 @@
 };
 service_target splitTarget(const std::string &target);
 
-// How an attempt ended, as the request's flow and the router have to know it.
+// Result of an attempt, for the request's flow and for the router.
 struct forwarded_attempt
 {
-    delivery::attempt_outcome outcome; // of a streamed answer: once its rest has come whole
+    delivery::attempt_outcome outcome; // of a streamed answer: if its rest arrives complete
     request::attempt_ended routingResult;
-    http_response answer; // meant for the caller only when the outcome is a whole answer
+    http_response answer; // to be passed to the caller only if the outcome is a whole answer
 };
 
-// How a streamed answer's attempt ended, once its receiving has.
+// Result of an attempt with a streamed answer, once the stream has ended with `end`.
 forwarded_attempt finishStreamedAttempt(forwarded_attempt begun, body_end end);
 
 class forwarder
@@ -35,13 +35,13 @@
 public:
     explicit forwarder(std::size_t maxAnswerBytes);
 
-    // A large answer comes with its stream, received on a thread of `threads`.
+    // A large answer is returned with its stream, which a thread of `threads` receives.
     forwarded_attempt send(const http_request &request, const std::string &id,
                            std::uint32_t attempt, const request::route &upstream,
                            time_point deadline, receiver_threads &threads);
 
 private:
-    http_pools m_pools; // connections to agents
+    http_pools m_pools; // connections to agents, by address
 };
 
 } // namespace zinniabarrow
--- a/app/main.cpp
+++ b/app/main.cpp
@@ -21,20 +21,20 @@
 
 constexpr const char *Help = R"(usage: zinniabarrow COMMAND [options]
 
-  entry --settings FILE   carry requests, schedule, accept configuration
-  agent --settings FILE   admit to one upstream, run its worker's tasks
-  job-entry --settings FILE   take callers' jobs and place their tasks
+  entry --settings FILE   forward requests, schedule tasks, accept configuration
+  agent --settings FILE   admit requests to one upstream, run its worker's tasks
+  job-entry --settings FILE   accept callers' jobs and place their tasks
   job-agent --settings FILE   run tasks of callers' jobs on one worker
 
 for operators (--entry ip:port is the rpc address of any entry):
   check DIR                               check a folder offline
-  status --entry A                        what the system does
+  status --entry A                        show the state of the system
   put --entry A [--follow] FILE           write a file of the folder
   remove --entry A [--follow] NAME        remove a file of the folder
-  follow --entry A --file-version N NAME  wait until it is in force everywhere
-  explain --entry A TASK                  why a task waits, or where it is
-  drain --entry A AGENT                   no new work for its upstream and worker
-  check-trace FILE                        check a trace against the promises
+  follow --entry A --file-version N NAME  wait until a version is in force everywhere
+  explain --entry A TASK                  say why a task waits, or where it is
+  drain --entry A AGENT                   stop new work for its upstream and worker
+  check-trace FILE                        check a trace of task events for violations
 
 every command has --help; status, put, remove, follow and explain have --json
 exit codes: 0 done, 1 refused or failed, 2 usage
@@ -107,7 +107,8 @@
         fmt::print(stderr, "{}\n", problem.what());
         return ExitFailed;
     } catch (const std::system_error &problem) {
-        // Threads that were started may wait for others that never will be: no destructor runs.
+        // Destructors are skipped: threads that were already started may wait for others that were
+        // never created.
         fmt::print(stderr, "the system refused a resource: {}\n", problem.what());
         std::_Exit(ExitFailed);
     }
--- a/app/operator_commands.cpp
+++ b/app/operator_commands.cpp
@@ -30,10 +30,10 @@
 struct operator_command
 {
     const char *name;
-    int (*run)(int count, char **words);
+    int (*run)(int count, char **argv);
 };
 
-// What the commands that talk to an entry share.
+// Arguments shared by all commands that talk to an entry.
 class command_line
 {
 public:
@@ -56,7 +56,8 @@
     TCLAP::SwitchArg m_json;
 };
 
-// Throws error with the refusal's own kind, or NoUpstream when `address` did not answer.
+// Throws `error` with the kind that the process returned, or NoUpstream when `address` did not
+// answer.
 Json::Value callProcess(const std::string &address, const std::string &method,
                         const Json::Value &parameters)
 {
@@ -116,11 +117,11 @@
 
 // --- status --------------------------------------------------------------------------------------
 
-// The answers of the named entry and of every entry it knows.
+// Status of the given entry and of all its peers.
 struct system_status
 {
     std::vector<Json::Value> entries;
-    std::vector<std::string> unreachable; // addresses
+    std::vector<std::string> unreachable; // rpc addresses of peers that did not answer
 };
 
 system_status collectStatus(const std::string &address)
@@ -216,7 +217,7 @@
     std::string entry;
     std::string name;
     std::uint64_t version = 0;
-    time_point giveUpAt;
+    time_point deadline;
     bool json = false;
 };
 
@@ -252,24 +253,25 @@
                 fmt::print("in force everywhere after {} ms\n", waited);
             return isEverywhere ? ExitDone : ExitFailed;
         }
-        if (monotonic_clock::now() > followRequest.giveUpAt)
+        if (monotonic_clock::now() > followRequest.deadline)
             break;
         std::this_thread::sleep_for(PollInterval);
     }
     printFileStatus(answer, followRequest.json);
-    fmt::print(stderr, "not in force everywhere yet: run follow again, or status\n");
+    fmt::print(stderr, "not in force everywhere yet: run follow again, or check status\n");
     return ExitFailed;
 }
 
-int write(const std::string &name, const std::string &method, int count, char **arguments)
+int writeFolderFile(const std::string &name, const std::string &method, int count, char **arguments)
 {
     command_line commandLine(name);
     TCLAP::SwitchArg follow("f", "follow", "wait until it is in force everywhere",
                             commandLine.parser());
     TCLAP::ValueArg<int> timeout("", "timeout-ms", "give up following after", false,
                                  DefaultFollowMs, "ms", commandLine.parser());
-    TCLAP::ValueArg<std::uint64_t> expected("", "if-version", "write only over this version", false,
-                                            0, "version", commandLine.parser());
+    TCLAP::ValueArg<std::uint64_t> expected("", "if-version",
+                                            "write only if the file has this version", false, 0,
+                                            "version", commandLine.parser());
     TCLAP::UnlabeledValueArg<std::string> file("file", "file of the folder", true, "", "FILE",
                                                commandLine.parser());
     commandLine.parse(count, arguments);
@@ -280,7 +282,7 @@
     if (expected.isSet())
         parameters["version"] = Json::UInt64(expected.getValue());
     const auto result = callProcess(commandLine.entry(), method, parameters);
-    // A removal's own version is 0: what is followed is the file's absence.
+    // A removal has version 0: the command then waits for the file's absence.
     const auto version = method == "file_put" ? countMember(result, "sequence") : 0;
     if (!follow.getValue()) {
         fmt::print("{} version {}: {}\n", parameters["name"].asString(), version,
@@ -294,19 +296,20 @@
 
 int put(int count, char **arguments)
 {
-    return write("put", "file_put", count, arguments);
+    return writeFolderFile("put", "file_put", count, arguments);
 }
 
 int removeFile(int count, char **arguments)
 {
-    return write("remove", "file_remove", count, arguments);
+    return writeFolderFile("remove", "file_remove", count, arguments);
 }
 
 int follow(int count, char **arguments)
 {
     command_line commandLine("follow");
-    TCLAP::ValueArg<std::uint64_t> version("", "file-version", "of the file; 0: its absence", true,
-                                           0, "version", commandLine.parser());
+    TCLAP::ValueArg<std::uint64_t> version("", "file-version",
+                                           "version of the file; 0: its absence", true, 0,
+                                           "version", commandLine.parser());
     TCLAP::ValueArg<int> timeout("", "timeout-ms", "give up after", false, DefaultFollowMs, "ms",
                                  commandLine.parser());
     TCLAP::UnlabeledValueArg<std::string> name("name", "file of the folder", true, "", "NAME",
@@ -346,7 +349,7 @@
             fmt::print(stderr, "{}\n", problem.what());
         }
     }
-    fmt::print(stderr, "no entry that answered schedules {}\n", task.getValue());
+    fmt::print(stderr, "none of the entries that answered schedules {}\n", task.getValue());
     return ExitFailed;
 }
 
@@ -365,7 +368,7 @@
         fmt::print("{} is draining: it takes no new requests and tasks\n", agent.getValue());
         return ExitDone;
     }
-    fmt::print(stderr, "no upstream in service has the agent {}: see status\n", agent.getValue());
+    fmt::print(stderr, "agent {} has no upstream in service: see status\n", agent.getValue());
     return ExitFailed;
 }
 
@@ -373,7 +376,8 @@
 {
     TCLAP::CmdLine command("zinniabarrow check-trace", ' ', Version);
     command.setExceptionHandling(false);
-    TCLAP::SwitchArg complete("", "complete", "the system was given time to finish", command);
+    TCLAP::SwitchArg complete("", "complete", "the trace ends after the system had time to finish",
+                              command);
     TCLAP::UnlabeledValueArg<std::string> file("file", "JSON lines", true, "", "FILE", command);
     command.parse(count, arguments);
     std::ifstream lines(file.getValue());
--- a/app/outbound_calls.cpp
+++ b/app/outbound_calls.cpp
@@ -18,14 +18,15 @@
                                      milliseconds timeout)
     : m_client(platform, timeout)
     , m_actor(std::make_unique<event_actor<platform_call>>(
-              system, CallCapacity, [this](platform_call &work) { work(m_client); }, NoTick, [] {}))
+              system, CallCapacity, [this](platform_call &platformCall) { platformCall(m_client); },
+              NoTick, [] {}))
 { }
 
 platform_executor::~platform_executor() = default;
 
-bool platform_executor::enqueue(platform_call work)
+bool platform_executor::enqueue(platform_call platformCall)
 {
-    return m_actor->post(std::move(work));
+    return m_actor->post(std::move(platformCall));
 }
 
 void platform_executor::stop()
@@ -38,7 +39,7 @@
     , m_metrics(counters)
     , m_queue(SenderLimits)
 {
-    const std::lock_guard lock(m_mutex); // until all of them stand
+    const std::lock_guard lock(m_mutex); // no thread takes a call before all threads exist
     for (std::size_t index = 0; index < SenderLimits.threads; ++index) {
         m_idleThreads.push_back(index);
         m_threads.push_back(std::make_unique<actor_thread>(
@@ -55,7 +56,7 @@
                       const Json::Value &parameters, answer_callback onAnswer)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_stopped)
+    if (m_isStopped)
         return false;
     if (!m_queue.push({target, method, parameters, std::move(onAnswer)})) {
         m_metrics.count("rpc_dropped_total", method);
@@ -65,12 +66,12 @@
     return true;
 }
 
-// What waits by then is still sent, by the threads that are awake.
+// Calls that are queued by now are still sent, by the threads that are awake.
 void rpc_sender::stop()
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_stopped = true;
+        m_isStopped = true;
     }
     for (auto &thread : m_threads)
         thread->stop();
@@ -91,7 +92,7 @@
     std::erase(m_idleThreads, thread);
     auto message = m_queue.take();
     if (message)
-        wakeIdleThread(); // one answer may let several calls go out
+        wakeIdleThread(); // one answer may allow several queued calls to be sent
     else
         m_idleThreads.push_back(thread);
     return message;
@@ -99,14 +100,14 @@
 
 void rpc_sender::wakeIdleThread()
 {
-    if (m_stopped || m_idleThreads.empty() || !m_queue.canTake())
+    if (m_isStopped || m_idleThreads.empty() || !m_queue.canTake())
         return;
     const auto thread = m_idleThreads.back();
     m_idleThreads.pop_back();
     m_threads[thread]->wake();
 }
 
-// False when no answer came.
+// Returns false when the target did not answer.
 bool rpc_sender::send(const rpc_call &message)
 {
     const auto transport = [&](const std::string &text) {
--- a/app/outbound_calls.h
+++ b/app/outbound_calls.h
@@ -1,4 +1,5 @@
-// Lanes: duties that do blocking I/O for the others, so that no deciding duty ever waits.
+// Blocking calls to the platform and to other processes, on threads of their own so that the actors
+// never wait for I/O.
 #pragma once
 
 #include <functional>
@@ -19,8 +20,8 @@
 
 namespace zinniabarrow {
 
-// One thread that talks to the platform. Claims, work and configuration each have their own lane:
-// a slow scan in one must not delay a claim.
+// Makes calls to the platform on one thread, in order. Claims, work and configuration have an
+// executor each, so that a slow scan of one does not delay a claim.
 class platform_executor
 {
 public:
@@ -29,8 +30,8 @@
     platform_executor(actor_runtime &system, const socket_address &platform, milliseconds timeout);
     ~platform_executor();
 
-    // False when the lane is full: the job will not run.
-    bool enqueue(platform_call work);
+    // Returns false when too many calls are queued; the call is then not made.
+    bool enqueue(platform_call platformCall);
     void stop();
 
 private:
@@ -38,19 +39,20 @@
     std::unique_ptr<event_actor<platform_call>> m_actor;
 };
 
-// Calls JSON-RPC methods of other processes. Calls to one target keep their order; targets that do
-// not answer delay no others (send_queue).
+// Calls JSON-RPC methods of other processes. Calls to one target keep their order; a target that
+// does not answer does not delay calls to others (see send_queue).
 class rpc_sender
 {
 public:
     using answer_callback =
-            std::function<void(std::optional<Json::Value>)>; // nothing: no result came
+            std::function<void(std::optional<Json::Value>)>; // empty if no result came
 
     rpc_sender(actor_runtime &system, milliseconds timeout, metrics &counters);
     ~rpc_sender();
 
-    // `done` runs on the sender's thread; it only posts to a ring. False when too many calls wait,
-    // or the sender was stopped: `done` will not run.
+    // `onAnswer` runs on a thread of the sender and must not block; callers only post an event from
+    // it. Returns false when too many calls are queued or the sender was stopped; `onAnswer` is
+    // then not called.
     bool call(const std::string &target, const std::string &method, const Json::Value &parameters,
               answer_callback onAnswer);
     void stop();
@@ -64,10 +66,10 @@
     milliseconds m_timeout;
     metrics &m_metrics;
     http_pools m_pools;
-    std::mutex m_mutex; // of the queue and of who rests
+    std::mutex m_mutex; // guards m_queue, m_idleThreads and m_isStopped
     send_queue m_queue;
-    std::vector<std::size_t> m_idleThreads; // threads, to be woken
-    bool m_stopped = false;
+    std::vector<std::size_t> m_idleThreads; // indices of threads without a call
+    bool m_isStopped = false;
     std::vector<std::unique_ptr<actor_thread>> m_threads;
 };
 
--- a/app/owned_shard.cpp
+++ b/app/owned_shard.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr int MaxDecisions = 256; // of one planning
+constexpr int MaxDecisions = 256; // per planning run
 constexpr char GenerationSeparator = '@';
 
 placement::task_ref taskRefOf(const work::task_id &task)
@@ -45,7 +45,7 @@
     return ends ? placement::reservation_state::Stopping : placement::reservation_state::Running;
 }
 
-// What the worker is told of a task.
+// The part of a task's description that its worker needs.
 Json::Value workerSpec(const resources &size, milliseconds workTime)
 {
     Json::Value spec(Json::objectValue);
@@ -56,29 +56,29 @@
     return spec;
 }
 
-// Members that services and jobs share.
+// Builds the fields that services and jobs have in common.
 template <typename Spec>
-placement::task_spec patternOf(const std::string &name, const Spec &spec)
+placement::task_spec commonTaskSpec(const std::string &name, const Spec &spec)
 {
-    placement::task_spec pattern;
-    pattern.jobClass = spec.interferenceClass.empty() ? name : spec.interferenceClass;
-    pattern.team = spec.team;
-    pattern.priority = priorityOf(spec.priority);
-    pattern.pool = spec.pool;
-    pattern.declared = spec.size;
-    pattern.failover = spec.failover;
-    return pattern;
+    placement::task_spec taskTemplate;
+    taskTemplate.jobClass = spec.interferenceClass.empty() ? name : spec.interferenceClass;
+    taskTemplate.team = spec.team;
+    taskTemplate.priority = priorityOf(spec.priority);
+    taskTemplate.pool = spec.pool;
+    taskTemplate.declared = spec.size;
+    taskTemplate.failover = spec.failover;
+    return taskTemplate;
 }
 
 } // namespace
 
-owned_shard::owned_shard(const work::shard_tenure &owner, const std::string &operationPrefix,
+owned_shard::owned_shard(const work::shard_tenure &tenure, const std::string &operationPrefix,
                          const work::coordinator_settings &coordinatorSettings,
                          const placement::placer_settings &placerSettings, std::size_t shardCount,
                          metrics &counters, const logger &log)
-    : m_tenure(owner)
-    , m_coordinator(owner, operationPrefix, coordinatorSettings)
-    , m_quotaParts(owner.shard, owner.shardVersion, operationPrefix,
+    : m_tenure(tenure)
+    , m_coordinator(tenure, operationPrefix, coordinatorSettings)
+    , m_quotaParts(tenure.shard, tenure.shardVersion, operationPrefix,
                    work::quota_settings{shardCount})
     , m_leaseSettings(coordinatorSettings.leases)
     , m_maxBacklogPerWorker(coordinatorSettings.maxBacklogPerWorker)
@@ -111,7 +111,8 @@
     return actions;
 }
 
-// After a takeover the placer's ledgers start from what the table holds, settled or not.
+// After a takeover the placer's ledgers start from the tasks in the table, whether their placement
+// is confirmed or not.
 void owned_shard::adoptRecordedTasks(time_point now)
 {
     m_hasAdopted = true;
@@ -123,7 +124,7 @@
         if (job != nullptr) {
             spec.declared = work::declaredSize(job->spec.taskSpec);
         }
-        m_tasksKnownBySizeOnly.insert(task);
+        m_sizeOnlyTasks.insert(task);
         m_placer.taskPlaced(spec, record.worker, spec.declared, stateOf(record.state), now);
         if (record.isBacklogged)
             m_adoptedBacklog[task] =
@@ -143,33 +144,34 @@
         m_placer.taskRunning(ref, change.worker, now);
         break;
     case work::task_change::EndReported:
-        // While the table is down nothing else would make room for the backlog.
+        // While the table is down, no other event frees capacity for the backlog.
         if (change.state == work::task_state::Done)
             m_placer.taskEnded(ref, change.worker, now);
-        break; // other room is given away once the table holds the end
+        break; // other capacity is freed once the end is stored
     case work::task_change::Requeued: {
         logTask("task_freed", change);
         const auto failures = m_coordinator.find(change.task).failures;
-        auto &seen = m_seenFailures[change.task];
-        if (failures > seen)
+        auto &seenFailures = m_seenFailures[change.task];
+        if (failures > seenFailures)
             m_placer.taskFailed(ref, change.worker, "failed", now);
         else
             m_placer.taskReleased(ref, change.worker, now);
-        seen = failures;
+        seenFailures = failures;
         break;
     }
     case work::task_change::Ended:
         logTask("task_ended", change);
         m_metrics.count("tasks_ended_total", nameOf(change.state));
         if (change.state == work::task_state::Failed)
-            m_placer.taskFailed(ref, change.worker, "failed for good", now);
+            m_placer.taskFailed(ref, change.worker, "failed permanently", now);
         if (change.state != work::task_state::Done)
             m_placer.cancelTasks(std::vector{ref}, now);
         m_placer.taskEnded(ref, change.worker, now);
         m_seenFailures.erase(change.task);
         break;
     case work::task_change::Reverted:
-        // A pending task names no worker: only the placer knows whose room it had.
+        // A pending task has no worker in the table; the placer knows which worker's capacity it
+        // had reserved.
         if (change.state == work::task_state::Pending)
             m_placer.placementSettled(ref, m_placer.workerOf(ref),
                                       placement::placement_outcome::NotApplied, now);
@@ -198,7 +200,8 @@
     reconcileWorkers(workers, now);
     if (!adopted.mergedConfig || adopted.generation <= m_appliedGeneration)
         return actions;
-    // Taken over before this entry has heard of the newest generation: it comes within seconds.
+    // This entry took the shard over before it received the newest generation, which arrives within
+    // seconds.
     if (adopted.generation < m_coordinator.appliedGeneration()) {
         m_metrics.count("work_total", nameOf(work::coordinator_counter::StaleGeneration));
         return actions;
@@ -221,12 +224,12 @@
         job.taskCount = static_cast<std::uint32_t>(service.replicas);
         job.isService = true;
         job.taskSpec = workerSpec(service.size, milliseconds(0));
-        auto pattern = patternOf(name, service);
-        pattern.kind = placement::task_kind::Service;
-        pattern.replicas = static_cast<std::int32_t>(service.replicas);
+        auto taskTemplate = commonTaskSpec(name, service);
+        taskTemplate.kind = placement::task_kind::Service;
+        taskTemplate.replicas = static_cast<std::int32_t>(service.replicas);
         m_latencyTargets[job.id] = service.latencyTarget;
         wantedJobs.insert(job.id);
-        acceptJob(job, pattern, actions, now);
+        acceptJob(job, taskTemplate, actions, now);
     }
     for (const auto &[name, batch] : adopted.mergedConfig->jobs) {
         work::job_spec job;
@@ -234,17 +237,18 @@
         job.generation = adopted.generation;
         job.taskCount = static_cast<std::uint32_t>(batch.tasks);
         job.taskSpec = workerSpec(batch.size, batch.runTimeEstimate);
-        auto pattern = patternOf(name, batch);
-        pattern.replicas = static_cast<std::int32_t>(batch.tasks);
+        auto taskTemplate = commonTaskSpec(name, batch);
+        taskTemplate.replicas = static_cast<std::int32_t>(batch.tasks);
         wantedJobs.insert(job.id);
-        acceptJob(job, pattern, actions, now);
+        acceptJob(job, taskTemplate, actions, now);
     }
     cancelRemovedJobs(wantedJobs, actions, now);
     return actions;
 }
 
-// A name that comes back after its removal is another job: attempts of the removed one may still
-// be remembered by workers, and would be newer than those of a job that starts at one again.
+// A job whose name is added again after its removal gets a new id. Workers may still remember
+// attempts of the removed job, and these would have higher numbers than the first attempts of the
+// new one.
 std::string owned_shard::jobIdFor(const std::string &name, std::uint64_t generation) const
 {
     const auto prefix = name + GenerationSeparator;
@@ -256,8 +260,9 @@
     return prefix + std::to_string(generation);
 }
 
-// Shard k of n takes every n-th of the job's tasks, from the k-th. Consecutive parts would shift
-// when the job is resized, and a task would be in two shards at once.
+// Shard k of n takes every n-th of the job's tasks, starting with the k-th. With consecutive
+// ranges, resizing the job would move tasks between shards, and a task could be in two shards at
+// once.
 work::job_spec owned_shard::shardPartOf(work::job_spec job) const
 {
     const auto shardCount = static_cast<std::uint32_t>(m_shardCount);
@@ -267,14 +272,15 @@
     return job;
 }
 
-void owned_shard::acceptJob(const work::job_spec &wholeJob, const placement::task_spec &pattern,
+void owned_shard::acceptJob(const work::job_spec &wholeJob,
+                            const placement::task_spec &taskTemplate,
                             std::vector<work::coordinator_action> &actions, time_point now)
 {
     auto job = shardPartOf(wholeJob);
-    job.failover = pattern.failover;
+    job.failover = taskTemplate.failover;
     if (job.taskCount == 0 && m_coordinator.job(job.id) == nullptr)
-        return; // none of it here; a known job may just have shrunk
-    auto spec = pattern;
+        return; // none of its tasks is in this shard; a known job has only shrunk
+    auto spec = taskTemplate;
     spec.jobId = job.id;
     Json::Value fields(Json::objectValue);
     fields["job"] = job.id;
@@ -290,19 +296,22 @@
         const auto index = work::taskIndexAt(job, position);
         const auto record = m_coordinator.find({job.id, index});
         spec.taskIndex = static_cast<std::int32_t>(index);
-        const bool placed = occupiesWorker(record.state);
-        // The agents may have said that it runs before the configuration came: left without its
-        // pool, it would never be evicted, throttled or watched.
-        if (m_tasksKnownBySizeOnly.erase({job.id, index}) > 0 && placed) {
+        const bool isPlaced = occupiesWorker(record.state);
+        // Agents may have reported the task as running before the configuration arrived. It is
+        // placed again with its full description: without its pool it would never be evicted,
+        // throttled or monitored.
+        if (m_sizeOnlyTasks.erase({job.id, index}) > 0 && isPlaced) {
             m_placer.taskPlaced(spec, record.worker, reservationFor(spec, record.worker),
                                 stateOf(record.state), now);
-        } else if (placed || record.state == work::task_state::Pending) {
-            m_placer.taskPending(spec, now); // a placed one keeps its room, its raises and limits
+        } else if (isPlaced || record.state == work::task_state::Pending) {
+            // A placed task keeps its reservation, its raises and its CPU limit.
+            m_placer.taskPending(spec, now);
         }
     }
 }
 
-// As it counts already: the size may have been edited since the task was started.
+// The reservation that the ledger already has: the declared size may have been edited since the
+// task started.
 resources owned_shard::reservationFor(const placement::task_spec &task,
                                       const std::string &worker) const
 {
@@ -326,15 +335,15 @@
     }
 }
 
-// Only workers whose agent has attached under this epoch get tasks.
+// Only workers whose agent has attached under this epoch get new tasks.
 void owned_shard::reconcileWorkers(const std::map<std::string, reported_worker> &workers,
                                    time_point now)
 {
     for (const auto &[id, place] : workers) {
-        const bool usable = m_coordinator.canPlaceOn(id) && place.serving;
-        if (usable && m_usableWorkers.insert(id).second)
+        const bool isUsable = m_coordinator.canPlaceOn(id) && place.serving;
+        if (isUsable && m_usableWorkers.insert(id).second)
             m_placer.addWorker(place.worker, now);
-        else if (!usable && m_usableWorkers.erase(id) > 0)
+        else if (!isUsable && m_usableWorkers.erase(id) > 0)
             m_placer.removeWorker(id, now);
     }
 }
@@ -371,16 +380,17 @@
     return actions;
 }
 
-// Before each planning: what is held now decides which part may be yielded.
+// Runs before each planning, because the quota in use now decides which part of the local quota can
+// be yielded to other shards.
 void owned_shard::updateLocalQuotas(std::vector<work::coordinator_action> &actions, time_point now)
 {
     if (m_shardCount < 2)
         return;
     std::map<std::string, work::team_demand> demands;
     for (const auto &[team, limit] : m_teamLimits) {
-        const auto use = m_placer.usageOf(team);
-        demands[team] = {limit, use.reservedSum, use.reservedSum + use.pendingSum,
-                         use.largestPending};
+        const auto usage = m_placer.usageOf(team);
+        demands[team] = {limit, usage.reservedSum, usage.reservedSum + usage.pendingSum,
+                         usage.largestPending};
     }
     for (auto &action : m_quotaParts.update(demands, now))
         std::visit([&](auto &one) { actions.emplace_back(std::move(one)); }, action);
@@ -388,10 +398,11 @@
         m_placer.setLocalTeamLimit(team, m_quotaParts.usableQuota(team));
 }
 
-// Whether an earlier owner let a task of a backlog start is not written. Until it is known the task
-// counts as placed, or the room and the quota that it uses would be given twice. An agent says so
-// of each task that runs in the first report after a grant has named it. One that was not named and
-// answered for within two leases has lapsed, so what nothing was heard of by then waits.
+// The table does not say whether an earlier owner let a backlog task start. Until this is known,
+// the task counts as placed; otherwise its capacity and quota could be given away twice. An agent
+// reports each running task in the first report after a grant has named it. A task that was not
+// named and reported within two leases has expired, so a task that no agent has reported by then is
+// still waiting.
 void owned_shard::resolveAdoptedBacklog(std::vector<work::coordinator_action> &actions,
                                         time_point now)
 {
@@ -417,7 +428,8 @@
 {
     const auto task = taskIdOf(action.task);
     const auto record = m_coordinator.find(task);
-    // The table may know better: a write on its way, or a worker that fell silent.
+    // The coordinator may have newer state: a write in flight, or a worker that became
+    // unresponsive.
     if (record.isBacklogged && record.state == work::task_state::Placed
         && record.worker == action.worker) {
         m_metrics.count("backlog_total", "started");
@@ -477,13 +489,15 @@
     return {taskIdOf(action.task), isLifted ? 0 : action.millicores};
 }
 
-// What the agent has to be told: it reads the declared size itself.
+// The reservation to send to the agent; empty when the declared size, which the agent reads itself,
+// is sufficient.
 resources owned_shard::reservationAboveDeclared(const placement::task_ref &task,
                                                 const resources &reserved) const
 {
     const auto *job = m_coordinator.job(task.jobId);
-    const bool declared = job != nullptr && reserved.fitsIn(work::declaredSize(job->spec.taskSpec));
-    return declared ? resources{} : reserved;
+    const bool isWithinDeclared =
+            job != nullptr && reserved.fitsIn(work::declaredSize(job->spec.taskSpec));
+    return isWithinDeclared ? resources{} : reserved;
 }
 
 void owned_shard::usageSampled(const placement::usage_sample &sample, time_point now)
@@ -495,7 +509,7 @@
                                  microseconds p99, time_point measuredAt, time_point now)
 {
     if (p99.count() <= 0)
-        return; // no answers: that is no measurement, least of all of a very quick service
+        return; // the service had no answers; this must not count as a very low latency
     const auto prefix = service + GenerationSeparator;
     for (const auto &[task, record] : m_coordinator.occupyingTasks()) {
         const auto target = m_latencyTargets.find(task.job);
--- a/app/owned_shard.h
+++ b/app/owned_shard.h
@@ -1,4 +1,5 @@
-// One shard that this entry owns: its task table and its placer, kept in step with each other.
+// One shard that this entry owns. Keeps its task coordinator, which stores tasks in the table, and
+// its placer consistent with each other.
 #pragma once
 
 #include <map>
@@ -17,18 +18,18 @@
 
 namespace zinniabarrow {
 
-// Where a worker is, as its agent reports it.
+// A worker's description, as its agent reports it.
 struct reported_worker
 {
     placement::worker_info worker;
     std::string agentAddress; // ip:port
-    bool serving = true;      // false: it is leaving and takes no new tasks
+    bool serving = true;      // false: the agent is leaving and takes no new tasks
 };
 
 class owned_shard
 {
 public:
-    owned_shard(const work::shard_tenure &owner, const std::string &operationPrefix,
+    owned_shard(const work::shard_tenure &tenure, const std::string &operationPrefix,
                 const work::coordinator_settings &coordinatorSettings,
                 const placement::placer_settings &placerSettings, std::size_t shardCount,
                 metrics &counters, const logger &log);
@@ -36,14 +37,16 @@
     int number() const { return m_tenure.shard; }
     std::uint64_t epoch() const { return m_tenure.epoch; }
 
-    // Each returns what the daemon must do at the table and at the agents.
+    // Applies one coordinator event. This and the next two functions return the actions that the
+    // caller must perform at the table and at the agents.
     std::vector<work::coordinator_action> handle(const work::coordinator_event &event,
                                                  time_point now);
-    // Brings jobs, teams, pools and workers up to date.
+    // Applies a newly adopted configuration to jobs, teams and pools, and the reported workers to
+    // the placer. Does nothing until the coordinator has read the table.
     std::vector<work::coordinator_action>
     reconcile(const adopted_configuration &adopted,
               const std::map<std::string, reported_worker> &workers, time_point now);
-    // Decides placements, evictions and throttles.
+    // Plans once: decides placements, evictions, throttles and backlogs.
     std::vector<work::coordinator_action> plan(time_point now);
 
     void usageSampled(const placement::usage_sample &sample, time_point now);
@@ -68,7 +71,7 @@
                          std::vector<work::coordinator_action> &actions, time_point now);
     void handleTaskChange(const work::task_changed &change, time_point now);
     void adoptRecordedTasks(time_point now);
-    void acceptJob(const work::job_spec &job, const placement::task_spec &pattern,
+    void acceptJob(const work::job_spec &job, const placement::task_spec &taskTemplate,
                    std::vector<work::coordinator_action> &actions, time_point now);
     resources reservationFor(const placement::task_spec &task, const std::string &worker) const;
     void cancelRemovedJobs(const std::set<std::string> &wantedJobs,
@@ -84,23 +87,23 @@
     work::shard_tenure m_tenure;
     work::task_coordinator m_coordinator;
     work::quota_parts m_quotaParts;
-    std::map<std::string, resources> m_teamLimits; // by team that has one
-    work::lease_settings m_leaseSettings;          //
-    std::size_t m_maxBacklogPerWorker;             // tasks placed ahead, at most
+    std::map<std::string, resources> m_teamLimits; // by team; only teams with a quota
+    work::lease_settings m_leaseSettings;
+    std::size_t m_maxBacklogPerWorker; // tasks placed before they have room
     placement::placer m_placer;
-    std::size_t m_shardCount; // all there are; a job's tasks are dealt out to them in turn
+    std::size_t m_shardCount; // shards in total; a job's tasks are distributed over them in turn
     metrics &m_metrics;
     const logger &m_log;
 
-    bool m_hasAdopted = false; // the placer knows what the table held at takeover
-    // Backlogs of an earlier owner, and when a task that nothing was heard of is known to wait.
+    bool m_hasAdopted = false; // the placer has the tasks that the table held at takeover
+    // Backlog tasks that an earlier owner placed, with the time after which a task that no agent
+    // has reported is known not to have started.
     std::map<work::task_id, time_point> m_adoptedBacklog;
-    std::uint64_t m_appliedGeneration = 0; // followed
-    std::set<std::string> m_usableWorkers; // the placer may use
-    std::set<work::task_id>
-            m_tasksKnownBySizeOnly; // adopted at takeover, their configuration is not known
-    std::map<work::task_id, std::uint32_t> m_seenFailures; // as last seen
-    std::map<std::string, std::string> m_refusalReasons;   // by task, the newest reason
+    std::uint64_t m_appliedGeneration = 0;   // of the configuration that was applied last
+    std::set<std::string> m_usableWorkers;   // workers that the placer may use
+    std::set<work::task_id> m_sizeOnlyTasks; // adopted without a configuration
+    std::map<work::task_id, std::uint32_t> m_seenFailures; // failed attempts at last requeue
+    std::map<std::string, std::string> m_refusalReasons;   // newest reason by task
     std::map<std::string, microseconds> m_latencyTargets;  // by service job id
 };
 
--- a/app/request_actor.cpp
+++ b/app/request_actor.cpp
@@ -1,5 +1,5 @@
-// Sections: settings of the parts | on HTTP threads | on the duty's thread: events, the flow's
-// actions, membership, what the flow asks back
+// Sections: settings of the components | on HTTP threads | on the actor's thread: events, actions
+// of the request flow, membership, callbacks of the request flow
 
 #include "app/request_actor.h"
 
@@ -17,8 +17,9 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 32768;
-constexpr milliseconds MaintenanceInterval{100}; // membership's silences and digests without news
-constexpr milliseconds DigestDelay{10}; // digests with news, others that come at once with them
+constexpr milliseconds MaintenanceInterval{100}; // membership ticks and digests without news
+// A digest with news waits this long, to include other news that arrives meanwhile.
+constexpr milliseconds DigestDelay{10};
 constexpr milliseconds RingFullPause{10};
 constexpr milliseconds PublishInterval{500};
 constexpr std::uint64_t RouterSeedStream = 7;
@@ -73,7 +74,7 @@
     const auto read = std::from_chars(text.data(), text.data() + text.size(), value);
     if (read.ec != std::errc() || read.ptr != text.data() + text.size() || value < 0)
         throw error(error_kind::BadRequest,
-                    std::string(DeadlineHeader) + ": whole milliseconds are needed");
+                    std::string(DeadlineHeader) + ": must be a whole number of milliseconds");
     return milliseconds(value);
 }
 
@@ -83,37 +84,37 @@
 {
     const std::lock_guard lock(m_mutex);
     m_steps.push_back(std::move(step));
-    m_changed.notify_one();
+    m_stepAdded.notify_one();
 }
 
 call_step waiting_request::waitForStep()
 {
     std::unique_lock lock(m_mutex);
-    m_changed.wait(lock, [this] { return !m_steps.empty(); });
+    m_stepAdded.wait(lock, [this] { return !m_steps.empty(); });
     auto step = std::move(m_steps.front());
     m_steps.pop_front();
     return step;
 }
 
 request_actor::request_actor(actor_runtime &system, const config::entry_settings &settings,
-                             const process_identity &self, platform_executor &claims,
+                             const process_identity &self, platform_executor &claimsPlatform,
                              rpc_sender &sender, metrics &counters, const logger &log,
-                             std::function<void(members_snapshot)> membersChanged,
+                             std::function<void(members_snapshot)> onMembersChanged,
                              std::function<Json::Value()> generationReport)
     : m_settings(settings)
     , m_self(self)
-    , m_claimsPlatform(claims)
+    , m_claimsPlatform(claimsPlatform)
     , m_sender(sender)
     , m_metrics(counters)
     , m_log(log)
     , m_forwarder(settings.maxAnswerBytes)
-    , m_membersChanged(std::move(membersChanged))
+    , m_onMembersChanged(std::move(onMembersChanged))
     , m_generationReport(std::move(generationReport))
     , m_membership(membershipSettings(settings, self))
     , m_router(routerSettings(settings), routingPolicy(settings.routing.policy),
                random_generator(self.incarnation, RouterSeedStream))
     , m_flow(
-              self.fullId(), {}, [this](error_kind kind) { return isRetryPermitted(kind); },
+              self.fullId(), {}, [this](error_kind kind) { return consumeRetryBudget(kind); },
               [this](const std::string &id) { return isEntryAlive(id); })
 {
     for (const auto &peer : settings.peers)
@@ -131,7 +132,7 @@
 {
     const auto now = monotonic_clock::now();
     const auto target = splitTarget(request.target);
-    auto call = std::make_shared<waiting_request>(request);
+    auto waitingRequest = std::make_shared<waiting_request>(request);
     delivery::request_arrived arrived;
     arrived.id = m_self.fullId() + "-" + std::to_string(m_nextRequest++);
     arrived.service = target.service;
@@ -142,30 +143,30 @@
     arrived.bodyHash = stableHash(request.body);
     arrived.deadline = now + remainingTime(request, m_settings.defaultRequestDeadline);
     const std::string id = arrived.id;
-    if (!m_actor->post(request_arrival{std::move(arrived), call})) {
+    if (!m_actor->post(request_arrival{std::move(arrived), waitingRequest})) {
         m_metrics.count("refusals_total", "ring_full");
         return refusalAnswer(error_kind::Overloaded);
     }
     http_response lastAnswer;
     while (true) {
-        const auto step = call->waitForStep();
+        const auto step = waitingRequest->waitForStep();
         if (const auto *answer = std::get_if<answer_step>(&step)) {
             m_metrics.observeMilliseconds("request_ms", std::chrono::duration<double, std::milli>(
                                                                 monotonic_clock::now() - now)
                                                                 .count());
             return finalAnswer(*answer, lastAnswer);
         }
-        lastAnswer = forwardAndReport(*call, id, std::get<forward_step>(step));
+        lastAnswer = forwardAndReport(*waitingRequest, id, std::get<forward_step>(step));
     }
 }
 
-http_response request_actor::forwardAndReport(const waiting_request &call, const std::string &id,
-                                              const forward_step &step)
+http_response request_actor::forwardAndReport(const waiting_request &waitingRequest,
+                                              const std::string &id, const forward_step &step)
 {
-    auto sent = m_forwarder.send(call.request(), id, step.attempt, step.upstream, step.deadline,
-                                 m_receivers);
+    auto sent = m_forwarder.send(waitingRequest.request(), id, step.attempt, step.upstream,
+                                 step.deadline, m_receiverThreads);
     if (sent.answer.stream) {
-        auto head = sent.answer; // its body is still to come
+        auto head = sent.answer; // only the head; the body follows through the stream
         reportStreamedAnswer(id, step.attempt, std::move(sent));
         return head;
     }
@@ -174,7 +175,7 @@
     return answer;
 }
 
-// The end is reported by whichever thread sees the receiving end; always after the begin.
+// The thread that sees the end of the stream reports it, always after the start was reported.
 void request_actor::reportStreamedAnswer(const std::string &id, std::uint32_t attempt,
                                          forwarded_attempt startedAttempt)
 {
@@ -191,10 +192,11 @@
 
 void request_actor::reportEnd(const std::string &id, std::uint32_t attempt, forwarded_attempt sent)
 {
-    attempt_result ended{{id, attempt, std::move(sent.outcome)}, std::move(sent.routingResult)};
-    // The ring holds more than all requests in flight can post; were it full all the same, the
-    // request would end by its deadline.
-    if (!m_actor->post(std::move(ended)))
+    attempt_result attemptResult{{id, attempt, std::move(sent.outcome)},
+                                 std::move(sent.routingResult)};
+    // The ring holds more events than all requests in flight can post. If it were full
+    // nevertheless, the request would end at its deadline.
+    if (!m_actor->post(std::move(attemptResult)))
         m_metrics.count("ring_full_total", "attempt_ended");
 }
 
@@ -248,11 +250,11 @@
 
 void request_actor::stop()
 {
-    m_receivers.stop();
+    m_receiverThreads.stop();
     m_actor->stop();
 }
 
-// --- On the duty's thread -----------------------------------------------------------------------
+// --- On the actor's thread ----------------------------------------------------------------------
 
 void request_actor::handle(event &newEvent)
 {
@@ -268,7 +270,7 @@
         budget = m_retryBudgets.try_emplace(service, budgetSettings(m_settings.retry), now).first;
     if (budget != m_retryBudgets.end())
         budget->second.requestStarted(now);
-    m_waitingRequests[newEvent.event.id] = newEvent.call;
+    m_waitingRequests[newEvent.event.id] = newEvent.waitingRequest;
     m_serviceByRequest[newEvent.event.id] = service;
     feed(newEvent.event, now);
 }
@@ -300,12 +302,13 @@
 {
     m_nextMaintenanceAt = std::min(m_nextMaintenanceAt, now + DigestDelay);
     try {
-        const bool whole = newEvent.parameters.isMember("whole");
+        const bool isFullAnnouncement = newEvent.parameters.isMember("whole");
         const auto outcome =
-                whole ? m_membership.handleMessage(
-                        request::announcementFromJson(newEvent.parameters["whole"]), now)
-                      : m_membership.handleMessage(
-                              request::heartbeatFromJson(newEvent.parameters["beat"]), now);
+                isFullAnnouncement
+                        ? m_membership.handleMessage(
+                                request::announcementFromJson(newEvent.parameters["whole"]), now)
+                        : m_membership.handleMessage(
+                                request::heartbeatFromJson(newEvent.parameters["beat"]), now);
         applyMembershipChanges(outcome.changes, now);
         newEvent.reply->set_value(toJson(outcome.reply));
     } catch (const error &) {
@@ -349,7 +352,8 @@
         peer->lastHeardAt = now;
         if (newEvent.ack->isMember("ack")) {
             auto ack = request::digestAckFromJson((*newEvent.ack)["ack"]);
-            ack.senderId = newEvent.peer; // digests are kept by the address they are sent to
+            // Membership tracks digests by the address that they were sent to.
+            ack.senderId = newEvent.peer;
             m_membership.handleMessage(ack);
         }
     } catch (const error &) {
@@ -381,7 +385,7 @@
     feed(newEvent, now);
 }
 
-// The flow's deadlines to the microsecond, the rest as seldom as it allows.
+// The flow's deadlines are exact to the microsecond; everything else is done as late as it allows.
 time_point request_actor::nextTick() const
 {
     return std::min({m_flow.nextWake(), m_nextMaintenanceAt, m_nextPublishAt});
@@ -533,13 +537,14 @@
         if (!digest)
             continue;
         const auto address = peer.address;
-        Json::Value wrapped(Json::objectValue);
-        wrapped["digest"] = toJson(*digest);
-        wrapped["config"] = m_generationReport();
-        const bool queued = m_sender.call(
-                address, "digest", wrapped, [this, address](std::optional<Json::Value> ack) {
-                    m_actor->post(digest_answered{address, std::move(ack)});
-                });
+        Json::Value digestParameters(Json::objectValue);
+        digestParameters["digest"] = toJson(*digest);
+        digestParameters["config"] = m_generationReport();
+        const bool queued =
+                m_sender.call(address, "digest", digestParameters,
+                              [this, address](std::optional<Json::Value> ack) {
+                                  m_actor->post(digest_answered{address, std::move(ack)});
+                              });
         if (!queued)
             m_metrics.count("digests_failed_total", "ring_full");
     }
@@ -557,17 +562,18 @@
         if (!peer.id.empty() && now - peer.lastHeardAt < m_settings.announceTimeout * 2)
             snapshot.liveEntries.push_back(peer.id);
     }
-    m_membersChanged(std::move(snapshot));
+    m_onMembersChanged(std::move(snapshot));
 }
 
-bool request_actor::isRetryPermitted(error_kind kind)
+bool request_actor::consumeRetryBudget(error_kind kind)
 {
     const auto budget = m_retryBudgets.find(m_retryService);
     if (budget == m_retryBudgets.end())
         return false;
     request::failed_attempt failed;
     failed.kind = kind;
-    failed.deadline = Never; // the request's own deadline and attempts are the flow's to check
+    // The request flow checks the request's deadline and number of attempts itself.
+    failed.deadline = Never;
     const auto verdict = budget->second.requestRetry(failed, m_now);
     if (const auto *denied = std::get_if<request::give_up>(&verdict)) {
         m_metrics.count("retries_denied_total", nameOf(denied->denialReason));
@@ -577,12 +583,12 @@
     return true;
 }
 
-bool request_actor::isEntryAlive(const std::string &uniqueId) const
+bool request_actor::isEntryAlive(const std::string &entryFullId) const
 {
-    if (uniqueId == m_self.fullId())
+    if (entryFullId == m_self.fullId())
         return true;
     return std::any_of(m_peers.begin(), m_peers.end(), [&](const peer_entry &peer) {
-        return process_identity{peer.id, peer.incarnation}.fullId() == uniqueId
+        return process_identity{peer.id, peer.incarnation}.fullId() == entryFullId
                && m_now - peer.lastHeardAt < m_settings.announceTimeout * 2;
     });
 }
--- a/app/request_actor.h
+++ b/app/request_actor.h
@@ -1,5 +1,6 @@
-// The entry's request duty: membership, routing, retry budgets and the life of callers' requests.
-// One thread decides; the HTTP threads of callers do the waiting and the sending.
+// The entry's request handling: membership, routing, retry budgets and the lifecycle of callers'
+// requests. One thread makes all decisions; the HTTP threads of callers wait for them and forward
+// the requests.
 #pragma once
 
 #include <condition_variable>
@@ -27,7 +28,7 @@
 
 namespace zinniabarrow {
 
-// What the duty tells the HTTP thread that holds a caller's connection.
+// Instructions of the actor to the HTTP thread that holds a caller's connection.
 struct forward_step
 {
     std::uint32_t attempt = 0;
@@ -40,7 +41,7 @@
 };
 using call_step = std::variant<forward_step, answer_step>;
 
-// One caller's request while its HTTP thread waits.
+// One caller's request and the instructions for the HTTP thread that waits for them.
 class waiting_request
 {
 public:
@@ -50,46 +51,46 @@
 
     const http_request &request() const { return m_request; }
     void push(call_step step);
-    call_step waitForStep(); // waits
+    call_step waitForStep(); // blocks until there is a step
 
 private:
     const http_request &m_request;
     std::mutex m_mutex;
-    std::condition_variable m_changed;
+    std::condition_variable m_stepAdded;
     std::deque<call_step> m_steps;
 };
 
-// Identity of this process among its peers.
+// Identity of a process among its peers.
 struct process_identity
 {
-    std::string id;                // from the settings
-    std::uint64_t incarnation = 0; // higher for each start
+    std::string id;                // from the process's settings
+    std::uint64_t incarnation = 0; // higher after each start
 
     std::string fullId() const { return id + "@" + std::to_string(incarnation); }
 };
 
-// What the scheduler has to know of the others.
+// Other processes, as the request handling knows them; passed to scheduling and configuration.
 struct members_snapshot
 {
-    std::vector<request::announcement> agents;         // known ones, silent ones included
-    std::vector<std::string> liveEntries;              // ids, this one included
-    std::map<std::string, std::string> entryAddresses; // rpc address by id, of peers once heard
+    std::vector<request::announcement> agents;         // all known ones, including silent ones
+    std::vector<std::string> liveEntries;              // ids, including this entry's
+    std::map<std::string, std::string> entryAddresses; // rpc address by id, of known peers
 };
 
 class request_actor
 {
 public:
     request_actor(actor_runtime &system, const config::entry_settings &settings,
-                  const process_identity &self, platform_executor &claims, rpc_sender &sender,
-                  metrics &counters, const logger &log,
-                  std::function<void(members_snapshot)> membersChanged,
+                  const process_identity &self, platform_executor &claimsPlatform,
+                  rpc_sender &sender, metrics &counters, const logger &log,
+                  std::function<void(members_snapshot)> onMembersChanged,
                   std::function<Json::Value()> generationReport);
     ~request_actor();
 
-    // Runs on the caller's HTTP thread until the final answer is there.
+    // Runs on the caller's HTTP thread and blocks until the final answer is there.
     http_response serve(const http_request &request);
 
-    // JSON-RPC bodies; run on an HTTP thread and wait for the duty.
+    // JSON-RPC methods: run on an HTTP thread and block until the actor has answered.
     Json::Value announce(const Json::Value &parameters);
     Json::Value digest(const Json::Value &parameters);
     Json::Value status();
@@ -102,7 +103,7 @@
     struct request_arrival
     {
         delivery::request_arrived event;
-        std::shared_ptr<waiting_request> call;
+        std::shared_ptr<waiting_request> waitingRequest;
     };
     struct attempt_result
     {
@@ -141,14 +142,14 @@
         time_point lastHeardAt{};
     };
 
-    // On HTTP threads.
-    http_response forwardAndReport(const waiting_request &call, const std::string &id,
+    // Run on HTTP threads.
+    http_response forwardAndReport(const waiting_request &waitingRequest, const std::string &id,
                                    const forward_step &step);
     void reportStreamedAnswer(const std::string &id, std::uint32_t attempt,
                               forwarded_attempt startedAttempt);
     void reportEnd(const std::string &id, std::uint32_t attempt, forwarded_attempt sent);
     http_response finalAnswer(const answer_step &step, const http_response &lastAnswer) const;
-    // On the duty's thread.
+    // Run on the actor's thread.
     void handle(event &newEvent);
     void on(request_arrival &newEvent, time_point now);
     void on(delivery::answer_started &newEvent, time_point now);
@@ -179,8 +180,8 @@
                                 time_point now);
     void sendDigests(time_point now);
     void publishMembers(time_point now);
-    bool isRetryPermitted(error_kind kind);
-    bool isEntryAlive(const std::string &uniqueId) const;
+    bool consumeRetryBudget(error_kind kind);
+    bool isEntryAlive(const std::string &entryFullId) const;
 
     const config::entry_settings m_settings;
     const process_identity m_self;
@@ -188,28 +189,28 @@
     rpc_sender &m_sender;
     metrics &m_metrics;
     const logger &m_log;
-    forwarder m_forwarder; // used by the HTTP threads
-    std::function<void(members_snapshot)> m_membersChanged;
-    std::function<Json::Value()> m_generationReport; // goes with every digest
+    forwarder m_forwarder; // used on HTTP threads
+    std::function<void(members_snapshot)> m_onMembersChanged;
+    std::function<Json::Value()> m_generationReport; // this entry's report, sent with every digest
     std::atomic<std::uint64_t> m_nextRequest{0};
     std::atomic<bool> m_isDrained{false};
 
-    // Touched by the duty's thread alone.
+    // Used only on the actor's thread.
     request::membership m_membership;
     request::router m_router;
     delivery::request_flow m_flow;
     std::map<std::string, request::retry_budget> m_retryBudgets;               // by service
     std::map<std::string, std::shared_ptr<waiting_request>> m_waitingRequests; // by request id
     std::map<std::string, std::string> m_serviceByRequest;                     // by request id
-    std::map<std::string, request::route> m_routeByRequest; // chosen, by request id
+    std::map<std::string, request::route> m_routeByRequest; // chosen upstream, by request id
     std::vector<peer_entry> m_peers;
-    std::string m_retryService; // of the attempt being handled
-    time_point m_now{};         // of the event being handled
+    std::string m_retryService; // service of the attempt whose result is being handled
+    time_point m_now{};         // time at which the current event or tick is handled
     time_point m_nextPublishAt{};
     time_point m_nextMaintenanceAt{};
 
-    std::unique_ptr<event_actor<event>> m_actor; // its thread uses all of the above
-    receiver_threads m_receivers;                // last: its threads post to the duty
+    std::unique_ptr<event_actor<event>> m_actor; // after the members above, which its thread uses
+    receiver_threads m_receiverThreads;          // last: its threads post to m_actor
 };
 
 } // namespace zinniabarrow
--- a/app/rpc_endpoint.cpp
+++ b/app/rpc_endpoint.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Method that the call on this thread named; what is no call counts as "broken".
+// Method named by the call on this thread; "broken" for a body that is not a valid call.
 thread_local std::string calledMethod;
 
 } // namespace
@@ -15,7 +15,8 @@
     : m_metrics(counters)
     , m_isReady(std::move(ready))
 {
-    // Each reason has its counter from the start: an alarm on a rate needs the zero before the one.
+    // Every reason has its counter from the start, because an alarm on a rate needs the zero before
+    // the first increment.
     for (const auto &row : errorAnswers()) {
         m_metrics.count("refusals_total", row.name, 0);
         if (row.retryElsewhere)
--- a/app/rpc_endpoint.h
+++ b/app/rpc_endpoint.h
@@ -1,4 +1,4 @@
-// The HTTP side of a process that others of the system call: /rpc, /metrics, /healthz, /readyz.
+// HTTP endpoint for other processes of the system: /rpc, /metrics, /healthz, /readyz.
 #pragma once
 
 #include <functional>
@@ -15,10 +15,11 @@
 public:
     rpc_endpoint(metrics &counters, std::function<bool()> ready);
 
-    // A body that throws error answers with its kind, not as an internal error.
+    // An `error` that the method throws is returned to the caller under its own kind, not as an
+    // internal error.
     void bind(const std::string &name, rpc_server::method body);
 
-    // The answer when the request's path is one of the four; else nothing.
+    // Answers the four paths above; returns nothing for any other path.
     std::optional<http_response> serve(const http_request &request) const;
 
 private:
--- a/app/scheduling_actor.cpp
+++ b/app/scheduling_actor.cpp
@@ -12,7 +12,8 @@
 
 constexpr std::size_t RingCapacity = 32768;
 constexpr milliseconds TickInterval{100};
-const write_result NotSentResult{write_outcome::Refused, 0, {}}; // the lane to the platform is full
+// Reported when the platform executor's queue is full.
+const write_result NotSentResult{write_outcome::Refused, 0, {}};
 
 work::lease_settings leaseSettings(const config::entry_settings &settings)
 {
@@ -39,8 +40,9 @@
     out.quarantine.jobWorkerLimit = settings.placement.jobQuarantineWorkers;
     out.quarantine.workerJobLimit = settings.placement.workerQuarantineJobs;
     out.relief.evictionsPerMinute = static_cast<double>(settings.placement.evictionsPerMinute);
-    // Agents count what their worker was told, the declared size: with smaller reservations of
-    // processors here, they would refuse starts. Memory is only ever reserved above it.
+    // Agents count the declared size that their worker was given. With smaller processor
+    // reservations here, agents would refuse starts. Memory is only ever reserved above the
+    // declared size.
     out.sizes.minProcessorShare = 1.0;
     return out;
 }
@@ -81,12 +83,13 @@
 
 // --- On other threads ---------------------------------------------------------------------------
 
-void scheduling_actor::membersChanged(members_snapshot snapshot)
+void scheduling_actor::updateMembers(members_snapshot snapshot)
 {
-    m_actor->post(std::move(snapshot)); // the next one follows soon when the ring is full
+    // If the ring is full this snapshot is dropped; the next one follows soon.
+    m_actor->post(std::move(snapshot));
 }
 
-void scheduling_actor::configurationAdopted(adopted_configuration adopted)
+void scheduling_actor::applyConfiguration(adopted_configuration adopted)
 {
     while (!m_actor->post(adopted))
         std::this_thread::sleep_for(TickInterval);
@@ -95,11 +98,11 @@
 Json::Value scheduling_actor::report(const Json::Value &parameters)
 {
     const auto message = work::agentReportFromJson(objectMember(parameters, "report"));
-    const reported_worker place{placement::workerInfoFromJson(objectMember(parameters, "worker")),
-                                stringMember(parameters, "agent"),
-                                boolMember(parameters, "serving")};
+    const reported_worker reportedWorker{
+            placement::workerInfoFromJson(objectMember(parameters, "worker")),
+            stringMember(parameters, "agent"), boolMember(parameters, "serving")};
     return postAndAwaitReply([&](const reply_promise &reply) {
-        return m_actor->post(report_request{message, place, reply});
+        return m_actor->post(report_request{message, reportedWorker, reply});
     });
 }
 
@@ -130,7 +133,7 @@
         std::this_thread::sleep_for(TickInterval);
 }
 
-// --- On the duty's thread -----------------------------------------------------------------------
+// --- On the actor's thread ----------------------------------------------------------------------
 
 void scheduling_actor::handle(event &newEvent)
 {
@@ -164,7 +167,7 @@
 {
     const auto shard = m_shards.find(newEvent.shard);
     if (shard == m_shards.end() || shard->second->epoch() != newEvent.epoch)
-        return; // of a table that was discarded
+        return; // for a coordinator that was discarded
     performActions(*shard->second, shard->second->handle(newEvent.answer, monotonic_clock::now()));
 }
 
@@ -175,7 +178,7 @@
     answer["owner"] = shard != nullptr;
     if (shard != nullptr) {
         m_currentReport = newEvent.report;
-        m_reportedWorkers[newEvent.report.worker] = newEvent.place;
+        m_reportedWorkers[newEvent.report.worker] = newEvent.reportedWorker;
         performActions(*shard, shard->handle(work::report_received{newEvent.report},
                                              monotonic_clock::now()));
         m_currentReport.reset();
@@ -207,8 +210,8 @@
             }
             const auto service = stringMember(newEvent.parameters, "service");
             const microseconds p99(integerMember(newEvent.parameters, "p99_us"));
-            // Requests and usage are not measured together; agents of earlier versions gave one
-            // age.
+            // Latency and usage are measured at different times. Agents of earlier versions send
+            // one age for both.
             const bool hasOwnAge = newEvent.parameters.isMember("p99_age_ms");
             const auto latencyMeasuredAt =
                     hasOwnAge ? now - milliseconds(integerMember(newEvent.parameters, "p99_age_ms"))
@@ -251,14 +254,14 @@
 
 void scheduling_actor::tick()
 {
-    // Half a tick early: a tick that comes a little sooner than the last must not cost a round.
+    // Half a tick early: a tick that comes slightly early must not delay planning by a whole tick.
     const auto now = monotonic_clock::now();
     const bool isPlanDue = now + TickInterval / 2 >= m_nextPlanAt;
     if (isPlanDue)
         m_nextPlanAt = now + m_settings.placement.tickInterval;
     feedOwnership(work::ownership_tick{listUnresponsiveWorkers()});
     m_isDrained = m_isReleasing && m_ownership.isReleased();
-    // `handle` may discard a shard: walk over the numbers, not over the map.
+    // `handle` may remove a shard, so iterate over a copy of the numbers instead of the map.
     std::vector<int> numbers;
     for (const auto &[number, shard] : m_shards)
         numbers.push_back(number);
@@ -284,10 +287,10 @@
 
 std::map<int, work::unresponsive_workers> scheduling_actor::listUnresponsiveWorkers() const
 {
-    std::map<int, work::unresponsive_workers> quiet;
+    std::map<int, work::unresponsive_workers> unresponsiveByShard;
     for (const auto &[number, shard] : m_shards)
-        quiet[number] = shard->currentUnresponsiveWorkers(monotonic_clock::now());
-    return quiet;
+        unresponsiveByShard[number] = shard->currentUnresponsiveWorkers(monotonic_clock::now());
+    return unresponsiveByShard;
 }
 
 void scheduling_actor::feedOwnership(const work::ownership_event &newEvent)
@@ -326,7 +329,8 @@
     settings.store.maxRowsPerCommit = m_settings.placement.maxTasksPerCommit;
     settings.store.tasksPerChunk *= static_cast<std::uint32_t>(m_settings.shards);
     settings.maxBacklogPerWorker = m_settings.placement.backlogPerWorker;
-    settings.startsBacklogWhenDown = false; // the placer counts each start
+    // The placer has to count each start, so it decides on starts itself.
+    settings.startsBacklogWhenDown = false;
     const work::shard_tenure owner{action.shard, action.epoch, action.shardVersion,
                                    action.earlierLeasesEndAt, action.unresponsive};
     const auto prefix = m_self.fullId() + "/work-" + std::to_string(action.shard) + "-"
--- a/app/scheduling_actor.h
+++ b/app/scheduling_actor.h
@@ -1,4 +1,5 @@
-// The entry's scheduling duty: owns shards of workers, places tasks, grants them to agents.
+// The entry's scheduling: owns shards of workers, places tasks on them and sends grants to their
+// agents.
 #pragma once
 
 #include <functional>
@@ -31,16 +32,18 @@
                      metrics &counters, const logger &log);
     ~scheduling_actor();
 
-    void membersChanged(members_snapshot snapshot);
-    void configurationAdopted(adopted_configuration adopted);
+    void updateMembers(members_snapshot snapshot);
+    void applyConfiguration(adopted_configuration adopted);
 
-    // JSON-RPC bodies; they wait for the duty.
-    Json::Value report(const Json::Value &parameters); // an agent's report; may answer a grant
-    Json::Value usage(const Json::Value &parameters);  // an agent's late measurements
+    // JSON-RPC methods. They block until the actor has answered.
+    Json::Value
+    report(const Json::Value &parameters); // an agent's report; the answer may contain a grant
+    Json::Value
+    usage(const Json::Value &parameters); // an agent's measurements of usage and latency
     Json::Value status();
     Json::Value explain(const Json::Value &parameters); // {task}
 
-    void drain(); // hands the shards over
+    void drain(); // hands all owned shards over to other entries
     bool isDrained() const { return m_isDrained; }
     void stop();
 
@@ -48,7 +51,7 @@
     struct report_request
     {
         work::agent_report report;
-        reported_worker place;
+        reported_worker reportedWorker;
         reply_promise reply;
     };
     struct usage_request
@@ -65,7 +68,7 @@
         work::task_id task;
         reply_promise reply;
     };
-    struct coordinator_answer // for the task table that was owned under `epoch`
+    struct coordinator_answer // for the coordinator of the shard that was owned under `epoch`
     {
         int shard = 0;
         std::uint64_t epoch = 0;
@@ -109,19 +112,20 @@
     const logger &m_log;
     std::atomic<bool> m_isDrained{false};
 
-    // Touched by the duty's thread alone.
+    // Used only on the actor's thread.
     std::vector<work::shard_info> m_shardInfos;
     work::shard_ownership m_ownership;
     std::map<int, std::unique_ptr<owned_shard>> m_shards;
     std::map<std::string, reported_worker> m_reportedWorkers; // by worker id
-    work::usage_tracker m_usageTracker;                       // of the workers of the own shards
+    work::usage_tracker m_usageTracker;                       // of the workers in owned shards
     adopted_configuration m_configuration;
-    std::optional<work::worker_grant> m_replyGrant;    // to the report being handled
-    std::optional<work::agent_report> m_currentReport; // the report being handled
+    std::optional<work::worker_grant>
+            m_replyGrant; // grant to return with the answer to m_currentReport
+    std::optional<work::agent_report> m_currentReport; // set while a report is being handled
     bool m_isReleasing = false;
-    time_point m_nextPlanAt{}; // next round of placement
+    time_point m_nextPlanAt{}; // time of the next placement run
 
-    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all of the above
+    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all members above
 };
 
 } // namespace zinniabarrow
--- a/app/supervisor_actor.cpp
+++ b/app/supervisor_actor.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::size_t RingCapacity = 8192;
 constexpr milliseconds WorkerTimeout{1000};
-// After a report was due: every entry is asked for the owner.
+// When the owner has not answered for this long after a report was due, every entry is asked for
+// the owner.
 constexpr milliseconds OwnerSilenceLimit{2000};
 constexpr milliseconds UsageInterval{2000};
 constexpr int ConflictStatus = 409;
@@ -53,7 +54,8 @@
     , m_usageReporter(self.fullId(), {})
 {
     m_workerCalls = std::make_unique<event_actor<std::function<void()>>>(
-            system, RingCapacity, [](std::function<void()> &work) { work(); }, duration(0), [] {});
+            system, RingCapacity, [](std::function<void()> &workerCall) { workerCall(); },
+            duration(0), [] {});
     m_actor = std::make_unique<event_actor<event>>(
             system, RingCapacity, [this](event &newEvent) { handle(newEvent); },
             tick_schedule{[this] { return std::min(m_supervisor.nextTick(), m_nextUsageAt); },
@@ -83,7 +85,7 @@
     return Json::Value(Json::objectValue);
 }
 
-// --- On the duty's thread -----------------------------------------------------------------------
+// --- On the actor's thread ----------------------------------------------------------------------
 
 void supervisor_actor::handle(event &newEvent)
 {
@@ -91,8 +93,8 @@
         feed(*input);
     else if (const auto *answer = std::get_if<report_answered>(&newEvent))
         handleReportAnswer(*answer);
-    else if (const auto *asked = std::get_if<throttle_requested>(&newEvent))
-        throttle(*asked);
+    else if (const auto *request = std::get_if<throttle_requested>(&newEvent))
+        throttle(*request);
     else if (const auto *measured = std::get_if<usage_measured>(&newEvent))
         sendUsage(*measured);
     else
@@ -118,9 +120,9 @@
     for (const auto &running : m_supervisor.occupyingTasks()) {
         if (running.attempt != attempt)
             continue;
-        const auto reservedMillicores =
+        const auto declaredMillicores =
                 std::max<std::int64_t>(work::declaredSize(running.spec).millicores, 1);
-        const auto percent = std::min(millicores * Percent / reservedMillicores, Percent);
+        const auto percent = std::min(millicores * Percent / declaredMillicores, Percent);
         auto body = attemptJson(attempt);
         body["percent"] = Json::Int64(millicores == 0 ? Percent : percent);
         callWorker("/throttle", body, [this, attempt] {
@@ -160,7 +162,7 @@
     if (queued)
         return;
     m_metrics.count("ring_full_total", "worker");
-    if (onFailure) // without it a task would stay throttled, or at full speed, for good
+    if (onFailure) // otherwise the task would stay throttled, or at full speed, forever
         onFailure();
 }
 
@@ -222,7 +224,7 @@
     m_renewals.push_back(action);
 }
 
-// All renewals of one event refer to the same listing: one call carries them.
+// All renewals of one event belong to the same listing, so one call carries them.
 void supervisor_actor::flushRenewals()
 {
     if (m_renewals.empty())
@@ -290,7 +292,7 @@
 {
     if (!newEvent.answer || !(*newEvent.answer)["owner"].asBool()) {
         if (newEvent.entry == m_ownerEntry)
-            m_ownerKnownUntil = {}; // it owns the shard no more: ask them all
+            m_ownerKnownUntil = {}; // it no longer owns the shard: ask all entries
         return;
     }
     m_ownerEntry = newEvent.entry;
@@ -329,7 +331,8 @@
     });
 }
 
-// What the worker measured goes to the owner with its age; the owner attributes it to that time.
+// Sends the worker's usage to the owner with its age, so that the owner can attribute it to the
+// time of measurement.
 void supervisor_actor::sendUsage(const usage_measured &newEvent)
 {
     try {
@@ -362,7 +365,7 @@
     }
 }
 
-// The last check before a start: workers start whatever they are given, whether it fits or not.
+// The last check before a start: workers start every task they are given, even if it does not fit.
 bool supervisor_actor::hasRoom(const work::task_id &task, const resources &amount) const
 {
     const auto &size = m_settings.worker.size;
--- a/app/supervisor_actor.h
+++ b/app/supervisor_actor.h
@@ -1,4 +1,5 @@
-// The agent's keeper duty: runs the tasks of its worker under the owner's grants, and reports.
+// Runs the tasks of the agent's worker under the shard owner's grants, and reports on them to the
+// owner.
 #pragma once
 
 #include <functional>
@@ -30,9 +31,10 @@
                      rpc_sender &sender, metrics &counters, latency_source tailLatency);
     ~supervisor_actor();
 
-    // JSON-RPC bodies.
+    // JSON-RPC method: passes an owner's grant to the task supervisor.
     Json::Value grant(const Json::Value &parameters);
-    // {task, millicores}, from owners of earlier versions; others name limits in their grants.
+    // JSON-RPC method, {task, millicores}: sent only by owners of earlier versions; newer owners
+    // put CPU limits into their grants.
     Json::Value throttle(const Json::Value &parameters);
 
     void setServing(bool serving) { m_isServing = serving; }
@@ -51,10 +53,10 @@
     };
     struct usage_measured
     {
-        Json::Value answer; // of the worker
+        Json::Value answer; // usage report of the worker
         time_point requestedAt;
     };
-    struct usage_unanswered // by the owner
+    struct usage_unanswered // the owner did not answer the last usage report
     { };
     using event = std::variant<work::supervisor_event, report_answered, throttle_requested,
                                usage_measured, usage_unanswered>;
@@ -90,18 +92,18 @@
     std::atomic<bool> m_isServing{true};
     http_pool m_worker;
 
-    // Touched by the duty's thread alone.
+    // Used only on the actor's thread.
     work::task_supervisor m_supervisor;
-    std::size_t m_ownerEntry = 0;               // index of the entry that answered as owner
-    time_point m_ownerKnownUntil{};             // then every entry is asked
-    std::vector<work::worker_renew> m_renewals; // of the event being handled
+    std::size_t m_ownerEntry = 0;   // index of the entry that last answered as the shard's owner
+    time_point m_ownerKnownUntil{}; // after this, reports go to every entry
+    std::vector<work::worker_renew> m_renewals; // collected while one event is handled
     time_point m_nextUsageAt{};
     work::usage_reporter m_usageReporter;
-    std::size_t m_usageEntry = 0; // entry that was sent the last report of usage
+    std::size_t m_usageEntry = 0; // index of the entry that the last usage report was sent to
 
     std::unique_ptr<event_actor<std::function<void()>>>
-            m_workerCalls;                       // blocking calls to the worker
-    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all of the above
+            m_workerCalls;                       // makes the blocking HTTP calls to the worker
+    std::unique_ptr<event_actor<event>> m_actor; // last: its thread uses all members above
 };
 
 } // namespace zinniabarrow
--- a/app/upstream_probe.h
+++ b/app/upstream_probe.h
@@ -1,8 +1,9 @@
-// Whether the upstream beside the agent accepts connections.
+// Tracks whether the upstream beside the agent accepts connections.
 //
-// A failed connection says at once that it does not; connection attempts say when it does again.
-// Without this every request that the entries send here costs a retry out of their budget, and at
-// low traffic callers are refused although other upstreams would answer.
+// It counts as down as soon as a connection fails, and as up once a connection attempt of the probe
+// succeeds. Without this, every request that the entries send to a dead upstream would cost a retry
+// from their budget, and at low traffic callers would be refused although other upstreams could
+// answer.
 #pragma once
 
 #include <atomic>
@@ -17,12 +18,13 @@
 class upstream_probe
 {
 public:
-    // `changed` runs on the probe's thread, first when the upstream accepts a connection.
+    // `onChanged` runs on the probe's thread, for the first time when the upstream accepts a
+    // connection.
     upstream_probe(actor_runtime &system, socket_address upstream,
                    std::function<void(bool)> onChanged);
     ~upstream_probe();
 
-    // From any thread: a request could not connect.
+    // Reports that a request could not connect. May be called on any thread.
     void noteUnreachable();
     void stop();
 
@@ -33,9 +35,9 @@
     std::function<void(bool)> m_onChanged;
     std::atomic<bool> m_isUp{false};
 
-    time_point m_nextProbeAt{}; // touched by the probe's thread alone
+    time_point m_nextProbeAt{}; // used only on the probe's thread
 
-    std::unique_ptr<actor_thread> m_thread; // last: it uses all of the above
+    std::unique_ptr<actor_thread> m_thread; // last: it uses all members above
 };
 
 } // namespace zinniabarrow
--- a/tests/control_bytes_test.cpp
+++ b/tests/control_bytes_test.cpp
@@ -1,4 +1,4 @@
-// Bytes of control, counted where they are sent and where they are received.
+// Control traffic in bytes, counted by the sender and by the receiver.
 #include "app/outbound_calls.h"
 #include "app/rpc_endpoint.h"
 #include "base/errors.h"
@@ -22,9 +22,9 @@
 
 } // namespace
 
-// The budget of a node is read off these counters. Were a head left out at either end, or a message
-// counted under another kind, the table of the costs would be wrong without anyone seeing it: so
-// what one process counts as sent must be to the byte what the other counts as received.
+// The traffic budget of a node is computed from these counters. If a head were left out at either
+// end, or a message counted under another kind, the cost table would be wrong unnoticed. So the
+// bytes that one process counts as sent must equal those that the other counts as received.
 Test(control_bytes, both_ends_count_the_same)
 {
     metrics atServer;
@@ -53,7 +53,7 @@
             check(answered == atServer.controlBytes(kind, byte_direction::Sent));
         });
     }
-    section("a large answer to a small question is no small message",
+    section("a large answer to a small call counts as large",
             [&] { check(atClient.controlBytes("echo", byte_direction::Received) > 1000); });
     sender.stop();
     server.stop();
--- a/tests/fleet_scenario.h
+++ b/tests/fleet_scenario.h
@@ -1,4 +1,5 @@
-// What the process tests share: a small fleet, a load beside the story, checks of the promises.
+// Shared by the process tests: a small fleet, load that runs beside a scenario, and checks of what
+// callers and operators are guaranteed.
 #pragma once
 
 #include <csignal>
@@ -14,7 +15,7 @@
 
 using namespace zinniabarrow::standins;
 
-constexpr milliseconds WaitLimit{45'000}; // a bound on waits for conditions, not a measurement
+constexpr milliseconds WaitLimit{45'000}; // upper bound for waits on conditions; not a measurement
 
 inline fleet_options smallFleet()
 {
@@ -48,9 +49,11 @@
     require(waitForUpstreams(system, system.options().workers));
 }
 
-// Runs the load on a thread of its own while `story` happens.
-template <typename Story>
-void runUnderLoad(fleet &system, const load_options &options, load_result &result, Story &&scenario)
+// Runs `scenario` while a thread of its own applies the load; starts it after a sixth of the
+// requests is done.
+template <typename Scenario>
+void runUnderLoad(fleet &system, const load_options &options, load_result &result,
+                  Scenario &&scenario)
 {
     load_generator load(system, options, result);
     std::thread callers([&] { load.run(); });
@@ -59,7 +62,7 @@
     callers.join();
 }
 
-// The refusals by reason, for the message of a failed check.
+// Describes the refusals by reason, for the message of a failed check.
 inline std::string describeRefusals(const load_result &result)
 {
     std::string text;
@@ -68,7 +71,7 @@
     return text;
 }
 
-inline void checkPromisesKept(fleet &system, const load_result &result)
+inline void checkGuaranteesKept(fleet &system, const load_result &result)
 {
     check(result.wrongAnswers == 0);
     for (const auto &broken : findGuaranteeViolations(system, result))
--- a/tests/outbound_calls_test.cpp
+++ b/tests/outbound_calls_test.cpp
@@ -1,5 +1,5 @@
-// Calls to other processes while some of these do not answer. Waits are on conditions, bounds on
-// counts.
+// Calls to other processes while some of them do not answer. Waits are for conditions; the bounds
+// are on counts, not on times.
 #include <atomic>
 #include <string>
 #include <thread>
@@ -18,27 +18,27 @@
 
 namespace {
 
-constexpr milliseconds Timeout{500};      // of a call
-constexpr milliseconds WaitLimit{60'000}; // a bound on waits for conditions, not a measurement
-constexpr unsigned Processes = 8;         // that are silent, and as many that answer
-constexpr unsigned CallsToEach = 8;       // of the silent ones
+constexpr milliseconds Timeout{500};      // of one call
+constexpr milliseconds WaitLimit{60'000}; // upper bound for waits on conditions; not a measurement
+constexpr unsigned Processes = 8;         // number of silent ones, and of answering ones
+constexpr unsigned CallsToEach = 8;       // to each of the silent ones
 
 template <typename Condition>
 bool waitFor(Condition isTrue)
 {
-    const auto giveUpAt = monotonic_clock::now() + WaitLimit;
-    while (!isTrue() && monotonic_clock::now() < giveUpAt)
+    const auto deadline = monotonic_clock::now() + WaitLimit;
+    while (!isTrue() && monotonic_clock::now() < deadline)
         std::this_thread::sleep_for(milliseconds(5));
     return isTrue();
 }
 
-// One port under several addresses, as so many processes.
+// Addresses that share one port stand for several processes.
 std::string addressOf(unsigned index, int port)
 {
     return "127.0.0." + std::to_string(index + 1) + ":" + std::to_string(port);
 }
 
-// Takes connections in and never answers.
+// Accepts connections and never answers.
 class silent_server
 {
 public:
@@ -67,10 +67,10 @@
 
 } // namespace
 
-// An agent calls entries that do not answer, each call in vain for as long as the timeout is. Were
-// its calls to the shard's owner to wait behind these, its report would come after its short lease:
-// its tasks would stop although the owner answers at once.
-Test(lanes, silent_targets_hold_no_other_back)
+// An agent calls entries that do not answer, and each of these calls fails only after the timeout.
+// If its calls to the shard's owner had to wait behind them, its report would arrive after its
+// short lease: its tasks would stop although the owner answers immediately.
+Test(outbound_calls, silent_targets_do_not_delay_others)
 {
     rpc_server methods;
     methods.bind("report", [](const Json::Value &parameters) { return parameters; });
@@ -91,21 +91,22 @@
         for (unsigned index = 0; index < Processes; ++index)
             sender.call(addressOf(index, silent.port()), "report", Json::objectValue, count);
     }
-    section("those that answer are heard while most calls to the silent ones wait", [&] {
+    section("calls to answering targets complete while most calls to silent ones wait", [&] {
         for (unsigned index = 0; index < Processes; ++index)
             sender.call(addressOf(index, answering.address().port), "report", Json::objectValue,
                         count);
         check(waitFor([&] { return answered == Processes; }));
         check(failedCalls < Processes * CallsToEach / 2);
     });
-    section("every call comes back", [&] {
+    section("every call completes", [&] {
         check(waitFor([&] { return answered + failedCalls == Processes * (CallsToEach + 1); }));
         check(answered == Processes);
     });
 }
 
-// A duty asks a process whose address it does not know yet, and has to hear that nothing came.
-Test(lanes, a_call_without_an_address_fails)
+// An actor calls a process whose address it does not know yet, and must be told that the call
+// failed.
+Test(outbound_calls, a_call_without_an_address_fails)
 {
     actor_runtime system;
     metrics counters;
@@ -119,9 +120,9 @@
     check(waitFor([&] { return failedCalls == 2; }));
 }
 
-// Duties call from threads of their own while the sender's threads go to rest and wake. A wake that
-// is lost would leave a call lying until another one comes, and its caller without an answer.
-Test(lanes, every_call_comes_back)
+// Actors call from threads of their own while the sender's threads become idle and are woken. If a
+// wake were lost, a call would stay queued until the next call, and its caller would get no answer.
+Test(outbound_calls, every_call_completes)
 {
     constexpr unsigned Callers = 4;
     constexpr unsigned Calls = 400;
@@ -142,7 +143,7 @@
                 const auto before = completedCalls.load();
                 sender.call(addressOf((caller + call) % Processes, answering.address().port),
                             "report", Json::objectValue, [&](const auto &) { ++completedCalls; });
-                if (call % Callers == caller) // so that some calls find all threads at rest
+                if (call % Callers == caller) // some calls then find all threads idle
                     waitFor([&] { return completedCalls > before; });
             }
         });
--- a/tests/process_config_test.cpp
+++ b/tests/process_config_test.cpp
@@ -1,4 +1,5 @@
-// The operators' folder on real processes: add, edit, remove, race, refuse, outage in mid-change.
+// The operators' folder on real processes: adding, editing and removing files, concurrent edits,
+// refusals, and an outage during a change.
 #include <fstream>
 
 #include "base/json.h"
@@ -54,9 +55,10 @@
 
 } // namespace
 
-// An operator's edit is in force everywhere, or is refused with file, line and reason and changes
-// nothing; a repaired edit is taken up. That it takes less than four seconds, struck at any step,
-// is held in virtual time by generations_test; here the command tells how long it took.
+// An operator's edit is either in force everywhere, or is refused with file, line and reason and
+// changes nothing; a corrected edit is accepted. generations_test checks in virtual time that this
+// takes less than four seconds, with a fault injected at any step; here the command prints how long
+// it took.
 Test(process_config, edits)
 {
     fleet system(smallFleet());
@@ -74,7 +76,7 @@
         for (unsigned entry = 0; entry < 3; ++entry)
             check(generationAt(system, entry) == 2);
     });
-    section("an edit that asks too much is refused, the generation stays", [&] {
+    section("an edit that exceeds the limits is refused, the generation stays", [&] {
         batch_options huge;
         huge.millicores = 99'000'000;
         const auto result = operatorClient.put(2, "20-batch.json", makeBatchConfig(huge));
@@ -83,7 +85,7 @@
         check(contains(result.output, "20-batch.json:"));
         check(generationAt(system, 0) == 2);
     });
-    section("its repair is taken up", [&] {
+    section("the corrected edit is accepted", [&] {
         batch_options repaired;
         repaired.tasks = 41;
         check(operatorClient.put(0, "20-batch.json", makeBatchConfig(repaired)).exitCode == 0);
@@ -95,8 +97,9 @@
     });
 }
 
-// Two operators write the same file at once: there is one order, one sees `in force`, the other
-// `superseded` (or in force, before it was overtaken), and every entry ends with the same content.
+// Two operators write the same file at once. The writes are ordered: one operator sees `in force`,
+// the other `superseded` (or `in force`, if it was before the other write), and all entries end
+// with the same content.
 Test(process_config, race)
 {
     fleet system(smallFleet());
@@ -122,7 +125,7 @@
     }
     for (auto &each : operators)
         each.join();
-    section("each is told what became of its file", [&] {
+    section("each operator is told the result for its file", [&] {
         unsigned inForce = 0;
         for (const auto &result : results) {
             const bool isReported =
@@ -132,7 +135,7 @@
         }
         check(inForce >= 1);
     });
-    section("every entry works by the same content", [&] {
+    section("every entry has the same content in force", [&] {
         const auto digestAt = [&](unsigned entry) {
             return system.rpc(entry, "status", Json::objectValue)["configuration"]["here"]["digest"]
                     .asString();
@@ -142,8 +145,9 @@
     });
 }
 
-// The platform goes away in mid-change and an entry is replaced meanwhile: the accepted generation
-// stays in force everywhere and never falls; the edit is taken up once the platform is back.
+// The platform goes down during a change and an entry is replaced meanwhile. The accepted
+// generation stays in force everywhere and never decreases; the edit is accepted once the platform
+// is back.
 Test(process_config, outage_in_mid_change)
 {
     fleet system(smallFleet());
@@ -157,7 +161,7 @@
         system.setFault(system.platformAddress(), fault);
     });
     const auto minGeneration = generationAt(system, 1);
-    section("an entry replaced during the outage serves by what its peers know", [&] {
+    section("an entry replaced during the outage gets the generation from its peers", [&] {
         system.entry(0)->signal(SIGKILL);
         system.entry(0)->waitForExit(WaitLimit);
         system.startEntry(0);
@@ -176,7 +180,7 @@
     });
 }
 
-// The operators' pages name these commands: each is run as written there.
+// The operators' documentation names these commands; each is run as written there.
 Test(process_config, commands)
 {
     fleet system(smallFleet());
--- a/tests/process_evict_test.cpp
+++ b/tests/process_evict_test.cpp
@@ -1,5 +1,6 @@
-// Evictions on real processes: urgent work takes the room of batch tasks, which are checkpointed,
-// freed, and go on later from where they were, exactly once, whatever dies or is lost meanwhile.
+// Evictions on real processes: urgent tasks take the capacity of batch tasks. The batch tasks are
+// checkpointed, requeued and resumed later from their checkpoints, exactly once, whatever process
+// dies or message is lost meanwhile.
 #include "fleet_scenario.h"
 
 using namespace zinniabarrow;
@@ -7,8 +8,8 @@
 
 namespace {
 
-constexpr int BatchTasks = 24; // with the service they fill the four workers
-constexpr int UrgentTasks = 4; // each as large as three of the batch
+constexpr int BatchTasks = 24; // together with the service they fill the four workers
+constexpr int UrgentTasks = 4; // each as large as three batch tasks
 constexpr int BatchRunMs = 5000;
 
 batch_options batchJob()
@@ -31,7 +32,7 @@
     return urgent;
 }
 
-// A fleet whose workers are full of running batch tasks.
+// Starts a fleet and fills its workers with running batch tasks.
 void startFullFleet(fleet &system)
 {
     startAndWait(system);
@@ -41,7 +42,7 @@
                       WaitLimit));
 }
 
-// Of a team of its own: the batch has used up its own team's quota.
+// The urgent job gets a team of its own, because the batch has used up its team's quota.
 void submitUrgent(fleet &system)
 {
     auto folder = makeBatchConfig(urgentJob());
@@ -52,7 +53,8 @@
     system.putFolderFile("30-gate.json", folder);
 }
 
-// Returns when the first batch task has been evicted for the urgent ones, and others are about to.
+// Returns when the first batch task has been evicted for the urgent tasks and further evictions are
+// in progress.
 void startUntilEviction(fleet &system)
 {
     startFullFleet(system);
@@ -77,7 +79,7 @@
                         WaitLimit));
         check(countTraced(system, "ended", batch) == BatchTasks);
     });
-    section("each eviction was resumed once, from its checkpoint; nothing began anew", [&] {
+    section("each evicted task was resumed once, from its checkpoint; none restarted", [&] {
         check(countTraced(system, "evicted", batch) > 0);
         check(countTraced(system, "resumed", batch) == countTraced(system, "evicted", batch));
         check(countTraced(system, "started", batch) == BatchTasks);
@@ -96,8 +98,8 @@
 
 } // namespace
 
-// A school's gate purchase is urgent and the workers are full. Batch tasks are checkpointed and
-// freed, the urgent tasks start in their room, and the batch goes on from its checkpoints.
+// An urgent purchase job arrives while the workers are full. Batch tasks are checkpointed and
+// requeued, the urgent tasks start in their place, and the batch resumes from its checkpoints.
 Test(process_evict, urgent_work_takes_room)
 {
     fleet system(smallFleet());
@@ -106,7 +108,7 @@
     checkAllTasksCompleted(system);
 }
 
-// The same by a club whose own batch has used up its team's quota: its own tasks make way.
+// The same for a team whose own batch has used up its quota: its own batch tasks are evicted.
 Test(process_evict, urgent_work_of_a_team_at_its_quota)
 {
     fleet system(smallFleet());
@@ -115,8 +117,8 @@
     checkAllTasksCompleted(system);
 }
 
-// The owner is killed when the first batch task has been evicted. Its successor finds in the table
-// which tasks are evicted, being evicted, or pending: none is resumed twice, none is forgotten.
+// The owner is killed when the first batch task has been evicted. Its successor reads from the
+// table which tasks are evicted, being evicted, or pending: none is resumed twice or lost.
 Test(process_evict, owner_killed_in_mid_eviction)
 {
     fleet system(smallFleet());
@@ -131,8 +133,8 @@
     checkAllTasksCompleted(system);
 }
 
-// Every agent is killed when the first batch task has been evicted, and replaced. What its worker
-// had checkpointed and ended meanwhile is found in the worker's listing.
+// Every agent is killed when the first batch task has been evicted, and replaced. Checkpoints and
+// ends that a worker recorded meanwhile are found in the worker's listing.
 Test(process_evict, agents_killed_in_mid_eviction)
 {
     fleet system(smallFleet());
@@ -148,8 +150,8 @@
     checkAllTasksCompleted(system);
 }
 
-// The next answers of the table and of every worker are lost after their effect: an evict request
-// that came through is asked again, a write that took effect is read back.
+// The next answers of the table and of every worker are lost after the calls took effect: an
+// eviction request that arrived is sent again, a write that took effect is read back.
 Test(process_evict, answers_lost_in_mid_eviction)
 {
     fleet system(smallFleet());
@@ -161,8 +163,8 @@
     checkAllTasksCompleted(system);
 }
 
-// The table goes away when the first batch task has been evicted. What was evicted stays so, and is
-// resumed once the table is back.
+// The table goes down when the first batch task has been evicted. Evicted tasks stay evicted and
+// are resumed once the table is back.
 Test(process_evict, table_down_in_mid_eviction)
 {
     fleet system(smallFleet());
--- a/tests/process_input_test.cpp
+++ b/tests/process_input_test.cpp
@@ -1,4 +1,4 @@
-// Bad input to real processes: a clear error each time, and the process goes on serving.
+// Invalid input to real processes: each gets a clear error, and the process continues to serve.
 #include <fstream>
 
 #include "base/json.h"
@@ -48,7 +48,7 @@
         check(zinniabarrowCommand(system, {"entry"}).exitCode == 2);
         check(zinniabarrowCommand(system, {"status", "--entry"}).exitCode == 2);
     });
-    section("what can't be done exits with 1 and says why", [&] {
+    section("failures exit with 1 and print the reason", [&] {
         const auto absent = zinniabarrowCommand(system, {"entry", "--settings", "/nonexistent"});
         check(absent.exitCode == 1);
         check(contains(absent.errors, "cannot be read"));
@@ -74,7 +74,7 @@
         check(result.exitCode == 1);
         check(contains(result.output, "a.json:"));
     });
-    section("a trace with a task in two places is found", [&] {
+    section("an invalid trace is refused", [&] {
         const auto file = system.scratchFolder() + "/trace.jsonl";
         std::ofstream(file) << R"({"event":"ended"})"
                             << "\nnot json\n";
@@ -101,18 +101,18 @@
         check(answer.status >= 400 && answer.status < 500);
         check(answer.header("Zb-Error") == "bad_request");
     });
-    section("a deadline that is no number", [&] {
+    section("a deadline that is not a number", [&] {
         const auto answer =
                 send(entry, {"GET", "/tickets/seats", {{"Zb-Deadline-Ms", "soon"}}, {}});
         check(answer.status == 400);
         check(answer.header("Zb-Error") == "bad_request");
     });
-    section("a deadline that is over", [&] {
+    section("an expired deadline", [&] {
         const auto answer = send(entry, {"GET", "/tickets/seats", {{"Zb-Deadline-Ms", "0"}}, {}});
         check(answer.header("Zb-Error") == "deadline_passed");
         check(answer.header("Zb-Executed") == "no");
     });
-    section("a service that nobody serves", [&] {
+    section("a service without upstreams", [&] {
         const auto answer = send(entry, {"GET", "/nobody/here", {}, {}});
         check(answer.header("Zb-Error") == "no_upstream");
         check(answer.header("Zb-Executed") == "no");
@@ -130,13 +130,13 @@
                                    "generation_content", "file_status", "file_put"}) {
             try {
                 system.rpc(0, method, Json::objectValue);
-                cr_expect(false, "%s accepted nothing at all", method);
+                cr_expect(false, "%s accepted an empty message", method);
             } catch (const rpc_failure &failure) {
                 check(failure.kind() == "bad_request");
             }
         }
     });
-    section("the process goes on serving", [&] {
+    section("the process continues to serve", [&] {
         const auto answer = send(entry, {"GET", "/tickets/seats", {{"Operation", "after"}}, {}});
         check(answer.status == 200);
         const auto metrics = send(entry, {"GET", "/metrics", {}, {}});
--- a/tests/process_interference_test.cpp
+++ b/tests/process_interference_test.cpp
@@ -1,5 +1,5 @@
-// Noisy batch beside a service, on real processes: the stand-in workers slow the upstreams of their
-// instances by the noise of the tasks that they run.
+// Interference on real processes: the stand-in workers slow down the upstreams on their instances
+// by the noise of the tasks that they run.
 #include <atomic>
 
 #include "fleet_scenario.h"
@@ -12,9 +12,9 @@
 constexpr unsigned Workers = 3;
 constexpr int TargetMs = 200;
 constexpr int WorkMs = 100;        // alone; 250 beside one noisy task, 175 beside a throttled one
-constexpr double Noise = 1.5;      // of one task
-constexpr unsigned Answers = 120;  // that are counted for a share
-constexpr unsigned PerSecond = 36; // over all upstreams: two thirds of one's slots at its slowest
+constexpr double Noise = 1.5;      // noise of one noisy task
+constexpr unsigned Answers = 120;  // answers counted for one measurement
+constexpr unsigned PerSecond = 36; // over all upstreams; 2/3 of one upstream's slots at its slowest
 
 fleet_options interferenceFleet()
 {
@@ -22,7 +22,7 @@
     options.workers = Workers;
     options.upstreamWorkMs = WorkMs;
     options.hasInterference = true;
-    // Mtkvari's: seat holds cannot wait.
+    // Mtkvari's weights, as seat holds are urgent
     auto &weights = options.entrySettings["weights"];
     weights["tail_latency"] = 0.7;
     weights["throughput"] = 0.2;
@@ -67,7 +67,7 @@
     fleet &m_system;
     load_result m_result;
     std::atomic<bool> m_stopping{false};
-    std::thread m_thread; // last: uses all of the above
+    std::thread m_thread; // last: it uses all members above
 };
 
 unsigned throttlesOf(fleet &system, const std::string &job)
@@ -83,7 +83,7 @@
     return system.getJson(system.workerAddress(index), "/noise")["noise"].asDouble();
 }
 
-// The worker that makes the most noise.
+// The worker with the highest noise.
 unsigned findNoisiestWorker(fleet &system)
 {
     unsigned most = 0;
@@ -94,11 +94,11 @@
 
 struct answer_counts
 {
-    unsigned withinTarget = 0; // the target, by the upstream's own service time
+    unsigned withinTarget = 0; // service time at the upstream at or below the target
     unsigned beyondTarget = 0;
 };
 
-// Counts anew, until the upstream has answered enough.
+// Resets the upstream's counters and returns them once it has given enough answers.
 answer_counts countAnswers(fleet &system, unsigned index)
 {
     Json::Value target(Json::objectValue);
@@ -140,10 +140,10 @@
 
 } // namespace
 
-// Callers see their seat holds take two and a half times as long once a noisy batch task shares the
-// upstream's instance. Its agent measures that late and tells the owner, which attributes it to the
-// class that came, and throttles its task and no other. Throttled to a half, the service is below
-// its target again; nothing had to be evicted.
+// Callers see seat holds take two and a half times as long when a noisy batch task shares the
+// upstream's instance. The agent measures the late answers and reports them to the owner, which
+// attributes them to the job class that arrived and throttles that class's task and no other.
+// Throttled to a half, the service meets its target again, and nothing is evicted.
 Test(process_interference, noisy_batch_is_throttled)
 {
     fleet system(interferenceFleet());
@@ -155,7 +155,7 @@
     system.putFolderFile("10-base.json", folderWithTarget(system.options()));
     system.putFolderFile("20-quiet.json", makeBatchConfig(batchOf("quiet", Workers, 2000)));
     steady_load load(system);
-    section("beside quiet batch alone the service meets its target", [&] {
+    section("the service meets its target beside quiet batch tasks", [&] {
         require(waitUntil([&] { return countTraced(system, "started", "quiet") == Workers; },
                           WaitLimit));
         require(waitUntil([&] { return countTraced(system, "started", "tickets") == Workers; },
@@ -175,7 +175,7 @@
         check(answers.withinTarget * 20 >= (answers.withinTarget + answers.beyondTarget) * 19);
         check(noiseOn(system, noisiestWorker) < Noise);
     });
-    section("quiet batch was left alone, and nothing was evicted", [&] {
+    section("quiet batch was not throttled, and nothing was evicted", [&] {
         check(throttlesOf(system, "quiet") == 0);
         check(evictionsByEntries(system, "interference") <= 3); // the budget's burst
         check(countTraced(system, "evicted", "quiet") == 0);
--- a/tests/process_links_test.cpp
+++ b/tests/process_links_test.cpp
@@ -1,4 +1,4 @@
-// Requests, tasks and configuration on real processes while links between them are cut, silent or
+// Requests, tasks and configuration on real processes while links between them are cut, silent, or
 // lose answers.
 #include <set>
 
@@ -13,14 +13,14 @@
 
 namespace {
 
-// What the workers did, for a failure that shows now and then.
+// Prints the workers' task events, to diagnose a failure that occurs rarely.
 void printTrace(const fleet &system)
 {
     for (const auto &event : system.workerTrace())
         fmt::print(stderr, "{}\n", compactJson(event));
 }
 
-// The relay to `agent` and those from it: the agent's whole network.
+// All network links of an agent: the relay to it and the relays from it.
 std::vector<link_ends> linksOf(const std::string &agent, unsigned entries)
 {
     std::vector<link_ends> links{{"entries", agent}};
@@ -43,7 +43,7 @@
     }
 }
 
-// Of all workers the one with most tasks of the job.
+// The worker on which most tasks of the job started.
 unsigned busiestWorker(const fleet &system, const std::string &job)
 {
     auto started = countTracedByWorker(system, "started", job);
@@ -75,7 +75,7 @@
     return sum;
 }
 
-// Reads at one entry that are answered, of `count`.
+// Sends `count` reads to one entry; returns how many were answered.
 unsigned answeredReads(load_generator &callers, unsigned entry, unsigned count,
                        const std::string &prefix)
 {
@@ -88,7 +88,7 @@
     return answered;
 }
 
-// Of an entry's metrics, asked for where callers can't be in the way.
+// Metrics of an entry, read from its rpc port, where callers cannot delay it.
 std::string metricsOf(fleet &system, unsigned entry)
 {
     http_pool pool(parseAddress(system.entryRpcAddress(entry)));
@@ -109,7 +109,8 @@
 
 constexpr std::size_t StalledCallers = 300;
 
-// Keeps 300 callers stalling at entry 0: silent ones, half a head, half a body.
+// Keeps 300 callers stalled at entry 0: connected without sending, half of a head sent, or half of
+// a body sent.
 void keepStalled(stalled_callers &callers, bool ownAddresses)
 {
     static const char *const parts[] = {
@@ -127,16 +128,16 @@
 
 } // namespace
 
-// A caller of an entry that the leaving agent can't reach is served by others, not refused.
-// The link from one agent to entry 0 is cut, that from another silent; both are told to stop.
-// Their Leaving reaches the other entries, whose digests bring it to entry 0: every entry tells
-// every Leaving that it knows.
+// A caller of an entry that the leaving agent cannot reach is served by other upstreams, not
+// refused. The link from one agent to entry 0 is cut, that from another is silent, and both agents
+// are told to stop. Their Leaving reaches the other entries, whose digests bring it to entry 0:
+// every entry passes on every Leaving that it knows.
 Test(process_links, leaving_past_broken_links)
 {
     auto options = smallFleet();
     options.links = {{"agent-0", "entry-0"}, {"agent-1", "entry-0"}};
-    options.agentSettings["drain_ms"] = 120'000;           // they wait for entry 0's answer so long
-    options.entrySettings["announce_silence_ms"] = 60'000; // silence alone would come too late
+    options.agentSettings["drain_ms"] = 120'000; // they wait this long for entry 0's answer
+    options.entrySettings["announce_silence_ms"] = 60'000; // this alone would come too late
     fleet system(options);
     startAndWait(system);
     load_result result;
@@ -158,13 +159,13 @@
             check(answeredReads(callers, entry, 40, "after-" + std::to_string(entry)) == 40);
         check(operationsAt(system, 0) + operationsAt(system, 1) == before);
     });
-    section("every promise was kept", [&] { checkPromisesKept(system, result); });
+    section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// Callers of an entry that is cut off from its peers and the table get refusals that tell the
-// truth; a purchase that they repeat at another entry runs once. Entry 0 loses both; a
-// configuration is accepted without it, batch work goes on; then all links pass again and bring
-// what they held back. What entry 0 wrote late fails at the epoch and the rows' versions, and a
+// Callers of an entry that is cut off from its peers and the table get truthful refusals, and a
+// purchase that they repeat at another entry runs once. Entry 0 loses both. A configuration is
+// accepted without it and batch tasks continue. Then all links pass again and deliver what they
+// held back. Late writes of entry 0 are rejected by the epoch and the row versions, and a
 // generation is only ever replaced by a higher one.
 Test(process_links, entry_partitioned_and_healed)
 {
@@ -207,7 +208,7 @@
                     },
                     WaitLimit));
         });
-        section("the links heal: the entry catches up", [&] {
+        section("the links pass again: the entry catches up", [&] {
             setAllLinks(system, link_state::Passing);
             check(waitUntil(
                     [&] {
@@ -237,7 +238,7 @@
         }
         setAllLinks(system, link_state::Passing);
     });
-    section("every promise was kept", [&] { checkPromisesKept(system, result); });
+    section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
     section("every task ended once", [&] {
         check(waitUntil(
                 [&] {
@@ -249,14 +250,14 @@
     });
 }
 
-// An operator sees batch tasks of a lost instance start elsewhere and lease watchers stay, and
-// never one of them in two places.
-// Placement fills some workers with the batch and others with the watchers, and which ones is open:
-// the agents that fall silent are those of a worker with batch tasks, or there would be nothing to
-// start elsewhere, and of one with watchers, or there would be nothing to stay.
-// Their whole network goes silent for longer than the short lease while their workers live.
-// The agents stop the tasks before the lease that they were given is over; the owner counts that
-// lease from the last report, which was sent before. The agents come back by themselves.
+// An operator sees batch tasks of a lost instance start elsewhere and lease watchers stay where
+// they are, and never one of them in two places. Placement puts the batch on some workers and the
+// watchers on others, and which ones is not fixed. The agents that become silent are that of a
+// worker with batch tasks, so that there is something to start elsewhere, and that of a worker with
+// watchers, so that there is something to stay. All their links are silent for longer than the
+// short lease while their workers live. The agents stop the batch tasks before the lease that they
+// were given expires; the owner counts that lease from the last report, which was sent earlier. The
+// agents recover without intervention.
 Test(process_links, agent_silent_past_its_lease)
 {
     auto options = smallFleet();
@@ -289,7 +290,7 @@
     const auto others = options.workers - static_cast<unsigned>(silent.size());
     load_result result;
     load_generator callers(system, {}, result);
-    section("the agents go silent; their batch tasks start elsewhere, their watchers do not", [&] {
+    section("silent agents: their batch tasks start elsewhere, their watchers do not", [&] {
         setAgentLinks(system, silent, link_state::Blackholed);
         check(waitUntil([&] { return countTraced(system, "started", batch.job) > 12; }, WaitLimit));
         check(countTraced(system, "started", "watch") == 8);
@@ -301,7 +302,7 @@
             check(answeredReads(callers, entry, 20, "others-" + std::to_string(entry)) == 20);
         check(operationsAt(system, silent) == before);
     });
-    section("the links heal: it is routed to again", [&] {
+    section("the links pass again: entries route to the agents again", [&] {
         setAgentLinks(system, silent, link_state::Passing);
         check(waitForUpstreams(system, 4));
         for (const auto agent : silent)
@@ -309,17 +310,17 @@
     });
     section("every batch task ends once, no watcher was started twice", [&] {
         check(waitUntil([&] { return countTraced(system, "ended", batch.job) == 12; }, WaitLimit));
-        std::this_thread::sleep_for(milliseconds(1000)); // late grants would show now
+        std::this_thread::sleep_for(milliseconds(1000)); // late grants would arrive in this time
         check(countTraced(system, "started", "watch") == 8);
         checkTraceClean(system);
     });
-    section("every promise was kept", [&] { checkPromisesKept(system, result); });
+    section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// An operator sees running tasks go on although one entry does not answer any agent.
-// Agents call that entry again and again, half a second each time in vain. Calls to the shard's
-// owner may wait behind these, and a report that comes too late would cost an agent its short
-// lease: its tasks would stop and start elsewhere.
+// An operator sees running tasks continue although one entry does not answer any agent. Agents call
+// that entry repeatedly, and each call fails after half a second. If calls to the shard's owner
+// waited behind these, a late report would cost an agent its short lease: its tasks would stop and
+// start elsewhere.
 Test(process_links, silent_entry_costs_no_lease)
 {
     auto options = smallFleet();
@@ -337,7 +338,7 @@
     batch.runMs = 15'000;
     system.putFolderFile("20-batch.json", makeBatchConfig(batch));
     require(waitUntil([&] { return countTraced(system, "started", batch.job) == 16; }, WaitLimit));
-    section("both entries that own nothing stop answering the agents", [&] {
+    section("the entries that own no shard stop answering the agents", [&] {
         for (unsigned entry = 0; entry < 3; ++entry) {
             const auto status = system.rpc(entry, "status", Json::objectValue);
             if (!status["scheduling"]["shards"].empty())
@@ -361,11 +362,10 @@
             [&] { check(waitForUpstreams(system, 4)); });
 }
 
-// A caller whose purchase ran while its answer was lost on the way hears that it may have run, and
-// the purchase ran once; one that was said not to have run did not run.
-// The links from the entries to all agents lose answers, then go silent, then are cut. Only a
-// connection that was refused shows that nothing was sent; all else is unknown, and is not
-// repeated.
+// A caller whose purchase ran while its answer was lost is told that it may have run, and the
+// purchase ran once; one that is reported as not run did not run. The links from the entries to all
+// agents lose answers, then become silent, then are cut. Only a refused connection proves that
+// nothing was sent; every other outcome is unknown and is not retried.
 Test(process_links, answers_lost_on_the_way)
 {
     auto options = smallFleet();
@@ -386,7 +386,7 @@
                && result.reportedNotExecuted.count(operation) == 0;
     };
     http_request keyed{"POST", "/tickets/hold", {{"Idempotency-Key", "lost"}}, "seat"};
-    section("answers are lost: unknown, and ran once", [&] {
+    section("answers are lost: reported as unknown, and ran once", [&] {
         setAllLinks(system, link_state::AnswersDropped);
         for (unsigned turn = 0; turn < 6; ++turn) {
             const auto operation = "lost-" + std::to_string(turn);
@@ -403,7 +403,7 @@
         cr_expect(!repeated.empty(), "the repeat was answered");
         check(countExecutions(system)["lost-keyed"] == 1);
     });
-    section("links are silent: unknown, and held-back forwards run at most once", [&] {
+    section("links are silent: reported as unknown, and delayed forwards run at most once", [&] {
         setAllLinks(system, link_state::Blackholed);
         for (unsigned turn = 0; turn < 3; ++turn) {
             const auto operation = "silent-" + std::to_string(turn);
@@ -412,7 +412,7 @@
         setAllLinks(system, link_state::Passing);
         check(waitUntil([&] { return buy(0, "after-silence").empty(); }, WaitLimit));
     });
-    section("links are cut: refused as not run", [&] {
+    section("links are cut: refused as not executed", [&] {
         setAllLinks(system, link_state::Cut);
         for (unsigned turn = 0; turn < 6; ++turn)
             buy(turn % 3, "cut-" + std::to_string(turn));
@@ -423,12 +423,12 @@
         setAllLinks(system, link_state::Passing);
         check(waitUntil([&] { return buy(1, "after-cut").empty(); }, WaitLimit));
     });
-    section("every promise was kept", [&] { checkPromisesKept(system, result); });
+    section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// A caller is answered while 300 others stall: silent, half-way through a head, or a body.
-// They share an address, as one broken client does, and get its share of the connections; the
-// rest is refused by threads that serve nobody else.
+// A caller is answered while 300 others stall: silent, in the middle of a head, or of a body. They
+// share an address, as those of one broken client do, and get that address's share of the
+// connections; the rest is refused by threads that serve nobody else.
 Test(process_links, stalled_callers_of_one_address)
 {
     auto options = smallFleet();
@@ -445,27 +445,28 @@
     cr_expect(result.countRefusals() == 0, "refused: %s", describeRefusals(result).c_str());
     check(connectionsRefused(system, "address_share") > 0);
     check(connectionsRefused(system, "all_in_use") == 0);
-    section("a planned stop does not wait for them without end", [&] {
+    section("a planned stop does not wait for them forever", [&] {
         system.entry(0)->signal(SIGTERM);
         check(system.entry(0)->waitForExit(WaitLimit) == 0);
     });
 }
 
-// The same from 300 addresses, so that no share holds them: those that stalled longest give way,
-// long before their deadlines, and a caller that comes then is answered at its first try.
+// The same from 300 addresses, so that the limit per address does not apply. The connections that
+// have stalled longest are closed, long before their deadlines, and a caller that arrives then is
+// answered at its first attempt.
 Test(process_links, stalled_callers_of_many_addresses)
 {
     auto options = smallFleet();
-    options.entrySettings["request_read_ms"] = 600'000; // deadlines alone would come too late
+    options.entrySettings["request_read_ms"] = 600'000; // this alone would come too late
     fleet system(options);
     startAndWait(system);
     load_result result;
     stalled_callers stalled(system.entryAddress(0));
     for (unsigned round = 0; round < 2; ++round) {
         keepStalled(stalled, true);
-        std::this_thread::sleep_for(milliseconds(1500)); // they stall
+        std::this_thread::sleep_for(milliseconds(1500)); // lets them stall
         for (unsigned caller = 0; caller < 15; ++caller) {
-            load_generator load(system, {}, result); // with a connection of its own
+            load_generator load(system, {}, result); // uses a connection of its own
             load.sendRequest(0, {"GET", "/tickets/seats", {}, {}},
                              "stalled-" + std::to_string(round) + "-" + std::to_string(caller));
         }
@@ -473,5 +474,5 @@
     cr_expect(result.countRefusals() == 0, "refused: %s", describeRefusals(result).c_str());
     check(result.answeredRequests == 30);
     check(connectionsRefused(system, "made_room") > 0);
-    checkPromisesKept(system, result);
+    checkGuaranteesKept(system, result);
 }
--- a/tests/process_requests_test.cpp
+++ b/tests/process_requests_test.cpp
@@ -1,16 +1,16 @@
-// Requests on real processes while these are killed, frozen, cut off and drained.
+// Requests on real processes while these are killed, paused, partitioned and drained.
 #include "fleet_scenario.h"
 #include "keep_alive_caller.h"
 
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
 
-// A caller sees either its own whole answer or a refusal that tells the truth.
-// An agent is killed under load: its requests in flight end as unknown or are retried when they
-// never reached it; another agent is frozen for longer than the silence that takes it out of
-// routing, and wakes with requests whose callers have long had their answer.
-// That suffices because only tries known not to have run are repeated.
-Test(process_requests, agents_die_and_freeze)
+// A caller gets either its own whole answer or a truthful refusal. An agent is killed under load:
+// its requests in flight end as unknown, or are retried if they never reached it. Another agent is
+// paused for longer than the silence after which it is no longer routed to, and resumes with
+// requests whose callers were answered long ago. This holds because only attempts that are known
+// not to have run are retried.
+Test(process_requests, agents_killed_and_paused)
 {
     fleet system(smallFleet());
     startAndWait(system);
@@ -20,23 +20,24 @@
     options.deadline = milliseconds(2000);
     runUnderLoad(system, options, result, [&] {
         section("an agent is killed", [&] { system.agent(0)->signal(SIGKILL); });
-        section("another freezes for longer than the silence", [&] {
+        section("another is paused for longer than the silence timeout", [&] {
             system.agent(1)->signal(SIGSTOP);
             std::this_thread::sleep_for(milliseconds(3500));
             system.agent(1)->signal(SIGCONT);
         });
         section("the killed one is replaced", [&] { system.startAgent(0); });
     });
-    section("every promise was kept", [&] { checkPromisesKept(system, result); });
-    section("most requests were answered all the same",
+    section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
+    section("most requests were answered nevertheless",
             [&] { check(result.countRefusals() * 10 < result.sentRequests); });
     section("all four are routed to again", [&] { check(waitForUpstreams(system, 4)); });
 }
 
-// A caller of the killed entry sees its connection end; its repeat with the same key at another
-// entry is answered, told to come back, or told that the outcome is unknown, and never runs twice.
-// The entry dies between claim and record; the claim in the table outlives it.
-Test(process_requests, entries_die_and_freeze)
+// A caller of a killed entry sees its connection end. When it repeats the request with the same key
+// at another entry, it is answered, asked to retry later, or told that the outcome is unknown; the
+// request never runs twice. The entry dies between the claim and the record of the outcome; the
+// claim remains in the table.
+Test(process_requests, entries_killed_and_paused)
 {
     fleet system(smallFleet());
     startAndWait(system);
@@ -46,7 +47,7 @@
     options.deadline = milliseconds(2000);
     runUnderLoad(system, options, result, [&] {
         section("an entry is killed", [&] { system.entry(0)->signal(SIGKILL); });
-        section("another freezes and wakes", [&] {
+        section("another is paused and resumed", [&] {
             system.entry(1)->signal(SIGSTOP);
             std::this_thread::sleep_for(milliseconds(2500));
             system.entry(1)->signal(SIGCONT);
@@ -56,16 +57,16 @@
             system.waitForEntry(0);
         });
     });
-    section("every promise was kept", [&] { checkPromisesKept(system, result); });
+    section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// A caller never sees a cut answer when an entry or an agent is stopped as planned.
-// SIGTERM comes under load; the process refuses what is new as not run, finishes what is in flight,
-// and exits with 0; a second SIGTERM hurries nothing.
+// A caller never gets an incomplete answer when an entry or an agent is stopped as planned. SIGTERM
+// arrives under load: the process refuses new requests as not executed, finishes those in flight,
+// and exits with 0. A second SIGTERM does not shorten this.
 Test(process_requests, planned_stops)
 {
     auto options = smallFleet();
-    options.upstreamWorkMs = 100; // so that requests are in flight when the signal comes
+    options.upstreamWorkMs = 100; // so that requests are in flight when the signal arrives
     fleet system(options);
     startAndWait(system);
     load_result result;
@@ -98,13 +99,14 @@
         check(result.countRefusalsFor("outcome_unknown") == 0);
         check(result.countRefusalsFor("no answer in time") == 0);
     });
-    section("every promise was kept", [&] { checkPromisesKept(system, result); });
+    section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// A caller's connection, or an entry's, is closed without an answer, so that nobody knows whether
-// the request ran. The process was told to stop and was behind as its last request was answered:
-// the next ones stood in its sockets, or on connections that wait to be accepted.
-Test(process_requests, requests_that_reach_a_leaving_process_which_is_behind)
+// Guards against a connection of a caller, or of an entry, that is closed without an answer, so
+// that nobody knows whether the request ran. This happens when the process is told to stop while it
+// lags behind: when it answers its last request, further requests are already in its sockets, or on
+// connections that wait to be accepted.
+Test(process_requests, requests_that_reach_a_stopping_process_that_lags)
 {
     fleet system(smallFleet());
     startAndWait(system);
@@ -125,7 +127,7 @@
         process.signal(SIGTERM);
         std::this_thread::sleep_for(milliseconds(300));
         process.signal(SIGSTOP);
-        connectMore(); // these wait to be accepted
+        connectMore(); // these wait to be accepted while the process is paused
         for (const auto &caller : callers)
             require(caller->send("GET", path));
         std::this_thread::sleep_for(milliseconds(1000));
@@ -142,8 +144,9 @@
             [&] { stopBehind(*system.agent(0), system.agentAddress(0), "/tickets/seats"); });
 }
 
-// With the table down a caller's keyed purchase is refused as not run, at once and with a time to
-// come back; reads and unkeyed purchases go on, since nothing durable decides about them.
+// While the table is down, a caller's keyed purchase is refused immediately as not executed, with a
+// time to retry after. Reads and purchases without a key continue, since they need no stored
+// decision.
 Test(process_requests, platform_down)
 {
     fleet system(smallFleet());
@@ -166,7 +169,7 @@
         check(waitUntil([&] { return callers.sendRequest(2, keyed, "keyed").empty(); }, WaitLimit));
         check(countExecutions(system)["keyed"] == 1);
     });
-    section("a lost answer to the claim is settled by reading back", [&] {
+    section("a lost answer to the claim is resolved by reading the row back", [&] {
         Json::Value lose(Json::objectValue);
         lose["lose_answers"] = 1;
         system.setFault(system.platformAddress(), lose);
@@ -175,11 +178,11 @@
         check(outcome.empty() || outcome == "platform_unavailable");
         check(countExecutions(system)["lost"] <= 1);
     });
-    section("every promise was kept", [&] { checkPromisesKept(system, result); });
+    section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// A caller's answer that ends early is an error, never a short success; an upstream that refuses
-// connections costs a retry elsewhere, one that hangs costs its own requests only.
+// A caller's answer that ends early is an error, never a short success. An upstream that refuses
+// connections costs a retry at another one; one that hangs costs only its own requests.
 Test(process_requests, upstreams_cut_refuse_and_hang)
 {
     fleet system(smallFleet());
@@ -205,7 +208,7 @@
             system.setFault(system.upstreamAddress(index), cut);
         }
         check(cuts > 0);
-        check(result.countRefusals() == cuts); // each cut was seen, none passed as whole
+        check(result.countRefusals() == cuts); // every cut was detected, none passed on as whole
     });
     section("one upstream refuses connections: others answer", [&] {
         system.upstream(0)->signal(SIGKILL);
@@ -217,7 +220,7 @@
         cr_expect(result.countRefusals() == before, "refused: %s",
                   describeRefusals(result).c_str());
     });
-    section("one upstream hangs: its requests end by their deadline, as unknown", [&] {
+    section("one upstream hangs: its requests end at their deadline, as unknown", [&] {
         system.upstream(1)->signal(SIGSTOP);
         const auto before = result.countRefusals();
         for (unsigned turn = 0; turn < 30; ++turn)
@@ -227,10 +230,10 @@
         check(result.countRefusals() - before <= 20);
         check(result.countRefusalsFor("no answer in time") == 0);
     });
-    section("every promise was kept", [&] { checkPromisesKept(system, result); });
+    section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// An operator stops an entry that has not started whole, because the platform is down: it exits
+// An operator stops an entry that has not finished starting because the platform is down: it exits
 // with 0 and does not wait for the platform.
 Test(process_requests, stop_during_start_and_outage)
 {
--- a/tests/process_shards_test.cpp
+++ b/tests/process_shards_test.cpp
@@ -1,4 +1,4 @@
-// Tasks of several shards on real processes: three entries share four shards of eight workers.
+// Tasks of several shards on real processes: three entries share the four shards of eight workers.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -12,7 +12,7 @@
 
 constexpr unsigned Shards = 4;
 
-// With these names of workers every shard has at least one.
+// With these worker names every shard has at least one worker.
 fleet_options shardedFleet()
 {
     auto options = smallFleet();
@@ -21,7 +21,7 @@
     return options;
 }
 
-// The entry that owns each shard, by index.
+// Index of the entry that owns each shard, by shard.
 std::map<int, unsigned> shardOwners(fleet &system)
 {
     std::map<int, unsigned> found;
@@ -33,7 +33,7 @@
             for (const auto &shard : status["scheduling"]["shards"])
                 found[shard["shard"].asInt()] = entry;
         } catch (const std::exception &) {
-            continue; // frozen, or just starting
+            continue; // paused, or just starting
         }
     }
     return found;
@@ -51,14 +51,14 @@
             WaitLimit);
 }
 
-// The entry that owns the first shard; every shard has an owner by then.
+// Index of the entry that owns the first shard; waits until every shard has an owner.
 unsigned ownerOfFirstShard(fleet &system)
 {
     require(waitUntil([&] { return shardOwners(system).size() == Shards; }, WaitLimit));
     return shardOwners(system).begin()->second;
 }
 
-// Workers on which tasks of the job started.
+// Number of workers on which tasks of the job started.
 std::size_t workersUsed(const fleet &system, const std::string &job)
 {
     std::set<std::string> workers;
@@ -69,7 +69,7 @@
     return workers.size();
 }
 
-// Tasks of the job that ran at the same time, by the workers' traces.
+// Highest number of the job's tasks that ran at the same time, from the workers' traces.
 int maxConcurrentTasks(const fleet &system, const std::string &job)
 {
     std::vector<std::pair<std::int64_t, int>> changes;
@@ -95,14 +95,14 @@
 } // namespace
 
 // An operator sees a batch finish on all workers although an entry that owned some of the shards
-// was killed. Others take its shards; the other shards' owners are not disturbed.
+// was killed. Other entries take over its shards; the owners of the other shards are not affected.
 Test(process_shards, owner_killed)
 {
     const auto batch = batchOf(96, 1500);
     fleet system(shardedFleet());
     startWithBatch(system, batch);
     const auto owner = ownerOfFirstShard(system);
-    section("an owner is killed, others take its shards", [&] {
+    section("an owner is killed, others take over its shards", [&] {
         system.entry(owner)->signal(SIGKILL);
         check(waitForOwnersExcept(system, owner));
     });
@@ -114,27 +114,27 @@
     });
 }
 
-// An owner of some of the shards freezes for longer than its lease, and wakes believing that it
-// still owns them: each shard's epoch refuses it by itself; no task is given twice.
-Test(process_shards, owner_frozen_longer_than_its_lease)
+// An owner of some shards is paused for longer than its lease, and resumes in the belief that it
+// still owns them. Each shard's epoch rejects it independently; no task is granted twice.
+Test(process_shards, owner_paused_longer_than_its_lease)
 {
     const auto batch = batchOf(96, 1500);
     fleet system(shardedFleet());
     startWithBatch(system, batch);
     const auto owner = ownerOfFirstShard(system);
     system.entry(owner)->signal(SIGSTOP);
-    section("others take its shards", [&] { check(waitForOwnersExcept(system, owner)); });
+    section("others take over its shards", [&] { check(waitForOwnersExcept(system, owner)); });
     system.entry(owner)->signal(SIGCONT);
     section("every task ends once", [&] {
         check(waitForEnds(system, batch));
-        std::this_thread::sleep_for(milliseconds(1000)); // late grants would show now
+        std::this_thread::sleep_for(milliseconds(1000)); // late grants would arrive in this time
         checkEachEndedOnce(system, batch);
     });
 }
 
-// The platform goes away in the middle of a batch: what runs runs on, each shard's backlog starts
-// as tasks end, and once the table is back the rest follows. No owner changes, since none could
-// renew.
+// The platform goes down in the middle of a batch: running tasks continue, each shard's backlog
+// starts as tasks end, and the remaining tasks follow once the table is back. No shard changes its
+// owner, since no entry can renew.
 Test(process_shards, platform_down)
 {
     const auto batch = batchOf(96, 3000);
@@ -154,9 +154,9 @@
     });
 }
 
-// An operator lets a batch grow while it runs, and then lets it shrink. Each shard follows by
-// itself: a task that changed its shard with the size would run in two, and one that no shard gave
-// up would run although it was taken away.
+// An operator enlarges a batch while it runs, and then shrinks it. Each shard follows
+// independently. A task that moved to another shard because of the new size would run twice, and a
+// removed task that no shard stopped would keep running.
 Test(process_shards, job_resized)
 {
     auto batch = batchOf(10, 2500);
@@ -184,9 +184,9 @@
     });
 }
 
-// A team's quota has room for 8 tasks beside its service; the workers of all four shards would take
-// 48. However the shards share the quota, and although an owner dies on the way, no more than 8 run
-// at once, and every shard's tasks get their turn.
+// A team's quota has room for 8 tasks beside its service, while the workers of all four shards have
+// room for 48. However the shards share the quota, and although an owner dies meanwhile, at most 8
+// tasks run at once, and the tasks of every shard get their turn.
 Test(process_shards, quota_over_all_shards)
 {
     const auto batch = batchOf(40, 1000);
@@ -204,7 +204,7 @@
     system.putFolderFile("20-batch.json", makeBatchConfig(batch));
     require(waitUntil([&] { return countTraced(system, "ended", batch.job) >= 8; }, WaitLimit));
     const auto owner = ownerOfFirstShard(system);
-    section("an owner is killed, others take its shards", [&] {
+    section("an owner is killed, others take over its shards", [&] {
         system.entry(owner)->signal(SIGKILL);
         check(waitForOwnersExcept(system, owner));
     });
--- a/tests/process_stream_test.cpp
+++ b/tests/process_stream_test.cpp
@@ -1,4 +1,4 @@
-// Large answers on real processes: whole or seen to be cut, within a stated bound on memory.
+// Large answers on real processes: delivered whole, or visibly incomplete, with bounded memory.
 #include <atomic>
 #include <sstream>
 #include <utility>
@@ -15,7 +15,7 @@
 
 constexpr std::uint64_t MiB = 1024 * 1024;
 constexpr std::uint64_t LargeBytes = 32 * MiB;
-constexpr milliseconds LongDeadline{50'000}; // below the longest that an entry allows
+constexpr milliseconds LongDeadline{50'000}; // below the longest deadline that an entry allows
 
 fleet_options singlePathFleet()
 {
@@ -35,13 +35,13 @@
 
 struct received_answer
 {
-    std::string failure; // empty: the answer came whole
+    std::string failure; // empty if the answer was whole
     http_response head;
     std::uint64_t bytes = 0;
-    bool equal = true; // to the pattern, as far as it came
+    bool matchesPattern = true; // the received bytes match the pattern
 };
 
-// A caller that reads large answers part by part and compares them on the way.
+// A caller that reads large answers part by part and compares them with the pattern as they arrive.
 class large_caller
 {
 public:
@@ -63,13 +63,14 @@
         answer.head = std::get<http_response>(result);
         if (!answer.head.stream) {
             answer.bytes = answer.head.body.size();
-            answer.equal = answer.head.body == patternBytes(0, answer.bytes);
+            answer.matchesPattern = answer.head.body == patternBytes(0, answer.bytes);
             answer.failure = answer.head.header("Zb-Error");
             return answer;
         }
         for (auto part = answer.head.stream->takePart(); !part.empty();
              part = answer.head.stream->takePart()) {
-            answer.equal = answer.equal && part == patternBytes(answer.bytes, part.size());
+            answer.matchesPattern =
+                    answer.matchesPattern && part == patternBytes(answer.bytes, part.size());
             answer.bytes += part.size();
             if (afterPart)
                 afterPart(answer.bytes);
@@ -92,7 +93,7 @@
     receiver_threads m_threads;
 };
 
-// A caller that takes the first part of a large answer and waits for finish().
+// A caller that reads the first part of a large answer and then waits for finish().
 class paused_caller
 {
 public:
@@ -105,7 +106,7 @@
     paused_caller &operator=(const paused_caller &) = delete;
 
     bool hasBegun() const { return m_hasBegun; }
-    // Reads the rest; true when the answer was whole.
+    // Reads the rest; returns true if the answer was whole.
     bool finish()
     {
         m_isReleased = true;
@@ -123,14 +124,14 @@
                     waitUntil([this] { return m_isReleased.load(); }, WaitLimit);
                 });
         m_hasBegun = true;
-        m_isWhole = answer.failure.empty() && answer.bytes == bytes && answer.equal;
+        m_isWhole = answer.failure.empty() && answer.bytes == bytes && answer.matchesPattern;
     }
 
     large_caller m_caller;
     std::atomic<bool> m_hasBegun{false};
     std::atomic<bool> m_isReleased{false};
     std::atomic<bool> m_isWhole{false};
-    std::thread m_thread; // last: it uses all of the above
+    std::thread m_thread; // last: it uses all members above
 };
 
 http_request get(const std::string &target)
@@ -146,10 +147,10 @@
 bool isWhole(const received_answer &answer, std::uint64_t bytes)
 {
     return answer.failure.empty() && answer.head.status == 200 && answer.bytes == bytes
-           && answer.equal;
+           && answer.matchesPattern;
 }
 
-// The value of a counter at the entry; 0 while it has not been counted.
+// Value of a counter at the entry; 0 while it has not been counted.
 double counterAt(fleet &system, const std::string &name)
 {
     http_pool pool(parseAddress(system.entryAddress(0)));
@@ -165,9 +166,10 @@
 
 } // namespace
 
-// A caller gets an answer of 32 MiB whole and equal, with the length that the upstream declared or
-// in chunks when it declared none. A keyed purchase with such an answer ran once; its repeat learns
-// that, since the answer is too large to be kept. One above the setting is refused, not cut short.
+// A caller gets an answer of 32 MiB whole and unchanged, with the length that the upstream
+// declared, or in chunks if it declared none. A keyed purchase with such an answer runs once; a
+// repeat is told so without the answer, which is too large to be stored. An answer above the
+// configured limit is refused, not cut short.
 Test(process_stream, whole)
 {
     auto options = singlePathFleet();
@@ -193,7 +195,7 @@
             check(isWhole(answer, bytes));
         }
     });
-    section("a range and an encoding are the upstream's to heed", [&] {
+    section("ranges and encodings are left to the upstream", [&] {
         auto request = get(largeTarget(MiB));
         request.headers["Range"] = "bytes=10-19";
         request.headers["Accept-Encoding"] = "gzip";
@@ -203,23 +205,23 @@
         check(answer.head.header("Content-Encoding").empty());
         check(answer.head.body == patternBytes(10, 10));
     });
-    section("a keyed purchase runs once, and its repeat is told so", [&] {
+    section("a keyed purchase runs once, and its repeat is reported as already executed", [&] {
         const auto request = purchase(largeTarget(LargeBytes), "once");
         check(isWhole(caller.fetch(request), LargeBytes));
         check(caller.fetch(request).failure == "already_executed");
         check(countExecutions(system)["once"] == 1);
     });
-    section("above the bound nothing is passed on", [&] {
+    section("nothing of an answer above the limit is passed on", [&] {
         const auto answer = caller.fetch(get(largeTarget(LargeBytes + 1)));
         check(answer.failure == "answer_too_large");
         check(answer.head.header("Zb-Executed") == "yes");
     });
 }
 
-// A caller whose large answer is cut midway sees an error, never a short success.
-// The upstream ends its connection after half of the body; agent and entry have passed on bytes by
-// then, so that no retry is possible; each cuts its own connection without the rest.
-// That suffices because neither the declared length nor the last chunk ever comes.
+// A caller whose large answer is cut midway gets an error, never a short success. The upstream
+// closes its connection after half of the body. Agent and entry have passed on bytes by then, so a
+// retry is impossible; each closes its own connection without the rest. This is detectable because
+// neither the declared length nor the last chunk ever arrives.
 Test(process_stream, cut_midway)
 {
     fleet system(singlePathFleet());
@@ -236,7 +238,7 @@
             cutNext();
             const auto answer = caller.fetch(get(largeTarget(LargeBytes, framing)));
             check(answer.failure == "answer_cut");
-            check(answer.equal);
+            check(answer.matchesPattern);
             check(answer.bytes <= LargeBytes / 2);
             ++cuts;
             check(waitUntil(
@@ -266,9 +268,9 @@
             [&] { check(isWhole(caller.fetch(get(largeTarget(LargeBytes))), LargeBytes)); });
 }
 
-// A caller gets its own answer although the upstream sends more than it declares.
-// The surplus lies in the connection when the agent uses it for the next request, whose answer it
-// would seem to be. A connection with bytes before its request is dropped.
+// A caller gets its own answer although the upstream sends more than it declares. The surplus would
+// still be in the connection when the agent uses it for the next request, and would look like that
+// request's answer. A connection with bytes that arrived before its request is closed.
 Test(process_stream, false_length)
 {
     fleet system(singlePathFleet());
@@ -283,16 +285,17 @@
                           .empty());
         });
     }
-    section("every promise was kept", [&] { checkPromisesKept(system, result); });
+    section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// Eight callers read answers of 32 MiB at once. Entry and agent hold at most the ring and one part
-// of each; held whole, these answers would be 256 MiB in each process.
+// Eight callers read answers of 32 MiB at once. For each, entry and agent buffer at most the ring
+// and one part at each of its ends; buffered whole, these answers would take 256 MiB in each
+// process.
 Test(process_stream, bounded_memory)
 {
     constexpr unsigned Callers = 8;
-    constexpr std::size_t BufferedBytes = StreamRingBytes + 2 * StreamPartBytes; // of one answer
-    constexpr std::size_t Slack = 8 * MiB; // threads, their allocator's arenas
+    constexpr std::size_t BufferedBytes = StreamRingBytes + 2 * StreamPartBytes; // for one answer
+    constexpr std::size_t Slack = 8 * MiB; // threads and the arenas of their allocator
     fleet system(singlePathFleet());
     startAndWait(system);
     std::vector<std::unique_ptr<large_caller>> callers;
@@ -318,15 +321,16 @@
     cr_expect(agentGrown <= Callers * BufferedBytes + Slack, "the agent grew by %zu", agentGrown);
 }
 
-// A caller that reads slowly slows its own answer and no other caller's.
-// More large answers are asked for than the upstream has slots: the agent holds a slot until its
-// body has ended, so that the upstream never has more than it declared. A caller that stops reading
-// loses its answer at its deadline, and the slot is free again.
+// A caller that reads slowly slows down only its own answer. More large answers are requested than
+// the upstream has slots: the agent holds a slot until the body has ended, so the upstream never
+// has more requests than it declared. A caller that stops reading loses its answer at its deadline,
+// and the slot is freed.
 Test(process_stream, slow_readers)
 {
     constexpr unsigned Slots = 8;
     constexpr unsigned CallerCount = 12;
-    // Well beyond what one answer takes beside the others: callers with less are refused.
+    // Well above the time of one answer beside the others, because callers with a shorter deadline
+    // are refused.
     constexpr milliseconds StoppedDeadline{8000};
     fleet system(singlePathFleet());
     startAndWait(system);
@@ -361,7 +365,7 @@
         check(whole == CallerCount);
         check(system.getJson(system.upstreamAddress(0), "/executions")["overruns"].asUInt() == 0);
     });
-    section("readers that stop lose their answers at the deadline, not the slots", [&] {
+    section("readers that stop lose their answers at the deadline, and the slots are freed", [&] {
         std::atomic<unsigned> cut{0};
         std::atomic<bool> isReleased{false};
         std::vector<std::thread> threads;
@@ -389,9 +393,9 @@
     });
 }
 
-// A caller that is in the middle of a large answer gets it whole when the agent, and then the
-// entry, on its way is stopped as planned. httplib ends every body that is being sent once its
-// server stops: the processes wait for the last byte before they stop it, and then exit with 0.
+// A caller in the middle of a large answer gets it whole when the agent, and then the entry, that
+// carries it is stopped as planned. httplib ends every body in progress once its server stops, so
+// the processes wait for the last byte before they stop it, and then exit with 0.
 Test(process_stream, planned_stops)
 {
     const auto stopDuring = [](const std::string &what, auto &&processOf) {
@@ -406,7 +410,7 @@
                         if (std::exchange(stopped, true))
                             return;
                         process->signal(SIGTERM);
-                        std::this_thread::sleep_for(milliseconds(3000)); // room to stop too early
+                        std::this_thread::sleep_for(milliseconds(3000)); // it may exit too early
                         check(process->isRunning());
                     });
             check(isWhole(answer, LargeBytes));
@@ -419,12 +423,12 @@
             "the entry", [](fleet & system) -> auto & { return system.entry(0); });
 }
 
-// The entry has received a large answer whole, and its caller has taken only a part of it, when the
-// entry is stopped as planned. Nothing decides about the request any more, so only the connection's
-// own count of requests in flight keeps the process until the last byte has gone.
+// The entry has received a large answer whole, and its caller has read only a part of it, when the
+// entry is stopped as planned. The request is already decided, so only the connection's own count
+// of requests in flight keeps the process running until the last byte is sent.
 Test(process_stream, planned_stop_with_the_rest_in_the_ring)
 {
-    constexpr std::uint64_t Step = 128 * 1024; // half of a ring: some answer ends within it
+    constexpr std::uint64_t Step = 128 * 1024; // half of a ring: some answer ends within a ring
     constexpr unsigned Most = 32;
     fleet system(singlePathFleet());
     startAndWait(system);
@@ -432,21 +436,21 @@
     const auto isReceived = [&] {
         return system.rpc(0, "status", Json::objectValue)["in_flight"].asUInt() == 0;
     };
-    bool isFullyBuffered = true; // by the buffers on the way and the entry's ring, whole
+    bool isFullyBuffered = true; // by the buffers on the path and the entry's ring
     for (unsigned index = 1; isFullyBuffered && index <= Most; ++index) {
         callers.push_back(std::make_unique<paused_caller>(system, index * Step));
         check(waitUntil([&] { return callers.back()->hasBegun(); }, WaitLimit));
         isFullyBuffered = waitUntil(isReceived, milliseconds(500));
     }
-    section("an answer larger than all that lies on the way is read to its end", [&] {
+    section("an answer larger than all buffers on the path is read to its end", [&] {
         require(!isFullyBuffered);
         check(callers.back()->finish());
         callers.pop_back();
         check(waitUntil(isReceived, WaitLimit));
     });
-    section("the entry is stopped while the others' rest is in its ring", [&] {
+    section("the entry is stopped while the rest of the other answers is in its ring", [&] {
         system.entry(0)->signal(SIGTERM);
-        std::this_thread::sleep_for(milliseconds(2000)); // room to stop too early
+        std::this_thread::sleep_for(milliseconds(2000)); // it may exit too early
         check(system.entry(0)->isRunning());
         for (auto &caller : callers)
             check(caller->finish());
