--- a/tests/process_work_test.cpp
+++ b/tests/process_work_test.cpp
@@ -1,4 +1,5 @@
-// Tasks on real processes while owners, agents and workers die and freeze and the table goes away.
+// Tasks on real processes while owners, agents and workers are killed and paused and the table goes
+// down.
 #include "fleet_scenario.h"
 
 using namespace zinniabarrow;
@@ -6,7 +7,7 @@
 
 namespace {
 
-// The shards' owner, by index of its entry; the number of entries when there is none.
+// Index of the entry that owns the shards; the number of entries if there is no owner.
 unsigned findShardOwner(fleet &system)
 {
     for (unsigned entry = 0; entry < system.options().entries; ++entry) {
@@ -17,7 +18,7 @@
             if (!status["scheduling"]["shards"].empty())
                 return entry;
         } catch (const std::exception &) {
-            continue; // frozen, or just starting
+            continue; // paused, or just starting
         }
     }
     return system.options().entries;
@@ -33,7 +34,7 @@
             WaitLimit);
 }
 
-// Tasks placed ahead on all workers, as their owners tell.
+// Number of tasks in the backlogs of all workers, as the owners report them.
 unsigned countBacklogTasks(fleet &system)
 {
     unsigned tasks = 0;
@@ -47,7 +48,7 @@
     return tasks;
 }
 
-// A worker on which a task of the batch has started, by index.
+// Index of a worker on which a task of the batch has started.
 unsigned workerThatStarted(const fleet &system, const batch_options &batch)
 {
     for (const auto &line : system.workerTrace()) {
@@ -64,9 +65,10 @@
 
 } // namespace
 
-// An operator sees the batch finish although the entry that owned its shard was killed.
-// Another entry takes the shard once the row was unchanged for the owner's lease; agents attach to
-// the new epoch, so running tasks run on, and those not yet placed are placed by the new owner.
+// An operator sees the batch finish although the entry that owned its shard was killed. Another
+// entry takes the shard over once its row was unchanged for the owner's lease. Agents attach to the
+// new epoch, so running tasks continue, and the new owner places the tasks that were not placed
+// yet.
 Test(process_work, owner_killed)
 {
     const auto batch = batchOf(60, 1500);
@@ -75,7 +77,7 @@
     const auto owner = findShardOwner(system);
     require(owner < system.options().entries);
     section("the owner is killed", [&] { system.entry(owner)->signal(SIGKILL); });
-    section("another owns the shard", [&] { check(waitForOtherOwner(system, owner)); });
+    section("another entry owns the shard", [&] { check(waitForOtherOwner(system, owner)); });
     section("every task ends once, with one start each", [&] {
         check(waitForEnds(system, batch));
         check(countTraced(system, "started", batch.job) == 60);
@@ -83,9 +85,10 @@
     });
 }
 
-// The old owner freezes for longer than its lease and wakes believing that it still owns the shard.
-// Its writes fail at the epoch, its grants are refused as stale; no task is given twice.
-Test(process_work, owner_frozen_longer_than_its_lease)
+// The old owner is paused for longer than its lease and resumes in the belief that it still owns
+// the shard. Its writes are rejected by the epoch, its grants are refused as stale; no task is
+// granted twice.
+Test(process_work, owner_paused_longer_than_its_lease)
 {
     const auto batch = batchOf(60, 1500);
     fleet system(smallFleet());
@@ -93,17 +96,17 @@
     const auto owner = findShardOwner(system);
     require(owner < system.options().entries);
     system.entry(owner)->signal(SIGSTOP);
-    section("another owns the shard", [&] { check(waitForOtherOwner(system, owner)); });
+    section("another entry owns the shard", [&] { check(waitForOtherOwner(system, owner)); });
     system.entry(owner)->signal(SIGCONT);
     section("every task ends once", [&] {
         check(waitForEnds(system, batch));
-        std::this_thread::sleep_for(milliseconds(1000)); // late grants would show now
+        std::this_thread::sleep_for(milliseconds(1000)); // late grants would arrive in this time
         checkEachEndedOnce(system, batch);
     });
 }
 
-// The replaced agent lists what its worker runs before it gives anything: tasks run on under their
-// own leases, none is started a second time.
+// A replaced agent lists its worker's tasks before it starts any: tasks continue under their own
+// leases, and none is started a second time.
 Test(process_work, agents_killed_and_replaced)
 {
     const auto batch = batchOf(12, 6000);
@@ -117,29 +120,30 @@
             system.startAgent(index);
         }
     });
-    section("the tasks run on and end once, with one start each", [&] {
+    section("the tasks continue and end once, with one start each", [&] {
         check(waitForEnds(system, batch));
         check(countTraced(system, "started", batch.job) == 12);
         checkEachEndedOnce(system, batch);
     });
 }
 
-// An agent is replaced while it is paused, so that two run for one worker and upstream. When the
-// old one wakes, the entries refuse its announcements as of an older incarnation; it stops as
-// planned. Its tasks had one start each, since a worker runs an attempt once, whoever asks.
-Test(process_work, agent_doubled)
+// An agent is replaced while it is paused, so that two agents run for one worker and upstream. When
+// the old one resumes, the entries refuse its announcements because of the older incarnation, and
+// it stops as planned. Its tasks are started once, since a worker runs an attempt once, whichever
+// agent asks.
+Test(process_work, two_agents_for_one_worker)
 {
     const auto batch = batchOf(12, 6000);
     fleet system(smallFleet());
     startWithBatch(system, batch);
     require(waitForStarts(system, batch));
     system.agent(0)->signal(SIGSTOP);
-    const auto twin = system.startDuplicateAgent(0);
-    std::this_thread::sleep_for(milliseconds(2500)); // the twin announces and is accepted
+    const auto newAgent = system.startDuplicateAgent(0);
+    std::this_thread::sleep_for(milliseconds(2500)); // the new agent announces and is accepted
     system.agent(0)->signal(SIGCONT);
-    section("the old one gives way", [&] {
+    section("the old agent stops", [&] {
         check(system.agent(0)->waitForExit(WaitLimit) == 0);
-        check(twin->isRunning());
+        check(newAgent->isRunning());
     });
     section("the tasks end once, with one start each", [&] {
         check(waitForEnds(system, batch));
@@ -148,8 +152,8 @@
     });
 }
 
-// A worker dies with its tasks and comes back with a newer incarnation: that proves that the old
-// attempts are gone, so they start again without waiting for any lease.
+// A worker dies with its tasks and comes back with a higher incarnation. This proves that the old
+// attempts are gone, so the tasks start again without waiting for any lease.
 Test(process_work, worker_killed_and_replaced)
 {
     const auto batch = batchOf(12, 4000);
@@ -160,15 +164,15 @@
     system.worker(victim)->signal(SIGKILL);
     system.worker(victim)->waitForExit(WaitLimit);
     system.startWorker(victim);
-    section("what ran there runs again, everything ends once", [&] {
+    section("its tasks run again, and every task ends once", [&] {
         check(waitForEnds(system, batch));
         check(countTraced(system, "started", batch.job) > 12);
         checkEachEndedOnce(system, batch);
     });
 }
 
-// The table is down for longer than the owner's and the agents' leases: lease watchers and running
-// batch go on, and the ends are recorded once it is back.
+// The table is down for longer than the leases of the owner and the agents: lease watchers and
+// running batch tasks continue, and the ends are recorded once the table is back.
 Test(process_work, table_down)
 {
     auto options = smallFleet();
@@ -201,9 +205,9 @@
     });
 }
 
-// Workers are full and more batch waits when the table goes down. Each worker holds a backlog that
-// the table has on it already: as tasks end, the owner starts these without a write, where its
-// ledger has room. Without a backlog nothing starts until the table is back.
+// Workers are full and more batch tasks wait when the table goes down. Each worker has a backlog
+// whose placement is stored already: as tasks end, the owner starts backlog tasks without a write,
+// where its ledger has room. Without a backlog nothing starts until the table is back.
 Test(process_work, backlog_while_the_table_is_down)
 {
     const auto batch = batchOf(60, 3000);
@@ -215,7 +219,7 @@
         require(waitUntil([&] { return countBacklogTasks(system) == perWorker * options.workers; },
                           WaitLimit));
         setPlatformDown(system, true);
-        std::this_thread::sleep_for(milliseconds(1000)); // what was granted before has started
+        std::this_thread::sleep_for(milliseconds(1000)); // earlier grants have started by now
         const auto before = countTraced(system, "started", batch.job);
         std::this_thread::sleep_for(milliseconds(9000));
         const auto started = countTraced(system, "started", batch.job) - before;
@@ -234,8 +238,9 @@
     });
 }
 
-// Answers of the table and of the workers are lost after their effect while tasks are placed and
-// started: each write is settled by reading back, each start by a listing; no task runs twice.
+// Answers of the table and of the workers are lost after the calls took effect, while tasks are
+// placed and started. Each write is resolved by reading back, each start by a listing; no task runs
+// twice.
 Test(process_work, lost_answers)
 {
     fleet system(smallFleet());
@@ -254,8 +259,8 @@
     checkEachEndedOnce(system, batch);
 }
 
-// A job is removed from the folder while its tasks wait and run: what runs is stopped, what waits
-// never starts.
+// A job is removed from the folder while its tasks wait and run: running tasks are stopped, waiting
+// ones never start.
 Test(process_work, cancelled)
 {
     const auto batch = batchOf(100, 3000);
--- a/tests/shard_simulation.h
+++ b/tests/shard_simulation.h
@@ -1,4 +1,5 @@
-// One shard as the entry runs it, with its agents, their workers and the table, on a virtual clock.
+// Simulates one shard as the entry runs it, with its agents, their workers and the table, on a
+// virtual clock.
 #pragma once
 
 #include <algorithm>
@@ -27,11 +28,11 @@
     resources size;
     std::unique_ptr<work::task_supervisor> supervisor;
     std::unique_ptr<work::worker_tasks> worker;
-    int session = 0;          // raised when the agent is replaced
+    int session = 0;          // incremented when the agent is replaced
     unsigned killedTasks = 0; // running tasks that were stopped without a checkpoint
     bool isAlive = true;
-    int cpuLimitsToLose = 0;                              // calls that the worker does not hear
-    std::map<work::task_attempt, std::int64_t> cpuLimits; // that the worker was told; 0: lifted
+    int cpuLimitsToLose = 0; // number of next calls that do not reach the worker
+    std::map<work::task_attempt, std::int64_t> cpuLimits; // millicores received; 0: lifted
 
     void startAgent()
     {
@@ -63,14 +64,14 @@
         startOwner(1);
     }
 
-    // Another entry owns the shard; it has not read the configuration yet.
+    // Another entry takes the shard over; it has not read the configuration yet.
     void takeOver()
     {
         startOwner(++m_epoch);
         m_adopted = {};
     }
 
-    // The folder as it stands is accepted as the next generation.
+    // Accepts the current folder as the next generation.
     void acceptFolder()
     {
         ++m_generation;
@@ -89,7 +90,7 @@
         }
     }
 
-    // The worker is lost with its tasks and comes back empty, in a newer life.
+    // The worker is lost with its tasks and comes back empty, with a higher incarnation.
     void replaceWorker(shard_host &host)
     {
         host.worker = std::make_unique<work::worker_tasks>(host.worker->incarnation() + 1);
@@ -114,7 +115,8 @@
                 now);
     }
 
-    // Of the service beside the worker, in parts of its target; 0: it had no answers.
+    // Reports the latency of the service beside the worker as a multiple of its target; 0: it had
+    // no answers.
     void sampleLatency(const std::string &worker, const std::string &service, double targetRatio)
     {
         const microseconds target = configuredFolder.services.at(service).latencyTarget;
@@ -123,7 +125,7 @@
                               now);
     }
 
-    // What the owner's ledger counts on the worker.
+    // What the owner's ledger has reserved on the worker.
     resources reservedByOwner(const std::string &worker) const
     {
         const auto status = owner->status(now);
@@ -142,7 +144,7 @@
     config::configuration configuredFolder;
     std::map<std::string, shard_host> hosts;
     random_generator random{1};
-    double grantLossRate = 0; // of the grants
+    double grantLossRate = 0; // fraction of the grants that are lost
 
     metrics counters;
     logger log{"test", "shard", log_level::Error};
@@ -162,12 +164,12 @@
         feed(work::grant_deadline_changed{Never});
     }
 
-    // As the daemon sets them.
+    // Same settings as in the daemon.
     static placement::placer_settings settings()
     {
         placement::placer_settings out;
         out.sizes.minProcessorShare = 1.0;
-        out.weights = {0.7, 0.2, 0.1}; // Mtkvari's
+        out.weights = {0.7, 0.2, 0.1}; // Mtkvari's weights
         return out;
     }
 
@@ -191,7 +193,7 @@
         auto &host = hosts.at(grant.worker);
         if (!host.isAlive || drawUniform(random) < grantLossRate)
             return;
-        const auto parsed = work::workerGrantFromJson(toJson(grant)); // as it goes over the wire
+        const auto parsed = work::workerGrantFromJson(toJson(grant)); // as sent over the wire
         performAll(host, host.supervisor->handle(work::grant_received{parsed}, now));
     }
 
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -1,5 +1,5 @@
-// The owner's shard together with agents and workers: what one side decides has to hold on the
-// other one too.
+// The owner's shard together with agents and workers: what one side decides must also hold on the
+// other side.
 #include "shard_simulation.h"
 
 #include "base/errors.h"
@@ -30,8 +30,8 @@
     return {};
 }
 
-// No worker above its size, in the owner's ledger, in the agent's, and in what the worker was told;
-// the agent never counts less than was declared.
+// No worker is filled above its size in the owner's ledger, in the agent's, or by the sizes that
+// the worker was given; and the agent never counts less than the declared size.
 void checkNoExcess(const shard_simulation &simulation)
 {
     for (const auto &[id, host] : simulation.hosts) {
@@ -46,9 +46,9 @@
 
 } // namespace
 
-// A batch task uses three times what it declared. The owner raises its reservation; were the agent
-// to go on counting the declared size, its check before a start would let another task in beside
-// it, and the worker would run out of memory.
+// A batch task uses three times its declared size, and the owner raises its reservation. If the
+// agent kept counting the declared size, its check before a start would admit another task, and the
+// worker would run out of memory.
 Test(shard, raised_reservations_reach_the_agent)
 {
     shard_simulation simulation(1);
@@ -65,12 +65,12 @@
         check(simulation.reservedByOwner("w0") == raised);
         check(shard_simulation::countedByAgent(host) == raised);
     });
-    section("a replaced agent is told again", [&] {
+    section("a replaced agent receives the raise again", [&] {
         host.startAgent();
         simulation.advance(seconds(5));
         check(shard_simulation::countedByAgent(host) == raised);
     });
-    section("the next configuration takes no raise back", [&] {
+    section("the next configuration does not undo a raise", [&] {
         simulation.configuredFolder.jobs["other"] = batchJob(1, {1000, 10 * Gigabyte, 0});
         simulation.acceptFolder();
         simulation.advance(seconds(5));
@@ -85,8 +85,9 @@
     });
 }
 
-// Sizes rise at random while grants are lost and agents are replaced. Neither ledger ever exceeds
-// its worker; what no longer fits is checkpointed by the owner's policy, never killed by an agent.
+// Sizes grow at random while grants are lost and agents are replaced. Neither ledger may exceed its
+// worker's size; tasks that no longer fit are evicted with a checkpoint by the owner, never killed
+// by an agent.
 Test(shard, random_raises_exceed_no_ledger)
 {
     double evictions = 0;
@@ -104,8 +105,9 @@
                 if (tasks.empty())
                     continue;
                 const auto &task = tasks[drawIndex(simulation.random, tasks.size())].attempt;
-                const auto bytes = static_cast<std::int64_t>(4 + drawIndex(simulation.random, 16));
-                simulation.sampleUsage(hostOf(simulation, task), task.task, bytes * Gigabyte);
+                const auto gigabytes =
+                        static_cast<std::int64_t>(4 + drawIndex(simulation.random, 16));
+                simulation.sampleUsage(hostOf(simulation, task), task.task, gigabytes * Gigabyte);
                 if (drawIndex(simulation.random, 20) == 0)
                     simulation.hosts.at("w0").startAgent();
             }
@@ -121,9 +123,9 @@
     check(evictions > 0);
 }
 
-// The owner dies. Agents tell the next one what runs before it has read the configuration; the
-// tasks must all the same be known with their pool afterwards. Else none of them could ever be
-// evicted, and the worker would run out of memory.
+// The owner dies. Agents report running tasks to the next owner before it has read the
+// configuration. The placer must still learn the pool of these tasks afterwards: otherwise none of
+// them could ever be evicted, and the worker would run out of memory.
 Test(shard, tasks_taken_over_can_be_evicted)
 {
     shard_simulation simulation(1);
@@ -144,9 +146,9 @@
     check(simulation.hosts.at("w0").killedTasks == 0);
 }
 
-// A noisy batch task is throttled for the service beside it. The worker does not hear it, its agent
-// is replaced, the owner dies. The next grant names every limit, so that the task is neither left
-// at full speed nor throttled for the rest of its life by an owner that nobody remembers.
+// A noisy batch task is throttled to protect the service beside it. The worker misses the call, its
+// agent is replaced, the owner dies. The next grant names every limit, so the task neither stays at
+// full speed nor stays throttled forever by a limit that no owner knows.
 Test(shard, limits_reach_the_worker_and_are_lifted)
 {
     shard_simulation simulation(1);
@@ -173,21 +175,21 @@
     samples(6, 1.5);
     simulation.grantLossRate = 0;
     simulation.advance(seconds(6));
-    section("told again until the worker has heard it", [&] {
+    section("the limit is repeated until the worker has received it", [&] {
         check(simulation.counters.value("throttles_total", "interference") == 1);
         check(host.cpuLimits[attempt] == 4000);
     });
-    section("a replaced agent tells it again", [&] {
+    section("a replaced agent sends it again", [&] {
         host.cpuLimits.clear();
         host.startAgent();
         simulation.advance(seconds(6));
         check(host.cpuLimits[attempt] == 4000);
     });
-    section("no answers are no measurement: they lift nothing", [&] {
+    section("a service without answers does not lift the limit", [&] {
         samples(100, 0);
         check(simulation.counters.value("throttles_total", "lifted") == 0);
     });
-    section("a new owner, which knows of no limit, lifts it", [&] {
+    section("a new owner, which does not know the limit, lifts it", [&] {
         simulation.takeOver();
         simulation.advance(seconds(6));
         check(host.cpuLimits[attempt] == 0);
@@ -195,8 +197,8 @@
     });
 }
 
-// Processes are replaced one by one: an agent of the new version beside an owner of the old one
-// reads grants without reservations, and the other way round reports without an acknowledgement.
+// Processes are upgraded one by one: an agent of the new version reads grants of an old owner,
+// without reservations, and a new owner reads reports of an old agent, without an acknowledgement.
 Test(shard, messages_of_earlier_versions_are_read)
 {
     work::worker_grant grant;
