--- a/tests/delivery_simulation.h
+++ b/tests/delivery_simulation.h
@@ -296,13 +296,14 @@
         schedule(entry, milliseconds(1), [=, this](fault activeFault) {
             const bool isTableDown = now < m_tableFaultUntil;
             write_result result;
-            if (isTableDown && m_tableFault == fault::TableRefuses)
+            if (isTableDown && m_tableFault == fault::TableRefuses) {
                 result.outcome = write_outcome::Refused;
-            else if (activeFault == fault::WriteDelayed)
+            } else if (activeFault == fault::WriteDelayed) {
                 schedule(entry, milliseconds(700),
                          [=, this](fault) { commit(action.transaction); });
-            else if (!isTableDown)
+            } else if (!isTableDown) {
                 result = commit(action.transaction);
+            }
             if (activeFault == fault::SecondAnswerArrives)
                 result = commit(action.transaction);
             if (activeFault == fault::AnswerLost)
