--- a/libs/jobs/job_controller.cpp
+++ b/libs/jobs/job_controller.cpp
@@ -71,7 +71,7 @@
         job.record.cancelled = true;
         markChanged(id, job);
         stopAllRuns(id, job);
-        logEvent("job_cancelled", id, "requested by its caller");
+        addLog("job_cancelled", id, "requested by its caller");
     }
     notifyWhenStored(id, token);
 }
@@ -119,7 +119,7 @@
     if (row && row->writeId == job.inFlightWriteId)
         return rowWritten(id, version);
     if (!row || row->owner != m_self) {
-        logEvent("job_disowned", id, row ? "owner is " + row->owner.entry : "its row was deleted");
+        addLog("job_disowned", id, row ? "owner is " + row->owner.entry : "its row was deleted");
         return dropJob(id);
     }
     job.inFlightRevision = 0;
@@ -138,7 +138,7 @@
     if (job.inFlightRevision != 0 || version <= job.version)
         return; // our own write, or a change that the write in flight will conflict with
     if (record.owner != m_self) {
-        logEvent("job_disowned", id, "owner is " + record.owner.entry);
+        addLog("job_disowned", id, "owner is " + record.owner.entry);
         return dropJob(id);
     }
     job.version = version;
@@ -154,7 +154,7 @@
     job.record.cancelled = true;
     markChanged(id, job);
     stopAllRuns(id, job);
-    logEvent("job_cancelled", id, "cancel was written by another entry");
+    addLog("job_cancelled", id, "cancel was written by another entry");
 }
 
 void job_controller::adopt(const std::string &id, const job_record &record, std::int64_t version,
@@ -177,7 +177,7 @@
             orders[{task, runPlacement.run}] = {runPlacement.worker, job.revision, false, {}};
     });
     m_jobsWithOrders.insert(id);
-    logEvent("job_adopted", id, "owner was " + record.owner.entry);
+    addLog("job_adopted", id, "owner was " + record.owner.entry);
 }
 
 void job_controller::rowRemoved(const std::string &id)
@@ -266,9 +266,9 @@
         m_workers.recordRefusal(worker, step, orderReportAt);
     if (step.isGang && answer.kind == order_kind::Start && job.record.shouldRun(*task))
         handleNeverStarted(job, worker, answer.task, answer.run);
-    logEvent("order_refused", id,
-             fmt::format("{}: {}", describeRun(answer.task, answer.run, worker),
-                         nameOf(answer.outcome)));
+    addLog("order_refused", id,
+           fmt::format("{}: {}", describe(answer.task, answer.run, worker),
+                       nameOf(answer.outcome)));
 }
 
 bool job_controller::isCurrentIncarnation(const std::string &worker,
@@ -341,8 +341,8 @@
         if (!endPlacementsBefore(id, job, worker, epoch))
             continue;
         markChanged(id, job);
-        logEvent("worker_renewed", id,
-                 fmt::format("runs on {} from before epoch {} have ended", worker, epoch));
+        addLog("worker_renewed", id,
+               fmt::format("runs on {} from before epoch {} have ended", worker, epoch));
     }
 }
 
--- a/libs/jobs/job_controller.h
+++ b/libs/jobs/job_controller.h
@@ -234,8 +234,8 @@
     void applyCancel(const std::string &id, owned_job &job, const job_record &row);
     void endPlacedRun(const std::string &id, owned_job &job, const std::string &worker,
                       const run_end &end, time_point now);
-    void endRedundantRun(const std::string &id, owned_job &job, const std::string &worker,
-                         const run_end &end);
+    void endExtraRun(const std::string &id, owned_job &job, const std::string &worker,
+                     const run_end &end);
     void endUnplacedRun(const std::string &id, owned_job &job, const std::string &worker,
                         const run_end &end, time_point now);
     void applyRunEnd(const std::string &id, owned_job &job, const std::string &worker,
@@ -297,8 +297,8 @@
                          time_point now);
     static std::vector<std::string> workersAtTaskLimit(const owned_job &job, const task_id &task,
                                                        const step_spec &step);
-    static std::string describeRun(const task_id &task, int run, const std::string &worker);
-    void logEvent(std::string event, const std::string &job, std::string detail);
+    static std::string describe(const task_id &task, int run, const std::string &worker);
+    void addLog(std::string event, const std::string &job, std::string detail);
 
     owner_id m_self;
     worker_pool &m_workers;
--- a/libs/jobs/job_controller_ends.cpp
+++ b/libs/jobs/job_controller_ends.cpp
@@ -23,8 +23,7 @@
     if (task != nullptr && !task->done && end.run > task->lastRun)
         return false;
     if (task != nullptr && isPlacedOn(*task, worker, end.run))
-        task->done ? endRedundantRun(id, job, worker, end)
-                   : endPlacedRun(id, job, worker, end, now);
+        task->done ? endExtraRun(id, job, worker, end) : endPlacedRun(id, job, worker, end, now);
     else if (task != nullptr && !task->done && !isFinal(job.record.state()))
         endUnplacedRun(id, job, worker, end, now);
     job.waitingTokens.push_back({token, job.revision});
@@ -47,21 +46,20 @@
     if (end.endKind == end_kind::NeverStarted)
         handleNeverStarted(job, worker, end.task, end.run);
     if (end.endKind != end_kind::Done)
-        logEvent(
-                "run_ended", id,
-                fmt::format("{}: {}", describeRun(end.task, end.run, worker), nameOf(end.endKind)));
+        addLog("run_ended", id,
+               fmt::format("{}: {}", describe(end.task, end.run, worker), nameOf(end.endKind)));
     applyRunEnd(id, job, worker, end, runDuration);
 }
 
 // The task was done by another run, so the outcome of this one changes nothing.
-void job_controller::endRedundantRun(const std::string &id, owned_job &job,
-                                     const std::string &worker, const run_end &end)
+void job_controller::endExtraRun(const std::string &id, owned_job &job, const std::string &worker,
+                                 const run_end &end)
 {
     removePlacement(job, end.task, end.run);
     job.startedAt.erase({end.task, end.run});
     markChanged(id, job);
-    logEvent("needless_run_ended", id,
-             fmt::format("{}: {}", describeRun(end.task, end.run, worker), nameOf(end.endKind)));
+    addLog("needless_run_ended", id,
+           fmt::format("{}: {}", describe(end.task, end.run, worker), nameOf(end.endKind)));
 }
 
 // The end of a run that is no longer placed. Once it is acknowledged, the worker forgets it. So the
@@ -73,9 +71,9 @@
     const auto &step = stepOf(job, end.task);
     const bool isFirstReport = std::erase(task.unreportedRuns, end.run) > 0;
     const bool completesTask = end.endKind == end_kind::Done && !step.isLongRunning;
-    logEvent(completesTask || isFirstReport ? "run_ended_late" : "run_ended_again", id,
-             fmt::format("{}: {}; newest run {}", describeRun(end.task, end.run, worker),
-                         nameOf(end.endKind), task.lastRun));
+    addLog(completesTask || isFirstReport ? "run_ended_late" : "run_ended_again", id,
+           fmt::format("{}: {}; newest run {}", describe(end.task, end.run, worker),
+                       nameOf(end.endKind), task.lastRun));
     if (end.endKind != end_kind::NeverStarted)
         markStarted(id, job, now);
     if (!completesTask && !isFirstReport)
@@ -98,7 +96,7 @@
     if (job.record.state() == job_state::Completed)
         m_completedJobs.push_back(id);
     if (isFinal(job.record.state()))
-        logEvent("job_ended", id, std::string(nameOf(job.record.state())));
+        addLog("job_ended", id, std::string(nameOf(job.record.state())));
 }
 
 // Returns how long the run took, and forgets its start; none: this entry did not see the start.
@@ -171,7 +169,7 @@
         return;
     job.record.failed = true;
     stopAllRuns(id, job);
-    logEvent("job_failed", id, fmt::format("{} failed {} times", toText(end.task), task.failures));
+    addLog("job_failed", id, fmt::format("{} failed {} times", toText(end.task), task.failures));
 }
 
 // The run was refused or never started. The other members of its gang would wait for it in vain, so
--- a/libs/jobs/job_controller_log.cpp
+++ b/libs/jobs/job_controller_log.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-std::string job_controller::describeRun(const task_id &task, int run, const std::string &worker)
+std::string job_controller::describe(const task_id &task, int run, const std::string &worker)
 {
     return fmt::format("{} run {} on {}", toText(task), run, worker);
 }
@@ -59,11 +59,11 @@
     waiting.nextLogAt = now + m_settings.waitLogInterval;
     const auto &step = job.record.steps[static_cast<std::size_t>(stepIndex)];
     const auto full = workersAtTaskLimit(job, {id, occurrence, stepIndex, 0}, step);
-    logEvent("tasks_unplaced", id,
-             fmt::format("{} tasks of step {}.{} unplaced for {} ms: {}", tasks, occurrence,
-                         stepIndex, millisecondsIn(now - waiting.since),
-                         m_workers.describeUnfitWorkers(job.record.policy.service, step, full, now,
-                                                        preferences)));
+    addLog("tasks_unplaced", id,
+           fmt::format("{} tasks of step {}.{} unplaced for {} ms: {}", tasks, occurrence,
+                       stepIndex, millisecondsIn(now - waiting.since),
+                       m_workers.describeUnfitWorkers(job.record.policy.service, step, full, now,
+                                                      preferences)));
 }
 
 // Logs long-running jobs that are not served in full: tasks without a worker, placed tasks that do
@@ -83,11 +83,11 @@
         if (longRunning.placed == longRunning.requested
             && serving.running >= longRunning.withLatencyTarget && serving.late == 0)
             continue;
-        logEvent("job_underserved", id,
-                 fmt::format("{} long-running tasks, {} placed, {} of {} with a latency target "
-                             "running, {} late",
-                             longRunning.requested, longRunning.placed, serving.running,
-                             longRunning.withLatencyTarget, serving.late));
+        addLog("job_underserved", id,
+               fmt::format("{} long-running tasks, {} placed, {} of {} with a latency target "
+                           "running, {} late",
+                           longRunning.requested, longRunning.placed, serving.running,
+                           longRunning.withLatencyTarget, serving.late));
     }
 }
 
@@ -102,15 +102,15 @@
         const auto &record = found->second.record;
         const auto &jobTimeline = found->second.timeline;
         const auto slackAtEndMs = slackMs(record, wallMs);
-        logEvent("job_course", id,
-                 fmt::format(
-                         "{} by {} ms; first placed after {} ms with {} ms of slack, completed {} "
-                         "ms later; critical path estimated at {} ms, {} ms with unplaced tasks",
-                         slackAtEndMs < 0 ? "late" : "on time",
-                         slackAtEndMs < 0 ? -slackAtEndMs : slackAtEndMs,
-                         *jobTimeline.firstPlacedAtMs - record.acceptedAtMs,
-                         jobTimeline.slackAtFirstPlacementMs, wallMs - *jobTimeline.firstPlacedAtMs,
-                         estimatedCriticalPathMs(record), jobTimeline.unplacedMs));
+        addLog("job_course", id,
+               fmt::format(
+                       "{} by {} ms; first placed after {} ms with {} ms of slack, completed {} "
+                       "ms later; critical path estimated at {} ms, {} ms with unplaced tasks",
+                       slackAtEndMs < 0 ? "late" : "on time",
+                       slackAtEndMs < 0 ? -slackAtEndMs : slackAtEndMs,
+                       *jobTimeline.firstPlacedAtMs - record.acceptedAtMs,
+                       jobTimeline.slackAtFirstPlacementMs, wallMs - *jobTimeline.firstPlacedAtMs,
+                       estimatedCriticalPathMs(record), jobTimeline.unplacedMs));
     }
 }
 
@@ -124,12 +124,12 @@
     if (now < order.nextLogAt)
         return;
     order.nextLogAt = now + m_settings.waitLogInterval;
-    logEvent("order_unanswered", id,
-             fmt::format("{}: no answer for {} ms", describeRun(task, run, order.worker),
-                         millisecondsIn(now - order.firstSentAt)));
+    addLog("order_unanswered", id,
+           fmt::format("{}: no answer for {} ms", describe(task, run, order.worker),
+                       millisecondsIn(now - order.firstSentAt)));
 }
 
-void job_controller::logEvent(std::string event, const std::string &job, std::string detail)
+void job_controller::addLog(std::string event, const std::string &job, std::string detail)
 {
     m_actions.emplace_back(log_event{std::move(event), job, std::move(detail)});
 }
--- a/libs/jobs/job_controller_stalls.cpp
+++ b/libs/jobs/job_controller_stalls.cpp
@@ -122,10 +122,9 @@
     if (!reason || now < stall.logAt)
         return;
     stall.logAt = now + m_settings.stallLogInterval;
-    logEvent("task_stands_still", task.job,
-             fmt::format("{} for {} ms: {}", toText(task),
-                         millisecondsIn(now - stall.lastRunningAt),
-                         describeStall(job, task, state, *reason, now)));
+    addLog("task_stands_still", task.job,
+           fmt::format("{} for {} ms: {}", toText(task), millisecondsIn(now - stall.lastRunningAt),
+                       describeStall(job, task, state, *reason, now)));
 }
 
 std::string job_controller::describeStall(const owned_job &job, const task_id &task,
--- a/libs/work/task_supervisor.cpp
+++ b/libs/work/task_supervisor.cpp
@@ -180,13 +180,9 @@
 std::vector<running_task> task_supervisor::occupyingTasks() const
 {
     std::vector<running_task> tasks;
-    for (const auto &[task, supervised] : m_tasks) {
-        if (supervised.state == supervised_state::Starting
-            || supervised.state == supervised_state::Running)
-            tasks.push_back({{task, supervised.attempt},
-                             supervised.checkpoint,
-                             supervised.spec,
-                             supervised.failover});
+    for (const auto &[task, known] : m_tasks) {
+        if (known.state == supervised_state::Starting || known.state == supervised_state::Running)
+            tasks.push_back({{task, known.attempt}, known.checkpoint, known.spec, known.failover});
     }
     return tasks;
 }
--- a/tests/process_stream_test.cpp
+++ b/tests/process_stream_test.cpp
@@ -341,10 +341,11 @@
         unsigned answered = 0;
         const auto answer =
                 caller.fetch(get(largeTarget(LargeBytes)), LongDeadline, [&](std::uint64_t) {
-                    if (answered < 20)
+                    if (answered < 20) {
                         answered += others.sendRequest(0, get("/tickets/seats"), "beside").empty()
                                             ? 1
                                             : 0;
+                    }
                 });
         check(isWhole(answer, LargeBytes));
         check(answered == 20);
