--- a/tests/process_stops_test.cpp
+++ b/tests/process_stops_test.cpp
@@ -148,12 +148,13 @@
             return true;
         const std::lock_guard lock(m_record.mutex);
         const bool wasRead = connection.isClosedInOrder();
-        if (!wasRead || connection.lastSeenOpenAt() - sentAt <= MaxArrivalTime)
+        if (!wasRead || connection.lastSeenOpenAt() - sentAt <= MaxArrivalTime) {
             ++m_record.brokenOffCount;
-        else
+        } else {
             recordFault(request,
                         fmt::format("was read in part ({} bytes), then its connection was closed",
                                     part.size()));
+        }
         return false;
     }
 
@@ -354,10 +355,11 @@
     void checkExit(int index, duration elapsed)
     {
         const auto code = m_system.entry(index).waitForExit(milliseconds(0));
-        if (code != 0)
+        if (code != 0) {
             recordFault(fmt::format(
                     "entry-{} exited with code {} (-1: did not exit) {} ms after the signal", index,
                     code, millisecondsIn(elapsed)));
+        }
         const auto text = m_system.logText("entry", index, m_incarnationLogFrom[index]);
         const auto stopped = text.rfind(R"("event":"stopped")");
         const auto last = stopped == std::string::npos ? "" : text.substr(stopped);
