--- a/libs/delivery/request_flow.cpp
+++ b/libs/delivery/request_flow.cpp
@@ -60,8 +60,7 @@
     // would be told too early that the outcome is unknown.
     if (settings.claims.eraDuration <= settings.maxRequestTime + settings.lateOutcomeTimeout)
         throw error(error_kind::BadSettings,
-                    "claims.eraDuration must exceed the sum of maxRequestTime and "
-                    "lateOutcomeTimeout");
+                    "claims.eraDuration must exceed maxRequestTime + lateOutcomeTimeout");
 }
 
 std::vector<flow_action> request_flow::handle(const flow_event &event, time_point now)
--- a/tests/process_stops_test.cpp
+++ b/tests/process_stops_test.cpp
@@ -129,13 +129,14 @@
         const std::lock_guard lock(m_record.mutex);
         if (status)
             return recordAnswer(request, *status);
-        if (open <= MaxRaceTime && connection.answerText().empty())
+        if (open <= MaxRaceTime && connection.answerText().empty()) {
             ++m_record.racedCount;
-        else
+        } else {
             recordFault(
                     request,
                     fmt::format("got no answer but \"{}\"; its connection stayed open for {} ms",
                                 connection.answerText(), millisecondsIn(open)));
+        }
     }
 
     // False if the connection ended before the rest could be sent.
