--- a/tests/shard_simulation.h
+++ b/tests/shard_simulation.h
@@ -238,11 +238,12 @@
     }
     void performForHost(shard_host &host, const work::worker_cpu_limit &action)
     {
-        if (host.cpuLimitsToLose > 0 && host.cpuLimitsToLose-- > 0)
+        if (host.cpuLimitsToLose > 0 && host.cpuLimitsToLose-- > 0) {
             performAll(host,
                        host.supervisor->handle(work::cpu_limit_unconfirmed{action.attempt}, now));
-        else
+        } else {
             host.cpuLimits[action.attempt] = action.millicores;
+        }
     }
     void performForHost(shard_host &, const work::send_report &action)
     {
