--- a/app/await_reply.h
+++ b/app/await_reply.h
@@ -1,5 +1,5 @@
-// Lets an HTTP thread send a request to a duty (a component with its own thread and queue) and wait
-// for the reply, with a time limit.
+// Lets an HTTP thread send a request to an actor (a component with its own thread and queue) and
+// wait for the reply, with a time limit.
 #pragma once
 
 #include <future>
@@ -16,8 +16,8 @@
 
 using reply_promise = std::shared_ptr<std::promise<Json::Value>>;
 
-// `post` puts the request with the reply promise into the duty's queue and returns whether there
-// was room. Throws rpc_refusal with the duty's error, or as overloaded if the queue is full or no
+// `post` puts the request with the reply promise into the actor's queue and returns whether there
+// was room. Throws rpc_refusal with the actor's error, or as overloaded if the queue is full or no
 // reply comes within 2 s.
 template <typename Post>
 Json::Value postAndAwaitReply(Post &&post)
--- a/app/config_actor.cpp
+++ b/app/config_actor.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t RingCapacity = 8192;
 constexpr milliseconds TickInterval{100};
 constexpr milliseconds PlatformReplyTimeout{2000};
-// A process that was not heard from for this long is shown as silent: three times the longest
+// A process that has sent nothing for this long is shown as silent: three times the longest
 // interval between announcements in a fleet of the current size.
 constexpr milliseconds SilenceTimeout{10'000};
 constexpr std::uint64_t OperationSeedStream = 11;
--- a/app/request_actor.h
+++ b/app/request_actor.h
@@ -137,8 +137,8 @@
     struct peer_entry
     {
         std::string address;           // ip:port
-        std::string id;                // once heard
-        std::uint64_t incarnation = 0; // once heard
+        std::string id;                // empty until it has answered a digest
+        std::uint64_t incarnation = 0; // 0 until then
         time_point lastHeardAt{};
     };
 
--- a/libs/net/answer_deadline.h
+++ b/libs/net/answer_deadline.h
@@ -21,10 +21,10 @@
 class answer_deadline
 {
 public:
-    answer_deadline(const call_time_limits &patience, time_point sentAt)
-        : m_betweenParts(patience.betweenParts)
-        , m_finalDeadline(sentAt + patience.untilLastByte)
-        , m_currentDeadline(std::min(sentAt + patience.untilFirstByte, m_finalDeadline))
+    answer_deadline(const call_time_limits &limits, time_point sentAt)
+        : m_betweenParts(limits.betweenParts)
+        , m_finalDeadline(sentAt + limits.untilLastByte)
+        , m_currentDeadline(std::min(sentAt + limits.untilFirstByte, m_finalDeadline))
     { }
 
     void extendAfterPart(time_point now)
