--- a/app/job_requests.h
+++ b/app/job_requests.h
@@ -1,5 +1,5 @@
 // Handles requests about jobs: those that callers send to an entry, and those that other entries
-// send about the jobs that this entry owns.
+// send about the jobs that this entry owns. Called by the entry for its HTTP listeners.
 #pragma once
 
 #include <cstdint>
@@ -37,9 +37,9 @@
     store_client &store;
     configuration_follower &configuration;
     entry_directory &directory;
-    job_view &view;
-    std::optional<jobs::job_controller>
-            &jobController; // empty until this incarnation of the entry has begun
+    job_view &view; // copy of all job rows, also of other entries' jobs
+    // Empty until this incarnation of the entry has begun: its row is stored, with its number.
+    std::optional<jobs::job_controller> &jobController;
     write_callbacks &writeCallbacks;
     const std::optional<shutdown_plan> &shutdownPlan; // empty until the shutdown signal
     metrics &counters;
@@ -52,16 +52,20 @@
     struct hooks
     {
         std::function<bool()> areJobsKnown; // all jobs were read from the store
-        std::function<void(const std::vector<jobs::row> &)>
-                handleRows;                   // job rows read from the store
+        // Job rows were read from the store.
+        std::function<void(const std::vector<jobs::row> &)> handleRows;
         std::function<void()> onActionsReady; // the controller has actions to execute
     };
 
     job_requests(std::string self, const job_requests_dependencies &dependencies, hooks callbacks);
 
-    // A caller's request.
+    // A caller's request: POST submits a job, GET returns its state or a queue's number of waiting
+    // jobs, DELETE cancels a job. New jobs are forwarded to another entry while this one shuts
+    // down. A request about another entry's unfinished job is passed to its owner, or served from
+    // the store if the owner is gone or does not answer.
     void serve(http_request request, net::responder respond);
-    // Another entry's request: about a job that this entry owns, or to hand a new job over to it.
+    // Another entry's request: about a job that this entry owns (GET, DELETE), or to hand a new job
+    // with long-running tasks over to it (POST). One entry places all such tasks of a service.
     void serveOwnedJob(const http_request &request, const std::string &id, net::responder respond);
 
     // As makeRefusal(), and counts the refusal in the metrics.
@@ -75,14 +79,17 @@
                 net::responder respond);
     void accept(const std::string &id, const jobs::job_spec &spec, const jobs::queue_policy &policy,
                 net::responder respond);
+    // `placer`: the entry that places long-running tasks.
     void handOver(const std::string &placer, const std::string &id, const jobs::job_spec &spec,
                   const jobs::queue_policy &policy, net::responder respond);
     void acceptHandedOver(const std::string &id, const std::string &body, net::responder respond);
+    // Writes the refusal to the log and returns it.
     http_response logRefusal(const std::string &id, http_response answer);
     net::responder withTimeout(milliseconds timeout, net::responder respond);
     void forwardToOtherEntry(http_request request, net::responder respond);
     void tryForward(std::vector<std::string> candidates, http_request request,
                     net::responder respond);
+    // Answers from memory, when the shutdown leaves no time to wait.
     void answerImmediately(const http_request &request, const std::string &id,
                            const net::responder &respond);
     void refuseAsLeaving(const http_request &request, const net::responder &respond);
@@ -106,7 +113,7 @@
     metrics &m_metrics;
     event_log &m_log;
     hooks m_hooks;
-    std::int64_t m_nextCancel = 1;
+    std::int64_t m_nextCancel = 1; // makes the ids of cancel writes unique
 };
 
 } // namespace zinniabarrow
--- a/app/report_sender.h
+++ b/app/report_sender.h
@@ -1,4 +1,6 @@
-// Sends reports about an agent's worker to all entries and applies their answers.
+// Sends reports about an agent's worker to all entries and applies their answers: the ends of runs
+// that entries have stored or don't own, the evacuation of the zone, and the interference table.
+// Used by the agent.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +44,7 @@
     report_sender(const report_sender_dependencies &dependencies,
                   std::function<bool()> isAccepting);
 
-    // Applies rows of the entries table; reports to all entries if there were any.
+    // Applies changed rows of the entries table; sends reports to all entries if there were rows.
     void updateEntries(const std::vector<jobs::row> &rows);
     // Internal addresses of all entries, which can relay calls to the store.
     std::vector<std::string> relayAddresses() const;
@@ -51,12 +53,13 @@
     void sendReports();         // called whenever something changes
     // The samples go into all reports up to and including the next periodic one.
     void addSamples(std::vector<jobs::interference_sample> samples);
-    // Called when a new epoch begins.
+    // Called when a new epoch of the worker begins; all its earlier runs have then ended. Entries
+    // learn of it by the next reports.
     void startEpochAnnouncement(time_point now);
-    // Whether some entry still has to acknowledge the current epoch and the time limit for that has
-    // not passed.
+    // Whether some entry has not yet answered a report with the current epoch, and the time limit
+    // of 1 s for that has not passed. An agent that shuts down stays until then.
     bool isEpochAnnouncementOpen(time_point now) const;
-    // Whether operators evacuate the worker's availability zone, as entries report.
+    // Whether operators evacuate the worker's availability zone, by the answers of the entries.
     bool isZoneEvacuated(time_point now) const { return m_evacuation.isActive(now); }
 
 private:
@@ -80,10 +83,10 @@
     report_targets m_targets;
     std::vector<jobs::interference_sample> m_samples; // since the last periodic report
     jobs::table_source_rotation m_tableSourceRotation;
-    // The entry whose next report asks for the interference table; empty: none.
+    // The entry that the next report to it asks for the interference table; empty: none.
     std::string m_tableSource;
     jobs::evacuation_notice m_evacuation;
-    // The agent does not wait longer for entries to acknowledge the current epoch.
+    // How long the agent waits at most for entries to acknowledge the current epoch.
     time_point m_epochAnnouncementDeadline{};
 };
 
--- a/app/shutdown_driver.h
+++ b/app/shutdown_driver.h
@@ -1,5 +1,5 @@
-// Takes a process through the steps of its graceful shutdown, by polling shutdown_plan on the
-// process's event loop.
+// Takes a process, an entry or an agent, through the steps of its graceful shutdown (see
+// shutdown_step), by polling shutdown_plan on the process's event loop.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 // Time between two polls, in ms.
 struct shutdown_poll_intervals
 {
-    milliseconds handOver;      // during HandOver
+    milliseconds handOver;      // during HandOver, while other processes take over its work
     milliseconds afterHandOver; // in all later steps
 };
 
@@ -34,8 +34,10 @@
     void begin();
 
     bool isLeaving() const { return m_plan.has_value(); }
+    // GiveUp or End has been reached: open requests are no longer waited for.
     bool hasGivenUp() const { return m_plan && m_plan->hasGivenUp(); }
-    shutdown_step step() const { return m_step; }                       // executed last
+    // The present step, as of the last poll. HandOver also before the shutdown begins.
+    shutdown_step step() const { return m_step; }
     const std::optional<shutdown_plan> &plan() const { return m_plan; } // empty before the signal
 
 private:
--- a/libs/jobs/job_controller.h
+++ b/libs/jobs/job_controller.h
@@ -1,7 +1,10 @@
 // Controls the jobs that an entry owns: places their tasks on workers, decides what to write to the
-// store, and which orders to send to agents. An order tells an agent to start or to stop a run. The
-// class does no I/O: its caller passes in events with their time, and carries out the actions that
-// `takeActions` returns.
+// store, and which orders to send to agents. A run is one attempt to execute a task, and an order
+// tells an agent to start or to stop a run. The class does no I/O: the entry passes in events with
+// their time, and carries out the actions that `takeActions` returns.
+//
+// An occurrence is one scheduled repetition of a job. A token is a number that the entry chose for
+// a request or a report that waits until a change is stored.
 #pragma once
 
 #include <cstdint>
@@ -34,20 +37,22 @@
     bool writesCancelRow = false;
 };
 
+// Send the order to the agent of the worker.
 struct send_order
 {
     std::string worker;
     run_order order;
 };
 
-// The change that `token` waited for is in the store.
+// The change that the request or report with this token waits for is in the store.
 struct change_stored
 {
     std::int64_t token = 0;
 };
 
-// The job now belongs to another entry, or its row was deleted. The caller of the request that
-// waits with `token` has to ask the new owner.
+// The job now belongs to another entry, or its row was deleted, so this entry does not store the
+// change that `token` stands for. The new owner is not named: for a cancel, the entry reads the
+// job's row and writes the cancel there; an agent then reports the end of a run to all entries.
 struct ownership_lost
 {
     std::int64_t token = 0;
@@ -73,10 +78,12 @@
     // A start order that was first sent this long ago either is counted in its worker's reports or
     // no longer takes effect.
     milliseconds startInFlightTimeout{700};
-    // How long a best-effort task waits for a worker on which it causes no lateness; the shorter
-    // time applies while most of the service is idle. A job that has waited for the longer one is
-    // certainly late already, and that must not make others late as well. While most of the service
-    // is idle, callers consider a job lost when nothing of it runs for 3 s.
+    // How long a best-effort task waits for a worker on which it causes no lateness. After that, it
+    // is placed on any worker that has room. The second time applies while at most a little over
+    // half of the service's processors are in use or reserved: callers then consider a job lost
+    // when none of its tasks runs for 3 s. The first one applies otherwise. A job that has waited
+    // for it is certainly late already; before, its lateness is no reason to make others late as
+    // well.
     milliseconds maxInterferenceWait{60'000};
     milliseconds maxInterferenceWaitWhenIdle{2500};
     // That a job has started is written with its next change, or by a write of its own after this
@@ -85,7 +92,8 @@
     // How often a wait for a worker, or for the answer to an order, is logged.
     milliseconds waitLogInterval{2000};
     // A long-running task that is not known to run for this long is logged as stalled, and again
-    // every `stallLogInterval`. Callers count the outage from 6 s on.
+    // every `stallLogInterval`. Callers count the outage of such a task from 6 s on; the 3 s above
+    // apply to a job of which nothing runs.
     milliseconds stallThreshold{6000};
     milliseconds stallLogInterval{4000};
     milliseconds stallCheckInterval{1000};
@@ -94,6 +102,7 @@
 class job_controller
 {
 public:
+    // `self`: the entry and its incarnation, which lasts from the start of the process to its end.
     job_controller(owner_id self, worker_pool &workers, const controller_settings &settings = {});
 
     // --- requests of callers
@@ -106,7 +115,7 @@
     void notifyWhenStored(const std::string &job, std::int64_t token);
     // Cancels an owned job and stops its runs. Notifies `token` once the cancel is stored.
     void cancel(const std::string &job, std::int64_t token);
-    job_state storedState(const std::string &job) const;    // of an owned job, as it is stored
+    job_state storedState(const std::string &job) const;    // as it is stored; must be owned
     const job_record *record(const std::string &job) const; // null: not owned
 
     // --- events of the store
@@ -116,7 +125,7 @@
     // was deleted.
     void rowConflict(const std::string &job, std::int64_t version,
                      const std::optional<std::string> &content);
-    // Takes over a job whose owner is gone.
+    // Takes over a job whose owner is gone, as this entry has found.
     void adopt(const std::string &job, const job_record &record, std::int64_t version,
                const std::string &payload);
     // Another writer changed the row, according to the store's change feed.
@@ -125,13 +134,13 @@
 
     // --- events of workers
     // A run ended, as its agent reported. `token` is notified once the end is stored, and the agent
-    // may then forget it. Returns false when this entry does not own the job, or does not know of
-    // the run yet.
+    // may then forget it. Returns false, without keeping the token, when this entry does not own
+    // the job, or when a later owner placed the run and this entry has not learned of it yet.
     bool runEnded(const std::string &worker, const run_end &end, time_point now,
                   std::int64_t token);
     // A run that continues has a newer checkpoint.
     void checkpointReported(const std::string &worker, const run_progress &progress);
-    // A worker has started the run.
+    // A worker has started the run: the job counts as started.
     void runStarted(const started_run &run, time_point now);
     // `agentIncarnation` is the agent's, by its reports at the time when the order was sent; 0:
     // unknown.
@@ -141,22 +150,23 @@
     void orderUnanswered(const std::string &worker, const task_id &task, int run, time_point now);
     // The pool took a new report of the worker, which does not include starts that are still in
     // flight; this reserves their resources again. Call it after `runEnded` for the ends in that
-    // report and after `workerRestarted`, so that no resources are reserved for runs that these
-    // have ended.
+    // report and after `workerRestarted`. Otherwise resources would be reserved for runs that have
+    // ended.
     void workerReported(const std::string &worker, time_point now);
-    // The agent has a new incarnation, or the worker a new epoch: placements of earlier epochs have
-    // ended, and orders of the present one are sent again.
+    // The agent has a new incarnation, or the worker a new epoch. The epoch is a number that rises
+    // once all runs of the worker have ended: placements of earlier epochs have ended, and orders
+    // of the present one are sent again.
     void workerRestarted(const std::string &worker, std::int64_t epoch, time_point now);
-    // The worker's lease is of that epoch: placements of earlier ones have ended. Sends no orders
-    // again: an owner that was suspended may check leases before it learns that another entry has
-    // taken over.
+    // The worker's lease is of that epoch: placements of earlier ones have ended. No orders are
+    // sent again: if this process was suspended, another entry may have taken over its jobs, and
+    // the lease may be read before that is known here.
     void epochSeen(const std::string &worker, std::int64_t epoch);
     // Workers on which tasks of owned jobs are placed.
     std::set<std::string> workersWithPlacements() const;
 
     // --- planning
-    // Places waiting tasks, those of the most urgent jobs first, and decides which writes, orders
-    // and log lines are due. `wallMs` is Unix time, ms.
+    // Places waiting tasks, those of the most urgent jobs first (see urgency.h), and decides
+    // which writes, orders and log lines are due. `wallMs` is Unix time, ms.
     void plan(time_point now, std::int64_t wallMs);
     // Returns the actions decided since the last call, for the caller to carry out.
     std::vector<controller_action> takeActions();
@@ -194,7 +204,8 @@
     {
         // When the first task was placed, Unix time, ms.
         std::optional<std::int64_t> firstPlacedAtMs;
-        std::int64_t slackAtFirstPlacementMs = 0; // slack at that time, ms
+        // Slack at that time: how long the job could still wait and meet its objective, ms.
+        std::int64_t slackAtFirstPlacementMs = 0;
         std::int64_t unplacedMs = 0; // total time during which steps had tasks without a worker
     };
 
@@ -214,12 +225,17 @@
         std::vector<waiting_token> waitingTokens;
         std::map<std::pair<task_id, int>, pending_order> startOrders;
         std::map<std::pair<task_id, int>, pending_order> stopOrders;
-        // When the agent accepted the start.
+        // When this entry received the answer that the agent accepted the start order. The run's
+        // duration is counted from then.
         std::map<std::pair<task_id, int>, time_point> startedAt;
         std::map<task_id, std::vector<std::string>> avoidedWorkers; // newest last
-        std::map<std::pair<int, int>, time_point> waitingSince;     // by occurrence and step
-        std::map<std::pair<int, int>, waiting_step> unplacedSteps;  // by occurrence and step
-        std::map<task_id, stall_timer> stalls;                      // of long-running tasks
+        // By occurrence and step: when planning last found no waiting task, or was first done. The
+        // interference wait is counted from then.
+        std::map<std::pair<int, int>, time_point> waitingSince;
+        // By occurrence and step: steps with tasks that planning found no worker for, for the log
+        // and the timeline.
+        std::map<std::pair<int, int>, waiting_step> unplacedSteps;
+        std::map<task_id, stall_timer> stalls; // of long-running tasks
         job_timeline timeline;
     };
 
@@ -232,10 +248,13 @@
     void notifyStored(owned_job &job);
     void dropJob(const std::string &id);
     void applyCancel(const std::string &id, owned_job &job, const job_record &row);
+    // The end of a run that is placed, of a task that is not done.
     void endPlacedRun(const std::string &id, owned_job &job, const std::string &worker,
                       const run_end &end, time_point now);
+    // The end of a run that is placed, of a task that another run has done.
     void endExtraRun(const std::string &id, owned_job &job, const std::string &worker,
                      const run_end &end);
+    // The end of a run that is no longer placed.
     void endUnplacedRun(const std::string &id, owned_job &job, const std::string &worker,
                         const run_end &end, time_point now);
     void applyRunEnd(const std::string &id, owned_job &job, const std::string &worker,
@@ -282,6 +301,7 @@
                     const placement_preferences &preferences = {});
     void logUnplacedTasks(const std::string &id, owned_job &job, int occurrence, int stepIndex,
                           int tasks, const placement_preferences &preferences, time_point now);
+    // Long-running jobs with tasks that are unplaced, not running, or late.
     void logUnderservedJobs(time_point now);
     void logStalledTasks(time_point now, std::int64_t wallMs);
     void logIfStalled(owned_job &job, const task_id &task, const task_state &state, time_point now);
@@ -295,6 +315,7 @@
     void logCompletedJobs(std::int64_t wallMs);
     void logIfUnanswered(const std::string &id, const task_id &task, int run, pending_order &order,
                          time_point now);
+    // Workers that have as many tasks of the step as step_spec::maxPerWorker allows.
     static std::vector<std::string> workersAtTaskLimit(const owned_job &job, const task_id &task,
                                                        const step_spec &step);
     static std::string describe(const task_id &task, int run, const std::string &worker);
--- a/libs/jobs/run_table.h
+++ b/libs/jobs/run_table.h
@@ -1,5 +1,9 @@
-// The runs of one worker, as its agent knows them. Makes the last check before a run is started.
-// Makes decisions only; the agent carries out the actions.
+// The runs of one worker, as its agent knows them. A run is one attempt to execute a task; the runs
+// of a task are numbered. An agent is the process that controls one worker, and an entry is a
+// process that accepts jobs from callers, owns them, and sends orders to agents.
+//
+// The table makes the last check before a run is started. It makes decisions only: the agent passes
+// in orders, answers and polls, and carries out the actions that `takeDueActions` returns.
 #pragma once
 
 #include <cstdint>
@@ -16,6 +20,7 @@
 
 namespace zinniabarrow::jobs {
 
+// Call the worker to start the run.
 struct start_run
 {
     task_id task;
@@ -25,6 +30,7 @@
     time_point callDeadline{}; // the worker isn't called later
 };
 
+// Call the worker to stop the run.
 struct stop_run
 {
     task_id task;
@@ -33,7 +39,7 @@
 
 using run_action = std::variant<start_run, stop_run>;
 
-// Whether new runs may be started on the worker.
+// Whether new runs may be started on the worker; see readinessOf().
 enum class start_readiness {
     Ready,
     RetryLater,  // perhaps soon: the entry repeats the order
@@ -43,17 +49,20 @@
 // The outcome of a start call to the worker.
 enum class start_answer {
     Started,     // the run exists
-    Refused,     // this call will never start the run
+    Refused,     // the worker will not start the run by this call; an earlier call may have
     NotExecuted, // the worker did nothing; the call may be repeated
     Unanswered,  // the run may start up to the call's deadline
 };
 
+// An active run, as the worker lists it.
 struct listed_run
 {
     task_id task;
     int run = 0;
     std::string checkpoint;
-    std::int64_t measured = 0; // serving: tail latency, ms; best-effort: millicores in use
+    // Run with a latency target: tail latency, ms. Best-effort run: millicores in use. Not used for
+    // other runs.
+    std::int64_t measured = 0;
 };
 
 // The result of one poll of the worker: its active runs, and all ends that it has not been allowed
@@ -67,19 +76,27 @@
 
 struct run_table_settings
 {
-    // A worker answers within a few ms. Starts are idempotent.
+    // A start call is repeated after this time if it was not answered or not executed. A worker
+    // answers within a few ms, and starting a run twice starts it once.
     milliseconds startRetryInterval{250};
-    milliseconds stopRetryInterval{600};
-    // An accepted start isn't called later than this, nor after its order's own deadline: the task
-    // may have been done elsewhere meanwhile, and the entry that gave the order may be gone.
-    // Callers count a start more than a second after the task was done as duplicate work.
+    milliseconds stopRetryInterval{600}; // a stop call is repeated until the run has ended
+    // The worker is not called to start a run later than this after the order was accepted, nor
+    // after the order's own deadline: the task may have been done elsewhere meanwhile, and the
+    // entry that gave the order may be gone. Callers, who submit the jobs, count a start more than
+    // a second after the task was done as duplicate work.
     milliseconds maxStartDelay{700};
-    // Runs of an earlier incarnation of the agent that no entry claims are stopped after this time.
+    // An incarnation of a process lasts from its start to its end. The runs that an earlier
+    // incarnation of the agent started are unclaimed until an entry sends a start order for them,
+    // which claims them. A run that stays unclaimed for this long is stopped.
     // Entries repeat their orders as soon as they learn of the new incarnation, and take jobs over
     // within about two seconds.
     milliseconds claimTimeout{8000};
-    milliseconds refusalRetention{60'000}; // longer than any order can be in transit
-    milliseconds cancelRetention{180'000}; // as long as entries keep rows of finished jobs
+    // How long the table remembers that a run, and all earlier runs of its task, must not be
+    // started. Longer than any order can be in transit.
+    milliseconds refusalRetention{60'000};
+    // How long the table remembers that a job is cancelled: as long as entries keep rows of
+    // finished jobs.
+    milliseconds cancelRetention{180'000};
 };
 
 class run_table
@@ -88,12 +105,16 @@
     explicit run_table(const run_table_settings &settings = {});
 
     void setWorker(const task_size &capacity, start_readiness readiness);
-    void setEpoch(std::int64_t epoch);                  // 0: none, nothing is started
+    // Sets the worker's epoch, a number that rises once all runs of the worker have ended. 0: none,
+    // and orders are answered with NotReady. The runs in the table stay as they are; the agent
+    // calls `stopAll` or `clearRuns` before a new epoch begins.
+    void setEpoch(std::int64_t epoch);
     void setAgentIncarnation(std::int64_t incarnation); // as in the reports
-    // The worker was restarted or is gone: none of its runs exists any more. Ends that were listed
-    // and not acknowledged are still reported.
+    // The worker was restarted or is gone: none of its runs exists any more. Sets the epoch to 0.
+    // Ends that are not acknowledged are still reported.
     void clearRuns();
 
+    // Accepts or refuses an order of the entry `owner`.
     order_answer handleOrder(const run_order &order, const std::string &owner, time_point now);
     // Stops the job's runs and refuses further starts; returns how many runs are stopped. Called
     // for cancellations in the store. Stop orders alone aren't enough: the job's owner may have
@@ -103,8 +124,9 @@
     void startCalled(const task_id &task, int run, std::int64_t deadlineMs);
     void startAnswered(const task_id &task, int run, start_answer answer, time_point now);
     void applyListing(const run_listing &listing, time_point now);
-    // The end is in the platform's store and can be forgotten. False: the run's current end is
-    // another one.
+    // The end is in the platform's store and can be forgotten. False: the run is unknown, has not
+    // ended, or its end is now of another kind: a run that was assumed never to have started may be
+    // listed by the worker later, with its real end.
     bool acknowledgeEnd(const run_end_id &end, time_point now);
 
     // `owner` received the end and answered that the job belongs to another entry. From now on the
@@ -112,27 +134,36 @@
     bool noteNotOwned(const run_end_id &end, const std::string &owner);
 
     // The calls to the worker that are due: first and repeated starts and stops, and stops of
-    // unclaimed runs. `mayStart` is false without a lease: starts then wait.
+    // unclaimed runs. `mayStart` is false when the agent has no valid lease, does not know the
+    // worker's clock, or gets no answers from the worker: starts then wait until their deadline.
     std::vector<run_action> takeDueActions(time_point now, bool mayStart);
     void stopAll(time_point now); // the runs belong to an epoch that has ended
-    // The entry doesn't answer: the ends of its runs are reported to all entries, until an entry
-    // gives an order for them.
+    // The entry does not answer reports: the ends of its runs are reported to all entries, until an
+    // entry gives an order for them.
     void noteOwnerSilent(const std::string &owner);
 
     std::int64_t epoch() const { return m_epoch; }
-    std::size_t newEndCount() const { return m_newEndCount; } // grows with each end to be reported
+    // Number of ends so far that had to be reported to an entry for the first time. It never falls;
+    // the agent sends reports at once when it has grown.
+    std::size_t newEndCount() const { return m_newEndCount; }
     std::int64_t acknowledgedThrough() const; // the worker may forget ends up to this one
     task_size used() const;                   // by runs that have not ended
-    task_size usedByLongRunning() const;      // the part of `used` that long-running runs use
+    // The part of `used` that long-running runs use: those that last until their job is cancelled.
+    task_size usedByLongRunning() const;
+    // Requested by best-effort runs, which only use idle processors. Not included in `used`.
     std::int64_t bestEffortMillicores() const;
-    bool allRunsClaimed() const; // only then the worker's free capacity is known
-    std::size_t activeRunCount() const;
+    // Whether an entry has claimed each active run. Only orders give the sizes of runs, so the
+    // worker's free capacity is unknown before.
+    bool allRunsClaimed() const;
+    std::size_t activeRunCount() const; // runs that have not ended
     // There are unacknowledged ends of a worker that is gone: no other process can report them.
     bool hasEndsOfGoneWorker() const;
-    std::vector<serving_sample> servingSamples() const; // by the last listing
+    // Runs with a latency target, and their tail latencies by the last listing.
+    std::vector<serving_sample> servingSamples() const;
     std::vector<best_effort_run> bestEffortRuns() const;
     // Unacknowledged ends to report to `owner`: of its own runs, and of runs without a known owner.
     std::vector<run_end> endsFor(const std::string &owner) const;
+    // Checkpoints of active runs to report to `owner`, which owns them.
     std::vector<run_progress> progressFor(const std::string &owner) const;
     // Started runs to report to `owner`, until `noteStartsReported` says that it received them.
     std::vector<started_run> startsFor(const std::string &owner) const;
@@ -154,7 +185,7 @@
         std::int64_t measured = 0; // as in listed_run
         // Worker's clock: no start call takes effect later; 0: no call is open.
         std::int64_t lastStartEffectMs = 0;
-        int openStartCalls = 0;     // start calls that may still take effect, or may have
+        int openStartCalls = 0;     // start calls that the worker has not rejected
         time_point startDeadline{}; // the worker isn't called later
         time_point retryAt{};
         time_point claimDeadline{};
@@ -169,6 +200,7 @@
     order_answer start(const run_order &order, const std::string &owner, time_point now);
     order_answer stop(const run_order &order, const std::string &owner, time_point now);
     time_point startDeadline(const run_order &order, time_point now) const;
+    // `previousHighest`: highest sequence number of an end before this listing.
     void applyEnd(const run_end &end, std::int64_t previousHighest, time_point now);
     // False: it has ended or is being stopped already.
     bool stopRun(const run_key &key, tracked_run &tracked, time_point now);
--- a/libs/jobs/worker_liveness.h
+++ b/libs/jobs/worker_liveness.h
@@ -1,6 +1,7 @@
 // Tracks whether a worker answers its agent's polls, and until when it may still run tasks if it
 // doesn't. A poll is usually also a hold call: it lets the worker's runs continue until a deadline,
-// after which the worker ends them by itself.
+// after which the worker ends them by itself. A run is one attempt to execute a task. The agent
+// passes in the calls and their results.
 #pragma once
 
 #include <optional>
@@ -11,39 +12,51 @@
 
 namespace zinniabarrow::jobs {
 
-// By one hold call. Outlasts a lost poll, and the restart of an agent, which is back within 2 s.
+// How long a hold call lets runs continue. Outlasts a lost poll, and the restart of an agent, which
+// is back within 2 s.
 constexpr milliseconds HoldDuration{5000};
-// No worker lets its runs continue for longer by one call.
+// Upper bound of the time for which any worker lets its runs continue by one call, whatever the
+// call asks for. Used after a restart of the worker, and to allow for the error of its clock.
 constexpr milliseconds MaxHoldDuration{10'000};
-// Without an answered poll for this long nothing new is started.
+// When no poll has been answered for this long, nothing new is started.
 constexpr milliseconds WorkerSilentAfter{1700};
 
 class worker_liveness
 {
 public:
-    // A restarted agent knows of the hold calls of its earlier incarnation only that each lasted
-    // for a HoldDuration at most. Assuming a whole lease instead would keep the tasks of a worker
-    // that was lost with its agent from starting elsewhere for longer than TaskLostAfter.
+    // Runs count as held until HoldDuration from now. An incarnation of a process lasts from its
+    // start to its end; a restarted agent knows of the hold calls of its earlier incarnation only
+    // that each lasted for a HoldDuration at most. If it assumed LeaseDuration instead, the tasks
+    // of a worker that was lost with its agent could not start elsewhere within TaskLostAfter, the
+    // time after which callers consider a task lost (both in lease.h).
     explicit worker_liveness(time_point now);
 
     // A hold call was sent that lets runs continue until then, if it reaches the worker.
     void noteHold(time_point until);
-    // An unanswered start from the worker's earlier incarnation may still take effect in the new
-    // one, until the worker knows the next fence.
+    // The worker was restarted. Runs count as held until MaxHoldDuration from now: a start call to
+    // the worker's earlier incarnation that was not answered may still take effect in the new one,
+    // until the worker knows the agent's next fence. The fence is a number that rises whenever the
+    // agent acquires the lease; calls with an earlier one are invalid.
     void noteNewIncarnation(time_point now);
-    // Nothing runs, but an open hold call may still extend runs that are started from now on.
+    // A new epoch of the worker begins, a number that rises once all its runs have ended. Runs
+    // count as held until HoldDuration from now: nothing runs, but a hold call that is not answered
+    // yet may extend runs that are started from now on.
     void noteNewEpoch(time_point now);
     void clearHold(); // nothing runs, and nothing can be held
     void notePoll(bool answered, time_point now);
 
     bool lastPollAnswered() const { return m_lastPollAnswered; }
-    bool isResponsive(time_point now) const; // within WorkerSilentAfter
-    bool isSilent(time_point now) const;     // the last poll failed, and isn't responsive
+    // A poll was answered less than WorkerSilentAfter ago.
+    bool isResponsive(time_point now) const;
+    // The last poll failed, and the worker is not responsive.
+    bool isSilent(time_point now) const;
     // The latest time until which the worker lets runs continue; none: nothing is held.
     std::optional<time_point> heldUntil() const;
-    // The same for a worker whose last polls failed; none for one that answers.
+    // The same if at least the last two polls failed; none otherwise, since a single poll is lost
+    // now and then. Does not depend on `isSilent`.
     std::optional<time_point> heldUntilIfSilent() const;
-    // All runs have certainly ended, although the worker hasn't said so: the last hold has expired.
+    // All runs have certainly ended, although the worker hasn't said so: the last hold has expired,
+    // also by the slowest permitted clock. False when nothing is held.
     bool hasNothingRunning(time_point now) const;
 
 private:
@@ -53,14 +66,17 @@
     int m_consecutiveFailures = 0; // polls
 };
 
-// The other conditions for starting runs on a worker.
+// The conditions for starting runs on a worker that worker_liveness doesn't know.
 struct worker_status
 {
-    bool isPresent = false;   // has announced itself, and not departed
-    bool isLeaving = false;   // has announced that it is leaving
-    bool hasLease = false;    // the lease is held and settled, and the worker's clock is known
-    bool isEvacuated = false; // its zone is
+    bool isPresent = false; // has announced itself, and not departed
+    bool isLeaving = false; // has announced that it is leaving
+    // The agent holds the lease, tasks may start under its epoch, and the worker's clock is known.
+    bool hasLease = false;
+    bool isEvacuated = false; // operators evacuate its zone
 };
+// Unavailable: the worker is not present, leaving or silent, or all else is well but its zone is
+// evacuated. RetryLater: it has no lease, or is not responsive.
 start_readiness readinessOf(const worker_status &status, const worker_liveness &liveness,
                             time_point now);
 
--- a/libs/placement/preemption_planner.h
+++ b/libs/placement/preemption_planner.h
@@ -1,4 +1,5 @@
-// Preemption: which worker can free enough capacity for a task, and which victims have to stop.
+// Preemption: which worker can free enough capacity for a task, and which tasks, the victims, have
+// to stop. Used by the placer, which stops them. A slot is the index of a worker in worker_table.
 #pragma once
 
 #include <array>
@@ -13,6 +14,7 @@
 
 namespace zinniabarrow::placement {
 
+// Holds only while the tables are unchanged.
 struct preemption_plan
 {
     int slot = worker_table::NoSlot;
@@ -25,21 +27,27 @@
     preemption_planner(const worker_table &workers, const task_table &tasks,
                        const worker_chooser &chooser);
 
-    // Returns the worker of the pool where the request costs the fewest evictions of tasks that
-    // rank after `rank`.
+    // Returns the plan of lowest cost in the pool, where only tasks that rank after `rank` are
+    // evicted; a greater number ranks later. The cost is the number of victims plus, for a service,
+    // worker_chooser::spreadCost. Of the workers that can free enough, only some with the lowest
+    // estimated cost are compared.
     std::optional<preemption_plan> planPreemption(const placement_request &request, int rank);
     // The same for a task whose team exceeds its quota by `quotaShortfall`: only the team's own
-    // tasks are evicted, and the victims on one worker free both the capacity and the quota.
+    // tasks are evicted, and the victims on one worker free both the capacity and the quota. All
+    // workers of the pool are compared.
     std::optional<preemption_plan> planTeamPreemption(const placement_request &request, int rank,
                                                       std::uint16_t team,
                                                       const resources &quotaShortfall);
-    // The cheapest victims on the worker that free `shortfall`, only of `team` if given; no value
-    // when they cannot.
+    // The victims on the worker that free `shortfall`, only of `team` if given; no value when they
+    // cannot. Selected in this order: those that rank last, those that use more than they reserved,
+    // those that started last. Victims that turn out to be unnecessary are left out.
     std::optional<std::vector<task_ref>>
     chooseVictims(int slot, const resources &shortfall, int rank,
                   std::optional<std::uint16_t> team = std::nullopt) const;
-    // Sum of the reservations of tasks that were asked to stop.
+    // Sum of the worker's reservations of tasks that were asked to stop, however long they take.
     resources stoppingReservations(int slot) const;
+    // Whether the task may be stopped for one of that rank: it ranks later and is a placed or
+    // running batch task with a pool, neither urgent nor of failover_class::Proof.
     bool canEvict(const task_ref &task, const task_reservation &reservation, int rank) const;
 
 private:
@@ -48,7 +56,8 @@
         std::uint64_t workerRevision = 0; // worker_slot::revision for which the sums are valid
         // Reservations that may be evicted for a task of that rank.
         std::array<resources, RankCount> evictableByRank;
-        resources stoppingSoon; // of tasks that stop without a long checkpoint
+        // Of tasks that were asked to stop and do so without a long checkpoint: counts as free.
+        resources stoppingSoon;
     };
     struct victim
     {
@@ -61,7 +70,7 @@
 
     struct cheapest_plan
     {
-        double cost = 0;
+        double cost = 0; // see planPreemption()
         std::optional<preemption_plan> plan;
     };
 
--- a/libs/placement/quarantine.h
+++ b/libs/placement/quarantine.h
@@ -1,4 +1,5 @@
-// Quarantine of jobs that fail on every worker, and of workers on which every job fails.
+// Quarantine of jobs that fail on several workers, and of workers on which several jobs fail. Used
+// by the placer.
 //
 // A job is quarantined when it failed on several distinct workers, or many times on two. A worker
 // is quarantined when several distinct jobs failed on it and no task started since has succeeded.
@@ -27,7 +28,7 @@
     duration maxCoolDown = std::chrono::hours(1);    // upper bound of the doubling
     duration probeTimeout = std::chrono::minutes(2); // without a result, another probe may start
     double maxQuarantinedShare = 0.1; // share of a pool's workers; at least one worker
-    std::size_t maxRecords = 8192;    // maximum number of records of jobs, and the same of workers
+    std::size_t maxRecords = 8192;    // limit of the records of jobs, and also of those of workers
 };
 
 class quarantine
@@ -39,15 +40,17 @@
     void recordFailure(const std::string &job, const std::string &worker, const std::string &pool,
                        std::size_t poolSize, const std::string &reason, time_point now);
     // A task started at `startedAt` finished, or ran long enough to count as a success of its job
-    // and worker.
+    // and worker. Clears the record of each, unless the task started before the record's first
+    // failure.
     void recordSuccess(const std::string &job, const std::string &worker, time_point startedAt);
+    // The worker was removed. Records of jobs that failed on it stay.
     void forgetWorker(const std::string &worker) { m_workers.erase(worker); }
 
     // True when not quarantined, or when the cool-down has ended and no probe is running.
     bool canStartJob(const std::string &job, time_point now) const;
     bool canUseWorker(const std::string &worker, time_point now) const;
-    // A task of the job starts on the worker. It is the probe of each of the two that is
-    // quarantined.
+    // A task of the job starts on the worker. If the job is quarantined, the task is its probe; the
+    // same holds for the worker. So one task can be the probe of both.
     void recordStart(const std::string &job, const std::string &worker, time_point now);
 
     bool isWorkerQuarantined(const std::string &worker) const;
@@ -68,7 +71,9 @@
     {
         // Last failure of each distinct counterpart within the window.
         std::vector<failure_event> failures;
-        std::size_t failureCount = 0; // all failures, including repeated ones
+        // All failures, including repeated ones. Starts again at 1 when `failures` has no other
+        // counterpart left.
+        std::size_t failureCount = 0;
         bool quarantined = false;
         duration coolDown{0}; // length of the current cool-down
         time_point coolDownUntil;
@@ -79,10 +84,12 @@
     using failure_record_map = std::unordered_map<std::string, failure_record>;
 
     void addFailure(failure_record &record, const std::string &counterpart, time_point now) const;
+    // Starts the quarantine or, after the cool-down, extends it by a longer one.
     void startOrExtend(failure_record &record, time_point now) const;
     static bool canTry(const failure_record_map &records, const std::string &name, time_point now);
     static bool isQuarantined(const failure_record_map &records, const std::string &name);
     static void dropCounterpart(failure_record_map &records, const std::string &counterpart);
+    // `poolSize` matters since a job can't fail on two workers in a pool of one.
     bool shouldQuarantineJob(const failure_record &record, std::size_t poolSize) const;
     bool canQuarantineWorker(const std::string &pool, std::size_t poolSize) const;
     void prune(failure_record_map &records, time_point now) const;
