--- a/libs/delivery/attempt_guard.h
+++ b/libs/delivery/attempt_guard.h
@@ -1,5 +1,7 @@
 // At-most-once execution on the agent's side: ensures that each attempt starts at most once, before
-// its deadline, and never after it was cancelled.
+// its deadline, and never after it was cancelled. A further attempt of the same request is admitted
+// only after the end of the previous one, and, unless the request is idempotent, only if that one
+// was certainly not executed.
 //
 //   guard_settings    limits of the memory
 //   incoming_attempt  an attempt as an entry forwarded it
@@ -21,8 +23,8 @@
 
 struct guard_settings
 {
-    std::size_t maxRememberedRequests = 200'000;
-    // Since the last event of a request; longer than any deadline.
+    std::size_t maxRememberedRequests = 200'000; // further ones are refused as Overloaded
+    // How long a request is remembered after its last event; longer than any deadline.
     milliseconds retentionTime{90'000};
 };
 
@@ -32,7 +34,7 @@
     std::uint32_t attempt = 0;
     std::uint64_t incarnation = 0; // of the agent that the entry addressed
     bool idempotent = false;       // may run again after an attempt that ran
-    time_point deadline = Never;   // arrival time plus the time that was left then
+    time_point deadline = Never;   // time of arrival + time left, as the entry sent it
 };
 
 // Sent to the entry, which handles it as an attempt_refused.
@@ -40,19 +42,21 @@
 {
     error_kind kind = error_kind::OutcomeUnknown;
     executed executionState = executed::Unknown;
-    bool hasEnded = false; // the attempt is certainly not running in this agent
+    bool hasEnded = false; // the attempt is certainly not running and won't start in this agent
 };
 
-// Not thread-safe.
+// Remembers the newest attempt of each request. Called by the agent. Not thread-safe.
 class attempt_guard
 {
 public:
     attempt_guard(std::uint64_t incarnation, guard_settings settings);
 
-    // Called when an attempt arrives. Without a result it may be queued.
+    // Called when an attempt arrives. If no refusal is returned, it may be queued. An attempt for
+    // another incarnation is refused as OutcomeUnknown. So is a repeated attempt, unless the first
+    // copy was refused and never starts.
     std::optional<guard_refusal> admitAttempt(const incoming_attempt &attempt, time_point now);
-    // Called after any wait, right before the first byte is sent to the upstream. Without a result
-    // it may start.
+    // Called after any wait, right before the first byte is sent to the upstream. If no refusal is
+    // returned, the attempt may start.
     std::optional<guard_refusal> startAttempt(const std::string &requestId, std::uint32_t attempt,
                                               time_point now);
     // Called when an attempt was refused before its start (`executionState` is No) or no longer
@@ -60,7 +64,8 @@
     void recordEnd(const std::string &requestId, std::uint32_t attempt, executed executionState,
                    time_point now);
     // Called when the entry no longer waits for the attempt. True: it has not started and never
-    // will.
+    // will. False: this is not certain, because it runs or has ended, a newer attempt is known, or
+    // the memory is full.
     bool cancelAttempt(const std::string &requestId, std::uint32_t attempt, time_point now);
 
     std::size_t rememberedRequests() const { return m_records.size(); }
@@ -72,7 +77,7 @@
     {
         std::uint32_t attempt = 0;              // newest attempt
         state currentState = state::Waiting;    // of the newest attempt
-        executed executionState = executed::No; // outcome of all attempts so far
+        executed executionState = executed::No; // of the newest attempt that started; No: none
         bool idempotent = false;
         time_point deadline = Never;
         time_point lastEventAt{};
--- a/libs/delivery/claim_coordinator.h
+++ b/libs/delivery/claim_coordinator.h
@@ -1,4 +1,5 @@
-// Claims on idempotency keys: which request may run under a key, and what its outcome was.
+// Claims on idempotency keys: which request may run under a key, and what its outcome was. A claim
+// is a row of the platform's table that says which request holds a key.
 //
 //   claim_state         state of a claim in the table
 //   claim_row           value of a claim's row; toJson and claimRowFromJson
@@ -40,7 +41,7 @@
 struct claim_row
 {
     std::string requestId;         // of the request that holds the claim
-    std::string entryId;           // incarnation of the entry that holds the claim
+    std::string entryId;           // names the process of the entry that holds the claim
     std::uint64_t requestHash = 0; // of method, path and body
     claim_state state = claim_state::Started;
     std::uint64_t era = 0; // in which the claim was made, see claim_settings::eraDuration
@@ -55,32 +56,41 @@
 
 struct claim_settings
 {
-    int commitBurst = 5;              // transactions that may be sent at once after a pause
-    milliseconds commitInterval{20};  // average time between two transactions of this entry
-    milliseconds endRecordDelay{100}; // how long a record of an end waits to share a transaction
+    int commitBurst = 5;                  // transactions that may be sent at once after a pause
+    milliseconds commitInterval{20};      // average time between two transactions of this entry
+    milliseconds endRecordDelay{100};     // an outcome waits this long to share a transaction
     milliseconds tableRetryInterval{250}; // between two probes while the table is unavailable
     milliseconds claimTimeout{1000};      // a claim without verdict by then is refused as not run
     std::size_t maxBatchRows = 64;        // rows in one transaction
     std::size_t maxCommitsInFlight = 4;   // transactions without a result
-    std::size_t maxOpenClaims = 8192;     // claims whose final state is not stored yet
-    std::size_t maxCachedClaims = 8192;   // ended claims in this entry's memory
-    std::size_t maxCachedBytes = 16U << 20U; // bodies of their answers
-    std::size_t maxAnswerBytes = 4096;       // larger bodies are not stored
-    std::size_t maxKeyBytes = 256;           // longer idempotency keys are refused
-    // The age of rows is counted in eras. The current era is a row of the table; an entry
-    // increments it after it has seen it unchanged for eraDuration on its own clock. A key lives
+    // Claims whose final state is not stored yet; further ones are refused as Overloaded.
+    std::size_t maxOpenClaims = 8192;
+    // Ended claims in this entry's memory, and the bytes of their answers' bodies; above either,
+    // the oldest are dropped from memory.
+    std::size_t maxCachedClaims = 8192;
+    std::size_t maxCachedBytes = 16U << 20U;
+    std::size_t maxAnswerBytes = 4096; // larger bodies are not stored
+    std::size_t maxKeyBytes = 256;     // longer idempotency keys are refused
+    // The age of rows is counted in eras. The current era is a row of the table. An entry that has
+    // seen this row unchanged for eraDuration on its own clock increments the era. A key lives
     // for at least keyLifetimeEras * eraDuration, and longer if the table is unavailable.
     milliseconds eraDuration{600'000};
     std::uint64_t keyLifetimeEras = 12;
     milliseconds sweepInterval{5000}; // between two scans for expired rows
 };
 
+// The request may run.
 struct claim_granted
 { };
+// The request must not run. KeyReused: the key belongs to a request with another hash.
+// KeyInProgress: the holder may still end, or its end is not stored yet. AlreadyExecuted: it ran,
+// and no answer is stored. OutcomeUnknown: whether it ran is not known, for example because the
+// entry that held the claim has died. PlatformUnavailable and Overloaded: no claim was made.
 struct claim_refused
 {
     error_kind kind = error_kind::Internal;
 };
+// The request ran before; its stored answer is returned.
 struct claim_replayed
 {
     complete_answer answer;
@@ -113,10 +123,13 @@
 // error kind of a refusal, never whether a request runs.
 using entry_alive_check = std::function<bool(const std::string &entryId)>;
 
+// increment_counter comes from flow_messages.h, as do the actions on the table.
 using claim_action =
         std::variant<claim_decided, commit_claims, read_claims, scan_claims, increment_counter>;
 
-// Not thread-safe. After each call, takeActions() returns the actions to carry out.
+// Decides for an entry which requests hold the claims on their keys, and stores the outcomes.
+// Called by request_flow. Not thread-safe. After each call, takeActions() returns the actions to
+// carry out.
 class claim_coordinator
 {
 public:
@@ -140,14 +153,14 @@
 
     std::vector<claim_action> takeActions();
     time_point nextWake() const;
-    // Final state not stored yet.
+    // Number of claims whose final state is not stored yet.
     std::size_t openClaimCount() const { return m_openClaims.size(); }
     std::size_t cachedBytes() const { return m_cachedBytes; }
 
 private:
     // CommitQueued: waits for a transaction. Committing: in a transaction. ReadQueued: the result
     // of a transaction is uncertain. Reading: its row is being read. Stored: the table has the
-    // wanted row.
+    // wanted row; if that is Started, the request may run and its end is still to come.
     enum class phase { CommitQueued, Committing, ReadQueued, Reading, Stored };
 
     struct open_claim
--- a/libs/delivery/request_flow.h
+++ b/libs/delivery/request_flow.h
@@ -1,5 +1,6 @@
 // Processing of a caller's request in an entry: claim its key, choose an upstream, forward, retry,
-// answer.
+// answer. A claim is the right to run a request under its idempotency key; requests without a key
+// and those with a safe method need none.
 //
 //   flow_settings   limits and timeouts
 //   request_flow    state machine for all requests of an entry
@@ -25,23 +26,30 @@
 
 struct flow_settings
 {
-    std::size_t maxInFlight = 4096;          // requests; further ones are refused as Overloaded
-    std::size_t maxEndedIds = 16'384;        // remembered ids of ended requests
-    std::uint32_t maxAttempts = 3;           // attempts of one request, including the first
-    milliseconds minRetryTime{20};           // no retry if less time is left before the deadline
-    milliseconds maxRequestTime{60'000};     // later deadlines are reduced to this
-    milliseconds lateOutcomeTimeout{30'000}; // wait for the outcome after the caller was answered
-    milliseconds drainTimeout{5'000};        // how long a drain waits for records to be stored
+    std::size_t maxInFlight = 4096; // requests; further ones are refused as Overloaded
+    // Remembered ids of ended requests. A duplicate of one that is no longer remembered counts as
+    // new.
+    std::size_t maxEndedIds = 16'384;
+    std::uint32_t maxAttempts = 3;       // attempts of one request, including the first
+    milliseconds minRetryTime{20};       // no retry if less time is left before the deadline
+    milliseconds maxRequestTime{60'000}; // later deadlines are reduced to this
+    // How long an outcome that the claim needs is waited for after the caller was answered.
+    milliseconds lateOutcomeTimeout{30'000};
+    // How long a drain waits for outcomes to be stored after the last request was answered.
+    milliseconds drainTimeout{5'000};
     claim_settings claims;
 };
 
-// Whether an attempt that ended with this kind may be followed by another one: the retry budget.
+// Asks the retry budget whether an attempt that ended with this kind may be followed by another
+// one. If so, one retry is taken from the budget.
 using retry_allowed_check = std::function<bool(error_kind)>;
 
 // Whether an HTTP method has the same effect when it is executed once or several times.
 bool isIdempotent(std::string_view method);
 
-// Not thread-safe. Returns exactly one answer_caller for each request that arrives.
+// Called by the entry with each event. Returns exactly one answer_caller for each request that
+// arrives; duplicates get none. During a drain, new requests are refused as Draining. Not
+// thread-safe.
 class request_flow
 {
 public:
@@ -56,7 +64,8 @@
     time_point nextWake() const;
 
     std::size_t inFlight() const { return m_inFlight; } // requests without a complete answer
-    std::size_t openClaims() const { return m_claims.openClaimCount(); } // final state not stored
+    // Number of claims whose final state is not stored yet.
+    std::size_t openClaims() const { return m_claims.openClaimCount(); }
     std::size_t cachedAnswerBytes() const { return m_claims.cachedBytes(); }
     bool isDraining() const { return m_isDraining; }
 
--- a/libs/request/admission.h
+++ b/libs/request/admission.h
@@ -6,7 +6,9 @@
 //   admission_counters   totals since the start, refusals by error kind
 //
 // A request is started, waits in a short queue, or is refused at once with an error kind. A queued
-// request is refused as soon as its expected end is later than its deadline.
+// request is refused as soon as its expected end is later than its deadline. The next request to
+// start is one of the team that was served least; within a team, priority decides, then the
+// deadline. A slot is one of the requests that the upstream runs at the same time.
 #pragma once
 
 #include <cstdint>
@@ -25,9 +27,12 @@
     int slots = 8;                       // requests that the upstream runs at the same time
     int connections = 64;                // connections that the upstream accepts
     int queueLimit = 16;                 // requests that may wait in the queue
-    milliseconds initialServiceTime{20}; // estimate until a request has finished
-    double deadlineMargin = 1.0;         // safety margin, in mean deviations of the service time
-    milliseconds minRetryAfter{50};      // lower and upper bound of the Retry-After of a refusal
+    milliseconds initialServiceTime{20}; // estimate until any request has finished
+    // Safety margin that is added to the expected end, in mean deviations of the service time.
+    double deadlineMargin = 1.0;
+    // Bounds of a Retry-After that is computed from the backlog. That of Draining is fixed, and 0
+    // stays 0.
+    milliseconds minRetryAfter{50};
     milliseconds maxRetryAfter{10 * 1000};
 };
 
@@ -41,6 +46,8 @@
     std::map<error_kind, std::uint64_t> refused;
 };
 
+// Decides for the requests to one upstream which are started, which wait and which are refused. Its
+// caller, the agent, calls handle() with each event and carries out the actions. Not thread-safe.
 class admission
 {
 public:
@@ -59,7 +66,9 @@
         std::string id;
         duration elapsedTime{};    // since the `start` action
         duration slowCallerTime{}; // part of it spent waiting for a slowly reading caller
-        bool isComplete = true;    // the whole answer was delivered
+        // False: the answer was cut off; the elapsed time can then only raise the estimate of the
+        // service time.
+        bool isComplete = true;
     };
     // The caller has disconnected. A running request keeps its slot until `finished`.
     struct cancelled
@@ -68,10 +77,16 @@
     };
     struct connections_changed
     {
-        int unusableCount = 0; // open connections without a request that can't take a new one
+        // Open connections that have no request and can't take a new one. They count against
+        // `connections`.
+        int unusableCount = 0;
     };
+    // A planned stop has begun: new requests are refused as Draining, waiting ones are still
+    // served.
     struct drain_started
     { };
+    // Time has passed. Wanted repeatedly while requests wait, as their deadlines pass without an
+    // event.
     struct tick
     { };
     using event =
@@ -99,7 +114,8 @@
     int runningCount() const { return static_cast<int>(m_running.size()); }
     int waitingCount() const { return static_cast<int>(m_waiting.size()); }
     duration serviceTime(const std::string &service) const; // estimated mean
-    duration backlog(time_point now) const; // expected wait of a request that arrives now
+    // Expected time that a request which arrives now waits for a slot.
+    duration backlog(time_point now) const;
     const admission_counters &counters() const { return m_counters; }
 
 private:
@@ -120,7 +136,7 @@
     };
     struct team_state
     {
-        double servedTime = 0; // service time used, weighted by priority, in microseconds
+        double servedTime = 0; // service time used / (1 + priority), in microseconds
         int waitingCount = 0;
         int runningCount = 0;
     };
--- a/libs/request/membership.h
+++ b/libs/request/membership.h
@@ -5,6 +5,10 @@
 //   membership            takes announcements, heartbeats and digests; returns changes and digests
 //   announceTargets       the entries that an agent announces its upstream to
 //
+// An announcement is an agent's full description of its upstream, a heartbeat its short periodic
+// message. A digest is sent by an entry to a peer entry: the members that changed since the last
+// digest that the peer acknowledged.
+//
 // An upstream is routable while its state is Serving and an entry receives heartbeats of its agent:
 // this entry, or a peer entry that reports so in its digests and whose digests still arrive. The
 // Leaving state takes effect at once, whichever peer reports it.
@@ -30,14 +34,17 @@
     std::uint64_t incarnation = 0;         // of this process; a newer process has a higher number
     milliseconds minHeartbeatPeriod{1000}; // shortest heartbeat period, used with few agents
     milliseconds maxHeartbeatPeriod{15 * 1000}; // longest heartbeat period, used with many agents
-    int heartbeatBytes = 105; // size on the wire of one heartbeat and its share of the replies
-    int heartbeatBytesPerSecond = 1300; // share of the bandwidth for control messages
+    int heartbeatBytes = 105; // size on the wire of one heartbeat, replies included on average
+    // Limit for the heartbeats of all agents that send to this entry; their period follows from it.
+    int heartbeatBytesPerSecond = 1300;
     int missedHeartbeatLimit = 3;       // missed heartbeats until an agent counts as silent
-    milliseconds minDigestPeriod{1000}; // shortest period of digests without changes, per peer
+    milliseconds minDigestPeriod{1000}; // least time between digests without changes to one peer
     int digestBytes = 80;               // size on the wire of one digest without changes
-    int digestBytesPerSecond = 500;     // share of the control bandwidth, both directions
-    int reannouncePeriods = 10; // heartbeat periods that agents need to move to another entry
-    int missedDigestLimit = 3;  // missed digests until a peer's reports no longer count
+    int digestBytesPerSecond = 500;     // limit for digests with all peers, both directions
+    // Heartbeat periods that agents need to move to another entry. The reports of a peer whose
+    // digests stopped count for this much longer.
+    int reannouncePeriods = 10;
+    int missedDigestLimit = 3; // missed digests until a peer's reports no longer count
     // How long departed upstreams are kept, so that late messages about them are recognized.
     milliseconds departedRetention{10 * 60 * 1000};
     std::size_t maxMembers = 4096;     // including departed upstreams that are still kept
@@ -61,7 +68,7 @@
 struct upstream_left
 {
     std::string agentId;
-    std::uint64_t incarnation = 0;
+    std::uint64_t incarnation = 0; // of the agent
     leave_reason reason = leave_reason::Left;
 };
 
@@ -69,7 +76,7 @@
 struct upstream_reported
 {
     std::string agentId;
-    std::uint64_t incarnation = 0;
+    std::uint64_t incarnation = 0; // of the agent
     upstream_load load;
 };
 
@@ -78,7 +85,7 @@
 struct announce_outcome
 {
     announce_reply reply;
-    bool shouldReply = true; // false: the reply would tell the agent nothing new
+    bool shouldReply = true; // false: the reply is left out, as it has nothing new for the agent
     std::vector<membership_change> changes;
 };
 
@@ -98,6 +105,8 @@
     std::map<leave_reason, std::uint64_t> left;
 };
 
+// Keeps the upstreams that this entry knows, and decides which are routable. The entry calls it
+// with each message and passes the changes on to the router. Not thread-safe.
 class membership
 {
 public:
@@ -112,7 +121,7 @@
     std::vector<membership_change> tick(time_point now);
 
     // Returns the digest that is due for `peer`: at once after a change, otherwise every
-    // digestPeriod().
+    // digestPeriod(). It counts as sent. A peer that is not known yet is added.
     std::optional<digest> digestFor(const std::string &peer, time_point now);
 
     // Time between digests without changes to the same peer; grows with the number of peers.
--- a/libs/request/router.h
+++ b/libs/request/router.h
@@ -24,17 +24,21 @@
 
 struct router_settings
 {
-    std::string zone;                    // of this entry
-    std::string region;                  // of this entry
-    double spillAboveLoad = 1.0;         // requests per slot above which other zones are considered
-    milliseconds initialServiceTime{20}; // until an upstream has reported its service time
+    std::string zone;   // of this entry
+    std::string region; // of this entry
+    // If the upstream chosen in the own zone has more requests per slot than this, other zones are
+    // considered. A slot is one of the requests that an upstream runs at the same time.
+    double spillAboveLoad = 1.0;
+    milliseconds initialServiceTime{20};   // until an upstream has reported its service time
     milliseconds slowStartTime{10 * 1000}; // until a new upstream gets its full share
     double slowStartShare = 0.1;           // share of a new upstream at the start, 1.0: full
     int ejectAfterFailures = 5;            // consecutive failures
-    double maxEjectedShare = 0.3; // of a service's upstreams; one may be ejected if there are two
+    // Of a service's upstreams. With two or more, at least one may be ejected.
+    double maxEjectedShare = 0.3;
     milliseconds initialCoolDown{2000};  // first ejection; doubled by each further one
     milliseconds maxCoolDown{60 * 1000}; // upper bound of the doubled cool-down
-    // Longest pause after an upstream refused a request because of its load.
+    // Longest pause after an upstream refused a request because of its load: attempt_ended's
+    // retryAfter, which is meant for callers, is reduced to this.
     milliseconds maxBackoff{20};
 };
 
@@ -44,7 +48,7 @@
 // Takes the upstreams in turn.
 struct round_robin
 { };
-// Takes the upstream with the lowest estimated load.
+// Takes the upstream with the lowest load, as estimated from what the entry knows.
 struct least_known_load
 { };
 using routing_policy = std::variant<two_choices, round_robin, least_known_load>;
@@ -56,25 +60,29 @@
     std::string address;
     std::uint64_t incarnation = 0;
 };
-// The error is NoUpstream if no upstream is known or all are excluded, and Overloaded if all of
-// them refused a request just now because of their load.
+// The error is Overloaded if no upstream can be chosen and at least one only because it refused a
+// request just now because of its load. Otherwise it is NoUpstream: none is known, or each is
+// excluded, ejected or leaving.
 using routing_decision = std::variant<route, error_kind>;
 
+// How an attempt ended, as far as it concerns routing. The entry derives it from
+// delivery::attempt_outcome.
 enum class attempt_outcome {
     Answered, // complete answer, whatever its HTTP status
     Refused,  // refused because of load or deadline, not executed
-    Leaving,  // refused with Draining or Starting, not executed
+    Leaving,  // refused with Draining or Starting, not executed: gets no requests for now
     Failed,   // unreachable, connection lost, or timed out
 };
 std::string_view nameOf(attempt_outcome outcome);
 
+// What the router learns from an ended attempt; not the event delivery::attempt_ended.
 struct attempt_ended
 {
     route upstream;
     attempt_outcome outcome = attempt_outcome::Answered;
     duration latency{};                // of the whole attempt
     std::optional<upstream_load> load; // as reported with the answer
-    milliseconds retryAfter{};         // only with Refused
+    milliseconds retryAfter{};         // only with Refused; limited by maxBackoff
 };
 
 struct router_counters
@@ -89,6 +97,8 @@
     std::map<attempt_outcome, std::uint64_t> ended; // attempts, by outcome
 };
 
+// Keeps the load and health of each routable upstream, and chooses one for each attempt. Called by
+// the entry. Not thread-safe.
 class router
 {
 public:
@@ -97,7 +107,8 @@
     // Applies a change that membership returned.
     void apply(const membership_change &change, time_point now);
 
-    // Chooses an upstream of `service` whose agent id is not in `excluded`.
+    // Chooses an upstream of `service` whose agent id is not in `excluded`. Nothing is reserved:
+    // the choice counts as load only from attemptStarted().
     routing_decision choose(const std::string &service, const std::set<std::string> &excluded,
                             time_point now);
 
@@ -113,6 +124,7 @@
     const router_counters &counters() const { return m_counters; }
 
 private:
+    // Probing: after the cool-down, one attempt at a time shows whether the upstream has recovered.
     enum class health { Admitted, Ejected, Probing };
     enum class locality { OwnZone, OwnRegion, OtherRegion };
     struct upstream
--- a/libs/work/quota_parts.h
+++ b/libs/work/quota_parts.h
@@ -5,9 +5,9 @@
 // than the part that is certainly committed, so the sum over all shards never exceeds the quota,
 // whichever process dies or pauses.
 //
-// Parts follow demand: unused parts are returned. A shard above an equal share yields to a waiting
-// shard below it as its own tasks end. A remainder that is too small for another task is returned
-// too.
+// Parts follow demand: unused parts are returned. If another shard waits and has less than an equal
+// share, a shard with more than an equal share gives quota up as its own tasks end. A remainder
+// that is too small for another task is returned too.
 #pragma once
 
 #include <cstdint>
@@ -38,28 +38,35 @@
 {
     resources limit;          // quota of the whole team; 0 in a dimension: no limit there
     resources inUse;          // by the shard's tasks
-    resources demanded;       // `inUse` and the sum of the waiting tasks
+    resources demanded;       // sum of `inUse` and all waiting tasks
     resources largestWaiting; // size of the largest waiting task; 0: none waits
 };
 
+// Writes and reads of rows that the caller carries out.
 using quota_action = std::variant<commit_rows, read_rows>;
 
+// Keeps this shard's part of each team's quota, and decides when the part grows or shrinks. Used by
+// the owner of the shard. Performs no I/O. Not thread-safe.
 class quota_parts
 {
 public:
     // `shardVersion` is the version of the shard's row, a condition of each write.
-    // `operationPrefix` must be unique for each tenure of a shard.
+    // `operationPrefix` starts the id of each write and must be unique for each tenure of a shard:
+    // other than in task_coordinator, nothing is appended that tells tenures apart.
     quota_parts(int shard, std::uint64_t shardVersion, std::string operationPrefix,
                 quota_settings settings);
 
-    // Takes the demand of every team that has a limit. Call before each planning run.
+    // Takes the demand of every team that has a limit. Call before each planning run, in which the
+    // placer goes through the waiting tasks. With one shard it does nothing.
     std::vector<quota_action> update(const std::map<std::string, team_demand> &demands,
                                      time_point now);
+    // Answers to writes and reads of others are ignored.
     std::vector<quota_action> handle(const write_answered &event, time_point now);
     void handle(const rows_read &event);
 
     // How much the team's tasks in this shard may use together. Only the dimensions with a limit
-    // are meaningful.
+    // are meaningful. Zero for a team that update() was not told of, and until its row was read; so
+    // it is not to be called with one shard.
     resources usableQuota(const std::string &team) const;
 
 private:
--- a/libs/work/task_coordinator.h
+++ b/libs/work/task_coordinator.h
@@ -1,12 +1,23 @@
 // The owner's decisions about the tasks of one shard: what is granted to which agent, what an
 // agent's report changes, and when a silent worker's tasks may start elsewhere. The placer chooses
-// the worker of a task; its decision comes in as placement_decided.
+// the worker of a task; its decisions come in as placement_decided, backlog_start_decided,
+// eviction_decided, reservation_raised and cpu_limit_decided.
+//
+// General terms:
+//   owner          the entry that decides for a shard at present
+//   epoch          number of an ownership of the shard; each new owner has a higher one
+//   incarnation    number that increases when a worker's instance is restarted or replaced
+//   table          the platform's table; it holds the rows of the shard's jobs and tasks
+//   backlog        tasks that are placed on a worker before there is room for them
 //
 // Terms for workers:
 //   attached       has recorded this owner's epoch, so it accepts no lease of an earlier owner
-//   unresponsive   has tasks, but its agent has not reported for half a lease
-//   silent         declared silent in the table: its leases have ended and tasks were requeued
-//   lapsed lease   no lease of the worker can hold any more; nothing is placed on it
+//   unresponsive   has tasks, but its agent has not reported for half a lease (grantLease)
+//   lapsed lease   no lease of the worker can hold any more; nothing is placed on it until its
+//                  agent reports again
+//   silent         declared silent in the table after its lease lapsed, because tasks of class
+//                  Lease were requeued from it; it gets no grant until it has reported again and
+//                  its removal from the silent workers is committed
 #pragma once
 
 #include <cstdint>
@@ -27,7 +38,10 @@
 namespace zinniabarrow::work {
 
 // Events; write_answered and rows_read come from work/task_store.h.
-// A repeated job changes nothing; one of a newer generation adds tasks or cancels the last ones.
+
+// A job of which this shard has some tasks. The same job again changes nothing. With a newer
+// generation, its specification replaces the former one: more tasks are added, and with fewer tasks
+// those with the highest indexes are cancelled.
 struct job_accepted
 {
     job_spec spec;
@@ -42,15 +56,20 @@
 {
     std::string job;
 };
+// The placer has chosen a worker for a task. If the task or the worker has changed meanwhile or the
+// backlog is full, the decision has no effect and a task_changed with Reverted follows.
 struct placement_decided
 {
     task_id task;
     std::string worker;
-    // Placed before there is room. Starts after backlog_start_decided, or while the table is down.
+    // Placed before there is room. Starts after backlog_start_decided; while the table is down also
+    // without it, if coordinator_settings::startsBacklogWhenDown is set.
     bool isBacklogged = false;
-    resources reserved{}; // in the placer's reservation ledger, if more than the declared size
+    resources reserved{}; // in the placer's reservation ledger; all 0: the declared size
 };
-struct reservation_raised // of a placed task; the agent must count the raised size too
+// The placer now reserves more for a placed task. The next grant tells the agent, which must count
+// the raised size as well.
+struct reservation_raised
 {
     task_id task;
     resources reserved;
@@ -59,15 +78,19 @@
 {
     task_id task;
 };
-struct backlog_start_decided // there is room now for a task of the backlog
+struct backlog_start_decided // there is room now for a task of a worker's backlog: it may start
 {
     task_id task;
 };
+// A report of a worker's agent has arrived. A current one is answered by a grant, except while
+// the worker is declared silent.
 struct report_received
 {
     agent_report report;
 };
-struct grant_deadline_changed // the present value of shard_ownership::mayGrantUntil()
+// Until when this owner may give leases: the present value of shard_ownership::mayGrantUntil().
+// Grants from then on contain no lease.
+struct grant_deadline_changed
 {
     time_point until;
 };
@@ -91,8 +114,9 @@
 };
 
 // The placer's reservation ledger follows these changes. A task counts against its worker from
-// placement_decided until EndReported, Requeued, Ended or Reverted; a backlogged one only from
-// backlog_start_decided or Started.
+// placement_decided until Requeued or Ended, or until EndReported if its state is Done then; a
+// backlogged one only from backlog_start_decided or Started. After Reverted it counts only if
+// `state` and `worker` say that it is on a worker.
 enum class task_change {
     Placed,      // the placement is committed
     Started,     // the agent reported that the task runs
@@ -107,11 +131,13 @@
     task_id task;
     task_change change = task_change::Placed;
     task_state state = task_state::Pending; // after the change
-    std::string worker;                     // that it is on, or that it was on before the change
+    // The worker that the task is on. After EndReported, Requeued and Ended, the one that it was
+    // on. Empty: none.
+    std::string worker;
     std::uint32_t attempt = 0;
 };
 
-// Counters for metrics.
+// Counters for metrics. Each one that is returned as an action means: increase it by one.
 enum class coordinator_counter {
     StaleIncarnation, // report from an earlier incarnation of a worker
     StaleSession,     // report from a superseded agent process
@@ -142,47 +168,57 @@
     // those of a backlog_start_decided, for an owner whose ledgers and quotas must count each
     // start.
     bool startsBacklogWhenDown = true;
-    // False: the wait for a silent worker is as long as if it had never attached to this owner.
+    // True: a worker that is attached to this owner holds no lease of an earlier owner, so leases
+    // of earlier owners are not waited for. False: they are waited for, as if the worker had never
+    // attached.
     bool workersPersistEpoch = true;
 };
 
-// The ownership of one shard by this entry during one epoch; the fields are those of became_owner.
+// The ownership of one shard by this entry during one epoch. The values are those of became_owner
+// in work/ownership.h.
 struct shard_tenure
 {
     int shard = 0;
     std::uint64_t epoch = 0;
-    std::uint64_t shardVersion = 0;
-    time_point earlierLeasesEndAt;
+    std::uint64_t shardVersion = 0; // of the shard's row; each write of the owner depends on it
+    time_point earlierLeasesEndAt;  // no lease that an earlier owner gave holds after this
+    // Exceptions to `earlierLeasesEndAt`: workers that were unresponsive at a handover.
     unresponsive_workers unresponsive{};
 };
 
-// Coordinates the tasks of one shard during one tenure. Performs no I/O: events go in, actions come
-// out.
+// Coordinates the tasks of one shard during one tenure. Performs no I/O: the owner calls handle()
+// with each event and carries out the actions that it returns. Not thread-safe.
 class task_coordinator
 {
 public:
-    // `operationPrefix` must be unique for each process.
+    // `operationPrefix` starts the id of each write and must be unique for each process. Shard and
+    // epoch are appended to it, so it may be the same in several tenures.
     task_coordinator(shard_tenure tenure, const std::string &operationPrefix,
                      coordinator_settings settings);
 
     std::vector<coordinator_action> handle(const coordinator_event &event, time_point now);
 
-    bool isReady() const { return m_store.isReady(); } // rows were read; nothing is decided before
+    // True once the shard's rows were read. Nothing is decided before: jobs, generations and
+    // reports that come earlier are dropped, and placements are answered with Reverted.
+    bool isReady() const { return m_store.isReady(); }
     bool isTableDown(time_point now) const { return m_store.isDown(now); }
     // The newest record, committed or not, with the states Running and Evicting that are kept only
-    // in memory.
+    // in memory. A default record if there is none.
     task_record find(const task_id &task) const;
-    // True if the task is committed as Pending and no change of it is staged or in flight.
+    // True if the task is committed as Pending and no change of it is staged (waits to be written)
+    // or in flight (sent and not answered).
     bool isPlaceable(const task_id &task) const;
     const std::set<task_id> &placeableTasks() const { return m_placeable; } // by job and index
-    // Every task that may be running on a worker by its newest or its committed record. The
+    // Every task that is on a worker by its newest or its committed record, backlogged ones
+    // included; with the newest record if that one says so, otherwise with the committed one. The
     // reservation ledger is rebuilt from them after a takeover.
     std::vector<std::pair<task_id, task_record>> occupyingTasks() const;
-    // True for a task of this shard (each shard has some of a job's tasks).
+    // True for a task that this shard has or had (each shard has some of a job's tasks).
     bool hasTask(const task_id &task) const { return m_store.isInJobRange(task); }
     // True if the worker has recorded this epoch, its lease holds and it is not declared silent.
     bool canPlaceOn(const std::string &worker) const;
-    // Workers with tasks whose agent has not reported for longer than a healthy agent would take.
+    // The unresponsive workers: they have tasks, and their agent has not reported for half a lease.
+    // Each with the time until which it may still hold a lease.
     unresponsive_workers unresponsiveWorkers(time_point now) const;
     std::vector<std::string> jobs() const { return m_store.jobs(); }
     const stored_job *job(const std::string &id) const { return m_store.job(id); }
--- a/libs/work/task_supervisor.h
+++ b/libs/work/task_supervisor.h
@@ -1,5 +1,9 @@
 // The agent's side of task execution: carries out the owner's grants on its worker and reports
-// events to the owner.
+// events to the owner. A worker runs tasks on an instance; its agent is the process that talks to
+// the owner for it.
+//
+// Epoch: number of an ownership of the shard; each new owner has a higher one. Incarnation: number
+// that increases when the worker's instance is restarted or replaced.
 //
 // What the worker itself must remember is listed in docs/design/OWNERSHIP.md: its incarnation, the
 // newest epoch it was told, and the newest attempt of each task that it ran or was told to stop.
@@ -26,20 +30,22 @@
     Succeeded,
     Failed,
     Evicted, // checkpointed and ended on request
-    Stopped, // on request; also an attempt that was stopped before it ran
+    Stopped, // ended on request without a checkpoint; also one that was stopped before it ran
     Lapsed,  // its lease lapsed
 };
 std::string_view nameOf(task_outcome outcome);
 task_outcome taskOutcomeFromName(std::string_view name); // throws error BadRequest
 
+// An ended attempt in a worker_listing.
 struct finished_task
 {
     task_attempt attempt;
     task_outcome outcome = task_outcome::Succeeded;
-    std::string checkpoint;
-    std::string detail;
+    std::string checkpoint; // object name; empty: none
+    std::string detail;     // reason of a failure or refusal
 };
 
+// A running attempt in a worker_listing.
 struct running_task
 {
     task_attempt attempt;
@@ -59,7 +65,7 @@
     std::vector<finished_task> finished;
 };
 Json::Value toJson(const worker_listing &listing);
-worker_listing workerListingFromJson(const Json::Value &value);
+worker_listing workerListingFromJson(const Json::Value &value); // throws error BadRequest
 
 // Events.
 struct grant_received
@@ -79,13 +85,14 @@
 {
     task_attempt attempt;
 };
-struct supervisor_tick
+struct supervisor_tick // due at nextTick()
 { };
 using supervisor_event = std::variant<grant_received, listing_received, start_refused,
                                       cpu_limit_unconfirmed, supervisor_tick>;
 
-// Actions on the worker. Each is idempotent and repeated until a listing shows its effect, so a
-// lost answer to any of them but worker_list does no harm.
+// Actions on the worker. Each is idempotent. All but worker_list and worker_cpu_limit are repeated
+// until a listing shows their effect, so a lost answer to them does no harm. After a lost answer to
+// worker_list the agent knows nothing new until the next listing.
 struct worker_list // the worker records `epoch` if it is newer, and answers with a listing
 {
     std::uint64_t epoch = 0;
@@ -94,9 +101,10 @@
 {
     granted_task task;
     Json::Value spec;
-    milliseconds lease{0};         // lease of the task, counted from listing `listing`
-    milliseconds startWithin{0};   // the worker refuses a later start; counted the same way
-    std::uint64_t listing = 0;     // number of a listing: its creation time is the reference
+    // Both times are counted from when the worker made listing `listing`.
+    milliseconds lease{0};         // lease of the task
+    milliseconds startWithin{0};   // the worker refuses a later start
+    std::uint64_t listing = 0;     // number of the listing
     std::uint64_t incarnation = 0; // of the worker that made the listing; any other refuses
 };
 struct worker_renew
@@ -115,7 +123,9 @@
     task_attempt attempt;
     std::string checkpoint; // name of the object to write
 };
-// Listings don't show the limit: the caller reports a missing answer as cpu_limit_unconfirmed.
+// Limit the processor time of a running attempt. Listings don't show the limit, so the caller
+// reports a missing answer as cpu_limit_unconfirmed, and the limit is sent again after the next
+// grant.
 struct worker_cpu_limit
 {
     task_attempt attempt;
@@ -165,7 +175,8 @@
 // is the last check before a start: workers start whatever they are told to.
 using capacity_check = std::function<bool(const task_id &task, const resources &amount)>;
 
-// Supervises the tasks of one worker. Performs no I/O: events go in, actions come out.
+// Supervises the tasks of one worker. Performs no I/O: the agent calls handle() with each event and
+// carries out the actions that it returns. Not thread-safe.
 class task_supervisor
 {
 public:
@@ -182,7 +193,9 @@
     std::vector<running_task> occupyingTasks() const;
     // Total size of these tasks except `task`, each with the larger of declared and reserved size.
     resources occupiedByOthers(const task_id &task) const;
-    time_point leaseUntil() const { return m_leaseUntil; } // end of the agent's own lease
+    // End of the agent's own lease, which the owner's grants extend. Tasks of class Lease get no
+    // lease beyond it; those of class Proof are renewed in any case.
+    time_point leaseUntil() const { return m_leaseUntil; }
     std::uint64_t epoch() const { return m_epoch; }
     std::size_t unackedEventCount() const { return m_unackedEvents.size(); }
 
