--- a/libs/base/event_log.h
+++ b/libs/base/event_log.h
@@ -1,5 +1,5 @@
 // The event log of a daemon: one JSON line per decision, written to standard output. It never
-// blocks, and its rate is limited. Not thread-safe.
+// blocks, and its rate is limited. The daemon calls flush() at regular intervals. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -21,14 +21,15 @@
     log_field(std::string_view fieldName, std::size_t number);
     log_field(std::string_view fieldName, int number);
 
-    std::string_view name;
-    std::string json; // JSON-encoded value
+    std::string_view name; // not copied: use a literal
+    std::string json;      // JSON-encoded value
 };
 
 struct log_limits
 {
     std::size_t bytesPerSecond = 24 * 1024; // sustained rate; 1.4 MB per minute and process
-    std::size_t burstBytes = 128 * 1024;    // enough for the takeover of several hundred jobs
+    // Enough to log that this entry takes over several hundred jobs.
+    std::size_t burstBytes = 128 * 1024;
 };
 
 class event_log
@@ -39,13 +40,14 @@
     event_log(const event_log &) = delete;
     event_log &operator=(const event_log &) = delete;
 
-    // Appends a line; drops and counts it when the byte budget is spent.
+    // Appends a line to the buffer. Drops and counts it when the byte budget is spent or when more
+    // than log_limits::burstBytes are waiting in the buffer.
     void writeEvent(std::string_view event, std::initializer_list<log_field> fields);
     // Appends a line regardless of the budget: for lines that occur a few times in the life of a
     // process and that are needed to interpret the others.
     void writeAlways(std::string_view event, std::initializer_list<log_field> fields);
-    // Writes as much as the reader of standard output accepts without blocking. The rest stays in a
-    // bounded buffer.
+    // Writes as much as the reader of standard output accepts without blocking. The rest stays in
+    // the buffer, which is bounded except for lines of writeAlways(). The destructor flushes too.
     void flush();
     std::uint64_t droppedCount() const { return m_droppedTotal; }
 
--- a/libs/base/large_json.h
+++ b/libs/base/large_json.h
@@ -1,5 +1,6 @@
 // Parsing of JSON texts that are large or arrive many times a second. It takes a fifth of JsonCpp's
-// CPU time and builds no separate tree of strings. For all other texts use base/json.h.
+// CPU time and does not allocate each string separately. The records and reports of jobs use it;
+// for all other texts use base/json.h.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +11,21 @@
 
 namespace zinniabarrow::large_json {
 
-using value = rapidjson::Value;
+using value = rapidjson::Value; // valid as long as its Document
 
-// Throws error BadRequest, as do all functions below when a member has another type.
+// The Document holds copies of the strings, so `text` need not outlive it. Throws error BadRequest
+// if the text is no JSON object. All functions below throw it if a value is not of the type that
+// they return, or if `object` is none.
 rapidjson::Document parseObject(std::string_view text);
 
 const value *find(const value &object, const char *name); // null when the member is absent
+
+// Required members: these throw error BadRequest also when the member is absent.
 std::string text(const value &object, const char *name);
 std::int64_t number(const value &object, const char *name);
 const value &array(const value &object, const char *name);
 
-// Optional members: absent means zero, empty or false, or `absent`.
+// Optional members: an absent one is an empty string, 0 or `absent`.
 std::string textOrEmpty(const value &object, const char *name);
 std::int64_t numberOr0(const value &object, const char *name);
 int countOr0(const value &object, const char *name); // 32 bits, zero or above
@@ -29,8 +34,9 @@
 // Values of array elements.
 std::string asText(const value &element);
 std::int64_t asNumber(const value &element);
-int asCount(const value &element);
+int asCount(const value &element); // as countOr0
 
+// Calls `visit` with each element of an array member; an absent member has none.
 template <typename Visit>
 void forEach(const value &object, const char *name, Visit &&visit)
 {
--- a/libs/config/content_slice.h
+++ b/libs/config/content_slice.h
@@ -1,6 +1,7 @@
 // A content slice: the part of a generation's content that one agent needs, which is its own
 // service and pool. Agents don't fetch the whole content, because it grows with every job of every
-// team and an agent uses no jobs.
+// team, and an agent takes no job definitions from it: entries tell it which tasks to run. A pool
+// is the set of workers of one kind that services and jobs name.
 //
 // Agents request a slice with the RPC `generation_content`. A peer of an older release doesn't know
 // slices; it ignores the scope and answers with the whole content. The agent accepts both answers.
@@ -22,16 +23,17 @@
 // jobs, teams or files.
 generation_content makeSlice(const generation_content &wholeContent, const content_scope &scope);
 
-// The query on the wire: {digest, scope?, have?}, where `have` is `heldSliceDigest`.
+// The query on the wire: {digest, scope?, have?}, where `have` is read_content::heldSliceDigest.
 Json::Value toJson(const read_content &query);
 
-// Throws error BadRequest on a malformed query. Call it before the query is handed to an
-// actor, which the exception would end.
+// Throws error BadRequest on a malformed query. Call it before the query is handed to an actor: an
+// exception in an actor's handler ends the actor.
 read_content readContentFromJson(const Json::Value &value);
 
-// The answer of the process whose follower is `source`: {content} for a query without a scope,
-// {slice, slice_digest} for one with a scope, {slice_digest} if the requester already holds that
-// slice, or {} if the digest isn't that of the content in force here.
+// The answer of this process, whose own follower is `source`: {content} for a query without a
+// scope, {slice, slice_digest} for one with a scope, {slice_digest} if the requester already holds
+// that slice, or {} if the digest isn't that of the content in force here or if only a slice is
+// held here.
 Json::Value answerReadContent(const generation_follower &source, const read_content &query);
 
 // Converts an answer to the event of the query with the number `request`. Without an answer the
--- a/libs/config/generation_follower.h
+++ b/libs/config/generation_follower.h
@@ -1,6 +1,7 @@
 // Decides which generation of the configuration is in force in a process: the highest one that it
-// knows of and whose content it has fetched. The generation in force never decreases. An agent uses
-// a follower by itself; in an entry it is part of the generation_manager.
+// knows of and whose content it has fetched. The generation in force never decreases. An agent (the
+// process beside a worker) uses a follower by itself; in an entry (a process that carries callers'
+// requests) it is part of the generation_manager.
 #pragma once
 
 #include <cstdint>
@@ -16,31 +17,37 @@
 
 struct follower_settings
 {
-    std::string process;                  // id of this process
-    std::string role;                     // "entry" or "agent"
-    milliseconds readTimeout{1000};       // for a content; then the next source is tried
+    std::string process;            // id of this process
+    std::string role;               // "entry" or "agent"
+    milliseconds readTimeout{1000}; // for one source to send the content; then the next is tried
     std::optional<content_scope> scope{}; // set for an agent: fetch only this slice
 };
 
 struct follower_counters
 {
     std::uint64_t adoptedGenerations = 0; // generations that came into force here
-    std::uint64_t failedReads = 0;        // reads without a usable content from the source in time
-    std::uint64_t invalidContents = 0; // contents that did not match their digest or did not parse
-    std::uint64_t digestConflicts = 0; // reports of a known generation with another digest
+    std::uint64_t failedReads = 0; // reads without an answer in time or with an unusable content
+    // Of these, contents that did not match their digest or did not parse.
+    std::uint64_t invalidContents = 0;
+    // Reports, or table rows, that give another digest for the generation in force or being
+    // fetched.
+    std::uint64_t digestConflicts = 0;
 };
 
 // Returns actions instead of doing any input or output, so the caller owns threads and connections.
+// Not thread-safe.
 class generation_follower
 {
 public:
     explicit generation_follower(follower_settings settings);
 
-    // Handles report_received, content_read and tick; ignores other events. Returns read_content,
-    // adopt_generation and push_generation.
+    // Handles report_received, content_read and tick; ignores other events. Returns none or some of
+    // these actions: read_content to fetch a content; adopt_generation, with a push_generation to
+    // all known processes, when a generation comes into force here.
     generation_actions handle(const generation_event &event, time_point now);
 
-    // Called for the generation that the table names; its content is in the object store.
+    // Called for the generation that the table names. If it is the highest known one and not in
+    // force here, its content is fetched, with the object store as one of the sources.
     generation_actions considerStored(std::uint64_t generation, const std::string &digest,
                                       time_point now);
     // Puts a generation in force whose content the caller already has. Does nothing if it is not
@@ -51,7 +58,10 @@
     // The highest generation seen here, in reports of peers or in the table.
     std::uint64_t highestKnownGeneration() const { return m_highestKnown; }
     const std::string &digest() const { return m_digest; }
+    // Of the generation in force; empty before the first one. Only a slice if a scope is set and
+    // the source sent one.
     const generation_content &content() const { return *m_content; }
+    // The configuration in content(), merged from all files; never null.
     std::shared_ptr<const configuration> mergedConfig() const;
     generation_report report() const;
     const follower_counters &counters() const { return m_counters; }
@@ -69,7 +79,8 @@
         std::vector<std::string> sources; // process ids; "": the object store
         std::size_t nextSource = 0;       // index of the source to try next, modulo their number
         std::uint64_t pendingRequest = 0; // request without an answer so far; 0: none
-        time_point deadline{}; // of that request, or the end of the pause before the next
+        // With a pending request, its deadline; otherwise the end of the pause before the next one.
+        time_point deadline{};
     };
 
     generation_actions receiveReport(const generation_report &report, time_point now);
--- a/libs/config/generations.h
+++ b/libs/config/generations.h
@@ -1,12 +1,13 @@
-// Manages the configuration in an entry: polls the operators' folder, accepts its state as a new
-// generation by a conditional write, and puts the highest accepted generation in force. All entries
-// do this at once; no leader is needed.
+// Manages the configuration in an entry, a process that carries callers' requests: polls the
+// operators' folder, accepts its state as a new generation by a conditional write, and puts the
+// highest accepted generation in force. All entries do this at once; no leader is needed.
 //
 // One round of polling:
 // 1. Read the accepted row. End the round here if the folder needn't be listed yet.
 // 2. List the folder, read the files that changed, and list the folder again. If the two listings
 //    differ, the round is abandoned.
-// 3. Merge and validate all files.
+// 3. Merge and validate all files. If they are refused, the round ends: the problems are kept for
+//    operators, and the generation in force stays.
 // 4. Write the content of the new generation, then the accepted row, on the condition that the row
 //    has not changed since step 1.
 //
@@ -32,34 +33,46 @@
 
 struct generation_manager_settings
 {
-    std::string process;                      // id of this entry
-    std::size_t peerCount = 0;                // number of other entries in the settings
-    milliseconds pollInterval{1000};          // between two rounds
-    std::size_t maxListBytesPerSecond = 1024; // limit on the average traffic of folder listings
-    milliseconds answerTimeout{1500};     // for the platform; after it a write's outcome is unknown
-    milliseconds contentTimeout{1000};    // for a content; after it the next source is tried
-    milliseconds peerListenTime{2000};    // longest wait for peers' reports after a start
-    milliseconds pushInterval{1000};      // between two pushes to lagging processes
+    std::string process;             // id of this entry
+    std::size_t peerCount = 0;       // number of other entries, from this process's settings
+    milliseconds pollInterval{1000}; // between two rounds
+    // Limit on the average traffic of this entry's folder listings.
+    std::size_t maxListBytesPerSecond = 1024;
+    // Longest wait for an answer of the platform; after it a write's outcome is unknown.
+    milliseconds answerTimeout{1500};
+    // Longest wait for one source to send a generation's content; then the next source is tried.
+    milliseconds contentTimeout{1000};
+    // After a start, the longest wait for peers' reports before this entry accepts a generation or
+    // is ready.
+    milliseconds peerListenTime{2000};
+    milliseconds pushInterval{1000};      // between two pushes to processes that are behind
     milliseconds reportRetention{60'000}; // a process's report is dropped when it gets older
     std::size_t maxFilesPerRead = 32;     // files requested at once
     folder_limits limits;                 // bounds that the folder must keep
 };
 
+// Totals since construction.
 struct generation_manager_counters
 {
     std::uint64_t rounds = 0;              // rounds begun
     std::uint64_t acceptedGenerations = 0; // generations whose row this entry wrote
-    std::uint64_t refusedFolders = 0;      // states of the folder that failed validation
+    // States of the folder that failed validation. A state that stays is counted once.
+    std::uint64_t refusedFolders = 0;
     std::uint64_t conflicts = 0;           // row writes that lost against another entry
     std::uint64_t unknownWrites = 0;       // row writes with an unknown outcome
     std::uint64_t confirmedByReadBack = 0; // of these, writes that a later read found applied
     std::uint64_t changedListings = 0;     // rounds abandoned because the folder changed
     std::uint64_t platformFailures = 0;    // requests that the platform did not answer
     std::uint64_t invalidRows = 0;         // accepted rows that did not parse
-    std::uint64_t rewrittenRows = 0;       // outdated rows (restored from a backup) written again
+    // Outdated rows (the table was restored from a backup), over which this entry proposed the
+    // content in force again under a higher number.
+    std::uint64_t rewrittenRows = 0;
 };
 
-// Returns actions instead of doing any input or output, like generation_follower.
+// Its owner feeds it events with the time and performs the actions that it returns; it does no
+// input or output itself, like generation_follower. Every push interval it pushes its report
+// (number and digest, not the content) to processes whose latest report has a lower generation. Not
+// thread-safe.
 class generation_manager
 {
 public:
@@ -68,8 +81,10 @@
 
     generation_actions handle(const generation_event &event, time_point now);
 
-    // True once this entry may serve callers: the highest generation that the table, or, while the
-    // table is unreachable, the peers know is in force here. Stays true from then on.
+    // True once this entry may serve callers. It has then read the table's row and heard all peers,
+    // or waited peerListenTime, and the highest generation that it knows of is in force here; while
+    // the table is unreachable, it knows of generations from peers only. If no generation was ever
+    // accepted, it must have read that from the row. Stays true from then on.
     bool isReady() const { return m_isReady; }
 
     const generation_follower &follower() const { return m_follower; }
@@ -80,7 +95,7 @@
     // Latest report of each other process.
     std::vector<received_report> reports() const;
 
-    // What became of one version of a file; version 0 means the removal of the file.
+    // What became of one version of a file. Version 0 asks about the removal of the file.
     file_status statusOf(const std::string &name, std::uint64_t version) const;
     // Status of all files that are in the folder or in the generation in force.
     std::vector<file_status> files() const;
@@ -95,7 +110,7 @@
         ReadingFiles,
         SecondListing,
         WritingContent,
-        Committing,
+        Committing, // writing the accepted row
     };
 
     // Content of a file of the folder, kept to read only files that changed.
@@ -116,7 +131,7 @@
     struct proposal
     {
         accepted_row row;
-        std::string proposedText;
+        std::string proposedText;                 // the content, whose digest is in `row`
         std::vector<std::string> unneededDigests; // contents to remove once the row is written
     };
 
@@ -164,18 +179,20 @@
 
     phase m_phase = phase::Idle;
     std::uint64_t m_lastRequest = 0;
-    time_point m_deadline{};    // of the pending request
-    time_point m_nextRound{};   //
+    time_point m_deadline{}; // of the pending request
+    time_point m_nextRound{};
     time_point m_nextListing{}; // rounds before this time read only the row
-    time_point m_nextScan{};    // `scan_now` is ignored before this time
-    time_point m_nextPush{};    //
-
-    bool m_isRowRead = false;               // read at least once since the start
-    std::uint64_t m_rowVersion = 0;         // as read at the beginning of the round
-    accepted_row m_acceptedRow;             // as read at the beginning of the round
-    std::uint64_t m_highestKnownAtRead = 0; // highest known generation before the row was read
-    std::string m_unconfirmedOperation;     // operation id of a row write with unknown outcome
-    file_versions m_roundListing;           // first listing of this round
+    time_point m_nextScan{};    // an operator's `scan_now` is ignored before this time
+    time_point m_nextPush{};
+
+    bool m_isRowRead = false;       // read at least once since the start
+    std::uint64_t m_rowVersion = 0; // as read at the beginning of the round
+    accepted_row m_acceptedRow;     // as read at the beginning of the round
+    // Highest generation known before the row was read. A row that names a lower one is outdated;
+    // one that became known later may be newer than the row as read.
+    std::uint64_t m_highestKnownAtRead = 0;
+    std::string m_unconfirmedOperation; // operation id of a row write with unknown outcome
+    file_versions m_roundListing;       // first listing of this round
     std::optional<file_versions> m_latestListing; // latest one, also of an abandoned round
     std::string m_latestFolderDigest;             // of m_latestListing
     file_versions m_removedVersions;              // last version of each file that was removed
--- a/libs/net/event_loop.h
+++ b/libs/net/event_loop.h
@@ -10,18 +10,23 @@
 
 namespace zinniabarrow::net {
 
-// Monotonic time that also advances while the machine is suspended (CLOCK_BOOTTIME). Leases that
-// others hold against this process expire meanwhile, which std::chrono::steady_clock would not
-// show.
+// Monotonic time that also advances while the machine is suspended (CLOCK_BOOTTIME). Use it to
+// judge leases that others have granted to this process: they expire during a suspension, which
+// std::chrono::steady_clock would not show. Don't mix its values with monotonic_clock::now(), which
+// is std::chrono::steady_clock.
 time_point suspendAwareNow();
 
+// Not thread-safe: all functions are called before run() or from a callback, on the thread of
+// run(). Timers wait on std::chrono::steady_clock, which stops during a suspension; lateness() and
+// overdueTime() measure with suspendAwareNow(), so they include the suspension.
 class event_loop
 {
 public:
-    event_loop();
+    event_loop(); // changes no signal handling
     // Calls `onStop` on the loop at the first SIGTERM or SIGINT after construction, also if it
-    // arrives before run(). Ignores SIGPIPE and SIGHUP. Create listeners after the loop: without
-    // the signal handler, a signal would end the process while connections are open.
+    // arrives before run(). Ignores SIGPIPE and SIGHUP. Construct the loop before any
+    // listener: without the signal handler, a signal would end the process while connections are
+    // open.
     explicit event_loop(std::function<void()> onStop);
     ~event_loop();
     event_loop(const event_loop &) = delete;
@@ -36,10 +41,12 @@
     // Repeats until the loop stops; each period starts when the previous call has returned, also by
     // an exception.
     void runEvery(duration period, std::function<void()> work);
-    // The largest delay with which a timer fired during the last one to two seconds.
+    // The largest delay with which a timer fired in the current or the previous window of
+    // loop_lateness. It covers the last second, and up to three seconds if calls and timers are
+    // rare.
     duration lateness() const;
-    // Returns by how much the oldest unfired timer is late; newer events may be waiting
-    // too.
+    // Returns by how much the oldest unfired timer is late, 0 if none is. It shows how long the
+    // loop has been held up, not how many events are waiting.
     duration overdueTime() const;
 
     struct impl;
--- a/libs/net/http_caller.h
+++ b/libs/net/http_caller.h
@@ -1,5 +1,6 @@
 // HTTP/1.1 client on the event loop with a pool of idle connections per peer. Each call uses a
-// connection exclusively until it is answered; a connection whose call failed is dropped.
+// connection exclusively until it is answered; a connection whose call failed is dropped. Not
+// thread-safe: call it on the loop's thread.
 #pragma once
 
 #include <cstddef>
@@ -16,8 +17,10 @@
 
 struct caller_limits
 {
-    std::size_t maxIdlePerPeer = 4;   // idle connections kept for reuse, per peer
-    milliseconds maxIdleTime{20'000}; // must stay below listener_limits::maxIdleTime
+    std::size_t maxIdlePerPeer = 4; // idle connections kept for reuse, per peer
+    // Must stay below listener_limits::maxIdleTime, so that the peer does not close an idle
+    // connection first.
+    milliseconds maxIdleTime{20'000};
     milliseconds connectTimeout{400}; // a longer connect ends the call as NotConnected
     // Bytes of an answer's body; a larger one ends the call as TooLarge.
     std::size_t answerBytesLimit = 4 * 1024 * 1024;
@@ -27,7 +30,9 @@
 struct large_call
 {
     call_time_limits timeLimits;
-    std::size_t answerBytesLimit = 0; // bytes; replaces caller_limits::answerBytesLimit
+    // Bytes of the answer's body; replaces caller_limits::answerBytesLimit. Set it: 0 allows no
+    // body.
+    std::size_t answerBytesLimit = 0;
     // Called when the head of the answer has arrived, with the Content-Length; 0: not declared.
     std::function<void(std::uint64_t bytes)> onHead = [](std::uint64_t) {};
 };
@@ -43,13 +48,14 @@
     http_caller &operator=(const http_caller &) = delete;
 
     // Sends the request to `peer` ("ip:port") without blocking. `done` is called exactly once, from
-    // the loop.
+    // the loop and never within call(); also if this http_caller is destroyed before. `timeLimit`
+    // includes connecting.
     void call(const std::string &peer, http_request request, duration timeLimit,
               call_callback done);
     void call(const std::string &peer, http_request request, large_call options,
               call_callback done);
 
-    struct shared_state;
+    struct shared_state; // public for http_caller.cpp only
 
 private:
     std::shared_ptr<shared_state> m_state;
--- a/libs/platform/memory_platform.h
+++ b/libs/platform/memory_platform.h
@@ -1,5 +1,5 @@
-// The platform's table and object store, kept in memory. Used by the stand-in program and as a fake
-// in tests. Not thread-safe.
+// The platform's table and object store, kept in memory. Used by the stand-in for the platform
+// (standins/platform.cpp), a server for tests and trials, and as a fake in tests. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -19,10 +19,12 @@
     write_result commit(const table_transaction &transaction);
     std::optional<table_row> read(const std::string &key) const;
     std::vector<table_row> scan(const std::string &prefix) const; // sorted by key
-    std::uint64_t sequence() const { return m_sequence; } // incremented by every applied write
+    // Incremented by every applied transaction and every applied write or removal of an object.
+    std::uint64_t sequence() const { return m_sequence; }
 
     // --- Object store. With `expected`, the write is applied only if the object still has that
-    // version (0: it must not exist).
+    // version (0: it must not exist). Versions come from sequence(), so they go on rising when an
+    // object is removed and written anew.
     write_result putObject(const std::string &name, const std::string &content,
                            std::optional<std::uint64_t> expected);
     write_result removeObject(const std::string &name, std::optional<std::uint64_t> expected);
--- a/libs/platform/records.h
+++ b/libs/platform/records.h
@@ -1,4 +1,5 @@
-// Data exchanged with the platform: rows, transactions, objects and outcomes.
+// Data exchanged with the platform, the service that keeps the table and the object store: rows,
+// transactions, objects and outcomes.
 #pragma once
 
 #include <cstdint>
@@ -35,7 +36,9 @@
 // Atomic: all writes are applied if all conditions hold, otherwise none is.
 struct table_transaction
 {
-    std::string operationId; // unique per transaction; writers store it in the rows
+    // Unique per transaction. Its author also stores it in rows that it writes, so that a later
+    // read tells whether a transaction with outcome Unknown was applied.
+    std::string operationId;
     std::vector<row_condition> conditions;
     std::vector<row_write> writes;
 };
@@ -43,15 +46,15 @@
 enum class write_outcome {
     Applied,  // took effect
     Conflict, // a condition did not hold; nothing changed
-    Refused,  // refused before execution (platform down or over budget); nothing changed
+    Refused,  // not executed (platform unreachable, down or over budget); nothing changed
     Unknown,  // sent without an answer: may or may not have taken effect
 };
 
 struct write_result
 {
     write_outcome outcome = write_outcome::Unknown;
-    std::uint64_t sequence = 0; // Applied: version of the written rows
-    std::string conflictKey;    // Conflict: first row whose condition failed
+    std::uint64_t sequence = 0; // Applied: version of the written rows or object
+    std::string conflictKey;    // Conflict: first row or object whose condition failed
 };
 
 // An object of the platform's object store.
--- a/libs/rpc/rpc.h
+++ b/libs/rpc/rpc.h
@@ -13,8 +13,9 @@
 
 namespace zinniabarrow {
 
-// A call that returned no result. `code` is a JSON-RPC code, or RpcRefused when the called method
-// threw; `kind` then names the error kind.
+// Thrown by rpcCall() when a call returns no result. `code` is RpcRefused if the called method
+// threw; `kind` then is the kind of its rpc_refusal, or "internal" for any other exception.
+// Otherwise `code` is RpcNoAnswer or a code of JSON-RPC or of libjsonrpccpp.
 class rpc_failure : public std::runtime_error
 {
 public:
@@ -31,8 +32,8 @@
     std::string m_kind;
 };
 
-constexpr int RpcRefused = -31000;  // the method refused the call
-constexpr int RpcNoAnswer = -32003; // no answer came: the call may have been executed
+constexpr int RpcRefused = -31000;  // the method threw an exception
+constexpr int RpcNoAnswer = -32003; // the transport threw: the call may have been executed
 
 // Dispatches calls to methods by name. Bind all methods first; handle() is then thread-safe.
 class rpc_server
@@ -48,7 +49,8 @@
     void bind(const std::string &name, method body);
 
     // Returns the answer to the request, both as JSON text. An invalid request is answered with a
-    // JSON-RPC error.
+    // JSON-RPC error. If the method throws a std::exception, the answer is an error with
+    // RpcRefused.
     std::string handle(const std::string &request) const;
 
 private:
@@ -56,7 +58,7 @@
     std::unique_ptr<impl> m_impl;
 };
 
-// Thrown by a method to refuse the call; `kind` names an error kind.
+// Thrown by a method to refuse the call with this kind, the name of an error_kind (base/errors.h).
 class rpc_refusal : public std::runtime_error
 {
 public:
@@ -70,7 +72,8 @@
     std::string m_kind;
 };
 
-// Sends the request text and returns the answer text. Throws std::runtime_error.
+// Sends the request text and returns the answer text. Throws std::runtime_error if no answer came,
+// also if the request was not sent; rpcCall() reports that as RpcNoAnswer.
 using rpc_transport = std::function<std::string(const std::string &request)>;
 
 // Calls the method `name` over `transport`. Throws rpc_failure.
--- a/libs/runtime/event_actor.h
+++ b/libs/runtime/event_actor.h
@@ -15,7 +15,8 @@
 
 namespace zinniabarrow {
 
-// Owns the CAF actor system. Must outlive every actor that was started on it.
+// Owns the CAF actor system, the parameter `system` below. Must outlive every actor that was
+// started on it.
 class actor_runtime
 {
 public:
@@ -32,8 +33,8 @@
 };
 
 // Work that an actor does without an event, and when. `nextTickAt` returns the earliest deadline,
-// or Never; it is called after each drain of the queue and after each tick. Every tick wakes two
-// threads, so an idle actor should have few.
+// or Never (base/time.h); it is called after each drain of the queue and after each tick. Every
+// tick wakes two threads, CAF's clock and the actor's, so an idle actor should have few.
 struct tick_schedule
 {
     std::function<time_point()> nextTickAt;
@@ -52,14 +53,16 @@
     actor_thread &operator=(const actor_thread &) = delete;
 
     void wake(); // thread-safe; calls before the next drain are merged into one
-    void stop(); // returns after the last drain; may be called twice
+    void stop(); // ends the thread and returns then; may be called twice
 
 private:
     struct impl;
     std::unique_ptr<impl> m_impl;
 };
 
-// An actor that handles events of one type in the order in which they were posted.
+// An actor that handles events of one type in the order in which they were posted. `capacity` is
+// the number of events that can wait. `handle` and `tick` run on the actor's thread and must not
+// throw: an exception ends the actor.
 template <typename Event>
 class event_actor
 {
@@ -81,7 +84,7 @@
     { }
 
     // Thread-safe. Returns false when the queue is full: the caller must refuse the work and count
-    // it.
+    // it. After stop(), events are still queued while there is room, but never handled.
     bool post(Event event)
     {
         if (!m_ring.push(std::move(event)))
@@ -91,6 +94,7 @@
     }
 
     void stop() { m_thread.stop(); }
+    // Events that wait to be handled.
     std::size_t queuedCount() const { return m_ring.size(); }
 
 private:
--- a/libs/runtime/http_connection.h
+++ b/libs/runtime/http_connection.h
@@ -24,7 +24,8 @@
     Writing, // the answer is being sent
 };
 
-// The connections that have a thread or were assigned one, by socket. Thread-safe.
+// The admitted connections by socket: each is served by a thread or queued for one that was
+// reserved for it. Thread-safe; the server (http.cpp) and the connection_streams call it.
 class connection_table
 {
 public:
@@ -34,9 +35,10 @@
     void remove(socket_t socket); // call before closing the socket: its number is reused
     void setPhase(socket_t socket, connection_phase phase); // also on progress in a phase
 
-    // Closes the connection that has stalled the longest, to free its thread; false when none has
-    // exceeded its grace period. Without this, a stalled client would hold its thread until its
-    // deadline.
+    // Closes the connection that has stalled the longest, to free its thread. Returns false when
+    // none has exceeded the grace period of its phase (gracePeriodOf() in http_connection.cpp). A
+    // connection in phase Serving is never closed here, since its request may be executing. Without
+    // this function, a stalled client would hold its thread until its deadline.
     bool closeLongestStalled(time_point now);
 
 private:
@@ -62,18 +64,22 @@
     connection_stream(socket_t socket, connection_table &connectionTable,
                       const http_server_limits &limits);
 
-    // Returns true when a request begins before the deadline. Calls `isStopping` once per
-    // CloseCheckInterval and stops waiting when it returns true.
+    // Waits until bytes of the next request arrive, `deadline` passes or `isStopping` returns true;
+    // it is called once per CloseCheckInterval. Returns whether the connection can be read then,
+    // also after the deadline or at a stop: bytes that have arrived are still read. If so, the
+    // phase becomes Reading and the read deadline starts.
     template <typename Closing>
     bool waitForRequest(time_point deadline, Closing isStopping);
     void markServing(); // call when the request is complete and its handler starts
     bool hasRequestTimedOut() const { return m_hasRequestTimedOut; }
     bool hasWriteTimedOut() const { return m_hasWriteTimedOut; }
 
-    bool is_readable() const override;                                      // NOLINT
-    bool is_writable() const override;                                      // NOLINT
-    ssize_t read(char *into, size_t size) override;                         //
-    ssize_t write(const char *from, size_t size) override;                  //
+    bool is_readable() const override; // NOLINT
+    bool is_writable() const override; // NOLINT
+    // Both return the number of bytes, or -1 at an error or when the deadline has passed. read()
+    // returns 0 when the peer has closed.
+    ssize_t read(char *into, size_t size) override;
+    ssize_t write(const char *from, size_t size) override;
     void get_remote_ip_and_port(std::string &ip, int &port) const override; // NOLINT
     void get_local_ip_and_port(std::string &ip, int &port) const override;  // NOLINT
     socket_t socket() const override { return m_socket; }
@@ -101,8 +107,9 @@
 template <typename Closing>
 bool connection_stream::waitForRequest(time_point deadline, Closing isStopping)
 {
-    // How soon an idle connection is closed at a shutdown. Every check wakes a thread: at 20 ms,
-    // the idle connections of an entry used more CPU time than all of its actors.
+    // The longest delay before an idle connection notices that the server stops. Every check wakes
+    // a thread: at 20 ms, the idle connections of an entry used more CPU time than all of its
+    // actors.
     constexpr milliseconds CloseCheckInterval{250};
     setPhase(connection_phase::Idle);
     while (m_bufferBegin == m_bufferEnd && !isStopping()) {
--- a/libs/runtime/receiver_threads.h
+++ b/libs/runtime/receiver_threads.h
@@ -1,5 +1,5 @@
-// A pool of threads that receive answers; a thread starts when it is first needed and is then
-// reused.
+// A pool of threads that receive the answers to http_pool::callStreaming(); a
+// thread starts when it is first needed and is then reused.
 #pragma once
 
 #include <condition_variable>
@@ -12,8 +12,8 @@
 namespace zinniabarrow {
 
 // Each thread runs one job at a time, and no job waits for a busy thread: there are as many threads
-// as there were simultaneous answers, which the server's connection limit bounds. run() is
-// thread-safe.
+// as there were simultaneous answers, which the connection limit of this process's server bounds.
+// run() is thread-safe.
 class receiver_threads
 {
 public:
@@ -23,7 +23,7 @@
     receiver_threads &operator=(const receiver_threads &) = delete;
 
     void run(std::function<void()> job);
-    void stop(); // waits until all jobs have finished
+    void stop(); // waits until all jobs have finished; don't call run() meanwhile or later
 
 private:
     void runJobs();
