--- a/app/outbound_calls.h
+++ b/app/outbound_calls.h
@@ -20,8 +20,9 @@
 
 namespace zinniabarrow {
 
-// Makes calls to the platform on one thread, in order. Claims, work and configuration have an
-// executor each, so that a slow scan of one does not delay a claim.
+// Makes calls to the platform on one thread, in order. An entry has one executor each for claims
+// (rows by which no request with an idempotency key is executed twice), tasks and the configuration
+// folder, so that a slow read of tasks or configuration does not delay a claim.
 class platform_executor
 {
 public:
@@ -30,7 +31,7 @@
     platform_executor(actor_runtime &system, const socket_address &platform, milliseconds timeout);
     ~platform_executor();
 
-    // Returns false when too many calls are queued; the call is then not made.
+    // Returns false when 4096 calls are queued; the call is then not made.
     bool enqueue(platform_call platformCall);
     void stop();
 
@@ -44,8 +45,8 @@
 class rpc_sender
 {
 public:
-    using answer_callback =
-            std::function<void(std::optional<Json::Value>)>; // empty if no result came
+    // Gets the result; nothing when no answer came or the answer was an error.
+    using answer_callback = std::function<void(std::optional<Json::Value>)>;
 
     rpc_sender(actor_runtime &system, milliseconds timeout, metrics &counters);
     ~rpc_sender();
@@ -55,6 +56,8 @@
     // then not called.
     bool call(const std::string &target, const std::string &method, const Json::Value &parameters,
               answer_callback onAnswer);
+    // Queued calls are still sent by the threads that are busy; a call that no thread takes is
+    // dropped without `onAnswer`.
     void stop();
 
 private:
--- a/app/owned_shard.h
+++ b/app/owned_shard.h
@@ -1,5 +1,6 @@
-// One shard that this entry owns. Keeps its task coordinator, which stores tasks in the table, and
-// its placer consistent with each other.
+// One shard that this entry owns. An entry is a process that takes callers' requests and schedules
+// tasks; a shard is the part of all tasks that one entry schedules at a time. The table is the
+// platform's store of rows.
 #pragma once
 
 #include <map>
@@ -26,9 +27,15 @@
     bool serving = true;      // false: the agent is leaving and takes no new tasks
 };
 
+// Keeps a shard's task coordinator, which stores the tasks in the table, and its placer, which
+// decides where they run, consistent with each other. The scheduling actor has one for each shard
+// that it owns, and calls it on its own thread only. Resources are in millicores, bytes and
+// accelerators.
 class owned_shard
 {
 public:
+    // `operationPrefix` starts the ids of all writes to the table; it must be unique for each
+    // tenure of a shard.
     owned_shard(const work::shard_tenure &tenure, const std::string &operationPrefix,
                 const work::coordinator_settings &coordinatorSettings,
                 const placement::placer_settings &placerSettings, std::size_t shardCount,
@@ -37,19 +44,26 @@
     int number() const { return m_tenure.shard; }
     std::uint64_t epoch() const { return m_tenure.epoch; }
 
-    // Applies one coordinator event. This and the next two functions return the actions that the
-    // caller must perform at the table and at the agents.
+    // handle(), reconcile() and plan() return the actions that the caller must perform at the table
+    // and at the agents.
+
+    // Applies one coordinator event. May be called before the coordinator has read the table.
     std::vector<work::coordinator_action> handle(const work::coordinator_event &event,
                                                  time_point now);
-    // Applies a newly adopted configuration to jobs, teams and pools, and the reported workers to
-    // the placer. Does nothing until the coordinator has read the table.
+    // Applies the reported workers to the placer, and a configuration that is newer than the last
+    // one to jobs, teams and pools of workers. `workers` is by worker id. Called at each tick; does
+    // nothing until the coordinator has read the table.
     std::vector<work::coordinator_action>
     reconcile(const adopted_configuration &adopted,
               const std::map<std::string, reported_worker> &workers, time_point now);
-    // Plans once: decides placements, evictions, throttles and backlogs.
+    // Plans once: decides placements, evictions, throttles and backlogs. A worker's backlog is
+    // the tasks that were placed on it before it has room for them. Called at the planning
+    // interval; does nothing until the coordinator has read the table.
     std::vector<work::coordinator_action> plan(time_point now);
 
     void usageSampled(const placement::usage_sample &sample, time_point now);
+    // `service` is the name in the configuration, not a job id. Ignored when `p99` is 0: there were
+    // no answers.
     void latencySampled(const std::string &worker, const std::string &service, microseconds p99,
                         time_point measuredAt, time_point now);
 
@@ -57,13 +71,16 @@
     {
         return m_coordinator.unresponsiveWorkers(now);
     }
+    // For operators: tasks by job and state, workers with their reservations, and refused tasks.
     Json::Value status(time_point now) const;
+    // For operators: why the task is refused, or what the placer says of it.
     std::string explain(const work::task_id &task, time_point now) const;
     bool containsTask(const work::task_id &task) const;
 
 private:
     void applyPlacement(const placement::place_action &action,
                         std::vector<work::coordinator_action> &actions, time_point now);
+    // Local quota: this shard's part of a team's quota.
     void updateLocalQuotas(std::vector<work::coordinator_action> &actions, time_point now);
     void resolveAdoptedBacklog(std::vector<work::coordinator_action> &actions, time_point now);
     void updateBacklogs(std::vector<work::coordinator_action> &actions, time_point now);
@@ -77,6 +94,7 @@
     void cancelRemovedJobs(const std::set<std::string> &wantedJobs,
                            std::vector<work::coordinator_action> &actions, time_point now);
     void reconcileWorkers(const std::map<std::string, reported_worker> &workers, time_point now);
+    // `generation` is the configuration's; a new job's id is "name@generation".
     std::string jobIdFor(const std::string &name, std::uint64_t generation) const;
     work::job_spec shardPartOf(work::job_spec job) const;
     work::cpu_limit_decided cpuLimitFor(const placement::throttle_action &action);
@@ -84,7 +102,7 @@
                                        const resources &reserved) const;
     void logTask(std::string_view event, const work::task_changed &change) const;
 
-    work::shard_tenure m_tenure;
+    work::shard_tenure m_tenure; // shard number, and the epoch of this ownership of it
     work::task_coordinator m_coordinator;
     work::quota_parts m_quotaParts;
     std::map<std::string, resources> m_teamLimits; // by team; only teams with a quota
@@ -96,15 +114,18 @@
     const logger &m_log;
 
     bool m_hasAdopted = false; // the placer has the tasks that the table held at takeover
-    // Backlog tasks that an earlier owner placed, with the time after which a task that no agent
-    // has reported is known not to have started.
+    // Backlog tasks that an earlier owner placed and may have let start. If no agent has reported
+    // the task by the given time, it has not started.
     std::map<work::task_id, time_point> m_adoptedBacklog;
-    std::uint64_t m_appliedGeneration = 0;   // of the configuration that was applied last
-    std::set<std::string> m_usableWorkers;   // workers that the placer may use
-    std::set<work::task_id> m_sizeOnlyTasks; // adopted without a configuration
-    std::map<work::task_id, std::uint32_t> m_seenFailures; // failed attempts at last requeue
-    std::map<std::string, std::string> m_refusalReasons;   // newest reason by task
-    std::map<std::string, microseconds> m_latencyTargets;  // by service job id
+    std::uint64_t m_appliedGeneration = 0; // of the configuration that was applied last
+    std::set<std::string> m_usableWorkers; // workers that the placer may use
+    // Tasks taken over from the table of which the placer knows the declared size at most, until a
+    // configuration describes them.
+    std::set<work::task_id> m_sizeOnlyTasks;
+    // Number of the task's failed attempts when it was last requeued.
+    std::map<work::task_id, std::uint32_t> m_seenFailures;
+    std::map<std::string, std::string> m_refusalReasons;  // newest reason by task
+    std::map<std::string, microseconds> m_latencyTargets; // by service job id
 };
 
 } // namespace zinniabarrow
--- a/app/request_actor.h
+++ b/app/request_actor.h
@@ -1,6 +1,7 @@
 // The entry's request handling: membership, routing, retry budgets and the lifecycle of callers'
 // requests. One thread makes all decisions; the HTTP threads of callers wait for them and forward
-// the requests.
+// the requests. An entry is a process that takes callers' requests; an upstream is the program that
+// answers them on an instance; the agent on that instance forwards them to it.
 #pragma once
 
 #include <condition_variable>
@@ -28,20 +29,23 @@
 
 namespace zinniabarrow {
 
-// Instructions of the actor to the HTTP thread that holds a caller's connection.
+// Instructions of the actor to the HTTP thread that holds a caller's connection: first
+// forward_step, which sends the request to an upstream.
 struct forward_step
 {
-    std::uint32_t attempt = 0;
-    request::route upstream;
-    time_point deadline;
+    std::uint32_t attempt = 0; // number of the attempt, counted from 1
+    request::route upstream;   // the chosen upstream and its agent's address
+    time_point deadline;       // the caller's
 };
+// Gives the caller its final answer.
 struct answer_step
 {
     delivery::caller_answer answer;
 };
 using call_step = std::variant<forward_step, answer_step>;
 
-// One caller's request and the instructions for the HTTP thread that waits for them.
+// One caller's request, and a queue of instructions that the actor fills and the caller's HTTP
+// thread waits for.
 class waiting_request
 {
 public:
@@ -64,22 +68,27 @@
 struct process_identity
 {
     std::string id;                // from the process's settings
-    std::uint64_t incarnation = 0; // higher after each start
+    std::uint64_t incarnation = 0; // wall clock at its start, ms; higher after each start
 
     std::string fullId() const { return id + "@" + std::to_string(incarnation); }
 };
 
-// Other processes, as the request handling knows them; passed to scheduling and configuration.
+// The processes that the request handling knows; passed to scheduling and configuration.
 struct members_snapshot
 {
-    std::vector<request::announcement> agents;         // all known ones, including silent ones
-    std::vector<std::string> liveEntries;              // ids, including this entry's
-    std::map<std::string, std::string> entryAddresses; // rpc address by id, of known peers
+    std::vector<request::announcement> agents; // all known ones, including silent ones
+    std::vector<std::string> liveEntries;      // ids without incarnation, including this entry's
+    std::map<std::string, std::string> entryAddresses; // rpc address (ip:port) by id; other entries
 };
 
+// Decides on its own thread which processes are alive, where requests go and whether they are
+// retried. HTTP threads of the entry call it.
 class request_actor
 {
 public:
+    // `claimsPlatform` makes the calls on claims: rows of the platform's store, written before a
+    // non-idempotent request with an idempotency key is forwarded, so that it isn't executed twice.
+    // `generationReport` gives the generation of the configuration that is in force in this entry.
     request_actor(actor_runtime &system, const config::entry_settings &settings,
                   const process_identity &self, platform_executor &claimsPlatform,
                   rpc_sender &sender, metrics &counters, const logger &log,
@@ -91,13 +100,19 @@
     http_response serve(const http_request &request);
 
     // JSON-RPC methods: run on an HTTP thread and block until the actor has answered.
+
+    // An agent tells its state: everything in member "whole", or a short heartbeat in "beat".
     Json::Value announce(const Json::Value &parameters);
+    // Another entry tells what it knows of agents, in member "digest".
     Json::Value digest(const Json::Value &parameters);
+    // For operators: requests in flight, peers, refusals by reason, upstreams.
     Json::Value status();
 
+    // Begins the drain and returns; isDrained() tells when no request is in flight and the records
+    // of claims are stored or given up. The entry calls drain(), waits, and calls stop().
     void drain();
     bool isDrained() const { return m_isDrained; }
-    void stop();
+    void stop(); // ends the threads
 
 private:
     struct request_arrival
@@ -107,8 +122,8 @@
     };
     struct attempt_result
     {
-        delivery::attempt_ended event;
-        request::attempt_ended routing;
+        delivery::attempt_ended event;  // for the request flow
+        request::attempt_ended routing; // for the router
     };
     struct announce_received
     {
@@ -122,7 +137,7 @@
     };
     struct digest_answered
     {
-        std::string peer;
+        std::string peer; // ip:port that the digest was sent to
         std::optional<Json::Value> ack;
     };
     struct status_requested
@@ -134,6 +149,7 @@
                                digest_received, digest_answered, status_requested,
                                delivery::flow_drain_started>;
 
+    // Another entry, from the settings.
     struct peer_entry
     {
         std::string address;           // ip:port
@@ -170,8 +186,8 @@
     void perform(const delivery::cancel_attempt &action, time_point now);
     void perform(const delivery::answer_caller &action, time_point now);
     void perform(const delivery::commit_claims &action, time_point now);
-    void perform(const delivery::read_claims &action, time_point now);
-    void perform(const delivery::scan_claims &action, time_point now);
+    void perform(const delivery::read_claims &action, time_point now); // by keys
+    void perform(const delivery::scan_claims &action, time_point now); // by a prefix of keys
     void perform(const delivery::increment_counter &action, time_point now);
     void perform(const delivery::flow_drained &action, time_point now);
     void readClaims(const std::string &readId, std::vector<std::string> keys,
@@ -180,6 +196,7 @@
                                 time_point now);
     void sendDigests(time_point now);
     void publishMembers(time_point now);
+    // Takes one retry from the budget of m_retryService; false when that is not allowed.
     bool consumeRetryBudget(error_kind kind);
     bool isEntryAlive(const std::string &entryFullId) const;
 
@@ -191,7 +208,7 @@
     const logger &m_log;
     forwarder m_forwarder; // used on HTTP threads
     std::function<void(members_snapshot)> m_onMembersChanged;
-    std::function<Json::Value()> m_generationReport; // this entry's report, sent with every digest
+    std::function<Json::Value()> m_generationReport; // sent with every digest
     std::atomic<std::uint64_t> m_nextRequest{0};
     std::atomic<bool> m_isDrained{false};
 
@@ -210,7 +227,8 @@
     time_point m_nextMaintenanceAt{};
 
     std::unique_ptr<event_actor<event>> m_actor; // after the members above, which its thread uses
-    receiver_threads m_receiverThreads;          // last: its threads post to m_actor
+    // Receive streamed answers of upstreams. Last member: its threads post to m_actor.
+    receiver_threads m_receiverThreads;
 };
 
 } // namespace zinniabarrow
--- a/bench/membership_mesh.h
+++ b/bench/membership_mesh.h
@@ -1,4 +1,5 @@
 // Simulates agents and entries that exchange their real messages in virtual time, and counts bytes.
+// Each agent has one upstream, to which entries route requests.
 //
 //   mesh_settings   sizes and delays
 //   mesh            advances in steps; nodes can be disconnected, stopped and restarted
@@ -26,13 +27,15 @@
     int agents = 11;
     int entries = 3;
     milliseconds step{100};     // a message is delivered one step after it was sent
-    int packetHeaderBytes = 28; // per datagram
+    int packetHeaderBytes = 28; // added to the size of each message
     double lossFraction = 0;    // fraction of messages that are lost, 0 to 1
     std::uint64_t seed = 1;     // of the random message loss
     announcer_settings announcerSettings;
     membership_settings membershipSettings;
 };
 
+// Runs the real announcers of agents and the real membership of entries. A node is an agent or an
+// entry; its name is agentName() or entryName().
 class mesh
 {
 public:
@@ -42,6 +45,7 @@
     time_point now() const { return m_now; }
 
     static std::string agentName(int index) { return "agent-" + std::to_string(index); }
+    // An entry is identified by its address.
     static std::string entryName(int index) { return "10.0.9." + std::to_string(index) + ":7000"; }
 
     membership &entry(int index) { return *m_entries.at(entryName(index)).membershipState; }
@@ -49,7 +53,7 @@
     const std::vector<std::string> &entryNames() const { return m_entryNames; }
     // Whether the entry may route to the agent's upstream.
     bool canRoute(int entryIndex, int agentIndex) const;
-    int countRoutableAt(int entryIndex) const; // upstreams that the entry may route to
+    int countRoutableAt(int entryIndex) const; // agents whose upstream the entry may route to
     int countEntriesRoutingTo(int agentIndex) const;
 
     // Drops all messages between two nodes, in both directions.
@@ -59,7 +63,7 @@
     void stopAgent(int index);
     void startAgent(int index); // as a new process with a newer incarnation
     void stopEntry(int index);
-    void startEntry(int index);
+    void startEntry(int index); // likewise; it knows no agents yet
 
     struct traffic
     {
@@ -91,7 +95,7 @@
     mesh_settings m_settings;
     random_generator m_random;
     time_point m_now{seconds(1000)};
-    std::uint64_t m_incarnation = 1764716400000;
+    std::uint64_t m_incarnation = 1764716400000; // as many digits as a Unix time in ms
     std::map<std::string, std::unique_ptr<announcer>> m_agents;
     std::map<std::string, entry_node> m_entries;
     std::vector<std::string> m_entryNames;
--- a/bench/routing_scenario.h
+++ b/bench/routing_scenario.h
@@ -9,6 +9,8 @@
 // that every policy gets the same sequence. Callers send to the entries of all zones in turn. An
 // entry chooses an upstream from what it knows: its own attempts, loads reported with answers, and
 // periodic load announcements.
+//
+// An entry takes requests of callers and forwards them to upstreams, which execute them.
 #pragma once
 
 #include <cstdint>
@@ -29,8 +31,8 @@
     std::uint64_t seed = 1;
     seconds runTime{20};
     std::vector<int> upstreamsByZone{5, 4, 2};
-    int entriesByZone = 1;
-    int slots = 8;                   // of each upstream
+    int entriesByZone = 1;           // number of entries in each zone
+    int slots = 8;                   // requests that each upstream executes at the same time
     milliseconds serviceTime{20};    // mean, exponential
     double slowFactor = 3.0;         // of the first upstream of the first zone, which is slow
     milliseconds timeout{400};       // of the callers, from sending the request
@@ -39,20 +41,23 @@
     microseconds localDelay{100};    // one way within a zone
     milliseconds reportPeriod{1000}; // between announcements of load
     bool doAnswersCarryLoad = true;
+    // Requests per slot above which an entry considers upstreams in other zones.
     double spillThreshold = router_settings{}.spillAboveLoad;
+    // Requests that may wait in the queue of each upstream.
     int queueLimit = admission_settings{}.queueLimit;
+    // Longest pause of an entry after an upstream refused a request because of its load.
     milliseconds refusalBackoff = router_settings{}.maxBackoff;
     bool areAllUnreachable = false; // every upstream refuses the connection
     bool isLastUnreachable = false; // the last upstream refuses the connection
     bool isLastHanging = false;     // the last upstream accepts requests and never answers
-    double retryFraction = 0.1;
+    double retryFraction = 0.1;     // retries per request that the retry budget allows
 };
 
 struct scenario_result
 {
     std::uint64_t requests = 0;
-    std::uint64_t onTime = 0;   // answered before the caller's deadline
-    std::uint64_t lost = 0;     // requests without an answer by the deadline
+    std::uint64_t onTime = 0;   // answered by the caller's deadline; refusals are not answers
+    std::uint64_t lost = 0;     // sent to the hanging upstream and never answered; not in late
     std::uint64_t late = 0;     // answered after the deadline
     std::uint64_t attempts = 0; // sent to upstreams
     std::uint64_t retries = 0;
@@ -61,7 +66,8 @@
     std::vector<std::int64_t> latencies; // microseconds, of onTime answers, sorted
 
     std::uint64_t totalRefused() const;
-    milliseconds latencyPercentile(double fraction) const; // of onTime answers, rounded up
+    // Of onTime answers, rounded up; `fraction` is 0.99 for the p99.
+    milliseconds latencyPercentile(double fraction) const;
     double goodput() const { return double(onTime) / double(requests); }
 };
 
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -1,5 +1,6 @@
 // A complete system (platform, workers, upstreams, entries, agents) as separate processes on
-// loopback, for the demo and the process tests.
+// loopback, for the demo and the process tests. The platform, the workers and the upstreams are
+// stand-ins, that is, programs of this project that behave like the real ones.
 #pragma once
 
 #include <map>
@@ -32,8 +33,10 @@
     void signal(int number) const;
     std::size_t peakMemoryBytes() const; // peak resident size since its start
     pid_t processId() const { return m_pid; }
-    bool isRunning();                      // also reaps the process when it has exited
-    int waitForExit(milliseconds timeout); // exit code, 128 + signal; -1 on timeout
+    bool isRunning(); // also reaps the process when it has exited
+    // Returns the exit code, 128 + the number of the signal that ended the process, or -1 on
+    // timeout.
+    int waitForExit(milliseconds timeout);
     const std::string &outFile() const { return m_outFile; }
     const std::string &errorFile() const { return m_errorFile; }
 
@@ -52,6 +55,7 @@
     std::string output;
     std::string errors;
 };
+// On timeout the command is killed and the exit code is -1.
 command_result runCommand(const std::vector<std::string> &command, const std::string &scratchFolder,
                           milliseconds timeout = seconds(20));
 
@@ -63,6 +67,7 @@
     auto operator<=>(const link_ends &) const = default;
 };
 
+// Number, places, sizes and settings of the processes of a fleet.
 struct fleet_options
 {
     std::string binaries; // folder with the built programs
@@ -74,7 +79,8 @@
     std::int64_t millicores = 16'000;    // of each worker
     std::int64_t bytes = 60'000'000'000; // of each worker
     int upstreamWorkMs = 5;              // service time of one request at the upstream, ms
-    bool hasInterference = false; // tasks slow their instance's upstream (worker's fault "noise")
+    // Tasks slow the upstream of their worker, as its fault "noise" says.
+    bool hasInterference = false;
     Json::Value entrySettings{Json::objectValue}; // merged over the defaults
     Json::Value agentSettings{Json::objectValue}; // merged over the defaults
     // An agent announces one address, so all entries share the link to it: {"entries", "agent-2"}.
@@ -102,6 +108,7 @@
     std::unique_ptr<child_process> startDuplicateAgent(unsigned index) const;
     void waitForEntry(unsigned index); // until it is ready; on timeout throws with its log
 
+    // The processes; empty before the start. A test resets a pointer to kill the process.
     std::unique_ptr<child_process> &platform() { return m_platform; }
     std::unique_ptr<child_process> &worker(unsigned index) { return m_workers.at(index); }
     std::unique_ptr<child_process> &upstream(unsigned index) { return m_upstreams.at(index); }
@@ -115,6 +122,7 @@
     std::string entryRpcAddress(unsigned index) const; // for other processes and operators
     std::string agentAddress(unsigned index) const;
 
+    // A link of fleet_options::links. Throws std::out_of_range when it isn't one of these.
     link &linkBetween(const std::string &from, const std::string &to);
 
     const fleet_options &options() const { return m_options; }
@@ -131,7 +139,7 @@
     // Calls an entry's RPC interface as an operator does.
     Json::Value rpc(unsigned entryIndex, const std::string &method, const Json::Value &parameters);
 
-    // All trace lines that the stand-in workers have written.
+    // All lines that the stand-in workers have written to their trace files, one JSON object each.
     std::vector<Json::Value> workerTrace() const;
 
 private:
--- a/standins/link.h
+++ b/standins/link.h
@@ -11,6 +11,7 @@
 
 namespace zinniabarrow::standins {
 
+// What a link does to the traffic.
 enum class link_state {
     Passing,
     Slow,           // each chunk is delayed
@@ -72,8 +73,9 @@
     std::atomic<milliseconds::rep> m_delayMs{0};
     std::atomic<unsigned> m_acceptedConnections{0};
     std::atomic<bool> m_isStopping{false};
-    int m_listener = -1;                   // used by the relay thread only, like m_connections
-    std::vector<connection> m_connections; //
+    // Both are used by the relay thread only.
+    int m_listener = -1;
+    std::vector<connection> m_connections;
     std::thread m_relayThread;
 };
 
--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -1,6 +1,13 @@
 // A small cluster of entries, agents, workers and a store, simulated as a sequence of events on a
-// virtual clock without a network. job_controller and run_table are the production classes;
-// everything else is simulated.
+// virtual clock without a network. job_controller, worker_pool and run_table are the production
+// classes; everything else is simulated.
+//
+// An entry owns jobs, stores each as a row, and orders agents to start and stop their tasks. The
+// agent of each worker starts runs there; a run is one execution of a task. The agent holds a
+// lease in the store, under which the runs go on. The epoch of a worker is a number that rises when
+// its lease has expired or it has rebooted: what was placed in an earlier epoch has ended. The
+// fence is the number of the agent's incarnation, by which the worker refuses calls of an earlier
+// one.
 #pragma once
 
 #include <algorithm>
@@ -25,20 +32,23 @@
 
 // What a delay or a loss is drawn for.
 enum class delivery_kind {
-    Order,
+    Order, // of an entry to an agent, to start or stop a run
     OrderAnswer,
-    Report,
+    Report, // of an agent to an entry: its state, and starts and ends of runs
     ReportAnswer,
-    Start,
+    Start, // call of an agent to its worker
     StartAnswer,
-    Stop,
-    Poll,
-    Write,
+    Stop,  // call of an agent to its worker
+    Poll,  // answer of a worker to its agent, with its runs
+    Write, // of a row, by an entry to the store
     WriteAnswer,
-    Feed,
-    Thaw, // an event held while its process was frozen: after a thaw they run in any order
+    Feed, // change of a row, or in the basic model of an epoch, from the store to an entry
+    // Complete model only: event that came while its process was frozen. Each has its own delay
+    // after the freeze, so these events run in any order.
+    Thaw,
 };
 
+// Delay and loss of one message.
 struct delivery
 {
     milliseconds delay{2};
@@ -59,11 +69,13 @@
     std::shared_ptr<const jobs::job_record> record;
 };
 
-// Which part of the protocol is simulated. Basic: entries are sent each new epoch, and never answer
-// that they don't own a job. Complete, as in the daemons: entries read the leases of silent
-// workers, and answer each reported end, also that they don't own its job.
+// Which part of the protocol is simulated. Basic: the simulation tells entries each new epoch. An
+// entry that doesn't own the job of a reported end gives no answer, except that it acknowledges the
+// end when the job is finished. Complete, as in the daemons: entries read the leases of workers
+// that don't report, and answer also that they don't own the job.
 enum class model_kind { Basic, Complete };
 
+// An entry process: its state, and the faults that it has.
 struct simulated_entry
 {
     std::string name;
@@ -84,22 +96,25 @@
     milliseconds freezeDuration{};
 };
 
+// The agent process of one worker: its state, and the faults that it has.
 struct simulated_agent
 {
     std::string name; // same as its worker's
     bool isAlive = false;
-    int startNumber = 0;
+    int startNumber = 0; // starts of the process so far
     time_point frozenUntil{};
     bool isLeaving = false;         // its worker drains and reports itself as unavailable
     int knownBootNumber = 1;        // of the worker, as last seen by the agent
     bool isEpochEndPending = false; // worker rebooted; the end of its epoch isn't stored yet
+    // Number of its incarnation. Rises when the process starts, when its worker reboots, and when
+    // its lease was lost.
     std::int64_t fence = 0;
     std::int64_t leaseEpoch = 0; // epoch of the lease that it holds; 0: none
     time_point leaseUntil{};
-    bool isFenceAcknowledged = false; // by the worker: a listing was received under it
+    bool isFenceAcknowledged = false; // the worker has answered a poll that carried the fence
     time_point cutOffUntil{};         // from entries only
     time_point storeCutOffUntil{};    // from the store only
-    jobs::task_size capacity{16'000, 64'000, 0};
+    jobs::task_size capacity{16'000, 64'000, 0}; // millicores, MB, accelerators
     jobs::run_table table;
 };
 
@@ -111,6 +126,8 @@
     bool isEpochEnded = false;
 };
 
+// Tests let time pass with run() and runUntil(), cause faults and look at the state. A process that
+// was killed stays down until the test starts it or calls clearFaults().
 class cluster_simulation
 {
 public:
@@ -143,10 +160,14 @@
 
     // Called for each order that is sent. Returns its delay, or nothing to draw it as usual.
     std::function<std::optional<milliseconds>(const jobs::send_order &)> delayOrder;
+    // Called when an entry has written the row of a job to the store: entry, job id, record.
     std::function<void(simulated_entry &, const std::string &, const jobs::job_record &)>
             onRowStored;
+    // Called when an agent has handled an order.
     std::function<void(const jobs::send_order &, const jobs::order_answer &)> onOrderHandled;
 
+    // Submits a job to the first entry that is reachable and not shutting down; does nothing when
+    // there is none.
     void submit(const std::string &id, const jobs::job_spec &spec)
     {
         for (auto &entry : m_entries) {
@@ -331,7 +352,8 @@
         m_now = until;
     }
 
-    // Returns false if the condition didn't hold within `limit`.
+    // Runs until the condition holds; returns false if it didn't within `limit`. The clock stays at
+    // the last event.
     bool runUntil(const std::function<bool()> &condition, milliseconds limit)
     {
         const auto until = m_now + limit;
@@ -387,7 +409,7 @@
     static constexpr milliseconds LateStartThreshold{100}; // delay from which a start is late
     static constexpr milliseconds MaxStartDelay{1500};
     static constexpr milliseconds LeaseDuration{5000};
-    static constexpr milliseconds LeaseMargin{600}; // clocks are at most 2% slow
+    static constexpr milliseconds LeaseMargin{600}; // covers clocks that are at most 2% slow
     static constexpr milliseconds WriteRetryDelay{300};
     static constexpr milliseconds HeartbeatTimeout{1600};
     static constexpr milliseconds ShutdownTimeout{3000};
@@ -557,6 +579,7 @@
         return canSeeState && (other->isLeaving || other->incarnation != owner.incarnation);
     }
 
+    // Whether the entry adopts jobs: it is the first of those that it hears and that don't leave.
     bool isSuccessor(const simulated_entry &entry)
     {
         for (const auto &other : m_entries) {
@@ -738,8 +761,8 @@
         planAndExecute(entry);
     }
 
-    // Ends the epoch of each worker whose lease has expired by every clock. The basic model
-    // announces the new epoch to the entries.
+    // Ends the epoch of each worker whose lease has expired by LeaseMargin, hence also on a slow
+    // clock. The basic model announces the new epoch to the entries.
     void expireLeases()
     {
         schedule(milliseconds(200), [this] {
@@ -877,6 +900,8 @@
                                           : -ClockSpacingMs / (agent.startNumber + 2);
     }
 
+    // Converts the start deadline from the clock that the agent reports to the simulation's clock,
+    // on which the agent's run_table works.
     static jobs::run_order toAgentClock(const simulated_agent &agent, jobs::run_order order)
     {
         if (order.startDeadlineMs != 0)
@@ -884,7 +909,7 @@
         return order;
     }
 
-    // The table must know its incarnation before it handles anything.
+    // The agent's run_table must know the agent's incarnation before it handles anything.
     static void updateTableIncarnation(simulated_agent &agent)
     {
         agent.table.setAgentIncarnation(agent.fence);
@@ -925,7 +950,8 @@
     }
 
     // Ends the stored epoch after a reboot of the worker. Returns false while that must wait: until
-    // the fence is acknowledged, and until runs that earlier orders started after the reboot ended.
+    // the fence is acknowledged, and until no run is active that an order from before the reboot
+    // started after it.
     bool tryEndEpoch(simulated_agent &agent, simulated_lease &lease)
     {
         if (!agent.isFenceAcknowledged)
@@ -1200,7 +1226,8 @@
         });
     }
 
-    // Delivers one part of an entry's answer to a report to the start of the agent that sent it.
+    // Delivers one part of an entry's answer to a report. Dropped if the agent process that sent
+    // the report has ended.
     void sendReportAnswer(const simulated_entry &entry, simulated_agent &agent, int startNumber,
                           std::function<void()> handler)
     {
--- a/tests/order_search.h
+++ b/tests/order_search.h
@@ -1,6 +1,7 @@
-// A seeded order of events in the simulated cluster: faults, delays and losses are drawn from the
-// seed, and the rule against duplicate work is checked at each start. A search for stalled tasks
-// adds long-running tasks and more kinds of faults, and ends all faults before it checks.
+// A seeded sequence of events in the simulated cluster: faults, delays and losses are drawn from
+// the seed. At each start of a run the rule against duplicate work is checked: no two runs of a
+// task at the same time, and no start of a task that is done. A search for stalled tasks adds
+// long-running tasks and more kinds of faults, and ends all faults before it checks for stalls.
 #pragma once
 
 #include <array>
@@ -18,6 +19,7 @@
 
 namespace zinniabarrow::tests {
 
+// Faults that a search causes at random.
 enum class fault {
     None,
     EntryKilled,
@@ -28,8 +30,8 @@
     AgentCutOff,
     AgentCutOffFromEntriesAndStore,
     StoreStopped,
-    StartsRejected,
-    StartRefused,
+    StartsRejected, // the worker answers all starts with 429 for a while
+    StartRefused,   // the worker answers its next start with 409
     CapacityReduced,
     // Only in a search for stalled tasks:
     AgentFrozen,
@@ -38,19 +40,22 @@
     WorkerDrained,
     WorkerRebooted,
 };
-constexpr std::size_t BasicFaultKindCount = 12;
-constexpr std::size_t FaultKindCount = 17;
+constexpr std::size_t BasicFaultKindCount = 12; // None to CapacityReduced
+constexpr std::size_t FaultKindCount = 17;      // all
 
+// What a search looks for.
 enum class search_kind { DuplicateRuns, StalledTasks };
 
+// What one search has seen.
 struct search_result
 {
     std::vector<std::string> violations;
-    std::vector<std::string> trace;
-    int startCount = 0;
+    std::vector<std::string> trace; // empty unless it was asked for
+    int startCount = 0;             // runs that have started
     std::size_t finishedJobCount = 0;
 };
 
+// Runs one seed. The same seed always gives the same sequence. Call run() once.
 class order_search
 {
 public:
@@ -119,7 +124,7 @@
         return spec;
     }
 
-    // Once the last freeze is over, long-running tasks must run within 10 s, and still 4 s later.
+    // Checks for stalls 10 s after the last freeze is over, and again 4 s later.
     void checkForStalls()
     {
         m_areFaultsOver = true;
@@ -192,13 +197,13 @@
         return spec;
     }
 
-    // How often, in per cent, a message is lost or slow, and how slow.
+    // The chance, in per cent, that a message is lost or slow, and how slow it is.
     struct delivery_odds
     {
         int lostPercent = 0;
         int slowPercent = 0;
         int maxSlowDelayMs = 0;
-        int longDelayPercent = 0; // of a delay of 1 to 6 s
+        int longDelayPercent = 0; // chance of a delay of 1 to 6 s
     };
 
     delivery_odds oddsOf(delivery_kind what) const
@@ -347,7 +352,8 @@
     bool m_areFaultsOver = false;
     time_point m_startTime{m_simulation.now()};
     std::array<int, FaultKindCount> m_weights{}; // drawn: each seed has its own mix of faults
-    bool m_delaysOrders = false; // by seconds: some arrive after the incarnation that they were for
+    // Delays some orders by seconds, so that some arrive after the agent's incarnation has ended.
+    bool m_delaysOrders = false;
 };
 
 } // namespace zinniabarrow::tests
--- a/tests/stall_checker.h
+++ b/tests/stall_checker.h
@@ -1,4 +1,6 @@
-// Checks the users' rule on stalled tasks in a simulated cluster after all faults have ended.
+// Checks the users' rule on stalled tasks in a simulated cluster after all faults have ended: each
+// long-running task of an unfinished job has run within the last 6 s, and some task of each
+// unfinished job within the last 3 s.
 #pragma once
 
 #include <map>
@@ -12,10 +14,12 @@
 
 namespace zinniabarrow::tests {
 
+// Keeps when each task and each job was last seen running.
 class stall_checker
 {
 public:
-    // Records which tasks run. Must be called often enough that no run is missed.
+    // Records which tasks run, after it has ended the runs that are due by now. Must be called
+    // often enough that no run is missed.
     void observe(cluster_simulation &simulation)
     {
         for (std::size_t workerIndex = 0; workerIndex < simulation.workerCount(); ++workerIndex) {
@@ -27,7 +31,8 @@
         }
     }
 
-    // Must be called only when faults ended longer ago than a task may stall.
+    // Adds violations of the rule. Must be called only when the last fault ended longer ago than a
+    // task may stall, which is 6 s.
     void check(const cluster_simulation &simulation)
     {
         for (const auto &[job, row] : simulation.rows()) {
@@ -41,8 +46,8 @@
     const std::vector<std::string> &violations() const { return m_violations; }
 
 private:
-    static constexpr milliseconds TaskStallLimit{6000}; // without a run of a long-running task
-    static constexpr milliseconds JobStallLimit{3000};  // without any run of an unfinished job
+    static constexpr milliseconds TaskStallLimit{6000}; // longest time that a task doesn't run
+    static constexpr milliseconds JobStallLimit{3000};  // longest time that no task of a job runs
 
     void checkTasks(const std::string &job, const jobs::job_record &record, time_point now)
     {
