--- a/libs/jobs/messages.h
+++ b/libs/jobs/messages.h
@@ -116,11 +116,13 @@
 // An agent's report on its worker. `ends` are repeated until they are acknowledged.
 struct worker_report
 {
-    std::string worker;                // name of the worker's machine
-    std::string address;               // of the agent
-    std::int64_t agentIncarnation = 0; // changes when the agent is restarted
-    std::int64_t epoch = 0;            // of the worker; 0: unknown yet
-    std::int64_t clockMs = 0;          // agent's clock, monotonic within an incarnation; 0: unknown
+    std::string worker;  // name of the worker's machine
+    std::string address; // of the agent
+    // The fence of its lease: changes when the agent or its worker is restarted, as the lease is
+    // then acquired anew.
+    std::int64_t agentIncarnation = 0;
+    std::int64_t epoch = 0;   // of the worker; 0: unknown yet
+    std::int64_t clockMs = 0; // agent's clock, monotonic within an incarnation; 0: unknown
     std::string service;
     std::string zone;
     std::string kind;
--- a/libs/net/answer_deadline.h
+++ b/libs/net/answer_deadline.h
@@ -9,9 +9,9 @@
 
 struct call_time_limits
 {
-    duration untilFirstByte; // from sending the request to the first byte of the answer
+    duration untilFirstByte; // from the start of the call, before it connects, to the first byte
     duration betweenParts;   // the longest pause between two parts of the answer
-    duration untilLastByte;  // from sending the request to the last byte of the answer
+    duration untilLastByte;  // from the start of the call to the last byte of the answer
 };
 
 // A large answer takes long on a slow link, which says nothing about the peer's health, so each
