--- a/standins/link.h
+++ b/standins/link.h
@@ -30,7 +30,8 @@
     link(const link &) = delete;
     link &operator=(const link &) = delete;
 
-    // Returns when the relay has applied the state. `delay` is used by Slow only.
+    // Returns when the relay has applied the state. `delay` is added to each relayed chunk in every
+    // state, and is meant for Slow.
     void setState(link_state state, milliseconds delay = milliseconds(0));
     std::string address() const { return toText(m_listen); }
     // Connections accepted since the link was created.
--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -121,9 +121,9 @@
 // The lease of a worker, as stored.
 struct simulated_lease
 {
-    std::int64_t epoch = 1;
+    std::int64_t epoch = 1; // already the next one when `isEpochEnded`
     time_point expiresAt{};
-    bool isEpochEnded = false;
+    bool isEpochEnded = false; // the previous epoch has ended, and `epoch` is not acquired yet
 };
 
 // Tests let time pass with run() and runUntil(), cause faults and look at the state. A process that
