--- a/app/configuration_follower.cpp
+++ b/app/configuration_follower.cpp
@@ -31,7 +31,7 @@
     m_follower.start();
 }
 
-void configuration_follower::noteNewerVersion(std::int64_t version)
+void configuration_follower::notePeerVersion(std::int64_t version)
 {
     m_tracker.noteVersionElsewhere(version, suspendAwareNow());
 }
--- a/app/configuration_follower.h
+++ b/app/configuration_follower.h
@@ -27,7 +27,7 @@
 
     void start();
     // Another entry uses this version.
-    void noteNewerVersion(std::int64_t version);
+    void notePeerVersion(std::int64_t version);
 
     const jobs::queue_table *queues() const; // null before a configuration was read
     std::int64_t version() const;            // 0 before a configuration was read
--- a/app/entry_pings.cpp
+++ b/app/entry_pings.cpp
@@ -46,7 +46,7 @@
     m_directory.recordHeartbeat(name, row.incarnation, boolMember(value, "leaving"),
                                 suspendAwareNow());
     if (value.isMember("configuration"))
-        m_configuration.noteNewerVersion(integerMember(value, "configuration"));
+        m_configuration.notePeerVersion(integerMember(value, "configuration"));
 }
 
 std::string entry_pings::handlePing(const std::string &ping)
--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -62,7 +62,7 @@
         , m_entriesFollower(m_loop, m_store, m_log, {EntriesTable},
                             [this](const auto &rows) { m_reportSender.updateEntries(rows); })
         , m_cancelsFollower(
-                  m_loop, m_store, m_log, {CancelsTable, jobParts(), CancelsBatchDelay},
+                  m_loop, m_store, m_log, {CancelsTable, jobPartitions(), CancelsBatchDelay},
                   [this](const auto &rows) { applyCancels(rows); },
                   [this] { m_areCancelsRead = true; })
         , m_shutdown(m_loop, ShutdownIntervals, ShutdownLimits, shutdownHooks())
@@ -224,12 +224,13 @@
             if (platform_wire::isOtherIncarnation(result))
                 return handleIncarnationEnd("other_life");
             const auto *failure = std::get_if<call_failure>(&result);
-            if (failure != nullptr && m_workerPresence.confirmsDeparture(*failure))
+            if (failure != nullptr && m_workerPresence.handlePollFailure(*failure))
                 handleDepartureConfirmed();
             checkSilence(now);
             return m_loop.runAfter(PollRetryDelay, [this] { pollWorker(); });
         }
-        const auto pollOutcome = m_workerPresence.handleAnswer(holdAnswer->workerStartMs, sentAt);
+        const auto pollOutcome =
+                m_workerPresence.handlePollAnswer(holdAnswer->workerStartMs, sentAt);
         if (pollOutcome == worker_presence::poll_result::NewIncarnation)
             return handleIncarnationEnd("born_anew");
         if (pollOutcome == worker_presence::poll_result::DepartureRefuted)
--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -63,7 +63,7 @@
         , m_entriesFollower(m_loop, m_store, m_log, {EntriesTable},
                             [this](const auto &rows) { updateEntries(rows); })
         , m_jobsFollower(
-                  m_loop, m_store, m_log, {JobsTable, jobParts(), JobsBatchDelay},
+                  m_loop, m_store, m_log, {JobsTable, jobPartitions(), JobsBatchDelay},
                   [this](const auto &rows) { applyJobRows(rows); }, [this] { handleAllJobsRead(); })
         , m_startedAt(suspendAwareNow())
         , m_directory(m_settings.id, m_startedAt)
--- a/app/job_requests.cpp
+++ b/app/job_requests.cpp
@@ -339,7 +339,7 @@
 
 void job_requests::readJob(const std::string &id, store_client::read_callback done)
 {
-    m_store.read(JobsTable, partOfJob(id), id, id + "\x01",
+    m_store.read(JobsTable, partitionOfJob(id), id, id + "\x01",
                  [this, done = std::move(done)](const std::optional<row_page> &page) {
                      if (page)
                          m_hooks.handleRows(page->rows);
--- a/app/job_requests.h
+++ b/app/job_requests.h
@@ -22,12 +22,13 @@
 
 namespace zinniabarrow {
 
-constexpr seconds RetrySoon{1}; // default Retry-After; a starting entry has read all jobs by then
+// A starting entry has read all jobs by then.
+constexpr seconds DefaultRetryAfter{1};
 
 std::int64_t wallClockMs(); // ms since 1970
 
 // An error response with its reason. 429 and 503 get a Retry-After header.
-http_response makeRefusal(int status, const char *reason, seconds retryAfter = RetrySoon);
+http_response makeRefusal(int status, const char *reason, seconds retryAfter = DefaultRetryAfter);
 
 // The parts of an entry that job_requests uses. All of them must outlive it.
 struct job_requests_dependencies
@@ -69,7 +70,8 @@
     void serveOwnedJob(const http_request &request, const std::string &id, net::responder respond);
 
     // As makeRefusal(), and counts the refusal in the metrics.
-    http_response countedRefusal(int status, const char *reason, seconds retryAfter = RetrySoon);
+    http_response countedRefusal(int status, const char *reason,
+                                 seconds retryAfter = DefaultRetryAfter);
 
 private:
     bool isLeaving() const;
--- a/app/job_tables.h
+++ b/app/job_tables.h
@@ -22,39 +22,39 @@
 
 // Number of parts (partitions) that jobs are spread over. A part runs its transactions one after
 // another, 200 per second; 16 parts together reach the limit of the store.
-constexpr unsigned JobPartCount = 16;
+constexpr unsigned JobPartitionCount = 16;
 
-inline std::string partName(unsigned number)
+inline std::string partitionName(unsigned number)
 {
     return fmt::format("p{:02}", number);
 }
 
-inline std::vector<std::string> jobParts()
+inline std::vector<std::string> jobPartitions()
 {
     std::vector<std::string> names;
-    for (unsigned number = 0; number < JobPartCount; ++number)
-        names.push_back(partName(number));
+    for (unsigned number = 0; number < JobPartitionCount; ++number)
+        names.push_back(partitionName(number));
     return names;
 }
 
-inline std::string partOfJob(const std::string &job)
+inline std::string partitionOfJob(const std::string &job)
 {
-    return partName(static_cast<unsigned>(stableHash(job) % JobPartCount));
+    return partitionName(static_cast<unsigned>(stableHash(job) % JobPartitionCount));
 }
 
 inline jobs::row_name jobRowName(const std::string &job)
 {
-    return {JobsTable, partOfJob(job), job};
+    return {JobsTable, partitionOfJob(job), job};
 }
 
 inline jobs::row_name payloadRowName(const std::string &job)
 {
-    return {PayloadsTable, partOfJob(job), job};
+    return {PayloadsTable, partitionOfJob(job), job};
 }
 
 inline jobs::row_name cancelRowName(const std::string &job)
 {
-    return {CancelsTable, partOfJob(job), job};
+    return {CancelsTable, partitionOfJob(job), job};
 }
 
 // The row that tells agents that the job is cancelled. Its key identifies the job; its value is
--- a/app/job_takeover.cpp
+++ b/app/job_takeover.cpp
@@ -44,7 +44,7 @@
 void job_takeover::adopt(const std::string &id)
 {
     m_adoptionsInProgress.insert(id);
-    m_store.read(PayloadsTable, partOfJob(id), id, id + "\x01",
+    m_store.read(PayloadsTable, partitionOfJob(id), id, id + "\x01",
                  [this, id](const std::optional<row_page> &page) {
                      m_adoptionsInProgress.erase(id);
                      const auto *known = m_view.find(id);
--- a/app/table_follower.cpp
+++ b/app/table_follower.cpp
@@ -29,9 +29,9 @@
 void table_follower::start()
 {
     auto readState = std::make_shared<all_parts_read>();
-    readState->pendingParts = m_followed.parts.size();
+    readState->pendingParts = m_followed.partitions.size();
     readState->requestedAt = net::suspendAwareNow();
-    for (const auto &part : m_followed.parts) {
+    for (const auto &part : m_followed.partitions) {
         m_store.readAll(m_followed.table, part,
                         [this, readState](const std::optional<jobs::row_page> &page) {
                             handlePart(*readState, page);
--- a/app/table_follower.h
+++ b/app/table_follower.h
@@ -21,7 +21,7 @@
 struct followed_table
 {
     std::string table;
-    std::vector<std::string> parts{""}; // all parts of the table
+    std::vector<std::string> partitions{""}; // all parts of the table
     // Pause after each answer with changes, so that the next answer contains many of them.
     milliseconds batchDelay{0};
 };
--- a/app/worker_presence.cpp
+++ b/app/worker_presence.cpp
@@ -54,7 +54,8 @@
     return true;
 }
 
-worker_presence::poll_result worker_presence::handleAnswer(std::int64_t bornMs, time_point sentAt)
+worker_presence::poll_result worker_presence::handlePollAnswer(std::int64_t bornMs,
+                                                               time_point sentAt)
 {
     const bool isNewIncarnation = m_bornMs != 0 && bornMs != 0 && bornMs != m_bornMs;
     if (bornMs != 0)
@@ -82,7 +83,7 @@
     m_isDeparting = false;
 }
 
-bool worker_presence::confirmsDeparture(call_failure failure)
+bool worker_presence::handlePollFailure(call_failure failure)
 {
     // A connection attempt that only timed out may be a network problem, and the worker may still
     // run.
--- a/app/worker_presence.h
+++ b/app/worker_presence.h
@@ -26,10 +26,10 @@
     enum class poll_result { SameIncarnation, DepartureRefuted, NewIncarnation };
     // A poll sent at `sentAt` was answered. `bornMs`: start time of the worker's incarnation, which
     // identifies it; 0: not given.
-    poll_result handleAnswer(std::int64_t bornMs, time_point sentAt);
+    poll_result handlePollAnswer(std::int64_t bornMs, time_point sentAt);
     // A poll has failed. True if that proves that a worker that announced its end is gone, and with
     // it all its runs.
-    bool confirmsDeparture(call_failure failure);
+    bool handlePollFailure(call_failure failure);
 
     const std::string &id() const { return m_id; } // empty before the first announcement
     bool isIncarnationKnown() const { return m_bornMs != 0; }
--- a/tests/worker_presence_test.cpp
+++ b/tests/worker_presence_test.cpp
@@ -32,7 +32,7 @@
     running_worker()
     {
         worker.handleAnnouncement(announcementWith(1));
-        worker.handleAnswer(BornMs, now);
+        worker.handlePollAnswer(BornMs, now);
     }
 };
 
@@ -74,16 +74,16 @@
     section("a late connection or answer proves nothing about the worker", [&] {
         for (const auto failure : {call_failure::NotConnected, call_failure::TimedOut,
                                    call_failure::IncompleteAnswer, call_failure::TooLarge})
-            check(!current.worker.confirmsDeparture(failure));
+            check(!current.worker.handlePollFailure(failure));
         check(current.worker.isGoingAway());
     });
     section("a refused connection proves once that the worker is gone", [&] {
-        check(current.worker.confirmsDeparture(call_failure::ConnectionRefused));
-        check(!current.worker.confirmsDeparture(call_failure::ConnectionRefused));
+        check(current.worker.handlePollFailure(call_failure::ConnectionRefused));
+        check(!current.worker.handlePollFailure(call_failure::ConnectionRefused));
     });
     section("without a departure message the worker may be back soon", [&] {
         running_worker other;
-        check(!other.worker.confirmsDeparture(call_failure::ConnectionRefused));
+        check(!other.worker.handlePollFailure(call_failure::ConnectionRefused));
     });
 }
 
@@ -102,17 +102,17 @@
     });
     section("an answer right after it proves nothing, a later one shows that the worker stays",
             [&] {
-                check(current.worker.handleAnswer(BornMs, current.now + milliseconds(499))
+                check(current.worker.handlePollAnswer(BornMs, current.now + milliseconds(499))
                       == look::SameIncarnation);
                 check(!current.worker.isPresent());
-                check(current.worker.handleAnswer(BornMs, current.now + milliseconds(500))
+                check(current.worker.handlePollAnswer(BornMs, current.now + milliseconds(500))
                       == look::DepartureRefuted);
                 check(current.worker.isPresent());
                 check(!current.worker.isGoingAway());
             });
     section("an answer of another incarnation is reported as such", [&] {
-        check(current.worker.handleAnswer(BornMs + 5, current.now) == look::NewIncarnation);
-        check(current.worker.handleAnswer(BornMs + 5, current.now) == look::SameIncarnation);
+        check(current.worker.handlePollAnswer(BornMs + 5, current.now) == look::NewIncarnation);
+        check(current.worker.handlePollAnswer(BornMs + 5, current.now) == look::SameIncarnation);
     });
 }
 
@@ -127,7 +127,7 @@
     section("an announcement that the new incarnation is draining is applied", [] {
         running_worker crashed;
         check(crashed.worker.handleAnnouncement(announcementWith(40)) == news::None);
-        check(crashed.worker.handleAnswer(BornMs + 5, crashed.now) == look::NewIncarnation);
+        check(crashed.worker.handlePollAnswer(BornMs + 5, crashed.now) == look::NewIncarnation);
         auto nextAnnouncement = announcementWith(12, BornMs + 5);
         nextAnnouncement.isDraining = true;
         check(crashed.worker.handleAnnouncement(nextAnnouncement) == news::ReadinessChanged);
@@ -137,8 +137,8 @@
         auto worker = current.worker;
         worker.handleAnnouncement(draining);
         require(worker.handleDeparture("worker", current.now));
-        require(worker.confirmsDeparture(call_failure::ConnectionRefused));
-        check(worker.handleAnswer(BornMs + 5, current.now + milliseconds(2000))
+        require(worker.handlePollFailure(call_failure::ConnectionRefused));
+        check(worker.handlePollAnswer(BornMs + 5, current.now + milliseconds(2000))
               == look::NewIncarnation);
         worker.handleAnnouncement(announcementWith(1, BornMs + 5));
         check(worker.isPresent());
@@ -148,10 +148,10 @@
         auto worker = current.worker;
         worker.handleAnnouncement(draining);
         require(worker.handleDeparture("worker", current.now));
-        check(worker.handleAnswer(BornMs + 5, current.now + milliseconds(100))
+        check(worker.handlePollAnswer(BornMs + 5, current.now + milliseconds(100))
               == look::NewIncarnation);
         worker.handleAnnouncement(announcementWith(1, BornMs + 5));
-        worker.handleAnswer(BornMs + 5, current.now + milliseconds(600));
+        worker.handlePollAnswer(BornMs + 5, current.now + milliseconds(600));
         worker.handleAnnouncement(announcementWith(2, BornMs + 5));
         check(worker.isPresent());
         check(!worker.isLeaving());
