--- a/app/configuration_follower.cpp
+++ b/app/configuration_follower.cpp
@@ -33,7 +33,7 @@
 
 void configuration_follower::notePeerVersion(std::int64_t version)
 {
-    m_tracker.noteVersionElsewhere(version, suspendAwareNow());
+    m_tracker.recordOtherEntryVersion(version, suspendAwareNow());
 }
 
 const queue_table *configuration_follower::queues() const
@@ -66,12 +66,12 @@
     const auto now = suspendAwareNow();
     if (answer.bytes > configuration_tracker::MaxEmptyAnswerBytes)
         m_answerBegunAt = now;
-    m_tracker.noteAnswerStarted(answer.bytes, now);
+    m_tracker.recordAnswerStart(answer.bytes, now);
 }
 
 void configuration_follower::handleProgress(const all_changes_applied &changes)
 {
-    m_tracker.noteAnswerRead(changes.requestedAt);
+    m_tracker.recordAnswerRead(changes.requestedAt);
 }
 
 void configuration_follower::handleAllRead()
@@ -127,7 +127,7 @@
         if (m_queues && next.version() <= m_queues->version())
             return true;
         m_queues.emplace(std::move(next));
-        m_tracker.noteVersionApplied(m_queues->version());
+        m_tracker.recordAppliedVersion(m_queues->version());
         logConfiguration(row.value.size(), startedAt);
         return true;
     } catch (const error &problem) {
--- a/app/job_view.cpp
+++ b/app/job_view.cpp
@@ -17,7 +17,7 @@
     known.state = record.state();
     known.needsOwner = record.needsOwner();
     known.content = known.needsOwner ? content : std::string();
-    known.hasBegun = known.hasBegun || record.hasStarted || record.hasEndedRuns();
+    known.hasBegun = known.hasBegun || record.hasStarted || record.hasRunAnyTask();
     if (!known.needsOwner && known.endedAt == time_point{})
         known.endedAt = now;
     return &known;
--- a/libs/jobs/configuration_tracker.cpp
+++ b/libs/jobs/configuration_tracker.cpp
@@ -4,26 +4,26 @@
 
 namespace zinniabarrow::jobs {
 
-void configuration_tracker::noteVersionApplied(std::int64_t version)
+void configuration_tracker::recordAppliedVersion(std::int64_t version)
 {
     m_appliedVersion = std::max(m_appliedVersion, version);
     m_newerVersions.erase(m_newerVersions.begin(), m_newerVersions.upper_bound(m_appliedVersion));
 }
 
-void configuration_tracker::noteVersionElsewhere(std::int64_t version, time_point now)
+void configuration_tracker::recordOtherEntryVersion(std::int64_t version, time_point now)
 {
     if (version > m_appliedVersion)
         m_newerVersions.emplace(version, now);
 }
 
-void configuration_tracker::noteAnswerStarted(std::uint64_t bytes, time_point now)
+void configuration_tracker::recordAnswerStart(std::uint64_t bytes, time_point now)
 {
     // If an earlier answer broke off, its changes are still unread: its start time stays.
     if (bytes > MaxEmptyAnswerBytes && !m_readingSince)
         m_readingSince = now;
 }
 
-void configuration_tracker::noteAnswerRead(time_point requestedAt)
+void configuration_tracker::recordAnswerRead(time_point requestedAt)
 {
     m_readingSince.reset();
     m_confirmedAt = requestedAt;
--- a/libs/jobs/configuration_tracker.h
+++ b/libs/jobs/configuration_tracker.h
@@ -33,10 +33,10 @@
     // Bytes; an answer that carries no changes is not larger.
     static constexpr std::uint64_t MaxEmptyAnswerBytes = 256;
 
-    void noteVersionApplied(std::int64_t version);                   // this entry applies it
-    void noteVersionElsewhere(std::int64_t version, time_point now); // another entry applies it
-    void noteAnswerStarted(std::uint64_t bytes, time_point now);     // its header arrived
-    void noteAnswerRead(time_point requestedAt);                     // read to its end and applied
+    void recordAppliedVersion(std::int64_t version);                    // this entry applies it
+    void recordOtherEntryVersion(std::int64_t version, time_point now); // another entry applies it
+    void recordAnswerStart(std::uint64_t bytes, time_point now);        // its header arrived
+    void recordAnswerRead(time_point requestedAt); // read to its end and applied
 
     configuration_freshness freshness(time_point now) const;
     bool isConfirmed(time_point now) const; // within MaxUnconfirmedTime
--- a/libs/jobs/interference_estimator.cpp
+++ b/libs/jobs/interference_estimator.cpp
@@ -46,7 +46,8 @@
     return estimate;
 }
 
-std::size_t interference_estimator::indexOf(image_estimate &estimate, const std::string &bestEffort)
+std::size_t interference_estimator::findOrAddIndex(image_estimate &estimate,
+                                                   const std::string &bestEffort)
 {
     const auto known = coefficientIndexOf(estimate.bestEffortImages, bestEffort);
     if (known != NotFound || estimate.bestEffortImages.size() >= m_settings.maxImages)
@@ -63,7 +64,7 @@
 {
     std::vector<std::pair<std::size_t, double>> present;
     for (const auto &[image, amount] : bestEffortCores) {
-        const auto index = indexOf(estimate, image);
+        const auto index = findOrAddIndex(estimate, image);
         if (index != NotFound)
             present.emplace_back(index, amount);
     }
@@ -80,7 +81,7 @@
     if (!m_estimates.contains(sample.image) && m_estimates.size() >= m_settings.maxImages)
         return;
     auto &estimate = estimateFor(sample.image);
-    updateFloor(estimate, sample);
+    updateFloorAndTarget(estimate, sample);
     if (sample.change)
         learnChange(estimate, sample);
     else
@@ -92,7 +93,7 @@
     auto inputs = coresByIndex(estimate, sample.bestEffortCores);
     inputs[0] = 1;
     const double load = loadOf(static_cast<double>(sample.tailLatencyMs), estimate.floorMs);
-    correct(estimate, inputs, load, m_settings.levelNoise);
+    updateCoefficients(estimate, inputs, load, m_settings.levelNoise);
     estimate.baseLoad = estimate.coefficients.mean(0);
 }
 
@@ -103,7 +104,7 @@
     const double change = sample.change->inverseTailDrop * estimate.floorMs;
     if (!sample.change->isLowerBound
         || !reachesBound(estimate.coefficients.predict(inputs), change))
-        correct(estimate, inputs, change, m_settings.changeNoise);
+        updateCoefficients(estimate, inputs, change, m_settings.changeNoise);
     // The part of the load that the neighbours don't explain is the image's own.
     double own = loadOf(static_cast<double>(sample.tailLatencyMs), estimate.floorMs);
     for (const auto &[bestEffort, cores] : sample.bestEffortCores)
@@ -113,8 +114,8 @@
     estimate.baseLoad += Weight * (std::max(0.0, own) - estimate.baseLoad);
 }
 
-void interference_estimator::updateFloor(image_estimate &estimate,
-                                         const interference_sample &sample)
+void interference_estimator::updateFloorAndTarget(image_estimate &estimate,
+                                                  const interference_sample &sample)
 {
     constexpr double FloorFraction = 0.9; // even the lowest measured tail includes some load
     const double floor = FloorFraction * static_cast<double>(sample.tailLatencyMs);
@@ -123,14 +124,15 @@
     estimate.latencyTargetMs = static_cast<double>(sample.latencyTargetMs);
 }
 
-void interference_estimator::correct(image_estimate &estimate, const std::vector<double> &inputs,
-                                     double load, double noise) const
+void interference_estimator::updateCoefficients(image_estimate &estimate,
+                                                const std::vector<double> &inputs, double load,
+                                                double noise) const
 {
     // The tail only says that the load is at least this high, which is already expected.
     if (load >= MaxLoad && estimate.coefficients.predict(inputs) >= load)
         return;
     estimate.coefficients.update(inputs, load, noise);
-    estimate.coefficients.clampBelow(0); // neighbours never speed a run up
+    estimate.coefficients.clampToMinimum(0); // neighbours never speed a run up
     estimate.coefficients.applyForgetting(
             m_settings.forgettingFactor); // interference changes over time
 }
--- a/libs/jobs/interference_estimator.h
+++ b/libs/jobs/interference_estimator.h
@@ -94,14 +94,14 @@
     };
 
     image_estimate &estimateFor(const std::string &serving);
-    static void updateFloor(image_estimate &estimate, const interference_sample &sample);
-    std::size_t indexOf(image_estimate &estimate, const std::string &bestEffort);
+    static void updateFloorAndTarget(image_estimate &estimate, const interference_sample &sample);
+    std::size_t findOrAddIndex(image_estimate &estimate, const std::string &bestEffort);
     std::vector<double> coresByIndex(image_estimate &estimate,
                                      const std::map<std::string, double> &bestEffortCores);
     void learnLevel(image_estimate &estimate, const interference_sample &sample);
     void learnChange(image_estimate &estimate, const interference_sample &sample);
-    void correct(image_estimate &estimate, const std::vector<double> &inputs, double load,
-                 double noise) const;
+    void updateCoefficients(image_estimate &estimate, const std::vector<double> &inputs,
+                            double load, double noise) const;
 
     estimator_settings m_settings;
     std::map<std::string, image_estimate> m_estimates;
--- a/libs/jobs/job_controller.cpp
+++ b/libs/jobs/job_controller.cpp
@@ -216,12 +216,12 @@
 {
     if (std::exchange(job.record.hasStarted, true))
         return;
-    m_startedUnwritten.emplace(id, now + m_settings.startedWriteDelay);
+    m_startedWriteDueAt.emplace(id, now + m_settings.startedWriteDelay);
 }
 
 void job_controller::writeStartedJobs(time_point now)
 {
-    std::erase_if(m_startedUnwritten, [&](const auto &entry) {
+    std::erase_if(m_startedWriteDueAt, [&](const auto &entry) {
         if (now < entry.second)
             return false;
         const auto found = m_jobs.find(entry.first);
@@ -253,7 +253,7 @@
     if (answer.kind == order_kind::Stop)
         job.stopOrders.erase(key);
     else if (job.startOrders.erase(key) > 0 && answer.outcome == order_outcome::Accepted)
-        job.startedAt[key] = now;
+        job.startAcceptedAt[key] = now;
     if (!isPermanentRefusal(answer.outcome))
         return;
     auto *task = job.record.find(answer.task);
@@ -267,7 +267,7 @@
     if (step.isGang && answer.kind == order_kind::Start && job.record.shouldRun(*task))
         handleNeverStarted(job, worker, answer.task, answer.run);
     addLog("order_refused", id,
-           fmt::format("{}: {}", describe(answer.task, answer.run, worker),
+           fmt::format("{}: {}", describeRun(answer.task, answer.run, worker),
                        nameOf(answer.outcome)));
 }
 
@@ -359,7 +359,7 @@
             hasEnded = true;
             job.startOrders.erase(key);
             job.stopOrders.erase(key);
-            job.startedAt.erase(key);
+            job.startAcceptedAt.erase(key);
             if (!state.done)
                 addUnreportedRun(state, runPlacement.run);
             return true;
@@ -475,7 +475,7 @@
     job.record.writeId = job.inFlightWriteId;
     job.inFlightRevision = job.revision;
     job.inFlightState = job.record.state();
-    m_startedUnwritten.erase(id);
+    m_startedWriteDueAt.erase(id);
     write_row write{id, job.version, toText(job.record), std::nullopt};
     if (!job.payloadStored)
         write.payload = job.payload;
@@ -502,7 +502,7 @@
     m_waitingJobs.erase(id);
     m_changedJobs.erase(id);
     m_jobsWithOrders.erase(id);
-    m_startedUnwritten.erase(id);
+    m_startedWriteDueAt.erase(id);
 }
 
 run_order job_controller::makeStartOrder(const owned_job &job, const task_id &task,
--- a/libs/jobs/job_controller.h
+++ b/libs/jobs/job_controller.h
@@ -227,7 +227,7 @@
         std::map<std::pair<task_id, int>, pending_order> stopOrders;
         // When this entry received the answer that the agent accepted the start order. The run's
         // duration is counted from then.
-        std::map<std::pair<task_id, int>, time_point> startedAt;
+        std::map<std::pair<task_id, int>, time_point> startAcceptedAt;
         std::map<task_id, std::vector<std::string>> avoidedWorkers; // newest last
         // By occurrence and step: when planning last found no waiting task, or was first done. The
         // interference wait is counted from then.
@@ -252,8 +252,8 @@
     void endPlacedRun(const std::string &id, owned_job &job, const std::string &worker,
                       const run_end &end, time_point now);
     // The end of a run that is placed, of a task that another run has done.
-    void endExtraRun(const std::string &id, owned_job &job, const std::string &worker,
-                     const run_end &end);
+    void endRedundantRun(const std::string &id, owned_job &job, const std::string &worker,
+                         const run_end &end);
     // The end of a run that is no longer placed.
     void endUnplacedRun(const std::string &id, owned_job &job, const std::string &worker,
                         const run_end &end, time_point now);
@@ -310,15 +310,15 @@
                                               const task_state &state, time_point now) const;
     std::string describeStall(const owned_job &job, const task_id &task, const task_state &state,
                               stall_reason reason, time_point now) const;
-    int reportedRuns(const std::string &id, const std::string &worker) const;
-    static int placedRuns(const owned_job &job, const std::string &worker);
+    int countReportedRuns(const std::string &id, const std::string &worker) const;
+    static int countPlacedRuns(const owned_job &job, const std::string &worker);
     void logCompletedJobs(std::int64_t wallMs);
     void logIfUnanswered(const std::string &id, const task_id &task, int run, pending_order &order,
                          time_point now);
     // Workers that have as many tasks of the step as step_spec::maxPerWorker allows.
     static std::vector<std::string> workersAtTaskLimit(const owned_job &job, const task_id &task,
                                                        const step_spec &step);
-    static std::string describe(const task_id &task, int run, const std::string &worker);
+    static std::string describeRun(const task_id &task, int run, const std::string &worker);
     void addLog(std::string event, const std::string &job, std::string detail);
 
     owner_id m_self;
@@ -335,7 +335,7 @@
     time_point m_nextUnderservedLogAt{}; // when underserved jobs are logged next
     time_point m_nextStallCheckAt{};     // when tasks are checked for stalls next
     // Jobs whose row does not say yet that they have started, and when it is to be written.
-    std::map<std::string, time_point> m_startedUnwritten;
+    std::map<std::string, time_point> m_startedWriteDueAt;
     std::int64_t m_nextWriteNumber = 1;
     std::vector<controller_action> m_actions;
 };
--- a/libs/jobs/job_controller_ends.cpp
+++ b/libs/jobs/job_controller_ends.cpp
@@ -23,7 +23,8 @@
     if (task != nullptr && !task->done && end.run > task->lastRun)
         return false;
     if (task != nullptr && isPlacedOn(*task, worker, end.run))
-        task->done ? endExtraRun(id, job, worker, end) : endPlacedRun(id, job, worker, end, now);
+        task->done ? endRedundantRun(id, job, worker, end)
+                   : endPlacedRun(id, job, worker, end, now);
     else if (task != nullptr && !task->done && !isFinal(job.record.state()))
         endUnplacedRun(id, job, worker, end, now);
     job.waitingTokens.push_back({token, job.revision});
@@ -47,19 +48,19 @@
         handleNeverStarted(job, worker, end.task, end.run);
     if (end.endKind != end_kind::Done)
         addLog("run_ended", id,
-               fmt::format("{}: {}", describe(end.task, end.run, worker), nameOf(end.endKind)));
+               fmt::format("{}: {}", describeRun(end.task, end.run, worker), nameOf(end.endKind)));
     applyRunEnd(id, job, worker, end, runDuration);
 }
 
 // The task was done by another run, so the outcome of this one changes nothing.
-void job_controller::endExtraRun(const std::string &id, owned_job &job, const std::string &worker,
-                                 const run_end &end)
+void job_controller::endRedundantRun(const std::string &id, owned_job &job,
+                                     const std::string &worker, const run_end &end)
 {
     removePlacement(job, end.task, end.run);
-    job.startedAt.erase({end.task, end.run});
+    job.startAcceptedAt.erase({end.task, end.run});
     markChanged(id, job);
     addLog("needless_run_ended", id,
-           fmt::format("{}: {}", describe(end.task, end.run, worker), nameOf(end.endKind)));
+           fmt::format("{}: {}", describeRun(end.task, end.run, worker), nameOf(end.endKind)));
 }
 
 // The end of a run that is no longer placed. Once it is acknowledged, the worker forgets it. So the
@@ -72,7 +73,7 @@
     const bool isFirstReport = std::erase(task.unreportedRuns, end.run) > 0;
     const bool completesTask = end.endKind == end_kind::Done && !step.isLongRunning;
     addLog(completesTask || isFirstReport ? "run_ended_late" : "run_ended_again", id,
-           fmt::format("{}: {}; newest run {}", describe(end.task, end.run, worker),
+           fmt::format("{}: {}; newest run {}", describeRun(end.task, end.run, worker),
                        nameOf(end.endKind), task.lastRun));
     if (end.endKind != end_kind::NeverStarted)
         markStarted(id, job, now);
@@ -103,7 +104,7 @@
 std::optional<milliseconds> job_controller::takeRunDuration(owned_job &job, const run_end &end,
                                                             time_point now)
 {
-    const auto started = job.startedAt.extract({end.task, end.run});
+    const auto started = job.startAcceptedAt.extract({end.task, end.run});
     if (started.empty())
         return std::nullopt;
     return std::chrono::duration_cast<milliseconds>(now - started.mapped());
--- a/libs/jobs/job_controller_log.cpp
+++ b/libs/jobs/job_controller_log.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-std::string job_controller::describe(const task_id &task, int run, const std::string &worker)
+std::string job_controller::describeRun(const task_id &task, int run, const std::string &worker)
 {
     return fmt::format("{} run {} on {}", toText(task), run, worker);
 }
@@ -125,7 +125,7 @@
         return;
     order.nextLogAt = now + m_settings.waitLogInterval;
     addLog("order_unanswered", id,
-           fmt::format("{}: no answer for {} ms", describe(task, run, order.worker),
+           fmt::format("{}: no answer for {} ms", describeRun(task, run, order.worker),
                        millisecondsIn(now - order.firstSentAt)));
 }
 
--- a/libs/jobs/least_squares.cpp
+++ b/libs/jobs/least_squares.cpp
@@ -53,7 +53,7 @@
     }
 }
 
-void least_squares::clampBelow(double lowest)
+void least_squares::clampToMinimum(double lowest)
 {
     for (auto &mean : m_means)
         mean = std::max(lowest, mean);
--- a/libs/jobs/least_squares.h
+++ b/libs/jobs/least_squares.h
@@ -21,7 +21,7 @@
     void update(const std::vector<double> &inputs, double sum, double noise);
     // Reduces the weight of old samples by a factor below 1: the variances grow, up to the prior's.
     void applyForgetting(double forgettingFactor);
-    void clampBelow(double lowest); // all coefficients
+    void clampToMinimum(double lowest); // all coefficients
 
 private:
     std::vector<double> m_means;
--- a/libs/jobs/load_forecast.cpp
+++ b/libs/jobs/load_forecast.cpp
@@ -25,10 +25,10 @@
 {
     std::erase_if(m_histories, [&](const auto &entry) { return !loads.contains(entry.first); });
     for (const auto &[run, load] : loads)
-        append(m_histories[run], load);
+        appendAndLearn(m_histories[run], load);
 }
 
-void load_forecast::append(std::deque<double> &history, double load)
+void load_forecast::appendAndLearn(std::deque<double> &history, double load)
 {
     history.push_back(load);
     if (history.size() <= 2 * HorizonSamples)
--- a/libs/jobs/load_forecast.h
+++ b/libs/jobs/load_forecast.h
@@ -27,7 +27,7 @@
     double peakLoadAhead(const run_key &run, double now) const;
 
 private:
-    void append(std::deque<double> &history, double load);
+    void appendAndLearn(std::deque<double> &history, double load);
 
     least_squares m_predictor;                         // inputs: 1, the load now, the load earlier
     std::map<run_key, std::deque<double>> m_histories; // oldest first
--- a/libs/jobs/model.cpp
+++ b/libs/jobs/model.cpp
@@ -155,7 +155,7 @@
     return isAnyPlaced ? job_state::Running : job_state::Queued;
 }
 
-bool job_record::hasEndedRuns() const
+bool job_record::hasRunAnyTask() const
 {
     const auto hasRun = [](const task_state &task) {
         return task.done || task.failures > 0 || !task.checkpoint.empty();
--- a/libs/jobs/model.h
+++ b/libs/jobs/model.h
@@ -143,7 +143,7 @@
 
     task_state *find(const task_id &task); // null: no such task
     const task_state *find(const task_id &task) const;
-    bool hasEndedRuns() const; // true once some task has certainly run
+    bool hasRunAnyTask() const; // true once some task has certainly run
     // True while a run of the task may start or continue.
     bool shouldRun(const task_state &task) const;
     bool isStepDone(int occurrence, int step) const;
--- a/libs/jobs/worker_pool.cpp
+++ b/libs/jobs/worker_pool.cpp
@@ -243,7 +243,7 @@
         score -= 0.5; // a task on another rack than its data takes half as long again
     score -= 0.25 * std::max(0.0, view.slowdown - 1.3); // estimates alone are off by a fifth
     constexpr double LateJobPenalty = 4; // as much as all of the worker's processors in use
-    return score - LateJobPenalty * expectedHarm(view, step);
+    return score - LateJobPenalty * latenessCost(view, step);
 }
 
 // Packs serving runs onto few workers, those of the same job and image together. Best-effort runs
@@ -320,7 +320,7 @@
 // average counts in full here: a job with many tasks is nearly always late somewhere and would
 // otherwise attract all best-effort runs. `expectedLateJobs`, which decides whether a best-effort
 // task waits, makes no such difference, since the harm is the same in either case.
-double worker_pool::expectedHarm(const worker_view &view, const step_spec &step) const
+double worker_pool::latenessCost(const worker_view &view, const step_spec &step) const
 {
     double sum = 0;
     for (const auto &[job, probability] : expectedLateness(view, step))
--- a/libs/jobs/worker_pool.h
+++ b/libs/jobs/worker_pool.h
@@ -156,7 +156,7 @@
     std::map<std::string, double> expectedLateness(const worker_view &view,
                                                    const step_spec &step) const;
     double expectedLateJobs(const worker_view &view, const step_spec &step) const;
-    double expectedHarm(const worker_view &view, const step_spec &step) const;
+    double latenessCost(const worker_view &view, const step_spec &step) const;
     double latenessWeight(const worker_view &view, const std::string &job) const;
     double interferenceLoad(const worker_view &view, const serving_headroom &run) const;
     std::set<std::string> lateJobsOf(const worker_view &view) const;
--- a/tests/configuration_follow_test.cpp
+++ b/tests/configuration_follow_test.cpp
@@ -218,34 +218,34 @@
     auto now = Start;
     check(tracker.freshness(now)
           == configuration_freshness::PossiblyOutdated); // nothing was read yet
-    tracker.noteVersionApplied(7);
-    tracker.noteAnswerRead(now);
+    tracker.recordAppliedVersion(7);
+    tracker.recordAnswerRead(now);
     check(tracker.freshness(now) == configuration_freshness::Current);
     section("another entry applies a newer version", [&] {
-        tracker.noteVersionElsewhere(6, now);
-        tracker.noteVersionElsewhere(7, now);
+        tracker.recordOtherEntryVersion(6, now);
+        tracker.recordOtherEntryVersion(7, now);
         check(tracker.freshness(now) == configuration_freshness::Current);
-        tracker.noteVersionElsewhere(9, now);
+        tracker.recordOtherEntryVersion(9, now);
         check(tracker.freshness(now) == configuration_freshness::PossiblyOutdated);
         now += configuration_tracker::MaxUnreadTime;
-        tracker.noteVersionElsewhere(9, now); // repeated with each ping
-        tracker.noteAnswerRead(now);
+        tracker.recordOtherEntryVersion(9, now); // repeated with each ping
+        tracker.recordAnswerRead(now);
         check(tracker.freshness(now) == configuration_freshness::PossiblyOutdated);
         check(tracker.freshness(now + milliseconds(1)) == configuration_freshness::Outdated);
-        tracker.noteVersionApplied(8);
+        tracker.recordAppliedVersion(8);
         check(tracker.freshness(now + milliseconds(1)) == configuration_freshness::Outdated);
-        tracker.noteVersionApplied(9);
+        tracker.recordAppliedVersion(9);
         check(tracker.freshness(now) == configuration_freshness::Current);
     });
     section("an answer with changes starts and breaks off", [&] {
-        tracker.noteAnswerStarted(60, now); // no changes
+        tracker.recordAnswerStart(60, now); // no changes
         check(tracker.freshness(now) == configuration_freshness::Current);
-        tracker.noteAnswerStarted(350'000, now);
+        tracker.recordAnswerStart(350'000, now);
         check(tracker.freshness(now) == configuration_freshness::PossiblyOutdated);
         now += configuration_tracker::MaxUnreadTime + milliseconds(1);
-        tracker.noteAnswerStarted(350'000, now);
+        tracker.recordAnswerStart(350'000, now);
         check(tracker.freshness(now) == configuration_freshness::Outdated);
-        tracker.noteAnswerRead(now);
+        tracker.recordAnswerRead(now);
         check(tracker.freshness(now) == configuration_freshness::Current);
     });
     section("the version is no longer confirmed", [&] {
--- a/tests/interference_estimator_test.cpp
+++ b/tests/interference_estimator_test.cpp
@@ -86,7 +86,7 @@
 // a service, whose callers get late answers, or harmless ones are kept away. It happened when a
 // variance was cut down to its initial value: the matrix was no covariance any more, and each
 // further sample made the estimates worse.
-Test(interference, learns_which_pairs_interfere)
+Test(interference_estimator, learns_which_pairs_interfere)
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         section("seed " + std::to_string(seed), [&] {
@@ -113,7 +113,7 @@
 }
 
 // The same in the first seconds of a service: one steady neighbour, then none, then another.
-Test(interference, estimates_stay_bounded_from_the_first_samples_on)
+Test(interference_estimator, estimates_stay_bounded_from_the_first_samples_on)
 {
     for (const double cores : {0.5, 1.0, 2.0, 3.2, 5.0, 10.0}) {
         section(std::to_string(cores) + " cores", [&] {
@@ -133,7 +133,7 @@
     }
 }
 
-Test(interference, a_pair_never_measured_keeps_the_prior)
+Test(interference_estimator, a_pair_never_measured_keeps_the_prior)
 {
     interference_estimator estimator;
     check(estimator.loadPerCore("serving", "fill-0") == estimator_settings().priorLoadPerCore);
@@ -144,7 +144,7 @@
 
 // A tail latency beyond the measurable range only says that the load is at least that high. It must
 // not lower the estimates of runs whose total load is far beyond the range.
-Test(interference, a_tail_beyond_the_measurable_range_lowers_no_estimate)
+Test(interference_estimator, a_tail_beyond_the_measurable_range_lowers_no_estimate)
 {
     interference_estimator estimator;
     measured_worker worker(3);
@@ -207,7 +207,7 @@
 // Guards against late answers that recur for as long as a service runs. Interfering batch runs are
 // placed beside it while its load is low; judged by the level of the load they look harmless, and
 // are placed there again.
-Test(interference, runs_that_are_placed_while_the_load_is_low)
+Test(interference_estimator, runs_that_are_placed_while_the_load_is_low)
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
         section("seed " + std::to_string(seed), [&] {
@@ -284,7 +284,7 @@
 
 // Guards against late answers that recur beside the runs that interfere most. They take the tail
 // latency beyond the measurable range at once, and such samples were ignored.
-Test(interference, interference_beyond_the_measurable_range_is_learned)
+Test(interference_estimator, interference_beyond_the_measurable_range_is_learned)
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         section("seed " + std::to_string(seed), [&] {
--- a/tests/interference_sharing_test.cpp
+++ b/tests/interference_sharing_test.cpp
@@ -138,7 +138,7 @@
 
 // Guards against jobs that receive all best-effort runs. Jobs with many tasks are nearly always
 // late somewhere, so that further interference with them would count for little.
-Test(harm_shared, no_job_is_served_less_than_half_of_the_average)
+Test(interference_sharing, no_job_is_served_less_than_half_of_the_average)
 {
     constexpr unsigned Seeds = 40;
     for (unsigned seed = 1; seed <= Seeds; ++seed) {
--- a/tests/job_controller_test.cpp
+++ b/tests/job_controller_test.cpp
@@ -157,7 +157,7 @@
 
 } // namespace
 
-Test(job_book, a_job_of_two_steps)
+Test(job_controller, a_job_of_two_steps)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -194,7 +194,7 @@
 }
 
 // Guards against late jobs of which nobody can tell whether they waited or ran too long.
-Test(job_book, the_timeline_of_a_late_job_is_logged)
+Test(job_controller, the_timeline_of_a_late_job_is_logged)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -220,7 +220,7 @@
 
 // A caller submits its job twice, at two entries. The second entry's write conflicts with the row
 // of the first: it answers that the job is accepted, and starts nothing.
-Test(job_book, submitted_at_two_entries)
+Test(job_controller, submitted_at_two_entries)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -235,7 +235,7 @@
 }
 
 // The answer to a write is lost. When the write is repeated, the row already has its content.
-Test(job_book, lost_answer_to_a_write)
+Test(job_controller, lost_answer_to_a_write)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -247,7 +247,7 @@
 
 // Another entry cancels the job in its row while the owner cannot be reached. The owner finds out
 // when its next write conflicts; it keeps the job and stops its runs.
-Test(job_book, cancelled_by_another_entry)
+Test(job_controller, cancelled_by_another_entry)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -270,7 +270,7 @@
 
 // A worker's lease has expired. What was placed on it has certainly ended and starts elsewhere with
 // a higher run number; what was placed in the new epoch stays.
-Test(job_book, worker_lost)
+Test(job_controller, worker_lost)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -295,7 +295,7 @@
 // old owner has not learned yet. The new owner placed the task and died, so the agent reports its
 // end to all entries. The old owner's record has no such run: if it acknowledged the end, the
 // worker would forget it although it is in no row.
-Test(job_book, end_of_a_run_that_another_owner_placed)
+Test(job_controller, end_of_a_run_that_another_owner_placed)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -319,7 +319,7 @@
 // Guards against losing the end of a run. A worker that leaves as planned, or whose agent acquires
 // its lease again, begins a new epoch although none of its runs has expired. An end that is
 // reported after that is reported only once.
-Test(job_book, end_of_a_run_of_an_earlier_epoch)
+Test(job_controller, end_of_a_run_of_an_earlier_epoch)
 {
     section("done before its task is placed again: the task is done", [] {
         test_fixture fixture;
@@ -420,7 +420,7 @@
 
 // Guards against starting a task seconds after it was done: an agent has accepted a newer run of
 // it, and only the memory of the owner, which dies, knows that this run is to be stopped.
-Test(job_book, a_newer_run_of_a_task_that_is_done)
+Test(job_controller, a_newer_run_of_a_task_that_is_done)
 {
     // Run 1 ends with its epoch and run 2 is accepted; then run 1 turns out to be done.
     const auto finishWithNewerRun = [](test_fixture &fixture, const job_spec &spec) {
@@ -515,7 +515,7 @@
 
 // Guards against running a task twice at the same time, by an order that reaches an agent which has
 // been restarted since.
-Test(job_book, a_start_names_the_agent_incarnation_it_was_placed_on)
+Test(job_controller, a_start_names_the_agent_incarnation_it_was_placed_on)
 {
     test_fixture fixture;
     fixture.repeatAllReports([](auto &report) { report.agentIncarnation = 7; });
@@ -548,7 +548,7 @@
 
 // Guards against running a task again after it is done: its start order was delayed, and the stop
 // order that overtook it was lost.
-Test(job_book, a_start_has_a_deadline)
+Test(job_controller, a_start_has_a_deadline)
 {
     test_fixture fixture;
     fixture.repeatAllReports([](auto &report) { report.clockMs = 5000; });
@@ -585,7 +585,7 @@
 
 // Guards against placing a task on the same worker again and again: a worker that refuses starts
 // has the most room of all. A run that it did not start goes elsewhere.
-Test(job_book, a_run_that_never_started_goes_elsewhere)
+Test(job_controller, a_run_that_never_started_goes_elsewhere)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -603,7 +603,7 @@
 
 // Guards against a gang that waits for a missing member, and occupies its workers, until these end
 // its runs.
-Test(job_book, a_gang_with_a_member_that_never_starts)
+Test(job_controller, a_gang_with_a_member_that_never_starts)
 {
     auto gangSpec = test_fixture::twoSteps();
     gangSpec.steps.pop_back();
@@ -653,7 +653,7 @@
 
 // Guards against restarting the runs of an incomplete gang: they are being stopped when their agent
 // restarts.
-Test(job_book, only_the_stop_is_sent_to_the_next_incarnation)
+Test(job_controller, only_the_stop_is_sent_to_the_next_incarnation)
 {
     auto gangSpec = test_fixture::twoSteps();
     gangSpec.steps.pop_back();
@@ -678,7 +678,7 @@
 
 // Guards against repeating work that was saved: a delayed report names the checkpoint of an earlier
 // run.
-Test(job_book, checkpoint_of_an_earlier_run)
+Test(job_controller, checkpoint_of_an_earlier_run)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -710,7 +710,7 @@
 // Guards against an owner that was suspended and takes runs from the new owner. It checks the
 // leases of workers that it has not heard from before it learns that another entry owns its jobs,
 // and must send no orders then.
-Test(job_book, checking_a_lease_resends_no_orders)
+Test(job_controller, checking_a_lease_resends_no_orders)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -736,7 +736,7 @@
 
 // An agent reports an end again when the acknowledgement was lost. If the new owner refused it for
 // good, this end and all later ones of that worker would never be forgotten.
-Test(job_book, an_end_reported_again_to_the_next_owner)
+Test(job_controller, an_end_reported_again_to_the_next_owner)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -759,7 +759,7 @@
 
 // Guards against jobs that count as waiting although they run: callers count waiting jobs by the
 // rows of all owners, but only the owner knows from the agent that a run has started.
-Test(job_book, the_row_says_that_a_job_has_started)
+Test(job_controller, the_row_says_that_a_job_has_started)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -811,7 +811,7 @@
     });
 }
 
-Test(job_book, an_unanswered_order_is_sent_again)
+Test(job_controller, an_unanswered_order_is_sent_again)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -832,7 +832,7 @@
 // Guards against a task that is stalled while another worker has room: the agent that it was placed
 // on postpones its start for seconds, because it knows of runs that nobody has claimed. Known to
 // fail, in KNOWN-RED.txt.
-Test(job_book, a_start_that_is_put_off_goes_elsewhere, .disabled = true)
+Test(job_controller, a_start_that_is_put_off_goes_elsewhere, .disabled = true)
 {
     auto oneTaskSpec = test_fixture::twoSteps();
     oneTaskSpec.steps.pop_back();
@@ -898,7 +898,7 @@
     });
 }
 
-Test(job_book, failures)
+Test(job_controller, failures)
 {
     section("a task that fails too often fails its job, and the other tasks are stopped", [] {
         test_fixture fixture;
@@ -938,7 +938,7 @@
     });
 }
 
-Test(job_book, limit_of_tasks_on_one_worker)
+Test(job_controller, limit_of_tasks_on_one_worker)
 {
     test_fixture fixture;
     auto spec = test_fixture::twoSteps();
@@ -954,7 +954,7 @@
     check(perWorker["w2"] == 2);
 }
 
-Test(job_book, a_gang_starts_whole_or_not_at_all)
+Test(job_controller, a_gang_starts_whole_or_not_at_all)
 {
     test_fixture fixture;
     auto spec = test_fixture::twoSteps();
@@ -971,7 +971,7 @@
     check(fixture.orders.size() == 3);
 }
 
-Test(job_book, records_survive_the_store)
+Test(job_controller, records_survive_the_store)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -999,7 +999,7 @@
 // Guards against runs that continue after a cancel. The owner dies right after it stored the
 // cancel, before it told the workers. The job is finished, but still needs an owner; the new one
 // stops its runs.
-Test(job_book, owner_dies_right_after_a_cancel)
+Test(job_controller, owner_dies_right_after_a_cancel)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -1024,7 +1024,7 @@
     });
 }
 
-Test(job_book, invalid_jobs_are_refused)
+Test(job_controller, invalid_jobs_are_refused)
 {
     auto spec = test_fixture::twoSteps();
     spec.steps[0].after = {1};
@@ -1086,7 +1086,7 @@
 // and they have none. But it does not wait forever. Where most of the service is idle, its caller
 // considers a job lost when nothing of it runs for 3 s; where the service is full, the job is still
 // completed in the end.
-Test(job_book, best_effort_tasks_wait_for_a_harmless_placement)
+Test(job_controller, best_effort_tasks_wait_for_a_harmless_placement)
 {
     section("most of the service is idle", [] {
         test_fixture fixture;
@@ -1108,7 +1108,7 @@
 // A task that has served for a while and fails goes back to the worker where the other tasks of its
 // job are, so that users of the service depend on one worker and not on many. One that fails at
 // once goes elsewhere.
-Test(job_book, a_long_running_task_that_fails_goes_back)
+Test(job_controller, a_long_running_task_that_fails_goes_back)
 {
     const auto returnsAfter = [](milliseconds servingTime) {
         test_fixture fixture;
@@ -1140,7 +1140,7 @@
 }
 
 // A job that is forwarded to the entry that will own it arrives as it was submitted.
-Test(job_book, a_forwarded_job)
+Test(job_controller, a_forwarded_job)
 {
     const auto spec = test_fixture::twoSteps();
     queue_policy policy;
@@ -1162,7 +1162,7 @@
 // reads the answer to its order. Another entry takes over the job and sends the order, too. When
 // the old owner resumes, it repeats the order, and only then learns that it lost the job. The agent
 // now takes the old owner for the owner, and reports the end of the run to it alone.
-Test(job_book, a_suspended_owner_repeats_its_order)
+Test(job_controller, a_suspended_owner_repeats_its_order)
 {
     run_table agent;
     agent.setWorker({16'000, 64'000, 0}, start_readiness::Ready);
@@ -1306,7 +1306,7 @@
 } // namespace
 
 // Guards against a stalled task that its owner does not log: one that is placed but does not run.
-Test(job_book, stalled_tasks_are_logged)
+Test(job_controller, stalled_tasks_are_logged)
 {
     section("not logged: a task that its worker reports as running", [] {
         stall_fixture fixture;
@@ -1396,7 +1396,7 @@
 
 // Guards against an answer of an agent's previous incarnation that a suspended owner processes
 // after the report of the new one.
-Test(job_book, answer_of_an_earlier_agent_incarnation)
+Test(job_controller, answer_of_an_earlier_agent_incarnation)
 {
     const auto submitAndOrder = [](test_fixture &fixture) {
         fixture.stopAccepting("w2");
--- a/tests/large_long_running_tasks_test.cpp
+++ b/tests/large_long_running_tasks_test.cpp
@@ -15,7 +15,7 @@
 
 // Guards against large long-running tasks that never get a worker because each gap that opens is
 // too small for them and goes to the next short task.
-Test(lasting_jobs, large_tasks_get_room_among_small_ones)
+Test(large_long_running_tasks, large_tasks_get_room_among_small_ones)
 {
     saturated_workers workers;
     workers.simulation.submit(0, "large-service", longRunningStep(6, 4 * Cores));
