--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -387,7 +387,7 @@
     std::string acceptOrders(const order_batch &batch)
     {
         const auto now = suspendAwareNow();
-        m_runTable.setWorker(m_workerPresence.lastAnnouncement().capacity, readiness());
+        m_runTable.setWorkerState(m_workerPresence.lastAnnouncement().capacity, readiness());
         std::vector<order_answer> answers;
         for (const auto &order : batch.orders) {
             answers.push_back(m_runTable.handleOrder(order, batch.owner, now));
--- a/app/worker_calls.cpp
+++ b/app/worker_calls.cpp
@@ -89,7 +89,7 @@
         m_nextSampleAt = now + SampleInterval;
         m_hooks.samplesTaken(m_throttleController.takeSamples(serving, filling));
     }
-    const auto changes = m_throttleController.decide(serving, filling, now);
+    const auto changes = m_throttleController.decideSpeeds(serving, filling, now);
     for (const auto &change : changes) {
         m_metrics.count("paces_total", change.percent < 100 ? "slowed" : "full");
         m_caller.call(m_address,
--- a/libs/jobs/run_table.cpp
+++ b/libs/jobs/run_table.cpp
@@ -25,7 +25,7 @@
     : m_settings(settings)
 { }
 
-void run_table::setWorker(const task_size &capacity, start_readiness readiness)
+void run_table::setWorkerState(const task_size &capacity, start_readiness readiness)
 {
     m_capacity = capacity;
     m_readiness = readiness;
--- a/libs/jobs/run_table.h
+++ b/libs/jobs/run_table.h
@@ -104,7 +104,7 @@
 public:
     explicit run_table(const run_table_settings &settings = {});
 
-    void setWorker(const task_size &capacity, start_readiness readiness);
+    void setWorkerState(const task_size &capacity, start_readiness readiness);
     // Sets the worker's epoch, a number that rises once all runs of the worker have ended. 0: none,
     // and orders are answered with NotReady. The runs in the table stay as they are; the agent
     // calls `stopAll` or `clearRuns` before a new epoch begins.
--- a/libs/jobs/throttle_controller.cpp
+++ b/libs/jobs/throttle_controller.cpp
@@ -156,9 +156,9 @@
     return false;
 }
 
-std::vector<run_speed> throttle_controller::decide(const std::vector<serving_sample> &serving,
-                                                   const std::vector<best_effort_run> &bestEffort,
-                                                   time_point now)
+std::vector<run_speed>
+throttle_controller::decideSpeeds(const std::vector<serving_sample> &serving,
+                                  const std::vector<best_effort_run> &bestEffort, time_point now)
 {
     bool shouldPause = false;
     for (const auto &sample : serving)
--- a/libs/jobs/throttle_controller.h
+++ b/libs/jobs/throttle_controller.h
@@ -71,8 +71,9 @@
 
     void setInterference(interference_table table) { m_interference = std::move(table); }
     // Called after each poll of the worker. Returns the runs whose speed has to change.
-    std::vector<run_speed> decide(const std::vector<serving_sample> &serving,
-                                  const std::vector<best_effort_run> &bestEffort, time_point now);
+    std::vector<run_speed> decideSpeeds(const std::vector<serving_sample> &serving,
+                                        const std::vector<best_effort_run> &bestEffort,
+                                        time_point now);
     void noteConfirmed(const run_speed &speed); // the worker has applied it
     void forget(const task_id &task, int run);
     // One sample for each serving image: its tail latency, its best-effort neighbours and the
--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -102,7 +102,7 @@
     void beginIncarnation(agent_model &agent) const
     {
         agent.table = run_table();
-        agent.table.setWorker({16'000, 64'000, 0}, start_readiness::Ready);
+        agent.table.setWorkerState({16'000, 64'000, 0}, start_readiness::Ready);
         agent.table.setEpoch(Epoch);
         if (isCancelStored)
             agent.table.cancelJob(Job, now);
--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -864,7 +864,7 @@
                       const jobs::send_order &sentOrder, std::int64_t expectedAgentIncarnation,
                       const std::shared_ptr<bool> &isAnswered)
     {
-        agent.table.setWorker(agent.capacity, readinessOf(agent));
+        agent.table.setWorkerState(agent.capacity, readinessOf(agent));
         const auto answer =
                 agent.table.handleOrder(toAgentClock(agent, sentOrder.order), entry.name, m_now);
         addToTrace("agent of {} receives {} of {} run {} from {}: {}", agent.name,
--- a/tests/job_controller_test.cpp
+++ b/tests/job_controller_test.cpp
@@ -1165,7 +1165,7 @@
 Test(job_controller, a_suspended_owner_repeats_its_order)
 {
     run_table agent;
-    agent.setWorker({16'000, 64'000, 0}, start_readiness::Ready);
+    agent.setWorkerState({16'000, 64'000, 0}, start_readiness::Ready);
     agent.setEpoch(1);
     test_fixture oldOwner;
     auto spec = test_fixture::twoSteps();
--- a/tests/job_platform_test.cpp
+++ b/tests/job_platform_test.cpp
@@ -313,7 +313,7 @@
     time_point now{std::chrono::hours(1)};
     const best_effort_run filling{{"f", 0, 0, 0}, 1, "press", 2, 2};
     const auto updateWithTail = [&](std::int64_t tailMs) {
-        return controller.decide({{{"s", 0, 0, 0}, 1, "site", tailMs, 150}}, {filling}, now);
+        return controller.decideSpeeds({{{"s", 0, 0, 0}, 1, "site", tailMs, 150}}, {filling}, now);
     };
     check(updateWithTail(400).empty());
     now += milliseconds(2199);
--- a/tests/job_system.h
+++ b/tests/job_system.h
@@ -48,10 +48,11 @@
 public:
     system_under_test()
         : m_scratch(std::filesystem::temp_directory_path() / fmt::format("zb-jobs-{}", getpid()))
-        , m_site({parseAddress(processAddress(0, 9000)),
-                  {parseAddress(processAddress(0, 9001)), parseAddress(processAddress(0, 9002))},
-                  {parseAddress(processAddress(4, WorkersPort)),
-                   parseAddress(processAddress(5, WorkersPort))}})
+        , m_platform(
+                  {parseAddress(processAddress(0, 9000)),
+                   {parseAddress(processAddress(0, 9001)), parseAddress(processAddress(0, 9002))},
+                   {parseAddress(processAddress(4, WorkersPort)),
+                    parseAddress(processAddress(5, WorkersPort))}})
     {
         std::filesystem::create_directories(m_scratch);
         putConfiguration(7);
@@ -69,7 +70,7 @@
         std::filesystem::remove_all(m_scratch);
     }
 
-    job_platform &site() { return m_site; }
+    job_platform &platform() { return m_platform; }
     child_process &entry(int index) { return *m_processes.at(fmt::format("entry-{}", index)); }
     child_process &agent(int index) { return *m_processes.at(fmt::format("agent-{}", index)); }
 
@@ -157,13 +158,13 @@
     };
     service_placement startService(const std::string &job)
     {
-        site().setTaskTime(milliseconds(600'000));
+        platform().setTaskTime(milliseconds(600'000));
         require(submitService(0, job));
-        require(waitUntil([&] { return site().startCount() == 2; }, WaitLimit));
-        const auto worker = site().busiestWorker();
+        require(waitUntil([&] { return platform().startCount() == 2; }, WaitLimit));
+        const auto worker = platform().busiestWorker();
         const auto lease = fmt::format("agent-{}", worker);
-        return {static_cast<int>(worker), site().countRunsOn(worker), site().leaseEpoch(lease),
-                lease};
+        return {static_cast<int>(worker), platform().countRunsOn(worker),
+                platform().leaseEpoch(lease), lease};
     }
 
     // Starts a service, and lets its worker depart at the moment at which the worker's lease is
@@ -171,7 +172,8 @@
     service_placement departDuringRenewal(const std::string &job)
     {
         const auto placement = startService(job);
-        site().terminateAtLeaseWrite(static_cast<std::size_t>(placement.worker), placement.lease);
+        platform().terminateAtLeaseWrite(static_cast<std::size_t>(placement.worker),
+                                         placement.lease);
         return placement;
     }
 
@@ -333,13 +335,13 @@
     }
 
     std::filesystem::path m_scratch;
-    job_platform m_site;
+    job_platform m_platform;
     std::map<std::string, std::unique_ptr<child_process>> m_processes;
 };
 
-inline void checkNoViolations(const system_under_test &, const job_platform &site)
+inline void checkNoViolations(const system_under_test &, const job_platform &platform)
 {
-    for (const auto &violation : site.violations())
+    for (const auto &violation : platform.violations())
         cr_expect_fail("%s", violation.c_str());
 }
 
--- a/tests/placement_simulation.h
+++ b/tests/placement_simulation.h
@@ -191,7 +191,7 @@
 
     void carryOutRunActions(simulated_worker &target)
     {
-        target.table.setWorker(target.capacity, jobs::start_readiness::Ready);
+        target.table.setWorkerState(target.capacity, jobs::start_readiness::Ready);
         for (const auto &action : target.table.takeDueActions(m_now, true)) {
             if (const auto *start = std::get_if<jobs::start_run>(&action))
                 startRun(target, *start);
@@ -290,7 +290,7 @@
     {
         runAfter(m_delays.order, [this, &receiver, sentOrder = std::move(order)] {
             auto &target = m_workers.at(sentOrder.worker);
-            target.table.setWorker(target.capacity, jobs::start_readiness::Ready);
+            target.table.setWorkerState(target.capacity, jobs::start_readiness::Ready);
             const auto answer = target.table.handleOrder(sentOrder.order, receiver.name, m_now);
             runAfter(m_delays.order, [this, &receiver, worker = sentOrder.worker, answer] {
                 receiver.controller.orderAnswered(worker, answer, m_now, 0);
--- a/tests/process_jobs_test.cpp
+++ b/tests/process_jobs_test.cpp
@@ -74,12 +74,12 @@
         require(system.submit(0, "aaaa000000000001"));
         check(system.reachesState(0, "aaaa000000000001", "completed"));
         check(system.reachesState(1, "aaaa000000000001", "completed"));
-        check(system.site().doneCount() == TasksPerJob);
-        check(system.site().startCount() == TasksPerJob);
+        check(system.platform().doneCount() == TasksPerJob);
+        check(system.platform().startCount() == TasksPerJob);
     });
     section("submitting the same id again does not create another job", [&] {
         require(system.submit(1, "aaaa000000000001"));
-        check(system.site().startCount() == TasksPerJob);
+        check(system.platform().startCount() == TasksPerJob);
     });
     section("invalid input gets a specific answer", [&] {
         check(system.call(0, "POST", "aaaa000000000002", "{")->status == 400);
@@ -87,7 +87,7 @@
         check(system.call(0, "GET", "")->body == R"({"waiting":0})");
     });
     section("a cancelled job is stopped", [&] {
-        system.site().setTaskTime(milliseconds(60'000));
+        system.platform().setTaskTime(milliseconds(60'000));
         require(system.submit(0, "aaaa000000000004"));
         check(system.call(1, "DELETE", "aaaa000000000004")->status == 200);
         check(system.reachesState(1, "aaaa000000000004", "cancelled"));
@@ -95,12 +95,12 @@
     // An owner that dies right after the answer has not told any agent: agents read cancellations
     // in the store.
     section("agents can read a cancellation as soon as any entry has acknowledged it", [&] {
-        check(system.site().isCancelStored("aaaa000000000004"));
+        check(system.platform().isCancelStored("aaaa000000000004"));
         require(system.submit(0, "aaaa000000000005"));
         check(system.call(0, "DELETE", "aaaa000000000005")->status == 200);
-        check(system.site().isCancelStored("aaaa000000000005"));
+        check(system.platform().isCancelStored("aaaa000000000005"));
     });
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // A new configuration version is written, and one entry on a slow link needs seconds to read it.
@@ -123,7 +123,7 @@
         require(waitUntil([&] { return system.isReady(0); }, WaitLimit));
         check(system.call(0, "GET", "")->status == 200);
     });
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // A service that is submitted to any entry must run, even if the entry that places all services is
@@ -132,7 +132,7 @@
 Test(process_jobs, service_whose_placer_is_suspended)
 {
     system_under_test system;
-    system.site().setTaskTime(milliseconds(600'000));
+    system.platform().setTaskTime(milliseconds(600'000));
     int running = 0;
     for (const int suspendedEntry : {0, 1}) {
         section(fmt::format("entry {} is suspended", suspendedEntry), [&] {
@@ -141,11 +141,11 @@
             check(system.submitService(1 - suspendedEntry, job));
             system.entry(suspendedEntry).signal(SIGCONT);
             running += 2;
-            check(waitUntil([&] { return system.site().startCount() == running; }, WaitLimit));
+            check(waitUntil([&] { return system.platform().startCount() == running; }, WaitLimit));
             check(system.reachesState(suspendedEntry, job, "running"));
         });
     }
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // The owner of jobs is killed while their first steps run. The other entry gets no more heartbeats
@@ -154,14 +154,14 @@
 Test(process_jobs, owner_killed)
 {
     system_under_test system;
-    system.site().setTaskTime(milliseconds(1500));
+    system.platform().setTaskTime(milliseconds(1500));
     for (const std::string job : {"bbbb000000000001", "bbbb000000000002"})
         require(system.submit(0, job));
     system.entry(0).signal(SIGKILL);
     for (const std::string job : {"bbbb000000000001", "bbbb000000000002"})
         check(system.reachesState(1, job, "completed"));
-    check(system.site().startCount() == 2 * TasksPerJob);
-    checkNoViolations(system, system.site());
+    check(system.platform().startCount() == 2 * TasksPerJob);
+    checkNoViolations(system, system.platform());
 }
 
 // An agent is killed while its worker runs tasks, and a new one starts. The new one must read from
@@ -170,14 +170,14 @@
 Test(process_jobs, agent_killed)
 {
     system_under_test system;
-    system.site().setTaskTime(milliseconds(2500));
+    system.platform().setTaskTime(milliseconds(2500));
     require(system.submit(0, "cccc000000000001"));
-    require(waitUntil([&] { return system.site().startCount() == 4; }, WaitLimit));
+    require(waitUntil([&] { return system.platform().startCount() == 4; }, WaitLimit));
     system.agent(0).signal(SIGKILL);
     system.startAgent(0);
     check(system.reachesState(0, "cccc000000000001", "completed"));
-    check(system.site().startCount() == TasksPerJob);
-    checkNoViolations(system, system.site());
+    check(system.platform().startCount() == TasksPerJob);
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against a finished task that runs again because an agent that was suspended executes old
@@ -185,7 +185,7 @@
 Test(process_jobs, orders_read_late_by_a_suspended_agent)
 {
     system_under_test system;
-    system.site().setTaskTime(milliseconds(200));
+    system.platform().setTaskTime(milliseconds(200));
     require(system.submit(0, "cdcd000000000001"));
     require(system.reachesState(0, "cdcd000000000001",
                                 "completed")); // the entries know the workers now
@@ -203,8 +203,8 @@
     });
     section("the orders are sent again", [&] {
         check(system.reachesState(0, "cdcd000000000002", "completed"));
-        check(system.site().startCount() == 2 * TasksPerJob);
-        checkNoViolations(system, system.site());
+        check(system.platform().startCount() == 2 * TasksPerJob);
+        checkNoViolations(system, system.platform());
     });
 }
 
@@ -214,13 +214,13 @@
 Test(process_jobs, worker_silent)
 {
     system_under_test system;
-    system.site().setTaskTime(milliseconds(60'000));
+    system.platform().setTaskTime(milliseconds(60'000));
     require(system.submit(0, "abab000000000001"));
-    require(waitUntil([&] { return system.site().startCount() == 4; }, WaitLimit));
-    system.site().makeUnresponsive(system.site().busiestWorker());
+    require(waitUntil([&] { return system.platform().startCount() == 4; }, WaitLimit));
+    system.platform().makeUnresponsive(system.platform().busiestWorker());
     // At least two tasks were placed on that worker and start again elsewhere.
-    check(waitUntil([&] { return system.site().startCount() >= 6; }, WaitLimit));
-    checkNoViolations(system, system.site());
+    check(waitUntil([&] { return system.platform().startCount() >= 6; }, WaitLimit));
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against two long-running tasks that are down for seconds although another worker has
@@ -233,14 +233,14 @@
 {
     system_under_test system;
     const auto departed = system.departDuringRenewal("acac000000000001");
-    check(waitUntil([&] { return system.site().startCount() == 2 + departed.runCount; },
+    check(waitUntil([&] { return system.platform().startCount() == 2 + departed.runCount; },
                     WaitLimit));
     // The departure was known, so nobody had to wait for the end of a lease.
     system.agent(departed.worker).signal(SIGTERM); // so that its last log lines are written
     check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
     check(!system.hasAgentLogged(departed.worker, "worker_silent"));
     check(system.hasAgentLoggedDepartureDuringWrite(departed.worker));
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against long-running tasks that are down for 12 s. The agent is told to stop right after
@@ -256,11 +256,11 @@
                       WaitLimit));
     system.agent(departed.worker).signal(SIGTERM);
     check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
-    check(system.site().leaseEpoch(departed.lease) > departed.epoch);
+    check(system.platform().leaseEpoch(departed.lease) > departed.epoch);
     check(system.hasAgentLoggedDepartureDuringWrite(departed.worker));
-    check(waitUntil([&] { return system.site().startCount() == 2 + departed.runCount; },
+    check(waitUntil([&] { return system.platform().startCount() == 2 + departed.runCount; },
                     WaitLimit));
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // A worker is lost with its agent, and all entries are killed while they wait for the end of its
@@ -271,7 +271,7 @@
     system_under_test system;
     const auto lost = system.startService("acac000000000003");
     system.agent(lost.worker).signal(SIGKILL);
-    system.site().terminateWorker(static_cast<std::size_t>(lost.worker));
+    system.platform().terminateWorker(static_cast<std::size_t>(lost.worker));
     const auto isWatched = [&](int entry) {
         return system.hasLogged("entry", entry, "worker_lease_read");
     };
@@ -280,9 +280,10 @@
         system.entry(entry).signal(SIGKILL);
     for (const int entry : {0, 1})
         system.startEntry(entry);
-    check(waitUntil([&] { return system.site().startCount() == 2 + lost.runCount; }, WaitLimit));
-    check(system.site().leaseEpoch(lost.lease) == lost.epoch + 1);
-    checkNoViolations(system, system.site());
+    check(waitUntil([&] { return system.platform().startCount() == 2 + lost.runCount; },
+                    WaitLimit));
+    check(system.platform().leaseEpoch(lost.lease) == lost.epoch + 1);
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against a job that waits for ever although a worker is idle. The worker had left as
@@ -294,14 +295,14 @@
     system_under_test system;
     require(system.submit(0, "abab000000000001"));
     require(system.reachesState(0, "abab000000000001", "completed"));
-    const auto epoch = system.site().leaseEpoch("agent-0");
-    system.site().terminateWorker(0);
-    system.site().terminateWorker(1);
-    require(waitUntil([&] { return system.site().leaseEpoch("agent-0") > epoch; }, WaitLimit));
-    system.site().restartWorker(0);
+    const auto epoch = system.platform().leaseEpoch("agent-0");
+    system.platform().terminateWorker(0);
+    system.platform().terminateWorker(1);
+    require(waitUntil([&] { return system.platform().leaseEpoch("agent-0") > epoch; }, WaitLimit));
+    system.platform().restartWorker(0);
     require(system.submit(0, "abab000000000002"));
     check(system.reachesState(0, "abab000000000002", "completed"));
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against long-running tasks that are down for 7 s. Their worker has announced its departure
@@ -311,13 +312,13 @@
 {
     system_under_test system;
     const auto departed = system.startService("adad000000000002");
-    system.site().terminateBeforeAnnouncement(static_cast<std::size_t>(departed.worker));
-    check(waitUntil([&] { return system.site().startCount() == 2 + departed.runCount; },
+    system.platform().terminateBeforeAnnouncement(static_cast<std::size_t>(departed.worker));
+    check(waitUntil([&] { return system.platform().startCount() == 2 + departed.runCount; },
                     WaitLimit));
     system.agent(departed.worker).signal(SIGTERM);
     check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
     check(!system.hasAgentLogged(departed.worker, "worker_silent"));
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against tasks that are started in an availability zone that operators are evacuating. All
@@ -335,13 +336,13 @@
     require(system.submit(0, "abab000000000003"));
     section("a job waits, and its owner logs the reason", [&] {
         check(waitUntil([&] { return system.logContains("entry", 0, "2 evacuated"); }, WaitLimit));
-        check(system.site().startCount() == 0);
+        check(system.platform().startCount() == 0);
     });
     section("it runs once the zone is back in use", [&] {
         system.restoreZone("kartli-a");
         check(system.reachesState(0, "abab000000000003", "completed"));
     });
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // A caller is told that its job is cancelled, and then no entry is left that could tell the agents:
@@ -351,23 +352,25 @@
 Test(process_jobs, no_entry_left_after_a_cancel)
 {
     system_under_test system;
-    system.site().setTaskTime(milliseconds(600'000));
+    system.platform().setTaskTime(milliseconds(600'000));
     require(system.submit(0, "adad000000000001"));
-    require(waitUntil([&] { return system.site().startCount() == 4; }, WaitLimit));
+    require(waitUntil([&] { return system.platform().startCount() == 4; }, WaitLimit));
     system.entry(0).signal(SIGSTOP);
     require(system.call(1, "DELETE", "adad000000000001")->status == 200);
     system.entry(1).signal(SIGKILL);
     section("its tasks are stopped without an entry", [&] {
         check(waitUntil(
-                [&] { return system.site().countRunsOn(0) + system.site().countRunsOn(1) == 0; },
+                [&] {
+                    return system.platform().countRunsOn(0) + system.platform().countRunsOn(1) == 0;
+                },
                 WaitLimit));
     });
     section("the resumed owner starts none of them again", [&] {
         system.entry(0).signal(SIGCONT);
         check(system.reachesState(0, "adad000000000001", "cancelled"));
-        check(system.site().startCount() == 4);
+        check(system.platform().startCount() == 4);
     });
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // The store's answers to writes are lost after the writes took effect. The entry retries the
@@ -375,12 +378,12 @@
 Test(process_jobs, lost_answers_of_the_store)
 {
     system_under_test system;
-    system.site().loseWriteAnswers(3);
+    system.platform().loseWriteAnswers(3);
     require(system.submit(0, "dddd000000000001"));
-    system.site().loseWriteAnswers(2);
+    system.platform().loseWriteAnswers(2);
     check(system.reachesState(1, "dddd000000000001", "completed"));
-    check(system.site().startCount() == TasksPerJob);
-    checkNoViolations(system, system.site());
+    check(system.platform().startCount() == TasksPerJob);
+    checkNoViolations(system, system.platform());
 }
 
 // While the store is unreachable, new jobs are refused at once and never run. Jobs that were
@@ -389,7 +392,7 @@
 {
     system_under_test system;
     require(system.submit(0, "eeee000000000001"));
-    system.site().setStoreUnavailable(true);
+    system.platform().setStoreUnavailable(true);
     // Until the entry notices that the store is unreachable, it tries to accept jobs, and their
     // outcome is unknown.
     std::string refused;
@@ -403,11 +406,11 @@
                 return answer && answer->status == 503 && !answer->header("Retry-After").empty();
             },
             WaitLimit));
-    system.site().setStoreUnavailable(false);
+    system.platform().setStoreUnavailable(false);
     check(system.reachesState(0, "eeee000000000001", "completed"));
     for (const int entry : {0, 1})
         check(system.call(entry, "GET", refused)->status == 410);
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // An entry is shut down gracefully while it owns a job. The other entry takes the job over at once,
@@ -415,13 +418,13 @@
 Test(process_jobs, graceful_shutdown)
 {
     system_under_test system;
-    system.site().setTaskTime(milliseconds(1500));
+    system.platform().setTaskTime(milliseconds(1500));
     require(system.submit(0, "ffff000000000001"));
     system.entry(0).signal(SIGTERM);
     check(system.entry(0).waitForExit(WaitLimit) == 0);
     check(system.reachesState(1, "ffff000000000001", "completed"));
-    check(system.site().startCount() == TasksPerJob);
-    checkNoViolations(system, system.site());
+    check(system.platform().startCount() == TasksPerJob);
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against a request that is cut off without an answer by a graceful shutdown, so that the
@@ -431,17 +434,17 @@
 Test(process_jobs, planned_stop_answers_what_is_open)
 {
     system_under_test system;
-    system.site().setTaskTime(milliseconds(60'000));
+    system.platform().setTaskTime(milliseconds(60'000));
     require(system.submit(0, "ffff000000000002"));
-    system.site().setStoreUnavailable(true);
+    system.platform().setStoreUnavailable(true);
     system.entry(0).signal(SIGTERM);
     std::this_thread::sleep_for(milliseconds(2500));
     const auto answer = system.call(0, "DELETE", "ffff000000000002");
     check(answer.has_value());
     check(answer && answer->status == 504); // the cancellation may still take effect
-    system.site().setStoreUnavailable(false);
+    system.platform().setStoreUnavailable(false);
     check(system.entry(0).waitForExit(WaitLimit) == 0);
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against connections that are closed without an answer by an entry that has been shutting
@@ -450,7 +453,7 @@
 Test(process_jobs, requests_to_a_leaving_entry_that_was_suspended)
 {
     system_under_test system;
-    system.site().setTaskTime(milliseconds(600'000));
+    system.platform().setTaskTime(milliseconds(600'000));
     require(system.submit(0, "ffff000000000003"));
     std::vector<std::unique_ptr<keep_alive_caller>> callers;
     const auto connectMore = [&](int count) {
@@ -464,7 +467,7 @@
         require(caller->send("GET", "/holds/"));
         require(caller->readAnswer() == 200);
     }
-    system.site().setStoreUnavailable(
+    system.platform().setStoreUnavailable(
             true); // nobody can take over its jobs, so the shutdown takes the full time
     system.entry(0).signal(SIGTERM);
     std::this_thread::sleep_for(milliseconds(2500));
@@ -487,8 +490,8 @@
         check(cutOffCount == 0);
     });
     check(system.entry(0).waitForExit(WaitLimit) == 0);
-    system.site().setStoreUnavailable(false);
-    checkNoViolations(system, system.site());
+    system.platform().setStoreUnavailable(false);
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against a caller that is told that its job will not run although it runs. The store became
@@ -504,18 +507,18 @@
     // The request has to arrive after the store became unreachable and before the entry has noticed
     // that.
     for (int number = 1; number < 6 && !(first && first->status == 504); ++number) {
-        system.site().setStoreUnavailable(false);
+        system.platform().setStoreUnavailable(false);
         require(system.submit(0, fmt::format("efef00000000000{}", number)));
         job = fmt::format("eeee10000000000{}", number);
-        system.site().setStoreUnavailable(true);
+        system.platform().setStoreUnavailable(true);
         first = system.call(0, "POST", job, body);
     }
     require(first && first->status == 504);
     const auto second = system.call(0, "POST", job, body);
     check(second && second->status == 504);
-    system.site().setStoreUnavailable(false);
+    system.platform().setStoreUnavailable(false);
     check(system.reachesState(0, job, "completed"));
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against entries' orders and workers' announcements that get no answer. The agent was told
@@ -558,7 +561,7 @@
                 waiting_callers orders(system.agentInternalAddress(1));
                 waiting_callers announcements(system.agentWorkersAddress(1));
                 connectTo(orders, announcements);
-                system.site().setStoreUnavailable(true);
+                system.platform().setStoreUnavailable(true);
                 std::this_thread::sleep_for(
                         milliseconds(2000)); // a renewal is in progress and does not complete
                 system.agent(1).signal(SIGTERM);
@@ -571,8 +574,8 @@
                 check(orders.cutOffCount() + announcements.cutOffCount() == 0);
                 check(system.agent(1).waitForExit(WaitLimit) == 0);
             });
-    system.site().setStoreUnavailable(false);
-    checkNoViolations(system, system.site());
+    system.platform().setStoreUnavailable(false);
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against a relayed call whose connection ends without an answer. An entry that can't reach
@@ -590,7 +593,7 @@
     system.agent(0).signal(SIGTERM);
     check(caller.readAnswer() == 502);
     check(system.agent(0).waitForExit(WaitLimit) == 0);
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against connections that are closed without an answer by an entry that is told to stop
@@ -624,14 +627,14 @@
         });
     }
     section("while the store is unreachable, before the entry has an incarnation", [&] {
-        system.site().setStoreUnavailable(true);
+        system.platform().setStoreUnavailable(true);
         system.startEntry(0);
         require(accepts(system.callersAddress(0)));
         std::this_thread::sleep_for(milliseconds(300));
         stopWithRequests();
-        system.site().setStoreUnavailable(false);
+        system.platform().setStoreUnavailable(false);
     });
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against a process that listens before it handles signals: a signal in that moment would
@@ -660,7 +663,7 @@
             check(system.agent(0).waitForExit(WaitLimit) == 0);
         });
     }
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // Guards against connections that are closed without an answer because of something that happens in
@@ -689,14 +692,14 @@
         require(waitUntil([&] { return system.isReady(0); }, WaitLimit));
         waiting_callers callers(system.callersAddress(0));
         callers.connect(8);
-        system.site().loseWriteAnswers(40);
+        system.platform().loseWriteAnswers(40);
         callers.send("POST", "/holds/fffd000000000001", Job);
         system.entry(0).signal(SIGTERM);
         check(callers.cutOffCount() == 0);
         check(system.entry(0).waitForExit(WaitLimit) == 0);
-        system.site().loseWriteAnswers(0);
+        system.platform().loseWriteAnswers(0);
     });
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
 
 // Connections beyond an entry's limit are closed when they arrive. Those within the limit must be
@@ -716,5 +719,5 @@
     system.entry(0).signal(SIGCONT);
     check(callers.cutOffCount() == 0);
     check(system.entry(0).waitForExit(WaitLimit) == 0);
-    checkNoViolations(system, system.site());
+    checkNoViolations(system, system.platform());
 }
--- a/tests/process_stops_test.cpp
+++ b/tests/process_stops_test.cpp
@@ -244,7 +244,7 @@
         : m_seed(seed)
         , m_random(seed)
     {
-        m_system.site().setTaskTime(TaskDuration);
+        m_system.platform().setTaskTime(TaskDuration);
     }
 
     void run()
@@ -259,12 +259,12 @@
         }
         for (const int entry : {0, 1})
             setShare(entry, {});
-        m_system.site().setStoreUnavailable(false);
+        m_system.platform().setStoreUnavailable(false);
         for (auto &caller : m_callers)
             caller.request_stop();
         m_callers.clear();
         checkAcceptedJobs();
-        for (const auto &violation : m_system.site().violations())
+        for (const auto &violation : m_system.platform().violations())
             recordFault(violation);
     }
 
@@ -322,7 +322,8 @@
     {
         for (const int entry : {0, 1})
             m_currentShares[entry].tick(m_system.entry(entry), now);
-        m_system.site().setStoreUnavailable(now >= m_storeOutageFrom && now < m_storeOutageUntil);
+        m_system.platform().setStoreUnavailable(now >= m_storeOutageFrom
+                                                && now < m_storeOutageUntil);
         std::this_thread::sleep_for(TickInterval);
     }
 
--- a/tests/run_table_test.cpp
+++ b/tests/run_table_test.cpp
@@ -20,7 +20,7 @@
 
     table_fixture()
     {
-        table.setWorker({4000, 8000, 0}, start_readiness::Ready);
+        table.setWorkerState({4000, 8000, 0}, start_readiness::Ready);
         table.setEpoch(Epoch);
     }
 
@@ -122,13 +122,13 @@
 Test(run_table, a_repeated_stop_while_stops_of_the_earlier_incarnation_are_open)
 {
     table_fixture fixture;
-    fixture.table.setWorker({4000, 8000, 0}, start_readiness::RetryLater);
+    fixture.table.setWorkerState({4000, 8000, 0}, start_readiness::RetryLater);
     section("the stop has to be retried until they are over", [&] {
         check(fixture.giveOrder(table_fixture::stopOrderFor(table_fixture::order(0)))
               == order_outcome::NotReady);
     });
     section("a start order that the stop has overtaken starts nothing", [&] {
-        fixture.table.setWorker({4000, 8000, 0}, start_readiness::Ready);
+        fixture.table.setWorkerState({4000, 8000, 0}, start_readiness::Ready);
         check(fixture.giveOrder(table_fixture::order(0)) == order_outcome::Superseded);
     });
     section("then the run is certainly gone", [&] {
@@ -173,9 +173,9 @@
     section("not refused before the stops of the earlier incarnation are over", [&] {
         auto other = table_fixture::order(5);
         other.agentIncarnation = 7;
-        fixture.table.setWorker({4000, 8000, 0}, start_readiness::RetryLater);
+        fixture.table.setWorkerState({4000, 8000, 0}, start_readiness::RetryLater);
         check(fixture.giveOrder(other) == order_outcome::NotReady);
-        fixture.table.setWorker({4000, 8000, 0}, start_readiness::Ready);
+        fixture.table.setWorkerState({4000, 8000, 0}, start_readiness::Ready);
         check(fixture.giveOrder(other) == order_outcome::WrongAgentIncarnation);
     });
     section("after that, an order without an incarnation does not start it either", [&] {
