--- a/bench/load_signal_bench.cpp
+++ b/bench/load_signal_bench.cpp
@@ -14,7 +14,7 @@
 #include <fmt/core.h>
 
 #include "base/random.h"
-#include "placement/load_signal.h"
+#include "placement/latency_signal.h"
 
 namespace {
 
--- a/bench/placement_model.h
+++ b/bench/placement_model.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "placement/placer_settings.h"
+#include "placement/scheduler_settings.h"
 
 namespace zinniabarrow::bench {
 
--- a/libs/placement/load_signal.cpp
+++ b/libs/placement/latency_signal.cpp
@@ -1,4 +1,4 @@
-#include "placement/load_signal.h"
+#include "placement/latency_signal.h"
 
 #include <algorithm>
 
--- a/libs/placement/scheduler.h
+++ b/libs/placement/scheduler.h
@@ -27,12 +27,12 @@
 
 #include "placement/actions.h"
 #include "placement/interference.h"
-#include "placement/placer_settings.h"
 #include "placement/preemption_planner.h"
 #include "placement/quarantine.h"
 #include "placement/quota_table.h"
 #include "placement/relief.h"
 #include "placement/reservation_ledger.h"
+#include "placement/scheduler_settings.h"
 #include "placement/size_learner.h"
 #include "placement/task_table.h"
 #include "placement/worker_chooser.h"
--- a/libs/placement/worker_chooser.h
+++ b/libs/placement/worker_chooser.h
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "placement/interference.h"
-#include "placement/placer_settings.h"
 #include "placement/resources.h"
+#include "placement/scheduler_settings.h"
 #include "placement/worker_table.h"
 
 namespace zinniabarrow::placement {
--- a/libs/placement/worker_table.h
+++ b/libs/placement/worker_table.h
@@ -12,7 +12,7 @@
 
 #include "base/time.h"
 #include "placement/interference.h"
-#include "placement/load_signal.h"
+#include "placement/latency_signal.h"
 #include "placement/reservation_ledger.h"
 #include "placement/resources.h"
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -5,7 +5,7 @@
 
 #include "base/errors.h"
 #include "placement/interference.h"
-#include "placement/load_signal.h"
+#include "placement/latency_signal.h"
 #include "placement/quarantine.h"
 #include "placement/quota_table.h"
 #include "placement/relief.h"
