--- a/app/owned_shard.cpp
+++ b/app/owned_shard.cpp
@@ -74,8 +74,8 @@
 
 owned_shard::owned_shard(const work::shard_tenure &tenure, const std::string &operationPrefix,
                          const work::coordinator_settings &coordinatorSettings,
-                         const placement::placer_settings &placerSettings, std::size_t shardCount,
-                         metrics &counters, const logger &log)
+                         const placement::scheduler_settings &placerSettings,
+                         std::size_t shardCount, metrics &counters, const logger &log)
     : m_tenure(tenure)
     , m_coordinator(tenure, operationPrefix, coordinatorSettings)
     , m_quotaParts(tenure.shard, tenure.shardVersion, operationPrefix,
--- a/app/scheduling_actor.cpp
+++ b/app/scheduling_actor.cpp
@@ -31,9 +31,9 @@
     return out;
 }
 
-placement::placer_settings placerSettings(const config::entry_settings &settings)
+placement::scheduler_settings placerSettings(const config::entry_settings &settings)
 {
-    placement::placer_settings out;
+    placement::scheduler_settings out;
     out.weights.tailLatency = settings.weights.tailLatency;
     out.weights.throughput = settings.weights.throughput;
     out.weights.evictions = settings.weights.evictions;
--- a/bench/load_signal_bench.cpp
+++ b/bench/load_signal_bench.cpp
@@ -21,8 +21,8 @@
 using zinniabarrow::drawIndex;
 using zinniabarrow::drawUniform;
 using zinniabarrow::random_generator;
-using zinniabarrow::placement::load_signal;
-using zinniabarrow::placement::load_signal_settings;
+using zinniabarrow::placement::latency_signal;
+using zinniabarrow::placement::latency_signal_settings;
 
 constexpr int SliceCount = 50'000;
 constexpr double RaiseCost = 3; // one raise counts as this many wrong slices
@@ -86,8 +86,8 @@
 
 struct average_signal
 {
-    load_signal_settings settings;
-    load_signal signal;
+    latency_signal_settings settings;
+    latency_signal signal;
 
     void add(double count) { signal.add(count, settings); }
 };
--- a/bench/placement_model.cpp
+++ b/bench/placement_model.cpp
@@ -72,10 +72,10 @@
 class placement_model
 {
 public:
-    placement_model(const placer_settings &policy, const model_settings &settings)
+    placement_model(const scheduler_settings &policy, const model_settings &settings)
         : m_settings(settings)
         , m_random(settings.seed)
-        , m_placer(policy)
+        , m_scheduler(policy)
     { }
 
     model_result run();
@@ -85,8 +85,8 @@
     void operator()(const preempt_action &action);
     void operator()(const throttle_action &action);
     void operator()(const refuse_action &action);
-    void operator()(const usage_sample &sample) { m_placer.usageSampled(sample, m_now); }
-    void operator()(const latency_sample &sample) { m_placer.latencySampled(sample, m_now); }
+    void operator()(const usage_sample &sample) { m_scheduler.usageSampled(sample, m_now); }
+    void operator()(const latency_sample &sample) { m_scheduler.latencySampled(sample, m_now); }
 
 private:
     double elapsedSeconds() const { return std::chrono::duration<double>(m_now - Start).count(); }
@@ -117,7 +117,7 @@
 
     model_settings m_settings;
     random_generator m_random;
-    placer m_placer;
+    scheduler m_scheduler;
     time_point m_now = Start;
     int m_nextJob = 0;
     std::map<task_ref, model_task> m_tasks;
@@ -143,11 +143,11 @@
 
 void placement_model::addWorkers()
 {
-    m_placer.setPool({"main", WorkerSize}, m_now);
+    m_scheduler.setPool({"main", WorkerSize}, m_now);
     for (int index = 0; index < m_settings.workers; ++index) {
         const auto zone = "zone-" + std::to_string(index % 3);
         const auto rack = "rack-" + std::to_string(index / 9);
-        m_placer.addWorker({"w" + std::to_string(index), zone, rack, "main", WorkerSize}, m_now);
+        m_scheduler.addWorker({"w" + std::to_string(index), zone, rack, "main", WorkerSize}, m_now);
     }
 }
 
@@ -168,7 +168,7 @@
             task.usableProcessors = 1.5;
             task.peakBytes = 4.0 * Gigabyte;
             task.totalWork = UnlimitedWork;
-            m_placer.taskPending(task.spec, m_now);
+            m_scheduler.taskPending(task.spec, m_now);
             m_tasks.emplace(task.spec.ref(), task);
         }
     }
@@ -202,7 +202,7 @@
         task.totalWork = need * drawBetween(120, 900);
         task.alwaysFails = isBadJob;
         task.pendingAt = elapsedSeconds();
-        m_placer.taskPending(task.spec, m_now);
+        m_scheduler.taskPending(task.spec, m_now);
         m_tasks.emplace(task.spec.ref(), task);
     }
 }
@@ -239,7 +239,7 @@
     task.timeOnWorker = 0;
     task.stopDelay = -1;
     task.isRunning = false;
-    m_placer.placementSettled(action.task, action.worker, placement_outcome::Applied, m_now);
+    m_scheduler.placementSettled(action.task, action.worker, placement_outcome::Applied, m_now);
 }
 
 void placement_model::operator()(const preempt_action &action)
@@ -300,7 +300,7 @@
     const auto worker = task.worker;
     if (!task.isRunning) {
         task.isRunning = true;
-        m_placer.taskRunning(ref, worker, m_now);
+        m_scheduler.taskRunning(ref, worker, m_now);
         const bool urgent = task.spec.priority == task_priority::Urgent;
         if (urgent && !task.hasRunBefore && !task.alwaysFails)
             m_urgentDelays.push_back(elapsedSeconds() - task.pendingAt);
@@ -312,14 +312,14 @@
         if (task.stopDelay > 0)
             return true;
         stopTask(task);
-        m_placer.taskReleased(ref, worker, m_now);
+        m_scheduler.taskReleased(ref, worker, m_now);
         return false;
     }
     const bool service = task.spec.kind == task_kind::Service;
     if (!service && (task.alwaysFails || isFailingWorker(worker)) && task.timeOnWorker >= 3) {
         ++m_result.failures;
         stopTask(task);
-        m_placer.taskFailed(ref, worker, "exit 1", m_now);
+        m_scheduler.taskFailed(ref, worker, "exit 1", m_now);
         return false;
     }
     const double progress = std::min(task.usableProcessors, task.processorLimit) * TickSeconds;
@@ -332,7 +332,7 @@
         return true;
     ++m_result.batchFinished;
     m_result.finishedHours += task.totalWork;
-    m_placer.taskEnded(ref, worker, m_now);
+    m_scheduler.taskEnded(ref, worker, m_now);
     m_tasks.erase(ref);
     return false;
 }
@@ -376,7 +376,7 @@
         ++m_result.memoryKills;
         stopTask(*task);
         // Released, not failed: the task itself is not to blame.
-        m_placer.taskReleased(task->spec.ref(), worker, m_now);
+        m_scheduler.taskReleased(task->spec.ref(), worker, m_now);
     }
 }
 
@@ -430,7 +430,7 @@
 void placement_model::checkCapacity()
 {
     for (int index = 0; index < m_settings.workers; ++index) {
-        const auto *ledger = m_placer.ledgerOf("w" + std::to_string(index));
+        const auto *ledger = m_scheduler.ledgerOf("w" + std::to_string(index));
         if (ledger && !ledger->reserved().fitsIn(ledger->size()))
             ++m_result.overCapacityCount;
     }
@@ -471,7 +471,7 @@
         killForMemory();
         sampleUsage();
         measureServices();
-        for (const auto &action : m_placer.plan(m_now, 1'000))
+        for (const auto &action : m_scheduler.plan(m_now, 1'000))
             std::visit(*this, action);
         checkCapacity();
     }
@@ -507,7 +507,7 @@
     return {declaredFirstFit, withoutLearning, mtkvari, vtav, withoutRelief, withoutAttribution};
 }
 
-model_result runModel(const placer_settings &policy, const model_settings &settings)
+model_result runModel(const scheduler_settings &policy, const model_settings &settings)
 {
     return placement_model(policy, settings).run();
 }
--- a/bench/placement_model.h
+++ b/bench/placement_model.h
@@ -40,25 +40,25 @@
     int memoryKills = 0;       // tasks that the kernel killed for memory
     int failures = 0;          // failed attempts of failing jobs' tasks and on the failing worker
     double wastedHours = 0;    // processor hours repeated or lost
-    int throttles = 0;         // decisions of the placer to set or lift a CPU limit
+    int throttles = 0;         // decisions of the scheduler to set or lift a CPU limit
     double maxUrgentDelay = 0; // seconds from pending to the first run, urgent tasks
     double urgentP99Delay = 0; // likewise
     // How often a worker had more reserved than its size; each worker is checked every 500 ms.
     int overCapacityCount = 0;
 };
 
-// Settings of the placer under test, and the name to print.
+// Settings of the scheduler under test, and the name to print.
 struct named_policy
 {
     std::string name;
-    placement::placer_settings settings;
+    placement::scheduler_settings settings;
 };
 
-// First fit on declared sizes; the placer's own policy (Scored) without learning of sizes and
+// First fit on declared sizes; the scheduler's own policy (Scored) without learning of sizes and
 // interference, and then with it and the weights of each of two deployments; and the first of these
 // two again, once without relieveServices and once without learning of interference.
 std::vector<named_policy> comparedPolicies();
 // The same policy and settings always give the same result.
-model_result runModel(const placement::placer_settings &policy, const model_settings &settings);
+model_result runModel(const placement::scheduler_settings &policy, const model_settings &settings);
 
 } // namespace zinniabarrow::bench
--- a/bench/placement_slope_bench.cpp
+++ b/bench/placement_slope_bench.cpp
@@ -1,4 +1,4 @@
-// Cost of the placer, by number of workers and tasks: processor time of decisions, and memory.
+// Cost of the scheduler, by number of workers and tasks: processor time of decisions, and memory.
 // Prints one table.
 //
 // Processor time depends on this machine and is meant to be read by people. Memory is the number of
@@ -74,24 +74,24 @@
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-struct placer_run
+struct scheduler_run
 {
     random_generator random{7};
-    placer testedPlacer;
+    scheduler testedScheduler;
     time_point now{std::chrono::hours(1)};
     int nextJob = 0;
     std::vector<place_action> placed;
 
-    explicit placer_run(int workers)
-        : testedPlacer(placer_settings{})
+    explicit scheduler_run(int workers)
+        : testedScheduler(scheduler_settings{})
     {
-        testedPlacer.setPool({"main", {64'000, 256 * Gigabyte, 4}}, now);
+        testedScheduler.setPool({"main", {64'000, 256 * Gigabyte, 4}}, now);
         for (int index = 0; index < workers; ++index) {
             const resources size{64'000, 256 * Gigabyte, index % 2 == 0 ? 4 : 0};
             const auto zone = "zone-" + std::to_string(index % 5);
-            testedPlacer.addWorker({"worker-" + std::to_string(index), zone,
-                                    std::to_string(index / 40), "main", size},
-                                   now);
+            testedScheduler.addWorker({"worker-" + std::to_string(index), zone,
+                                       std::to_string(index / 40), "main", size},
+                                      now);
         }
     }
 
@@ -109,7 +109,7 @@
             task.declared = {400 + 100 * size, Gigabyte + size * Gigabyte / 2, 0};
             for (task.taskIndex = 0; task.taskIndex < TasksPerJob && submitted < tasks;
                  ++submitted) {
-                testedPlacer.taskPending(task, now);
+                testedScheduler.taskPending(task, now);
                 ++task.taskIndex;
             }
         }
@@ -119,12 +119,12 @@
     std::size_t plan()
     {
         std::size_t count = 0;
-        for (const auto &action : testedPlacer.plan(now, 100'000)) {
+        for (const auto &action : testedScheduler.plan(now, 100'000)) {
             if (const auto *place = std::get_if<place_action>(&action)) {
                 placed.push_back(*place);
                 ++count;
             } else if (const auto *preemption = std::get_if<preempt_action>(&action)) {
-                testedPlacer.taskReleased(preemption->victim, preemption->worker, now);
+                testedScheduler.taskReleased(preemption->victim, preemption->worker, now);
                 std::erase_if(placed,
                               [&](const auto &each) { return each.task == preemption->victim; });
             }
@@ -135,9 +135,9 @@
     void startAllPlaced()
     {
         for (const auto &place : placed) {
-            testedPlacer.placementSettled(place.task, place.worker, placement_outcome::Applied,
-                                          now);
-            testedPlacer.taskRunning(place.task, place.worker, now);
+            testedScheduler.placementSettled(place.task, place.worker, placement_outcome::Applied,
+                                             now);
+            testedScheduler.taskRunning(place.task, place.worker, now);
         }
     }
 
@@ -145,7 +145,7 @@
     {
         now += seconds(10);
         for (const auto &place : placed)
-            testedPlacer.usageSampled({place.task, place.worker, {300, Gigabyte, 0}, now}, now);
+            testedScheduler.usageSampled({place.task, place.worker, {300, Gigabyte, 0}, now}, now);
     }
 
     // Processor time of one second at peak load: 210 tasks end and 210 are submitted, in ten plans.
@@ -156,7 +156,7 @@
             now += milliseconds(100);
             for (int endIndex = 0; endIndex < 21; ++endIndex) {
                 const auto index = drawIndex(random, placed.size());
-                testedPlacer.taskEnded(placed[index].task, placed[index].worker, now);
+                testedScheduler.taskEnded(placed[index].task, placed[index].worker, now);
                 placed[index] = placed.back();
                 placed.pop_back();
             }
@@ -164,7 +164,7 @@
             const auto placedBefore = placed.size();
             plan();
             for (std::size_t index = placedBefore; index < placed.size(); ++index)
-                testedPlacer.taskRunning(placed[index].task, placed[index].worker, now);
+                testedScheduler.taskRunning(placed[index].task, placed[index].worker, now);
         }
         return processorSeconds() - beginSeconds;
     }
@@ -173,7 +173,7 @@
 void measure(int workers, int tasks)
 {
     const auto bytesBefore = liveBytes;
-    placer_run run(workers);
+    scheduler_run run(workers);
     const auto workerBytes = liveBytes - bytesBefore;
     run.submit(tasks);
     run.placed.reserve(static_cast<std::size_t>(tasks) + 64);
--- a/libs/placement/actions.h
+++ b/libs/placement/actions.h
@@ -1,4 +1,4 @@
-// Messages between the placer and the process that runs it.
+// Messages between the scheduler and the process that runs it.
 //
 //   placement_action              decisions: place, raise, preempt, throttle, refuse
 //   usage_sample, latency_sample  measurements reported by workers; they arrive with a delay
@@ -20,7 +20,7 @@
 
 // Start the task on the worker with the limits in `reserved`. The worker's ledger already counts
 // the reservation. The caller stores the placement and reports the result of that write with
-// placer::placementSettled().
+// scheduler::placementSettled().
 struct place_action
 {
     task_ref task;
@@ -35,7 +35,7 @@
 };
 
 // Checkpoint the victim and stop it. The ledger counts its reservation until
-// placer::taskReleased().
+// scheduler::taskReleased().
 struct preempt_action
 {
     task_ref victim;
@@ -62,9 +62,9 @@
 };
 
 // The task is not placed; `reason` names the limit and the remedy. After NeverFits and
-// QuotaExceeded the placer forgets the task: submit it again when the job has changed. Quarantined
-// applies to the whole job and is reported once per quarantine; the job's tasks stay pending, and
-// one of them is retried automatically.
+// QuotaExceeded the scheduler forgets the task: submit it again when the job has changed.
+// Quarantined applies to the whole job and is reported once per quarantine; the job's tasks stay
+// pending, and one of them is retried automatically.
 struct refuse_action
 {
     task_ref task;
@@ -78,7 +78,7 @@
 
 // Changes of the workers' backlogs. For an assigned task, plan() returns a place_action on the same
 // worker once there is capacity. A withdrawn task becomes pending again with
-// placer::taskReleased().
+// scheduler::taskReleased().
 struct backlog_plan
 {
     std::vector<place_action> assigned;
@@ -125,10 +125,10 @@
     std::string team;
     double weight = 1; // relative share when teams compete for capacity
     resources limit;   // maximum total reservation; 0 in a dimension means no limit
-    std::optional<resources> localLimit = {}; // of `limit`, for this placer; unset: all of it
+    std::optional<resources> localLimit = {}; // of `limit`, for this scheduler; unset: all of it
 };
 
-// What a team has reserved at this placer, and what its pending tasks need.
+// What a team has reserved at this scheduler, and what its pending tasks need.
 struct team_usage
 {
     resources reservedSum;
--- a/libs/placement/backlog.cpp
+++ b/libs/placement/backlog.cpp
@@ -29,14 +29,14 @@
 
 } // namespace
 
-std::size_t placer::backlogLengthOf(const std::string &worker) const
+std::size_t scheduler::backlogLengthOf(const std::string &worker) const
 {
     const int slot = m_workers.slotOf(worker);
     return slot == worker_table::NoSlot ? 0 : m_workers.at(slot).backlogLength;
 }
 
 // Starts tasks of this rank from the backlogs, each on its assigned worker only.
-void placer::startFromBacklogs(planning_pass &pass, int rank)
+void scheduler::startFromBacklogs(planning_pass &pass, int rank)
 {
     const std::vector<task_ref> tasks(m_backlogTasks.begin(), m_backlogTasks.end());
     for (const auto &task : tasks) {
@@ -60,7 +60,7 @@
     }
 }
 
-backlog_plan placer::planBacklog(time_point now, std::size_t perWorker)
+backlog_plan scheduler::planBacklog(time_point now, std::size_t perWorker)
 {
     backlog_plan plan;
     withdrawFromBacklogs(plan, now);
@@ -83,8 +83,8 @@
     return plan;
 }
 
-void placer::assignToBacklog(backlog_plan &plan, job_record &job, std::size_t perWorker,
-                             time_point now)
+void scheduler::assignToBacklog(backlog_plan &plan, job_record &job, std::size_t perWorker,
+                                time_point now)
 {
     const auto demand = demandOf(job);
     const std::vector<std::int32_t> pendingCopy(job.pending.begin(), job.pending.end());
@@ -104,16 +104,16 @@
     }
 }
 
-void placer::addToBacklog(const task_ref &task, task_record &record, int slot, time_point now)
+void scheduler::addToBacklog(const task_ref &task, task_record &record, int slot, time_point now)
 {
     record.backlogSlot = slot;
     record.isBacklogStored = false;
-    record.backlogUntil = now + m_settings.minBacklogTime;
+    record.withdrawableFrom = now + m_settings.minBacklogTime;
     ++m_workers.at(slot).backlogLength;
     m_backlogTasks.insert(task);
 }
 
-bool placer::isWithinLimits(const task_ref &task) const
+bool scheduler::isWithinLimits(const task_ref &task) const
 {
     const auto *job = m_tasks.findJob(task.jobId);
     if (!job || !job->tasks.contains(task.taskIndex))
@@ -124,7 +124,7 @@
            && m_quotas.canReserve(record.team, resources{});
 }
 
-void placer::taskInBacklog(const task_ref &task, const std::string &worker, time_point now)
+void scheduler::taskInBacklog(const task_ref &task, const std::string &worker, time_point now)
 {
     const auto found = findOnWorker(task, worker);
     if (!found || found.task->cancelled)
@@ -137,8 +137,8 @@
 }
 
 // Returns the slot of the worker in the job's pool with the shortest backlog.
-int placer::chooseBacklogSlot(const job_record &job, const resources &demand,
-                              std::size_t perWorker) const
+int scheduler::chooseBacklogSlot(const job_record &job, const resources &demand,
+                                 std::size_t perWorker) const
 {
     int bestSlot = NoWorker;
     std::size_t shortestLength = perWorker;
@@ -154,7 +154,7 @@
 }
 
 // Without withdrawals the last tasks of a job would wait for one busy worker while others are idle.
-void placer::withdrawFromBacklogs(backlog_plan &plan, time_point now)
+void scheduler::withdrawFromBacklogs(backlog_plan &plan, time_point now)
 {
     const std::vector<task_ref> tasks(m_backlogTasks.begin(), m_backlogTasks.end());
     for (const auto &task : tasks) {
@@ -169,14 +169,14 @@
 // True if the assigned worker no longer accepts tasks, or if another worker has free capacity that
 // plan() did not use. That capacity is then held for this task, so that it does not trigger the
 // withdrawal of several tasks.
-bool placer::shouldWithdraw(const job_record &job, task_record &record, time_point now)
+bool scheduler::shouldWithdraw(const job_record &job, task_record &record, time_point now)
 {
     if (record.holdSlot != NoWorker && now < record.holdUntil)
         return false; // the withdrawal is in progress
     releaseHold(record);
     const auto &worker = m_workers.at(record.backlogSlot);
     const bool acceptsTasks = worker.inService && !worker.isQuarantined;
-    if (acceptsTasks && now < record.backlogUntil)
+    if (acceptsTasks && now < record.withdrawableFrom)
         return false;
     auto request = requestFor(job, record, demandOf(job), now);
     request.excludedSlot = record.backlogSlot;
@@ -194,7 +194,7 @@
     return true;
 }
 
-placer::found_task placer::findInBacklog(const task_ref &task, const std::string &worker)
+scheduler::found_task scheduler::findInBacklog(const task_ref &task, const std::string &worker)
 {
     const auto found = findTask(task);
     const bool isOnWorker = found && found.task->backlogSlot != NoWorker
@@ -202,7 +202,7 @@
     return isOnWorker ? found : found_task();
 }
 
-void placer::removeFromBacklog(const task_ref &task, task_record &record)
+void scheduler::removeFromBacklog(const task_ref &task, task_record &record)
 {
     if (record.backlogSlot == NoWorker)
         return;
@@ -213,7 +213,7 @@
     m_workers.removeIfUnused(slot);
 }
 
-bool placer::releaseFromBacklog(const task_ref &task, const std::string &worker, time_point now)
+bool scheduler::releaseFromBacklog(const task_ref &task, const std::string &worker, time_point now)
 {
     const auto found = findInBacklog(task, worker);
     if (!found)
--- a/libs/placement/interference.h
+++ b/libs/placement/interference.h
@@ -22,7 +22,7 @@
 
 namespace zinniabarrow::placement {
 
-using class_number = std::uint16_t; // of a job class, see placer::classNumber()
+using class_number = std::uint16_t; // of a job class, see scheduler::classNumber()
 
 struct class_millicores
 {
--- a/libs/placement/latency_signal.cpp
+++ b/libs/placement/latency_signal.cpp
@@ -4,7 +4,7 @@
 
 namespace zinniabarrow::placement {
 
-void load_signal::add(double excess, const load_signal_settings &settings)
+void latency_signal::add(double excess, const latency_signal_settings &settings)
 {
     const auto windowSamples = std::clamp<std::size_t>(settings.windowSamples, 1, MaxSamples);
     if (m_count >= windowSamples) {
@@ -22,7 +22,7 @@
         m_raised = false;
 }
 
-double load_signal::mean() const
+double latency_signal::mean() const
 {
     if (m_count == 0)
         return 0;
--- a/libs/placement/latency_signal.h
+++ b/libs/placement/latency_signal.h
@@ -10,24 +10,24 @@
 
 namespace zinniabarrow::placement {
 
-struct load_signal_settings
+struct latency_signal_settings
 {
-    std::size_t windowSamples = 3; // samples averaged, at most load_signal::MaxSamples
+    std::size_t windowSamples = 3; // samples averaged, at most latency_signal::MaxSamples
     double riseAbove = 0;          // mean log(p99 / target) above which the signal is raised
     double fallBelow = -0.2;       // mean log(p99 / target) below which the signal is lowered
 };
 
-class load_signal
+class latency_signal
 {
 public:
     static constexpr std::size_t MaxSamples = 16;
 
-    void add(double excess, const load_signal_settings &settings);
+    void add(double excess, const latency_signal_settings &settings);
     // Drops the samples but keeps the state: samples from before an action do not show its effect.
     void clearSamples() { m_count = 0; }
 
     double mean() const;
-    bool isFull(const load_signal_settings &settings) const
+    bool isFull(const latency_signal_settings &settings) const
     {
         return m_count >= settings.windowSamples;
     }
--- a/libs/placement/plan.cpp
+++ b/libs/placement/plan.cpp
@@ -1,4 +1,4 @@
-// The placer's decisions: raises, evictions for memory, and placement of pending tasks.
+// The scheduler's decisions: raises, evictions for memory, and placement of pending tasks.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -37,7 +37,7 @@
 
 } // namespace
 
-std::vector<placement_action> placer::plan(time_point now, int maxDecisions, plan_scope scope)
+std::vector<placement_action> scheduler::plan(time_point now, int maxDecisions, plan_scope scope)
 {
     planning_pass pass;
     pass.now = now;
@@ -56,7 +56,7 @@
 
 // A worker's quarantine ends with its cool-down, without an event; so the state is checked on each
 // pass.
-void placer::refreshQuarantinedWorkers(time_point now)
+void scheduler::refreshQuarantinedWorkers(time_point now)
 {
     for (auto next = m_quarantinedSlots.begin(); next != m_quarantinedSlots.end();) {
         refreshQuarantine(*next, now);
@@ -66,7 +66,7 @@
     }
 }
 
-void placer::refreshQuarantine(int slot, time_point now)
+void scheduler::refreshQuarantine(int slot, time_point now)
 {
     auto &worker = m_workers.at(slot);
     const bool canUse = m_quarantine.canUseWorker(worker.info.id, now);
@@ -77,7 +77,7 @@
     m_workers.updateFreeCapacity(slot);
 }
 
-void placer::sendRaises(planning_pass &pass)
+void scheduler::sendRaises(planning_pass &pass)
 {
     while (!m_raisesToSend.empty() && !pass.isFull()) {
         const auto task = m_raisesToSend.back();
@@ -101,7 +101,7 @@
 // tasks may use far less than they reserved. Evicting for every deferred raise turned a wave of
 // growing tasks into a wave of evictions. So the measured memory use must first come near the
 // worker's memory.
-void placer::evictForMemory(planning_pass &pass)
+void scheduler::evictForMemory(planning_pass &pass)
 {
     for (auto next = m_deferredRaiseSlots.begin();
          next != m_deferredRaiseSlots.end() && !pass.isFull();) {
@@ -130,7 +130,7 @@
 
 // Memory in bytes that the tasks that are not stopping may soon use: the measured peak plus a
 // margin for delayed samples, or the whole reservation if there is no sample yet.
-std::int64_t placer::expectedBytes(int slot)
+std::int64_t scheduler::expectedBytes(int slot)
 {
     std::int64_t sum = 0;
     for (const auto &[task, reservation] : m_workers.at(slot).ledger.reservations()) {
@@ -146,7 +146,7 @@
     return sum;
 }
 
-void placer::placePending(planning_pass &pass)
+void scheduler::placePending(planning_pass &pass)
 {
     for (int rank = 0; rank < RankCount && !pass.isFull(); ++rank) {
         // Backlogs first: their tasks need no further write and can start on no other worker.
@@ -158,7 +158,7 @@
 
 // Places one task at a time for the team with the smallest weighted share, so that a team with
 // thousands of pending tasks does not take all free capacity.
-void placer::placeRank(planning_pass &pass, pending_queue::rank_teams &teams)
+void scheduler::placeRank(planning_pass &pass, pending_queue::rank_teams &teams)
 {
     std::vector<team_cursor> cursors;
     for (auto &[team, jobs] : teams) {
@@ -176,7 +176,7 @@
 }
 
 // Continues with the team's jobs until one task is placed. False when no job is left.
-bool placer::placeOneTask(planning_pass &pass, team_cursor &cursor)
+bool scheduler::placeOneTask(planning_pass &pass, team_cursor &cursor)
 {
     while (!pass.isFull()) {
         // Looked up by sequence, because an iterator is invalid after the job's last pending task
@@ -195,8 +195,8 @@
     return true;
 }
 
-placer::try_result placer::tryNextTask(planning_pass &pass, job_record &job,
-                                       std::int32_t &startIndex)
+scheduler::try_result scheduler::tryNextTask(planning_pass &pass, job_record &job,
+                                             std::int32_t &startIndex)
 {
     const auto next = job.pending.lower_bound(startIndex);
     if (next == job.pending.end())
@@ -212,7 +212,7 @@
 
 // Refuses the job's tasks at once, naming the limit: a task that can never run would otherwise stay
 // in the queue unnoticed.
-bool placer::refuseJob(planning_pass &pass, job_record &job)
+bool scheduler::refuseJob(planning_pass &pass, job_record &job)
 {
     const auto &pool = m_workers.pool(job.pool);
     const bool isSizeKnown = pool.configured
@@ -241,8 +241,8 @@
     return false;
 }
 
-void placer::refuseTasks(planning_pass &pass, job_record &job, error_kind kind,
-                         const std::string &reason)
+void scheduler::refuseTasks(planning_pass &pass, job_record &job, error_kind kind,
+                            const std::string &reason)
 {
     auto &counter = kind == error_kind::NeverFits ? m_stats.refusedNeverFits : m_stats.refusedQuota;
     const auto jobId = job.spec.jobId;
@@ -256,7 +256,7 @@
     }
 }
 
-bool placer::shouldWait(planning_pass &pass, job_record &job)
+bool scheduler::shouldWait(planning_pass &pass, job_record &job)
 {
     if (!m_quarantine.canStartJob(job.spec.jobId, pass.now)) {
         job.waitReason = wait_reason::JobQuarantined;
@@ -282,7 +282,8 @@
            && pass.now < job.retryAt;
 }
 
-bool placer::hasFailedDemand(const planning_pass &pass, std::size_t pool, const resources &demand)
+bool scheduler::hasFailedDemand(const planning_pass &pass, std::size_t pool,
+                                const resources &demand)
 {
     return std::any_of(pass.failedDemands.begin(), pass.failedDemands.end(),
                        [&](const auto &failed) {
@@ -290,7 +291,7 @@
                        });
 }
 
-void placer::addFailedDemand(planning_pass &pass, std::size_t pool, const resources &demand)
+void scheduler::addFailedDemand(planning_pass &pass, std::size_t pool, const resources &demand)
 {
     // Larger demands add no information.
     std::erase_if(pass.failedDemands, [&](const auto &failed) {
@@ -301,7 +302,7 @@
 }
 
 // A learned size must not prevent a task from running that could run with its declared size.
-resources placer::demandOf(const job_record &job) const
+resources scheduler::demandOf(const job_record &job) const
 {
     const auto &declared = job.spec.declared;
     const auto learned = m_sizeLearner.reservationFor(job.spec, job.usage);
@@ -319,8 +320,8 @@
     return demand;
 }
 
-placement_request placer::requestFor(const job_record &job, const task_record &record,
-                                     const resources &demand, time_point now) const
+placement_request scheduler::requestFor(const job_record &job, const task_record &record,
+                                        const resources &demand, time_point now) const
 {
     placement_request request;
     request.kind = job.spec.kind;
@@ -329,7 +330,7 @@
     request.demand = demand;
     request.isUrgent = job.spec.priority == task_priority::Urgent;
     request.excludedSlot = now < record.avoidUntil ? record.avoidedSlot : NoWorker;
-    request.waited = now - record.pendingSince;
+    request.pendingTime = now - record.pendingSince;
     if (job.spec.kind != task_kind::Service)
         return request;
     for (const auto &[index, other] : job.tasks) {
@@ -340,7 +341,7 @@
     return request;
 }
 
-placer::try_result placer::tryTask(planning_pass &pass, job_record &job, std::int32_t index)
+scheduler::try_result scheduler::tryTask(planning_pass &pass, job_record &job, std::int32_t index)
 {
     auto &record = job.tasks.at(index);
     const auto demand = demandOf(job);
@@ -376,8 +377,8 @@
 
 // Uses capacity freed by victims first. If they have not stopped in time, another worker is tried:
 // a worker that does not stop its tasks must not delay urgent work.
-bool placer::placeOnHold(planning_pass &pass, job_record &job, std::int32_t index,
-                         const resources &demand)
+bool scheduler::placeOnHold(planning_pass &pass, job_record &job, std::int32_t index,
+                            const resources &demand)
 {
     auto &record = job.tasks.at(index);
     if (record.holdSlot == NoWorker)
@@ -397,7 +398,7 @@
 
 // Capacity held on the same worker for tasks whose hold is older. Newer holds do not count: their
 // victims may still run and would keep this task from capacity that its own victims freed.
-resources placer::earlierHolds(const task_record &record)
+resources scheduler::earlierHolds(const task_record &record)
 {
     resources sum;
     for (const auto &task : m_heldTasks) {
@@ -409,7 +410,7 @@
     return sum;
 }
 
-void placer::abandonHold(task_record &record, time_point now)
+void scheduler::abandonHold(task_record &record, time_point now)
 {
     record.avoidedSlot = record.holdSlot;
     record.avoidUntil = now + AvoidSlowWorkerFor;
@@ -418,7 +419,7 @@
 
 // A task that was not retried in time, because its team reached its quota or its job was
 // quarantined, must not hold capacity forever.
-void placer::expireHolds(planning_pass &pass)
+void scheduler::expireHolds(planning_pass &pass)
 {
     for (auto next = m_heldTasks.begin(); next != m_heldTasks.end();) {
         const auto found = findTask(*next);
@@ -436,7 +437,7 @@
 // The team's own batch tasks fill its quota and could delay its urgent work for hours. Tasks that
 // already hold capacity count as placed, and victims that are still stopping as stopped, so that
 // each pending task preempts its own victims only once.
-void placer::preemptForQuota(planning_pass &pass, job_record &job)
+void scheduler::preemptForQuota(planning_pass &pass, job_record &job)
 {
     std::erase_if(m_quotaVictims, [this](const task_ref &victim) { return !isStopping(victim); });
     const auto demand = demandOf(job);
@@ -455,7 +456,7 @@
     }
 }
 
-bool placer::isStopping(const task_ref &task)
+bool scheduler::isStopping(const task_ref &task)
 {
     const auto found = findTask(task);
     if (!found || found.task->workerSlot == NoWorker)
@@ -465,7 +466,7 @@
 }
 
 // What the team's holds will add to its reservations, less what its stopping victims will release.
-resources placer::pendingTeamChange(std::uint16_t team)
+resources scheduler::pendingTeamChange(std::uint16_t team)
 {
     resources sum;
     for (const auto &task : m_heldTasks) {
@@ -481,8 +482,8 @@
     return sum;
 }
 
-bool placer::holdCapacity(planning_pass &pass, job_record &job, std::int32_t index,
-                          const placement_request &request)
+bool scheduler::holdCapacity(planning_pass &pass, job_record &job, std::int32_t index,
+                             const placement_request &request)
 {
     const auto plan = m_preemptionPlanner.planPreemption(request, job.rank);
     if (plan)
@@ -490,8 +491,8 @@
     return plan.has_value();
 }
 
-void placer::holdCapacity(planning_pass &pass, job_record &job, std::int32_t index,
-                          const placement_request &request, const preemption_plan &plan)
+void scheduler::holdCapacity(planning_pass &pass, job_record &job, std::int32_t index,
+                             const placement_request &request, const preemption_plan &plan)
 {
     auto &record = job.tasks.at(index);
     const auto stopDeadline =
@@ -509,8 +510,8 @@
     m_workers.updateFreeCapacity(plan.slot);
 }
 
-void placer::place(planning_pass &pass, job_record &job, std::int32_t index, int slot,
-                   const resources &demand)
+void scheduler::place(planning_pass &pass, job_record &job, std::int32_t index, int slot,
+                      const resources &demand)
 {
     const task_ref task{job.spec.jobId, index};
     auto &worker = m_workers.at(slot);
@@ -525,8 +526,9 @@
     ++m_stats.placed;
 }
 
-void placer::preempt(planning_pass &pass, int slot, const task_ref &victim, preempt_reason reason,
-                     const task_ref &beneficiary, time_point checkpointDeadline)
+void scheduler::preempt(planning_pass &pass, int slot, const task_ref &victim,
+                        preempt_reason reason, const task_ref &beneficiary,
+                        time_point checkpointDeadline)
 {
     const auto found = findTask(victim);
     found.task->stopsSoon = reason == preempt_reason::UrgentTask;
--- a/libs/placement/preemption_planner.h
+++ b/libs/placement/preemption_planner.h
@@ -1,5 +1,6 @@
 // Preemption: which worker can free enough capacity for a task, and which tasks, the victims, have
-// to stop. Used by the placer, which stops them. A slot is the index of a worker in worker_table.
+// to stop. Used by the scheduler, which stops them. A slot is the index of a worker in
+// worker_table.
 #pragma once
 
 #include <array>
@@ -53,7 +54,7 @@
 private:
     struct evictable_sums
     {
-        std::uint64_t workerRevision = 0; // worker_slot::revision for which the sums are valid
+        std::uint64_t workerRevision = 0; // worker_record::revision for which the sums are valid
         // Reservations that may be evicted for a task of that rank.
         std::array<resources, RankCount> evictableByRank;
         // Of tasks that were asked to stop and do so without a long checkpoint: counts as free.
--- a/libs/placement/quarantine.h
+++ b/libs/placement/quarantine.h
@@ -1,5 +1,5 @@
 // Quarantine of jobs that fail on several workers, and of workers on which several jobs fail. Used
-// by the placer.
+// by the scheduler.
 //
 // A job is quarantined when it failed on several distinct workers, or many times on two. A worker
 // is quarantined when several distinct jobs failed on it and no task started since has succeeded.
--- a/libs/placement/relief.h
+++ b/libs/placement/relief.h
@@ -5,8 +5,8 @@
 //   chooseRelief       throttle, otherwise checkpoint and evict, or nothing
 //   chooseThrottleLift which throttled task gets processors back
 //
-// These functions have no state and consider the tasks of one worker. The placer keeps the signals,
-// the cool-down and the budget.
+// These functions have no state and consider the tasks of one worker. The scheduler keeps the
+// signals, the cool-down and the budget.
 #pragma once
 
 #include <cstddef>
--- a/libs/placement/resources.cpp
+++ b/libs/placement/resources.cpp
@@ -81,7 +81,7 @@
 
 } // namespace
 
-resources smallest(const resources &left, const resources &right)
+resources minOfEach(const resources &left, const resources &right)
 {
     return {std::min(left.millicores, right.millicores), std::min(left.bytes, right.bytes),
             std::min(left.accelerators, right.accelerators)};
--- a/libs/placement/resources.h
+++ b/libs/placement/resources.h
@@ -22,7 +22,7 @@
 namespace zinniabarrow::placement {
 
 // The smaller of the two in each dimension.
-resources smallest(const resources &left, const resources &right);
+resources minOfEach(const resources &left, const resources &right);
 // The largest quotient of `part` by `whole` over all dimensions. A dimension that is 0 in `whole`
 // counts as 1 if `part` uses it.
 double dominantShare(const resources &part, const resources &whole);
--- a/libs/placement/scheduler.cpp
+++ b/libs/placement/scheduler.cpp
@@ -21,7 +21,7 @@
 // Further classes share this number: they are placed as usual but not distinguished.
 constexpr class_number MaxClasses = 4095;
 
-placer_settings withDerivedQuantile(placer_settings settings)
+scheduler_settings withDerivedQuantile(scheduler_settings settings)
 {
     if (settings.quantileFromWeights)
         settings.sizes.memoryQuantile = memoryQuantileFor(settings.weights);
@@ -46,7 +46,7 @@
     return nameOf(PreemptNames, reason);
 }
 
-placer::placer(const placer_settings &settings)
+scheduler::scheduler(const scheduler_settings &settings)
     : m_settings(withDerivedQuantile(settings))
     , m_sizeLearner(m_settings.sizes)
     , m_quarantine(m_settings.quarantine)
@@ -58,7 +58,7 @@
 
 // --- Configuration and workers -------------------------------------------------------------------
 
-void placer::setPool(const pool_info &pool, time_point)
+void scheduler::setPool(const pool_info &pool, time_point)
 {
     auto &state = m_workers.pool(m_workers.poolNumber(pool.name));
     state.largestWorker = pool.largestWorkerSize;
@@ -68,17 +68,17 @@
     ++state.capacityRevision;
 }
 
-void placer::setTeam(const team_quota &quota)
+void scheduler::setTeam(const team_quota &quota)
 {
     m_quotas.setQuota(quota);
 }
 
-void placer::setLocalTeamLimit(const std::string &team, const resources &localLimit)
+void scheduler::setLocalTeamLimit(const std::string &team, const resources &localLimit)
 {
     m_quotas.setLocalLimit(m_quotas.teamNumber(team), localLimit);
 }
 
-team_usage placer::usageOf(const std::string &team)
+team_usage scheduler::usageOf(const std::string &team)
 {
     const auto number = m_quotas.teamNumber(team);
     team_usage teamUsage;
@@ -103,15 +103,15 @@
         if (found.job->team == number)
             add(*found.job, 1);
     }
-    // Demand that the workers here cannot hold would take quota from placers whose workers can.
+    // Demand that the workers here cannot hold would take quota from schedulers whose workers can.
     const auto freeCapacity = maxOfEach(m_workers.total() - teamUsage.reservedSum, resources{});
-    teamUsage.pendingSum = smallest(teamUsage.pendingSum, freeCapacity);
+    teamUsage.pendingSum = minOfEach(teamUsage.pendingSum, freeCapacity);
     if (!teamUsage.largestPending.fitsIn(freeCapacity))
         teamUsage.largestPending = {};
     return teamUsage;
 }
 
-void placer::addWorker(const worker_info &worker, time_point now)
+void scheduler::addWorker(const worker_info &worker, time_point now)
 {
     const int slot = m_workers.findOrAdd(worker.id);
     const auto oldMillicores = m_workers.at(slot).info.size.millicores;
@@ -120,7 +120,7 @@
     m_quotas.setTotal(m_workers.total());
 }
 
-void placer::resizeWorker(const std::string &worker, const resources &size, time_point)
+void scheduler::resizeWorker(const std::string &worker, const resources &size, time_point)
 {
     const int slot = m_workers.slotOf(worker);
     if (slot == worker_table::NoSlot)
@@ -131,7 +131,7 @@
     m_quotas.setTotal(m_workers.total());
 }
 
-void placer::removeWorker(const std::string &worker, time_point)
+void scheduler::removeWorker(const std::string &worker, time_point)
 {
     const int slot = m_workers.slotOf(worker);
     if (slot == worker_table::NoSlot)
@@ -143,7 +143,7 @@
     m_workers.removeIfUnused(slot);
 }
 
-class_number placer::classNumber(const std::string &jobClass)
+class_number scheduler::classNumber(const std::string &jobClass)
 {
     const auto next = std::min<std::size_t>(m_classNumbers.size(), MaxClasses);
     if (next == MaxClasses) {
@@ -155,9 +155,9 @@
 
 // --- Records -------------------------------------------------------------------------------------
 
-job_record &placer::updateJob(const task_spec &spec)
+job_record &scheduler::updateJob(const task_spec &spec)
 {
-    auto &job = m_tasks.addJob(spec.jobId);
+    auto &job = m_tasks.findOrAddJob(spec.jobId);
     // The queue is ordered by rank and team, so the job is removed before either changes.
     m_queue.erase(job);
     job.spec = spec;
@@ -171,7 +171,7 @@
     return job;
 }
 
-placer::found_task placer::findTask(const task_ref &task)
+scheduler::found_task scheduler::findTask(const task_ref &task)
 {
     auto *job = m_tasks.findJob(task.jobId);
     if (!job)
@@ -184,7 +184,7 @@
 
 // Events may be duplicated and out of order. An event for a worker on which the task is not placed
 // is stale: applying it would free capacity that is in use.
-placer::found_task placer::findOnWorker(const task_ref &task, const std::string &worker)
+scheduler::found_task scheduler::findOnWorker(const task_ref &task, const std::string &worker)
 {
     const auto found = findTask(task);
     if (found && found.task->workerSlot != NoWorker
@@ -194,7 +194,7 @@
     return {};
 }
 
-void placer::enqueue(job_record &job, std::int32_t index, time_point now)
+void scheduler::enqueue(job_record &job, std::int32_t index, time_point now)
 {
     if (!job.pending.insert(index).second)
         return;
@@ -204,7 +204,7 @@
     m_queue.insert(job);
 }
 
-void placer::dequeue(job_record &job, std::int32_t index)
+void scheduler::dequeue(job_record &job, std::int32_t index)
 {
     if (job.pending.erase(index) == 0)
         return;
@@ -213,14 +213,14 @@
         m_queue.erase(job);
 }
 
-void placer::chargeQuota(task_record &record, const resources &amount)
+void scheduler::chargeQuota(task_record &record, const resources &amount)
 {
     m_quotas.refund(record.team, record.chargedQuota);
     m_quotas.charge(record.team, amount);
     record.chargedQuota = amount;
 }
 
-void placer::releaseHold(task_record &record)
+void scheduler::releaseHold(task_record &record)
 {
     if (record.holdSlot == NoWorker)
         return;
@@ -231,8 +231,8 @@
     record.holdAmount = {};
 }
 
-void placer::recordNeighbourChange(int slot, class_number jobClass, std::int64_t millicores,
-                                   time_point now)
+void scheduler::recordNeighbourChange(int slot, class_number jobClass, std::int64_t millicores,
+                                      time_point now)
 {
     auto &worker = m_workers.at(slot);
     worker.history.addChange(jobClass, millicores, now);
@@ -248,7 +248,7 @@
 // After a takeover the new owner learns from the table which tasks run on a worker, and the
 // worker's size only when its agent reports. The estimates depend on the neighbours' shares of the
 // worker: with shares of the old size, batch would wait beside services that are not slowed.
-void placer::rescaleLatencyEstimates(int slot, std::int64_t millicoresBefore)
+void scheduler::rescaleLatencyEstimates(int slot, std::int64_t millicoresBefore)
 {
     auto &worker = m_workers.at(slot);
     const auto workerMillicores = worker.info.size.millicores;
@@ -265,8 +265,8 @@
 
 // Updates everything else that depends on the task's worker; its reservation already exists in the
 // ledger.
-void placer::assignToWorker(const job_record &job, const task_ref &task, task_record &record,
-                            int slot, time_point now)
+void scheduler::assignToWorker(const job_record &job, const task_ref &task, task_record &record,
+                               int slot, time_point now)
 {
     auto &worker = m_workers.at(slot);
     record.workerSlot = slot;
@@ -287,7 +287,7 @@
     m_workers.updateFreeCapacity(slot);
 }
 
-void placer::removeFromWorker(const task_ref &task, task_record &record, time_point now)
+void scheduler::removeFromWorker(const task_ref &task, task_record &record, time_point now)
 {
     const int slot = record.workerSlot;
     auto &worker = m_workers.at(slot);
@@ -305,7 +305,7 @@
     m_workers.removeIfUnused(slot);
 }
 
-void placer::eraseTask(job_record &job, std::int32_t index)
+void scheduler::eraseTask(job_record &job, std::int32_t index)
 {
     const auto jobId = job.spec.jobId;
     const auto found = job.tasks.find(index);
@@ -319,7 +319,7 @@
         m_tasks.eraseJob(jobId);
 }
 
-bool placer::isCancelled(const task_ref &task)
+bool scheduler::isCancelled(const task_ref &task)
 {
     if (!m_cancelled.contains(task))
         return false;
@@ -329,7 +329,7 @@
 
 // --- Tasks ---------------------------------------------------------------------------------------
 
-void placer::taskPending(const task_spec &task, time_point now)
+void scheduler::taskPending(const task_spec &task, time_point now)
 {
     if (isCancelled(task.ref()))
         return;
@@ -338,8 +338,8 @@
         enqueue(job, task.taskIndex, now);
 }
 
-void placer::taskPlaced(const task_spec &task, const std::string &worker, const resources &reserved,
-                        reservation_state state, time_point now)
+void scheduler::taskPlaced(const task_spec &task, const std::string &worker,
+                           const resources &reserved, reservation_state state, time_point now)
 {
     const auto ref = task.ref();
     auto &job = updateJob(task);
@@ -359,19 +359,19 @@
     assignToWorker(job, ref, record, slot, now);
 }
 
-void placer::reopenJob(const std::string &jobId)
+void scheduler::reopenJob(const std::string &jobId)
 {
     m_cancelled.forgetJob(jobId);
 }
 
-void placer::setState(const task_ref &task, int slot, reservation_state state)
+void scheduler::setState(const task_ref &task, int slot, reservation_state state)
 {
     m_workers.at(slot).ledger.setState(task, state);
     m_workers.updateFreeCapacity(slot);
 }
 
-void placer::placementSettled(const task_ref &task, const std::string &worker,
-                              placement_outcome outcome, time_point now)
+void scheduler::placementSettled(const task_ref &task, const std::string &worker,
+                                 placement_outcome outcome, time_point now)
 {
     if (const auto inBacklog = findInBacklog(task, worker)) {
         inBacklog.task->isBacklogStored |= outcome == placement_outcome::Applied;
@@ -396,7 +396,7 @@
         setState(task, found.task->workerSlot, reservation_state::Placed);
 }
 
-void placer::taskRunning(const task_ref &task, const std::string &worker, time_point now)
+void scheduler::taskRunning(const task_ref &task, const std::string &worker, time_point now)
 {
     const auto found = findOnWorker(task, worker);
     if (!found)
@@ -409,14 +409,14 @@
     setState(task, found.task->workerSlot, reservation_state::Running);
 }
 
-void placer::taskStopping(const task_ref &task, const std::string &worker, time_point)
+void scheduler::taskStopping(const task_ref &task, const std::string &worker, time_point)
 {
     const auto found = findOnWorker(task, worker);
     if (found)
         setState(task, found.task->workerSlot, reservation_state::Stopping);
 }
 
-void placer::returnToPending(const task_ref &task, const std::string &worker, time_point now)
+void scheduler::returnToPending(const task_ref &task, const std::string &worker, time_point now)
 {
     const auto found = findOnWorker(task, worker);
     if (!found)
@@ -428,14 +428,14 @@
         enqueue(*found.job, task.taskIndex, now);
 }
 
-void placer::taskReleased(const task_ref &task, const std::string &worker, time_point now)
+void scheduler::taskReleased(const task_ref &task, const std::string &worker, time_point now)
 {
     if (releaseFromBacklog(task, worker, now))
         return;
     returnToPending(task, worker, now);
 }
 
-void placer::taskEnded(const task_ref &task, const std::string &worker, time_point now)
+void scheduler::taskEnded(const task_ref &task, const std::string &worker, time_point now)
 {
     const auto found = findOnWorker(task, worker);
     if (!found)
@@ -449,8 +449,8 @@
     eraseTask(*found.job, task.taskIndex);
 }
 
-void placer::taskFailed(const task_ref &task, const std::string &worker, const std::string &reason,
-                        time_point now)
+void scheduler::taskFailed(const task_ref &task, const std::string &worker,
+                           const std::string &reason, time_point now)
 {
     const auto found = findOnWorker(task, worker);
     if (!found)
@@ -466,7 +466,7 @@
     returnToPending(task, worker, now);
 }
 
-std::vector<task_ref> placer::cancelTasks(std::span<const task_ref> tasks, time_point)
+std::vector<task_ref> scheduler::cancelTasks(std::span<const task_ref> tasks, time_point)
 {
     std::vector<task_ref> toStop;
     for (const auto &task : tasks) {
@@ -487,7 +487,7 @@
     return toStop;
 }
 
-std::vector<task_ref> placer::cancelJob(const std::string &jobId, time_point now)
+std::vector<task_ref> scheduler::cancelJob(const std::string &jobId, time_point now)
 {
     m_cancelled.add(cancelled_task_set::wholeJob(jobId));
     const auto *job = m_tasks.findJob(jobId);
@@ -502,7 +502,7 @@
 
 // --- Measurements --------------------------------------------------------------------------------
 
-void placer::usageSampled(const usage_sample &sample, time_point now)
+void scheduler::usageSampled(const usage_sample &sample, time_point now)
 {
     const auto found = findOnWorker(sample.task, sample.worker);
     if (!found)
@@ -529,7 +529,7 @@
 // other tasks, and the worker would run out. The raise is requested while there is headroom. A
 // raise that does not fit is deferred, which keeps new tasks away, and plan() evicts for it if
 // necessary.
-void placer::raiseReservation(const task_ref &task, task_record &record, const resources &used)
+void scheduler::raiseReservation(const task_ref &task, task_record &record, const resources &used)
 {
     if (!m_settings.sizes.learn)
         return;
@@ -545,7 +545,7 @@
     m_workers.updateFreeCapacity(slot);
 }
 
-void placer::queueRaises(int slot)
+void scheduler::queueRaises(int slot)
 {
     for (const auto &[task, entry] : m_workers.at(slot).ledger.reservations()) {
         const auto found = findTask(task);
@@ -554,7 +554,7 @@
     }
 }
 
-void placer::latencySampled(const latency_sample &sample, time_point now)
+void scheduler::latencySampled(const latency_sample &sample, time_point now)
 {
     const auto found = findOnWorker(sample.task, sample.worker);
     if (!found)
@@ -592,7 +592,7 @@
 
 // --- Watching ------------------------------------------------------------------------------------
 
-std::string placer::explain(const task_ref &task, time_point now) const
+std::string scheduler::explain(const task_ref &task, time_point now) const
 {
     const auto *job = m_tasks.findJob(task.jobId);
     const auto name = toText(task);
@@ -627,7 +627,7 @@
     return name + " is pending";
 }
 
-std::string placer::workerOf(const task_ref &task) const
+std::string scheduler::workerOf(const task_ref &task) const
 {
     const auto *job = m_tasks.findJob(task.jobId);
     if (!job || !job->tasks.contains(task.taskIndex))
@@ -637,7 +637,7 @@
     return slot == NoWorker ? std::string() : m_workers.at(slot).info.id;
 }
 
-const reservation_ledger *placer::ledgerOf(const std::string &worker) const
+const reservation_ledger *scheduler::ledgerOf(const std::string &worker) const
 {
     const int slot = m_workers.slotOf(worker);
     return slot == worker_table::NoSlot ? nullptr : &m_workers.at(slot).ledger;
--- a/libs/placement/scheduler.h
+++ b/libs/placement/scheduler.h
@@ -1,4 +1,4 @@
-// The placer decides which task runs on which worker, and which tasks are preempted.
+// The scheduler decides which task runs on which worker, and which tasks are preempted.
 //
 //   configuration   setPool, setTeam, setLocalTeamLimit
 //   workers         addWorker, resizeWorker, removeWorker
@@ -40,20 +40,21 @@
 
 namespace zinniabarrow::placement {
 
-class placer
+class scheduler
 {
 public:
-    explicit placer(const placer_settings &settings);
-    placer(const placer &) = delete; // members hold references to each other
-    placer &operator=(const placer &) = delete;
+    explicit scheduler(const scheduler_settings &settings);
+    scheduler(const scheduler &) = delete; // members hold references to each other
+    scheduler &operator=(const scheduler &) = delete;
 
     // Sets the size of the pool's largest worker; a task that exceeds it is refused at once.
     void setPool(const pool_info &pool, time_point now);
     void setTeam(const team_quota &quota);
-    // Sets the portion of the team's limit that this placer may use when several placers share it.
+    // Sets the portion of the team's limit that this scheduler may use when several schedulers
+    // share it.
     void setLocalTeamLimit(const std::string &team, const resources &localLimit);
     // What the team has reserved here and what its pending tasks need; for dividing its limit among
-    // several placers.
+    // several schedulers.
     team_usage usageOf(const std::string &team);
 
     // For a known worker, returns it to service and updates its properties.
@@ -113,7 +114,7 @@
 
     // Why the task is pending, or where it is, in one sentence for operators.
     std::string explain(const task_ref &task, time_point now) const;
-    const placer_stats &stats() const { return m_stats; }
+    const scheduler_stats &stats() const { return m_stats; }
     const reservation_ledger *ledgerOf(const std::string &worker) const; // null: unknown worker
     std::size_t pendingTaskCount() const { return m_pendingTasks; }
     const interference_model &interference() const { return m_interference; }
@@ -233,8 +234,8 @@
     void throttle(planning_pass &pass, int slot, const task_ref &task, double processors);
     void startReliefCoolDown(int slot, time_point now);
 
-    placer_settings m_settings;
-    placer_stats m_stats;
+    scheduler_settings m_settings;
+    scheduler_stats m_stats;
     task_table m_tasks;
     pending_queue m_queue;
     cancelled_task_set m_cancelled;
--- a/libs/placement/scheduler_settings.h
+++ b/libs/placement/scheduler_settings.h
@@ -1,4 +1,4 @@
-// Settings and counters of the placer.
+// Settings and counters of the scheduler.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
     FirstFit, // first worker with enough capacity; for comparison
 };
 
-struct placer_settings
+struct scheduler_settings
 {
     placement_algorithm algorithm = placement_algorithm::Scored;
     bool avoidInterference = true; // consider the slowdown of services when placing
@@ -27,7 +27,7 @@
     bool quantileFromWeights = true; // derive sizes.memoryQuantile from the weights
     quarantine_settings quarantine;
     interference_settings interference;
-    load_signal_settings signal;
+    latency_signal_settings signal;
     relief_settings relief;
     duration urgentStartLimit = milliseconds(2400); // from pending to started
     duration startMargin = milliseconds(900);       // of it, to store and start after preemption
@@ -54,7 +54,7 @@
 }
 
 // Counters since start.
-struct placer_stats
+struct scheduler_stats
 {
     std::uint64_t placed = 0;             // tasks placed
     std::uint64_t reservationsRaised = 0; // raises sent to workers
--- a/libs/placement/service_relief.cpp
+++ b/libs/placement/service_relief.cpp
@@ -18,8 +18,8 @@
 
 // Returns the most disturbed service among those with enough samples since the last action; null if
 // none.
-const service_latency *mostDisturbed(const worker_slot &worker,
-                                     const load_signal_settings &settings)
+const service_latency *mostDisturbed(const worker_record &worker,
+                                     const latency_signal_settings &settings)
 {
     const service_latency *mostDisturbedService = nullptr;
     for (const auto &service : worker.services) {
@@ -33,7 +33,7 @@
 
 } // namespace
 
-void placer::relieveServices(planning_pass &pass)
+void scheduler::relieveServices(planning_pass &pass)
 {
     const std::vector<int> slots(m_disturbedSlots.begin(), m_disturbedSlots.end());
     for (const int slot : slots) {
@@ -57,8 +57,8 @@
     }
 }
 
-std::vector<relief_candidate> placer::reliefCandidatesOn(int slot, class_number service,
-                                                         std::vector<task_ref> &tasks) const
+std::vector<relief_candidate> scheduler::reliefCandidatesOn(int slot, class_number service,
+                                                            std::vector<task_ref> &tasks) const
 {
     const auto &worker = m_workers.at(slot);
     const auto &taskReservations = worker.ledger.reservations();
@@ -84,7 +84,7 @@
     return candidates;
 }
 
-void placer::relieveService(planning_pass &pass, int slot, const service_latency &service)
+void scheduler::relieveService(planning_pass &pass, int slot, const service_latency &service)
 {
     std::vector<task_ref> tasks;
     const auto candidates = reliefCandidatesOn(slot, service.jobClass, tasks);
@@ -109,7 +109,7 @@
     startReliefCoolDown(slot, pass.now);
 }
 
-void placer::liftThrottle(planning_pass &pass, int slot)
+void scheduler::liftThrottle(planning_pass &pass, int slot)
 {
     const auto &worker = m_workers.at(slot);
     double headroom = std::numeric_limits<double>::max();
@@ -130,7 +130,7 @@
         throttle(pass, slot, tasks[step->index], step->limitProcessors);
 }
 
-void placer::throttle(planning_pass &pass, int slot, const task_ref &task, double processors)
+void scheduler::throttle(planning_pass &pass, int slot, const task_ref &task, double processors)
 {
     auto &worker = m_workers.at(slot);
     auto &record = *findTask(task).task;
@@ -145,7 +145,7 @@
     startReliefCoolDown(slot, pass.now);
 }
 
-void placer::startReliefCoolDown(int slot, time_point now)
+void scheduler::startReliefCoolDown(int slot, time_point now)
 {
     auto &worker = m_workers.at(slot);
     worker.lastReliefAt = now;
--- a/libs/placement/task_table.cpp
+++ b/libs/placement/task_table.cpp
@@ -20,7 +20,7 @@
     return found == m_jobs.end() ? nullptr : &found->second;
 }
 
-job_record &task_table::addJob(const std::string &jobId)
+job_record &task_table::findOrAddJob(const std::string &jobId)
 {
     const auto [found, added] = m_jobs.try_emplace(jobId);
     if (added)
--- a/libs/placement/task_table.h
+++ b/libs/placement/task_table.h
@@ -1,4 +1,4 @@
-// Jobs and tasks known to the placer, and the queue of pending jobs.
+// Jobs and tasks known to the scheduler, and the queue of pending jobs.
 //
 //   task_record, job_record  state of one task; state shared by the tasks of a job
 //   task_table               finds a job by its id
@@ -47,7 +47,7 @@
     time_point avoidUntil;
     int backlogSlot = NoWorker;   // in whose backlog it is; then neither pending nor placed
     bool isBacklogStored = false; // the table holds this backlog assignment
-    time_point backlogUntil;      // from then on it may be withdrawn for another worker
+    time_point withdrawableFrom;  // from then on it may be withdrawn for another worker
 };
 
 enum class wait_reason {
@@ -86,7 +86,7 @@
 public:
     job_record *findJob(const std::string &jobId);
     const job_record *findJob(const std::string &jobId) const;
-    job_record &addJob(const std::string &jobId);
+    job_record &findOrAddJob(const std::string &jobId);
     void eraseJob(const std::string &jobId) { m_jobs.erase(jobId); }
     std::size_t jobCount() const { return m_jobs.size(); }
 
--- a/libs/placement/worker_chooser.cpp
+++ b/libs/placement/worker_chooser.cpp
@@ -39,14 +39,14 @@
 
 } // namespace
 
-void replica_counts::add(const worker_slot &worker, int slot)
+void replica_counts::add(const worker_record &worker, int slot)
 {
     ++zones[worker.info.zone];
     ++racks[rackKey(worker.info)];
     ++slots[slot];
 }
 
-worker_chooser::worker_chooser(const placer_settings &settings, const worker_table &workers,
+worker_chooser::worker_chooser(const scheduler_settings &settings, const worker_table &workers,
                                const interference_model &interference)
     : m_settings(settings)
     , m_workers(workers)
@@ -184,7 +184,7 @@
 
 // Expected cost for the services on the worker: the full slowdown above their targets, and
 // BelowTargetWeight of the rest.
-double worker_chooser::costToServices(const worker_slot &worker,
+double worker_chooser::costToServices(const worker_record &worker,
                                       const placement_request &request) const
 {
     const auto workerMillicores =
@@ -205,7 +205,7 @@
     return slowdownCost;
 }
 
-double worker_chooser::costFromNeighbours(const worker_slot &worker, class_number service) const
+double worker_chooser::costFromNeighbours(const worker_record &worker, class_number service) const
 {
     double sum = 0;
     for (const auto &neighbour : sharesOf(worker.history.current(), worker.info.size.millicores))
@@ -215,12 +215,12 @@
 
 // The value of starting batch work is its share of the worker and grows with the waiting time, so
 // that a task that would slow every service slightly is eventually started.
-bool worker_chooser::isWorthStarting(const placement_request &request, const worker_slot &worker,
+bool worker_chooser::isWorthStarting(const placement_request &request, const worker_record &worker,
                                      double slowdownCost) const
 {
     const double doublingTime = static_cast<double>(m_settings.batchValueDoublingTime.count());
     const double waitedRatio =
-            static_cast<double>(request.waited.count()) / std::max(doublingTime, 1.0);
+            static_cast<double>(request.pendingTime.count()) / std::max(doublingTime, 1.0);
     const double worth =
             dominantShare(request.demand, worker.info.size) * (1 + std::log2(1 + waitedRatio));
     return m_settings.weights.tailLatency * slowdownCost <= m_settings.weights.throughput * worth;
--- a/libs/placement/worker_chooser.h
+++ b/libs/placement/worker_chooser.h
@@ -1,5 +1,5 @@
-// Selects the worker for a task. Used by the placer, and by preemption_planner for the cost of the
-// spread. A slot is the index of a worker in worker_table.
+// Selects the worker for a task. Used by the scheduler, and by preemption_planner for the cost of
+// the spread. A slot is the index of a worker in worker_table.
 //
 // Services are spread over availability zones, racks and workers, preferring those with few
 // interfering tasks. Batch tasks are packed onto the worker with the tightest fit, unless the
@@ -26,7 +26,7 @@
     std::map<std::string, int> racks; // key: availability zone and rack
     std::map<int, int> slots;
 
-    void add(const worker_slot &worker, int slot);
+    void add(const worker_record &worker, int slot);
 };
 
 // One task to place.
@@ -38,7 +38,7 @@
     resources demand;                        // resources to reserve
     int excludedSlot = worker_table::NoSlot; // slot that must not be chosen; NoSlot: none
     int requiredSlot = worker_table::NoSlot; // the only slot that may be chosen; NoSlot: any
-    duration waited{0};                      // time since the task became pending
+    duration pendingTime{0};                 // time since the task became pending
     bool isUrgent = false;   // interference affects the choice but never prevents it
     replica_counts replicas; // existing replicas of the job; for services only
 };
@@ -56,7 +56,7 @@
 class worker_chooser
 {
 public:
-    worker_chooser(const placer_settings &settings, const worker_table &workers,
+    worker_chooser(const scheduler_settings &settings, const worker_table &workers,
                    const interference_model &interference);
 
     worker_choice choose(const placement_request &request);
@@ -75,14 +75,14 @@
     // The tightest fits, and a sample of the others that rotates from call to call.
     std::vector<int> batchCandidates(const placement_request &request);
     double packingCost(const placement_request &request, int slot) const;
-    double costToServices(const worker_slot &worker, const placement_request &request) const;
-    double costFromNeighbours(const worker_slot &worker, class_number service) const;
+    double costToServices(const worker_record &worker, const placement_request &request) const;
+    double costFromNeighbours(const worker_record &worker, class_number service) const;
     // Mean slowdown of the service by the neighbour plus a multiple of its deviation.
     double pessimisticEffect(class_number service, class_number neighbour) const;
-    bool isWorthStarting(const placement_request &request, const worker_slot &worker,
+    bool isWorthStarting(const placement_request &request, const worker_record &worker,
                          double slowdownCost) const;
 
-    const placer_settings &m_settings;
+    const scheduler_settings &m_settings;
     const worker_table &m_workers;
     const interference_model &m_interference;
     std::size_t m_sampleOffset = 0; // where the next sample of batchCandidates() begins
--- a/libs/placement/worker_table.cpp
+++ b/libs/placement/worker_table.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-service_latency *worker_slot::latencyOf(const task_ref &task)
+service_latency *worker_record::latencyOf(const task_ref &task)
 {
     const auto found = std::find_if(services.begin(), services.end(),
                                     [&](const auto &watch) { return watch.task == task; });
@@ -104,7 +104,7 @@
     const auto changes = worker.revision
                          // Must keep rising, so that sums cached for the old worker are recomputed.
                          + 1;
-    worker = worker_slot();
+    worker = worker_record();
     worker.revision = changes;
     m_freeCapacity[static_cast<std::size_t>(slot)] = NoCapacity;
     m_unusedSlots.push_back(slot);
--- a/libs/placement/worker_table.h
+++ b/libs/placement/worker_table.h
@@ -1,4 +1,4 @@
-// Workers known to the placer, their pools, and the free capacity of each worker.
+// Workers known to the scheduler, their pools, and the free capacity of each worker.
 //
 // A slot is the index of a worker in the table. It is reused when the worker is gone and nothing
 // refers to it any more.
@@ -23,13 +23,13 @@
 {
     task_ref task;
     class_number jobClass = 0;
-    load_signal signal;
+    latency_signal signal;
     time_point measuredAt; // measuredAt of the newest sample
     // log(p99 / target), corrected for changes of the neighbours since the sample.
     double estimatedLogRatio = 0;
 };
 
-struct worker_slot
+struct worker_record
 {
     worker_info info;
     reservation_ledger ledger;
@@ -74,8 +74,8 @@
     void resize(int slot, const resources &size);
     void setInService(int slot, bool inService);
     void removeIfUnused(int slot);
-    worker_slot &at(int slot) { return m_slots[static_cast<std::size_t>(slot)]; }
-    const worker_slot &at(int slot) const { return m_slots[static_cast<std::size_t>(slot)]; }
+    worker_record &at(int slot) { return m_slots[static_cast<std::size_t>(slot)]; }
+    const worker_record &at(int slot) const { return m_slots[static_cast<std::size_t>(slot)]; }
     int slotCount() const { return static_cast<int>(m_slots.size()); }
     // Sum of the sizes of all workers in service.
     const resources &total() const { return m_total; }
@@ -93,7 +93,7 @@
     static constexpr int NoSlot = -1;
 
 private:
-    std::vector<worker_slot> m_slots;
+    std::vector<worker_record> m_slots;
     // By slot. Separate from m_slots because the search reads only this of most workers.
     std::vector<resources> m_freeCapacity;
     std::vector<int> m_unusedSlots;
--- a/tests/placement_property_test.cpp
+++ b/tests/placement_property_test.cpp
@@ -1,5 +1,6 @@
-// Random, bounded sequences of events for the placer, with fixed seeds. After each step: no worker
-// is given more than its size, no cancelled task is placed, and no task is lost or placed twice.
+// Random, bounded sequences of events for the scheduler, with fixed seeds. After each step: no
+// worker is given more than its size, no cancelled task is placed, and no task is lost or placed
+// twice.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -95,14 +96,14 @@
 struct random_run
 {
     random_generator random;
-    placer subject;
+    scheduler subject;
     expected_state expected;
     time_point now{std::chrono::hours(1)};
     int nextJob = 0;
 
     explicit random_run(std::uint64_t seed)
         : random(seed)
-        , subject(placer_settings{})
+        , subject(scheduler_settings{})
     {
         subject.setPool({"main", {16'000, 60 * Gigabyte, 2}}, now);
         subject.setTeam({"team-0", 2, {40'000, 0, 0}});
@@ -138,8 +139,8 @@
             expected.sizes.erase(id);
             return;
         }
-        // Reducing a worker below what is already reserved would not be the placer's fault. A raise
-        // counts as reserved before the worker is told.
+        // Reducing a worker below what is already reserved would not be the scheduler's fault. A
+        // raise counts as reserved before the worker is told.
         const resources size{8'000 + 1'000 * randomBelow(8), (30 + randomBelow(30)) * Gigabyte,
                              randomBelow(3)};
         const auto *ledger = subject.ledgerOf(id);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -424,8 +424,8 @@
 
 Test(placement, loadSignal)
 {
-    const load_signal_settings settings{4, 0.1, 0};
-    load_signal signal;
+    const latency_signal_settings settings{4, 0.1, 0};
+    latency_signal signal;
     section("a single bad sample does not raise it, several do", [&] {
         for (const double excess : {-0.2, -0.2, 0.6, -0.2, -0.2})
             signal.add(excess, settings);
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the placer as a whole: sequences of events and the actions that must follow.
+// Tests of the scheduler as a whole: sequences of events and the actions that must follow.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -39,13 +39,13 @@
 }
 
 // Workers w0, w1, … in three availability zones, with three workers per rack.
-struct placer_fixture
+struct scheduler_fixture
 {
-    placer subject;
+    scheduler subject;
     time_point now{std::chrono::hours(1)};
     std::vector<placement_action> actions; // of the last plan
 
-    explicit placer_fixture(int workers, const placer_settings &settings = {})
+    explicit scheduler_fixture(int workers, const scheduler_settings &settings = {})
         : subject(settings)
     {
         subject.setPool({"main", WorkerSize}, now);
@@ -111,9 +111,9 @@
 // The response to the write that stores a placement is lost. The task is shown as ambiguous: it may
 // start, so its capacity must not be given away and it must not be placed again until the row has
 // been read.
-Test(placer, ambiguousStaysCounted)
+Test(scheduler, ambiguousStaysCounted)
 {
-    placer_fixture fixture(1);
+    scheduler_fixture fixture(1);
     const auto whole = batchTask("season", 0, WorkerSize);
     fixture.submit(whole);
     fixture.plan();
@@ -136,9 +136,9 @@
 
 // A task is asked to stop and the confirmation does not arrive. It may still run, so giving its
 // capacity away would overcommit the worker. Late and duplicated events must change nothing.
-Test(placer, unconfirmedStopStaysCounted)
+Test(scheduler, unconfirmedStopStaysCounted)
 {
-    placer_fixture fixture(2);
+    scheduler_fixture fixture(2);
     const auto task = batchTask("season", 0, WorkerSize);
     fixture.submit(task);
     const auto placed = fixture.planAndRun();
@@ -166,16 +166,16 @@
     });
 }
 
-Test(placer, spreadAndPack)
+Test(scheduler, spreadAndPack)
 {
-    placer_fixture fixture(12);
+    scheduler_fixture fixture(12);
     section("replicas spread over availability zones and racks", [&] {
         fixture.submit(serviceTask("tickets", 0, {2'000, Gigabyte, 0}), 6);
         std::set<std::string> workers;
         std::map<std::string, int> zones;
         for (const auto &placed : fixture.planAndRun()) {
             workers.insert(placed.worker);
-            ++zones[placer_fixture::workerInfo(std::stoi(placed.worker.substr(1))).zone];
+            ++zones[scheduler_fixture::workerInfo(std::stoi(placed.worker.substr(1))).zone];
         }
         check(workers.size() == 6);
         check(zones.size() == 3 && zones["kartli-a"] == 2 && zones["kartli-b"] == 2);
@@ -189,9 +189,9 @@
     });
 }
 
-Test(placer, refusals)
+Test(scheduler, refusals)
 {
-    placer_fixture fixture(2);
+    scheduler_fixture fixture(2);
     fixture.subject.setTeam({"clubs", 1, {8'000, 0, 0}});
     section("a task that can never fit is refused at once, and the limit is named", [&] {
         fixture.submit(batchTask("huge", 0, {1'000, 61 * Gigabyte, 0}), 2);
@@ -216,20 +216,20 @@
               != std::string::npos);
     });
     section("before the pool's size is known nothing is refused", [&] {
-        placer newPlacer{placer_settings{}};
-        newPlacer.taskPending(batchTask("huge", 0, {1'000, 61 * Gigabyte, 0}), fixture.now);
-        check(newPlacer.plan(fixture.now, MaxDecisions).empty());
-        newPlacer.addWorker(placer_fixture::workerInfo(0), fixture.now);
-        check(newPlacer.plan(fixture.now + seconds(9), MaxDecisions).empty());
-        check(newPlacer.plan(fixture.now + seconds(10), MaxDecisions).size() == 1);
+        scheduler newScheduler{scheduler_settings{}};
+        newScheduler.taskPending(batchTask("huge", 0, {1'000, 61 * Gigabyte, 0}), fixture.now);
+        check(newScheduler.plan(fixture.now, MaxDecisions).empty());
+        newScheduler.addWorker(scheduler_fixture::workerInfo(0), fixture.now);
+        check(newScheduler.plan(fixture.now + seconds(9), MaxDecisions).empty());
+        check(newScheduler.plan(fixture.now + seconds(10), MaxDecisions).size() == 1);
     });
 }
 
 // Two teams with weights 1 and 3 have more pending tasks than fit. One submits first and would take
 // all capacity if the queue were served in order of arrival.
-Test(placer, teamsShareByWeight)
+Test(scheduler, teamsShareByWeight)
 {
-    placer_fixture fixture(2);
+    scheduler_fixture fixture(2);
     fixture.subject.setTeam({"clubs", 1, {}});
     fixture.subject.setTeam({"families", 3, {}});
     fixture.submit(batchTask("season", 0, {1'000, 0, 0}), 100);
@@ -249,9 +249,9 @@
 // All workers are full of batch tasks when an urgent task arrives, which must start within 2.4 s.
 // Victims are stopped at once and their capacity is held for it. Then one worker does not confirm
 // the stop, and another one is used instead.
-Test(placer, urgentPreemptsBatch)
+Test(scheduler, urgentPreemptsBatch)
 {
-    placer_fixture fixture(3);
+    scheduler_fixture fixture(3);
     auto watcher = batchTask("watcher", 0, {16'000, Gigabyte, 0});
     watcher.failover = failover_class::Proof;
     fixture.submit(watcher);
@@ -321,9 +321,9 @@
 // A team's own batch tasks fill its quota when its urgent work arrives, although the workers have
 // free capacity. Waiting for them to end could take hours, so as many of the team's own batch tasks
 // are stopped as the quota requires, and none of another team.
-Test(placer, urgentWorkOfATeamAtItsQuota)
+Test(scheduler, urgentWorkOfATeamAtItsQuota)
 {
-    placer_fixture fixture(2);
+    scheduler_fixture fixture(2);
     fixture.subject.setTeam({"clubs", 1, {16'000, 0, 0}});
     fixture.submit(batchTask("season", 0, {4'000, Gigabyte, 0}), 6);
     auto other = batchTask("matches", 0, {4'000, Gigabyte, 0});
@@ -365,9 +365,9 @@
 
 // Two urgent tasks arrive one after the other and need capacity on the only worker. The first one's
 // victim stops in time; the second one's still runs and must not keep the first from starting.
-Test(placer, urgentTasksDoNotBlockEachOther)
+Test(scheduler, urgentTasksDoNotBlockEachOther)
 {
-    placer_fixture fixture(1);
+    scheduler_fixture fixture(1);
     fixture.submit(batchTask("season", 0, {8'000, Gigabyte, 0}), 2);
     fixture.planAndRun();
     auto urgent = batchTask("gate", 0, {8'000, Gigabyte, 0});
@@ -397,9 +397,9 @@
 
 // Capacity is held for an urgent task; before it can start, its team reaches its quota. The task is
 // not tried any more, and the held capacity would stay unused forever.
-Test(placer, heldCapacityExpires)
+Test(scheduler, heldCapacityExpires)
 {
-    placer_fixture fixture(1);
+    scheduler_fixture fixture(1);
     fixture.subject.setTeam({"gates", 1, {8'000, 0, 0}});
     fixture.submit(batchTask("season", 0, {8'000, Gigabyte, 0}), 2);
     fixture.planAndRun();
@@ -430,9 +430,9 @@
 // After a takeover the new owner adds the tasks from the table before it has read the
 // configuration. A lease watcher then looks like any batch task; evicting it for urgent work would
 // restart it.
-Test(placer, tasksOfUnknownJobsAreNotEvicted)
+Test(scheduler, tasksOfUnknownJobsAreNotEvicted)
 {
-    placer_fixture fixture(1);
+    scheduler_fixture fixture(1);
     auto watcher = batchTask("watcher", 0, WorkerSize);
     auto unconfigured = watcher;
     unconfigured.pool.clear();
@@ -455,9 +455,9 @@
 }
 
 // A service of low priority must not preempt batch tasks of normal priority.
-Test(placer, preemptionFollowsPriority)
+Test(scheduler, preemptionFollowsPriority)
 {
-    placer_fixture fixture(1);
+    scheduler_fixture fixture(1);
     fixture.submit(batchTask("season", 0, WorkerSize));
     fixture.planAndRun();
     auto service = serviceTask("reports", 0, {1'000, 0, 0});
@@ -474,12 +474,12 @@
 
 // A class of batch tasks is known to slow the service on the only worker. Placing more of them
 // there would delay gate purchases; they have to wait, with a reason, but not forever.
-Test(placer, batchWaitsWhereItWouldSlowAService)
+Test(scheduler, batchWaitsWhereItWouldSlowAService)
 {
-    placer_settings settings;
+    scheduler_settings settings;
     settings.weights = {0.7, 0.2, 0.1};
     settings.relieveServices = false;
-    placer_fixture fixture(1, settings);
+    scheduler_fixture fixture(1, settings);
     fixture.submit(serviceTask("tickets", 0, {4'000, Gigabyte, 0}));
     const auto service = fixture.planAndRun().at(0);
     for (int round = 0; round < 20; ++round) {
@@ -517,12 +517,12 @@
 // At night two replicas serve no requests, so no latency was ever measured, and the worker is the
 // only one of its shard. Batch must start beside them at once. When they serve requests and miss
 // their target, batch has to wait.
-Test(placer, batchBesideAnIdleService)
+Test(scheduler, batchBesideAnIdleService)
 {
-    placer_settings settings;
+    scheduler_settings settings;
     settings.weights = {1, 0.5, 0.5};
     settings.relieveServices = false;
-    placer_fixture fixture(1, settings);
+    scheduler_fixture fixture(1, settings);
     fixture.submit(serviceTask("tickets", 0, {4'000, Gigabyte, 0}), 2);
     const auto services = fixture.planAndRun();
     require(services.size() == 2);
@@ -544,13 +544,13 @@
 // yet, so the worker's size is unknown. If it were taken as 0, each task's share would equal
 // thousands of workers: batch would wait for minutes beside idle replicas, and a sample from that
 // time would teach that the most interfering class has no effect.
-Test(placer, tasksAreKnownBeforeTheirWorker)
+Test(scheduler, tasksAreKnownBeforeTheirWorker)
 {
-    placer_settings settings;
+    scheduler_settings settings;
     settings.weights = {0.7, 0.2, 0.1};
     settings.relieveServices = false;
     const auto noisy = batchTask("noisy", 0, {4'000, Gigabyte, 0});
-    const auto takeOver = [&](placer_fixture &fixture, int replicas) {
+    const auto takeOver = [&](scheduler_fixture &fixture, int replicas) {
         for (int index = 0; index < replicas; ++index) {
             const auto service = serviceTask("tickets", index, {4'000, Gigabyte, 0});
             fixture.subject.taskPlaced(service, "w0", service.declared, reservation_state::Running,
@@ -562,18 +562,18 @@
     };
     const place_action service{{"tickets", 0}, "w0", {}};
     section("batch is placed at once beside idle replicas", [&] {
-        placer_fixture fixture(0, settings);
+        scheduler_fixture fixture(0, settings);
         takeOver(fixture, 2);
-        fixture.subject.addWorker(placer_fixture::workerInfo(0), fixture.now);
+        fixture.subject.addWorker(scheduler_fixture::workerInfo(0), fixture.now);
         fixture.submit(batchTask("season", 0, {1'000, Gigabyte, 0}));
         check(fixture.planAndRun().size() == 1);
     });
     section("a sample from before the worker's size is known is dropped", [&] {
-        placer_fixture fixture(0, settings);
+        scheduler_fixture fixture(0, settings);
         takeOver(fixture, 1);
         fixture.reportLatency(service, 2.0);
         check(fixture.subject.stats().droppedSamples == 1);
-        fixture.subject.addWorker(placer_fixture::workerInfo(0), fixture.now);
+        fixture.subject.addWorker(scheduler_fixture::workerInfo(0), fixture.now);
         const auto tickets = fixture.subject.classNumber("tickets");
         const auto effect = fixture.subject.interference().effect(
                 tickets, fixture.subject.classNumber("noisy"));
@@ -581,10 +581,10 @@
         check(effect.deviation == settings.interference.priorDeviation);
     });
     section("batch stays pending where the next sample shows a service above its target", [&] {
-        placer_fixture fixture(0, settings);
+        scheduler_fixture fixture(0, settings);
         takeOver(fixture, 1);
         fixture.reportLatency(service, 2.0);
-        fixture.subject.addWorker(placer_fixture::workerInfo(0), fixture.now);
+        fixture.subject.addWorker(scheduler_fixture::workerInfo(0), fixture.now);
         fixture.now += seconds(2);
         fixture.reportLatency(service, 2.0);
         fixture.submit(batchTask("noisy", 1, {4'000, Gigabyte, 0}));
@@ -595,9 +595,9 @@
 
 // Thousands of tasks are cancelled at once while some run, some are being placed and some are
 // pending, and events about them arrive late. None may start afterwards.
-Test(placer, cancellationWave)
+Test(scheduler, cancellationWave)
 {
-    placer_fixture fixture(4);
+    scheduler_fixture fixture(4);
     fixture.submit(batchTask("season", 0, {1'000, Gigabyte, 0}), 5'000);
     const auto placed = fixture.planAndRun();
     const auto toStop = fixture.subject.cancelJob("season", fixture.now);
@@ -627,9 +627,9 @@
 // A task uses more memory than it declared. Its reservation is raised while there is headroom, and
 // new tasks no longer get that capacity. When the worker has none left, one batch task is evicted
 // by policy instead of an arbitrary one being killed by the kernel.
-Test(placer, memoryGrowth)
+Test(scheduler, memoryGrowth)
 {
-    placer_fixture fixture(1);
+    scheduler_fixture fixture(1);
     auto low = batchTask("low", 0, {1'000, 8 * Gigabyte, 0});
     low.priority = task_priority::Low;
     fixture.submit(low, 3);
@@ -675,9 +675,9 @@
 // that an ended task frees, even while the table is unavailable and no new placement can be stored,
 // but never beyond the worker's size or the team's quota. A backlog must not keep a task from free
 // capacity on another worker.
-Test(placer, backlog)
+Test(scheduler, backlog)
 {
-    placer_fixture fixture(1);
+    scheduler_fixture fixture(1);
     const auto fillBacklog = [&](std::size_t perWorker) {
         auto plan = fixture.subject.planBacklog(fixture.now, perWorker);
         for (const auto &each : plan.assigned)
@@ -713,7 +713,7 @@
     });
     section("a new worker gets the tasks from the other one's backlog", [&] {
         check(fillBacklog(2).assigned.size() == 2);
-        fixture.subject.addWorker(placer_fixture::workerInfo(1), fixture.now);
+        fixture.subject.addWorker(scheduler_fixture::workerInfo(1), fixture.now);
         check(fillBacklog(2).withdrawn.empty());
         fixture.now += seconds(3);
         const auto back = fillBacklog(2).withdrawn;
@@ -729,9 +729,9 @@
 // After a takeover it is unknown which tasks of a backlog the previous owner started. Counted as
 // placed, they exceed their worker's size: none may start until the sum fits, and one that turns
 // out to be in the backlog releases its reservation.
-Test(placer, backlogOfAnEarlierOwner)
+Test(scheduler, backlogOfAnEarlierOwner)
 {
-    placer_fixture fixture(1);
+    scheduler_fixture fixture(1);
     const resources third{5'000, 8 * Gigabyte, 0};
     for (int index = 0; index < 4; ++index)
         fixture.subject.taskPlaced(batchTask("season", index, third), "w0", third,
@@ -750,9 +750,9 @@
 // tasks must not be evicted while memory is free, or a wave of growing tasks would cause a wave of
 // evictions. The deferred raise keeps new tasks away; one task is evicted only when the memory in
 // use comes near the worker's size, before the kernel kills one.
-Test(placer, evictsForMemoryInUse)
+Test(scheduler, evictsForMemoryInUse)
 {
-    placer_fixture fixture(1);
+    scheduler_fixture fixture(1);
     fixture.submit(batchTask("season", 0, {1'000, 25 * Gigabyte, 0}), 2);
     fixture.submit(batchTask("grows", 0, {1'000, 8 * Gigabyte, 0}));
     check(fixture.planAndRun().size() == 3);
@@ -782,9 +782,9 @@
 }
 
 // Samples are duplicated, and a class learns to need more than any worker has.
-Test(placer, samples)
+Test(scheduler, samples)
 {
-    placer_fixture fixture(1);
+    scheduler_fixture fixture(1);
     fixture.submit(batchTask("season", 0, {1'000, 30 * Gigabyte, 0}));
     const auto placed = fixture.planAndRun();
     const auto sample = [&](int index, std::int64_t gigabytes) {
@@ -821,11 +821,11 @@
 
 // The samples of a worker arrive 40 s late. For a while after the first throttling they still show
 // the time before it; acting on them would throttle repeatedly for the same interference.
-Test(placer, lateSamplesCallForOneAction)
+Test(scheduler, lateSamplesCallForOneAction)
 {
-    placer_settings settings;
+    scheduler_settings settings;
     settings.avoidInterference = false;
-    placer_fixture fixture(1, settings);
+    scheduler_fixture fixture(1, settings);
     fixture.submit(serviceTask("tickets", 0, {4'000, Gigabyte, 0}));
     const auto service = fixture.planAndRun().at(0);
     fixture.submit(batchTask("noisy", 0, {8'000, Gigabyte, 0}));
@@ -853,12 +853,12 @@
 // Interfering batch tasks start on every worker at once and every service misses its target. Relief
 // must throttle before it evicts, wait for the effect, and never exceed the eviction budget, or the
 // wave of interference would cause a wave of evictions with the loss of their work.
-Test(placer, noisyWave)
+Test(scheduler, noisyWave)
 {
-    placer_settings settings;
+    scheduler_settings settings;
     settings.weights = {0.7, 0.2, 0.1};
     settings.avoidInterference = false; // the interfering tasks must be placed beside the services
-    placer_fixture fixture(12, settings);
+    scheduler_fixture fixture(12, settings);
     fixture.submit(serviceTask("tickets", 0, {4'000, Gigabyte, 0}), 12);
     const auto services = fixture.planAndRun();
     fixture.submit(batchTask("noisy", 0, {4'000, Gigabyte, 0}), 36);
@@ -919,9 +919,9 @@
 
 // One of twelve workers fails every task within a second, so it always has the most free capacity
 // and attracts the next tasks.
-Test(placer, workerThatFailsEverything)
+Test(scheduler, workerThatFailsEverything)
 {
-    placer_fixture fixture(12);
+    scheduler_fixture fixture(12);
     for (int job = 0; job < 30; ++job)
         fixture.submit(batchTask("job-" + std::to_string(job), 0, {4'000, 4 * Gigabyte, 0}));
     std::string failingWorker;
@@ -954,9 +954,9 @@
     });
 }
 
-Test(placer, badJob)
+Test(scheduler, badJob)
 {
-    placer_fixture fixture(6);
+    scheduler_fixture fixture(6);
     fixture.submit(batchTask("broken", 0, {1'000, Gigabyte, 0}), 50);
     int failures = 0;
     int reportedRefusals = 0;
--- a/tests/shard_simulation.h
+++ b/tests/shard_simulation.h
@@ -165,9 +165,9 @@
     }
 
     // Same settings as in the daemon.
-    static placement::placer_settings settings()
+    static placement::scheduler_settings settings()
     {
-        placement::placer_settings out;
+        placement::scheduler_settings out;
         out.sizes.minProcessorShare = 1.0;
         out.weights = {0.7, 0.2, 0.1}; // Mtkvari's weights
         return out;
