--- a/app/owned_shard.cpp
+++ b/app/owned_shard.cpp
@@ -128,7 +128,7 @@
         m_placer.taskPlaced(spec, record.worker, spec.declared, stateOf(record.state), now);
         if (record.isBacklogged)
             m_adoptedBacklog[task] =
-                    now + 2 * work::safeWait(m_leaseSettings.grantLease, m_leaseSettings);
+                    now + 2 * work::leaseExpiryWait(m_leaseSettings.grantLease, m_leaseSettings);
     }
 }
 
@@ -411,7 +411,8 @@
         const auto record = m_coordinator.find(task);
         const bool isUndecided = record.isBacklogged && record.state == work::task_state::Placed;
         if (isUndecided && !m_coordinator.canPlaceOn(record.worker))
-            notStartedFrom = now + 2 * work::safeWait(m_leaseSettings.grantLease, m_leaseSettings);
+            notStartedFrom =
+                    now + 2 * work::leaseExpiryWait(m_leaseSettings.grantLease, m_leaseSettings);
         const bool fits = isUndecided && m_placer.isWithinLimits(taskRefOf(task));
         const bool isKnownWaiting = isUndecided && !fits && now >= notStartedFrom;
         if (fits)
--- a/app/scheduling_actor.cpp
+++ b/app/scheduling_actor.cpp
@@ -272,7 +272,7 @@
                 performActions(*found->second,
                                found->second->handle(input, monotonic_clock::now()));
         };
-        feed(work::grant_deadline_changed{m_ownership.mayGrantUntil(number)});
+        feed(work::grant_deadline_changed{m_ownership.grantDeadline(number)});
         feed(work::coordinator_tick{});
         const auto found = m_shards.find(number);
         if (found == m_shards.end() || m_isReleasing)
--- a/libs/work/leases.h
+++ b/libs/work/leases.h
@@ -33,7 +33,7 @@
 
 // How long a process must wait on its own clock to be sure that a lease of length `lease` has ended
 // on another process's clock.
-constexpr milliseconds safeWait(milliseconds lease, const lease_settings &settings)
+constexpr milliseconds leaseExpiryWait(milliseconds lease, const lease_settings &settings)
 {
     constexpr std::int64_t Million = 1'000'000;
     const std::int64_t driftAllowance = lease.count() * settings.clockDriftPpm / Million + 1;
--- a/libs/work/ownership.cpp
+++ b/libs/work/ownership.cpp
@@ -110,7 +110,7 @@
     return found != m_shards.end() && found->second.isOwned;
 }
 
-time_point shard_ownership::mayGrantUntil(int shard) const
+time_point shard_ownership::grantDeadline(int shard) const
 {
     const auto found = m_shards.find(shard);
     if (found == m_shards.end() || !found->second.isOwned)
@@ -290,7 +290,7 @@
     const auto stagger = m_settings.takeoverStagger * preferenceRank(state);
     if (state.rowVersion == 0 || state.isHandedOver)
         return state.unchangedSince + stagger;
-    return state.unchangedSince + safeWait(m_settings.leases.ownerLease, m_settings.leases)
+    return state.unchangedSince + leaseExpiryWait(m_settings.leases.ownerLease, m_settings.leases)
            + stagger;
 }
 
@@ -302,10 +302,10 @@
     const lease_settings &leases = m_settings.leases;
     if (state.rowVersion == 0)
         return state.versionsSeenAt;
-    const auto grantLeaseWait = safeWait(leases.grantLease, leases);
+    const auto grantLeaseWait = leaseExpiryWait(leases.grantLease, leases);
     if (state.isHandedOver)
-        return state.versionsSeenAt + std::max(state.earlierLeasesLeft, grantLeaseWait);
-    return state.versionsSeenAt + safeWait(leases.grantPeriod, leases) + grantLeaseWait;
+        return state.versionsSeenAt + std::max(state.remainingLeaseWait, grantLeaseWait);
+    return state.versionsSeenAt + leaseExpiryWait(leases.grantPeriod, leases) + grantLeaseWait;
 }
 
 void shard_ownership::acquire(shard_state &state, time_point now)
@@ -337,7 +337,7 @@
 void shard_ownership::loadHandOver(shard_state &state, const Json::Value &row)
 {
     state.isHandedOver = row["freed"].asBool();
-    state.earlierLeasesLeft = milliseconds(row["silentWaitMs"].asInt64());
+    state.remainingLeaseWait = milliseconds(row["silentWaitMs"].asInt64());
     state.unresponsive.clear();
     const auto &unresponsive = row["quietMs"];
     for (const auto &worker :
--- a/libs/work/ownership.h
+++ b/libs/work/ownership.h
@@ -118,7 +118,7 @@
     bool owns(int shard) const;
     // No grant may be sent at or after this time; the caller checks it right before each send. A
     // time in the past when the shard is not owned.
-    time_point mayGrantUntil(int shard) const;
+    time_point grantDeadline(int shard) const;
     // True once all shards are handed over after release_shards.
     bool isReleased() const;
 
@@ -144,15 +144,15 @@
         std::uint64_t rowVersion = 0;
         std::uint64_t leaseVersion = 0;
         std::uint64_t epoch = 0;
-        bool isHandedOver = false;         // the last owner handed the shard over
-        milliseconds earlierLeasesLeft{0}; // remaining wait of the last owner at the hand-over
+        bool isHandedOver = false;          // the last owner handed the shard over
+        milliseconds remainingLeaseWait{0}; // remaining wait of the last owner at the hand-over
         std::map<std::string, milliseconds> unresponsive; // the same for single workers
         time_point versionsSeenAt;                        // when these versions were first seen
         time_point unchangedSince; // unchanged since then, without a long gap between scans
         std::optional<time_point> lastReadAt;
         // While owned.
         bool isOwned = false;
-        time_point grantUntil; // see mayGrantUntil()
+        time_point grantUntil; // see grantDeadline()
         time_point nextRenewalAt;
         time_point earlierLeasesEndAt;         // see became_owner
         time_point lessPreferredSince = Never; // since when another live entry is preferred
--- a/libs/work/quota_parts.cpp
+++ b/libs/work/quota_parts.cpp
@@ -79,7 +79,7 @@
         team.demand.demanded = limitedDimensionsOf(
                 smaller(larger(demand.inUse, demand.demanded), demand.limit), demand.limit);
         team.demand.largestWaiting = limitedDimensionsOf(demand.largestWaiting, demand.limit);
-        team.isYielding = now >= team.nextYieldAt && isOtherShardShort(team);
+        team.isYielding = now >= team.nextYieldAt && isOtherShardBelowEqualShare(team);
         if (!team.inFlightOperation.empty() && now >= team.answerDeadline)
             markInDoubt(name, team, now);
         if (team.isLoaded && !team.isStale && team.inFlightOperation.empty()
@@ -135,7 +135,7 @@
 }
 
 // True if another shard waits and has less than an equal share.
-bool quota_parts::isOtherShardShort(const team_state &team) const
+bool quota_parts::isOtherShardBelowEqualShare(const team_state &team) const
 {
     const resources equal = limitedDimensionsOf(equalShare(team), team.demand.limit);
     return std::any_of(team.waitingShards.begin(), team.waitingShards.end(), [&](int shard) {
@@ -182,8 +182,9 @@
     if (now < team.nextRaiseAt)
         return part;
     const resources minimumNeeded = demand.inUse + demand.largestWaiting;
-    const resources upperBound =
-            isOtherShardShort(team) ? larger(equalShare(team), minimumNeeded) : demand.limit;
+    const resources upperBound = isOtherShardBelowEqualShare(team)
+                                         ? larger(equalShare(team), minimumNeeded)
+                                         : demand.limit;
     const resources raised =
             larger(part, smaller(smaller(demand.demanded, upperBound), unallocatedQuota(team)));
     return minimumNeeded.fitsIn(raised) ? raised : part;
--- a/libs/work/quota_parts.h
+++ b/libs/work/quota_parts.h
@@ -97,7 +97,7 @@
     resources unallocatedQuota(const team_state &team) const;
     resources equalShare(const team_state &team) const;
     resources partToKeep(const team_state &team) const;
-    bool isOtherShardShort(const team_state &team) const;
+    bool isOtherShardBelowEqualShare(const team_state &team) const;
     void writePart(const std::string &name, team_state &team, const resources &part, bool isWaiting,
                    time_point now);
     void markInDoubt(const std::string &name, team_state &team, time_point writeAt);
--- a/libs/work/task_coordinator.cpp
+++ b/libs/work/task_coordinator.cpp
@@ -334,7 +334,7 @@
         return;
     }
     // The agent counts its lease from the sending of this report, which was earlier.
-    worker.leaseUntil = now + safeWait(m_settings.leases.grantLease, m_settings.leases);
+    worker.leaseUntil = now + leaseExpiryWait(m_settings.leases.grantLease, m_settings.leases);
     worker.isLeaseLapsed = false;
     m_workersToGrant.insert(report.worker);
 }
@@ -632,7 +632,7 @@
     // silent. Each gets the length of a lease to report.
     constexpr milliseconds MaxTickGap{2'000};
     if (now - m_lastTickAt > MaxTickGap) {
-        const auto leaseWait = safeWait(m_settings.leases.grantLease, m_settings.leases);
+        const auto leaseWait = leaseExpiryWait(m_settings.leases.grantLease, m_settings.leases);
         for (auto &[name, worker] : m_workers)
             worker.leaseUntil = std::max(worker.leaseUntil, now + leaseWait);
     }
@@ -781,7 +781,8 @@
         if (m_tenure.unresponsive.contains(record.worker))
             worker.leaseUntil = m_tenure.unresponsive.at(record.worker);
         else if (!m_store.isCommittedSilent(record.worker))
-            worker.leaseUntil = now + safeWait(m_settings.leases.grantLease, m_settings.leases);
+            worker.leaseUntil =
+                    now + leaseExpiryWait(m_settings.leases.grantLease, m_settings.leases);
     }
     m_lastTickAt = now;
 }
--- a/libs/work/task_coordinator.h
+++ b/libs/work/task_coordinator.h
@@ -88,7 +88,7 @@
 {
     agent_report report;
 };
-// Until when this owner may give leases: the present value of shard_ownership::mayGrantUntil().
+// Until when this owner may give leases: the present value of shard_ownership::grantDeadline().
 // Grants from then on contain no lease.
 struct grant_deadline_changed
 {
--- a/tests/shard_simulation.h
+++ b/tests/shard_simulation.h
@@ -49,8 +49,8 @@
 public:
     explicit shard_simulation(int workers, resources size = {16'000, 60 * Gigabyte, 0})
     {
-        configuredFolder.pools["shared"].workerSize = size;
-        configuredFolder.teams["rinks"];
+        currentConfiguration.pools["shared"].workerSize = size;
+        currentConfiguration.teams["rinks"];
         for (int index = 0; index < workers; ++index) {
             const auto id = "w" + std::to_string(index);
             auto &host = hosts[id];
@@ -71,11 +71,11 @@
         m_adopted = {};
     }
 
-    // Accepts the current folder as the next generation.
-    void acceptFolder()
+    // Accepts the current configuration as the next generation.
+    void acceptConfiguration()
     {
         ++m_generation;
-        m_adopted = {m_generation, std::make_shared<config::configuration>(configuredFolder)};
+        m_adopted = {m_generation, std::make_shared<config::configuration>(currentConfiguration)};
     }
 
     void advance(milliseconds length, milliseconds step = milliseconds(200))
@@ -119,7 +119,7 @@
     // no answers.
     void sampleLatency(const std::string &worker, const std::string &service, double targetRatio)
     {
-        const microseconds target = configuredFolder.services.at(service).latencyTarget;
+        const microseconds target = currentConfiguration.services.at(service).latencyTarget;
         const auto p99 = static_cast<double>(target.count()) * targetRatio;
         owner->latencySampled(worker, service, microseconds(static_cast<std::int64_t>(p99)), now,
                               now);
@@ -141,7 +141,7 @@
     }
 
     time_point now{std::chrono::hours(1)};
-    config::configuration configuredFolder;
+    config::configuration currentConfiguration;
     std::map<std::string, shard_host> hosts;
     random_generator random{1};
     double grantLossRate = 0; // fraction of the grants that are lost
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -53,8 +53,8 @@
 {
     shard_simulation simulation(1);
     auto &host = simulation.hosts.at("w0");
-    simulation.configuredFolder.jobs["season"] = batchJob(1, {1000, 10 * Gigabyte, 0});
-    simulation.acceptFolder();
+    simulation.currentConfiguration.jobs["season"] = batchJob(1, {1000, 10 * Gigabyte, 0});
+    simulation.acceptConfiguration();
     simulation.advance(seconds(5));
     require(simulation.running("season").size() == 1);
     const auto attempt = simulation.running("season")[0].attempt;
@@ -71,8 +71,8 @@
         check(shard_simulation::countedByAgent(host) == raised);
     });
     section("the next configuration does not undo a raise", [&] {
-        simulation.configuredFolder.jobs["other"] = batchJob(1, {1000, 10 * Gigabyte, 0});
-        simulation.acceptFolder();
+        simulation.currentConfiguration.jobs["other"] = batchJob(1, {1000, 10 * Gigabyte, 0});
+        simulation.acceptConfiguration();
         simulation.advance(seconds(5));
         const resources both{2000, 46 * Gigabyte, 0};
         check(simulation.reservedByOwner("w0") == both);
@@ -96,8 +96,8 @@
             shard_simulation simulation(3);
             simulation.random.seed(seed);
             simulation.grantLossRate = 0.3;
-            simulation.configuredFolder.jobs["season"] = batchJob(30, {1000, 5 * Gigabyte, 0});
-            simulation.acceptFolder();
+            simulation.currentConfiguration.jobs["season"] = batchJob(30, {1000, 5 * Gigabyte, 0});
+            simulation.acceptConfiguration();
             for (int step = 0; step < 60; ++step) {
                 simulation.advance(milliseconds(600));
                 checkNoExcess(simulation);
@@ -129,14 +129,14 @@
 Test(shard, tasks_taken_over_can_be_evicted)
 {
     shard_simulation simulation(1);
-    simulation.configuredFolder.jobs["season"] = batchJob(5, {1000, 10 * Gigabyte, 0});
-    simulation.acceptFolder();
+    simulation.currentConfiguration.jobs["season"] = batchJob(5, {1000, 10 * Gigabyte, 0});
+    simulation.acceptConfiguration();
     simulation.advance(seconds(5));
     require(simulation.running("season").size() == 5);
     const auto task = simulation.running("season")[0].attempt.task;
     simulation.takeOver();
     simulation.advance(seconds(5));
-    simulation.acceptFolder();
+    simulation.acceptConfiguration();
     simulation.advance(seconds(5));
     check(simulation.running("season").size() == 5);
     simulation.sampleUsage("w0", task, 25 * Gigabyte);
@@ -153,11 +153,11 @@
 {
     shard_simulation simulation(1);
     auto &host = simulation.hosts.at("w0");
-    auto &service = simulation.configuredFolder.services["tickets"];
+    auto &service = simulation.currentConfiguration.services["tickets"];
     service.team = "rinks";
     service.pool = "shared";
     service.size = {4000, 8 * Gigabyte, 0};
-    simulation.acceptFolder();
+    simulation.acceptConfiguration();
     const auto samples = [&](int count, double targetRatio) {
         for (int sample = 0; sample < count; ++sample) {
             simulation.advance(seconds(2));
@@ -165,8 +165,8 @@
         }
     };
     samples(10, 0.5);
-    simulation.configuredFolder.jobs["noisy"] = batchJob(1, {8000, 8 * Gigabyte, 0});
-    simulation.acceptFolder();
+    simulation.currentConfiguration.jobs["noisy"] = batchJob(1, {8000, 8 * Gigabyte, 0});
+    simulation.acceptConfiguration();
     simulation.advance(seconds(2));
     require(simulation.running("noisy").size() == 1);
     const auto attempt = simulation.running("noisy")[0].attempt;
--- a/tests/work_model.h
+++ b/tests/work_model.h
@@ -417,7 +417,7 @@
         feedOwnership(entry, ownership_tick{unresponsiveWorkers(entry)});
         if (!entry.coordinator)
             return;
-        feedCoordinator(entry, grant_deadline_changed{entry.shardOwnership->mayGrantUntil(0)});
+        feedCoordinator(entry, grant_deadline_changed{entry.shardOwnership->grantDeadline(0)});
         if (entry.coordinator && entry.coordinator->isReady())
             decide(entry);
         if (entry.coordinator)
--- a/tests/work_test.cpp
+++ b/tests/work_test.cpp
@@ -791,19 +791,19 @@
         now += seconds(4);
         const table_transaction &renewal = renewals[0].transaction;
         first.handle(shard_write_answered{renewal.operationId, platform.commit(renewal)}, now);
-        check(first.mayGrantUntil(0) == sent + lease_settings().grantPeriod);
+        check(first.grantDeadline(0) == sent + lease_settings().grantPeriod);
         advance(2, [&] { takeTurn(first, true, true), takeTurn(second, true, true); });
     });
     section("the table is down: nobody takes over, and the owner may grant", [&] {
         advance(60, [&] { takeTurn(first, false, false), takeTurn(second, false, false); });
         takeTurn(second, true, true);
         check(first.owns(0) && !second.owns(0));
-        check(first.mayGrantUntil(0) > now);
+        check(first.grantDeadline(0) > now);
         advance(5, [&] { takeTurn(first, true, true), takeTurn(second, true, true); });
         check(first.owns(0) && !second.owns(0));
     });
     section("the owner pauses: the other takes over, and the old one cannot renew", [&] {
-        const time_point until = first.mayGrantUntil(0);
+        const time_point until = first.grantDeadline(0);
         const time_point start = now;
         while (!second.owns(0) && now - start < seconds(30))
             advance(1, [&] { takeTurn(second, true, true); });
@@ -811,7 +811,7 @@
         check(now - start <= seconds(10));
         check(until > now); // so the new owner must wait for a silent worker
         takeTurn(first, false, true);
-        check(first.mayGrantUntil(0) <= until);
+        check(first.grantDeadline(0) <= until);
         takeTurn(first, true, true);
         check(!first.owns(0));
     });
--- a/tests/work_waits_test.cpp
+++ b/tests/work_waits_test.cpp
@@ -166,7 +166,7 @@
         require(renewal.has_value());
         fixture.platform.commit(*renewal);
         fixture.advance(owner, 1);
-        check(owner.mayGrantUntil(0) > fixture.now + lease_settings().grantPeriod - seconds(2));
+        check(owner.grantDeadline(0) > fixture.now + lease_settings().grantPeriod - seconds(2));
     });
     section("to an owner's write of task records", [] {
         coordinator_fixture fixture;
