--- a/app/configuration_follower.cpp
+++ b/app/configuration_follower.cpp
@@ -22,7 +22,7 @@
               [this](const auto &rows) { applyConfigurationRows(rows); },
               [this] { handleAllRead(); },
               [this](const follow_progress &progress) {
-                  std::visit([this](const auto &what) { handleProgress(what); }, progress);
+                  std::visit([this](const auto &event) { handleProgress(event); }, progress);
               })
 { }
 
@@ -76,9 +76,9 @@
 
 void configuration_follower::handleAllRead()
 {
-    const auto before = m_evacuated.zones();
+    const auto previousZones = m_evacuated.zones();
     m_evacuated.finishFullRead();
-    logZoneChanges(before);
+    logZoneChanges(previousZones);
 }
 
 void configuration_follower::applyZones(const std::vector<row> &rows)
@@ -88,20 +88,20 @@
         if (auto zone = platform_wire::evacuatedZone(changedRow.name))
             zones.push_back({std::move(*zone), changedRow.removed});
     }
-    const auto before = m_evacuated.zones();
+    const auto previousZones = m_evacuated.zones();
     m_evacuated.applyRows(zones);
-    logZoneChanges(before);
+    logZoneChanges(previousZones);
 }
 
-void configuration_follower::logZoneChanges(const std::set<std::string> &before)
+void configuration_follower::logZoneChanges(const std::set<std::string> &previousZones)
 {
-    if (before != m_evacuated.zones())
+    if (previousZones != m_evacuated.zones())
         m_log.writeEvent("zones_evacuated",
                          {{"zones", fmt::format("{}", fmt::join(m_evacuated.zones(), " "))}});
 }
 
-// Applies only the newest readable configuration row. Parsing outdated versions as well would delay
-// the newest one, and callers meanwhile.
+// Applies only the newest configuration row that can be parsed. Parsing older ones as well would
+// delay the newest one, and block the event loop for longer, which delays callers' requests.
 void configuration_follower::applyConfigurationRows(const std::vector<row> &rows)
 {
     applyZones(rows);
@@ -112,12 +112,11 @@
     }
 }
 
-// False if the row can't be read.
+// False if the row can't be parsed.
 bool configuration_follower::applyRow(const row &row)
 {
     if (row.version > 0 && row.version <= m_rowVersion)
-        return true; // was read before: the whole table is read again when the store's history is
-                     // lost
+        return true; // applied before; a repeated read of the whole table returns it again
     try {
         const auto startedAt = suspendAwareNow();
         queue_table next(platform_wire::parseConfiguration(row.value));
--- a/app/configuration_follower.h
+++ b/app/configuration_follower.h
@@ -25,13 +25,17 @@
 public:
     configuration_follower(net::event_loop &loop, store_client &store, event_log &log);
 
+    // Reads the configuration and the evacuated zones, and follows their changes from then on.
     void start();
-    // Another entry uses this version.
+    // Another entry uses this version, which may be newer than this entry's own. Called for each
+    // ping and each answer to one.
     void notePeerVersion(std::int64_t version);
 
     const jobs::queue_table *queues() const; // null before a configuration was read
     std::int64_t version() const;            // 0 before a configuration was read
-    bool isConfirmed() const;                // was recently confirmed to be the newest
+    // Whether the store has confirmed within configuration_tracker::MaxUnconfirmedTime that this
+    // entry knows all changes.
+    bool isConfirmed() const;
     const jobs::evacuated_zones &evacuatedZones() const { return m_evacuated; }
     // Also logs when the configuration has become outdated, and when it is up to date again.
     jobs::configuration_freshness freshness();
@@ -43,7 +47,7 @@
     void handleAllRead();
     bool applyRow(const jobs::row &row);
     void applyZones(const std::vector<jobs::row> &rows);
-    void logZoneChanges(const std::set<std::string> &before);
+    void logZoneChanges(const std::set<std::string> &previousZones);
     void logConfiguration(std::size_t bytes, time_point startedAt);
 
     event_log &m_log;
--- a/app/entry_pings.h
+++ b/app/entry_pings.h
@@ -27,13 +27,15 @@
     entry_pings(std::string self, const entry_pings_dependencies &dependencies,
                 std::function<bool()> isLeaving);
 
-    // The row of this incarnation of the entry, to be sent in pings.
+    // The row of this incarnation of the entry, to be sent in pings. Set before the first ping.
     void setOwnRow(const entry_row &ownRow) { m_ownRow = ownRow; }
+    // Sends a ping to each entry of the directory and applies the answers when they arrive.
     void pingAll();
     // Applies another entry's ping and returns the body of the answer. Throws error BadRequest.
     std::string handlePing(const std::string &ping);
 
 private:
+    // The content of a ping, and of the answer to one.
     std::string selfDescription() const;
     void applyDescription(const std::string &text);
 
--- a/app/entry_registration.cpp
+++ b/app/entry_registration.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr milliseconds StoreRetry{200};
+constexpr milliseconds StoreRetryDelay{200};
 
 } // namespace
 
@@ -29,7 +29,7 @@
     m_store.read(EntriesTable, "", m_settings.id, m_settings.id + "\x01",
                  [this](const std::optional<row_page> &page) {
                      if (!page)
-                         return m_loop.runAfter(StoreRetry, [this] { registerEntry(); });
+                         return m_loop.runAfter(StoreRetryDelay, [this] { registerEntry(); });
                      writeNextIncarnation(*page);
                  });
 }
--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -31,7 +31,7 @@
 namespace {
 
 constexpr milliseconds PollWait{1000};       // the worker answers a poll earlier if a run ends
-constexpr milliseconds ServingPollWait{250}; // latencies are measured over 0.5 s
+constexpr milliseconds ServingPollWait{250}; // workers measure latencies over 0.5 s
 constexpr milliseconds PollTimeout{700}; // in addition to the wait; a worker answers in a few ms
 constexpr milliseconds PollRetryDelay{150};
 // While ends of runs are not acknowledged, the worker answers each poll at once.
@@ -43,11 +43,13 @@
 constexpr milliseconds CancelsBatchDelay{1000};
 constexpr milliseconds LogFlushInterval{100};
 constexpr milliseconds FinishLimit{300}; // the final write of the lease takes about 15 ms
+// For telling entries and the lease row that the runs of a worker that leaves have ended.
 constexpr milliseconds HandOverLimit{5000};
 constexpr shutdown_poll_intervals ShutdownIntervals{milliseconds(150), milliseconds(10)};
 constexpr shutdown_limits ShutdownLimits{HandOverLimit, FinishLimit, HandOverLimit + FinishLimit,
                                          milliseconds(5700)};
 
+// The agent daemon: connects its parts to each other and to the event loop, and polls the worker.
 class agent_process
 {
 public:
@@ -211,13 +213,13 @@
         if (!lease().holdsFence())
             return; // polling resumes when the fence is acquired
         if (fence != lease().fence())
-            return pollWorker(); // sent with an earlier fence
+            return pollWorker(); // the poll was sent with an earlier fence
         const auto now = suspendAwareNow();
         const auto holdAnswer = platform_wire::parseHoldResult(result);
         logAnswering(holdAnswer.has_value(), result);
         const bool isAnsweringAgain = holdAnswer && m_workerLiveness.heldUntilIfSilent();
         m_workerLiveness.notePoll(holdAnswer.has_value(), now);
-        // Renewals during the silence only covered what had been granted before.
+        // While the worker was silent, the lease was renewed only up to the end of its last hold.
         if (isAnsweringAgain)
             m_leaseKeeper.renew();
         if (!holdAnswer) {
@@ -283,8 +285,8 @@
         m_leaseKeeper.acquire(reason);
     }
 
-    // A worker that does not answer ends all its runs when the time that it was last granted is
-    // over. From then on they count as ended.
+    // A worker that gets no calls ends all its runs when its last hold expires. Once that has
+    // certainly happened, they count as ended.
     void checkSilence(time_point now)
     {
         if (!m_workerLiveness.hasNothingRunning(now)
@@ -478,9 +480,9 @@
         }
     }
 
-    // Renews the lease one last time, only up to the end of what the worker was granted. If the
-    // agent never comes back, its worker's tasks can then start elsewhere as soon as possible. If
-    // it does, its next incarnation renews the lease again.
+    // Renews the lease one last time, only up to the end of the worker's last hold. If the agent
+    // never comes back, its worker's tasks can then start elsewhere as soon as possible. If it
+    // does, its next incarnation renews the lease again.
     void sendFinalRenewal()
     {
         const auto grantedUntil = m_workerLiveness.heldUntil();
@@ -491,8 +493,8 @@
     // Normally an agent can exit at once, because its next incarnation goes on with the active
     // runs. But when the worker leaves, the agent's instance ends with it. No other process would
     // then learn that all runs there have ended, and the tasks that were placed there would have to
-    // wait until the lease expires. So the agent stays until the entries or the lease row have been
-    // told.
+    // wait until the lease expires. So the agent stays until the entries know, or the lease row
+    // says so.
     bool hasToStay() const
     {
         return m_workerPresence.isGoingAway() || lease().hasUnwrittenEnd()
@@ -513,7 +515,8 @@
 
     worker_presence m_workerPresence;
     worker_clock m_workerClock;
-    bool m_areCancelsRead = false; // before that, a delayed order could start a cancelled job
+    // Nothing is started before: a delayed order could start a task of a cancelled job.
+    bool m_areCancelsRead = false;
     shutdown_driver m_shutdown;
     bool m_isFinalRenewalSent = false; // see sendFinalRenewal()
 
--- a/app/job_agent.h
+++ b/app/job_agent.h
@@ -1,5 +1,5 @@
-// The daemon that runs next to a worker. Only the agent calls the worker, and it makes the last
-// checks before a task is started there.
+// The daemon that runs next to a worker, a process of the users that executes tasks. Only the agent
+// calls the worker, and it makes the last checks before a task is started there.
 #pragma once
 
 #include "app/job_settings.h"
--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -45,6 +45,7 @@
 // An entry that had no answer of the store for this long is not ready.
 constexpr milliseconds MaxStoreSilence{2500};
 
+// The entry daemon: connects its parts to each other and to the event loop.
 class entry_process
 {
 public:
@@ -354,15 +355,15 @@
         state->pendingEnds = report.ends.size();
         for (const auto &sample : report.samples)
             m_pool.interferenceEstimator().learn(sample);
-        // An outdated configuration could say so after the zone is back in use.
+        // An outdated copy of the zones could still contain one that is back in use.
         state->answer.zoneEvacuated = m_configuration.isConfirmed()
                                       && m_configuration.evacuatedZones().contains(report.zone);
         if (report.wantsInterferenceTable)
             state->answer.interference = m_pool.interferenceEstimator().table();
         for (const auto &end : report.ends)
             handleEnd(report.worker, end, state);
-        // After the ends were handled, because ends of runs of the previous epoch end their own
-        // placements.
+        // Only now, because the ends that were handled above end their own placements.
+        // workerRestarted() ends all other placements of earlier epochs.
         if (isNewIncarnation)
             m_jobController->workerRestarted(report.worker, report.epoch, now);
         if (m_pool.find(report.worker)->lastReport.agentIncarnation == report.agentIncarnation)
@@ -419,8 +420,7 @@
 
     bool isLeaving() const { return m_shutdown.isLeaving(); }
 
-    // Logs which connections are cut off by the end of the process, and how late its event loop
-    // was.
+    // Logs the connections that the end of the process cuts off, and how late its event loop was.
     void logStopped()
     {
         const auto callers = m_callerListener.activity();
--- a/app/job_requests.cpp
+++ b/app/job_requests.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-constexpr milliseconds PeerTimeout{350};
+constexpr milliseconds PeerTimeout{350};                // of a call to another entry
 constexpr const char *ForwardedHeader = "Zb-Passed-On"; // the entry that forwarded the request
-constexpr std::size_t MaxForwardAttempts =
-        3; // after that, the remaining entries are probably in the same state
+// When this many entries could not take a request, the others are probably in the same state.
+constexpr std::size_t MaxForwardAttempts = 3;
 constexpr milliseconds AnswerTimeout{2600}; // below the callers' usual timeout of 3 s
 
 // Whether the call was certainly not executed: it was not sent, or the other process says so by
@@ -38,6 +38,7 @@
     return std::chrono::duration<double, std::milli>(suspendAwareNow() - submittedAt).count();
 }
 
+// Whether the job's row contains this write, also if the answer to a first try was lost.
 bool wasWritten(const store_client::commit_outcome &outcome, const std::string &write)
 {
     if (std::holds_alternative<committed>(outcome))
@@ -95,11 +96,11 @@
     const auto *queues = m_configuration.queues();
     if (queues == nullptr)
         return respond(countedRefusal(503, "no_configuration"));
-    const auto known = m_configuration.freshness();
-    if (known == configuration_freshness::Outdated)
+    const auto currentFreshness = m_configuration.freshness();
+    if (currentFreshness == configuration_freshness::Outdated)
         return respond(countedRefusal(503, "configuration_outdated"));
     const auto target = queues->find(request.header("Host"), request.path());
-    if (!target && known == configuration_freshness::PossiblyOutdated)
+    if (!target && currentFreshness == configuration_freshness::PossiblyOutdated)
         return respond(countedRefusal(503, "queue_perhaps_newer"));
     if (!target)
         return respond(countedRefusal(404, "unknown_queue"));
@@ -141,7 +142,7 @@
     const auto *known = m_view.find(id);
     if (known != nullptr)
         return respond({200, {}, platform_wire::makeStateBody(known->state)});
-    // Submitted before, and its write is in progress: the job can't be refused any more.
+    // Submitted before, and its row is being written: the job can't be refused any more.
     if (m_jobController->owns(id))
         return accept(id, {}, policy, std::move(respond));
     if (isLeaving())
--- a/app/job_requests.h
+++ b/app/job_requests.h
@@ -39,7 +39,7 @@
     configuration_follower &configuration;
     entry_directory &directory;
     job_view &view; // copy of all job rows, also of other entries' jobs
-    // Empty until this incarnation of the entry has begun: its row is stored, with its number.
+    // Empty until entry_registration has registered this incarnation of the entry.
     std::optional<jobs::job_controller> &jobController;
     write_callbacks &writeCallbacks;
     const std::optional<shutdown_plan> &shutdownPlan; // empty until the shutdown signal
@@ -69,7 +69,7 @@
     // with long-running tasks over to it (POST). One entry places all such tasks of a service.
     void serveOwnedJob(const http_request &request, const std::string &id, net::responder respond);
 
-    // As makeRefusal(), and counts the refusal in the metrics.
+    // Like makeRefusal(), and counts the refusal in the metrics.
     http_response countedRefusal(int status, const char *reason,
                                  seconds retryAfter = DefaultRetryAfter);
 
--- a/app/job_settings.h
+++ b/app/job_settings.h
@@ -21,15 +21,15 @@
 
 struct job_agent_settings
 {
-    std::string id;
+    std::string id; // of the agent; its worker is known to entries by it
     std::string zone;
     socket_address announcementsAddress; // listens here for the worker's announcements
     socket_address
             internalAddress;   // listens here for zinniabarrow's own processes, and serves metrics
     std::string workerAddress; // "ip:port" of the worker
-    std::string service;       // that the worker belongs to
+    std::string service;       // the one that the worker belongs to
     std::string storeAddress;  // "ip:port" of the platform's store
-    milliseconds stopTimeout{900}; // ms; a run that was told to stop has ended after this time
+    milliseconds stopTimeout{900}; // a run has ended at most this long after the call to stop it
 };
 
 // Both parse a settings file's text. They throw error BadSettings, which names the file and the
--- a/app/job_tables.h
+++ b/app/job_tables.h
@@ -11,17 +11,16 @@
 
 namespace zinniabarrow {
 
-constexpr const char *JobsTable = "jobs"; // job records
-constexpr const char *PayloadsTable =
-        "payloads"; // payloads; written once, together with the first record
+constexpr const char *JobsTable = "jobs";         // job records
+constexpr const char *PayloadsTable = "payloads"; // written once, with the job's first record
 // One row per cancelled job, written in the transaction that cancels the job. Agents follow this
 // table, so a cancellation takes effect even when no entry is left to tell them about it.
 constexpr const char *CancelsTable = "cancels";
 constexpr const char *EntriesTable = "entries"; // one row per entry
-constexpr const char *LeasesTable = "leases";   // one row per worker
+constexpr const char *LeasesTable = "leases";   // one row per worker, under its agent's id
 
-// Number of parts (partitions) that jobs are spread over. A part runs its transactions one after
-// another, 200 per second; 16 parts together reach the limit of the store.
+// Number of partitions that jobs are spread over. A partition executes one transaction after
+// another, 200 per second; 16 partitions together reach the limit of the store.
 constexpr unsigned JobPartitionCount = 16;
 
 inline std::string partitionName(unsigned number)
--- a/app/job_takeover.h
+++ b/app/job_takeover.h
@@ -32,8 +32,8 @@
     job_takeover(const job_takeover_dependencies &dependencies,
                  std::function<void()> onActionsReady);
 
-    // Checks all known jobs for ones to take over. Called regularly, once all jobs were read.
-    // `self`: this incarnation of the entry.
+    // Looks for jobs to take over and for rows to remove. Called regularly, once all jobs were
+    // read. `self`: this incarnation of the entry.
     void scan(const jobs::owner_id &self);
 
 private:
--- a/app/lease_keeper.cpp
+++ b/app/lease_keeper.cpp
@@ -59,9 +59,9 @@
     execute();
 }
 
-bool lease_keeper::observeWorker(const std::string &incarnation, std::size_t runningCount)
+bool lease_keeper::observeWorker(const std::string &incarnation, std::size_t activeRunCount)
 {
-    const bool shouldStopAll = m_lease.reconcile(incarnation, runningCount, suspendAwareNow());
+    const bool shouldStopAll = m_lease.reconcile(incarnation, activeRunCount, suspendAwareNow());
     execute();
     return shouldStopAll;
 }
--- a/app/lease_keeper.h
+++ b/app/lease_keeper.h
@@ -20,22 +20,24 @@
     {
         std::function<void()> epochLost; // no task may start until epochSettled
         std::function<void(const jobs::epoch_settled &)> epochSettled;
-        std::function<void()> fenceAcquired; // calls to the worker must carry the new fencing token
+        std::function<void()> fenceAcquired; // calls to the worker must carry the new fence
     };
 
     lease_keeper(net::event_loop &loop, store_client &store, event_log &log, std::string agent,
                  callbacks handlers);
 
     const jobs::worker_lease &lease() const { return m_lease; }
-    // Acquires a new fencing token, which invalidates all orders given before. The epoch is settled
-    // later, when it is known which runs of an earlier epoch are still active.
+    // Acquires a new fence, a number that rises each time and makes orders and calls with an
+    // earlier one invalid. The epoch is settled later, when it is known which runs of an earlier
+    // epoch are still active. `reason` is logged.
     void acquire(const char *reason);
-    // Called regularly. `heldUntil`: set while the worker does not answer; the time until which the
-    // agent last allowed it to go on with its runs. The lease is then renewed to that time only.
+    // Called every LeaseRenewInterval. `heldUntil` is set while the worker does not answer: the end
+    // of its last hold, until which it may go on with its runs. The lease is then renewed up to
+    // that time only.
     void renew(std::optional<time_point> heldUntil = std::nullopt);
     // Both pass on to jobs::worker_lease what was observed of the worker. observeWorker() returns
     // whether all its runs have to be stopped before a new epoch can begin.
-    bool observeWorker(const std::string &incarnation, std::size_t runningCount);
+    bool observeWorker(const std::string &incarnation, std::size_t activeRunCount);
     void noteAllRunsEnded(const std::string &nextIncarnation);
 
 private:
--- a/app/lease_watcher.cpp
+++ b/app/lease_watcher.cpp
@@ -98,8 +98,8 @@
     auto next = lease;
     ++next.epoch;
     next.endedByWatcher = true;
-    // The write's name must differ from the agent's: otherwise the agent could take this row for
-    // the result of its own renewal when it retries one.
+    // The id must differ from those of the agent's writes: otherwise the agent could take this row
+    // for the result of its own renewal when it retries one.
     next.writeId = fmt::format("{}:ends:{}", m_self, version);
     const auto name = leaseRowName(worker);
     m_store.commit(
--- a/app/order_sender.h
+++ b/app/order_sender.h
@@ -36,6 +36,8 @@
     order_sender(const order_sender_dependencies &dependencies,
                  std::function<void()> onActionsReady);
 
+    // Sends the orders in one call to the worker's agent. Those without an answer are reported to
+    // the controller as unanswered.
     void sendOrders(const std::string &worker, std::vector<jobs::run_order> orders);
 
 private:
--- a/app/report_sender.cpp
+++ b/app/report_sender.cpp
@@ -122,11 +122,11 @@
     message.used = m_runTable.used();
     message.usedByLongRunning = m_runTable.usedByLongRunning();
     message.bestEffortMillicores = m_runTable.bestEffortMillicores();
-    const auto filling = m_runTable.bestEffortRuns();
+    const auto bestEffort = m_runTable.bestEffortRuns();
     for (const auto &run : m_runTable.servingSamples())
-        message.serving.push_back({run.image, m_throttleController.headroomOf(run, filling),
+        message.serving.push_back({run.image, m_throttleController.headroomOf(run, bestEffort),
                                    run.task.job, run.tailLatencyMs > run.latencyTargetMs});
-    for (const auto &run : filling)
+    for (const auto &run : bestEffort)
         message.bestEffortDemand[run.image] += run.requestedCores;
     message.samples = m_samples;
     message.wantsInterferenceTable = entry == m_tableSource;
@@ -168,10 +168,10 @@
         if (m_runTable.acknowledgeEnd(end, now))
             m_throttleController.forget(end.task, end.run);
     }
-    bool news = false;
+    bool isNew = false;
     for (const auto &end : answer.notOwned)
-        news = m_runTable.noteNotOwned(end, entry) || news;
-    if (news)
+        isNew = m_runTable.noteNotOwned(end, entry) || isNew;
+    if (isNew)
         sendReports();
     if (answer.zoneEvacuated)
         handleEvacuation(now);
@@ -181,12 +181,12 @@
 
 void report_sender::handleEvacuation(time_point now)
 {
-    const bool news = !m_evacuation.isActive(now);
+    const bool isNew = !m_evacuation.isActive(now);
     m_evacuation.refresh(now);
-    if (!news)
+    if (!isNew)
         return;
     m_log.writeEvent("zone_evacuated", {{"zone", m_workerPresence.lastAnnouncement().zone}});
-    sendReports(); // entries that don't know it would place tasks here until the next report
+    sendReports(); // until its next report, an entry that doesn't know would place tasks here
 }
 
 } // namespace zinniabarrow
--- a/app/report_sender.h
+++ b/app/report_sender.h
@@ -1,6 +1,6 @@
 // Sends reports about an agent's worker to all entries and applies their answers: the ends of runs
-// that entries have stored or don't own, the evacuation of the zone, and the interference table.
-// Used by the agent.
+// that entries have stored or don't own, the evacuation of the zone, and the interference table
+// (how much images slow each other down; see jobs/interference_estimator.h). Used by the agent.
 #pragma once
 
 #include <cstdint>
@@ -83,10 +83,10 @@
     report_targets m_targets;
     std::vector<jobs::interference_sample> m_samples; // since the last periodic report
     jobs::table_source_rotation m_tableSourceRotation;
-    // The entry that the next report to it asks for the interference table; empty: none.
+    // The entry that is asked for the interference table in the next report to it; empty: none.
     std::string m_tableSource;
     jobs::evacuation_notice m_evacuation;
-    // How long the agent waits at most for entries to acknowledge the current epoch.
+    // Until then the agent waits for all entries to acknowledge the current epoch.
     time_point m_epochAnnouncementDeadline{};
 };
 
--- a/app/store_client.cpp
+++ b/app/store_client.cpp
@@ -32,7 +32,8 @@
 
 void ignoreAnswerBegun(std::uint64_t /*bytes*/) { }
 
-// No answer, or one that says that the store could not be asked.
+// No answer, or one that says that the store did not execute the call, or that a relay got no
+// answer.
 bool isStoreFailure(const call_result &result)
 {
     const auto *answer = std::get_if<http_response>(&result);
@@ -158,10 +159,10 @@
          });
 }
 
-void store_client::read(const std::string &table, const std::string &part, const std::string &from,
-                        const std::string &to, read_callback done)
+void store_client::read(const std::string &table, const std::string &partition,
+                        const std::string &from, const std::string &to, read_callback done)
 {
-    const auto request = platform_wire::makeRowsRequest(table, part, from, to);
+    const auto request = platform_wire::makeRowsRequest(table, partition, from, to);
     send(request, {}, ignoreAnswerBegun,
          [this, request, done = std::move(done)](const call_result &result) {
              if (auto page = platform_wire::parseRowsResult(result))
@@ -173,16 +174,17 @@
          });
 }
 
-void store_client::readAll(const std::string &table, const std::string &part, read_callback done)
+void store_client::readAll(const std::string &table, const std::string &partition,
+                           read_callback done)
 {
-    readNextPage(table, part, "", std::make_shared<row_page>(), std::move(done));
+    readNextPage(table, partition, "", std::make_shared<row_page>(), std::move(done));
 }
 
-void store_client::readNextPage(std::string table, std::string part, std::string from,
+void store_client::readNextPage(std::string table, std::string partition, std::string from,
                                 std::shared_ptr<row_page> collected, read_callback done)
 {
-    read(table, part, from, "",
-         [this, table, part, collected, done = std::move(done)](std::optional<row_page> page) {
+    read(table, partition, from, "",
+         [this, table, partition, collected, done = std::move(done)](std::optional<row_page> page) {
              if (!page)
                  return done(std::nullopt);
              if (collected->version == 0)
@@ -192,8 +194,9 @@
              if (!page->hasMore || collected->rows.empty())
                  return done(std::move(*collected));
              // Continues with the first key after the last one that was read.
-             readNextPage(table, part, collected->rows.back().name.key + std::string(1, '\x01'),
-                          collected, done);
+             readNextPage(table, partition,
+                          collected->rows.back().name.key + std::string(1, '\x01'), collected,
+                          done);
          });
 }
 
@@ -214,8 +217,7 @@
     request.target = request.target.substr(std::string(StoreRelayPath).size());
     request.headers.clear();
     m_metrics.count("store_calls_relayed_total", "carried");
-    // At least as long as any caller waits: the store holds the answer of a feed for up to a
-    // second.
+    // Enough for any call: the store holds the answer of a feed for up to a second.
     sendTo(m_address, true, std::move(request), MaxTimeout + milliseconds(1000), ignoreAnswerBegun,
            [respond = std::move(respond)](call_result result) {
                if (auto *answer = std::get_if<http_response>(&result)) {
--- a/app/store_client.h
+++ b/app/store_client.h
@@ -26,7 +26,7 @@
     using commit_callback = std::function<void(commit_outcome)>;
     using read_callback = std::function<void(std::optional<jobs::row_page>)>;
     using feed_callback = std::function<void(std::optional<jobs::feed_page>)>;
-    // Called when an answer begins to arrive; `bytes` is the declared length of its body.
+    // Called when an answer begins to arrive; `bytes` is the declared length of its body, 0: none.
     using answer_begun_callback = std::function<void(std::uint64_t bytes)>;
     using relay_provider = std::function<std::vector<std::string>()>;
 
@@ -35,18 +35,18 @@
                  relay_provider relays, metrics &counters, event_log &log);
 
     // Retries the identical write until it is known to have taken effect or to have failed its
-    // condition. If the write took effect but its answer was lost, the result is `conflicting` with
-    // the row that the caller wrote itself.
+    // condition. If the write took effect but its answer was lost, the result is `conflicting` and
+    // contains the row as this process wrote it.
     void commit(jobs::row_transaction transaction, commit_callback done);
-    // Reads the rows of a part with keys from `from` up to `to`. Tries twice; the result is empty
-    // if the store did not answer, and the caller has to try again.
-    void read(const std::string &table, const std::string &part, const std::string &from,
+    // Reads the rows of a partition with keys in [`from`, `to`); an empty bound is open. Tries
+    // twice. The result is empty if the store answered neither try.
+    void read(const std::string &table, const std::string &partition, const std::string &from,
               const std::string &to, read_callback done);
-    // Reads all rows of a part, page by page.
-    void readAll(const std::string &table, const std::string &part, read_callback done);
+    // Reads all rows of a partition, page by page.
+    void readAll(const std::string &table, const std::string &partition, read_callback done);
     // Long poll for changes of a table after version `after`; the store holds the answer for up to
-    // `wait`. An answer that is too large is reported as lost history, so the caller reads the
-    // whole table again page by page.
+    // `wait`. An answer that is too large is reported as lost history (historyExpired), so that the
+    // whole table is read again page by page.
     void pollFeed(const std::string &table, std::int64_t after, milliseconds wait,
                   answer_begun_callback onAnswerBegun, feed_callback done);
 
@@ -64,7 +64,7 @@
                 answer_begun_callback onAnswerBegun, net::http_caller::call_callback done);
     void tryCommit(std::shared_ptr<jobs::row_transaction> transaction, duration backoff,
                    commit_callback done);
-    void readNextPage(std::string table, std::string part, std::string from,
+    void readNextPage(std::string table, std::string partition, std::string from,
                       std::shared_ptr<jobs::row_page> collected, read_callback done);
     void recordAnswer(bool isDirect, const call_result &result, duration answerTime);
     duration timeout() const;
--- a/app/table_follower.cpp
+++ b/app/table_follower.cpp
@@ -24,23 +24,23 @@
     , m_onProgress(std::move(onProgress))
 { }
 
-// Reads all parts in parallel. The feed then starts at the oldest version read, so it includes all
-// changes made meanwhile.
+// Reads all partitions in parallel. The feed then starts at the oldest version read, so it includes
+// all changes made meanwhile.
 void table_follower::start()
 {
-    auto readState = std::make_shared<all_parts_read>();
-    readState->pendingParts = m_followed.partitions.size();
+    auto readState = std::make_shared<full_read>();
+    readState->pendingPartitions = m_followed.partitions.size();
     readState->requestedAt = net::suspendAwareNow();
-    for (const auto &part : m_followed.partitions) {
-        m_store.readAll(m_followed.table, part,
+    for (const auto &partition : m_followed.partitions) {
+        m_store.readAll(m_followed.table, partition,
                         [this, readState](const std::optional<jobs::row_page> &page) {
-                            handlePart(*readState, page);
+                            handlePartition(*readState, page);
                         });
     }
 }
 
-void table_follower::handlePart(all_parts_read &readState,
-                                const std::optional<jobs::row_page> &page)
+void table_follower::handlePartition(full_read &readState,
+                                     const std::optional<jobs::row_page> &page)
 {
     if (page) {
         m_onRows(page->rows);
@@ -48,7 +48,7 @@
             readState.oldestVersion = page->version;
     }
     readState.hasFailed = readState.hasFailed || !page;
-    if (--readState.pendingParts > 0)
+    if (--readState.pendingPartitions > 0)
         return;
     if (readState.hasFailed)
         return m_loop.runAfter(RetryDelay, [this] { start(); });
--- a/app/table_follower.h
+++ b/app/table_follower.h
@@ -1,6 +1,6 @@
-// Follows a table of the platform's store: reads the whole table, then polls the store's feed for
-// changes. Reads the whole table again if the store no longer has the history of changes since the
-// last poll.
+// Follows a table of the platform's store: reads the whole table, then polls the table's feed, by
+// which the store reports changed rows. Reads the whole table again if the store no longer has the
+// history of changes since the last poll.
 #pragma once
 
 #include <cstddef>
@@ -21,14 +21,14 @@
 struct followed_table
 {
     std::string table;
-    std::vector<std::string> partitions{""}; // all parts of the table
+    std::vector<std::string> partitions{""}; // all of the table
     // Pause after each answer with changes, so that the next answer contains many of them.
     milliseconds batchDelay{0};
 };
 
-// The next two structs are progress events, for users that have to know whether their copy is up
-// to date.
-//
+// Progress events, for code that has to know whether its copy of the table is up to date:
+// feed_answer_begun and all_changes_applied.
+
 // An answer of the feed begins to arrive.
 struct feed_answer_begun
 {
@@ -48,9 +48,9 @@
     using rows_callback = std::function<void(const std::vector<jobs::row> &)>;
     using complete_callback = std::function<void()>;
 
-    // `onRows` gets rows as they are read or changed. Rows of different reads can arrive in any
-    // order; their versions tell which is newer. `onComplete` is called after each read of the
-    // whole table.
+    // `onRows` gets rows as they are read, and when they have changed. Rows of different reads can
+    // arrive in any order; their versions tell which is newer. `onComplete` is called after each
+    // read of the whole table.
     table_follower(
             net::event_loop &loop, store_client &store, event_log &log, followed_table followed,
             rows_callback onRows, complete_callback onComplete = [] {},
@@ -60,15 +60,15 @@
 
 private:
     // State of one read of the whole table.
-    struct all_parts_read
+    struct full_read
     {
-        std::size_t pendingParts = 0;   // parts not answered yet
-        std::int64_t oldestVersion = 0; // lowest store version at which a part was read
+        std::size_t pendingPartitions = 0; // not read yet
+        std::int64_t oldestVersion = 0;    // lowest store version at which one was read
         time_point requestedAt{};
         bool hasFailed = false;
     };
 
-    void handlePart(all_parts_read &readState, const std::optional<jobs::row_page> &page);
+    void handlePartition(full_read &readState, const std::optional<jobs::row_page> &page);
     void pollFeed(std::int64_t after);
     void handleFeedPage(const jobs::feed_page &page, time_point requestedAt);
 
--- a/app/worker_calls.cpp
+++ b/app/worker_calls.cpp
@@ -84,12 +84,12 @@
 void worker_calls::adjustSpeeds(time_point now)
 {
     const auto serving = m_runTable.servingSamples();
-    const auto filling = m_runTable.bestEffortRuns();
+    const auto bestEffort = m_runTable.bestEffortRuns();
     if (now >= m_nextSampleAt) {
         m_nextSampleAt = now + SampleInterval;
-        m_hooks.samplesTaken(m_throttleController.takeSamples(serving, filling));
+        m_hooks.samplesTaken(m_throttleController.takeSamples(serving, bestEffort));
     }
-    const auto changes = m_throttleController.decideSpeeds(serving, filling, now);
+    const auto changes = m_throttleController.decideSpeeds(serving, bestEffort, now);
     for (const auto &change : changes) {
         m_metrics.count("paces_total", change.percent < 100 ? "slowed" : "full");
         m_caller.call(m_address,
--- a/app/worker_presence.cpp
+++ b/app/worker_presence.cpp
@@ -14,12 +14,13 @@
 worker_presence::handleAnnouncement(const platform_wire::worker_announcement &announcement)
 {
     const bool isSameIncarnation = announcement.id == m_id
-                                   && (announcement.startTimeMs == 0 || m_bornMs == 0
-                                       || announcement.startTimeMs == m_bornMs);
+                                   && (announcement.startTimeMs == 0 || m_startTimeMs == 0
+                                       || announcement.startTimeMs == m_startTimeMs);
     if (isSameIncarnation && announcement.sequence <= m_lastAnnouncement.sequence)
         return change::None; // a newer one arrived before
     // Delayed announcement of an earlier incarnation.
-    if (!isSameIncarnation && announcement.startTimeMs != 0 && announcement.startTimeMs < m_bornMs)
+    if (!isSameIncarnation && announcement.startTimeMs != 0
+        && announcement.startTimeMs < m_startTimeMs)
         return change::None;
     // A delayed announcement must not cancel the departure of a worker that has left. Only the
     // answer to a poll shows that the worker goes on.
@@ -33,12 +34,12 @@
     m_isDeparting = false;
     m_id = announcement.id;
     if (!isSameIncarnation
-        && (!isFirst || (m_bornMs != 0 && announcement.startTimeMs != m_bornMs))) {
-        m_bornMs = announcement.startTimeMs;
+        && (!isFirst || (m_startTimeMs != 0 && announcement.startTimeMs != m_startTimeMs))) {
+        m_startTimeMs = announcement.startTimeMs;
         return change::NewIncarnation;
     }
     if (announcement.startTimeMs != 0)
-        m_bornMs = announcement.startTimeMs;
+        m_startTimeMs = announcement.startTimeMs;
     return hasReadinessChanged ? change::ReadinessChanged : change::None;
 }
 
@@ -54,12 +55,13 @@
     return true;
 }
 
-worker_presence::poll_result worker_presence::handlePollAnswer(std::int64_t bornMs,
+worker_presence::poll_result worker_presence::handlePollAnswer(std::int64_t workerStartMs,
                                                                time_point sentAt)
 {
-    const bool isNewIncarnation = m_bornMs != 0 && bornMs != 0 && bornMs != m_bornMs;
-    if (bornMs != 0)
-        m_bornMs = bornMs;
+    const bool isNewIncarnation =
+            m_startTimeMs != 0 && workerStartMs != 0 && workerStartMs != m_startTimeMs;
+    if (workerStartMs != 0)
+        m_startTimeMs = workerStartMs;
     if (isNewIncarnation) {
         resetAnnouncedState();
         return poll_result::NewIncarnation;
--- a/standins/job_platform.cpp
+++ b/standins/job_platform.cpp
@@ -167,10 +167,10 @@
 class worker_standin
 {
 public:
-    worker_standin(std::string id, std::int64_t millicores, run_history &record)
+    worker_standin(std::string id, std::int64_t millicores, run_history &runHistory)
         : m_id(std::move(id))
         , m_millicores(millicores)
-        , m_history(record)
+        , m_history(runHistory)
     { }
 
     http_response serve(const http_request &request, milliseconds taskTime)
@@ -207,7 +207,8 @@
         isTerminated = true;
         m_runsByTask.clear();
         const std::lock_guard lock(m_history.mutex);
-        std::erase_if(m_history.workerByTask, [&](const auto &at) { return at.second == m_id; });
+        std::erase_if(m_history.workerByTask,
+                      [&](const auto &taskAndWorker) { return taskAndWorker.second == m_id; });
     }
 
     void restart()
@@ -393,7 +394,8 @@
                 });
     }
 
-    // A feed request waits for a change: retries every 50 ms, `retriesLeft` times at most.
+    // Holds a feed request until there is a change: checks every 50 ms, `retriesLeft` times at
+    // most.
     void serveStore(const http_request &request, responder reply, int retriesLeft)
     {
         const bool shouldWait = request.path() == "/-/rows-feed" && retriesLeft > 0
@@ -527,10 +529,10 @@
     std::vector<std::unique_ptr<worker_standin>> workerStandins;
     std::vector<std::unique_ptr<net::http_listener>> listeners;
     std::vector<socket_address> workerAddresses; // where each worker listens
-    std::vector<std::string> agentTargets;       // the agent of each worker
+    std::vector<std::string> agentTargets;       // address of each worker's agent, "ip:port"
     // Heartbeats sent by each worker in its current incarnation.
     std::map<std::string, int> announcementCounts;
-    std::size_t workerToTerminate = 0; // when triggerLease is written
+    std::size_t workerToTerminate = 0; // its index; terminated when triggerLease is written
     std::string triggerLease;          // key of a lease row; empty: none
     std::string delayedLease;          // key of the lease row whose write answers are delayed
     time_point delayedUntil{};         // end of that delay
--- a/standins/job_platform.h
+++ b/standins/job_platform.h
@@ -49,7 +49,7 @@
     void restartWorker(std::size_t worker);
     bool isCancelStored(const std::string &job) const;       // the job's cancel row was written
     std::int64_t leaseEpoch(const std::string &lease) const; // as stored last; 0 if never stored
-    void setTaskTime(milliseconds taskTime);                 // for tasks that start from now on
+    void setTaskTime(milliseconds taskTime);                 // for runs that start from now on
     int startCount() const;                                  // runs that have started
     int doneCount() const;                                   // runs that have completed
     int countRunsOn(std::size_t worker) const;               // runs that go on now
--- a/tests/configuration_follow_test.cpp
+++ b/tests/configuration_follow_test.cpp
@@ -1,4 +1,4 @@
-// Tests how an entry takes over a new configuration of any size, and what it answers meanwhile.
+// Tests how an entry applies a new configuration of any size, and what it answers meanwhile.
 #include <cstdlib>
 #include <new>
 #include <string>
@@ -64,17 +64,17 @@
     return queue_table(platform_wire::parseConfiguration(configurationOf(routes)));
 }
 
-std::string feedWith(const std::string &value)
+std::string feedAnswerWith(const std::string &value)
 {
-    row_transaction one;
-    one.set.push_back({platform_wire::ConfigurationRowName, value, 0, false});
-    const auto body = platform_wire::makeCommitRequest(one).body;
+    row_transaction transaction;
+    transaction.set.push_back({platform_wire::ConfigurationRowName, value, 0, false});
+    const auto body = platform_wire::makeCommitRequest(transaction).body;
     const auto from = body.find("\"value\":\"") + 9;
     return R"({"rows":[{"table":"op","part":"","key":"config","ver":3,"value":")"
            + body.substr(from, body.find('"', from) - from) + R"("}],"ver":9,"now-ms":1})";
 }
 
-// The slowest instances that serve callers.
+// Network link and processor share of the slowest instances that serve callers.
 constexpr double LinkBytesPerSecond = 10e6 / 8;
 constexpr double CoreShare = 0.069;
 // Processor time of a whole core for one route: 26,000 instructions, at five a nanosecond, to read
@@ -90,17 +90,17 @@
 // The answer arrives over the link in parts of 64 KB, the first at the very end of the feed's wait.
 update_timing simulateUpdate(int routes)
 {
-    const auto bytes = static_cast<double>(feedWith(configurationOf(routes)).size());
-    constexpr double Part = 65536;
+    const auto bytes = static_cast<double>(feedAnswerWith(configurationOf(routes)).size());
+    constexpr double PartBytes = 65536;
     const auto feedWait = milliseconds(1150);
     net::answer_deadline deadline({feedWait, milliseconds(1500), feedWait + seconds(20)}, Start);
     const auto answerStartedAt = Start + feedWait - milliseconds(1);
     update_timing result;
     double sent = 0;
     while (sent < bytes) {
-        sent = std::min(bytes, sent + Part);
+        sent = std::min(bytes, sent + PartBytes);
         const auto at = answerStartedAt
-                        + microseconds(static_cast<std::int64_t>((sent - std::min(sent, Part))
+                        + microseconds(static_cast<std::int64_t>((sent - std::min(sent, PartBytes))
                                                                  / LinkBytesPerSecond * 1e6));
         result.inTime = result.inTime && at <= deadline.currentDeadline();
         deadline.extendAfterPart(at);
@@ -111,9 +111,9 @@
 
 } // namespace
 
-// The slowest instance has to take over a new version of each size that the fleet may grow to. The
-// processing must not last for 1.6 s, as others consider an instance gone after that silence.
-Test(configuration_follow, on_the_slowest_instance)
+// The slowest instance has to apply a new version of each size that the fleet may grow to. The
+// processing must not last for 1.6 s: an entry that is silent for that long counts as dead.
+Test(configuration_follow, time_to_apply_on_the_slowest_instance)
 {
     struct bound
     {
@@ -134,8 +134,8 @@
 // additional parse trees. The allocated memory stands for the work.
 Test(configuration_follow, work_is_linear_in_the_routes)
 {
-    const auto perRoute = [](int routes) {
-        const auto body = feedWith(configurationOf(routes));
+    const auto bytesPerRoute = [](int routes) {
+        const auto body = feedAnswerWith(configurationOf(routes));
         const call_result result = http_response{200, {}, body};
         const auto before = allocatedBytes;
         const auto page = platform_wire::parseFeedResult(result);
@@ -143,9 +143,9 @@
         check(table.size() == static_cast<std::size_t>(routes));
         return static_cast<double>(allocatedBytes - before) / routes;
     };
-    const auto small = perRoute(1400);
-    check(perRoute(5000) < small * 1.5);
-    check(perRoute(20'000) < small * 1.5);
+    const auto bytesOfSmallTable = bytesPerRoute(1400);
+    check(bytesPerRoute(5000) < bytesOfSmallTable * 1.5);
+    check(bytesPerRoute(20'000) < bytesOfSmallTable * 1.5);
     section("the cost of a request does not depend on the table's size", [] {
         const auto table = tableOf(20'000);
         check(table.prefixLengthCount() <= 5);
@@ -168,12 +168,12 @@
 
 Test(configuration_follow, parses_the_operators_configuration)
 {
-    const auto read = platform_wire::parseConfiguration(configurationOf(2));
-    require(read.routes.size() == 2);
-    check(read.version == 7);
-    check(read.routes[1].policy.queue == "r-0000001");
-    check(read.routes[1].policy.maxAttempts == 3);
-    check(read.routes[1].policy.stretch == 2.2);
+    const auto parsed = platform_wire::parseConfiguration(configurationOf(2));
+    require(parsed.routes.size() == 2);
+    check(parsed.version == 7);
+    check(parsed.routes[1].policy.queue == "r-0000001");
+    check(parsed.routes[1].policy.maxAttempts == 3);
+    check(parsed.routes[1].policy.stretch == 2.2);
     section("malformed configurations are rejected", [] {
         for (const auto *text : {"{", "[]", R"({"version":"7","routes":[]})", R"({"version":7})",
                                  R"({"version":7,"routes":[7]})", "\xff",
--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -54,15 +54,15 @@
               != std::string::npos);
     });
     section("the reason is evacuation even if the zone's agents accept no runs", [&] {
-        worker_pool other;
+        worker_pool otherPool;
         auto report = reportOf("a-1", "a");
         report.isAccepting = false;
-        other.update(report, Now);
-        other.setEvacuatedZones({"a"});
-        check(other.describeUnfitWorkers("tickets", oneTask(), {}, Now).find("1 evacuated")
+        otherPool.update(report, Now);
+        otherPool.setEvacuatedZones({"a"});
+        check(otherPool.describeUnfitWorkers("tickets", oneTask(), {}, Now).find("1 evacuated")
               != std::string::npos);
     });
-    section("after the evacuation it is a zone like the others", [&] {
+    section("after the evacuation tasks are placed there again", [&] {
         pool.setEvacuatedZones({"b"});
         check(pool.chooseWorker("tickets", oneTask(), {}, Now) == "a-1");
     });
@@ -70,20 +70,20 @@
 
 Test(evacuation, rows_that_entries_read)
 {
-    evacuated_zones known;
-    known.applyRows({{"a"}, {"b"}, {"a", true}});
-    check(known.zones() == std::set<std::string>{"b"});
+    evacuated_zones evacuated;
+    evacuated.applyRows({{"a"}, {"b"}, {"a", true}});
+    check(evacuated.zones() == std::set<std::string>{"b"});
     section("an update without rows of zones changes nothing", [&] {
-        known.applyRows({});
-        check(known.contains("b"));
+        evacuated.applyRows({});
+        check(evacuated.contains("b"));
     });
     section("a full read reveals rows that were deleted unnoticed", [&] {
-        known.applyRows({{"c"}});
-        known.finishFullRead();
-        check(known.zones() == std::set<std::string>{"c"});
-        known.applyRows({});
-        known.finishFullRead();
-        check(known.zones().empty());
+        evacuated.applyRows({{"c"}});
+        evacuated.finishFullRead();
+        check(evacuated.zones() == std::set<std::string>{"c"});
+        evacuated.applyRows({});
+        evacuated.finishFullRead();
+        check(evacuated.zones().empty());
     });
     section("other rows of operators evacuate no zone", [] {
         using platform_wire::evacuatedZone;
@@ -104,7 +104,7 @@
     worker_status status{true, false, true, true};
     section("a start that is otherwise possible is refused, so that its owner places it elsewhere",
             [&] { check(readinessOf(status, liveness, Now) == start_readiness::Unavailable); });
-    section("nothing is refused for good until the state of the worker is known", [&] {
+    section("an agent that does not hold the lease asks for a later retry instead", [&] {
         status.hasLease = false;
         check(readinessOf(status, liveness, Now) == start_readiness::RetryLater);
     });
--- a/tests/job_platform_test.cpp
+++ b/tests/job_platform_test.cpp
@@ -1,5 +1,6 @@
-// Tests of the messages exchanged with the platform, valid and invalid ones, and of parts around
-// them: leases, the directory of entries, pauses of best-effort runs, the event loop and the log.
+// Tests of the messages exchanged with the platform, valid and invalid ones, and of classes of
+// entries and agents: leases, the directory of entries, pauses of best-effort runs, the event loop
+// and the log.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -48,19 +49,19 @@
 Test(job_platform, announcements)
 {
     section("a valid announcement is parsed", [] {
-        const auto told = parseAnnouncement(announcement(GoodAnnouncement));
-        require(told.has_value());
-        check(told->id == "i-7");
-        check(told->capacity == (task_size{16'000, 32'768, 0}));
-        check(told->rack == "r1-3");
-        check(told->startTimeMs == 17);
+        const auto parsed = parseAnnouncement(announcement(GoodAnnouncement));
+        require(parsed.has_value());
+        check(parsed->id == "i-7");
+        check(parsed->capacity == (task_size{16'000, 32'768, 0}));
+        check(parsed->rack == "r1-3");
+        check(parsed->startTimeMs == 17);
     });
     section("an invalid announcement is rejected", [] {
         check(!parseAnnouncement(announcement("\xff\x00{")));
         check(!parseAnnouncement(announcement("[]")));
         check(!parseAnnouncement(announcement(R"({"service":7})")));
         std::string unknownState = GoodAnnouncement;
-        unknownState.replace(unknownState.find("ready"), 5, "dozes");
+        unknownState.replace(unknownState.find("ready"), 5, "other");
         check(!parseAnnouncement(announcement(unknownState)));
     });
 }
@@ -69,9 +70,9 @@
 {
     section("values of any length are encoded and decoded unchanged", [] {
         for (const std::string value : {"", "a", "ab", "abc", "abcd"}) {
-            row_transaction one;
-            one.set.push_back({{"t", "p", "k"}, value, 0, false});
-            const auto body = makeCommitRequest(one).body;
+            row_transaction transaction;
+            transaction.set.push_back({{"t", "p", "k"}, value, 0, false});
+            const auto body = makeCommitRequest(transaction).body;
             const auto from = body.find("\"value\":\"") + 9;
             const auto encoded = body.substr(from, body.find('"', from) - from);
             const auto page = parseRowsResult(answer(
@@ -130,20 +131,20 @@
     check(parseStartResult(answer(503, "")) == start_answer::NotExecuted);
     check(parseStartResult(call_failure::TimedOut) == start_answer::Unanswered);
     check(parseStartResult(call_failure::IncompleteAnswer) == start_answer::Unanswered);
-    const auto looked = parseHoldResult(
+    const auto holdResult = parseHoldResult(
             answer(200, R"({"clock-ms":5,"born":9,"running":[["j.0.1.17",2,"c",41,25],["?"]],)"
                         R"("ended":[[58,"j.0.1.9",1,"done",""],[59,"j.0.1.9",1,"?",""]]})"));
-    require(looked.has_value());
-    check(looked->listing.running.size() == 1);
-    check(looked->listing.running[0].measured == 25);
-    check(looked->listing.ended.size() == 1);
+    require(holdResult.has_value());
+    check(holdResult->listing.running.size() == 1);
+    check(holdResult->listing.running[0].measured == 25);
+    check(holdResult->listing.ended.size() == 1);
     check(!parseHoldResult(answer(200, "[]")).has_value());
 }
 
 // An entry watches the lease of a silent worker. If the row does not give its end on the store's
 // clock, the entry may end the lease only after the row was unchanged for the lease's duration and
 // margin on the entry's own clock.
-Test(job_platform, leases)
+Test(job_platform, lease_row_without_an_end)
 {
     lease_expiry_detector detector;
     time_point now{std::chrono::hours(1)};
@@ -163,9 +164,9 @@
     check(toText(leaseFrom(toText(row))) == toText(row));
     cr_expect_throw(leaseFrom("{}"), error);
     section("a row written by an agent of the previous release", [] {
-        const auto before = leaseFrom(R"({"epoch":4,"fence":7,"renewals":12,"life":"17",)"
+        const auto oldRow = leaseFrom(R"({"epoch":4,"fence":7,"renewals":12,"life":"17",)"
                                       R"("ended":false,"write":"w:7:12"})");
-        check(before.expiresAtMs == 0);
+        check(oldRow.expiresAtMs == 0);
     });
 }
 
@@ -181,11 +182,11 @@
     const auto hasExpired = [&](lease_expiry_detector &detector, milliseconds after) {
         return detector.observe("w", row, 5, LostAtMs + after.count(), lostAt + after).isExpired;
     };
-    lease_expiry_detector before;
-    check(!hasExpired(before, seconds(3)));
-    lease_expiry_detector after; // entries were killed and restarted
-    check(!hasExpired(after, seconds(6)));
-    check(hasExpired(after, TaskLostAfter));
+    lease_expiry_detector firstDetector;
+    check(!hasExpired(firstDetector, seconds(3)));
+    lease_expiry_detector restartedDetector; // of an entry that was killed and restarted
+    check(!hasExpired(restartedDetector, seconds(6)));
+    check(hasExpired(restartedDetector, TaskLostAfter));
     section("the lease does not expire while a run may still be active", [&] {
         lease_expiry_detector runningDetector;
         check(!hasExpired(runningDetector, LeaseDuration + LeaseMargin));
@@ -194,13 +195,13 @@
 }
 
 // Callers count a long-running task as lost if it has not run for 9 s. In the worst case its agent
-// renews the lease and then agent and worker lose power at once. The entries get no more reports,
-// and each check of the lease returns when to check next.
+// renews the lease, and right after that agent and worker lose power. The entries get no more
+// reports, and each check of the lease returns when to check next.
 Test(job_platform, worker_and_agent_are_lost)
 {
     constexpr std::int64_t RenewedAtMs = 5'000'000; // store's clock
-    constexpr milliseconds MaxNoticeTime{
-            3700}; // three missed reports, then the next check for silent workers
+    // Three missed reports, then the next check for silent workers.
+    constexpr milliseconds MaxNoticeTime{3700};
     constexpr milliseconds MaxStartTime{300}; // for a write, a placement and its order
     const time_point renewedAt{std::chrono::hours(1)};
     const lease_row row{4, 7, 12, "17", false, "w:7:12", RenewedAtMs + LeaseDuration.count()};
@@ -252,29 +253,29 @@
 
 // When a job's owner dies, exactly one of the live entries takes the job over. None does so before
 // all entries had time to send a heartbeat.
-Test(job_platform, successors)
+Test(job_platform, one_successor_takes_a_job_over)
 {
     const time_point start{std::chrono::hours(1)};
-    entry_directory atA("a", start);
-    entry_directory atB("b", start);
+    entry_directory directoryOfA("a", start);
+    entry_directory directoryOfB("b", start);
     const owner_id deadOwner{"c", 1};
-    atA.updateRow("b", {1, "10.0.0.2:1", "10.0.0.2:2"});
-    atB.updateRow("a", {1, "10.0.0.1:1", "10.0.0.1:2"});
-    check(!atA.successorOf("j", deadOwner, {"a", 1}, start + milliseconds(500)));
+    directoryOfA.updateRow("b", {1, "10.0.0.2:1", "10.0.0.2:2"});
+    directoryOfB.updateRow("a", {1, "10.0.0.1:1", "10.0.0.1:2"});
+    check(!directoryOfA.successorOf("j", deadOwner, {"a", 1}, start + milliseconds(500)));
     const auto now = start + milliseconds(3000);
-    atA.recordHeartbeat("b", 1, false, now);
-    atB.recordHeartbeat("a", 1, false, now);
+    directoryOfA.recordHeartbeat("b", 1, false, now);
+    directoryOfB.recordHeartbeat("a", 1, false, now);
     for (const std::string job : {"j1", "j2", "j3", "j4"})
-        check(atA.successorOf(job, deadOwner, {"a", 1}, now)
-              == atB.successorOf(job, deadOwner, {"b", 1}, now));
+        check(directoryOfA.successorOf(job, deadOwner, {"a", 1}, now)
+              == directoryOfB.successorOf(job, deadOwner, {"b", 1}, now));
     section("an entry takes over the jobs of its own earlier incarnation", [&] {
-        check(atA.successorOf("j", {"a", 1}, {"a", 2}, now) == "a");
-        check(!atA.successorOf("j", {"a", 2}, {"a", 2}, now));
+        check(directoryOfA.successorOf("j", {"a", 1}, {"a", 2}, now) == "a");
+        check(!directoryOfA.successorOf("j", {"a", 2}, {"a", 2}, now));
     });
     section("the jobs of a leaving entry are taken over at once", [&] {
-        check(!atA.successorOf("j", {"b", 1}, {"a", 1}, now));
-        atA.recordHeartbeat("b", 1, true, now);
-        check(atA.successorOf("j", {"b", 1}, {"a", 1}, now) == "a");
+        check(!directoryOfA.successorOf("j", {"b", 1}, {"a", 1}, now));
+        directoryOfA.recordHeartbeat("b", 1, true, now);
+        check(directoryOfA.successorOf("j", {"b", 1}, {"a", 1}, now) == "a");
     });
 }
 
@@ -282,17 +283,17 @@
 Test(job_platform, one_entry_places_long_running_tasks)
 {
     const time_point now{std::chrono::hours(1)};
-    entry_directory atA("a", now);
-    entry_directory atB("b", now);
-    atA.updateRow("b", {1, "10.0.0.2:1", "10.0.0.2:2"});
-    atB.updateRow("a", {1, "10.0.0.1:1", "10.0.0.1:2"});
-    check(atA.placerOf("tickets", now) == "a"); // no heartbeat of b yet
-    atA.recordHeartbeat("b", 1, false, now);
-    atB.recordHeartbeat("a", 1, false, now);
-    const auto placer = atA.placerOf("tickets", now);
-    check(placer == atB.placerOf("tickets", now));
+    entry_directory directoryOfA("a", now);
+    entry_directory directoryOfB("b", now);
+    directoryOfA.updateRow("b", {1, "10.0.0.2:1", "10.0.0.2:2"});
+    directoryOfB.updateRow("a", {1, "10.0.0.1:1", "10.0.0.1:2"});
+    check(directoryOfA.placerOf("tickets", now) == "a"); // no heartbeat of b yet
+    directoryOfA.recordHeartbeat("b", 1, false, now);
+    directoryOfB.recordHeartbeat("a", 1, false, now);
+    const auto placer = directoryOfA.placerOf("tickets", now);
+    check(placer == directoryOfB.placerOf("tickets", now));
     const auto later = now + entry_directory::HeartbeatTimeout;
-    check((placer == "a" ? atB : atA).placerOf("tickets", later) != placer);
+    check((placer == "a" ? directoryOfB : directoryOfA).placerOf("tickets", later) != placer);
 }
 
 // Callers that were refused in an outage of 4 to 9 s have four retries. The Retry-After times must
@@ -319,17 +320,17 @@
     now += milliseconds(2199);
     check(updateWithTail(400).empty());
     now += milliseconds(1);
-    const auto stopped = updateWithTail(400);
-    require(stopped.size() == 1);
-    check(stopped[0].percent == 0);
-    controller.noteConfirmed(stopped[0]);
+    const auto paused = updateWithTail(400);
+    require(paused.size() == 1);
+    check(paused[0].percent == 0);
+    controller.noteConfirmed(paused[0]);
     now += milliseconds(1299);
     check(updateWithTail(400).empty());
     now += milliseconds(1);
-    const auto again = updateWithTail(400);
-    require(again.size() == 1);
-    check(again[0].percent == 100);
-    controller.noteConfirmed(again[0]);
+    const auto resumed = updateWithTail(400);
+    require(resumed.size() == 1);
+    check(resumed[0].percent == 100);
+    controller.noteConfirmed(resumed[0]);
     section("the late time counts from the start again after the target was met", [&] {
         now += milliseconds(2000);
         check(updateWithTail(100).empty());
@@ -352,26 +353,26 @@
 Test(job_platform, callback_that_throws)
 {
     net::event_loop loop;
-    std::string heard;
+    std::string reportedError;
     bool hasContinued = false;
     loop.post([] { throw error(error_kind::BadRequest, "unforeseen"); });
     loop.post([&] {
         hasContinued = true;
         loop.stop();
     });
-    loop.run([&](const std::exception &problem) { heard = problem.what(); });
+    loop.run([&](const std::exception &problem) { reportedError = problem.what(); });
     check(hasContinued);
-    check(heard.find("unforeseen") != std::string::npos);
+    check(reportedError.find("unforeseen") != std::string::npos);
 }
 
 // The process must go on when the reader of its log stops reading; lines are then dropped and
 // counted.
 Test(job_platform, log_reader_that_stops_reading)
 {
-    int ends[2];
-    require(::pipe(ends) == 0);
-    const int before = ::dup(STDOUT_FILENO);
-    ::dup2(ends[1], STDOUT_FILENO);
+    int pipeEnds[2];
+    require(::pipe(pipeEnds) == 0);
+    const int originalStdout = ::dup(STDOUT_FILENO);
+    ::dup2(pipeEnds[1], STDOUT_FILENO);
     {
         event_log log("entry", "e", {1'000'000, 300'000});
         for (int line = 0; line < 10'000; ++line) {
@@ -380,10 +381,10 @@
         }
         check(log.droppedCount() > 0);
     }
-    ::dup2(before, STDOUT_FILENO);
-    ::close(ends[0]);
-    ::close(ends[1]);
-    ::close(before);
+    ::dup2(originalStdout, STDOUT_FILENO);
+    ::close(pipeEnds[0]);
+    ::close(pipeEnds[1]);
+    ::close(originalStdout);
 }
 
 // Guards against ignoring an answer that proves the store's clock to be ahead of the estimate (the
@@ -399,8 +400,8 @@
     check(clock.upperBoundMs(later) >= 9000);
 }
 
-// Guards against entries that end a lease again after another entry has ended it: a restarted agent
-// would lose its own write to each of them.
+// Guards against entries that end a lease again after another entry has ended it: each such write
+// would make a write of a restarted agent fail.
 Test(job_platform, lease_that_was_already_ended)
 {
     const time_point now{std::chrono::hours(1)};
@@ -420,6 +421,6 @@
             throw error(error_kind::BadRequest, "once");
     });
     loop.runAfter(milliseconds(300), [&] { loop.stop(); });
-    loop.run([](const std::exception & /*the test counts turns instead*/) {});
+    loop.run([](const std::exception & /*the test counts calls instead*/) {});
     check(callCount > 1);
 }
--- a/tests/job_view_test.cpp
+++ b/tests/job_view_test.cpp
@@ -12,10 +12,11 @@
 
 const time_point Start{seconds(1000)};
 
-class one_job
+// A view that contains one job with two tasks.
+class single_job_view
 {
 public:
-    one_job()
+    single_job_view()
     {
         job_spec spec;
         spec.steps.resize(1);
@@ -57,13 +58,13 @@
 Test(job_view, waiting_jobs)
 {
     section("an accepted job is waiting", [] {
-        one_job job;
+        single_job_view job;
         job.applyRow(milliseconds(0));
         check(job.waitingCount() == 1);
     });
     section("a job whose orders are refused and sent again is waiting, however long that lasts",
             [] {
-                one_job job;
+                single_job_view job;
                 for (int run = 1; run < 60; ++run) {
                     job.placeTask(0, run);
                     job.applyRow(milliseconds(run * 200));
@@ -74,7 +75,7 @@
                 }
             });
     section("a job with an order is waiting until a worker has started a task", [] {
-        one_job job;
+        single_job_view job;
         for (int atMs = 0; atMs < 9000; atMs += 1000) {
             job.placeTask(0, 1);
             job.applyRow(milliseconds(atMs));
@@ -85,7 +86,7 @@
         check(job.waitingCount() == 0);
     });
     section("a started job is not waiting, even if further orders are refused", [] {
-        one_job job;
+        single_job_view job;
         job.placeTask(0, 1);
         job.markBegun();
         for (int run = 1; run < 20; ++run) {
@@ -95,7 +96,7 @@
         }
     });
     section("a job with an ended task counts as started from then on", [] {
-        one_job job;
+        single_job_view job;
         job.taskState(0).done = true;
         job.applyRow(milliseconds(0));
         check(job.waitingCount() == 0);
--- a/tests/large_rows_test.cpp
+++ b/tests/large_rows_test.cpp
@@ -28,7 +28,7 @@
 // How the simulated store sends the answer of a feed.
 struct slow_link
 {
-    milliseconds initialDelay{0}; // from the request to the first byte, in ms
+    milliseconds initialDelay{0}; // from the request to the first byte
     int partCount = 1;            // of the answer, all of the same size
     milliseconds betweenParts{0};
     std::size_t valueBytes = 0; // length of the row's value, in base64
@@ -65,7 +65,7 @@
     slow_store &operator=(const slow_store &) = delete;
 
     std::string address() const { return fmt::format("127.0.0.1:{}", m_port); }
-    int answeredFeeds() const { return m_feeds; }
+    int begunFeeds() const { return m_begunFeeds; }
 
 private:
     void serveAll()
@@ -91,7 +91,7 @@
         }
         if (!request.starts_with("GET /-/rows-feed"))
             return send(connection, head(EmptyTable.size()) + EmptyTable);
-        ++m_feeds;
+        ++m_begunFeeds;
         std::this_thread::sleep_for(m_link.initialDelay);
         return sendSlowly(connection, feedBody());
     }
@@ -137,7 +137,7 @@
     slow_link m_link;
     int m_listener;
     int m_port = 0;
-    std::atomic<int> m_feeds{0};
+    std::atomic<int> m_begunFeeds{0};
     std::thread m_thread;
 };
 
@@ -164,18 +164,18 @@
         if (rows.empty())
             return;
         result.bytes = rows.back().value.size();
-        result.feeds = store.answeredFeeds();
+        result.feeds = store.begunFeeds();
         loop.stop();
     });
     follower.start();
     loop.runEvery(milliseconds(10), [&] {
-        if (store.answeredFeeds() > maxFeeds)
+        if (store.begunFeeds() > maxFeeds)
             loop.stop();
     });
     loop.run([](const std::exception &) {});
-    if (result.bytes
-        == 0) // after receiving the row, the follower sends the next feed request at once
-        result.feeds = store.answeredFeeds();
+    // Once the row was received, the follower has sent the next feed request.
+    if (result.bytes == 0)
+        result.feeds = store.begunFeeds();
     return result;
 }
 
@@ -188,14 +188,14 @@
 Test(large_rows, slowly_arriving_answer_is_read_once)
 {
     section("the answer begins late in the wait", [] {
-        const auto seen = follow({milliseconds(900), 12, milliseconds(60), 350'000}, 1);
-        check(seen.bytes == 262'500);
-        check(seen.feeds == 1);
+        const auto received = follow({milliseconds(900), 12, milliseconds(60), 350'000}, 1);
+        check(received.bytes == 262'500);
+        check(received.feeds == 1);
     });
-    section("the answer takes longer than any of the usual size", [] {
-        const auto seen = follow({milliseconds(0), 40, milliseconds(50), 1'260'000}, 1);
-        check(seen.bytes == 945'000);
-        check(seen.feeds == 1);
+    section("the answer takes longer than an answer of usual size may take", [] {
+        const auto received = follow({milliseconds(0), 40, milliseconds(50), 1'260'000}, 1);
+        check(received.bytes == 945'000);
+        check(received.feeds == 1);
     });
 }
 
@@ -203,7 +203,7 @@
 // each read would be refused, and the entry would never get a new version.
 Test(large_rows, a_configuration_of_20000_routes_is_taken)
 {
-    const auto seen = follow({milliseconds(0), 1, milliseconds(0), 5'080'000}, 1);
-    check(seen.bytes == 3'810'000);
-    check(seen.feeds == 1);
+    const auto received = follow({milliseconds(0), 1, milliseconds(0), 5'080'000}, 1);
+    check(received.bytes == 3'810'000);
+    check(received.feeds == 1);
 }
--- a/tests/process_jobs_test.cpp
+++ b/tests/process_jobs_test.cpp
@@ -1,5 +1,5 @@
 // Tests of callers' jobs with real processes: two entries and two agents, with the stand-in of the
-// platform.
+// platform (job_system.h).
 #include <algorithm>
 #include <csignal>
 #include <memory>
@@ -17,45 +17,46 @@
 
 namespace {
 
-// Callers whose requests reach a process while it is suspended.
-class waiting_callers
+// Several clients of one server, each on a connection of its own, that send the same request.
+class client_group
 {
 public:
-    explicit waiting_callers(std::string server)
+    explicit client_group(std::string server)
         : m_server(std::move(server))
     { }
 
-    // Opens one connection per caller. Nothing is sent on it yet.
+    // Adds clients and opens their connections. Nothing is sent on them yet.
     void connect(int count)
     {
         for (int each = 0; each < count; ++each)
-            m_callers.push_back(std::make_unique<keep_alive_caller>(m_server));
+            m_clients.push_back(std::make_unique<keep_alive_caller>(m_server));
     }
     int openCount() const
     {
-        return static_cast<int>(std::count_if(m_callers.begin(), m_callers.end(),
+        return static_cast<int>(std::count_if(m_clients.begin(), m_clients.end(),
                                               [](const auto &each) { return each->isOpen(); }));
     }
     void removeClosed()
     {
-        std::erase_if(m_callers, [](const auto &each) { return !each->isOpen(); });
+        std::erase_if(m_clients, [](const auto &each) { return !each->isOpen(); });
     }
     void send(const std::string &method, const std::string &path, const std::string &body = "")
     {
-        for (const auto &each : m_callers)
+        for (const auto &each : m_clients)
             require(each->send(method, path, body));
     }
+    // The number of requests whose connections were closed without an answer.
     int cutOffCount() const
     {
         return static_cast<int>(
-                std::count_if(m_callers.begin(), m_callers.end(), [](const auto &each) {
+                std::count_if(m_clients.begin(), m_clients.end(), [](const auto &each) {
                     return each->requestOutcome() == request_outcome::ClosedWithoutAnswer;
                 }));
     }
 
 private:
     std::string m_server;
-    std::vector<std::unique_ptr<keep_alive_caller>> m_callers;
+    std::vector<std::unique_ptr<keep_alive_caller>> m_clients;
 };
 
 bool accepts(const std::string &server)
@@ -92,9 +93,9 @@
         check(system.call(1, "DELETE", "aaaa000000000004")->status == 200);
         check(system.reachesState(1, "aaaa000000000004", "cancelled"));
     });
-    // An owner that dies right after the answer has not told any agent: agents read cancellations
-    // in the store.
-    section("agents can read a cancellation as soon as any entry has acknowledged it", [&] {
+    // An owner that dies right after the answer has told no agent, so agents read cancellations in
+    // the store.
+    section("a cancellation is in the store as soon as any entry has acknowledged it", [&] {
         check(system.platform().isCancelStored("aaaa000000000004"));
         require(system.submit(0, "aaaa000000000005"));
         check(system.call(0, "DELETE", "aaaa000000000005")->status == 200);
@@ -133,15 +134,16 @@
 {
     system_under_test system;
     system.platform().setTaskTime(milliseconds(600'000));
-    int running = 0;
+    int expectedStarts = 0;
     for (const int suspendedEntry : {0, 1}) {
         section(fmt::format("entry {} is suspended", suspendedEntry), [&] {
             const auto job = fmt::format("abcd00000000000{}", suspendedEntry);
             system.entry(suspendedEntry).signal(SIGSTOP);
             check(system.submitService(1 - suspendedEntry, job));
             system.entry(suspendedEntry).signal(SIGCONT);
-            running += 2;
-            check(waitUntil([&] { return system.platform().startCount() == running; }, WaitLimit));
+            expectedStarts += 2;
+            check(waitUntil([&] { return system.platform().startCount() == expectedStarts; },
+                            WaitLimit));
             check(system.reachesState(suspendedEntry, job, "running"));
         });
     }
@@ -218,7 +220,7 @@
     require(system.submit(0, "abab000000000001"));
     require(waitUntil([&] { return system.platform().startCount() == 4; }, WaitLimit));
     system.platform().makeUnresponsive(system.platform().busiestWorker());
-    // At least two tasks were placed on that worker and start again elsewhere.
+    // At least two of the four tasks ran on that worker. They start again on the other one.
     check(waitUntil([&] { return system.platform().startCount() >= 6; }, WaitLimit));
     checkNoViolations(system, system.platform());
 }
@@ -235,7 +237,7 @@
     const auto departed = system.departDuringRenewal("acac000000000001");
     check(waitUntil([&] { return system.platform().startCount() == 2 + departed.runCount; },
                     WaitLimit));
-    // The departure was known, so nobody had to wait for the end of a lease.
+    // The agent knew of the departure, so nobody had to wait until the lease had expired.
     system.agent(departed.worker).signal(SIGTERM); // so that its last log lines are written
     check(system.agent(departed.worker).waitForExit(WaitLimit) == 0);
     check(!system.hasAgentLogged(departed.worker, "worker_silent"));
@@ -245,7 +247,7 @@
 
 // Guards against long-running tasks that are down for 12 s. The agent is told to stop right after
 // its worker has left, before the lease row says that all runs there have ended. Nobody else can
-// know that: the entries would get no reports for 3 s and then wait for the end of the lease. An
+// know that: the entries would get no reports for 3 s and then wait until the lease has expired. An
 // agent that stopped at once logged "stopped" with a write in progress, and the row's epoch was
 // unchanged.
 Test(process_jobs, agent_stops_after_its_worker_left)
@@ -263,9 +265,9 @@
     checkNoViolations(system, system.platform());
 }
 
-// A worker is lost with its agent, and all entries are killed while they wait for the end of its
-// lease. The time that they had waited is lost, but the lease row tells their next incarnations the
-// end. The two tasks run again on the other worker.
+// A worker is lost with its agent, and all entries are killed while they wait until its lease has
+// expired. Their next incarnations don't wait for the whole lease again, because the lease row
+// contains the time of its end. The two tasks run again on the other worker.
 Test(process_jobs, worker_agent_and_entries_lost)
 {
     system_under_test system;
@@ -338,7 +340,7 @@
         check(waitUntil([&] { return system.logContains("entry", 0, "2 evacuated"); }, WaitLimit));
         check(system.platform().startCount() == 0);
     });
-    section("it runs once the zone is back in use", [&] {
+    section("the job runs once the zone is back in use", [&] {
         system.restoreZone("kartli-a");
         check(system.reachesState(0, "abab000000000003", "completed"));
     });
@@ -358,7 +360,7 @@
     system.entry(0).signal(SIGSTOP);
     require(system.call(1, "DELETE", "adad000000000001")->status == 200);
     system.entry(1).signal(SIGKILL);
-    section("its tasks are stopped without an entry", [&] {
+    section("the job's tasks are stopped without an entry", [&] {
         check(waitUntil(
                 [&] {
                     return system.platform().countRunsOn(0) + system.platform().countRunsOn(1) == 0;
@@ -522,56 +524,57 @@
 }
 
 // Guards against entries' orders and workers' announcements that get no answer. The agent was told
-// to stop while it was suspended, and closed its listeners although requests were unread in
-// sockets, or on connections that were not accepted yet.
+// to stop while it was suspended, and closed its listeners although requests were unread in its
+// sockets, or came on connections that it had not accepted yet.
 Test(process_jobs, requests_to_a_leaving_agent_that_was_suspended)
 {
     system_under_test system;
-    constexpr int Callers = 8; // number of callers of each kind
-    const auto connectTo = [&](waiting_callers &orders, waiting_callers &announcements) {
-        orders.connect(Callers);
-        announcements.connect(Callers);
+    constexpr int ClientsPerConnect = 8; // added by each call of connect()
+    const auto connectTo = [&](client_group &orderClients, client_group &announcementClients) {
+        orderClients.connect(ClientsPerConnect);
+        announcementClients.connect(ClientsPerConnect);
     };
     // Sends on the connections that the agent has not closed yet.
-    const auto send = [](waiting_callers &orders, waiting_callers &announcements) {
-        orders.removeClosed();
-        orders.send("POST", "/v1/orders", "{}");
-        announcements.removeClosed();
-        announcements.send("POST", "/-/instances/i-9/heartbeat", "{}");
+    const auto send = [](client_group &orderClients, client_group &announcementClients) {
+        orderClients.removeClosed();
+        orderClients.send("POST", "/v1/orders", "{}");
+        announcementClients.removeClosed();
+        announcementClients.send("POST", "/-/instances/i-9/heartbeat", "{}");
     };
     for (const int agent : {0, 1}) {
         require(accepts(system.agentInternalAddress(agent)));
         require(accepts(system.agentWorkersAddress(agent)));
     }
     section("the agent is suspended when it is told to stop", [&] {
-        waiting_callers orders(system.agentInternalAddress(0));
-        waiting_callers announcements(system.agentWorkersAddress(0));
-        connectTo(orders, announcements);
+        client_group orderClients(system.agentInternalAddress(0));
+        client_group announcementClients(system.agentWorkersAddress(0));
+        connectTo(orderClients, announcementClients);
         system.agent(0).signal(SIGSTOP);
-        connectTo(orders, announcements);
-        require(orders.openCount() + announcements.openCount() == 4 * Callers);
-        send(orders, announcements);
+        connectTo(orderClients, announcementClients);
+        require(orderClients.openCount() + announcementClients.openCount()
+                == 4 * ClientsPerConnect);
+        send(orderClients, announcementClients);
         system.agent(0).signal(SIGTERM);
         system.agent(0).signal(SIGCONT);
-        check(orders.cutOffCount() + announcements.cutOffCount() == 0);
+        check(orderClients.cutOffCount() + announcementClients.cutOffCount() == 0);
         check(system.agent(0).waitForExit(WaitLimit) == 0);
     });
     section("the agent is suspended until after the time limit for the last write of its lease",
             [&] {
-                waiting_callers orders(system.agentInternalAddress(1));
-                waiting_callers announcements(system.agentWorkersAddress(1));
-                connectTo(orders, announcements);
+                client_group orderClients(system.agentInternalAddress(1));
+                client_group announcementClients(system.agentWorkersAddress(1));
+                connectTo(orderClients, announcementClients);
                 system.platform().setStoreUnavailable(true);
                 std::this_thread::sleep_for(
                         milliseconds(2000)); // a renewal is in progress and does not complete
                 system.agent(1).signal(SIGTERM);
                 std::this_thread::sleep_for(milliseconds(100));
                 system.agent(1).signal(SIGSTOP);
-                connectTo(orders, announcements);
-                send(orders, announcements);
+                connectTo(orderClients, announcementClients);
+                send(orderClients, announcementClients);
                 std::this_thread::sleep_for(milliseconds(1000));
                 system.agent(1).signal(SIGCONT);
-                check(orders.cutOffCount() + announcements.cutOffCount() == 0);
+                check(orderClients.cutOffCount() + announcementClients.cutOffCount() == 0);
                 check(system.agent(1).waitForExit(WaitLimit) == 0);
             });
     system.platform().setStoreUnavailable(false);
@@ -597,13 +600,13 @@
 }
 
 // Guards against connections that are closed without an answer by an entry that is told to stop
-// right after its start: it has no incarnation or configuration yet, has not read the jobs, or its
-// event loop does not run yet.
+// right after its start: it is not registered in the store, has no configuration, has not read the
+// jobs, or its event loop does not run yet.
 Test(process_jobs, shutdown_of_a_starting_entry)
 {
     system_under_test system;
     const auto stopWithRequests = [&] {
-        waiting_callers callers(system.callersAddress(0));
+        client_group callers(system.callersAddress(0));
         callers.connect(4);
         system.entry(0).signal(SIGSTOP);
         callers.connect(4);
@@ -613,20 +616,20 @@
         check(callers.cutOffCount() == 0);
         check(system.entry(0).waitForExit(WaitLimit) == 0);
     };
-    section("as soon as it accepts connections", [&] {
+    section("the signal comes as soon as it accepts connections", [&] {
         system.startEntry(0);
         require(accepts(system.callersAddress(0)));
         stopWithRequests();
     });
     for (const int delayMs : {10, 40, 100, 250}) {
-        section(fmt::format("{} ms later", delayMs), [&] {
+        section(fmt::format("the signal comes {} ms later", delayMs), [&] {
             system.startEntry(0);
             require(accepts(system.callersAddress(0)));
             std::this_thread::sleep_for(milliseconds(delayMs));
             stopWithRequests();
         });
     }
-    section("while the store is unreachable, before the entry has an incarnation", [&] {
+    section("the signal comes while the store is unreachable, before the entry is registered", [&] {
         system.platform().setStoreUnavailable(true);
         system.startEntry(0);
         require(accepts(system.callersAddress(0)));
@@ -643,22 +646,22 @@
 {
     system_under_test system;
     // Tries without a pause, because the moment is short.
-    const auto awaitListening = [](const std::string &address) {
+    const auto waitUntilListening = [](const std::string &address) {
         const auto giveUpAt = monotonic_clock::now() + WaitLimit;
         while (!keep_alive_caller(address).isOpen())
             require(monotonic_clock::now() < giveUpAt);
     };
     constexpr int Restarts = 10;
-    for (int life = 0; life < Restarts; ++life) {
-        section("of an entry", [&] {
+    for (int round = 0; round < Restarts; ++round) {
+        section("an entry gets the signal", [&] {
             system.startEntry(0);
-            awaitListening(system.entryInternalAddress(0));
+            waitUntilListening(system.entryInternalAddress(0));
             system.entry(0).signal(SIGTERM);
             check(system.entry(0).waitForExit(WaitLimit) == 0);
         });
-        section("of an agent", [&] {
+        section("an agent gets the signal", [&] {
             system.startAgent(0);
-            awaitListening(system.agentInternalAddress(0));
+            waitUntilListening(system.agentInternalAddress(0));
             system.agent(0).signal(SIGTERM);
             check(system.agent(0).waitForExit(WaitLimit) == 0);
         });
@@ -673,7 +676,7 @@
     system_under_test system;
     constexpr const char *Job = R"({"spec":"","steps":[{"count":1,"cpu":1000}]})";
     section("more signals arrive while the process is suspended", [&] {
-        waiting_callers callers(system.callersAddress(0));
+        client_group callers(system.callersAddress(0));
         callers.connect(4);
         system.entry(0).signal(SIGSTOP);
         callers.connect(4);
@@ -690,7 +693,7 @@
     section("answers of the store are lost", [&] {
         system.startEntry(0);
         require(waitUntil([&] { return system.isReady(0); }, WaitLimit));
-        waiting_callers callers(system.callersAddress(0));
+        client_group callers(system.callersAddress(0));
         callers.connect(8);
         system.platform().loseWriteAnswers(40);
         callers.send("POST", "/holds/fffd000000000001", Job);
@@ -708,7 +711,7 @@
 {
     constexpr int MaxConnections = 1500;
     system_under_test system;
-    waiting_callers callers(system.callersAddress(0));
+    client_group callers(system.callersAddress(0));
     callers.connect(MaxConnections + 100);
     require(waitUntil([&] { return callers.openCount() <= MaxConnections; }, WaitLimit));
     check(callers.openCount() == MaxConnections);
--- a/tests/process_stops_test.cpp
+++ b/tests/process_stops_test.cpp
@@ -23,15 +23,15 @@
 // Seeds that failed once are kept, one per cause.
 constexpr unsigned Seeds[] = {
         2, // a late entry decided that no request was open while some were unread in its sockets
-        9, // a connection on which only the request line had been read was taken for idle
+        9, // a connection of which only the request line had been read was taken for idle
 };
 
 constexpr int ShutdownCount = 10;
 constexpr int CallersPerEntry = 8;
 constexpr std::size_t MaxJobs = 500;
 constexpr milliseconds KillTimeout{6000}; // after the signal, as the platform does
-constexpr milliseconds MaxRaceTime{
-        200}; // between sending a request and the end of an idle connection
+// A request that was sent this shortly before its idle connection ended raced with that end.
+constexpr milliseconds MaxRaceTime{200};
 constexpr milliseconds MaxArrivalTime{20};  // for data sent to a socket on this machine
 constexpr milliseconds TickInterval{5};     // interval of actions on the processes
 constexpr milliseconds LogPollInterval{50}; // while waiting for a log line
@@ -59,7 +59,7 @@
     std::mt19937 m_generator;
 };
 
-// What all callers together experienced.
+// What all callers together have seen.
 struct callers_record
 {
     std::mutex mutex;
@@ -75,7 +75,7 @@
 struct caller_request
 {
     std::string method;
-    std::string job; // empty: the whole queue
+    std::string job; // empty: about the whole queue
     std::string body;
 };
 
@@ -115,33 +115,34 @@
         const auto request = drawRequest();
         const auto path = "/holds/" + request.job;
         const auto text = connection.requestText(request.method, path, request.body);
-        std::size_t first = 0;
+        std::size_t firstPartSize = 0;
         if (m_random.oneIn(4)) {
-            first = m_random.oneIn(4) ? text.find("\r\n") + 2
-                                      : 1 + m_random.indexBelow(text.size() - 1);
-            if (!sendInPart(connection, request, text.substr(0, first)))
+            firstPartSize = m_random.oneIn(4) ? text.find("\r\n") + 2
+                                              : 1 + m_random.indexBelow(text.size() - 1);
+            if (!sendFirstPart(connection, request, text.substr(0, firstPartSize)))
                 return;
         }
-        connection.sendText(text.substr(first));
+        connection.sendText(text.substr(firstPartSize));
         const auto sentAt = monotonic_clock::now();
         const auto status = connection.readAnswer();
-        const auto open = connection.lastSeenOpenAt() - sentAt;
+        const auto openTime = connection.lastSeenOpenAt() - sentAt;
         const std::lock_guard lock(m_record.mutex);
         if (status)
             return recordAnswer(request, *status);
-        if (open <= MaxRaceTime && connection.answerText().empty()) {
+        if (openTime <= MaxRaceTime && connection.answerText().empty()) {
             ++m_record.racedCount;
         } else {
             recordFault(
                     request,
                     fmt::format("got no answer but \"{}\"; its connection stayed open for {} ms",
-                                connection.answerText(), millisecondsIn(open)));
+                                connection.answerText(), millisecondsIn(openTime)));
         }
     }
 
-    // False if the connection ended before the rest could be sent.
-    bool sendInPart(keep_alive_caller &connection, const caller_request &request,
-                    const std::string &part)
+    // False if the connection ended before the rest could be sent. That is a fault if the server
+    // had read the part: then it closes the connection in order, otherwise it resets it.
+    bool sendFirstPart(keep_alive_caller &connection, const caller_request &request,
+                       const std::string &part)
     {
         connection.sendText(part);
         const auto sentAt = monotonic_clock::now();
@@ -178,11 +179,11 @@
         }
         if (drawnKind < 50 || known.empty())
             return {"GET", "", ""};
-        const auto last = static_cast<int>(known.size()) - 1;
+        const auto lastIndex = static_cast<int>(known.size()) - 1;
         if (drawnKind < 90)
-            return {"GET", known[static_cast<std::size_t>(m_random.between(0, last))], ""};
-        const auto job =
-                known[static_cast<std::size_t>(m_random.between(std::max(0, last - 9), last))];
+            return {"GET", known[static_cast<std::size_t>(m_random.between(0, lastIndex))], ""};
+        const auto job = known[static_cast<std::size_t>(
+                m_random.between(std::max(0, lastIndex - 9), lastIndex))];
         m_record.cancelled.insert(job);
         return {"DELETE", job, ""};
     }
@@ -251,7 +252,7 @@
     {
         startCallers();
         int index = m_random.between(0, 1);
-        for (int stop = 0; stop < ShutdownCount; ++stop) {
+        for (int shutdown = 0; shutdown < ShutdownCount; ++shutdown) {
             drawConditions();
             tickFor(m_random.time(0, 800));
             restartEntry(index);
@@ -337,15 +338,15 @@
     void restartEntry(int index)
     {
         auto &entry = m_system.entry(index);
-        const auto at = monotonic_clock::now();
-        const auto suspendedBefore = m_currentShares[index].stoppedTime(at);
+        const auto signaledAt = monotonic_clock::now();
+        const auto suspendedBefore = m_currentShares[index].stoppedTime(signaledAt);
         entry.signal(SIGTERM);
         // Both are measured at the last moment at which the process was still running.
         duration elapsed{};
         duration suspended{};
-        for (auto now = at; entry.isRunning() && elapsed - suspended < KillTimeout;
+        for (auto now = signaledAt; entry.isRunning() && elapsed - suspended < KillTimeout;
              now = monotonic_clock::now()) {
-            elapsed = now - at;
+            elapsed = now - signaledAt;
             suspended = m_currentShares[index].stoppedTime(now) - suspendedBefore;
             tick(now);
         }
@@ -364,10 +365,10 @@
         }
         const auto text = m_system.logText("entry", index, m_incarnationLogFrom[index]);
         const auto stopped = text.rfind(R"("event":"stopped")");
-        const auto last = stopped == std::string::npos ? "" : text.substr(stopped);
+        const auto lastLine = stopped == std::string::npos ? "" : text.substr(stopped);
         for (const char *const field : {"callers_answering", "callers_writing"}) {
-            if (last.find(fmt::format(R"("{}":0)", field)) == std::string::npos)
-                recordFault(fmt::format("entry-{} cut off {}: {}", index, field, last));
+            if (lastLine.find(fmt::format(R"("{}":0)", field)) == std::string::npos)
+                recordFault(fmt::format("entry-{} cut off {}: {}", index, field, lastLine));
         }
     }
 
@@ -391,18 +392,18 @@
     void checkAcceptedJobs()
     {
         for (const auto &job : m_record.accepted) {
-            http_response last;
-            const auto ended = [&](const char *as) {
-                return last.body.find(as) != std::string::npos;
+            http_response answer;
+            const auto hasState = [&](const char *state) {
+                return answer.body.find(state) != std::string::npos;
             };
-            const auto isKnown = [&] {
-                last = m_system.call(0, "GET", job).value_or(http_response{});
-                return last.status == 410 || ended("completed")
-                       || (m_record.cancelled.contains(job) && ended("cancelled"));
+            const auto isSettled = [&] {
+                answer = m_system.call(0, "GET", job).value_or(http_response{});
+                return answer.status == 410 || hasState("completed")
+                       || (m_record.cancelled.contains(job) && hasState("cancelled"));
             };
-            if (!waitUntil(isKnown, WaitLimit) || last.status == 410)
+            if (!waitUntil(isSettled, WaitLimit) || answer.status == 410)
                 return recordFault(fmt::format("job {} was accepted; last answer: {} {}", job,
-                                               last.status, last.body));
+                                               answer.status, answer.body));
         }
     }
 
@@ -417,11 +418,10 @@
     system_under_test m_system;
     callers_record m_record;
     std::atomic<bool> m_isBurst = false;
-    std::array<cpu_share, 2>
-            m_shares; // drawn share of each entry, applied to each of its incarnations
-    std::array<cpu_share, 2> m_currentShares;
-    std::array<std::size_t, 2>
-            m_incarnationLogFrom{}; // where the log of its current incarnation begins
+    std::array<cpu_share, 2> m_shares;        // drawn last for each entry
+    std::array<cpu_share, 2> m_currentShares; // applied now, with their state
+    // Where the log of each entry's current incarnation begins.
+    std::array<std::size_t, 2> m_incarnationLogFrom{};
     time_point m_storeOutageFrom{};
     time_point m_storeOutageUntil{};
     duration m_longestShutdown{};
@@ -446,9 +446,9 @@
 // is shutting down and late: the callers' connections would close without an answer.
 Test(process_stops, every_complete_request_is_answered)
 {
-    const char *one = std::getenv("ZB_SOAK_SEED");
-    if (one != nullptr)
-        return runSeed(static_cast<unsigned>(std::stoul(one)));
+    const char *seedText = std::getenv("ZB_SOAK_SEED");
+    if (seedText != nullptr)
+        return runSeed(static_cast<unsigned>(std::stoul(seedText)));
     for (const auto seed : Seeds)
         runSeed(seed);
 }
--- a/tests/shutdown_plan_test.cpp
+++ b/tests/shutdown_plan_test.cpp
@@ -66,13 +66,12 @@
         check(plan.advance(OpenConnections, {}, handedOver + milliseconds(300))
               == shutdown_step::GiveUp);
     });
-    section("names of steps for the log",
+    section("a step has a name for the log",
             [] { check(nameOf(shutdown_step::GiveUp) == "give_up"); });
 }
 
 // Guards against connections that are cut off when the platform kills the process 6 s after the
-// signal. That happens if the event loop is late, so that the last polls come after their
-// deadlines.
+// signal: on a late event loop, the last polls come after the deadlines of their steps.
 Test(shutdown_plan, late_event_loop)
 {
     constexpr milliseconds Lateness{400};
