--- a/libs/jobs/agent_clock.h
+++ b/libs/jobs/agent_clock.h
@@ -7,8 +7,9 @@
 
 namespace zinniabarrow::jobs {
 
-// One reading of the agent's clock, extrapolated. The report took an unknown time to arrive, so the
-// agent's clock is never behind the value computed from it.
+// One reading of the agent's clock, from which worker_pool computes the deadlines of start orders.
+// The report took an unknown time to arrive, so the agent's clock is never behind the value that is
+// extrapolated from the reading.
 struct agent_clock
 {
     std::int64_t reportedMs = 0; // agent's clock, ms, when the report was sent
--- a/libs/jobs/lease.cpp
+++ b/libs/jobs/lease.cpp
@@ -27,7 +27,7 @@
     lease_row row{integerMember(value, "epoch"),    integerMember(value, "fence"),
                   integerMember(value, "renewals"), stringMember(value, "life"),
                   boolMember(value, "ended"),       stringMember(value, "write")};
-    if (value.isMember("ends_at_ms")) // agents of the previous release don't send it
+    if (value.isMember("ends_at_ms")) // agents of the previous release don't write it
         row.expiresAtMs = integerMember(value, "ends_at_ms");
     return row;
 }
@@ -39,7 +39,7 @@
     return millisecondsIn(at.time_since_epoch());
 }
 
-// Added to the expiry that a row gives, or to a whole lease.
+// Added to the expiry in a row, or to LeaseDuration if the expiry is unknown.
 constexpr milliseconds LeaseExpirySlack = expirySlack(LeaseDuration);
 
 } // namespace
@@ -65,7 +65,6 @@
     return m_maxOffsetMs ? millisecondsSinceEpoch(at) + *m_maxOffsetMs + maxDriftMs(at) : 0;
 }
 
-// Two clocks drift apart.
 std::int64_t store_clock::maxDriftMs(time_point at) const
 {
     constexpr int MaxDriftPerMille = 1;
@@ -78,11 +77,11 @@
                                            time_point now)
 {
     if (row.endedByWatcher)
-        return {false, now + LeaseRenewInterval}; // its agent begins a new epoch
-    auto &last = m_observed[worker];
-    if (last.version != version)
-        last = {version, now + LeaseDuration + LeaseExpirySlack};
-    auto expiresAt = last.expiresAt;
+        return {false, now + LeaseRenewInterval}; // the agent has to begin a new epoch
+    auto &observed = m_observed[worker];
+    if (observed.version != version)
+        observed = {version, now + LeaseDuration + LeaseExpirySlack};
+    auto expiresAt = observed.expiresAt;
     if (row.expiresAtMs != 0 && storeMs != 0)
         expiresAt = std::min(expiresAt,
                              now + milliseconds(row.expiresAtMs - storeMs) + LeaseExpirySlack);
--- a/libs/jobs/lease.h
+++ b/libs/jobs/lease.h
@@ -1,5 +1,7 @@
 // The lease of a worker: a row in the platform's store that gives the worker's agent the right to
-// let tasks run, and the proof by which another process establishes that the right has expired.
+// let tasks run. Entries watch the leases of workers whose agents are silent. Once such a watcher
+// has proved that a lease has expired, it ends the worker's epoch, and the tasks that were placed
+// there may be placed elsewhere.
 #pragma once
 
 #include <cstdint>
@@ -50,8 +52,9 @@
 std::string toText(const lease_row &row);
 lease_row leaseFrom(const std::string &text); // throws error BadRequest
 
-// Estimates the store's steady clock from the readings in its answers. It is the only clock that an
-// agent and a watcher share, and it doesn't depend on either process living on.
+// Estimates the store's steady clock from the readings in the store's answers. The expiry in a row
+// is given on that clock: an agent and a watcher both read it, and it continues when either of them
+// is restarted.
 class store_clock
 {
 public:
@@ -61,7 +64,7 @@
     std::int64_t upperBoundMs(time_point at) const;
 
 private:
-    std::int64_t maxDriftMs(time_point at) const; // since m_readAt
+    std::int64_t maxDriftMs(time_point at) const; // of the two clocks since m_readAt
 
     std::optional<std::int64_t> m_maxOffsetMs; // store's clock minus local clock, at most
     time_point m_readAt{};                     // when the reading in use arrived
@@ -69,21 +72,22 @@
 
 struct lease_check
 {
-    bool isExpired = false;    // a watcher may end the epoch, by a write conditional on the
+    bool isExpired = false;    // the watcher may end the epoch, by a write conditional on the
                                // row's version
     time_point checkAgainAt{}; // when to check next, if it has not expired
 };
 
-// Proves that a worker's lease has expired. The row gives the expiry on the store's clock, so that
-// a restarted watcher need not wait again. Without it, the row has to stay unchanged for a whole
-// lease plus slack, counted from when the watcher first read that version.
+// Used by a watcher to prove that a worker's lease has expired. The row gives the expiry on the
+// store's clock, so that a restarted watcher need not wait again. If the expiry or the clock is
+// unknown, the row has to stay unchanged for LeaseDuration plus slack, counted from when this
+// watcher first read its present version.
 class lease_expiry_detector
 {
 public:
     // The row was read when the store's clock showed `storeMs`; 0: unknown.
     lease_check observe(const std::string &worker, const lease_row &row, std::int64_t version,
                         std::int64_t storeMs, time_point now);
-    void forget(const std::string &worker);
+    void forget(const std::string &worker); // it is no longer watched
 
 private:
     struct observed_version
--- a/libs/jobs/messages.cpp
+++ b/libs/jobs/messages.cpp
@@ -166,7 +166,8 @@
     for (const auto &row : rows) {
         const auto endKind = endKindNamed(stringMember(row, "how"));
         if (!endKind)
-            throw error(error_kind::BadRequest, "answered end has an unknown kind");
+            throw error(error_kind::BadRequest,
+                        "answer to a report names an end of an unknown kind");
         ends.push_back({taskMember(row), smallIntegerMember(row, "run"), *endKind});
     }
     return ends;
--- a/libs/jobs/messages.h
+++ b/libs/jobs/messages.h
@@ -37,7 +37,7 @@
     std::int64_t epoch = 0; // of the worker, when the task was placed
     // Only in a start:
     std::int64_t agentIncarnation = 0; // of the agent, when the task was placed; 0: unknown
-    std::int64_t startDeadlineMs = 0;  // agent's clock: the order starts nothing later; 0: none
+    std::int64_t startDeadlineMs = 0;  // agent's clock, ms: no start after it; 0: none
     std::string payload;
     std::string checkpoint;
     run_requirements requirements;
@@ -46,7 +46,7 @@
 
 enum class order_outcome {
     Accepted,              // the run exists, or is being started or stopped
-    NoRoom,                // refused for good: the worker has no room
+    NoRoom,                // refused for good: the worker lacks free capacity
     Draining,              // refused for good: the worker is leaving
     WrongEpoch,            // refused for good: placed in another epoch of the worker
     Superseded,            // refused for good: the run was stopped or refused before
@@ -64,7 +64,7 @@
     task_id task;
     int run = 0;
     order_outcome outcome = order_outcome::NotReady;
-    // Of the order: a start and a stop of one run may both be open.
+    // Kind of the answered order: a start and a stop of one run may both await their answers.
     order_kind kind = order_kind::Start;
 };
 
@@ -75,7 +75,9 @@
     std::vector<run_order> orders;
 };
 
-// How a run ended. The agent adds NeverStarted; the others are the worker's own words.
+// How a run ended. All but NeverStarted are the kinds that the worker itself lists. HoldExpired:
+// the worker ended the run as no hold call extended it in time. NeverStarted: reported by the agent
+// for a run that it accepted and the worker didn't start.
 enum class end_kind { Done, Failed, Stopped, HoldExpired, Broken, Alone, NeverStarted };
 std::string_view nameOf(end_kind ending);
 std::optional<end_kind> endKindNamed(std::string_view name);
@@ -104,19 +106,21 @@
     int run = 0;
 };
 
-// A serving run, and how much load its neighbours may add before it misses its latency target.
+// A serving run, and how much load its best-effort neighbours may add before its tail latency gets
+// too close to its target (throttle_controller::headroomOf). interference_estimator.h defines load.
 struct serving_headroom
 {
     std::string image;
-    double headroom = 0;  // load; below zero: it misses its target
+    double headroom = 0;  // load; below zero: too close to the target, or beyond it
     std::string job = {}; // empty: unknown
-    bool isLate = false;  // missed its target in the last measurement
+    bool isLate = false;  // the run missed its target in the last measurement
 };
 
-// An agent's report on its worker. `ends` are repeated until they are acknowledged.
+// An agent's report on its worker, sent to each entry at least once a second. `ends` are repeated
+// until they are acknowledged.
 struct worker_report
 {
-    std::string worker;  // name of the worker's machine
+    std::string worker;  // agent's id, by which entries name the worker
     std::string address; // of the agent
     // The fence of its lease: changes when the agent or its worker is restarted, as the lease is
     // then acquired anew.
@@ -125,6 +129,7 @@
     std::int64_t clockMs = 0; // agent's clock, monotonic within an incarnation; 0: unknown
     std::string service;
     std::string zone;
+    // Labels of the worker, one of which a step of a job may require.
     std::string kind;
     std::string rack;
     bool isAccepting = false; // accepts new runs
@@ -155,12 +160,12 @@
 {
     std::vector<run_end_id> acknowledged; // stored: the agent may forget them
     std::vector<run_end_id> notOwned;     // the job belongs to another entry
-    // Learned from all workers; empty: not requested, or nothing learned yet.
+    // What the entry has learned from all workers; empty: not requested, or nothing learned yet.
     interference_table interference;
-    bool zoneEvacuated = false; // the worker's zone is: nothing more is started there
+    bool zoneEvacuated = false; // operators evacuate the worker's zone: nothing more starts there
 };
 
-// Reading throws error BadRequest on text of another form.
+// The functions that parse throw error BadRequest if the text is malformed.
 std::string toText(const report_answer &answer);
 report_answer reportAnswerFrom(const std::string &text);
 std::string toText(const order_batch &batch);
--- a/libs/jobs/report_text.cpp
+++ b/libs/jobs/report_text.cpp
@@ -1,5 +1,5 @@
-// Parses the reports of workers. An entry receives one or more a second from each worker, which
-// makes them the texts that it parses most.
+// Parses the reports of agents on their workers. An entry receives at least one report a second
+// from each agent and parses no other text as often, so large_json is used.
 #include "base/errors.h"
 #include "base/large_json.h"
 #include "jobs/messages.h"
@@ -10,7 +10,7 @@
 
 using large_json::value;
 
-const value &member(const value &object, const char *name)
+const value &requiredMember(const value &object, const char *name)
 {
     const auto *found = large_json::find(object, name);
     if (found == nullptr)
@@ -18,29 +18,29 @@
     return *found;
 }
 
-bool flag(const value &object, const char *name)
+bool requiredFlag(const value &object, const char *name)
 {
-    const auto &found = member(object, name);
+    const auto &found = requiredMember(object, name);
     if (!found.IsBool())
         throw error(error_kind::BadRequest, std::string(name) + ": true or false is needed");
     return found.GetBool();
 }
 
 // A member that is only present when it is true.
-bool isSetIfPresent(const value &object, const char *name)
+bool optionalFlag(const value &object, const char *name)
 {
-    return large_json::find(object, name) != nullptr && flag(object, name);
+    return large_json::find(object, name) != nullptr && requiredFlag(object, name);
 }
 
-double real(const value &object, const char *name)
+double requiredReal(const value &object, const char *name)
 {
-    member(object, name);
+    requiredMember(object, name);
     return large_json::realOr(object, name, 0);
 }
 
-int count(const value &object, const char *name)
+int requiredCount(const value &object, const char *name)
 {
-    member(object, name);
+    requiredMember(object, name);
     return large_json::countOr0(object, name);
 }
 
@@ -74,13 +74,13 @@
 
 serving_headroom headroomFrom(const value &row)
 {
-    // Agents of the previous release don't send the job. "late" is sent only if true.
-    return {large_json::text(row, "image"), real(row, "room"), large_json::textOrEmpty(row, "job"),
-            isSetIfPresent(row, "late")};
+    // Agents of the previous release don't send "job". "late" is sent only if it is true.
+    return {large_json::text(row, "image"), requiredReal(row, "room"),
+            large_json::textOrEmpty(row, "job"), optionalFlag(row, "late")};
 }
 
-// Agents of the previous release don't send it. All that is used then counts as used by
-// long-running runs: none of it becomes free by itself.
+// Agents of the previous release don't send "lasting". All that is used then counts as used by
+// long-running runs, none of which becomes free by itself.
 task_size longRunningUseFrom(const value &report, const task_size &used)
 {
     const auto *longRunningUse = large_json::find(report, "lasting");
@@ -91,11 +91,11 @@
 {
     interference_sample sample{large_json::text(row, "image"), large_json::number(row, "tail_ms"),
                                large_json::number(row, "target_ms"),
-                               amountsFrom(member(row, "fills"))};
+                               amountsFrom(requiredMember(row, "fills"))};
     if (large_json::find(row, "inverse_fall") != nullptr) {
-        sample.change = interference_change{real(row, "inverse_fall"),
-                                            amountsFrom(member(row, "fill_changes")),
-                                            isSetIfPresent(row, "change_at_least")};
+        sample.change = interference_change{requiredReal(row, "inverse_fall"),
+                                            amountsFrom(requiredMember(row, "fill_changes")),
+                                            optionalFlag(row, "change_at_least")};
     }
     return sample;
 }
@@ -106,21 +106,22 @@
     const auto endKind = endKindNamed(name);
     if (!endKind)
         throw error(error_kind::BadRequest, "unknown name " + name);
-    return {large_json::number(row, "number"), taskOf(row), count(row, "run"), *endKind,
+    return {large_json::number(row, "number"), taskOf(row), requiredCount(row, "run"), *endKind,
             large_json::text(row, "checkpoint")};
 }
 
 run_progress progressFrom(const value &row)
 {
-    return {taskOf(row), count(row, "run"), large_json::text(row, "checkpoint")};
+    return {taskOf(row), requiredCount(row, "run"), large_json::text(row, "checkpoint")};
 }
 
-// Agents of the previous release don't send it: they expect the table whenever they send samples.
-bool wantsPresses(const value &report, const std::vector<interference_sample> &samples)
+// Agents of the previous release don't send "wants_presses": they expect the interference table
+// whenever they send samples.
+bool wantsTable(const value &report, const std::vector<interference_sample> &samples)
 {
     if (large_json::find(report, "wants_presses") == nullptr)
         return !samples.empty();
-    return flag(report, "wants_presses");
+    return requiredFlag(report, "wants_presses");
 }
 
 } // namespace
@@ -134,16 +135,16 @@
     report.address = large_json::text(value, "address");
     report.agentIncarnation = number(value, "agent_life");
     report.epoch = number(value, "epoch");
-    // Agents of the previous release don't send it.
+    // Agents of the previous release don't send "clock_ms".
     if (find(value, "clock_ms") != nullptr)
         report.clockMs = number(value, "clock_ms");
     report.service = large_json::text(value, "service");
     report.zone = large_json::text(value, "zone");
     report.kind = large_json::text(value, "kind");
     report.rack = large_json::text(value, "rack");
-    report.isAccepting = flag(value, "accepting");
-    report.capacity = sizeFrom(member(value, "capacity"));
-    report.used = sizeFrom(member(value, "used"));
+    report.isAccepting = requiredFlag(value, "accepting");
+    report.capacity = sizeFrom(requiredMember(value, "capacity"));
+    report.used = sizeFrom(requiredMember(value, "used"));
     report.usedByLongRunning = longRunningUseFrom(value, report.used);
     report.bestEffortMillicores = number(value, "fill_millicores");
     forEach(value, "serving",
@@ -151,13 +152,13 @@
     if (const auto *demand = find(value, "filling"))
         report.bestEffortDemand = amountsFrom(*demand);
     forEach(value, "samples", [&](const auto &row) { report.samples.push_back(sampleFrom(row)); });
-    report.wantsInterferenceTable = wantsPresses(value, report.samples);
+    report.wantsInterferenceTable = wantsTable(value, report.samples);
     for (const auto &row : array(value, "ends").GetArray())
         report.ends.push_back(endFrom(row));
     for (const auto &row : array(value, "progress").GetArray())
         report.progress.push_back(progressFrom(row));
     forEach(value, "started", [&](const auto &row) {
-        report.started.push_back({taskOf(row), count(row, "run")});
+        report.started.push_back({taskOf(row), requiredCount(row, "run")});
     });
     return report;
 }
--- a/libs/jobs/run_table.cpp
+++ b/libs/jobs/run_table.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-task_size countedSize(const run_requirements &requirements)
+task_size reservedSizeOf(const run_requirements &requirements)
 {
     return jobs::reservedSize(requirements.size, requirements.isBestEffort);
 }
@@ -152,8 +152,8 @@
         return answer(order_outcome::NotReady);
     if (known == m_runs.end()) {
         rememberRefusal(key, now);
-        // A run that an earlier incarnation of this agent told to stop may still exist without
-        // being in either list of the worker.
+        // A run that an earlier incarnation of this agent told to stop may still exist, although
+        // the worker lists it neither as active nor as ended.
         const bool mayStillRun = m_readiness == start_readiness::RetryLater;
         return answer(mayStillRun ? order_outcome::NotReady : order_outcome::Superseded);
     }
@@ -331,8 +331,8 @@
 std::vector<run_action> run_table::takeDueActions(time_point now, bool mayStart)
 {
     std::vector<run_action> actions;
-    // Stray runs are stopped each time they are listed. They get no row in this table: if they had
-    // ended meanwhile, it would count as active for ever.
+    // Stray runs are stopped each time they are listed. They are not added to m_runs: a run that
+    // has ended meanwhile would count as active there for ever.
     for (const auto &[task, run] : std::exchange(m_strayRuns, {}))
         actions.emplace_back(stop_run{task, run});
     for (auto &[key, tracked] : m_runs) {
@@ -375,7 +375,7 @@
     task_size sum;
     for (const auto &[key, tracked] : m_runs) {
         if (tracked.phase != run_phase::Ended)
-            sum += countedSize(tracked.requirements);
+            sum += reservedSizeOf(tracked.requirements);
     }
     return sum;
 }
@@ -385,7 +385,7 @@
     task_size sum;
     for (const auto &[key, tracked] : m_runs) {
         if (tracked.phase != run_phase::Ended && tracked.requirements.isLongRunning)
-            sum += countedSize(tracked.requirements);
+            sum += reservedSizeOf(tracked.requirements);
     }
     return sum;
 }
@@ -516,7 +516,7 @@
 bool run_table::hasRoom(const run_order &order) const
 {
     auto sum = used();
-    sum += countedSize(order.requirements);
+    sum += reservedSizeOf(order.requirements);
     return sum.fitsInto(m_capacity);
 }
 
--- a/libs/jobs/run_table.h
+++ b/libs/jobs/run_table.h
@@ -104,6 +104,8 @@
 public:
     explicit run_table(const run_table_settings &settings = {});
 
+    // The capacity that the worker announced, and whether runs may be started there now. Called
+    // before orders are handled.
     void setWorkerState(const task_size &capacity, start_readiness readiness);
     // Sets the worker's epoch, a number that rises once all runs of the worker have ended. 0: none,
     // and orders are answered with NotReady. The runs in the table stay as they are; the agent
@@ -123,6 +125,7 @@
     // A start call was sent. `deadlineMs`: worker's clock, up to which the call can take effect.
     void startCalled(const task_id &task, int run, std::int64_t deadlineMs);
     void startAnswered(const task_id &task, int run, start_answer answer, time_point now);
+    // A poll of the worker was answered: finds the runs that started, ended or never started.
     void applyListing(const run_listing &listing, time_point now);
     // The end is in the platform's store and can be forgotten. False: the run is unknown, has not
     // ended, or its end is now of another kind: a run that was assumed never to have started may be
@@ -225,7 +228,7 @@
     std::int64_t m_agentIncarnation = 0;
     std::map<run_key, tracked_run> m_runs;
     std::map<task_id, refusal> m_refusals;
-    std::set<run_key> m_strayRuns;                     // listed as running although refused here
+    std::set<run_key> m_strayRuns; // listed by the worker as active although refused here
     std::map<std::string, time_point> m_cancelledJobs; // job -> when the entry expires
     std::int64_t m_highestEndSequence = 0;
     std::size_t m_newEndCount = 0;
--- a/libs/jobs/throttle_controller.cpp
+++ b/libs/jobs/throttle_controller.cpp
@@ -20,8 +20,9 @@
     double mean() const { return sum / runs; }
 };
 
-// Drops of the runs whose load could be measured both times, and apart from them of the runs whose
-// load exceeded the measurable range once: their drops are lower bounds of the change.
+// Drops of 1 / tail latency between two samplings. `measured`: of runs whose load was measurable
+// both times. `lowerBounds`: of runs whose load exceeded the measurable range once, so that the
+// drop is only a lower bound of the change.
 struct tail_drops
 {
     drop_average measured;
@@ -31,9 +32,9 @@
     {
         const auto [shorter, longer] = std::minmax(beforeMs, nowMs);
         if (static_cast<double>(shorter) > maxMeasurableMs)
-            return; // queueing both times: says nothing of the change
-        auto &kind = static_cast<double>(longer) > maxMeasurableMs ? lowerBounds : measured;
-        kind.add(beforeMs, nowMs);
+            return; // a queue was growing both times: the change is unknown
+        auto &average = static_cast<double>(longer) > maxMeasurableMs ? lowerBounds : measured;
+        average.add(beforeMs, nowMs);
     }
 };
 
@@ -165,10 +166,10 @@
         shouldPause = needsPause(sample, now) || shouldPause;
     std::vector<run_speed> changes;
     for (const auto &run : bestEffort) {
-        const int next = shouldPause ? 0 : 100;
+        const int percent = shouldPause ? 0 : 100;
         const auto lastSpeed = m_confirmedSpeeds.try_emplace({run.task, run.run}, 100).first;
-        if (lastSpeed->second != next)
-            changes.push_back({run.task, run.run, next});
+        if (lastSpeed->second != percent)
+            changes.push_back({run.task, run.run, percent});
     }
     return changes;
 }
--- a/libs/jobs/throttle_controller.h
+++ b/libs/jobs/throttle_controller.h
@@ -3,11 +3,11 @@
 // Slowing a best-effort run down spreads its interference over a longer time without reducing it,
 // while its job finishes late and piles up with the jobs that follow. So best-effort runs work at
 // full speed. Only when a serving run has missed its latency target for a while without a break,
-// all best-effort runs on the worker are paused for a moment. Pausing only the images that are
-// known to interfere was tried: the estimates are wrong now and then, and then the serving run
-// stayed late.
+// all best-effort runs on the worker are paused for a moment. Runs of all images are paused, not
+// only of those that are estimated to interfere: some estimates are wrong, and the serving run
+// would then stay late.
 //
-// Makes decisions only; the caller carries them out.
+// Makes decisions only; the agent carries them out.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +29,7 @@
     task_id task;
     int run = 0;
     std::string image;
-    std::int64_t tailLatencyMs = 0;
+    std::int64_t tailLatencyMs = 0; // 0: not measured yet
     std::int64_t latencyTargetMs = 0;
 };
 
@@ -53,15 +53,19 @@
 
 struct throttle_settings
 {
-    // Users tolerate a late answer or two, but not seconds of late answers.
+    // For how long a serving run may miss its target before a pause begins. Users tolerate a late
+    // answer or two, but not seconds of late answers.
     milliseconds maxLateTime{2200};
     // A pause ends once a sample shows that it helped; samples lag by half a second. A serving run
     // that is still late after the longest pause is late because of its own load.
     milliseconds minPause{400};
     milliseconds maxPause{1300};
-    double defaultLoadPerCore = 0.03;    // load by one core, for a pair of images never measured
-    double defaultFloorFraction = 0.17;  // floor / latency target, for an image never measured
-    double headroomTargetFraction = 0.9; // reported headroom ends at this fraction of the target
+    double defaultLoadPerCore = 0.03; // load by one core, for a pair of images never measured
+    // Lowest tail latency (the floor) as a fraction of the latency target, for an image never
+    // measured.
+    double defaultFloorFraction = 0.17;
+    // The reported headroom is zero at a tail latency of this fraction of the target.
+    double headroomTargetFraction = 0.9;
 };
 
 class throttle_controller
@@ -75,7 +79,7 @@
                                         const std::vector<best_effort_run> &bestEffort,
                                         time_point now);
     void noteConfirmed(const run_speed &speed); // the worker has applied it
-    void forget(const task_id &task, int run);
+    void forget(const task_id &task, int run);  // the run has ended
     // One sample for each serving image: its tail latency, its best-effort neighbours and the
     // change since the last call. Called every half second.
     std::vector<interference_sample> takeSamples(const std::vector<serving_sample> &serving,
@@ -83,8 +87,9 @@
     // Cores in use by image.
     std::map<std::string, double>
     coresByImage(const std::vector<best_effort_run> &bestEffort) const;
-    // The load that neighbours may add to a serving run until it misses its target, given the peak
-    // of its own load that is expected within the next seconds.
+    // The load that best-effort neighbours may add to a serving run until it reaches
+    // headroomTargetFraction of its target, given the peak of its own load that is expected within
+    // the next seconds.
     double headroomOf(const serving_sample &sample,
                       const std::vector<best_effort_run> &bestEffort) const;
 
--- a/libs/jobs/worker_lease.cpp
+++ b/libs/jobs/worker_lease.cpp
@@ -38,7 +38,7 @@
     // Renewing the lease of a lost worker would only delay the start of its tasks elsewhere.
     if (heldUntil && *heldUntil <= now)
         return;
-    // Takes effect at once: the row may give the earlier expiry before this agent learns that the
+    // The earlier expiry applies at once: the row may give it before this agent learns that the
     // write succeeded.
     if (heldUntil)
         m_validUntil = std::min(m_validUntil, *heldUntil);
@@ -73,9 +73,9 @@
     // Counted from before the write was sent, as in the row that watchers read.
     m_validUntil = written.validUntil;
     if (written.beginsEpoch && !m_nextIncarnation && !m_mustReacquire) {
-        // Without an incarnation the row only says that the epoch has ended. Tasks start only after
-        // a poll of the next incarnation: a late start from before, which only the new fence keeps
-        // out, may have taken effect there.
+        // Without an incarnation the row only says that the previous epoch has ended. Tasks start
+        // only after a poll of the next incarnation: until that poll carries the new fence, a
+        // delayed start call with the previous fence may take effect there.
         m_isSettled = m_row.workerIncarnation != NoIncarnation;
         m_actions.emplace_back(epoch_settled{m_row.epoch, true});
     }
--- a/libs/jobs/worker_lease.h
+++ b/libs/jobs/worker_lease.h
@@ -25,8 +25,8 @@
     std::int64_t expectedVersion = 0; // 0: the row must not exist
 };
 
-// The row has this epoch: all runs placed under earlier epochs have ended. Tasks may start under it
-// once `isSettled`.
+// The epoch is in the row: all runs placed under earlier epochs have ended. Tasks may start under
+// it if `isSettled`, which is false as long as no incarnation of the worker belongs to the epoch.
 struct epoch_settled
 {
     std::int64_t epoch = 0;
@@ -35,16 +35,17 @@
 
 using lease_action = std::variant<read_lease, write_lease, epoch_settled>;
 
+// Driven by the agent's lease_keeper: each event is passed in, then `takeActions` is called.
 class worker_lease
 {
 public:
     explicit worker_lease(std::string agent);
 
-    // Called for a new incarnation of the agent or of its worker. Earlier orders become void once
-    // the next fence is written.
+    // Called for a new incarnation of the agent or of its worker. Once the next fence is written,
+    // orders that were placed in the earlier incarnation start no further runs.
     void acquireFence();
     // Called every LeaseRenewInterval. `heldUntil`: the worker doesn't answer, and the last hold
-    // call lets its runs continue until then.
+    // call lets its runs continue until then; the lease is not renewed beyond that.
     void renew(time_point now, std::optional<time_point> heldUntil = std::nullopt);
 
     // Called for any answer of the store, with the reading of the store's clock, ms.
@@ -56,8 +57,8 @@
     void rowConflict(); // another process has written the row
 
     // --- the worker
-    // A poll was answered: this incarnation of the worker has `activeRuns` runs. True: all of them
-    // have to be stopped, as they belong to an epoch that has ended.
+    // A poll was answered: this incarnation of the worker has `activeRuns` runs. Returns true if
+    // all of them have to be stopped, as they belong to an epoch that has ended.
     bool reconcile(const std::string &workerIncarnation, std::size_t activeRuns, time_point now);
     // All runs have certainly ended. `workerIncarnation` is the next one; empty: none yet.
     void endEpoch(const std::string &workerIncarnation, time_point now);
@@ -100,8 +101,8 @@
     std::string m_agent;
     store_clock m_storeClock;
     lease_phase m_phase = lease_phase::Reading;
-    lease_row m_row; // as last written by this agent
-    std::int64_t m_version = 0;
+    lease_row m_row;            // as last written by this agent
+    std::int64_t m_version = 0; // of the row; 0: it doesn't exist
     std::optional<pending_write> m_pendingWrite;
     // Set once all runs have ended: the next incarnation of the worker; empty text: none yet or
     // unknown. Kept until it is in the row; a pending write or a conflict only delays it.
--- a/libs/jobs/worker_liveness.cpp
+++ b/libs/jobs/worker_liveness.cpp
@@ -67,9 +67,9 @@
 start_readiness readinessOf(const worker_status &status, const worker_liveness &liveness,
                             time_point now)
 {
-    // A lost worker may have no run whose end would end the placement on it. An order that is to be
-    // retried would be repeated for as long as the agent lives; if it is refused, its task goes to
-    // another worker.
+    // A lost worker is Unavailable, so that the entry places the task elsewhere. With RetryLater
+    // the entry would repeat the order for as long as the agent lives, as no run that could end
+    // need exist on the worker.
     if (!status.isPresent || status.isLeaving || liveness.isSilent(now))
         return start_readiness::Unavailable;
     if (!status.hasLease || !liveness.isResponsive(now))
--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -1,6 +1,6 @@
-// Once a job is cancelled none of its tasks starts or keeps running, whatever starts were still
-// under way. Simulates two entries, the job's row in the store and the agents of two workers, on a
-// virtual clock.
+// Tests that none of a job's tasks starts or keeps running once the job is cancelled, whatever
+// start orders and calls are still in transit. Simulates two entries, the job's row in the store
+// and the agents of two workers, on a virtual clock.
 #include <algorithm>
 #include <functional>
 #include <map>
@@ -24,15 +24,15 @@
 
 constexpr milliseconds TickDuration{50};
 constexpr milliseconds CancelEffectiveWithin{3000}; // after its acknowledgement, at every agent
-constexpr milliseconds ObservedFor{12'000};         // longer than any message is in transit
-constexpr milliseconds TakeoverAfter{1600};
+constexpr milliseconds ObservationTime{12'000};     // longer than any message is in transit
+constexpr milliseconds TakeoverAfter{1600};         // after the owner's crash
 constexpr milliseconds ReportInterval{1000};
-constexpr milliseconds StoreFollowDelay{
-        300}; // from a row in the store to the agents that follow it
+// From the write of a row in the store until the agents, which follow changes of rows, have it.
+constexpr milliseconds StoreFollowDelay{300};
 constexpr std::int64_t Epoch = 1;
 const std::string Job = "j";
 
-// A message in transit, or another event in the future.
+// An event in the future, such as the arrival of a message.
 struct event
 {
     time_point at{};
@@ -80,13 +80,13 @@
 {
     time_point now{std::chrono::hours(1)};
     std::vector<event> events;
-    entry_model first{"entry-a"};
-    entry_model second{"entry-b"};
+    entry_model owner{"entry-a"};
+    entry_model successor{"entry-b"};
     std::map<std::string, agent_model> agents;
     std::optional<std::string> row;
     std::int64_t version = 0;
     std::string payload;
-    bool isCancelStored = false;   // in the row that agents follow
+    bool isCancelStored = false;   // in a row that agents read
     bool agentsFollowStore = true; // false: agents can't reach the store
     time_point cancelledAt{};
 
@@ -117,8 +117,8 @@
             report.service = "tickets";
             report.isAccepting = true;
             report.capacity = {16'000, 64'000, 0};
-            first.workers.update(report, now);
-            second.workers.update(report, now);
+            owner.workers.update(report, now);
+            successor.workers.update(report, now);
         }
     }
 
@@ -132,7 +132,7 @@
         spec.steps = {step};
         queue_policy policy;
         policy.service = "tickets";
-        first.controller.submit(Job, spec, policy, 1000, now, 1);
+        owner.controller.submit(Job, spec, policy, 1000, now, 1);
     }
 
     void submitAndRun()
@@ -160,7 +160,7 @@
             else
                 events.push_back(std::move(one));
         }
-        for (auto *entry : {&first, &second}) {
+        for (auto *entry : {&owner, &successor}) {
             if (entry->isAlive)
                 runEntry(*entry);
         }
@@ -179,11 +179,11 @@
         entry.controller.plan(now, 1000);
         for (auto &action : entry.controller.takeActions()) {
             if (const auto *write = std::get_if<write_row>(&action))
-                schedule(entry.writeDelay, [this, &entry, out = *write] { commit(entry, out); });
+                schedule(entry.writeDelay, [this, &entry, sent = *write] { commit(entry, sent); });
             else if (const auto *order = std::get_if<send_order>(&action))
                 sendOrder(entry, *order);
-            else if (const auto *done = std::get_if<change_stored>(&action))
-                entry.storedTokens.push_back(done->token);
+            else if (const auto *stored = std::get_if<change_stored>(&action))
+                entry.storedTokens.push_back(stored->token);
         }
     }
 
@@ -222,7 +222,7 @@
         schedule(entry.orderDelay, [this, &entry, message] {
             auto &agent = agents.at(message.worker);
             if (agent.isCutOff || entry.losesOrders)
-                return reportUnanswered(entry, message);
+                return noteOrderUnanswered(entry, message);
             const auto answer = agent.table.handleOrder(message.order, entry.self.entry, now);
             schedule(entry.answerDelay, [this, &entry, message, answer] {
                 if (entry.isAlive)
@@ -231,7 +231,7 @@
         });
     }
 
-    void reportUnanswered(entry_model &entry, const send_order &message)
+    void noteOrderUnanswered(entry_model &entry, const send_order &message)
     {
         if (entry.isAlive)
             entry.controller.orderUnanswered(message.worker, message.order.task, message.order.run,
@@ -246,12 +246,12 @@
             else
                 stopOnWorker(agent, std::get<stop_run>(action));
         }
-        run_listing seen;
-        seen.clockMs = clockMs();
+        run_listing listing;
+        listing.clockMs = clockMs();
         for (const auto &[task, number] : agent.worker.running)
-            seen.running.push_back({task, number, "", 0});
-        seen.ended = agent.worker.ended;
-        agent.table.applyListing(seen, now);
+            listing.running.push_back({task, number, "", 0});
+        listing.ended = agent.worker.ended;
+        agent.table.applyListing(listing, now);
         if (!agent.isCutOff)
             report(name, agent);
     }
@@ -278,8 +278,9 @@
         auto &worker = agent.worker;
         const std::pair key{start.task, start.run};
         const auto highest = worker.highestStoppedRun.find(start.task);
-        const bool old = highest != worker.highestStoppedRun.end() && start.run <= highest->second;
-        if (old || worker.running.contains(key))
+        const bool isOutdated =
+                highest != worker.highestStoppedRun.end() && start.run <= highest->second;
+        if (isOutdated || worker.running.contains(key))
             return;
         worker.running.insert(key);
         ++worker.startCount;
@@ -302,7 +303,7 @@
         if (now < agent.reportAt)
             return;
         agent.reportAt = now + ReportInterval;
-        for (auto *entry : {&first, &second}) {
+        for (auto *entry : {&owner, &successor}) {
             if (!entry->isAlive)
                 continue;
             for (const auto &end : agent.table.endsFor(entry->self.entry))
@@ -315,10 +316,10 @@
     // Cancels the job at its owner and waits for the acknowledgement.
     void cancelAtOwner()
     {
-        first.controller.cancel(Job, 2);
-        for (int ticks = 0; ticks < 200 && !isAcknowledged(first); ++ticks)
+        owner.controller.cancel(Job, 2);
+        for (int ticks = 0; ticks < 200 && !isAcknowledged(owner); ++ticks)
             tick();
-        require(isAcknowledged(first));
+        require(isAcknowledged(owner));
         cancelledAt = now;
     }
 
@@ -346,16 +347,16 @@
         entry.losesOrders = true;
     }
 
-    void setCutOff(bool all)
+    void setAgentsCutOff(bool areCutOff)
     {
         for (auto &entry : agents)
-            entry.second.isCutOff = all;
+            entry.second.isCutOff = areCutOff;
     }
 
     void takeOver()
     {
         if (recordFrom(*row).needsOwner())
-            second.controller.adopt(Job, recordFrom(*row), version, payload);
+            successor.controller.adopt(Job, recordFrom(*row), version, payload);
     }
 
     int runningTasks() const
@@ -383,7 +384,7 @@
                        ? std::chrono::duration_cast<milliseconds>(now - cancelledAt)
                        : CancelEffectiveWithin));
         check(runningTasks() == 0);
-        run(ObservedFor);
+        run(ObservationTime);
         check(runningTasks() == 0);
         for (const auto &entry : agents)
             check(entry.second.worker.lastStartAt <= cancelledAt + CancelEffectiveWithin);
@@ -394,160 +395,163 @@
 struct scenario
 {
     const char *title;
-    bool areEntriesEnough; // also if the agents don't learn of cancellations from the store
-    void (*play)(cancel_simulation &);
+    bool areEntriesEnough; // the entries stop all tasks even if agents can't read the store
+    void (*runEvents)(cancel_simulation &);
 };
 
 const scenario Scenarios[] = {
         {"no other events", true,
-         [](cancel_simulation &sim) {
-             sim.submitAndRun();
-             sim.cancelAtOwner();
+         [](cancel_simulation &simulation) {
+             simulation.submitAndRun();
+             simulation.cancelAtOwner();
          }},
         {"the owner crashes right after the acknowledgement", true,
-         [](cancel_simulation &sim) {
-             sim.submitAndRun();
-             sim.cancelAtOwner();
-             cancel_simulation::crash(sim.first);
-             sim.schedule(TakeoverAfter, [&sim] { sim.takeOver(); });
+         [](cancel_simulation &simulation) {
+             simulation.submitAndRun();
+             simulation.cancelAtOwner();
+             cancel_simulation::crash(simulation.owner);
+             simulation.schedule(TakeoverAfter, [&simulation] { simulation.takeOver(); });
          }},
         {"all entries crash right after the acknowledgement", false,
-         [](cancel_simulation &sim) {
-             sim.submitAndRun();
-             sim.cancelAtOwner();
-             cancel_simulation::crash(sim.first);
-             cancel_simulation::crash(sim.second);
+         [](cancel_simulation &simulation) {
+             simulation.submitAndRun();
+             simulation.cancelAtOwner();
+             cancel_simulation::crash(simulation.owner);
+             cancel_simulation::crash(simulation.successor);
          }},
         {"the agents are cut off from all entries", false,
-         [](cancel_simulation &sim) {
-             sim.submitAndRun();
-             sim.setCutOff(true);
-             sim.cancelAtOwner();
+         [](cancel_simulation &simulation) {
+             simulation.submitAndRun();
+             simulation.setAgentsCutOff(true);
+             simulation.cancelAtOwner();
          }},
         {"the agents are cut off from all entries for a second", true,
-         [](cancel_simulation &sim) {
-             sim.submitAndRun();
-             sim.setCutOff(true);
-             sim.schedule(milliseconds(1200), [&sim] { sim.setCutOff(false); });
-             sim.cancelAtOwner();
+         [](cancel_simulation &simulation) {
+             simulation.submitAndRun();
+             simulation.setAgentsCutOff(true);
+             simulation.schedule(milliseconds(1200),
+                                 [&simulation] { simulation.setAgentsCutOff(false); });
+             simulation.cancelAtOwner();
          }},
         {"the owner is unreachable, and its write races with the cancellation", true,
-         [](cancel_simulation &sim) {
-             sim.submitAndRun();
-             sim.first.writeDelay = milliseconds(400);
+         [](cancel_simulation &simulation) {
+             simulation.submitAndRun();
+             simulation.owner.writeDelay = milliseconds(400);
              const task_id task{Job, 0, 0, 0};
-             sim.first.controller.checkpointReported(sim.workerOf(task), {task, 1, "0001"});
-             sim.run(milliseconds(100));
-             sim.cancelInRow();
+             simulation.owner.controller.checkpointReported(simulation.workerOf(task),
+                                                            {task, 1, "0001"});
+             simulation.run(milliseconds(100));
+             simulation.cancelInRow();
          }},
         {"the answers to the starts arrive while the cancellation is written", true,
-         [](cancel_simulation &sim) {
-             sim.first.answerDelay = milliseconds(300);
-             sim.submit();
-             sim.run(milliseconds(250));
-             check(sim.runningTasks() == 3);
-             sim.first.writeDelay = milliseconds(600);
-             sim.cancelAtOwner();
+         [](cancel_simulation &simulation) {
+             simulation.owner.answerDelay = milliseconds(300);
+             simulation.submit();
+             simulation.run(milliseconds(250));
+             check(simulation.runningTasks() == 3);
+             simulation.owner.writeDelay = milliseconds(600);
+             simulation.cancelAtOwner();
          }},
         {"the stop orders overtake the start orders", true,
-         [](cancel_simulation &sim) {
-             sim.first.orderDelay = milliseconds(500);
-             sim.submit();
-             sim.run(milliseconds(200));
-             sim.first.orderDelay = milliseconds(50);
-             sim.cancelAtOwner();
+         [](cancel_simulation &simulation) {
+             simulation.owner.orderDelay = milliseconds(500);
+             simulation.submit();
+             simulation.run(milliseconds(200));
+             simulation.owner.orderDelay = milliseconds(50);
+             simulation.cancelAtOwner();
          }},
         {"start orders of a frozen owner arrive at restarted agents", false,
-         [](cancel_simulation &sim) {
-             sim.first.orderDelay = milliseconds(5000);
-             sim.submit();
-             sim.run(milliseconds(200));
-             sim.cancelInRow();
-             sim.first.isAlive = false;
-             sim.takeOver();
-             sim.run(milliseconds(2000));
-             for (auto &entry : sim.agents)
-                 sim.beginIncarnation(entry.second);
+         [](cancel_simulation &simulation) {
+             simulation.owner.orderDelay = milliseconds(5000);
+             simulation.submit();
+             simulation.run(milliseconds(200));
+             simulation.cancelInRow();
+             simulation.owner.isAlive = false;
+             simulation.takeOver();
+             simulation.run(milliseconds(2000));
+             for (auto &entry : simulation.agents)
+                 simulation.beginIncarnation(entry.second);
          }},
         {"the cancellation arrives during the first write of the row", true,
-         [](cancel_simulation &sim) {
-             sim.first.writeDelay = milliseconds(400);
-             sim.submit();
-             sim.run(milliseconds(100));
-             sim.cancelAtOwner();
-             check(sim.runningTasks() == 0); // cancelled before the first start was due
+         [](cancel_simulation &simulation) {
+             simulation.owner.writeDelay = milliseconds(400);
+             simulation.submit();
+             simulation.run(milliseconds(100));
+             simulation.cancelAtOwner();
+             check(simulation.runningTasks() == 0); // cancelled before the first start was due
          }},
         {"the cancellation is written into the row during a takeover", true,
-         [](cancel_simulation &sim) {
-             sim.submitAndRun();
-             sim.first.isAlive = false;
-             sim.second.writeDelay = milliseconds(400);
-             sim.takeOver();
-             sim.run(milliseconds(100));
-             sim.cancelInRow();
-             sim.schedule(milliseconds(800), [&sim] { sim.takeOver(); });
+         [](cancel_simulation &simulation) {
+             simulation.submitAndRun();
+             simulation.owner.isAlive = false;
+             simulation.successor.writeDelay = milliseconds(400);
+             simulation.takeOver();
+             simulation.run(milliseconds(100));
+             simulation.cancelInRow();
+             simulation.schedule(milliseconds(800), [&simulation] { simulation.takeOver(); });
          }},
         {"start calls are unanswered and take effect late", true,
-         [](cancel_simulation &sim) {
-             for (auto &entry : sim.agents) {
+         [](cancel_simulation &simulation) {
+             for (auto &entry : simulation.agents) {
                  entry.second.startEffectDelay = milliseconds(1400);
                  entry.second.answersStarts = false;
              }
-             sim.submit();
-             sim.run(milliseconds(200));
-             sim.cancelAtOwner();
+             simulation.submit();
+             simulation.run(milliseconds(200));
+             simulation.cancelAtOwner();
          }},
 };
 
 } // namespace
 
 // Guards against tasks that start or keep running after the caller was told that the job is
-// cancelled: orders, answers and calls in transit, restarts and takeovers could cause it. Entries
-// and agents stop the tasks independently of each other. The second test tries the entries alone,
-// in the scenarios where they are enough.
+// cancelled. Orders, answers and calls in transit, restarts and takeovers could cause it. Entries
+// stop the tasks by orders, and agents by themselves when they read the cancellation in the store.
+// The second test simulates agents that can't read the store, in the scenarios where the entries
+// are enough.
 Test(cancel, is_effective_at_every_agent)
 {
-    for (const auto &tried : Scenarios) {
-        section(tried.title, [&] {
-            cancel_simulation sim;
-            tried.play(sim);
-            sim.checkCancelEffective();
+    for (const auto &current : Scenarios) {
+        section(current.title, [&] {
+            cancel_simulation simulation;
+            current.runEvents(simulation);
+            simulation.checkCancelEffective();
         });
     }
 }
 
 Test(cancel, is_effective_through_entries_alone)
 {
-    for (const auto &tried : Scenarios) {
-        if (!tried.areEntriesEnough)
+    for (const auto &current : Scenarios) {
+        if (!current.areEntriesEnough)
             continue;
-        section(tried.title, [&] {
-            cancel_simulation sim;
-            sim.agentsFollowStore = false;
-            tried.play(sim);
-            sim.checkCancelEffective();
+        section(current.title, [&] {
+            cancel_simulation simulation;
+            simulation.agentsFollowStore = false;
+            current.runEvents(simulation);
+            simulation.checkCancelEffective();
         });
     }
 }
 
-// An agent has accepted a start but not yet called its worker, which doesn't answer for a moment.
-// The cancellation stops the run before the call. No list of the worker will ever contain it, so
-// the agent has to end it by itself; else it would use capacity for ever.
+// Guards against a run that uses capacity for ever. An agent has accepted a start but not yet
+// called its worker, and the job is cancelled. No list of the worker will ever contain the run, so
+// the agent has to end it by itself.
 Test(cancel, a_start_that_was_never_called_uses_no_capacity)
 {
-    cancel_simulation sim;
-    auto &table = sim.agents.at("w1").table;
+    cancel_simulation simulation;
+    auto &table = simulation.agents.at("w1").table;
     run_order order;
     order.task = {Job, 0, 0, 0};
     order.run = 1;
     order.epoch = Epoch;
     order.requirements.size = {1000, 100, 0};
-    check(table.handleOrder(order, "entry-a", sim.now).outcome == order_outcome::Accepted);
+    check(table.handleOrder(order, "entry-a", simulation.now).outcome == order_outcome::Accepted);
     check(table.used().millicores == 1000);
-    table.cancelJob(Job, sim.now);
-    table.applyListing({}, sim.now);
+    table.cancelJob(Job, simulation.now);
+    table.applyListing({}, simulation.now);
     check(table.used().millicores == 0);
-    check(table.takeDueActions(sim.now, true).empty());
+    check(table.takeDueActions(simulation.now, true).empty());
     const auto ends = table.endsFor("entry-a");
     require(ends.size() == 1);
     check(ends[0].endKind == end_kind::NeverStarted);
--- a/tests/cluster_simulation.h
+++ b/tests/cluster_simulation.h
@@ -3,11 +3,11 @@
 // classes; everything else is simulated.
 //
 // An entry owns jobs, stores each as a row, and orders agents to start and stop their tasks. The
-// agent of each worker starts runs there; a run is one execution of a task. The agent holds a
-// lease in the store, under which the runs go on. The epoch of a worker is a number that rises when
-// its lease has expired or it has rebooted: what was placed in an earlier epoch has ended. The
-// fence is the number of the agent's incarnation, by which the worker refuses calls of an earlier
-// one.
+// agent of each worker starts runs there; a run is one attempt to execute a task. The agent holds a
+// lease in the store, and the runs may continue until it expires. The epoch of a worker is a number
+// that rises when its lease has expired or it has rebooted: what was placed in an earlier epoch has
+// ended. The fence is the number of the agent's incarnation, by which the worker refuses calls of
+// an earlier incarnation.
 #pragma once
 
 #include <algorithm>
@@ -30,7 +30,7 @@
 
 namespace zinniabarrow::tests {
 
-// What a delay or a loss is drawn for.
+// What is delivered with a delay, or may be lost.
 enum class delivery_kind {
     Order, // of an entry to an agent, to start or stop a run
     OrderAnswer,
@@ -43,8 +43,8 @@
     Write, // of a row, by an entry to the store
     WriteAnswer,
     Feed, // change of a row, or in the basic model of an epoch, from the store to an entry
-    // Complete model only: event that came while its process was frozen. Each has its own delay
-    // after the freeze, so these events run in any order.
+    // Complete model only: an event that came while its process was frozen. Each such event has its
+    // own delay after the freeze, so that they run in any order.
     Thaw,
 };
 
@@ -497,7 +497,7 @@
                                            : m_planDelivery(delivery_kind::Thaw).delay;
     }
 
-    // The same for an agent.
+    // Calls back once the agent isn't frozen; dropped if the process has ended since that start.
     void runAtAgent(simulated_agent &agent, int startNumber, std::function<void()> callback)
     {
         if (!agent.isAlive || agent.startNumber != startNumber)
@@ -555,7 +555,7 @@
         }
     }
 
-    bool isReporting(const simulated_entry &entry, const std::string &other) const
+    bool hasHeartbeatFrom(const simulated_entry &entry, const std::string &other) const
     {
         const auto found = entry.lastHeartbeatAt.find(other);
         return found != entry.lastHeartbeatAt.end() && m_now - found->second <= HeartbeatTimeout;
@@ -573,19 +573,20 @@
     bool isOwnerGone(const simulated_entry &observer, const jobs::owner_id &owner)
     {
         const auto *other = findEntry(owner.entry);
-        if (other == nullptr || !isReporting(observer, owner.entry))
+        if (other == nullptr || !hasHeartbeatFrom(observer, owner.entry))
             return true;
         const bool canSeeState = isReachable(*other) && m_now >= observer.cutOffUntil;
         return canSeeState && (other->isLeaving || other->incarnation != owner.incarnation);
     }
 
-    // Whether the entry adopts jobs: it is the first of those that it hears and that don't leave.
+    // Whether the entry adopts jobs: it is the first of the entries that send it heartbeats and are
+    // not shutting down.
     bool isSuccessor(const simulated_entry &entry)
     {
         for (const auto &other : m_entries) {
             if (other.get() == &entry)
                 return true;
-            if (isReporting(entry, other->name) && !other->isLeaving)
+            if (hasHeartbeatFrom(entry, other->name) && !other->isLeaving)
                 return false;
         }
         return true;
@@ -761,8 +762,8 @@
         planAndExecute(entry);
     }
 
-    // Ends the epoch of each worker whose lease has expired by LeaseMargin, hence also on a slow
-    // clock. The basic model announces the new epoch to the entries.
+    // Ends the epoch of each worker whose lease expired more than LeaseMargin ago, so that it has
+    // expired on a slow clock as well.
     void expireLeases()
     {
         schedule(milliseconds(200), [this] {
@@ -1003,17 +1004,18 @@
         if (!listing || inbound.isLost)
             return;
         schedule(inbound.delay, [this, &agent, startNumber, listing = *listing, fence = agent.fence,
-                                 bootNumberThen = worker.bootNumber()] {
-            runAtAgent(agent, startNumber, [this, &agent, listing, fence, bootNumberThen] {
+                                 bootNumberAtCall = worker.bootNumber()] {
+            runAtAgent(agent, startNumber, [this, &agent, listing, fence, bootNumberAtCall] {
                 if (agent.fence == fence)
-                    handleListing(agent, listing, bootNumberThen);
+                    handleListing(agent, listing, bootNumberAtCall);
             });
         });
     }
 
-    void handleListing(simulated_agent &agent, const jobs::run_listing &listing, int bootNumberThen)
+    void handleListing(simulated_agent &agent, const jobs::run_listing &listing,
+                       int bootNumberAtCall)
     {
-        if (bootNumberThen != agent.knownBootNumber)
+        if (bootNumberAtCall != agent.knownBootNumber)
             return detectReboot(agent);
         const auto endCountBefore = agent.table.newEndCount();
         agent.isFenceAcknowledged = true;
@@ -1046,10 +1048,10 @@
             const bool isLate = outbound.delay >= LateStartThreshold;
             schedule(outbound.delay, [this, &agent, startNumber, start, deadline, isLate,
                                       isAnswered, fence = agent.fence,
-                                      bootNumberThen =
+                                      bootNumberAtCall =
                                               m_workers[workerIndex(agent.name)]->bootNumber()] {
                 // A connection doesn't outlive a reboot of the worker.
-                if (m_workers[workerIndex(agent.name)]->bootNumber() == bootNumberThen)
+                if (m_workers[workerIndex(agent.name)]->bootNumber() == bootNumberAtCall)
                     deliverStart(agent, startNumber, start, deadline, fence, isLate, isAnswered);
             });
         }
@@ -1099,9 +1101,9 @@
             return;
         schedule(outbound.delay,
                  [this, &agent, stop, fence = agent.fence,
-                  bootNumberThen = m_workers[workerIndex(agent.name)]->bootNumber()] {
+                  bootNumberAtCall = m_workers[workerIndex(agent.name)]->bootNumber()] {
                      auto &worker = *m_workers[workerIndex(agent.name)];
-                     if (worker.bootNumber() == bootNumberThen && worker.stop(stop, fence, m_now))
+                     if (worker.bootNumber() == bootNumberAtCall && worker.stop(stop, fence, m_now))
                          addToTrace("{} stops {} run {}", agent.name, toText(stop.task), stop.run);
                  });
     }
--- a/tests/in_flight_reservations_test.cpp
+++ b/tests/in_flight_reservations_test.cpp
@@ -1,5 +1,6 @@
-// Several owners share workers. Writes, orders and reports take time, so what each owner knows of
-// the workers' room is slightly outdated.
+// Tests how entries that own jobs reserve capacity of the workers for starts in flight. Several
+// such owners share the workers. Writes, orders and reports take time, so what each owner knows of
+// the workers' free capacity is slightly outdated.
 #include <algorithm>
 #include <random>
 #include <string>
@@ -15,7 +16,7 @@
 
 namespace {
 
-constexpr unsigned Seeds = 10;
+constexpr unsigned SeedCount = 10;
 constexpr int LongRunningJobCount = 8;
 constexpr int TasksPerJob = 2;
 constexpr simulated_delays Delays{milliseconds(40), milliseconds(10), milliseconds(10)};
@@ -25,7 +26,7 @@
 struct refusal_counts
 {
     int submittedShortTasks = 0;
-    int refusedOrders = 0;      // orders refused for lack of room
+    int refusedOrders = 0;      // orders refused for lack of free capacity
     int refusedLongRunning = 0; // of these, orders for long-running tasks
     int longRunningInProgress = 0;
     int highestLongRunningRunNumber = 0;
@@ -68,14 +69,14 @@
         m_submittedShortTasks = 0;
         const auto logSizeBefore = m_simulation.logEvents().size();
         for (int number = 0; number < LongRunningJobCount; ++number)
-            m_simulation.submit(anyOwner(), longRunningJobName(number),
+            m_simulation.submit(randomOwner(), longRunningJobName(number),
                                 longRunningStep(TasksPerJob, 2 * Cores));
         advance(seconds(3));
         refusal_counts counts;
         counts.submittedShortTasks = m_submittedShortTasks;
         for (auto lineIndex = logSizeBefore; lineIndex < m_simulation.logEvents().size();
              ++lineIndex)
-            count(m_simulation.logEvents()[lineIndex], counts);
+            countRefusal(m_simulation.logEvents()[lineIndex], counts);
         for (int number = 0; number < LongRunningJobCount; ++number) {
             counts.longRunningInProgress += m_simulation.countRunning(longRunningJobName(number));
             counts.highestLongRunningRunNumber =
@@ -86,11 +87,11 @@
     }
 
 private:
-    int between(int low, int high)
+    int randomBetween(int low, int high)
     {
         return std::uniform_int_distribution<int>(low, high)(m_random);
     }
-    int anyOwner() { return between(0, m_owners - 1); }
+    int randomOwner() { return randomBetween(0, m_owners - 1); }
 
     void advance(milliseconds duration)
     {
@@ -107,15 +108,15 @@
 
     void submitShortJob()
     {
-        const int tasks = between(1, 10);
+        const int tasks = randomBetween(1, 10);
         const auto half = static_cast<int>(ShortRunTime.count() / 2);
-        m_simulation.submit(anyOwner(), fmt::format("short-{}", m_submittedJobs++),
-                            shortStep(tasks), milliseconds(between(half, 3 * half)));
+        m_simulation.submit(randomOwner(), fmt::format("short-{}", m_submittedJobs++),
+                            shortStep(tasks), milliseconds(randomBetween(half, 3 * half)));
         m_dueShortTasks -= tasks;
         m_submittedShortTasks += tasks;
     }
 
-    static void count(const jobs::log_event &line, refusal_counts &counts)
+    static void countRefusal(const jobs::log_event &line, refusal_counts &counts)
     {
         if (line.event != "order_refused" || !line.detail.ends_with("no_room"))
             return;
@@ -127,7 +128,7 @@
     double m_load;
     std::mt19937 m_random;
     placement_simulation m_simulation;
-    double m_dueShortTasks = 0; // short tasks to be submitted
+    double m_dueShortTasks = 0; // short tasks that are still to be submitted
     int m_submittedJobs = 0;
     int m_submittedShortTasks = 0;
 };
@@ -135,29 +136,30 @@
 refusal_counts runSeeds(int owners, double load)
 {
     refusal_counts counts;
-    for (unsigned seed = 1; seed <= Seeds; ++seed)
+    for (unsigned seed = 1; seed <= SeedCount; ++seed)
         counts += shared_workers_scenario(owners, load, seed).simulate();
     return counts;
 }
 
-constexpr int AllLongRunningTasks = static_cast<int>(Seeds) * LongRunningJobCount * TasksPerJob;
+constexpr int AllLongRunningTasks = static_cast<int>(SeedCount) * LongRunningJobCount * TasksPerJob;
 
 } // namespace
 
-// Guards against an owner that forgets its starts in flight, which the agent has not received yet,
-// as soon as that agent sends any report.
-Test(room_on_the_way, starts_in_flight_count_until_the_agent_answers)
+// Guards against an owner that forgets its starts in flight as soon as the agent, which has not
+// received them yet, sends any report.
+Test(in_flight_reservations, starts_in_flight_count_until_the_agent_answers)
 {
     const auto counts = runSeeds(1, 0.7);
     section("a single owner is never refused", [&] { check(counts.refusedOrders == 0); });
     section("and all long-running tasks run",
             [&] { check(counts.longRunningInProgress == AllLongRunningTasks); });
-    section("in their first run", [&] { check(counts.highestLongRunningRunNumber == 1); });
+    section("and each of them in its first run",
+            [&] { check(counts.highestLongRunningRunNumber == 1); });
 }
 
 // Guards against owners that all choose the same worker and are refused again and again although
-// others have room.
-Test(room_on_the_way, few_orders_are_refused_while_half_of_the_room_is_free)
+// other workers have free capacity.
+Test(in_flight_reservations, few_orders_are_refused_while_half_of_the_capacity_is_free)
 {
     const auto counts = runSeeds(17, 0.5);
     section("at most one order in twenty is refused", [&] {
@@ -174,8 +176,8 @@
     });
 }
 
-// Guards against orders for a worker whose agent has just refused one for lack of room.
-Test(room_on_the_way, a_refusal_holds_until_the_next_report)
+// Guards against orders for a worker whose agent has just refused one for lack of free capacity.
+Test(in_flight_reservations, a_refusal_applies_until_the_next_report)
 {
     time_point now{std::chrono::hours(1)};
     jobs::worker_report workerReport;
@@ -200,7 +202,7 @@
         check(pool.describeUnfitWorkers("tickets", longRunningStep(1, 2 * Cores), {}, now)
                       .starts_with("1 refused, "));
     });
-    section("the next report ends that", [&] {
+    section("the next report ends the refusal", [&] {
         now += milliseconds(10);
         pool.update(workerReport, now);
         check(choose(longRunningStep(1, 2 * Cores)));
@@ -213,7 +215,8 @@
 
 namespace {
 
-// One owner and one worker, driven by the test.
+// One owner and one worker: the owner has placed 8 tasks that fill the worker, and their starts are
+// in flight.
 struct single_worker_fixture
 {
     jobs::worker_pool pool;
@@ -243,25 +246,25 @@
 
     static jobs::worker_report report(std::int64_t epoch = 1, std::int64_t agentIncarnation = 5)
     {
-        jobs::worker_report counts;
-        counts.worker = "w1";
-        counts.agentIncarnation = agentIncarnation;
-        counts.epoch = epoch;
-        counts.service = "tickets";
-        counts.isAccepting = true;
-        counts.capacity = {16 * Cores, 64'000, 0};
-        return counts;
+        jobs::worker_report workerReport;
+        workerReport.worker = "w1";
+        workerReport.agentIncarnation = agentIncarnation;
+        workerReport.epoch = epoch;
+        workerReport.service = "tickets";
+        workerReport.isAccepting = true;
+        workerReport.capacity = {16 * Cores, 64'000, 0};
+        return workerReport;
     }
 
-    // In the order in which an entry processes a report.
-    void takeReport(const jobs::worker_report &counts)
+    // Processes the parts of a report in the same order as an entry.
+    void takeReport(const jobs::worker_report &workerReport)
     {
-        const bool hasRestarted = pool.update(counts, now) && counts.epoch > 0;
-        for (const auto &end : counts.ends)
-            controller.runEnded(counts.worker, end, now, 1);
+        const bool hasRestarted = pool.update(workerReport, now) && workerReport.epoch > 0;
+        for (const auto &end : workerReport.ends)
+            controller.runEnded(workerReport.worker, end, now, 1);
         if (hasRestarted)
-            controller.workerRestarted(counts.worker, counts.epoch, now);
-        controller.workerReported(counts.worker, now);
+            controller.workerRestarted(workerReport.worker, workerReport.epoch, now);
+        controller.workerReported(workerReport.worker, now);
     }
 
     void planAndCollect()
@@ -282,9 +285,9 @@
 
 // Guards against an empty worker that counts as full, because resources stay reserved for runs that
 // have ended, or are reserved twice.
-Test(room_on_the_way, starts_no_longer_in_flight_take_no_room)
+Test(in_flight_reservations, starts_no_longer_in_flight_reserve_nothing)
 {
-    section("a start in flight takes room until it is answered", [] {
+    section("a start in flight has its capacity reserved until it is answered", [] {
         single_worker_fixture fixture;
         fixture.takeReport(single_worker_fixture::report());
         check(fixture.used() == 16 * Cores);
@@ -294,21 +297,22 @@
         fixture.takeReport(single_worker_fixture::report(2));
         check(fixture.used() == 0);
     });
-    section("an end that arrives before the answer frees the room", [] {
+    section("an end that arrives before the answer frees the capacity", [] {
         single_worker_fixture fixture;
-        auto counts = single_worker_fixture::report();
+        auto workerReport = single_worker_fixture::report();
         for (const auto &order : fixture.orders)
-            counts.ends.push_back({1, order.order.task, order.order.run, jobs::end_kind::Done, ""});
-        fixture.takeReport(counts);
+            workerReport.ends.push_back(
+                    {1, order.order.task, order.order.run, jobs::end_kind::Done, ""});
+        fixture.takeReport(workerReport);
         check(fixture.used() == 0);
     });
-    section("a start sent long ago is in the report or no longer takes effect", [] {
+    section("a start sent a second ago is in the report or no longer takes effect", [] {
         single_worker_fixture fixture;
         fixture.now += seconds(1);
-        auto counts = single_worker_fixture::report();
-        counts.used = {16 * Cores, 800, 0};
+        auto workerReport = single_worker_fixture::report();
+        workerReport.used = {16 * Cores, 800, 0};
         for (int round = 0; round < 3; ++round) {
-            fixture.takeReport(counts);
+            fixture.takeReport(workerReport);
             check(fixture.used() == 16 * Cores);
         }
     });
--- a/tests/job_system.h
+++ b/tests/job_system.h
@@ -1,4 +1,5 @@
-// Test fixture: two entries and two agents as real processes, with the stand-in of the platform.
+// Test fixture: two entries and two agents as real processes, with the stand-in of the platform,
+// which contains the store and the agents' workers.
 #pragma once
 
 #include <filesystem>
@@ -37,12 +38,14 @@
                        (pid % 128) + 128 * (number % 2));
 }
 
+// Process 0 is the test with the platform's stand-in, 2 and 3 are the entries, 4 and 5 the agents.
 inline std::string processAddress(int process, int port)
 {
     // Uses two hosts; each process on a host has its own range of ports.
     return fmt::format("{}:{}", hostAddress(process), port + 20 * (process / 2));
 }
 
+// Starts all processes, and waits until the entries are ready.
 class system_under_test
 {
 public:
@@ -111,6 +114,7 @@
         return processAddress(4 + agent, WorkersPort);
     }
 
+    // Sends a request for the job to the entry, as a caller; none: no answer within 4 s.
     std::optional<http_response> call(int entry, const std::string &method, const std::string &job,
                                       const std::string &body = "")
     {
@@ -124,7 +128,7 @@
         return answer == nullptr ? std::nullopt : std::optional(*answer);
     }
 
-    // Submits the job until it is accepted, as a caller does.
+    // Submits a job of 4 tasks and 2 that follow them; repeats the request until it is accepted.
     bool submit(int entry, const std::string &job)
     {
         const std::string body =
@@ -154,7 +158,7 @@
         int worker = 0;
         int runCount = 0;       // number of the service's tasks that run there
         std::int64_t epoch = 0; // of the worker's lease
-        std::string lease;
+        std::string lease;      // key of its row
     };
     service_placement startService(const std::string &job)
     {
@@ -187,8 +191,8 @@
         return logContains(role, index, fmt::format(R"("event":"{}")", event));
     }
 
-    // Whether the order of events occurred that tests of a departure need: the agent found its
-    // worker gone while a write of the lease was in progress.
+    // Whether the agent found its worker gone while a write of the lease was in progress. Tests of
+    // departures need this order of events.
     bool hasAgentLoggedDepartureDuringWrite(int index)
     {
         return logContains("agent", index, R"("lease_write_out":"yes","lease":)");
@@ -307,7 +311,7 @@
 
     static std::string base64(const std::string &text)
     {
-        constexpr const char *Letters =
+        constexpr const char *Alphabet =
                 "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
         std::string result;
         for (std::size_t from = 0; from < text.size(); from += 3) {
@@ -315,9 +319,9 @@
             for (std::size_t index = from; index < from + 3; ++index)
                 value = value << 8
                         | (index < text.size() ? static_cast<unsigned char>(text[index]) : 0U);
-            for (std::size_t letter = 0; letter < 4; ++letter) {
-                const bool padding = letter > text.size() - from;
-                result += padding ? '=' : Letters[value >> (18 - 6 * letter) & 63];
+            for (std::size_t position = 0; position < 4; ++position) {
+                const bool isPadding = position > text.size() - from;
+                result += isPadding ? '=' : Alphabet[value >> (18 - 6 * position) & 63];
             }
         }
         return result;
--- a/tests/order_of_events_test.cpp
+++ b/tests/order_of_events_test.cpp
@@ -177,8 +177,9 @@
 
 } // namespace
 
-// A newer run was accepted but not started when the older run's `done` arrived. The process that is
-// to stop the newer run may then fail and lose its state. In these tests the job continues.
+// A newer run was accepted but not started when the end of the older run arrived, which is done.
+// The process that is to stop the newer run may then fail and lose its state. In these tests the
+// job continues.
 Test(order_of_events, late_end_and_no_process_fails)
 {
     section("the owner stops the newer run", [] { runLateEnd(twoSteps(), {}); });
@@ -229,7 +230,7 @@
     });
 }
 
-// The same with a job that ends with the task: no entry adopts it.
+// In these tests the job ends with the task: no entry adopts it.
 Test(order_of_events, late_end_of_a_finished_job)
 {
     section("the owner stops the newer run", [] { runLateEnd(oneTask(), {}); });
@@ -280,7 +281,7 @@
     });
 }
 
-// The stop can't reach the agent, which retries its start by itself.
+// The stop can't reach the agent, which repeats the start call by itself.
 Test(order_of_events, late_end_and_the_agent_is_cut_off_from_all_entries)
 {
     section("the job continues", [] {
@@ -391,9 +392,9 @@
 
 // The first order of run 1 is delayed. The order is repeated and refused, and a later run is
 // placed. The delayed order arrives `delay` after it was sent.
-struct delayed_order
+struct delayed_order_scenario
 {
-    explicit delayed_order(int workers, milliseconds delay = milliseconds(4500))
+    explicit delayed_order_scenario(int workers, milliseconds delay = milliseconds(4500))
         : simulation(3, workers, [](const task_id &, int) { return run_plan{milliseconds(8000)}; })
     {
         simulation.delayOrder =
@@ -441,7 +442,7 @@
 Test(order_of_events, an_order_delayed_past_the_incarnation_that_refused_it)
 {
     section("for lack of capacity", [] {
-        delayed_order scenario(2);
+        delayed_order_scenario scenario(2);
         scenario.reduceCapacity();
         scenario.runUntilStarted();
         require(scenario.answers == std::vector{order_outcome::NoRoom});
@@ -456,7 +457,7 @@
 Test(order_of_events, an_order_delayed_past_the_incarnation_whose_worker_refused_it)
 {
     section("the run was reported as never started", [] {
-        delayed_order scenario(2);
+        delayed_order_scenario scenario(2);
         scenario.simulation.worker(scenario.simulation.workerIndex(scenario.agent->name))
                 .refuseNextStart();
         require(scenario.simulation.runUntil([&] { return !scenario.answers.empty(); },
@@ -478,7 +479,7 @@
 Test(order_of_events, an_order_delayed_within_the_incarnation_that_refused_it)
 {
     section("the refusal is remembered", [] {
-        delayed_order scenario(2);
+        delayed_order_scenario scenario(2);
         scenario.reduceCapacity();
         scenario.runUntilStarted();
         scenario.restoreCapacity();
@@ -541,7 +542,7 @@
 Test(order_of_events, an_order_of_an_older_run_where_a_newer_one_is_known)
 {
     section("in the incarnation that refused the older run", [] {
-        delayed_order scenario(1);
+        delayed_order_scenario scenario(1);
         scenario.reduceCapacity();
         scenario.simulation.run(milliseconds(1500));
         scenario.restoreCapacity();
@@ -555,7 +556,7 @@
 Test(order_of_events, an_order_of_an_older_run_where_the_next_incarnation_knows_a_newer_one)
 {
     section("the newer run is on that same worker", [] {
-        delayed_order scenario(1);
+        delayed_order_scenario scenario(1);
         scenario.reduceCapacity();
         scenario.simulation.run(milliseconds(1500));
         scenario.restoreCapacity();
@@ -572,7 +573,7 @@
 Test(order_of_events, an_order_of_a_newer_run_where_an_older_one_is_known)
 {
     section("both are for the same worker", [] {
-        delayed_order scenario(1);
+        delayed_order_scenario scenario(1);
         const auto lostUntil = scenario.simulation.now() + milliseconds(5000);
         scenario.simulation.delayOrder = [&, first = scenario.simulation.delayOrder](
                                                  const send_order &sentOrder) {
@@ -593,7 +594,7 @@
 Test(order_of_events, an_order_delayed_past_its_epoch)
 {
     section("it is recognized by its epoch, in the next incarnation as well", [] {
-        delayed_order scenario(2, milliseconds(10'500));
+        delayed_order_scenario scenario(2, milliseconds(10'500));
         scenario.simulation.cutOffFromEntriesAndStore(*scenario.agent, milliseconds(7500));
         require(scenario.simulation.runUntil(
                 [&] { return scenario.simulation.runChecker().startCount() == 1; },
@@ -606,8 +607,8 @@
     });
 }
 
-// An owner that was frozen sends, after it thaws, an order that its successor had sent before. That
-// one was refused, and the task ran elsewhere.
+// An owner that was frozen sends, after it thaws, an order that its successor had sent before. The
+// successor's order was refused, and the task ran elsewhere.
 Test(order_of_events, an_order_of_an_owner_that_thaws)
 {
     section("after the incarnation of the agent that refused it", [] {
@@ -645,7 +646,7 @@
 }
 
 // An owner is frozen with an unanswered order, loses its jobs to a successor, and repeats the order
-// after it thaws. The successor's stop reached nobody and was lost with the successor.
+// after it thaws. The successor's stop order reached no agent, and the successor has shut down.
 Test(order_of_events, a_start_of_a_replaced_owner_that_thaws)
 {
     section("its task is done and its job is over", [] {
@@ -711,7 +712,7 @@
 // The end of one member counts for its whole gang.
 Test(order_of_events, late_end_of_a_gang_and_the_owner_is_killed)
 {
-    section("its members are to run again elsewhere", [] {
+    section("when its members were placed elsewhere again", [] {
         late_end_scenario scenario(gangOfTwo(), 4);
         scenario.onDone = [](late_end_scenario &current) {
             current.simulation.kill(*current.owner);
@@ -720,10 +721,11 @@
     });
 }
 
-// A row with two placements of a task, one of which is done first.
-Test(order_of_events, a_copy_that_lost_and_the_owner_is_killed)
+// The row has two placements of a task: run 1, which is done first, and the redundant run 2, which
+// its worker has rejected so far.
+Test(order_of_events, a_redundant_run_and_the_owner_is_killed)
 {
-    section("while the worker of the other copy rejects starts", [] {
+    section("while the worker of the redundant run rejects starts", [] {
         cluster_simulation simulation(3, 2, firstShortOthersLong);
         simulation.run(StartupTime);
         simulation.rejectStarts(simulation.worker(1), milliseconds(20'000));
--- a/tests/order_search.cpp
+++ b/tests/order_search.cpp
@@ -44,8 +44,8 @@
 
 void printTrace(std::uint64_t seed, search_kind kind)
 {
-    const auto again = order_search(seed, true, kind).run();
-    for (const auto &line : again.trace)
+    const auto result = order_search(seed, true, kind).run();
+    for (const auto &line : result.trace)
         fmt::print("    {}\n", line);
 }
 
@@ -93,11 +93,11 @@
         return search(seeds.getValue(), kind, trace.getValue());
     } catch (const TCLAP::ExitException &exit) {
         return exit.getExitStatus() == 0 ? ExitDone : ExitUsage;
-    } catch (const TCLAP::ArgException &problem) {
-        fmt::print(stderr, "{} {}\n", problem.error(), problem.argId());
+    } catch (const TCLAP::ArgException &exception) {
+        fmt::print(stderr, "{} {}\n", exception.error(), exception.argId());
         return ExitUsage;
-    } catch (const std::logic_error &problem) {
-        fmt::print(stderr, "not a range of seeds: {}\n", problem.what());
+    } catch (const std::logic_error &exception) {
+        fmt::print(stderr, "not a range of seeds: {}\n", exception.what());
         return ExitUsage;
     }
 }
--- a/tests/order_search.h
+++ b/tests/order_search.h
@@ -19,7 +19,7 @@
 
 namespace zinniabarrow::tests {
 
-// Faults that a search causes at random.
+// Faults that a search injects at random.
 enum class fault {
     None,
     EntryKilled,
@@ -79,7 +79,7 @@
     {
         for (int job = 0; job < JobCount; ++job) {
             m_simulation.schedule(milliseconds(1500 + job * randomBetween(100, 500)), [this, job] {
-                m_simulation.submit(fmt::format("j{}", job), drawJob());
+                m_simulation.submit(fmt::format("j{}", job), shortJob());
             });
         }
         if (m_kind == search_kind::StalledTasks)
@@ -98,10 +98,10 @@
 private:
     std::vector<std::string> violations() const
     {
-        auto all = m_simulation.runChecker().violations();
+        auto found = m_simulation.runChecker().violations();
         const auto &stalls = m_stallChecker.violations();
-        all.insert(all.end(), stalls.begin(), stalls.end());
-        return all;
+        found.insert(found.end(), stalls.begin(), stalls.end());
+        return found;
     }
 
     void submitLongRunning()
@@ -117,7 +117,7 @@
 
     static jobs::job_spec longRunningJob()
     {
-        auto spec = drawJob();
+        auto spec = shortJob();
         spec.steps.resize(1);
         spec.steps[0].count = 2;
         spec.steps[0].isLongRunning = true;
@@ -130,7 +130,7 @@
         m_areFaultsOver = true;
         m_simulation.clearFaults();
         runAndObserve(MaxFreeze);
-        m_simulation.addToTrace("calm");
+        m_simulation.addToTrace("all freezes are over");
         runAndObserve(milliseconds(10'000));
         m_stallChecker.check(m_simulation);
         runAndObserve(milliseconds(4000));
@@ -182,7 +182,7 @@
         return {randomSpan(300, 15'000), endKind};
     }
 
-    static jobs::job_spec drawJob()
+    static jobs::job_spec shortJob()
     {
         jobs::job_spec spec;
         spec.payload = "payload";
@@ -351,8 +351,9 @@
     stall_checker m_stallChecker;
     bool m_areFaultsOver = false;
     time_point m_startTime{m_simulation.now()};
-    std::array<int, FaultKindCount> m_weights{}; // drawn: each seed has its own mix of faults
-    // Delays some orders by seconds, so that some arrive after the agent's incarnation has ended.
+    std::array<int, FaultKindCount> m_weights{}; // by fault; drawn, so each seed has its own mix
+    // Whether some orders are delayed by seconds, and may arrive after the agent's incarnation
+    // ended.
     bool m_delaysOrders = false;
 };
 
--- a/tests/report_load_test.cpp
+++ b/tests/report_load_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr int Workers = 76;
+constexpr int WorkerCount = 76;
 
 std::vector<std::string> entries(int count)
 {
@@ -64,8 +64,8 @@
 
 } // namespace
 
-// Guards against an entry that has no processor time left for its callers. With a small share of a
-// processor, it wrote the whole interference table into the answer to each report of each worker.
+// Guards against an entry that has no processor time left for its callers. It had a small share of
+// a processor and wrote the whole interference table into the answer to each report of each worker.
 Test(report_load, the_interference_table_for_many_workers)
 {
     const auto names = entries(14);
@@ -73,31 +73,32 @@
     report_answer whole;
     whole.interference = table;
     const auto tableBytes = toText(whole).size();
-    std::map<std::string, std::size_t> sent; // by entry
-    for (int number = 0; number < Workers; ++number) {
+    std::map<std::string, std::size_t> bytesSent; // by entry
+    for (int number = 0; number < WorkerCount; ++number) {
         table_source_rotation rotation(workerNamed(number));
         for (std::size_t second = 0; second < names.size(); ++second) {
             const auto asked = rotation.next(names);
             for (const auto &entry : names) {
                 auto report = reportOf(workerNamed(number));
                 report.wantsInterferenceTable = entry == asked;
-                sent[entry] += answerBytes(toText(report), table);
+                bytesSent[entry] += answerBytes(toText(report), table);
             }
         }
     }
 
     section("within as many seconds as there are entries, each sends each worker one table", [&] {
-        const std::size_t reports = Workers * names.size();
-        for (const auto &[entry, bytes] : sent)
-            cr_assert_leq(bytes, Workers * tableBytes + reports * toText(report_answer{}).size());
+        const std::size_t reports = WorkerCount * names.size();
+        for (const auto &[entry, bytes] : bytesSent)
+            cr_assert_leq(bytes,
+                          WorkerCount * tableBytes + reports * toText(report_answer{}).size());
     });
 
     section("in any second the requests are spread over the entries", [&] {
         std::map<std::string, int> workersPerEntry;
-        for (int number = 0; number < Workers; ++number)
+        for (int number = 0; number < WorkerCount; ++number)
             ++workersPerEntry[table_source_rotation(workerNamed(number)).next(names)];
         for (const auto &[entry, workers] : workersPerEntry)
-            cr_assert_leq(workers, 3 * Workers / 14, "%s: %d", entry.c_str(), workers);
+            cr_assert_leq(workers, 3 * WorkerCount / 14, "%s: %d", entry.c_str(), workers);
     });
 }
 
@@ -130,17 +131,17 @@
     section("an agent that does not ask gets no table",
             [&] { cr_assert_not(reportFrom(text).wantsInterferenceTable); });
 
-    section("an agent that asks gets it", [&] {
+    section("an agent that asks gets the table", [&] {
         report.wantsInterferenceTable = true;
         cr_assert(reportFrom(toText(report)).wantsInterferenceTable);
     });
 
-    section("an agent of the previous release gets it if it sends samples", [&] {
+    section("an agent of the previous release gets the table if it sends samples", [&] {
         text.erase(text.find(member), member.size());
         cr_assert(reportFrom(text).wantsInterferenceTable);
     });
 
-    section("and does not get it without samples", [&] {
+    section("an agent of the previous release gets no table without samples", [&] {
         report.samples.clear();
         report.wantsInterferenceTable = false;
         text = toText(report);
@@ -150,7 +151,7 @@
 }
 
 // A report is parsed completely or rejected as a whole.
-Test(report_load, a_report_is_read_as_it_was_written)
+Test(report_load, a_report_is_parsed_as_it_was_written)
 {
     auto report = reportOf("worker-1");
     report.address = "10.0.0.1:7641";
@@ -170,11 +171,11 @@
     report.progress = {{{"job-2", 1, 0, 0}, 1, "a \"quarter\"\n"}};
 
     section("every member survives", [&] {
-        const auto read = reportFrom(toText(report));
-        cr_assert_eq(toText(read), toText(report));
-        cr_assert_eq(read.clockMs, 486'000);
-        cr_assert_eq(read.ends.front().endKind, end_kind::Failed);
-        cr_assert_eq(read.serving.back().headroom, -1);
+        const auto parsed = reportFrom(toText(report));
+        cr_assert_eq(toText(parsed), toText(report));
+        cr_assert_eq(parsed.clockMs, 486'000);
+        cr_assert_eq(parsed.ends.front().endKind, end_kind::Failed);
+        cr_assert_eq(parsed.serving.back().headroom, -1);
     });
 
     section("without one member it is rejected, or read as one of the previous release", [&] {
@@ -184,13 +185,13 @@
         for (const auto &name : whole.getMemberNames()) {
             auto reduced = whole;
             reduced.removeMember(name);
-            bool read = true;
+            bool isParsed = true;
             try {
                 reportFrom(compactJson(reduced));
             } catch (const error &) {
-                read = false;
+                isParsed = false;
             }
-            cr_assert_eq(read, optional.contains(name), "%s", name.c_str());
+            cr_assert_eq(isParsed, optional.contains(name), "%s", name.c_str());
         }
     });
 
--- a/tests/run_checker.h
+++ b/tests/run_checker.h
@@ -1,5 +1,5 @@
-// Checks the users' rule against duplicate work in a simulated cluster: no two runs of a task at
-// the same time, and no start of a task that is done.
+// Checks the rule against duplicate work in a simulated cluster: no two runs of a task at the same
+// time, and no start of a task that has been done for more than a second.
 #pragma once
 
 #include <map>
@@ -35,8 +35,8 @@
         }
     }
 
-    // Called when a worker has started a run. `isLate`: the start took long to arrive; it is exempt
-    // from the rule on tasks that are done.
+    // Called when a worker has started a run. `isLate`: the start call took long to arrive, so the
+    // run may start although its task is done.
     void noteStart(const jobs::task_id &task, int run,
                    const std::vector<std::unique_ptr<simulated_worker>> &workers, bool isLate,
                    time_point now)
--- a/tests/run_table_test.cpp
+++ b/tests/run_table_test.cpp
@@ -1,5 +1,5 @@
-// Tests the agent's table of runs: what may be started on a worker, and what is known after a
-// crash, a lost answer or a frozen process.
+// Tests the agent's table of runs: which runs may be started on a worker, and what the table
+// reports of them after a crash, a lost answer or a frozen process.
 #include <criterion/criterion.h>
 
 #include "jobs/run_table.h"
@@ -45,7 +45,7 @@
         return newOrder;
     }
 
-    // The worker lists the run's end as its first end, and no active run.
+    // The worker lists the run's end, as the first of its ends, and no active run.
     void listEnd(const run_order &newOrder, end_kind ending = end_kind::Done)
     {
         run_listing workerListing;
@@ -57,8 +57,8 @@
     {
         run_listing workerListing;
         workerListing.clockMs = clockMs;
-        for (const auto &one : running)
-            workerListing.running.push_back({one.task, one.run, "", 0});
+        for (const auto &active : running)
+            workerListing.running.push_back({active.task, active.run, "", 0});
         return workerListing;
     }
 };
@@ -106,24 +106,24 @@
     fixture.table.applyListing(table_fixture::listing({earlier}), fixture.now);
     section("its size is unknown, so nothing is started",
             [&] { check(fixture.giveOrder(table_fixture::order(0)) == order_outcome::NotReady); });
-    section("a stop does not change that", [&] {
+    section("after a stop its size is still unknown", [&] {
         check(fixture.giveOrder(table_fixture::stopOrderFor(earlier)) == order_outcome::Accepted);
         check(fixture.giveOrder(table_fixture::order(0)) == order_outcome::NotReady);
     });
-    section("its end does", [&] {
+    section("once its end is listed, runs are started", [&] {
         fixture.listEnd(earlier, end_kind::Stopped);
         check(fixture.giveOrder(table_fixture::order(0)) == order_outcome::Accepted);
     });
 }
 
 // Guards against a task that runs twice. An earlier incarnation of the agent told the worker to
-// stop a run, which is in neither list until it has ended; the next incarnation reported that it
-// never starts.
+// stop a run, which is in neither list of the worker until it has ended. The next incarnation found
+// it in no list and reported that it never starts.
 Test(run_table, a_repeated_stop_while_stops_of_the_earlier_incarnation_are_open)
 {
     table_fixture fixture;
     fixture.table.setWorkerState({4000, 8000, 0}, start_readiness::RetryLater);
-    section("the stop has to be retried until they are over", [&] {
+    section("the stop has to be retried until the earlier stops are over", [&] {
         check(fixture.giveOrder(table_fixture::stopOrderFor(table_fixture::order(0)))
               == order_outcome::NotReady);
     });
@@ -131,7 +131,7 @@
         fixture.table.setWorkerState({4000, 8000, 0}, start_readiness::Ready);
         check(fixture.giveOrder(table_fixture::order(0)) == order_outcome::Superseded);
     });
-    section("then the run is certainly gone", [&] {
+    section("once the earlier stops are over, the run has certainly ended", [&] {
         check(fixture.giveOrder(table_fixture::stopOrderFor(table_fixture::order(0)))
               == order_outcome::Superseded);
     });
@@ -142,10 +142,10 @@
 Test(run_table, orders_of_another_epoch)
 {
     table_fixture fixture;
-    auto old = table_fixture::order(0);
-    old.epoch = Epoch - 1;
-    check(fixture.giveOrder(old) == order_outcome::WrongEpoch);
-    section("also if the same run is ordered again with the current epoch", [&] {
+    auto earlierOrder = table_fixture::order(0);
+    earlierOrder.epoch = Epoch - 1;
+    check(fixture.giveOrder(earlierOrder) == order_outcome::WrongEpoch);
+    section("the run stays refused if it is ordered again with the current epoch", [&] {
         check(fixture.giveOrder(table_fixture::order(0)) == order_outcome::Superseded);
     });
     section("a newer run of the task is accepted", [&] {
@@ -158,7 +158,7 @@
 // in transit and reaches the next incarnation.
 Test(run_table, an_order_from_before_the_agents_incarnation)
 {
-    const auto placedIn = [](std::int64_t incarnation, int run) {
+    const auto orderPlacedIn = [](std::int64_t incarnation, int run) {
         auto newOrder = table_fixture::order(0, run);
         newOrder.agentIncarnation = incarnation;
         return newOrder;
@@ -166,11 +166,11 @@
     table_fixture fixture;
     fixture.table.setAgentIncarnation(8);
     section("a run that is unknown to this incarnation never starts", [&] {
-        check(fixture.giveOrder(placedIn(7, 1)) == order_outcome::WrongAgentIncarnation);
+        check(fixture.giveOrder(orderPlacedIn(7, 1)) == order_outcome::WrongAgentIncarnation);
         check(isPermanentRefusal(order_outcome::WrongAgentIncarnation));
         check(fixture.table.takeDueActions(fixture.now, true).empty());
     });
-    section("not refused before the stops of the earlier incarnation are over", [&] {
+    section("a run is not refused before the stops of the earlier incarnation are over", [&] {
         auto other = table_fixture::order(5);
         other.agentIncarnation = 7;
         fixture.table.setWorkerState({4000, 8000, 0}, start_readiness::RetryLater);
@@ -178,11 +178,11 @@
         fixture.table.setWorkerState({4000, 8000, 0}, start_readiness::Ready);
         check(fixture.giveOrder(other) == order_outcome::WrongAgentIncarnation);
     });
-    section("after that, an order without an incarnation does not start it either", [&] {
+    section("a run that was refused is not started by an order without an incarnation", [&] {
         check(fixture.giveOrder(table_fixture::order(0, 1)) == order_outcome::Superseded);
     });
     section("a run placed in this incarnation starts",
-            [&] { check(fixture.giveOrder(placedIn(8, 2)) == order_outcome::Accepted); });
+            [&] { check(fixture.giveOrder(orderPlacedIn(8, 2)) == order_outcome::Accepted); });
     section("an active run is claimed, whichever incarnation started it", [&] {
         fixture.table.applyListing(table_fixture::listing({table_fixture::order(1)}), fixture.now);
         auto claim = table_fixture::order(1);
@@ -257,7 +257,7 @@
     require(fixture.giveOrder(table_fixture::order(0, 2)) == order_outcome::Accepted);
     check(fixture.giveOrder(table_fixture::order(0, 1)) == order_outcome::Superseded);
     check(fixture.table.takeDueActions(fixture.now, true).size() == 1);
-    section("also once the newer run is active", [&] {
+    section("it is refused also once the newer run is active", [&] {
         fixture.table.startAnswered(table_fixture::order(0).task, 2, start_answer::Started,
                                     fixture.now);
         check(fixture.giveOrder(table_fixture::order(0, 1)) == order_outcome::Superseded);
@@ -306,7 +306,7 @@
         fixture.giveOrder(table_fixture::order(0));
         check(countCalls(fixture, milliseconds(60'000)) == 3);
     });
-    section("with an unanswered call, once a list was read after its deadline", [&] {
+    section("after an unanswered call, is reported once a list was read after its deadline", [&] {
         table_fixture fixture;
         fixture.giveOrder(table_fixture::order(0));
         check(fixture.table.takeDueActions(fixture.now, true).size() == 1);
@@ -321,7 +321,7 @@
         fixture.table.applyListing(table_fixture::listing({}, 2501), fixture.now);
         check(fixture.table.endsFor("entry-a").size() == 1);
     });
-    section("a start that waits for a lease is given up after the same time", [&] {
+    section("is given up after the same time if it waits for a lease", [&] {
         table_fixture fixture;
         fixture.giveOrder(table_fixture::order(0));
         check(fixture.table.takeDueActions(fixture.now, false).empty());
@@ -379,9 +379,9 @@
                 {number, table_fixture::order(number).task, 1, end_kind::Done, ""});
     }
     fixture.table.applyListing(workerListing, fixture.now);
-    section("none before it is acknowledged",
+    section("no end is forgotten before it is acknowledged",
             [&] { check(fixture.table.acknowledgedThrough() == 0); });
-    section("an unacknowledged end keeps those after it", [&] {
+    section("an end is kept while an earlier one is not acknowledged", [&] {
         fixture.table.acknowledgeEnd({table_fixture::order(2).task, 1, end_kind::Done},
                                      fixture.now);
         check(fixture.table.acknowledgedThrough() == 0);
@@ -428,7 +428,7 @@
         fixture.table.acknowledgeEnd({next.task, 1, end_kind::Done}, fixture.now);
         check(fixture.table.acknowledgedThrough() == 1);
     });
-    section("until they are acknowledged", [&] {
+    section("are dropped once they are acknowledged", [&] {
         fixture.table.acknowledgeEnd({table_fixture::order(1).task, 1, end_kind::Done},
                                      fixture.now);
         check(fixture.table.endsFor("entry-a").empty());
@@ -453,17 +453,17 @@
     run_listing workerListing;
     workerListing.ended.push_back({4, newOrder.task, 1, end_kind::Done, ""});
     fixture.table.applyListing(workerListing, fixture.now);
-    section("acknowledging one end does not acknowledge the other", [&] {
+    section("acknowledging the assumed end does not acknowledge the real one", [&] {
         check(!fixture.table.acknowledgeEnd({newOrder.task, 1, assumedEnd}, fixture.now));
         require(fixture.table.endsFor("entry-a").size() == 1);
         check(fixture.table.endsFor("entry-a")[0].endKind == end_kind::Done);
         check(fixture.table.acknowledgedThrough() == 3);
     });
-    section("the worker may forget the real end once that is acknowledged", [&] {
+    section("the worker may forget the real end once it is acknowledged", [&] {
         check(fixture.table.acknowledgeEnd({newOrder.task, 1, end_kind::Done}, fixture.now));
         check(fixture.table.acknowledgedThrough() == 4);
     });
-    section("also if the worker lists it after the first was acknowledged", [&] {
+    section("the real end is reported also if listed after the assumed one was acknowledged", [&] {
         const auto other = table_fixture::order(2);
         fixture.giveOrder(other);
         fixture.table.startCalled(other.task, 1, 5000);
@@ -478,8 +478,8 @@
 }
 
 // Guards against jobs that are shown as started too early. An agent accepts an order at once, while
-// its worker may start the run seconds later: only a run that the worker has listed counts as
-// started.
+// its worker may start the run seconds later: only a run that the worker has confirmed or listed
+// counts as started.
 Test(run_table, starts_that_an_owner_wants_reported)
 {
     table_fixture fixture;
@@ -489,11 +489,11 @@
     fixture.giveOrder(table_fixture::order(2));
     check(fixture.table.takeDueActions(fixture.now, true).size() == 2);
     fixture.table.startCalled(newOrder.task, 1, 5000);
-    section("not while its call is unanswered", [&] {
+    section("a start is not reported while its call is unanswered", [&] {
         fixture.table.startAnswered(newOrder.task, 1, start_answer::Unanswered, fixture.now);
         check(fixture.table.startsFor("entry-a").empty());
     });
-    section("once the worker lists it, to its owner only, until the owner received it", [&] {
+    section("it is reported once listed, to its owner only, until the owner received it", [&] {
         fixture.table.applyListing(table_fixture::listing({newOrder, table_fixture::order(2)}),
                                    fixture.now);
         check(fixture.table.startsFor("entry-b").empty());
@@ -504,7 +504,7 @@
         fixture.table.noteStartsReported(started, "entry-a");
         check(fixture.table.startsFor("entry-a").empty());
     });
-    section("again to an owner that takes the job over", [&] {
+    section("it is reported again to an owner that takes the job over", [&] {
         check(fixture.giveOrder(newOrder, "entry-b") == order_outcome::Accepted);
         check(fixture.table.startsFor("entry-b").size() == 1);
     });
@@ -538,21 +538,21 @@
         check(fixture.table.endsFor("entry-a").size() == 1);
         check(fixture.table.endsFor("entry-b").size() == 1);
     });
-    section("at once to an entry that was restarted under the same name", [&] {
+    section("at once to its owner if that was restarted under the same name", [&] {
         const auto previousCount = fixture.table.newEndCount();
         fixture.giveOrder(newOrder, "entry-a");
         check(fixture.table.newEndCount() > previousCount);
         fixture.table.noteOwnerSilent("entry-a");
     });
-    section("until an entry claims the run", [&] {
+    section("only to an entry that claims the run", [&] {
         fixture.giveOrder(newOrder, "entry-b");
         check(fixture.table.endsFor("entry-a").empty());
         check(fixture.table.endsFor("entry-b").size() == 1);
     });
 }
 
-// Guards against a run that was reported as never started but is active, unknown to any entry,
-// beside the task's next run.
+// Guards against a run that was reported as never started but is active beside the task's next run,
+// without any entry knowing of it.
 Test(run_table, a_run_that_was_refused_and_is_listed)
 {
     table_fixture fixture;
@@ -582,23 +582,23 @@
 {
     table_fixture fixture;
     const auto newOrder = table_fixture::order(0);
-    fixture.giveOrder(newOrder, "heir");
-    fixture.giveOrder(newOrder, "overtaken");
+    fixture.giveOrder(newOrder, "present-owner");
+    fixture.giveOrder(newOrder, "previous-owner");
     fixture.listEnd(newOrder);
-    require(fixture.table.endsFor("overtaken").size() == 1);
-    require(fixture.table.endsFor("heir").empty());
+    require(fixture.table.endsFor("previous-owner").size() == 1);
+    require(fixture.table.endsFor("present-owner").empty());
     const run_end_id end{newOrder.task, 1, end_kind::Done};
     section("is reported to all once that entry has answered that it does not own the job", [&] {
-        check(fixture.table.noteNotOwned(end, "overtaken"));
-        check(fixture.table.endsFor("heir").size() == 1);
-        check(fixture.table.endsFor("overtaken").size() == 1);
-        check(!fixture.table.noteNotOwned(end, "overtaken"));
+        check(fixture.table.noteNotOwned(end, "previous-owner"));
+        check(fixture.table.endsFor("present-owner").size() == 1);
+        check(fixture.table.endsFor("previous-owner").size() == 1);
+        check(!fixture.table.noteNotOwned(end, "previous-owner"));
     });
     section("the answer of an entry that has been superseded by then has no effect", [&] {
-        fixture.giveOrder(newOrder, "heir");
-        check(!fixture.table.noteNotOwned(end, "overtaken"));
-        check(fixture.table.endsFor("overtaken").empty());
-        check(fixture.table.endsFor("heir").size() == 1);
+        fixture.giveOrder(newOrder, "present-owner");
+        check(!fixture.table.noteNotOwned(end, "previous-owner"));
+        check(fixture.table.endsFor("previous-owner").empty());
+        check(fixture.table.endsFor("present-owner").size() == 1);
     });
     section("the answer's text has the member only if there is such an end", [&] {
         const auto parsed = reportAnswerFrom(toText(report_answer{{}, {end}, {}}));
@@ -618,7 +618,7 @@
     const auto newOrder = table_fixture::order(0);
     fixture.giveOrder(newOrder);
     fixture.table.startCalled(newOrder.task, 1, 2000);
-    const auto stopped = [&] {
+    const auto stopAndCheckCapacity = [&] {
         fixture.giveOrder(table_fixture::stopOrderFor(newOrder));
         fixture.table.applyListing(table_fixture::listing({}, 2600), fixture.now);
         check(fixture.table.endsFor("entry-a").empty());
@@ -626,26 +626,26 @@
     };
     section("uses its capacity until its end is listed", [&] {
         fixture.table.startAnswered(newOrder.task, 1, start_answer::Started, fixture.now);
-        stopped();
+        stopAndCheckCapacity();
     });
-    section("also if the stop came before the answer to its start", [&] {
+    section("uses its capacity also if the stop came before the answer to its start", [&] {
         table_fixture other;
         std::swap(fixture, other);
         fixture.giveOrder(newOrder);
         fixture.table.startCalled(newOrder.task, 1, 2000);
         fixture.giveOrder(table_fixture::stopOrderFor(newOrder));
         fixture.table.startAnswered(newOrder.task, 1, start_answer::Started, fixture.now);
-        stopped();
+        stopAndCheckCapacity();
     });
-    section("also if the list showed that it had started", [&] {
+    section("uses its capacity also if a list showed that it had started", [&] {
         table_fixture other;
         std::swap(fixture, other);
         fixture.giveOrder(newOrder);
         fixture.table.startCalled(newOrder.task, 1, 2000);
         fixture.table.applyListing(table_fixture::listing({newOrder}, 1500), fixture.now);
-        stopped();
+        stopAndCheckCapacity();
     });
-    section("and then the capacity is free", [&] {
+    section("frees its capacity once its end is listed", [&] {
         fixture.listEnd(newOrder, end_kind::Stopped);
         check(fixture.table.used() == task_size());
     });
@@ -671,9 +671,9 @@
 }
 
 // Guards against a task that waits for as long as its agent lives. Its order was accepted, but the
-// agent was frozen before it called the worker, and the epoch has ended meanwhile. All runs have to
-// end before the next epoch. This one was never called, so that no end is ever listed, and it
-// counted as active for ever.
+// agent was frozen before it called the worker, and the epoch ended meanwhile. All runs have to end
+// before the next epoch. As the worker was never called for this run, it never lists the run's end,
+// and the run counted as active for ever.
 Test(run_table, stopped_before_the_worker_was_called)
 {
     table_fixture fixture;
--- a/tests/simulated_worker.h
+++ b/tests/simulated_worker.h
@@ -1,5 +1,6 @@
-// A worker that behaves as the users' pages describe: it lists active and ended runs, and rejects
-// or refuses starts.
+// A simulated worker, as its agent sees it: it starts and stops runs, lists active and ended ones,
+// and ends all runs when the hold expires that its agent has to renew. Tests can make it reject or
+// refuse starts, or reboot.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +17,7 @@
 
 namespace zinniabarrow::tests {
 
-// How long a run takes, and how it ends by itself.
+// How long a run takes, and how it ends unless it is stopped.
 struct run_plan
 {
     milliseconds duration{300};
@@ -47,7 +48,7 @@
     void refuseNextStart() { m_refusesNextStart = true; }
     void clearRefusal() { m_refusesNextStart = false; }
 
-    // The name stays; runs, listed ends and the numbers of ends start from scratch.
+    // Keeps the name only: runs, ends, the numbers of ends, the fence and the hold are lost.
     void reboot()
     {
         m_running.clear();
@@ -98,8 +99,8 @@
         return ran;
     }
 
-    // Extends the lease and lists the runs. Forgets ends up to the acknowledged one. Returns
-    // nothing if the fence is too low.
+    // Extends the hold up to `deadlineMs`, if given, and lists the runs. Forgets ends up to the
+    // acknowledged one. Returns nothing if the fence is too low.
     std::optional<jobs::run_listing> renewHold(std::optional<std::int64_t> deadlineMs,
                                                std::int64_t acknowledgedThrough, std::int64_t fence,
                                                time_point now)
@@ -122,15 +123,15 @@
         return listing;
     }
 
-    // Ends the runs that finish by `now`, and all others if the lease has expired.
+    // Ends the runs that finish by `now`, and all others if the hold has expired.
     void advance(time_point now)
     {
-        const bool isLeaseExpired = m_deadlineMs > 0 && clockOf(now) > m_deadlineMs;
+        const bool isHoldExpired = m_deadlineMs > 0 && clockOf(now) > m_deadlineMs;
         for (auto at = m_running.begin(); at != m_running.end();) {
             const auto &[key, run] = *at;
             const bool isFinished =
-                    run.endsAt <= now && (!isLeaseExpired || clockOf(run.endsAt) <= m_deadlineMs);
-            if (!isFinished && !isLeaseExpired) {
+                    run.endsAt <= now && (!isHoldExpired || clockOf(run.endsAt) <= m_deadlineMs);
+            if (!isFinished && !isHoldExpired) {
                 ++at;
                 continue;
             }
@@ -202,7 +203,7 @@
     std::map<jobs::task_id, int> m_highestFinished; // highest run that was stopped or ended
     std::int64_t m_nextEndSequence = 1;
     std::int64_t m_fence = 0;      // highest seen
-    std::int64_t m_deadlineMs = 0; // of the lease; 0: none
+    std::int64_t m_deadlineMs = 0; // of the hold; 0: none
     time_point m_rejectsStartsUntil{};
     bool m_refusesNextStart = false;
     int m_bootNumber = 1;
--- a/tests/worker_lease_test.cpp
+++ b/tests/worker_lease_test.cpp
@@ -17,7 +17,7 @@
     time_point now{std::chrono::hours(1)};
     std::optional<lease_row> row;
     std::int64_t version = 0;
-    std::optional<write_lease> pendingWrite; // sent, and without outcome yet
+    std::optional<write_lease> pendingWrite; // sent, and its outcome is not known yet
     std::vector<std::int64_t> begunEpochs;
     std::vector<std::int64_t> resumedEpochs;
 
@@ -115,7 +115,7 @@
         fixture.runActions();
         check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
     });
-    section("and the write of the epoch's end conflicts", [] {
+    section("and the write that ends the epoch conflicts", [] {
         lease_fixture fixture;
         fixture.startLease();
         fixture.lease.endEpoch("", fixture.now);
@@ -125,7 +125,7 @@
         fixture.runActions();
         check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
     });
-    section("and the next incarnation ends too while that is written", [] {
+    section("and the next incarnation ends too while the new epoch is written", [] {
         lease_fixture fixture;
         fixture.startLease();
         fixture.lease.endEpoch("b", fixture.now);
@@ -163,7 +163,7 @@
         fixture.runActions();
         check(fixture.begunEpochs == (std::vector<std::int64_t>{2, 3}));
     });
-    section("also after a watcher ended the epoch", [] {
+    section("after a watcher ended the epoch, all runs are stopped first as well", [] {
         lease_fixture fixture;
         fixture.startLease();
         ++fixture.row->epoch;
@@ -227,14 +227,13 @@
 
 // Guards against a task that runs twice, and against a restart of the agent that stops all tasks of
 // its worker. The end of incarnation "a" is known but not yet written, as a renewal is pending and
-// the store is slow or down. Meanwhile the worker restarts as "b", and a new fence is acquired. If
-// the end were written right after the fence and tasks started before "b" was polled, a late start
-// from before could still take effect, as only a call with the new fence keeps it out; and the row
-// would never name "b".
-Test(worker_lease, worker_restarts_while_its_end_is_not_written)
+// the store is slow or down. Meanwhile the worker restarts as "b", and a new fence is acquired.
+// Tasks must not start before "b" was polled: until a call with the new fence has reached it, a
+// delayed start call with the previous fence can take effect there. The row also has to name "b".
+Test(worker_lease, worker_restarts_before_the_end_of_its_epoch_is_written)
 {
-    for (const std::string endedIncarnation : {"", "a"}) { // it left, or was silent
-        section(endedIncarnation.empty() ? "it left" : "it was silent", [&] {
+    for (const std::string endedIncarnation : {"", "a"}) {
+        section(endedIncarnation.empty() ? "the worker left" : "the worker was silent", [&] {
             lease_fixture fixture;
             fixture.startLease();
             fixture.lease.renew(fixture.now);
@@ -253,7 +252,8 @@
             section("the next incarnation of the agent keeps the runs", [&] {
                 fixture.lease.acquireFence();
                 fixture.runActions();
-                check(!fixture.lease.reconcile("b", 3, fixture.now)); // true would stop them all
+                check(!fixture.lease.reconcile("b", 3,
+                                               fixture.now)); // true would stop them all
             });
         });
     }
@@ -316,21 +316,21 @@
     lease_fixture fixture;
     fixture.startLease();
     fixture.lease.noteStoreClock(70'000, fixture.now, fixture.now);
-    const auto held = fixture.now + seconds(5);
+    const auto heldUntil = fixture.now + seconds(5);
     section("the row expires with the last hold", [&] {
         fixture.now += seconds(1);
-        fixture.lease.renew(fixture.now, held);
+        fixture.lease.renew(fixture.now, heldUntil);
         fixture.runActions(false);
         check(fixture.lease.validUntil()
-              <= held); // once sent, the write may take effect at any time
+              <= heldUntil); // once sent, the write may take effect at any time
         fixture.completeWrite();
-        check(fixture.lease.validUntil() == held);
+        check(fixture.lease.validUntil() == heldUntil);
         check(fixture.row->expiresAtMs >= 75'000);
         check(fixture.row->expiresAtMs <= 75'002);
     });
     section("nothing is renewed once the hold has expired", [&] {
-        fixture.now = held;
-        fixture.lease.renew(fixture.now, held);
+        fixture.now = heldUntil;
+        fixture.lease.renew(fixture.now, heldUntil);
         fixture.runActions(false);
         check(!fixture.pendingWrite.has_value());
     });
--- a/tests/worker_liveness_test.cpp
+++ b/tests/worker_liveness_test.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-Test(silent_worker, holds_expire)
+Test(worker_liveness, holds_expire)
 {
     const time_point start{std::chrono::hours(1)};
     worker_liveness liveness(start);
@@ -30,7 +30,7 @@
             check(!liveness.hasNothingRunning(start + HoldDuration));
         });
     });
-    section("late starts may reach a new incarnation of the worker", [&] {
+    section("a delayed start may take effect in a new incarnation of the worker", [&] {
         liveness.noteNewIncarnation(start);
         check(!liveness.hasNothingRunning(start + MaxHoldDuration));
         check(liveness.hasNothingRunning(start + MaxHoldDuration + seconds(1)));
@@ -40,7 +40,7 @@
 // Guards against long-running tasks that stay down for 11 s. A worker is lost and its agent killed
 // at the same moment. The agent is back 2 s later and can't know until when its earlier incarnation
 // let runs continue. It assumed a whole lease, although no hold call lasts that long.
-Test(silent_worker, worker_lost_and_agent_killed_at_once)
+Test(worker_liveness, worker_lost_and_agent_killed_at_once)
 {
     constexpr milliseconds AgentBackAfter{2000};
     const time_point lostAt{std::chrono::hours(1)};
@@ -50,9 +50,10 @@
 }
 
 // Guards against a task that is placed on a lost worker and waits for as long as the agent lives.
-// The worker became silent with nothing running, just before the order arrived. No run's end will
-// end the placement, and an answer of "retry later" has the order repeated for ever.
-Test(silent_worker, order_for_a_lost_worker)
+// The worker became silent with nothing running, just before the order arrived. No run can end
+// there and so free the task, and the answer "retry later" makes the entry repeat the order for
+// ever.
+Test(worker_liveness, order_for_a_lost_worker)
 {
     const time_point lostAt{std::chrono::hours(1)};
     worker_liveness liveness(lostAt - seconds(10));
@@ -72,7 +73,7 @@
         liveness.notePoll(true, lostAt + seconds(5));
         check(readinessOf(status, liveness, lostAt + seconds(5)) == start_readiness::Ready);
     });
-    section("an agent that was frozen polls first", [&] {
+    section("after a freeze of the agent, starts are retried later until it has polled", [&] {
         check(readinessOf(status, liveness, lostAt + seconds(60)) == start_readiness::RetryLater);
     });
     section("without a lease, starts are retried later", [&] {
