--- a/bench/placement_model.cpp
+++ b/bench/placement_model.cpp
@@ -176,12 +176,12 @@
 
 void placement_model::submitBatch(int batchClass, int tasks, task_priority priority)
 {
-    const double need = 1 + static_cast<double>(batchClass % 4);
-    const double peak = drawBetween(3, 12) * Gigabyte;
+    const double neededProcessors = 1 + static_cast<double>(batchClass % 4);
+    const double jobPeakBytes = drawBetween(3, 12) * Gigabyte;
     const bool isBadJob = m_settings.hasFailures && drawIndex(m_random, 50) == 0;
     // Declared sizes differ widely from the real ones, in both directions.
-    const double declaredNeed = need * std::exp(0.6 * drawNormal() + 0.3);
-    const double declaredPeak = peak * std::exp(0.6 * drawNormal());
+    const double declaredProcessors = neededProcessors * std::exp(0.6 * drawNormal() + 0.3);
+    const double declaredBytes = jobPeakBytes * std::exp(0.6 * drawNormal());
     const auto job = "job-" + std::to_string(m_nextJob++);
     for (int index = 0; index < tasks; ++index) {
         model_task task;
@@ -192,14 +192,14 @@
         task.spec.priority = priority;
         task.spec.pool = "main";
         task.spec.declared.millicores =
-                std::clamp<std::int64_t>(std::llround(declaredNeed * 1000), 250, 8'000);
+                std::clamp<std::int64_t>(std::llround(declaredProcessors * 1000), 250, 8'000);
         task.spec.declared.bytes =
-                std::clamp<std::int64_t>(std::llround(declaredPeak), Gigabyte / 4, 30 * Gigabyte);
+                std::clamp<std::int64_t>(std::llround(declaredBytes), Gigabyte / 4, 30 * Gigabyte);
         task.spec.replicas = tasks;
         task.batchClass = batchClass;
-        task.usableProcessors = need;
-        task.peakBytes = peak * drawBetween(0.85, 1.15);
-        task.totalWork = need * drawBetween(120, 900);
+        task.usableProcessors = neededProcessors;
+        task.peakBytes = jobPeakBytes * drawBetween(0.85, 1.15);
+        task.totalWork = neededProcessors * drawBetween(120, 900);
         task.alwaysFails = isBadJob;
         task.pendingAt = elapsedSeconds();
         m_scheduler.taskPending(task.spec, m_now);
@@ -217,7 +217,7 @@
 void placement_model::submitJobs()
 {
     if (elapsedSeconds() == 30)
-        addServices(); // batch jobs run already
+        addServices(); // when batch jobs already run
     for (int jobs = elapsedSeconds() == 0 ? BacklogJobs : 0; jobs > 0; --jobs)
         submitRandomBatch();
     if (isDueEvery(m_settings.jobInterval))
@@ -281,7 +281,7 @@
            && elapsedSeconds() < 4'200;
 }
 
-// Removes the task from its worker; the work since its last checkpoint is lost.
+// Removes the task from its worker. The work since its last checkpoint is lost.
 void placement_model::stopTask(model_task &task)
 {
     m_result.wastedHours += task.doneWork - task.checkpointedWork;
@@ -301,8 +301,8 @@
     if (!task.isRunning) {
         task.isRunning = true;
         m_scheduler.taskRunning(ref, worker, m_now);
-        const bool urgent = task.spec.priority == task_priority::Urgent;
-        if (urgent && !task.hasRunBefore && !task.alwaysFails)
+        const bool isUrgent = task.spec.priority == task_priority::Urgent;
+        if (isUrgent && !task.hasRunBefore && !task.alwaysFails)
             m_urgentDelays.push_back(elapsedSeconds() - task.pendingAt);
         task.hasRunBefore = true;
     }
@@ -315,8 +315,8 @@
         m_scheduler.taskReleased(ref, worker, m_now);
         return false;
     }
-    const bool service = task.spec.kind == task_kind::Service;
-    if (!service && (task.alwaysFails || isFailingWorker(worker)) && task.timeOnWorker >= 3) {
+    const bool isService = task.spec.kind == task_kind::Service;
+    if (!isService && (task.alwaysFails || isFailingWorker(worker)) && task.timeOnWorker >= 3) {
         ++m_result.failures;
         stopTask(task);
         m_scheduler.taskFailed(ref, worker, "exit 1", m_now);
@@ -375,7 +375,7 @@
             continue;
         ++m_result.memoryKills;
         stopTask(*task);
-        // Released, not failed: the task itself is not to blame.
+        // Released, not failed: being killed for memory is not a failure of the job.
         m_scheduler.taskReleased(task->spec.ref(), worker, m_now);
     }
 }
@@ -452,9 +452,9 @@
     m_result.wastedHours /= SecondsPerHour;
     const auto lateCount = std::count_if(m_latencyRatios.begin(), m_latencyRatios.end(),
                                          [](double ratio) { return ratio > 1; });
-    const auto momentCount = static_cast<double>(std::max<std::size_t>(m_latencyRatios.size(), 1));
-    m_result.serviceLateFraction = static_cast<double>(lateCount) / momentCount;
-    m_result.meanSlowdown = m_slowdownSum / momentCount;
+    const auto sampleCount = static_cast<double>(std::max<std::size_t>(m_latencyRatios.size(), 1));
+    m_result.serviceLateFraction = static_cast<double>(lateCount) / sampleCount;
+    m_result.meanSlowdown = m_slowdownSum / sampleCount;
     m_result.serviceP99Ratio = percentile(m_latencyRatios, 0.99);
     m_result.urgentP99Delay = percentile(m_urgentDelays, 0.99);
     m_result.maxUrgentDelay = percentile(m_urgentDelays, 1);
--- a/bench/placement_model.h
+++ b/bench/placement_model.h
@@ -1,9 +1,9 @@
-// A small seeded simulation of workers in virtual time. Batch tasks slow the services beside them,
-// how much depends on the pair of their classes. Declared sizes are wrong, samples are delayed, and
-// a worker and some jobs fail.
+// A seeded simulation of workers in virtual time, used by placement_bench and
+// placement_policy_test. It measures the effect of a placement policy on services and batch work;
+// every policy gets the same sequence of jobs.
 //
-// It measures the effect of a placement policy on services and batch work; every policy gets the
-// same sequence of jobs.
+// Batch tasks slow the services beside them, and how much depends on the two classes. Declared
+// sizes are wrong, samples are delayed, and a worker and some jobs fail.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +42,7 @@
     double wastedHours = 0;    // processor hours repeated or lost
     int throttles = 0;         // decisions of the scheduler to set or lift a CPU limit
     double maxUrgentDelay = 0; // seconds from pending to the first run, urgent tasks
-    double urgentP99Delay = 0; // likewise
+    double urgentP99Delay = 0; // p99 of the same delay, in seconds
     // How often a worker had more reserved than its size; each worker is checked every 500 ms.
     int overCapacityCount = 0;
 };
@@ -54,9 +54,12 @@
     placement::scheduler_settings settings;
 };
 
-// First fit on declared sizes; the scheduler's own policy (Scored) without learning of sizes and
-// interference, and then with it and the weights of each of two deployments; and the first of these
-// two again, once without relieveServices and once without learning of interference.
+// Returns, in this order:
+//   first fit on declared sizes, without any learning, relief or quarantine
+//   placement_algorithm::Scored without learning of sizes and interference
+//   the same with learning, once with each of two deployments' weights
+//   the first deployment's again, without relieveServices
+//   the first deployment's again, without learning of interference
 std::vector<named_policy> comparedPolicies();
 // The same policy and settings always give the same result.
 model_result runModel(const placement::scheduler_settings &policy, const model_settings &settings);
--- a/libs/placement/actions.h
+++ b/libs/placement/actions.h
@@ -1,6 +1,7 @@
-// Messages between the scheduler and the process that runs it.
+// Types that class scheduler exchanges with the code that runs it (owned_shard, in app/).
 //
 //   placement_action              decisions: place, raise, preempt, throttle, refuse
+//   backlog_plan                  tasks to assign to workers' backlogs or to withdraw from them
 //   usage_sample, latency_sample  measurements reported by workers; they arrive with a delay
 //   pool_info, team_quota         settings from the operators' configuration
 #pragma once
@@ -19,8 +20,8 @@
 namespace zinniabarrow::placement {
 
 // Start the task on the worker with the limits in `reserved`. The worker's ledger already counts
-// the reservation. The caller stores the placement and reports the result of that write with
-// scheduler::placementSettled().
+// the reservation. The code that runs the scheduler stores the placement and reports the
+// result of that write with scheduler::placementSettled().
 struct place_action
 {
     task_ref task;
@@ -34,7 +35,7 @@
     Interference,   // the task slows a service, and throttling was not enough
 };
 
-// Checkpoint the victim and stop it. The ledger counts its reservation until
+// Checkpoint the victim and stop it. The worker's ledger counts its reservation until
 // scheduler::taskReleased().
 struct preempt_action
 {
@@ -45,7 +46,7 @@
     time_point checkpointDeadline; // afterwards, stop with the last complete checkpoint
 };
 
-// Tell the worker and the agent's ledger that the task may use more.
+// Tell the worker and its agent's ledger that the task may use more.
 struct raise_action
 {
     task_ref task;
@@ -72,13 +73,14 @@
     std::string reason;
 };
 
-// Which decisions plan() may take. While the table is unavailable no new placement can be stored,
-// so only tasks that the table already holds in a worker's backlog may be started.
+// Which decisions scheduler::plan() may take. While the table of tasks is unavailable, no new
+// placement can be stored, so only tasks that the table already lists in a worker's backlog may be
+// started.
 enum class plan_scope { All, BacklogOnly };
 
-// Changes of the workers' backlogs. For an assigned task, plan() returns a place_action on the same
-// worker once there is capacity. A withdrawn task becomes pending again with
-// scheduler::taskReleased().
+// Changes of the workers' backlogs, see scheduler::planBacklog(). For an assigned task, plan()
+// returns a place_action on the same worker once there is capacity. A withdrawn task becomes
+// pending again with scheduler::taskReleased().
 struct backlog_plan
 {
     std::vector<place_action> assigned;
@@ -101,7 +103,7 @@
     task_ref task;
     std::string worker;
     resources used;        // processor time averaged over the sampling interval; peak memory
-    time_point measuredAt; // on this process's clock: receipt minus the age in the message
+    time_point measuredAt; // on this process's clock: time of receipt minus the sample's age
 };
 
 // Tail latency of one instance of a service. Samples arrive with a delay.
@@ -125,14 +127,15 @@
     std::string team;
     double weight = 1; // relative share when teams compete for capacity
     resources limit;   // maximum total reservation; 0 in a dimension means no limit
-    std::optional<resources> localLimit = {}; // of `limit`, for this scheduler; unset: all of it
+    std::optional<resources> localLimit = {}; // part of `limit` for this scheduler; unset: all
 };
 
 // What a team has reserved at this scheduler, and what its pending tasks need.
 struct team_usage
 {
     resources reservedSum;
-    resources pendingSum;     // of its pending tasks, as far as the workers could hold it
+    // Demand of its pending tasks, at most what the workers could hold beside its reservations.
+    resources pendingSum;
     resources largestPending; // largest pending task; 0 in all dimensions if none fits the workers
 };
 
--- a/libs/placement/backlog.cpp
+++ b/libs/placement/backlog.cpp
@@ -16,11 +16,11 @@
 namespace {
 
 constexpr std::size_t MaxAssignedPerPlan = 64; // tasks that one planBacklog() call may assign
-// Capacity on the new worker is held this long until the withdrawal is confirmed and stored.
+// How long capacity on the new worker is held while the withdrawal is confirmed and stored.
 constexpr seconds WithdrawalHoldTime{5};
 
 // Tasks with failover_class::Proof are excluded: if the worker stopped responding, such a task
-// would stay bound to it until the worker returned.
+// would wait for this worker until it returned.
 bool canJoinBacklog(const job_record &job)
 {
     return job.spec.kind == task_kind::Batch && job.spec.priority != task_priority::Urgent
@@ -66,8 +66,8 @@
     withdrawFromBacklogs(plan, now);
     if (perWorker == 0)
         return plan;
-    // Tasks of a team at its quota come last: otherwise they would fill the backlogs and exclude
-    // tasks that could run.
+    // Jobs that wait for capacity come before those of teams at their quota, which would otherwise
+    // fill the backlogs and exclude tasks that could run.
     for (const auto reason : {wait_reason::NoCapacity, wait_reason::TeamAtQuota}) {
         for (int rank = 0; rank < RankCount; ++rank) {
             for (auto &[team, jobs] : m_queue.teamsAtRank(rank)) {
@@ -130,7 +130,7 @@
     if (!found || found.task->cancelled)
         return;
     const int slot = found.task->workerSlot;
-    // Before removeFromWorker(), so that the slot stays in use.
+    // Added to the backlog first: removeFromWorker() would otherwise free the slot.
     addToBacklog(task, *found.task, slot, now);
     found.task->isBacklogStored = true;
     removeFromWorker(task, *found.task, now);
@@ -153,7 +153,8 @@
     return bestSlot;
 }
 
-// Without withdrawals the last tasks of a job would wait for one busy worker while others are idle.
+// Withdraws tasks from backlogs. Otherwise the last tasks of a job would wait for one busy worker
+// while others are idle.
 void scheduler::withdrawFromBacklogs(backlog_plan &plan, time_point now)
 {
     const std::vector<task_ref> tasks(m_backlogTasks.begin(), m_backlogTasks.end());
@@ -166,9 +167,9 @@
     }
 }
 
-// True if the assigned worker no longer accepts tasks, or if another worker has free capacity that
-// plan() did not use. That capacity is then held for this task, so that it does not trigger the
-// withdrawal of several tasks.
+// Returns true if the assigned worker no longer accepts tasks, or if another worker has free
+// capacity that plan() did not use. That capacity is then held for this task, so that several tasks
+// are not withdrawn for the same capacity.
 bool scheduler::shouldWithdraw(const job_record &job, task_record &record, time_point now)
 {
     if (record.holdSlot != NoWorker && now < record.holdUntil)
@@ -221,7 +222,7 @@
     removeFromBacklog(task, *found.task);
     // If capacity is held for the task on another worker, the next plan() places it there.
     if (found.task->holdSlot != NoWorker)
-        m_heldTasks.insert(task);
+        m_tasksWithHold.insert(task);
     enqueue(*found.job, task.taskIndex, now);
     return true;
 }
--- a/libs/placement/interference.cpp
+++ b/libs/placement/interference.cpp
@@ -91,7 +91,7 @@
     update(*estimate, regressors, residual);
 }
 
-// Update step of a Kalman filter whose state is constant except for the drift.
+// Update step of a Kalman filter whose state, the means, is constant except for the drift.
 void interference_model::update(service_estimate &estimate,
                                 const std::vector<regressor> &regressors, double residual)
 {
@@ -113,7 +113,7 @@
     for (std::size_t index = 1; index < size; ++index) {
         const double mean =
                 estimate.means[index] + crossCovariance[index] / residualVariance * residual;
-        setMean(estimate, index, std::max(mean, 0.0)); // a neighbour never speeds a service up
+        setMean(estimate, index, std::max(mean, 0.0)); // a neighbour never makes a service faster
     }
 }
 
@@ -179,7 +179,7 @@
     return &estimate;
 }
 
-// Returns 0 when the class is not among the neighbours.
+// Returns the neighbour's index in service_estimate::means, or 0 when it has none.
 std::size_t interference_model::findIndex(const service_estimate &estimate, class_number neighbour)
 {
     const auto found = std::find(estimate.neighbours.begin(), estimate.neighbours.end(), neighbour);
--- a/libs/placement/interference.h
+++ b/libs/placement/interference.h
@@ -46,8 +46,8 @@
     // Adds `millicores` to the amount of the class; negative when a task leaves or is throttled.
     void addChange(class_number jobClass, std::int64_t millicores, time_point at);
     const std::vector<class_millicores> &current() const { return m_current; }
-    // The amounts at `moment`; no value if the history does not reach back that far, in which case
-    // the caller drops the sample.
+    // The amounts at `moment`; no value if the history does not reach back that far; the
+    // scheduler then drops the sample.
     std::optional<std::vector<class_millicores>> at(time_point moment) const;
 
 private:
--- a/libs/placement/latency_signal.h
+++ b/libs/placement/latency_signal.h
@@ -1,8 +1,9 @@
-// Detects that one instance of a service is disturbed: a moving average of its latency with
-// hysteresis.
+// Tells whether one instance of a service is disturbed, that is, misses its latency target for some
+// time: a moving average with hysteresis. The scheduler keeps one signal per instance.
 //
-// A single bad sample does not raise the signal, and it falls only well below the level at which it
-// rises. docs/design/PLACEMENT.md describes the alternative that it was compared with.
+// A single slow sample does not raise the signal. A raised signal is lowered only when the average
+// has fallen well below the level that raised it. docs/design/PLACEMENT.md describes the
+// alternative that was compared.
 #pragma once
 
 #include <array>
@@ -22,11 +23,13 @@
 public:
     static constexpr std::size_t MaxSamples = 16;
 
+    // Adds a sample. `excess`: log(p99 / target).
     void add(double excess, const latency_signal_settings &settings);
     // Drops the samples but keeps the state: samples from before an action do not show its effect.
     void clearSamples() { m_count = 0; }
 
-    double mean() const;
+    double mean() const; // of the samples in the window; 0 without samples
+    // False until enough samples were added since the last clearSamples().
     bool isFull(const latency_signal_settings &settings) const
     {
         return m_count >= settings.windowSamples;
--- a/libs/placement/plan.cpp
+++ b/libs/placement/plan.cpp
@@ -1,4 +1,5 @@
-// The scheduler's decisions: raises, evictions for memory, and placement of pending tasks.
+// The scheduler's decisions: raised reservations, evictions for memory, and placement of pending
+// tasks.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -9,11 +10,12 @@
 
 namespace {
 
-constexpr std::size_t MaxFailedDemands = 64;     // demands remembered during one pass
-constexpr milliseconds MinStopTime{300};         // given to the victims of urgent tasks
-constexpr milliseconds StopGracePeriod{300};     // for the report; then another worker is tried
+constexpr std::size_t MaxFailedDemands = 64; // demands remembered during one pass
+constexpr milliseconds MinStopTime{300};     // that victims of urgent tasks get to stop
+// For the victims' stop to be reported; after that another worker is tried.
+constexpr milliseconds StopGracePeriod{300};
 constexpr milliseconds UrgentRetryInterval{100}; // when preemption cannot free enough capacity
-constexpr seconds AvoidSlowWorkerFor{10};        // when its victims did not stop in time
+constexpr seconds AvoidSlowWorkerFor{10};        // whose victims did not stop in time
 
 // Ranks before every batch task: evictions for memory may choose any batch task.
 constexpr int RankBeforeBatch = 0;
@@ -54,8 +56,7 @@
     return std::move(pass.actions);
 }
 
-// A worker's quarantine ends with its cool-down, without an event; so the state is checked on each
-// pass.
+// No event reports that a worker's cool-down has ended, so the state is checked on each pass.
 void scheduler::refreshQuarantinedWorkers(time_point now)
 {
     for (auto next = m_quarantinedSlots.begin(); next != m_quarantinedSlots.end();) {
@@ -95,12 +96,12 @@
     }
 }
 
-// A worker whose tasks use more than they reserved, with no capacity for the raise, would run out
-// of memory, and the kernel would kill an arbitrary task. Evicting one batch task by policy costs
-// less. The deferred raise alone is no reason to evict: it keeps new tasks away, while the other
-// tasks may use far less than they reserved. Evicting for every deferred raise turned a wave of
-// growing tasks into a wave of evictions. So the measured memory use must first come near the
-// worker's memory.
+// If tasks use more than they reserved and the worker has no capacity to raise their reservations,
+// it runs out of memory and the kernel kills an arbitrary task. Evicting one batch task chosen by
+// policy costs less. A deferred raise alone is no reason to evict: it keeps new tasks away, while
+// the other tasks may use far less than they reserved. Evicting for every deferred raise would turn
+// a wave of growing tasks into a wave of evictions. So the measured memory use must first come near
+// the worker's memory.
 void scheduler::evictForMemory(planning_pass &pass)
 {
     for (auto next = m_deferredRaiseSlots.begin();
@@ -128,8 +129,9 @@
     }
 }
 
-// Memory in bytes that the tasks that are not stopping may soon use: the measured peak plus a
-// margin for delayed samples, or the whole reservation if there is no sample yet.
+// Returns the bytes of memory that the worker's tasks may soon use, without those that are
+// stopping. Per task: the measured peak plus a margin for delayed samples, or the whole reservation
+// if there is no sample yet.
 std::int64_t scheduler::expectedBytes(int slot)
 {
     std::int64_t sum = 0;
@@ -210,8 +212,8 @@
     return tryTask(pass, job, index);
 }
 
-// Refuses the job's tasks at once, naming the limit: a task that can never run would otherwise stay
-// in the queue unnoticed.
+// Refuses the tasks of a job that exceeds the largest worker or the team's quota, and names the
+// limit: a task that can never run would otherwise stay in the queue unnoticed.
 bool scheduler::refuseJob(planning_pass &pass, job_record &job)
 {
     const auto &pool = m_workers.pool(job.pool);
@@ -312,7 +314,8 @@
         maxDemand.millicores = std::min(maxDemand.millicores, limit.millicores);
     if (limit.bytes > 0)
         maxDemand.bytes = std::min(maxDemand.bytes, limit.bytes);
-    // Learning may reduce the processor time; the upper bound applies only to what learning added.
+    // The bound cuts only what learning added above the declared size. Learning may also reduce the
+    // processor time.
     resources demand = learned;
     demand.millicores =
             std::min(learned.millicores, std::max(maxDemand.millicores, declared.millicores));
@@ -375,8 +378,9 @@
     return try_result::JobBlocked;
 }
 
-// Uses capacity freed by victims first. If they have not stopped in time, another worker is tried:
-// a worker that does not stop its tasks must not delay urgent work.
+// Places the task on the capacity held for it, if its victims have freed enough. If they have not
+// stopped in time, the hold is abandoned and another worker is tried: a worker that does not stop
+// its tasks must not delay urgent work.
 bool scheduler::placeOnHold(planning_pass &pass, job_record &job, std::int32_t index,
                             const resources &demand)
 {
@@ -396,12 +400,13 @@
     return false;
 }
 
-// Capacity held on the same worker for tasks whose hold is older. Newer holds do not count: their
-// victims may still run and would keep this task from capacity that its own victims freed.
+// Returns the capacity held on the same worker for tasks whose hold is older. Newer holds do not
+// count: their victims may still run, and this task must get the capacity that its own victims
+// freed.
 resources scheduler::earlierHolds(const task_record &record)
 {
     resources sum;
-    for (const auto &task : m_heldTasks) {
+    for (const auto &task : m_tasksWithHold) {
         const auto other = findTask(task);
         if (other && other.task->holdSlot == record.holdSlot
             && other.task->holdNumber < record.holdNumber)
@@ -417,11 +422,11 @@
     releaseHold(record);
 }
 
-// A task that was not retried in time, because its team reached its quota or its job was
+// A task that is not tried any more, because its team has reached its quota or its job is
 // quarantined, must not hold capacity forever.
 void scheduler::expireHolds(planning_pass &pass)
 {
-    for (auto next = m_heldTasks.begin(); next != m_heldTasks.end();) {
+    for (auto next = m_tasksWithHold.begin(); next != m_tasksWithHold.end();) {
         const auto found = findTask(*next);
         const bool hasHold = found && found.task->holdSlot != NoWorker;
         if (hasHold && pass.now < found.task->holdUntil) {
@@ -430,13 +435,13 @@
         }
         if (hasHold)
             abandonHold(*found.task, pass.now);
-        next = m_heldTasks.erase(next);
+        next = m_tasksWithHold.erase(next);
     }
 }
 
-// The team's own batch tasks fill its quota and could delay its urgent work for hours. Tasks that
-// already hold capacity count as placed, and victims that are still stopping as stopped, so that
-// each pending task preempts its own victims only once.
+// Stops batch tasks of the team itself, which fill its quota and could delay its urgent work for
+// hours. Tasks with a hold count as placed, and victims that are still stopping as stopped, so that
+// each pending task preempts victims only once.
 void scheduler::preemptForQuota(planning_pass &pass, job_record &job)
 {
     std::erase_if(m_quotaVictims, [this](const task_ref &victim) { return !isStopping(victim); });
@@ -465,11 +470,12 @@
     return reservation != nullptr && reservation->state == reservation_state::Stopping;
 }
 
-// What the team's holds will add to its reservations, less what its stopping victims will release.
+// Returns what the team's tasks with a hold will add to its reservations, less what its stopping
+// victims will release.
 resources scheduler::pendingTeamChange(std::uint16_t team)
 {
     resources sum;
-    for (const auto &task : m_heldTasks) {
+    for (const auto &task : m_tasksWithHold) {
         const auto found = findTask(task);
         if (found && found.task->holdSlot != NoWorker && found.job->team == team)
             sum += found.task->holdAmount;
@@ -501,7 +507,7 @@
     for (const auto &victim : plan.victims)
         preempt(pass, plan.slot, victim, preempt_reason::UrgentTask, {job.spec.jobId, index},
                 victimDeadline);
-    m_heldTasks.insert({job.spec.jobId, index});
+    m_tasksWithHold.insert({job.spec.jobId, index});
     record.holdSlot = plan.slot;
     record.holdNumber = ++m_lastHoldNumber;
     record.holdAmount = request.demand;
@@ -516,7 +522,7 @@
     const task_ref task{job.spec.jobId, index};
     auto &worker = m_workers.at(slot);
     if (!worker.ledger.tryReserve(task, demand))
-        return; // cannot happen, since the capacity was checked; the ledger still decides
+        return; // not expected, since the capacity was checked; the ledger decides
     auto &record = job.tasks.at(index);
     dequeue(job, index);
     assignToWorker(job, task, record, slot, pass.now);
--- a/libs/placement/preemption_planner.cpp
+++ b/libs/placement/preemption_planner.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t MaxExaminedWorkers = 8; // workers for which victims are selected
+constexpr std::size_t MaxExaminedWorkers = 8; // workers for which planPreemption() selects victims
 
 resources positivePart(const resources &amount)
 {
@@ -24,9 +24,9 @@
     , m_chooser(chooser)
 { }
 
-// Only batch tasks are evicted; never urgent ones, and never tasks with failover_class::Proof,
-// which must finish without being restarted, such as a lease watcher. A task whose placement is
-// ambiguous may not have started, so stopping it might free nothing.
+// Never evicted are urgent tasks, and tasks with failover_class::Proof, such as a lease watcher,
+// which must finish without being restarted. A task whose placement is ambiguous may not have
+// started, so stopping it might free nothing.
 bool preemption_planner::canEvict(const task_ref &task, const task_reservation &reservation,
                                   int rank) const
 {
@@ -40,7 +40,8 @@
     return job->spec.priority != task_priority::Urgent && job->rank > rank;
 }
 
-// A stop that may wait for a long checkpoint does not free capacity in time for urgent work.
+// True if the task was asked to stop without a long checkpoint. After a long one, its capacity
+// would not be free in time for urgent work.
 bool preemption_planner::stopsSoon(const task_ref &task, const task_reservation &reservation) const
 {
     if (reservation.state != reservation_state::Stopping)
@@ -111,7 +112,7 @@
     return best.plan;
 }
 
-// Each victim costs 1, and so does losing the spread of a service's replicas.
+// The cost is 1 per victim plus the cost of a worse spread of the service's replicas.
 void preemption_planner::keepIfCheaper(cheapest_plan &best, const placement_request &request,
                                        int slot, std::optional<std::vector<task_ref>> victims) const
 {
--- a/libs/placement/preemption_planner.h
+++ b/libs/placement/preemption_planner.h
@@ -15,7 +15,7 @@
 
 namespace zinniabarrow::placement {
 
-// Holds only while the tables are unchanged.
+// Valid only until worker_table or task_table changes.
 struct preemption_plan
 {
     int slot = worker_table::NoSlot;
@@ -47,7 +47,7 @@
                   std::optional<std::uint16_t> team = std::nullopt) const;
     // Sum of the worker's reservations of tasks that were asked to stop, however long they take.
     resources stoppingReservations(int slot) const;
-    // Whether the task may be stopped for one of that rank: it ranks later and is a placed or
+    // Whether the task may be stopped for a task of that rank: it ranks later and is a placed or
     // running batch task with a pool, neither urgent nor of failover_class::Proof.
     bool canEvict(const task_ref &task, const task_reservation &reservation, int rank) const;
 
@@ -57,7 +57,8 @@
         std::uint64_t workerRevision = 0; // worker_record::revision for which the sums are valid
         // Reservations that may be evicted for a task of that rank.
         std::array<resources, RankCount> evictableByRank;
-        // Of tasks that were asked to stop and do so without a long checkpoint: counts as free.
+        // Reservations of tasks that were asked to stop and do so without a long checkpoint; they
+        // count as free.
         resources stoppingSoon;
     };
     struct victim
--- a/libs/placement/quarantine.cpp
+++ b/libs/placement/quarantine.cpp
@@ -21,9 +21,9 @@
 {
     if (!m_settings.enabled)
         return;
-    // The worker or the job is already known to be faulty, so the failure says nothing about the
-    // other. Otherwise one broken worker would quarantine every job that probes it, and one broken
-    // job would quarantine every worker.
+    // If the worker is already quarantined, its failure says nothing about the job, and vice versa.
+    // Otherwise one broken worker would quarantine every job that probes it, and one broken job
+    // would quarantine every worker.
     if (isQuarantined(m_workers, worker)) {
         startOrExtend(m_workers.at(worker), now);
         return;
@@ -55,8 +55,8 @@
 void quarantine::recordSuccess(const std::string &job, const std::string &worker,
                                time_point startedAt)
 {
-    // A task that started before the first failure proves nothing: a worker whose old tasks
-    // continue while each new one fails must not be considered healthy.
+    // The success of a task that started before the first failure proves nothing: a worker whose
+    // old tasks continue while each new one fails must not be considered healthy.
     const auto clearsRecord = [startedAt](const failure_record &record) {
         return record.failures.empty() || startedAt >= record.failures.front().at;
     };
@@ -127,7 +127,8 @@
 }
 
 // Packing may alternate the tasks of a failing job between two workers, or the pool may have at
-// most two. The job would then never reach the limit of distinct workers and would fail forever.
+// most two workers. Without a limit on the number of failures, the job would never reach the limit
+// of distinct workers and would fail forever.
 bool quarantine::shouldQuarantineJob(const failure_record &record, std::size_t poolSize) const
 {
     const auto distinctWorkers = record.failures.size();
@@ -189,8 +190,8 @@
 }
 
 // A wave of failing jobs makes every worker look broken. Without a limit the pool would have no
-// usable worker and healthy jobs would wait; with it at most this share is lost until the failing
-// jobs are quarantined.
+// usable worker and healthy jobs would wait. With the limit at most maxQuarantinedShare of the
+// workers is unused until the failing jobs are quarantined.
 bool quarantine::canQuarantineWorker(const std::string &pool, std::size_t poolSize) const
 {
     std::size_t quarantinedCount = 0;
--- a/libs/placement/quarantine.h
+++ b/libs/placement/quarantine.h
@@ -28,7 +28,7 @@
     duration maxCoolDown = std::chrono::hours(1);    // upper bound of the doubling
     duration probeTimeout = std::chrono::minutes(2); // without a result, another probe may start
     double maxQuarantinedShare = 0.1; // share of a pool's workers; at least one worker
-    std::size_t maxRecords = 8192;    // limit of the records of jobs, and also of those of workers
+    std::size_t maxRecords = 8192;    // maximum number of job records, and of worker records
 };
 
 class quarantine
@@ -55,7 +55,7 @@
 
     bool isWorkerQuarantined(const std::string &worker) const;
     bool isJobQuarantined(const std::string &job) const;
-    // The worker would be quarantined, but the pool's limit is reached: use it last.
+    // True if the worker would be quarantined but the pool's limit is reached: use it last.
     bool isSuspect(const std::string &worker) const;
     std::vector<std::string> quarantinedWorkers() const;
     // Why the job is quarantined, for operators; empty when it is not.
--- a/libs/placement/quota_table.cpp
+++ b/libs/placement/quota_table.cpp
@@ -47,8 +47,8 @@
     auto &known = m_teams.at(teamNumber(quota.team)).quota;
     const auto localLimit = known.localLimit;
     known = quota;
+    // The local limit stays in force when the configuration changes.
     if (!known.localLimit)
-        // The local limit stays in force when the configuration changes.
         known.localLimit = localLimit;
 }
 
--- a/libs/placement/quota_table.h
+++ b/libs/placement/quota_table.h
@@ -26,10 +26,11 @@
     {
         m_teams.at(team).quota.localLimit = localLimit;
     }
-    // Sum of all workers, of which the shares are fractions.
+    // Sets the sum of the workers' sizes, of which the shares are fractions.
     void setTotal(const resources &total) { m_total = total; }
     const resources &total() const { return m_total; }
 
+    // Add to and subtract from what the team has reserved.
     void charge(std::size_t team, const resources &amount);
     void refund(std::size_t team, const resources &amount);
 
@@ -39,6 +40,7 @@
     resources excess(std::size_t team, const resources &amount) const;
     // Name of the dimension in which `amount` alone exceeds the team's limit; no value if none.
     std::optional<std::string> exceededDimension(std::size_t team, const resources &amount) const;
+    // The team's dominant share divided by its weight.
     double weightedShare(std::size_t team) const;
     const team_quota &quotaOf(std::size_t team) const { return m_teams.at(team).quota; }
     const resources &reservedBy(std::size_t team) const { return m_teams.at(team).reserved; }
--- a/libs/placement/relief.cpp
+++ b/libs/placement/relief.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Benefit for the service when the task loses `processors`: at most the service's excess.
+// Benefit for the service when the task loses `processors`: what the service exceeds its target by
+// is the most that can be gained.
 double latencyBenefit(const relief_candidate &candidate, double processors, double excess,
                       const policy_weights &weights)
 {
--- a/libs/placement/relief.h
+++ b/libs/placement/relief.h
@@ -1,4 +1,4 @@
-// Relief: which action helps a service that its neighbours slow, cheapest first.
+// Relief of a service that its neighbours slow: which batch task to throttle or evict.
 //
 //   policy_weights     priorities of a deployment
 //   eviction_budget    limits the rate of evictions for interference
@@ -20,12 +20,13 @@
 
 namespace zinniabarrow::placement {
 
-// Only the ratios between the weights matter.
+// Costs and benefits are multiplied by these weights before they are compared; only the ratios
+// matter.
 struct policy_weights
 {
-    double tailLatency = 1; // of a service's log(p99 / target) above 0
-    double throughput = 1;  // of batch work, as a fraction of a worker
-    double evictions = 1;   // of one evicted task
+    double tailLatency = 1; // for each unit of a service's log(p99 / target) above 0
+    double throughput = 1;  // for batch work that does not run, as a fraction of a worker
+    double evictions = 1;   // for each evicted task
 };
 
 struct relief_settings
@@ -48,6 +49,7 @@
         : m_tokens(burst)
     { }
 
+    // Adds the tokens for the time since the last call. `workers`: number of workers in service.
     void refill(const relief_settings &settings, std::size_t workers, time_point now);
     bool canTake() const { return m_tokens >= 1; }
     void take() { m_tokens -= 1; }
@@ -60,7 +62,7 @@
 // A batch task on the same worker as the disturbed service.
 struct relief_candidate
 {
-    std::size_t index = 0;         // assigned by the caller
+    std::size_t index = 0;         // identifies the candidate in the result
     double effectPerProcessor = 0; // log slowdown of the service per processor used by this task
     double limitProcessors = 0;    // current limit in processors
     double reservedProcessors = 0; // limit in processors without throttling
--- a/libs/placement/reservation_ledger.h
+++ b/libs/placement/reservation_ledger.h
@@ -1,8 +1,8 @@
 // The resource reservations of one worker's tasks.
 //
-// The scheduler keeps one ledger per worker and checks it before each decision. The agent keeps its
-// own and checks it before each start, because a worker starts every task that it is given, whether
-// it has the capacity or not.
+// The scheduler keeps one ledger per worker and checks it before each placement. The agent beside
+// the worker keeps its own and checks it before each start, because a worker starts every task that
+// it is asked to start, whether it has the capacity or not.
 #pragma once
 
 #include <cstddef>
@@ -44,7 +44,7 @@
     // Counts a task that already runs, even beyond the worker's size: if it were not counted, its
     // capacity would be given to another task.
     void forceReserve(const task_ref &task, const resources &amount, reservation_state state);
-    // False when the task has no reservation.
+    // Returns false when the task has no reservation.
     bool setState(const task_ref &task, reservation_state state);
     // Raises the reservation to `wanted` in each dimension where that is larger. True when granted.
     // Otherwise the difference is deferred: it is unavailable to new tasks, and a later release
--- a/libs/placement/resources.cpp
+++ b/libs/placement/resources.cpp
@@ -30,11 +30,11 @@
 const Json::Value &memberOf(const Json::Value &value, const char *member)
 {
     if (!value.isObject())
-        throwInvalidMember(member, "a member of an object");
+        throwInvalidMember(member, "in a JSON object");
     return value[member];
 }
 
-// A larger amount is an error; the sum of thousands of smaller ones cannot overflow.
+// Larger amounts are rejected, so that a sum of many thousands of amounts cannot overflow.
 constexpr std::int64_t MaxAmount = std::numeric_limits<std::int64_t>::max() / 1'000'000;
 
 std::int64_t readAmount(const Json::Value &value, const char *member)
--- a/libs/placement/resources.h
+++ b/libs/placement/resources.h
@@ -21,7 +21,7 @@
 
 namespace zinniabarrow::placement {
 
-// The smaller of the two in each dimension.
+// The smaller of the two amounts in each dimension.
 resources minOfEach(const resources &left, const resources &right);
 // The largest quotient of `part` by `whole` over all dimensions. A dimension that is 0 in `whole`
 // counts as 1 if `part` uses it.
@@ -64,8 +64,8 @@
     std::string jobId;          // a service or a batch job
     std::int32_t taskIndex = 0; // 0 … replicas-1
     task_kind kind = task_kind::Batch;
-    std::string
-            jobClass; // tasks of a class behave alike: sizes and interference are learned per class
+    // Tasks of one class behave alike: sizes and interference are learned per class.
+    std::string jobClass;
     std::string team; // whose quota is charged
     task_priority priority = task_priority::Normal;
     std::string pool;          // the workers that may run it
--- a/libs/placement/scheduler.cpp
+++ b/libs/placement/scheduler.cpp
@@ -18,7 +18,8 @@
         {preempt_reason::Interference, "interference"},
 }};
 
-// Further classes share this number: they are placed as usual but not distinguished.
+// Number shared by all job classes beyond the first 4095: their tasks are placed as usual, but what
+// is learned is not kept apart.
 constexpr class_number MaxClasses = 4095;
 
 scheduler_settings withDerivedQuantile(scheduler_settings settings)
@@ -28,7 +29,8 @@
     return settings;
 }
 
-// A task is not its own neighbour; other tasks of its class are.
+// Subtracts the task's own amount: a task is not its own neighbour, but other tasks of its class
+// are.
 std::vector<class_millicores> withoutOwn(std::vector<class_millicores> amounts,
                                          const class_millicores &ownAmount)
 {
@@ -103,7 +105,8 @@
         if (found.job->team == number)
             add(*found.job, 1);
     }
-    // Demand that the workers here cannot hold would take quota from schedulers whose workers can.
+    // Without this bound, demand that the workers of this scheduler cannot hold would take quota
+    // from schedulers whose workers can.
     const auto freeCapacity = maxOfEach(m_workers.total() - teamUsage.reservedSum, resources{});
     teamUsage.pendingSum = minOfEach(teamUsage.pendingSum, freeCapacity);
     if (!teamUsage.largestPending.fitsIn(freeCapacity))
@@ -198,7 +201,7 @@
 {
     if (!job.pending.insert(index).second)
         return;
-    ++m_pendingTasks;
+    ++m_pendingTaskCount;
     job.tasks[index].pendingSince = now;
     job.blockedRevision = 0;
     m_queue.insert(job);
@@ -208,7 +211,7 @@
 {
     if (job.pending.erase(index) == 0)
         return;
-    --m_pendingTasks;
+    --m_pendingTaskCount;
     if (job.pending.empty())
         m_queue.erase(job);
 }
@@ -263,8 +266,7 @@
     }
 }
 
-// Updates everything else that depends on the task's worker; its reservation already exists in the
-// ledger.
+// Records on which worker the task is. The worker's ledger must already have its reservation.
 void scheduler::assignToWorker(const job_record &job, const task_ref &task, task_record &record,
                                int slot, time_point now)
 {
@@ -319,6 +321,7 @@
         m_tasks.eraseJob(jobId);
 }
 
+// Also counts the event that reported a cancelled task as pending.
 bool scheduler::isCancelled(const task_ref &task)
 {
     if (!m_cancelled.contains(task))
@@ -344,7 +347,7 @@
     const auto ref = task.ref();
     auto &job = updateJob(task);
     if (findInBacklog(ref, worker))
-        return; // it does not run there yet
+        return; // a task in a backlog does not run yet
     dequeue(job, task.taskIndex);
     auto &record = job.tasks[task.taskIndex];
     releaseHold(record);
@@ -386,8 +389,8 @@
         returnToPending(task, worker, now);
         return;
     }
-    // The write may have taken effect even though the response was lost. Freeing the capacity could
-    // assign it twice, so the reservation counts, and the task is not placed elsewhere, until the
+    // A write whose response was lost may have taken effect. If the capacity were freed, it could
+    // be assigned twice. So the reservation counts, and the task is not placed elsewhere, until the
     // rows have been read again.
     const auto state = m_workers.at(found.task->workerSlot).ledger.find(task)->state;
     if (outcome == placement_outcome::Unknown && state == reservation_state::Placed)
@@ -507,8 +510,8 @@
     const auto found = findOnWorker(sample.task, sample.worker);
     if (!found)
         return;
-    // The sample may be of an earlier attempt on the same worker. Its peak is valid for the job but
-    // not for the current attempt.
+    // A sample may be of an earlier attempt on the same worker. Its memory use counts for the job
+    // but not for the current attempt.
     const bool fromEarlierAttempt = sample.measuredAt < found.task->startedAt;
     if (fromEarlierAttempt)
         found.job->usage.peakBytes = std::max(found.job->usage.peakBytes, sample.used.bytes);
@@ -525,10 +528,9 @@
     raiseReservation(sample.task, *found.task, sample.used);
 }
 
-// Without raises, a task that outgrows its declared size would use memory that the ledger gives to
-// other tasks, and the worker would run out. The raise is requested while there is headroom. A
-// raise that does not fit is deferred, which keeps new tasks away, and plan() evicts for it if
-// necessary.
+// Raises the reservation of a task that comes near to using all of it. Otherwise the task would use
+// memory that the ledger gives to other tasks, and the worker would run out of memory. A raise that
+// does not fit is deferred, which keeps new tasks away, and plan() evicts for it if necessary.
 void scheduler::raiseReservation(const task_ref &task, task_record &record, const resources &used)
 {
     if (!m_settings.sizes.learn)
@@ -547,9 +549,9 @@
 
 void scheduler::queueRaises(int slot)
 {
-    for (const auto &[task, entry] : m_workers.at(slot).ledger.reservations()) {
+    for (const auto &[task, reservation] : m_workers.at(slot).ledger.reservations()) {
         const auto found = findTask(task);
-        if (found && found.task->sentReservation != entry.reserved)
+        if (found && found.task->sentReservation != reservation.reserved)
             m_raisesToSend.push_back(task);
     }
 }
@@ -590,7 +592,7 @@
     }
 }
 
-// --- Watching ------------------------------------------------------------------------------------
+// --- Status --------------------------------------------------------------------------------------
 
 std::string scheduler::explain(const task_ref &task, time_point now) const
 {
--- a/libs/placement/scheduler.h
+++ b/libs/placement/scheduler.h
@@ -7,13 +7,21 @@
 //   decisions       plan, planBacklog, explain
 //   status          stats, ledgerOf, pendingTaskCount
 //
-// It does no I/O and takes the current time, `now`, with each event. It is not thread-safe.
+// Class scheduler does no I/O and takes the current time, `now`, with each event. It is not
+// thread-safe. The code that runs it (owned_shard, in app/) stores placements in the table, which
+// is the durable record of all tasks, and carries out the actions that plan() returns.
+//
+// Terms: a hold is capacity of a worker that is kept free for a task until the victims preempted
+// for that task have stopped, or until its withdrawal from another worker's backlog is confirmed. A
+// worker's backlog is the list of batch tasks assigned to the worker before it has free capacity. A
+// rank orders tasks by priority, see rankOf(). A slot is the index of a worker in worker_table.
 //
 // Order of calls for one task: taskPending; plan returns a place_action; placementSettled with the
 // result of the write; taskRunning; then taskEnded, taskFailed, or taskStopping followed by
 // taskReleased. After a restart taskPlaced adds a task that is placed according to the table. Each
 // event names the worker. An event for a worker on which the task is not placed is late or a
-// duplicate; it is ignored and counted. The caller must drop events of earlier attempts.
+// duplicate; it is ignored and counted. The code that reports events must drop those of earlier
+// attempts, since an attempt on the same worker cannot be distinguished here.
 #pragma once
 
 #include <cstddef>
@@ -60,10 +68,12 @@
     // For a known worker, returns it to service and updates its properties.
     void addWorker(const worker_info &worker, time_point now);
     void resizeWorker(const std::string &worker, const resources &size, time_point now);
-    // The worker gets no new tasks. Its tasks count until each is released, ended or failed.
+    // The worker gets no new tasks. The reservations of its tasks count until each is released,
+    // ended or failed.
     void removeWorker(const std::string &worker, time_point now);
 
-    // A known task is not queued twice; a changed specification applies to later placements.
+    // Adds a task that has to be placed. A known task is not queued twice; a changed specification
+    // applies to later placements.
     void taskPending(const task_spec &task, time_point now);
     // Adds a placement that the table already holds, even if it does not fit. `reserved` is the
     // reservation, which may differ from the declared size. While the job's configuration is
@@ -76,7 +86,7 @@
     void placementSettled(const task_ref &task, const std::string &worker,
                           placement_outcome outcome, time_point now);
     void taskRunning(const task_ref &task, const std::string &worker, time_point now);
-    // A stop was requested. The task counts until taskReleased or taskEnded.
+    // A stop was requested. The task's reservation counts until taskReleased or taskEnded.
     void taskStopping(const task_ref &task, const std::string &worker, time_point now);
     // The task is proven to run nowhere (evicted, lease expired, worker gone): pending again.
     void taskReleased(const task_ref &task, const std::string &worker, time_point now);
@@ -90,13 +100,15 @@
     std::vector<task_ref> cancelTasks(std::span<const task_ref> tasks, time_point now);
     std::vector<task_ref> cancelJob(const std::string &jobId, time_point now);
 
-    // The operators submitted a job of that name again, so its tasks may become pending again.
+    // A cancelled job was submitted again under the same name: its tasks may become pending again.
     void reopenJob(const std::string &jobId);
 
+    // Update learned sizes, reservations, interference and latency signals. Duplicates and samples
+    // of earlier attempts are dropped.
     void usageSampled(const usage_sample &sample, time_point now);
     void latencySampled(const latency_sample &sample, time_point now);
 
-    // The next decisions, at most `maxDecisions`. The ledgers already include them.
+    // Returns the next decisions, at most `maxDecisions`. The ledgers already include them.
     std::vector<placement_action> plan(time_point now, int maxDecisions,
                                        plan_scope scope = plan_scope::All);
     // Call after plan(). Assigns batch tasks that are still pending to backlogs, at most
@@ -105,7 +117,8 @@
     backlog_plan planBacklog(time_point now, std::size_t perWorker);
     // A task that was added with taskPlaced is in the worker's backlog and does not run yet.
     void taskInBacklog(const task_ref &task, const std::string &worker, time_point now);
-    // True if neither the worker nor the team exceeds its limit with this task included.
+    // True if the task is placed, its worker's reservations fit the worker's size, and the team is
+    // within its quota.
     bool isWithinLimits(const task_ref &task) const;
     std::size_t backlogLengthOf(const std::string &worker) const;
     // The worker on which the task is placed or in whose backlog it is; empty when it is pending or
@@ -116,7 +129,7 @@
     std::string explain(const task_ref &task, time_point now) const;
     const scheduler_stats &stats() const { return m_stats; }
     const reservation_ledger *ledgerOf(const std::string &worker) const; // null: unknown worker
-    std::size_t pendingTaskCount() const { return m_pendingTasks; }
+    std::size_t pendingTaskCount() const { return m_pendingTaskCount; }
     const interference_model &interference() const { return m_interference; }
     // The number that identifies the class in the interference model.
     class_number classNumber(const std::string &jobClass);
@@ -184,9 +197,12 @@
     void placeRank(planning_pass &pass, pending_queue::rank_teams &teams);
     bool placeOneTask(planning_pass &pass, team_cursor &cursor);
     try_result tryNextTask(planning_pass &pass, job_record &job, std::int32_t &nextIndex);
+    // True when no task of the job can be tried in this pass: refused, or the pool has no workers.
     bool refuseJob(planning_pass &pass, job_record &job);
     void refuseTasks(planning_pass &pass, job_record &job, error_kind kind,
                      const std::string &reason);
+    // True when the job is quarantined, its team is at its quota, or no capacity was freed since
+    // it last did not fit and the retry is not due yet.
     bool shouldWait(planning_pass &pass, job_record &job);
     try_result tryTask(planning_pass &pass, job_record &job, std::int32_t index);
     static bool hasFailedDemand(const planning_pass &pass, std::size_t pool,
@@ -239,7 +255,7 @@
     task_table m_tasks;
     pending_queue m_queue;
     cancelled_task_set m_cancelled;
-    std::size_t m_pendingTasks = 0;
+    std::size_t m_pendingTaskCount = 0;
     worker_table m_workers;
     std::unordered_map<std::string, class_number> m_classNumbers;
     quota_table m_quotas;
@@ -249,10 +265,10 @@
     worker_chooser m_chooser;
     preemption_planner m_preemptionPlanner;
     eviction_budget m_evictionBudget;
-    std::vector<task_ref> m_raisesToSend; // reservations that the worker has to be told
+    std::vector<task_ref> m_raisesToSend; // tasks whose worker has to be told a raised reservation
     std::uint64_t m_lastHoldNumber = 0;
     std::set<task_ref> m_backlogTasks;    // tasks in backlogs
-    std::set<task_ref> m_heldTasks;       // tasks for which capacity is held
+    std::set<task_ref> m_tasksWithHold;   // tasks for which capacity is held
     std::vector<task_ref> m_quotaVictims; // stopping for urgent tasks of their own team
     std::set<int> m_deferredRaiseSlots;   // slots with a deferred raise
     std::set<int> m_disturbedSlots;       // slots with a raised signal or throttled tasks
--- a/libs/placement/scheduler_settings.h
+++ b/libs/placement/scheduler_settings.h
@@ -1,4 +1,4 @@
-// Settings and counters of the scheduler.
+// Settings and counters of class scheduler.
 #pragma once
 
 #include <cstdint>
@@ -30,30 +30,34 @@
     latency_signal_settings signal;
     relief_settings relief;
     duration urgentStartLimit = milliseconds(2400); // from pending to started
-    duration startMargin = milliseconds(900);       // of it, to store and start after preemption
+    // Part of urgentStartLimit that remains after preemption, to store the placement and to start.
+    duration startMargin = milliseconds(900);
     duration checkpointTime = seconds(30); // checkpoint time in an eviction that is not urgent
     duration healthyAfter = seconds(60);   // a task that ran this long counts as a success
-    duration avoidWorkerFor = std::chrono::minutes(2); // after a failure or eviction on a worker
-    duration batchValueDoublingTime = seconds(60); // wait that doubles the value of starting batch
+    // How long a task avoids a worker on which it failed or was evicted.
+    duration avoidWorkerFor = std::chrono::minutes(2);
+    // Waiting time after which starting a batch task is worth twice as much.
+    duration batchValueDoublingTime = seconds(60);
     double memoryUseMargin = 1.1; // factor on the measured memory use before it causes evictions
     duration retryInterval = seconds(5);  // retry of a pending job without new capacity
-    duration minBacklogTime = seconds(2); // before a task may be withdrawn from a backlog
+    duration minBacklogTime = seconds(2); // in a backlog, before a task may be withdrawn from it
     // Without a configured size, the known workers define the pool's largest size after this time.
     duration poolLearningTime = seconds(10);
-    // Standard deviations added to an estimated effect, which makes unknown pairs less attractive.
+    // Number of standard deviations added to an estimated effect, so that pairs of classes about
+    // which little is known are avoided.
     double uncertaintyWeight = 0.5;
 };
 
-// A higher quantile of learned memory leaves more capacity unused; a lower one causes evictions
-// when tasks outgrow their reservation. The result is between 0.5 and 1, according to the
-// deployment's weights; 0.75 when both weights are zero.
+// Returns the value for size_learner_settings::memoryQuantile. A higher quantile leaves more memory
+// unused; a lower one causes evictions when tasks outgrow their reservation. The result is between
+// 0.5 and 1, according to the weights of evictions and throughput; 0.75 when both are zero.
 inline double memoryQuantileFor(const policy_weights &weights)
 {
     const double weightSum = weights.evictions + weights.throughput;
     return weightSum > 0 ? 0.5 + 0.5 * weights.evictions / weightSum : 0.75;
 }
 
-// Counters since start.
+// Counters since the scheduler was created.
 struct scheduler_stats
 {
     std::uint64_t placed = 0;             // tasks placed
@@ -67,9 +71,11 @@
     std::uint64_t refusedNeverFits = 0;
     std::uint64_t refusedQuota = 0;
     std::uint64_t refusedQuarantined = 0;
-    std::uint64_t staleEvents = 0;        // events naming a worker on which the task is not placed
+    std::uint64_t staleEvents = 0; // events that name a worker on which the task is not placed
     std::uint64_t pendingAfterCancel = 0; // tasks reported as pending after their cancellation
-    // Duplicates, samples older than the history or the attempt, or of a worker of unknown size.
+    // Samples that were not used: duplicates, those from before the current attempt or before the
+    // neighbour history begins, and latency samples without a target or of a worker of unknown
+    // size.
     std::uint64_t droppedSamples = 0;
     std::uint64_t evictionsOverBudget = 0; // evictions for interference that the budget prevented
 };
--- a/libs/placement/service_relief.cpp
+++ b/libs/placement/service_relief.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-constexpr int RankBeforeBatch = 0; // ranks before every batch task: any batch task may be evicted
+// Ranks before every batch task: evictions for a service may choose any batch task.
+constexpr int RankBeforeBatch = 0;
 
 double processorsOf(std::int64_t millicores)
 {
@@ -46,8 +47,8 @@
             m_disturbedSlots.erase(slot);
             continue;
         }
-        // Samples from before the last action would trigger the next one, and the worker would be
-        // emptied before the effect of the first action shows.
+        // Samples from before the last action would trigger the next one, and all batch tasks would
+        // be throttled or evicted before the effect of the first action shows.
         if (pass.now < worker.reliefPausedUntil)
             continue;
         if (const auto *mostDisturbedService = mostDisturbed(worker, m_settings.signal))
@@ -97,7 +98,7 @@
         throttle(pass, slot, tasks[limit->index], limit->limitProcessors);
         return;
     }
-    // The budget prevents a wave of interfering tasks from causing a wave of evictions.
+    // The budget keeps a wave of interfering tasks from causing a wave of evictions.
     if (!m_evictionBudget.canTake()) {
         ++m_stats.evictionsOverBudget;
         return;
@@ -113,7 +114,7 @@
 {
     const auto &worker = m_workers.at(slot);
     double headroom = std::numeric_limits<double>::max();
-    class_number nearestService = 0;
+    class_number nearestService = 0; // the service with the least headroom
     for (const auto &service : worker.services) {
         if (!service.signal.isFull(m_settings.signal)
             || pass.now - worker.signalRaisedAt < m_settings.relief.liftThrottleAfter)
--- a/libs/placement/size_learner.h
+++ b/libs/placement/size_learner.h
@@ -1,7 +1,8 @@
-// Learned sizes: what the tasks of a job class really use, from usage samples.
+// Learned sizes: how much the tasks of a job class really use, according to usage samples.
 //
-//   quantile_sketch  a quantile of many values in bounded memory
-//   size_learner     two sketches per job class, and the resulting reservation
+//   quantile_sketch  estimates quantiles of many values in bounded memory
+//   size_learner     one sketch of memory and one of processor time per job class, and the
+//                    resulting reservation
 #pragma once
 
 #include <array>
--- a/libs/placement/task_table.h
+++ b/libs/placement/task_table.h
@@ -27,7 +27,7 @@
 
 struct task_record
 {
-    int workerSlot = NoWorker; // slot of the worker on which it is placed; NoWorker: not placed
+    int workerSlot = NoWorker; // slot of the worker where it is placed; NoWorker: not placed
     bool cancelled = false;    // never placed again
     bool stopsSoon = false;    // no long checkpoint: cancelled, or preempted for an urgent task
     class_number jobClass = 0; // when it was placed; the job may change later
@@ -47,9 +47,10 @@
     time_point avoidUntil;
     int backlogSlot = NoWorker;   // in whose backlog it is; then neither pending nor placed
     bool isBacklogStored = false; // the table holds this backlog assignment
-    time_point withdrawableFrom;  // from then on it may be withdrawn for another worker
+    time_point withdrawableFrom;  // from then on it may move to another worker
 };
 
+// Why the tasks of a job are still pending.
 enum class wait_reason {
     NotTried,
     NoWorkers,
@@ -86,6 +87,7 @@
 public:
     job_record *findJob(const std::string &jobId);
     const job_record *findJob(const std::string &jobId) const;
+    // A new job is numbered in order of arrival.
     job_record &findOrAddJob(const std::string &jobId);
     void eraseJob(const std::string &jobId) { m_jobs.erase(jobId); }
     std::size_t jobCount() const { return m_jobs.size(); }
@@ -115,9 +117,9 @@
     std::array<rank_teams, RankCount> m_ranks;
 };
 
-// Remembers cancellations, the newest MaxKept of them. The row in the table is authoritative; this
-// only prevents an event that arrives after the cancellation from starting work that would have to
-// be stopped again.
+// Remembers the newest MaxKept cancellations, of a task or of a whole job. The row in the table of
+// tasks is authoritative; this set only prevents an event that arrives after the cancellation from
+// starting work that would have to be stopped again.
 class cancelled_task_set
 {
 public:
@@ -131,7 +133,7 @@
     static constexpr std::size_t MaxKept = 65536;
 
     std::map<task_ref, std::uint64_t> m_numberByTask; // number under which each was added
-    std::deque<std::pair<std::uint64_t, task_ref>> m_insertionOrder; // bounds m_numberByTask
+    std::deque<std::pair<std::uint64_t, task_ref>> m_insertionOrder; // to remove the oldest
     std::uint64_t m_lastNumber = 0;
 };
 
--- a/libs/placement/worker_chooser.cpp
+++ b/libs/placement/worker_chooser.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-// Costs per replica of the same job that is already in the same place. Losing an availability zone
-// costs most but is rarest; two replicas on one worker are lost together every month.
+// Cost for each replica of the same job that is already on the same worker, in the same zone or in
+// the same rack. Losing an availability zone costs most but is rarest; two replicas on one worker
+// are lost together every month.
 constexpr double SameWorkerCost = 2;
 constexpr double SameZoneCost = 1;
 constexpr double SameRackCost = 0.5;
@@ -18,9 +19,10 @@
 // For a service: cost of the first service on a worker, where batch runs without restriction.
 constexpr double FirstServiceCost = 0.4;
 constexpr double PackingWeight = 0.2; // for batch: weight of the capacity that would stay unused
-constexpr double SuspectCost = 4;
-constexpr double AcceleratorCost = 1;      // of accelerators that the task does not need
-constexpr double BelowTargetWeight = 0.05; // portion of a slowdown that counts below the target too
+constexpr double SuspectCost = 4;     // of a worker for which worker_record::isSuspected is set
+constexpr double AcceleratorCost = 1; // of a worker with accelerators that the task does not need
+// Portion of a slowdown that counts even while the service is below its target.
+constexpr double BelowTargetWeight = 0.05;
 constexpr std::size_t TightestCandidates = 16; // candidates with the tightest fit, scored in full
 // Further candidates, so that a quiet worker with much free capacity is considered.
 constexpr std::size_t SampledCandidates = 16;
@@ -163,6 +165,7 @@
     return candidates;
 }
 
+// Share of the worker that stays unused: smaller for a tighter fit.
 double worker_chooser::packingCost(const placement_request &request, int slot) const
 {
     const auto &size = m_workers.at(slot).info.size;
@@ -182,8 +185,8 @@
     return effect.mean + m_settings.uncertaintyWeight * effect.deviation;
 }
 
-// Expected cost for the services on the worker: the full slowdown above their targets, and
-// BelowTargetWeight of the rest.
+// Expected cost for the services on the worker if the task is placed there: the slowdown above
+// their targets, plus BelowTargetWeight of the whole slowdown.
 double worker_chooser::costToServices(const worker_record &worker,
                                       const placement_request &request) const
 {
@@ -205,6 +208,7 @@
     return slowdownCost;
 }
 
+// Expected cost for a service that is placed beside the worker's current tasks.
 double worker_chooser::costFromNeighbours(const worker_record &worker, class_number service) const
 {
     double sum = 0;
--- a/libs/placement/worker_chooser.h
+++ b/libs/placement/worker_chooser.h
@@ -1,5 +1,5 @@
-// Selects the worker for a task. Used by the scheduler, and by preemption_planner for the cost of
-// the spread. A slot is the index of a worker in worker_table.
+// Selects the worker for a task. Used by the scheduler, and by preemption_planner for spreadCost().
+// A slot is the index of a worker in worker_table.
 //
 // Services are spread over availability zones, racks and workers, preferring those with few
 // interfering tasks. Batch tasks are packed onto the worker with the tightest fit, unless the
@@ -59,6 +59,7 @@
     worker_chooser(const scheduler_settings &settings, const worker_table &workers,
                    const interference_model &interference);
 
+    // Returns the worker with the lowest cost for the task.
     worker_choice choose(const placement_request &request);
     // Cost of placing another replica of a service on the worker, in the unit of the costs that
     // `choose` compares: 1 for each replica of the job in the same availability zone, more for one
@@ -67,7 +68,7 @@
     double spreadCost(const placement_request &request, int slot) const;
 
 private:
-    // The first worker with room, for placement_algorithm::FirstFit.
+    // The first worker with enough free capacity, for placement_algorithm::FirstFit.
     worker_choice firstFit(const placement_request &request) const;
     worker_choice chooseForService(const placement_request &request) const;
     worker_choice chooseForBatch(const placement_request &request);
--- a/libs/placement/worker_table.cpp
+++ b/libs/placement/worker_table.cpp
@@ -13,7 +13,7 @@
 service_latency *worker_record::latencyOf(const task_ref &task)
 {
     const auto found = std::find_if(services.begin(), services.end(),
-                                    [&](const auto &watch) { return watch.task == task; });
+                                    [&](const auto &latency) { return latency.task == task; });
     return found == services.end() ? nullptr : &*found;
 }
 
@@ -38,9 +38,9 @@
     const int knownSlot = slotOf(worker);
     if (knownSlot != NoSlot)
         return knownSlot;
-    int slot = static_cast<int>(m_slots.size());
+    int slot = static_cast<int>(m_workers.size());
     if (m_unusedSlots.empty()) {
-        m_slots.emplace_back();
+        m_workers.emplace_back();
         m_freeCapacity.push_back(NoCapacity);
     } else {
         slot = m_unusedSlots.back();
@@ -101,11 +101,10 @@
         || worker.heldCapacity != resources{} || worker.backlogLength > 0)
         return;
     m_slotsByWorker.erase(worker.info.id);
-    const auto changes = worker.revision
-                         // Must keep rising, so that sums cached for the old worker are recomputed.
-                         + 1;
+    // Must keep rising, so that sums cached for the old worker are recomputed.
+    const auto nextRevision = worker.revision + 1;
     worker = worker_record();
-    worker.revision = changes;
+    worker.revision = nextRevision;
     m_freeCapacity[static_cast<std::size_t>(slot)] = NoCapacity;
     m_unusedSlots.push_back(slot);
 }
--- a/libs/placement/worker_table.h
+++ b/libs/placement/worker_table.h
@@ -1,7 +1,6 @@
 // Workers known to the scheduler, their pools, and the free capacity of each worker.
 //
-// A slot is the index of a worker in the table. It is reused when the worker is gone and nothing
-// refers to it any more.
+// A slot is the index of a worker in the table.
 #pragma once
 
 #include <cstddef>
@@ -29,20 +28,21 @@
     double estimatedLogRatio = 0;
 };
 
+// A worker, in service or not. Its slot is reused when the worker is gone and nothing refers to it.
 struct worker_record
 {
     worker_info info;
     reservation_ledger ledger;
     std::size_t pool = 0;
-    bool inService = false;     // known and not removed
+    bool inService = false;     // added and not removed
     bool isQuarantined = false; // takes no tasks, except for a probe when the cool-down ends
     bool isSuspected = false;   // would be quarantined, but the pool's limit is reached
-    resources heldCapacity;     // held for tasks whose victims are still stopping
+    resources heldCapacity;     // sum of the holds: see task_record::holdSlot
     std::vector<service_latency> services;
     neighbour_history history;
     int throttledTasks = 0;
     std::size_t backlogLength = 0; // tasks in its backlog
-    time_point reliefPausedUntil;  // no action for a service before it
+    time_point reliefPausedUntil;  // no task is throttled or evicted for a service before it
     time_point lastReliefAt;       // latency samples measured before it do not count for relief
     time_point signalRaisedAt;     // last time that a signal was raised
     std::uint64_t revision = 0;    // incremented by every change of reservations or size
@@ -63,6 +63,7 @@
 class worker_table
 {
 public:
+    // Returns the number of the pool and adds it if unknown.
     std::size_t poolNumber(const std::string &name);
     pool_state &pool(std::size_t number) { return m_pools[number]; }
     const pool_state &pool(std::size_t number) const { return m_pools[number]; }
@@ -70,13 +71,15 @@
     int slotOf(const std::string &worker) const; // NoSlot: unknown worker
     // Returns the worker's slot and adds it if unknown; a new one is not in service.
     int findOrAdd(const std::string &worker);
+    // Sets the worker's properties and puts it in service.
     void setInfo(int slot, const worker_info &info, time_point now);
     void resize(int slot, const resources &size);
     void setInService(int slot, bool inService);
+    // Forgets a worker out of service that has no reservation, hold or backlog.
     void removeIfUnused(int slot);
-    worker_record &at(int slot) { return m_slots[static_cast<std::size_t>(slot)]; }
-    const worker_record &at(int slot) const { return m_slots[static_cast<std::size_t>(slot)]; }
-    int slotCount() const { return static_cast<int>(m_slots.size()); }
+    worker_record &at(int slot) { return m_workers[static_cast<std::size_t>(slot)]; }
+    const worker_record &at(int slot) const { return m_workers[static_cast<std::size_t>(slot)]; }
+    int slotCount() const { return static_cast<int>(m_workers.size()); }
     // Sum of the sizes of all workers in service.
     const resources &total() const { return m_total; }
     std::size_t inServiceCount() const { return m_inServiceCount; }
@@ -93,15 +96,15 @@
     static constexpr int NoSlot = -1;
 
 private:
-    std::vector<worker_record> m_slots;
-    // By slot. Separate from m_slots because the search reads only this of most workers.
+    std::vector<worker_record> m_workers;
+    // By slot. Separate from the records because choosing a worker reads only this of most workers.
     std::vector<resources> m_freeCapacity;
     std::vector<int> m_unusedSlots;
     std::unordered_map<std::string, int> m_slotsByWorker;
     std::vector<pool_state> m_pools;
     std::unordered_map<std::string, std::size_t> m_poolNumbers;
     resources m_total;
-    std::size_t m_inServiceCount = 0; // number of workers
+    std::size_t m_inServiceCount = 0;
 };
 
 } // namespace zinniabarrow::placement
--- a/tests/placement_policy_test.cpp
+++ b/tests/placement_policy_test.cpp
@@ -1,6 +1,6 @@
-// Limits for the effect of the policies on services and batch work, on one seeded sequence in
-// virtual time (bench/placement_model.h). The results are reproducible; the limits leave room for
-// policy changes that are not regressions.
+// Checks the effect of the placement policies on services and batch work: one seeded sequence of
+// jobs in virtual time (bench/placement_model.h), so the results are reproducible. The limits are
+// wide enough for policy changes that are not regressions.
 #include <map>
 
 #include <criterion/criterion.h>
@@ -12,8 +12,9 @@
 using zinniabarrow::tests::section;
 
 // Workers are full, declared sizes are wrong, interfering jobs arrive in waves, and one worker
-// fails every task for half an hour. The tenants see late services and lost batch work. The result
-// of each policy is compared with first fit on declared sizes.
+// fails every task for half an hour. A bad policy then shows in late services and lost batch work.
+// Each policy is compared with first fit on declared sizes. Mtkvari and VTAV are two deployments,
+// whose weights placement_model.cpp sets.
 Test(placement_policy, comparedOnOneSequence)
 {
     model_settings settings;
@@ -21,8 +22,8 @@
     std::map<std::string, model_result> results;
     for (const auto &policy : comparedPolicies())
         results[policy.name] = runModel(policy.settings, settings);
-    const auto &declared = results.at("first fit, declared sizes");
-    const auto &unlearned = results.at("no learning");
+    const auto &declaredFirstFit = results.at("first fit, declared sizes");
+    const auto &withoutLearning = results.at("no learning");
     const auto &mtkvari = results.at("chosen, Mtkvari's weights");
     const auto &vtav = results.at("chosen, VTAV's weights");
     section("no policy overcommits a worker, and urgent work starts in time", [&] {
@@ -31,16 +32,16 @@
             check(result.maxUrgentDelay <= 2.4);
         }
     });
-    section("Mtkvari: tail latency is near the target, with no less batch work done", [&] {
+    section("Mtkvari: tail latency is near the target, at about the same batch work", [&] {
         check(mtkvari.serviceP99Ratio <= 1.15);
-        check(mtkvari.serviceP99Ratio <= 0.85 * declared.serviceP99Ratio);
+        check(mtkvari.serviceP99Ratio <= 0.85 * declaredFirstFit.serviceP99Ratio);
         check(mtkvari.serviceLateFraction <= 0.05);
-        check(mtkvari.finishedHours >= 0.93 * declared.finishedHours);
+        check(mtkvari.finishedHours >= 0.93 * declaredFirstFit.finishedHours);
     });
-    section("VTAV: fewer evictions and no less work than with Mtkvari's weights", [&] {
+    section("VTAV: no more evictions, and about as much work as with Mtkvari's weights", [&] {
         check(vtav.evictions <= mtkvari.evictions);
         check(vtav.finishedHours >= 0.98 * mtkvari.finishedHours);
-        check(vtav.serviceP99Ratio <= declared.serviceP99Ratio);
+        check(vtav.serviceP99Ratio <= declaredFirstFit.serviceP99Ratio);
     });
     section("no task is killed for memory, and little work is wasted", [&] {
         for (const auto &chosen : {mtkvari, vtav}) {
@@ -49,7 +50,8 @@
             check(chosen.wastedHours <= 5);
             check(chosen.failures <= 150);
         }
-        check(declared.memoryKills > 500); // shows that the sequence is hard without learned sizes
-        check(unlearned.memoryKills > 500);
+        // The sequence overloads the workers' memory when sizes are not learned.
+        check(declaredFirstFit.memoryKills > 500);
+        check(withoutLearning.memoryKills > 500);
     });
 }
--- a/tests/placement_property_test.cpp
+++ b/tests/placement_property_test.cpp
@@ -27,7 +27,7 @@
     bool stopping = false;
 };
 
-// What can be derived from events and actions alone.
+// The state that follows from the events and actions, and where an action contradicts it.
 struct expected_state
 {
     std::map<std::string, resources> sizes;  // sizes of the workers that accept tasks
@@ -42,10 +42,10 @@
         return sum;
     }
 
-    void expect(bool holds, const std::string &what)
+    void expect(bool condition, const std::string &description)
     {
-        if (!holds)
-            violations.push_back(what);
+        if (!condition)
+            violations.push_back(description);
     }
 
     void operator()(const place_action &action)
@@ -54,7 +54,7 @@
         auto &task = tasks[action.task];
         expect(task.worker.empty(), "placed twice: " + toText(action.task));
         expect(!task.cancelled, "placed after its cancellation: " + toText(action.task));
-        expect(sizes.contains(action.worker), "placed on a worker that is gone");
+        expect(sizes.contains(action.worker), "placed on a removed worker");
         task = {action.worker, action.reserved, false, false};
         expect(reservedOn(action.worker).fitsIn(sizes[action.worker]),
                "overcommitted " + action.worker);
@@ -117,12 +117,13 @@
     // A random task that is placed or pending, or end().
     std::map<task_ref, expected_task>::iterator pickTask(bool placed)
     {
-        std::vector<std::map<task_ref, expected_task>::iterator> fitting;
+        std::vector<std::map<task_ref, expected_task>::iterator> candidates;
         for (auto task = expected.tasks.begin(); task != expected.tasks.end(); ++task) {
             if (task->second.worker.empty() != placed)
-                fitting.push_back(task);
+                candidates.push_back(task);
         }
-        return fitting.empty() ? expected.tasks.end() : fitting[drawIndex(random, fitting.size())];
+        return candidates.empty() ? expected.tasks.end()
+                                  : candidates[drawIndex(random, candidates.size())];
     }
 
     void plan()
@@ -139,8 +140,9 @@
             expected.sizes.erase(id);
             return;
         }
-        // Reducing a worker below what is already reserved would not be the scheduler's fault. A
-        // raise counts as reserved before the worker is told.
+        // A size below what is already reserved would overcommit the worker without an error of the
+        // scheduler, so such sizes are left out. A raise counts as reserved before the worker is
+        // told.
         const resources size{8'000 + 1'000 * randomBelow(8), (30 + randomBelow(30)) * Gigabyte,
                              randomBelow(3)};
         const auto *ledger = subject.ledgerOf(id);
@@ -178,7 +180,7 @@
             task->second = {};
     }
 
-    void taskEvent()
+    void reportTaskEvent()
     {
         const auto task = pickTask(true);
         if (task == expected.tasks.end())
@@ -214,7 +216,7 @@
             subject.taskReleased(ref, worker + "-old", now);
     }
 
-    void cancelSome()
+    void cancelRandomTasks()
     {
         std::vector<task_ref> tasks;
         for (int index = randomBelow(10); index > 0; --index) {
@@ -246,15 +248,15 @@
         else if (kind < 3)
             submit();
         else if (kind == 3)
-            cancelSome();
+            cancelRandomTasks();
         else if (kind < 9)
             plan();
         else
-            taskEvent();
-        const auto waiting =
+            reportTaskEvent();
+        const auto pendingCount =
                 std::count_if(expected.tasks.begin(), expected.tasks.end(),
                               [](const auto &task) { return task.second.worker.empty(); });
-        expected.expect(subject.pendingTaskCount() == static_cast<std::size_t>(waiting),
+        expected.expect(subject.pendingTaskCount() == static_cast<std::size_t>(pendingCount),
                         "a task is lost");
     }
 
--- a/tests/placement_simulation.h
+++ b/tests/placement_simulation.h
@@ -1,6 +1,6 @@
-// Simulates entries that own jobs and the agents of workers: the real job_controller, worker_pool
-// and run_table on a virtual clock and without a network. Unless a test sets delays, orders, writes
-// and reports take no time. Reports are sent every second and whenever runs end.
+// Simulates entries, which own jobs, and workers with their agents: the real job_controller,
+// worker_pool and run_table on a virtual clock and without a network. Unless a test sets delays,
+// orders, writes and reports take no time. Agents send reports every second and whenever runs end.
 #pragma once
 
 #include <algorithm>
@@ -19,12 +19,12 @@
 
 namespace zinniabarrow::tests {
 
-// Delays of one way.
+// One-way delays.
 struct simulated_delays
 {
-    milliseconds write{0}; // from a write to its outcome
-    milliseconds order{0};
-    milliseconds report{0};
+    milliseconds write{0};  // from a write to its outcome
+    milliseconds order{0};  // of an order, and again of its answer
+    milliseconds report{0}; // from the agent to the entry
 };
 
 class placement_simulation
@@ -45,7 +45,7 @@
         added.nextReportAt = m_now + TickInterval * static_cast<int>(m_workers.size());
     }
 
-    // Submits a job of one step. Each task that is not long-running ends after `runTime`.
+    // Submits a job of one step. The runs of its tasks end after `runTime`, unless long-running.
     void submit(int owner, const std::string &job, const jobs::step_spec &step,
                 milliseconds runTime = {})
     {
@@ -77,7 +77,7 @@
         }
         return count;
     }
-    // Highest run number of all tasks of the job, by its owner.
+    // Highest run number of all tasks of the job, according to the entry that owns it.
     int highestRunNumber(const std::string &job) const
     {
         int highest = 0;
@@ -148,7 +148,7 @@
         runDueEvents();
         for (auto &[name, item] : m_workers) {
             endDueRuns(item);
-            carryOutRunActions(item);
+            executeRunActions(item);
             checkCapacity(name, item);
         }
         for (auto &[name, item] : m_workers) {
@@ -189,7 +189,7 @@
         return listing;
     }
 
-    void carryOutRunActions(simulated_worker &target)
+    void executeRunActions(simulated_worker &target)
     {
         target.table.setWorkerState(target.capacity, jobs::start_readiness::Ready);
         for (const auto &action : target.table.takeDueActions(m_now, true)) {
@@ -297,9 +297,9 @@
             });
         });
     }
-    void execute(simulated_entry &receiver, const jobs::change_stored &done)
+    void execute(simulated_entry &receiver, const jobs::change_stored &stored)
     {
-        const auto found = receiver.unacknowledgedEnds.extract(done.token);
+        const auto found = receiver.unacknowledgedEnds.extract(stored.token);
         if (!found.empty())
             m_workers.at(found.mapped().first).table.acknowledgeEnd(found.mapped().second, m_now);
     }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,5 @@
-// Unit tests of placement: ledger, learned sizes, quarantine, quotas, interference and relief.
+// Unit tests of the classes that the scheduler uses: ledger, learned sizes, quarantine, quotas,
+// interference, relief and latency signal.
 #include <cmath>
 
 #include <criterion/criterion.h>
@@ -37,9 +38,9 @@
 
 } // namespace
 
-// Two schedulers decide at the same time, and the agent is asked to start more than its worker can
-// hold. The worker would start it all and run out of memory, so the agent's own ledger has to
-// refuse the excess, and has to keep counting what may still run.
+// Two schedulers place tasks on a worker at the same time, and the agent is asked to start more
+// than the worker can hold. The worker would start all of them and run out of memory, so the
+// agent's own ledger must refuse the excess and must keep counting tasks that may still run.
 Test(placement, ledger)
 {
     reservation_ledger workerLedger({16'000, 60 * Gigabyte, 1});
@@ -80,7 +81,7 @@
     });
 }
 
-Test(placement, messages)
+Test(placement, jsonConversion)
 {
     task_spec task;
     task.jobId = "season";
@@ -89,8 +90,8 @@
     task.pool = "main";
     task.declared = {500, Gigabyte, 0};
     section("a task is unchanged after conversion to JSON and back", [&] {
-        const auto back = taskSpecFromJson(toJson(task));
-        check(toJson(back) == toJson(task));
+        const auto converted = taskSpecFromJson(toJson(task));
+        check(toJson(converted) == toJson(task));
     });
     section("an invalid member is named", [&] {
         auto value = toJson(task);
@@ -145,8 +146,9 @@
     });
 }
 
-// One of ten workers fails every task. Jobs would fail there repeatedly and be quarantined for it;
-// instead the worker is quarantined and gets one task as a probe after its cool-down.
+// One of ten workers fails every task. Without a quarantine of workers, jobs would fail there
+// repeatedly and be quarantined themselves. The worker is quarantined and gets one task as a probe
+// after its cool-down.
 Test(placement, quarantinedWorker)
 {
     quarantine subject{quarantine_settings{}};
@@ -154,7 +156,7 @@
     const auto fail = [&](int job, const std::string &worker) {
         subject.recordFailure("job-" + std::to_string(job), worker, "main", 10, "exit 1", now);
     };
-    section("failures of three distinct jobs quarantine it, those of one job do not", [&] {
+    section("failures of three distinct jobs quarantine the worker, those of one job do not", [&] {
         for (int repeat = 0; repeat < 5; ++repeat)
             fail(1, "w1");
         fail(2, "w1");
@@ -163,7 +165,7 @@
         check(!subject.canUseWorker("w1", now));
         check(subject.canStartJob("job-1", now));
     });
-    section("failures on it do not count against the jobs", [&] {
+    section("failures on the quarantined worker do not count against the jobs", [&] {
         fail(1, "w2");
         fail(1, "w3");
         check(subject.canStartJob("job-1", now));
@@ -184,7 +186,7 @@
         check(subject.canUseWorker("w1", now + seconds(240)));
         check(subject.canStartJob("job-30", now));
     });
-    section("success of an older task proves nothing; that of a new one ends the quarantine", [&] {
+    section("the success of a new task ends the quarantine, that of an older task does not", [&] {
         subject.recordSuccess("job-0", "w1", Start - seconds(1));
         check(subject.isWorkerQuarantined("w1"));
         subject.recordSuccess("job-0", "w1", now + seconds(240));
@@ -192,9 +194,10 @@
     });
 }
 
-// A failing job alternates between the only two workers with free capacity. It never fails on a
-// third one and would fail every few seconds forever.
-Test(placement, jobThatFailsOnTwoWorkers)
+// A failing job alternates between the only two workers with free capacity. It never reaches the
+// limit of three distinct workers, and without another limit it would fail every few seconds
+// forever.
+Test(placement, jobFailingOnTwoWorkers)
 {
     quarantine subject{quarantine_settings{}};
     time_point now = Start;
@@ -203,8 +206,8 @@
         now += seconds(3);
         subject.recordFailure("bad", failures % 2 == 0 ? "w1" : "w2", "main", 20, "exit 1", now);
     }
-    section("ten failures are enough", [&] { check(failures == 10); });
-    section("any number on a single worker is not: the worker may be faulty", [&] {
+    section("ten failures on two workers quarantine the job", [&] { check(failures == 10); });
+    section("any number of failures on one worker does not: the worker may be faulty", [&] {
         for (int repeat = 0; repeat < 50; ++repeat)
             subject.recordFailure("other", "w3", "main", 20, "exit 1", now);
         check(subject.canStartJob("other", now));
@@ -213,23 +216,23 @@
 
 // A hundred jobs with a broken program arrive at once and fail on every worker. Every worker then
 // looks broken, and quarantining all of them would stop the healthy jobs too.
-Test(placement, badJobWave)
+Test(placement, waveOfFailingJobs)
 {
     quarantine subject{quarantine_settings{}};
     time_point now = Start;
-    std::size_t mostQuarantined = 0;
+    std::size_t maxQuarantined = 0;
     for (int round = 0; round < 6; ++round) {
         for (int job = 0; job < 100; ++job) {
             const auto name = "bad-" + std::to_string(job);
             const auto worker = "w" + std::to_string((job + round * 7) % 20);
             if (subject.canStartJob(name, now) && subject.canUseWorker(worker, now))
                 subject.recordFailure(name, worker, "main", 20, "missing file", now);
-            mostQuarantined = std::max(mostQuarantined, subject.quarantinedWorkers().size());
+            maxQuarantined = std::max(maxQuarantined, subject.quarantinedWorkers().size());
         }
         now += seconds(1);
     }
     section("never more than a tenth of the pool is quarantined",
-            [&] { check(mostQuarantined == 2); });
+            [&] { check(maxQuarantined == 2); });
     section("the failing jobs are quarantined, with a reason", [&] {
         int quarantined = 0;
         for (int job = 0; job < 100; ++job)
@@ -249,8 +252,9 @@
 
 // Three jobs are quarantined, each for failures on different workers. Later, when those failures
 // are outside the window, the probe of each job happens to fail on the same worker. Three distinct
-// jobs have then failed on that worker, but this says nothing about it.
-Test(placement, knownBadJobsBlameNoWorker)
+// jobs have then failed on that worker, but since each is known to fail anywhere, the worker must
+// not be quarantined.
+Test(placement, quarantinedJobsCountAgainstNoWorker)
 {
     quarantine subject{quarantine_settings{}};
     time_point now = Start;
@@ -314,7 +318,7 @@
     const double effectBefore = model.effect(0, 1).mean;
     for (int sample = 0; sample < 5; ++sample)
         model.learn(0, {}, -0.3, now += seconds(10));
-    section("the neighbour is blamed and the service is not", [&] {
+    section("the slowdown is attributed to the neighbour, not to the service", [&] {
         check(effectBefore < 3);
         check(std::abs(model.effect(0, 1).mean - 4.8) < 0.5);
         check(std::abs(model.baseline(0) + 0.3) < 0.1);
@@ -328,9 +332,9 @@
 }
 
 // A quiet task replaces an interfering one, and the sample that shows the interference arrives
-// after the change. If it were attributed to the tasks that run now, the quiet class would be
-// blamed and throttled.
-Test(placement, lateSamplesAreAttributed)
+// after the change. If the sample were attributed to the tasks that run on arrival, the quiet class
+// would be throttled.
+Test(placement, delayedSamplesAreAttributed)
 {
     constexpr class_number Service = 0;
     constexpr class_number Noisy = 1;
@@ -350,7 +354,7 @@
         model.learn(Service, {}, -0.5, now + seconds(21)); // without neighbours
         now += seconds(24);
     }
-    section("the noisy class is blamed, the quiet one is not", [&] {
+    section("the slowdown is attributed to the noisy class, not to the quiet one", [&] {
         check(std::abs(model.effect(Service, Noisy).mean - 3.6) < 0.3);
         check(std::abs(model.effect(Service, Quiet).mean - 0.4) < 0.3);
     });
@@ -387,7 +391,7 @@
         const auto step = chooseRelief(0.5, 16, tasks, latencyWeights, settings);
         check(step && std::get<evict_relief>(*step).index == 1);
     });
-    section("a deployment with a higher weight of evictions does not evict in this case",
+    section("with a higher weight of evictions, no task is evicted in the same situation",
             [&] { check(!chooseRelief(0.5, 16, tasks, throughputWeights, settings)); });
     section("a small excess causes no action",
             [&] { check(!chooseRelief(0.01, 16, tasks, latencyWeights, settings)); });
@@ -397,7 +401,7 @@
         check(step && step->index == 1 && step->limitProcessors == 2);
         check(!chooseThrottleLift(0.01, tasks, settings));
     });
-    section("the budget refills with time and the number of workers", [&] {
+    section("the eviction budget is refilled with time, in proportion to the workers", [&] {
         eviction_budget budget(2);
         budget.refill(settings, 8, Start);
         budget.take();
@@ -406,7 +410,7 @@
         budget.refill(settings, 8, Start + std::chrono::minutes(31));
         check(budget.canTake());
     });
-    section("the limit per minute applies to any number of workers", [&] {
+    section("the limit of evictions per minute applies to any number of workers", [&] {
         relief_settings limited;
         limited.evictionsPerMinute = 1;
         eviction_budget budget(limited.evictionBurst);
@@ -422,11 +426,11 @@
     });
 }
 
-Test(placement, loadSignal)
+Test(placement, latencySignal)
 {
     const latency_signal_settings settings{4, 0.1, 0};
     latency_signal signal;
-    section("a single bad sample does not raise it, several do", [&] {
+    section("a single slow sample does not raise the signal, several do", [&] {
         for (const double excess : {-0.2, -0.2, 0.6, -0.2, -0.2})
             signal.add(excess, settings);
         check(!signal.isRaised());
@@ -434,7 +438,7 @@
             signal.add(0.2, settings);
         check(signal.isRaised());
     });
-    section("it stays raised between the two levels", [&] {
+    section("the signal stays raised between the two levels", [&] {
         for (int index = 0; index < 4; ++index)
             signal.add(0.05, settings);
         check(signal.isRaised());
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the scheduler as a whole: sequences of events and the actions that must follow.
+// Tests of class scheduler: sequences of events and the actions that must follow.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -76,8 +76,8 @@
     {
         std::vector<Action> found;
         for (const auto &action : actions) {
-            if (const auto *one = std::get_if<Action>(&action))
-                found.push_back(*one);
+            if (const auto *matching = std::get_if<Action>(&action))
+                found.push_back(*matching);
         }
         return found;
     }
@@ -108,26 +108,27 @@
 
 } // namespace
 
-// The response to the write that stores a placement is lost. The task is shown as ambiguous: it may
-// start, so its capacity must not be given away and it must not be placed again until the row has
-// been read.
-Test(scheduler, ambiguousStaysCounted)
+// The response to the write that stores a placement is lost. The task is shown as ambiguous. It may
+// start, so its capacity must not be given to another task, and it must not be placed again, until
+// the row has been read.
+Test(scheduler, ambiguousPlacementKeepsItsReservation)
 {
     scheduler_fixture fixture(1);
-    const auto whole = batchTask("season", 0, WorkerSize);
-    fixture.submit(whole);
+    const auto wholeWorkerTask = batchTask("season", 0, WorkerSize);
+    fixture.submit(wholeWorkerTask);
     fixture.plan();
-    fixture.subject.placementSettled(whole.ref(), "w0", placement_outcome::Unknown, fixture.now);
-    section("its capacity goes neither to it again nor to another task", [&] {
+    fixture.subject.placementSettled(wholeWorkerTask.ref(), "w0", placement_outcome::Unknown,
+                                     fixture.now);
+    section("the task is not placed again, and no other task gets its capacity", [&] {
         fixture.submit(batchTask("other", 0, {1'000, 0, 0}));
         fixture.now += std::chrono::hours(2);
         fixture.plan();
         check(fixture.actions.empty());
-        check(fixture.subject.explain(whole.ref(), fixture.now).find("ambiguous")
+        check(fixture.subject.explain(wholeWorkerTask.ref(), fixture.now).find("ambiguous")
               != std::string::npos);
     });
-    section("once read back as not stored, both can be placed", [&] {
-        fixture.subject.placementSettled(whole.ref(), "w0", placement_outcome::NotApplied,
+    section("when the row shows that nothing was stored, the capacity is free again", [&] {
+        fixture.subject.placementSettled(wholeWorkerTask.ref(), "w0", placement_outcome::NotApplied,
                                          fixture.now);
         fixture.plan();
         check(fixture.actionsOf<place_action>().size() == 1);
@@ -135,8 +136,9 @@
 }
 
 // A task is asked to stop and the confirmation does not arrive. It may still run, so giving its
-// capacity away would overcommit the worker. Late and duplicated events must change nothing.
-Test(scheduler, unconfirmedStopStaysCounted)
+// capacity to another task would overcommit the worker. Late and duplicated events must change
+// nothing.
+Test(scheduler, unconfirmedStopKeepsItsReservation)
 {
     scheduler_fixture fixture(2);
     const auto task = batchTask("season", 0, WorkerSize);
@@ -146,27 +148,27 @@
     fixture.subject.taskStopping(task.ref(), placed[0].worker, fixture.now);
     fixture.subject.taskRunning(task.ref(), placed[0].worker, fixture.now); // sent before the stop
     fixture.submit(batchTask("other", 0, {1, 1, 0}));
-    section("its capacity is not given away", [&] {
+    section("its capacity is given to no other task", [&] {
         fixture.now += std::chrono::hours(2);
         fixture.plan();
         check(fixture.actions.empty());
         check(fixture.subject.ledgerOf(placed[0].worker)->find(task.ref())->state
               == reservation_state::Stopping);
     });
-    section("a report from another worker does not free it", [&] {
+    section("a report from another worker does not free the capacity", [&] {
         fixture.subject.taskReleased(task.ref(), "w9", fixture.now);
         fixture.plan();
         check(fixture.actions.empty());
         check(fixture.subject.stats().staleEvents == 1);
     });
-    section("its confirmation does, and counts only once", [&] {
+    section("the confirmation of the task's own worker frees it, and counts only once", [&] {
         fixture.subject.taskReleased(task.ref(), placed[0].worker, fixture.now);
         fixture.subject.taskReleased(task.ref(), placed[0].worker, fixture.now);
         check(fixture.subject.pendingTaskCount() == 2);
     });
 }
 
-Test(scheduler, spreadAndPack)
+Test(scheduler, servicesSpreadAndBatchIsPacked)
 {
     scheduler_fixture fixture(12);
     section("replicas spread over availability zones and racks", [&] {
@@ -203,7 +205,7 @@
               != std::string::npos);
         check(fixture.subject.pendingTaskCount() == 0);
     });
-    section("so is a task that exceeds its team's quota", [&] {
+    section("a task that exceeds its team's quota is refused at once", [&] {
         fixture.submit(batchTask("wide", 0, {9'000, 0, 0}));
         fixture.plan();
         require(fixture.actionsOf<refuse_action>().size() == 1);
@@ -236,19 +238,19 @@
     auto other = batchTask("holds", 0, {1'000, 0, 0});
     other.team = "families";
     fixture.submit(other, 100);
-    int ofClubs = 0;
+    int clubsTaskCount = 0;
     const auto placed = fixture.planAndRun();
     for (const auto &each : placed)
-        ofClubs += each.task.jobId == "season" ? 1 : 0;
-    section("they get a quarter and three quarters of the capacity", [&] {
+        clubsTaskCount += each.task.jobId == "season" ? 1 : 0;
+    section("the teams get a quarter and three quarters of the capacity", [&] {
         check(placed.size() == 32);
-        check(ofClubs == 8);
+        check(clubsTaskCount == 8);
     });
 }
 
-// All workers are full of batch tasks when an urgent task arrives, which must start within 2.4 s.
-// Victims are stopped at once and their capacity is held for it. Then one worker does not confirm
-// the stop, and another one is used instead.
+// All workers are full of batch tasks when an urgent task arrives, which must start within 2.4 s. A
+// victim is stopped at once and its capacity is held for the urgent task. The victim's worker does
+// not confirm the stop, and another worker is used instead.
 Test(scheduler, urgentPreemptsBatch)
 {
     scheduler_fixture fixture(3);
@@ -259,18 +261,18 @@
     check(fixture.planAndRun().size() == 5);
     auto urgent = batchTask("gate", 0, {8'000, Gigabyte, 0});
     urgent.priority = task_priority::Urgent;
-    const auto arrived = fixture.now;
+    const auto arrivedAt = fixture.now;
     fixture.submit(urgent);
     fixture.plan();
     const auto first = fixture.actionsOf<preempt_action>();
-    section("one victim is stopped in time, and it is not the lease watcher", [&] {
+    section("one victim is asked to stop in time, and it is not the lease watcher", [&] {
         require(first.size() == 1);
         check(first[0].victim.jobId == "season");
-        check(first[0].checkpointDeadline <= arrived + milliseconds(1'500));
+        check(first[0].checkpointDeadline <= arrivedAt + milliseconds(1'500));
         fixture.plan();
         check(fixture.actions.empty()); // asked only once
     });
-    section("the worker does not confirm: a task on another one is preempted", [&] {
+    section("without a confirmation, a task on another worker is preempted", [&] {
         fixture.now = first[0].checkpointDeadline + milliseconds(300);
         fixture.plan();
         const auto second = fixture.actionsOf<preempt_action>();
@@ -279,14 +281,14 @@
         fixture.now += milliseconds(200);
         fixture.subject.taskReleased(second[0].victim, second[0].worker, fixture.now);
     });
-    section("it starts within 2.4 s, and the victim does not get the capacity back", [&] {
+    section("the urgent task, and not the victim, is placed within 2.4 s", [&] {
         fixture.plan();
         const auto placed = fixture.actionsOf<place_action>();
         require(placed.size() == 1);
         check(placed[0].task == urgent.ref());
-        check(fixture.now - arrived <= milliseconds(2'400));
+        check(fixture.now - arrivedAt <= milliseconds(2'400));
     });
-    section("half of the capacity it needs stays held while the rest is being freed", [&] {
+    section("capacity freed for a larger urgent task stays held until the rest is free", [&] {
         auto wide = urgent;
         wide.jobId = "gate-wide";
         wide.declared.millicores = 16'000;
@@ -304,7 +306,7 @@
         fixture.subject.taskEnded(wide.ref(), placed[0].worker, fixture.now);
         check(fixture.planAndRun().size() == 2);
     });
-    section("capacity held for it is released when it is cancelled", [&] {
+    section("capacity held for an urgent task is released when the task is cancelled", [&] {
         auto next = urgent;
         next.jobId = "gate-2";
         fixture.submit(next);
@@ -332,7 +334,7 @@
     require(fixture.planAndRun().size() == 6); // four of season, two of matches
     auto urgent = batchTask("gate", 0, {4'000, Gigabyte, 0});
     urgent.priority = task_priority::Urgent;
-    const auto arrived = fixture.now;
+    const auto arrivedAt = fixture.now;
     fixture.submit(urgent, 2);
     fixture.plan();
     const auto stopped = fixture.actionsOf<preempt_action>();
@@ -340,10 +342,10 @@
         require(stopped.size() == 2);
         for (const auto &each : stopped) {
             check(each.victim.jobId == "season");
-            check(each.checkpointDeadline <= arrived + milliseconds(1'500));
+            check(each.checkpointDeadline <= arrivedAt + milliseconds(1'500));
         }
     });
-    section("no further ones are stopped meanwhile, and nothing starts above the quota", [&] {
+    section("no further tasks are stopped meanwhile, and nothing starts above the quota", [&] {
         fixture.now += milliseconds(200);
         check(fixture.planAndRun().empty());
         check(fixture.actionsOf<preempt_action>().empty());
@@ -354,7 +356,7 @@
         const auto placed = fixture.planAndRun();
         require(placed.size() == 2);
         check(placed[0].task.jobId == "gate" && placed[1].task.jobId == "gate");
-        check(fixture.now - arrived <= milliseconds(2'400));
+        check(fixture.now - arrivedAt <= milliseconds(2'400));
     });
     section("a batch task of a team at its quota preempts nothing", [&] {
         fixture.submit(batchTask("second", 0, {4'000, Gigabyte, 0}));
@@ -387,7 +389,7 @@
         require(placed.size() == 1);
         check(placed[0].task.jobId == "gate");
     });
-    section("that of the second victim goes to the second task", [&] {
+    section("the capacity of the second victim goes to the second task", [&] {
         fixture.subject.taskReleased(second[0].victim, "w0", fixture.now);
         const auto placed = fixture.planAndRun();
         require(placed.size() == 1);
@@ -395,9 +397,9 @@
     });
 }
 
-// Capacity is held for an urgent task; before it can start, its team reaches its quota. The task is
-// not tried any more, and the held capacity would stay unused forever.
-Test(scheduler, heldCapacityExpires)
+// Capacity is held for an urgent task. Before the task can start, its team reaches its quota. The
+// task is not tried any more, and without an expiry the held capacity would stay unused forever.
+Test(scheduler, holdExpires)
 {
     scheduler_fixture fixture(1);
     fixture.subject.setTeam({"gates", 1, {8'000, 0, 0}});
@@ -441,11 +443,11 @@
     auto urgent = batchTask("gate", 0, {1'000, 0, 0});
     urgent.priority = task_priority::Urgent;
     fixture.submit(urgent);
-    section("not evicted while its job is unknown", [&] {
+    section("a task is not evicted while its job is unknown", [&] {
         fixture.plan();
         check(fixture.actions.empty());
     });
-    section("evicted once it is known to be an ordinary batch task", [&] {
+    section("the task is evicted once it is known to be an ordinary batch task", [&] {
         fixture.subject.taskPlaced(watcher, "w0", WorkerSize, reservation_state::Running,
                                    fixture.now);
         fixture.now += seconds(1);
@@ -465,7 +467,7 @@
     fixture.submit(service);
     fixture.plan();
     section("a service of low priority stays pending", [&] { check(fixture.actions.empty()); });
-    section("one of normal priority preempts", [&] {
+    section("a service of normal priority preempts", [&] {
         fixture.submit(serviceTask("tickets", 0, {1'000, 0, 0}));
         fixture.plan();
         check(fixture.actionsOf<preempt_action>().size() == 1);
@@ -473,7 +475,7 @@
 }
 
 // A class of batch tasks is known to slow the service on the only worker. Placing more of them
-// there would delay gate purchases; they have to wait, with a reason, but not forever.
+// there would slow the service further. They have to wait, with a reason, but not forever.
 Test(scheduler, batchWaitsWhereItWouldSlowAService)
 {
     scheduler_settings settings;
@@ -495,27 +497,28 @@
     }
     const auto first = fixture.now;
     fixture.subject.cancelJob("noisy", fixture.now);
-    auto more = batchTask("more", 0, {2'000, Gigabyte, 0});
-    more.jobClass = "noisy";
-    fixture.submit(more);
+    auto laterTask = batchTask("more", 0, {2'000, Gigabyte, 0});
+    laterTask.jobClass = "noisy";
+    fixture.submit(laterTask);
     fixture.plan();
-    section("it stays pending, with a reason", [&] {
+    section("a task of the interfering class stays pending, with a reason", [&] {
         check(fixture.actionsOf<place_action>().empty());
-        check(fixture.subject.explain(more.ref(), fixture.now).find("slow") != std::string::npos);
+        check(fixture.subject.explain(laterTask.ref(), fixture.now).find("slow")
+              != std::string::npos);
     });
     section("a task of another class is placed", [&] {
         fixture.submit(batchTask("quiet", 0, {500, Gigabyte, 0}));
         check(fixture.planAndRun().size() == 1);
     });
-    section("it is placed after a longer wait", [&] {
+    section("the task of the interfering class is placed after a longer wait", [&] {
         while (fixture.planAndRun().empty() && fixture.now - first < std::chrono::hours(2))
             fixture.now += seconds(30);
         check(fixture.now - first >= seconds(30) && fixture.now - first < std::chrono::hours(2));
     });
 }
 
-// At night two replicas serve no requests, so no latency was ever measured, and the worker is the
-// only one of its shard. Batch must start beside them at once. When they serve requests and miss
+// Two replicas serve no requests, so their latency was never measured, and their worker is the only
+// one of the shard. Batch must start beside them at once. When they serve requests and miss
 // their target, batch has to wait.
 Test(scheduler, batchBesideAnIdleService)
 {
@@ -541,16 +544,16 @@
 }
 
 // An entry takes over a shard and reads from the table what runs there. The agent has not reported
-// yet, so the worker's size is unknown. If it were taken as 0, each task's share would equal
-// thousands of workers: batch would wait for minutes beside idle replicas, and a sample from that
-// time would teach that the most interfering class has no effect.
-Test(scheduler, tasksAreKnownBeforeTheirWorker)
+// yet, so the worker's size is unknown. If the size were taken as 0, each task's share would equal
+// thousands of workers: batch would wait for minutes beside idle replicas, and a latency sample
+// from that time would reduce the estimated effect of the most interfering class to almost nothing.
+Test(scheduler, tasksAreAddedBeforeTheirWorker)
 {
     scheduler_settings settings;
     settings.weights = {0.7, 0.2, 0.1};
     settings.relieveServices = false;
     const auto noisy = batchTask("noisy", 0, {4'000, Gigabyte, 0});
-    const auto takeOver = [&](scheduler_fixture &fixture, int replicas) {
+    const auto addTasksFromTable = [&](scheduler_fixture &fixture, int replicas) {
         for (int index = 0; index < replicas; ++index) {
             const auto service = serviceTask("tickets", index, {4'000, Gigabyte, 0});
             fixture.subject.taskPlaced(service, "w0", service.declared, reservation_state::Running,
@@ -563,14 +566,14 @@
     const place_action service{{"tickets", 0}, "w0", {}};
     section("batch is placed at once beside idle replicas", [&] {
         scheduler_fixture fixture(0, settings);
-        takeOver(fixture, 2);
+        addTasksFromTable(fixture, 2);
         fixture.subject.addWorker(scheduler_fixture::workerInfo(0), fixture.now);
         fixture.submit(batchTask("season", 0, {1'000, Gigabyte, 0}));
         check(fixture.planAndRun().size() == 1);
     });
     section("a sample from before the worker's size is known is dropped", [&] {
         scheduler_fixture fixture(0, settings);
-        takeOver(fixture, 1);
+        addTasksFromTable(fixture, 1);
         fixture.reportLatency(service, 2.0);
         check(fixture.subject.stats().droppedSamples == 1);
         fixture.subject.addWorker(scheduler_fixture::workerInfo(0), fixture.now);
@@ -582,7 +585,7 @@
     });
     section("batch stays pending where the next sample shows a service above its target", [&] {
         scheduler_fixture fixture(0, settings);
-        takeOver(fixture, 1);
+        addTasksFromTable(fixture, 1);
         fixture.reportLatency(service, 2.0);
         fixture.subject.addWorker(scheduler_fixture::workerInfo(0), fixture.now);
         fixture.now += seconds(2);
@@ -595,7 +598,7 @@
 
 // Thousands of tasks are cancelled at once while some run, some are being placed and some are
 // pending, and events about them arrive late. None may start afterwards.
-Test(scheduler, cancellationWave)
+Test(scheduler, cancelsThousandsOfTasks)
 {
     scheduler_fixture fixture(4);
     fixture.submit(batchTask("season", 0, {1'000, Gigabyte, 0}), 5'000);
@@ -625,9 +628,9 @@
 }
 
 // A task uses more memory than it declared. Its reservation is raised while there is headroom, and
-// new tasks no longer get that capacity. When the worker has none left, one batch task is evicted
-// by policy instead of an arbitrary one being killed by the kernel.
-Test(scheduler, memoryGrowth)
+// new tasks no longer get that capacity. When the worker has no capacity left, one batch task
+// chosen by policy is evicted; otherwise the kernel would kill an arbitrary task.
+Test(scheduler, memoryBeyondTheDeclaredSize)
 {
     scheduler_fixture fixture(1);
     auto low = batchTask("low", 0, {1'000, 8 * Gigabyte, 0});
@@ -635,19 +638,19 @@
     fixture.submit(low, 3);
     fixture.submit(serviceTask("tickets", 0, {1'000, 25 * Gigabyte, 0}));
     check(fixture.planAndRun().size() == 4);
-    const auto grows = [&](std::int64_t gigabytes) {
+    const auto reportServiceMemory = [&](std::int64_t gigabytes) {
         fixture.now += seconds(10);
         fixture.subject.usageSampled(
                 {{"tickets", 0}, "w0", {500, gigabytes * Gigabyte, 0}, fixture.now}, fixture.now);
         fixture.plan();
     };
-    section("the raise is sent to the worker", [&] {
-        grows(24);
+    section("the raised reservation is sent to the worker", [&] {
+        reportServiceMemory(24);
         require(fixture.actionsOf<raise_action>().size() == 1);
         check(fixture.actionsOf<raise_action>()[0].reserved.bytes == 288 * Gigabyte / 10);
     });
     section("without free capacity one task of low priority is evicted, once", [&] {
-        grows(33);
+        reportServiceMemory(33);
         const auto victims = fixture.actionsOf<preempt_action>();
         require(victims.size() == 1);
         low.taskIndex = victims[0].victim.taskIndex;
@@ -656,13 +659,13 @@
         fixture.plan();
         check(fixture.actions.empty());
     });
-    section("the raise is granted when that task is gone", [&] {
+    section("the raise is granted when the evicted task has stopped", [&] {
         fixture.subject.taskReleased(low.ref(), "w0", fixture.now);
         fixture.plan();
         check(fixture.actionsOf<raise_action>().size() == 1);
         check(fixture.subject.ledgerOf("w0")->reserved().bytes == 556 * Gigabyte / 10);
     });
-    section("it does not return to the worker that evicted it for two minutes", [&] {
+    section("the evicted task is not placed on the same worker for two minutes", [&] {
         fixture.subject.taskEnded({"low", (low.taskIndex + 1) % 3}, "w0", fixture.now);
         fixture.plan();
         check(fixture.actions.empty());
@@ -678,48 +681,48 @@
 Test(scheduler, backlog)
 {
     scheduler_fixture fixture(1);
-    const auto fillBacklog = [&](std::size_t perWorker) {
+    const auto planBacklogs = [&](std::size_t perWorker) {
         auto plan = fixture.subject.planBacklog(fixture.now, perWorker);
         for (const auto &each : plan.assigned)
             fixture.subject.placementSettled(each.task, each.worker, placement_outcome::Applied,
                                              fixture.now);
         return plan;
     };
-    const auto startedInOutage = [&] {
+    const auto countStartsInOutage = [&] {
         fixture.actions = fixture.subject.plan(fixture.now, MaxDecisions, plan_scope::BacklogOnly);
         return fixture.actionsOf<place_action>().size();
     };
-    const auto end = [&](int index, const std::string &worker) {
+    const auto endTask = [&](int index, const std::string &worker) {
         fixture.subject.taskEnded({"season", index}, worker, fixture.now);
     };
     const resources quarter{4'000, 8 * Gigabyte, 0};
     fixture.submit(batchTask("season", 0, quarter), 8);
     check(fixture.planAndRun().size() == 4);
-    check(fillBacklog(2).assigned.size() == 2);
-    check(fillBacklog(2).assigned.empty());
-    section("when one task ends, exactly one starts", [&] {
-        check(startedInOutage() == 0);
-        end(0, "w0");
-        check(startedInOutage() == 1);
-        check(startedInOutage() == 0);
+    check(planBacklogs(2).assigned.size() == 2);
+    check(planBacklogs(2).assigned.empty());
+    section("when one task ends, exactly one task of the backlog starts", [&] {
+        check(countStartsInOutage() == 0);
+        endTask(0, "w0");
+        check(countStartsInOutage() == 1);
+        check(countStartsInOutage() == 0);
         check(fixture.subject.ledgerOf("w0")->reserved().millicores == WorkerSize.millicores);
     });
-    section("the other one has to wait for the team's quota", [&] {
+    section("the second task of the backlog waits for the team's quota", [&] {
         fixture.subject.setTeam({"clubs", 1, {12'000, 0, 0}});
-        end(1, "w0");
-        check(startedInOutage() == 0);
+        endTask(1, "w0");
+        check(countStartsInOutage() == 0);
         fixture.subject.setTeam({"clubs", 1, {}});
-        check(startedInOutage() == 1);
+        check(countStartsInOutage() == 1);
     });
-    section("a new worker gets the tasks from the other one's backlog", [&] {
-        check(fillBacklog(2).assigned.size() == 2);
+    section("a new worker gets the tasks from the backlog of the first worker", [&] {
+        check(planBacklogs(2).assigned.size() == 2);
         fixture.subject.addWorker(scheduler_fixture::workerInfo(1), fixture.now);
-        check(fillBacklog(2).withdrawn.empty());
+        check(planBacklogs(2).withdrawn.empty());
         fixture.now += seconds(3);
-        const auto back = fillBacklog(2).withdrawn;
-        check(back.size() == 2);
-        check(startedInOutage() == 0); // their withdrawal is in progress
-        for (const auto &each : back)
+        const auto withdrawals = planBacklogs(2).withdrawn;
+        check(withdrawals.size() == 2);
+        check(countStartsInOutage() == 0); // their withdrawal is in progress
+        for (const auto &each : withdrawals)
             fixture.subject.taskReleased(each.task, each.worker, fixture.now);
         const auto placed = fixture.planAndRun();
         check(placed.size() == 2 && placed.front().worker == "w1");
@@ -756,15 +759,15 @@
     fixture.submit(batchTask("season", 0, {1'000, 25 * Gigabyte, 0}), 2);
     fixture.submit(batchTask("grows", 0, {1'000, 8 * Gigabyte, 0}));
     check(fixture.planAndRun().size() == 3);
-    const auto uses = [&](const task_ref &task, std::int64_t gigabytes) {
+    const auto reportMemory = [&](const task_ref &task, std::int64_t gigabytes) {
         fixture.now += seconds(10);
         fixture.subject.usageSampled({task, "w0", {500, gigabytes * Gigabyte, 0}, fixture.now},
                                      fixture.now);
         fixture.plan();
     };
-    uses({"season", 0}, 5);
-    uses({"season", 1}, 5);
-    uses({"grows", 0}, 12);
+    reportMemory({"season", 0}, 5);
+    reportMemory({"season", 1}, 5);
+    reportMemory({"grows", 0}, 12);
     section("the raise is deferred, nothing is evicted, and no new task gets the capacity", [&] {
         check(fixture.subject.ledgerOf("w0")->deferred().bytes > 0);
         check(fixture.subject.stats().preemptedForMemory == 0);
@@ -772,17 +775,17 @@
         fixture.plan();
         check(fixture.actionsOf<place_action>().empty());
     });
-    section("memory in use comes near the worker's size: one task is evicted", [&] {
-        uses({"season", 0}, 22);
-        uses({"season", 1}, 22);
+    section("one task is evicted when the memory in use comes near the worker's size", [&] {
+        reportMemory({"season", 0}, 22);
+        reportMemory({"season", 1}, 22);
         check(fixture.subject.stats().preemptedForMemory == 1);
         fixture.plan();
         check(fixture.subject.stats().preemptedForMemory == 1);
     });
 }
 
-// Samples are duplicated, and a class learns to need more than any worker has.
-Test(scheduler, samples)
+// Samples are duplicated or late, and the learned size of a class exceeds every worker.
+Test(scheduler, usageSamples)
 {
     scheduler_fixture fixture(1);
     fixture.submit(batchTask("season", 0, {1'000, 30 * Gigabyte, 0}));
@@ -820,8 +823,8 @@
 }
 
 // The samples of a worker arrive 40 s late. For a while after the first throttling they still show
-// the time before it; acting on them would throttle repeatedly for the same interference.
-Test(scheduler, lateSamplesCallForOneAction)
+// the latency from before. Acting on them would throttle repeatedly for the same interference.
+Test(scheduler, delayedSamplesCauseOneAction)
 {
     scheduler_settings settings;
     settings.avoidInterference = false;
@@ -833,15 +836,15 @@
     fixture.now += seconds(60);
     int actions = 0;
     int elapsedSeconds = 0;
-    time_point changed = Never;
+    time_point throttledAt = Never;
     for (; elapsedSeconds < 60 && actions < 2; ++elapsedSeconds) {
         fixture.now += seconds(1);
-        const bool isNoisy = fixture.now - seconds(40) <= changed;
+        const bool isNoisy = fixture.now - seconds(40) <= throttledAt;
         fixture.reportLatency(service, isNoisy ? 8.0 : 2.5, seconds(40));
         fixture.reportLatency(service, isNoisy ? 8.0 : 2.5, seconds(40)); // a duplicate
         fixture.plan();
         actions += static_cast<int>(fixture.actions.size());
-        changed = actions == 1 ? std::min(changed, fixture.now) : changed;
+        throttledAt = actions == 1 ? std::min(throttledAt, fixture.now) : throttledAt;
     }
     section("the second action waits for samples from after the first", [&] {
         check(actions == 2);
@@ -853,7 +856,7 @@
 // Interfering batch tasks start on every worker at once and every service misses its target. Relief
 // must throttle before it evicts, wait for the effect, and never exceed the eviction budget, or the
 // wave of interference would cause a wave of evictions with the loss of their work.
-Test(scheduler, noisyWave)
+Test(scheduler, waveOfInterferingTasks)
 {
     scheduler_settings settings;
     settings.weights = {0.7, 0.2, 0.1};
@@ -865,26 +868,27 @@
     std::map<task_ref, std::pair<std::string, double>> noisy; // worker and processors
     for (const auto &placed : fixture.planAndRun())
         noisy[placed.task] = {placed.worker, 4.0};
-    double noise = 0.3; // log slowdown per processor
+    double slowdownPerProcessor = 0.3; // logarithm
     int throttled = 0;
     int evicted = 0;
-    std::map<std::string, time_point> lastAction;
-    duration shortestPause = std::chrono::hours(1);
+    std::map<std::string, time_point> lastActionAt;
+    duration minInterval = std::chrono::hours(1);
     const auto step = [&] {
         fixture.now += seconds(2);
         for (const auto &service : services) {
-            double load = 0;
-            for (const auto &[task, where] : noisy)
-                load += where.first == service.worker ? where.second : 0;
-            fixture.reportLatency(service, std::exp(noise * load - 0.3), seconds(1));
+            double noisyProcessors = 0;
+            for (const auto &[task, location] : noisy)
+                noisyProcessors += location.first == service.worker ? location.second : 0;
+            fixture.reportLatency(service, std::exp(slowdownPerProcessor * noisyProcessors - 0.3),
+                                  seconds(1));
         }
         fixture.plan();
         for (const auto &action : fixture.actionsOf<throttle_action>()) {
             ++throttled;
             noisy[action.task].second = static_cast<double>(action.millicores) / 1000;
-            if (lastAction.contains(action.worker))
-                shortestPause = std::min(shortestPause, fixture.now - lastAction[action.worker]);
-            lastAction[action.worker] = fixture.now;
+            if (lastActionAt.contains(action.worker))
+                minInterval = std::min(minInterval, fixture.now - lastActionAt[action.worker]);
+            lastActionAt[action.worker] = fixture.now;
         }
         for (const auto &action : fixture.actionsOf<preempt_action>()) {
             ++evicted;
@@ -900,15 +904,15 @@
         while (evicted == 0 && throttled < 72)
             step();
         check(throttled == 72 && evicted == 0);
-        check(shortestPause >= seconds(20));
+        check(minInterval >= seconds(20));
     });
-    section("after that no more are evicted than the budget allows", [&] {
+    section("after that no more tasks are evicted than the budget allows", [&] {
         minutes(20);
         check(evicted >= 3 && evicted <= 4);
         check(fixture.subject.stats().evictionsOverBudget > 0);
     });
-    section("without interference the limits are raised step by step", [&] {
-        noise = 0;
+    section("without interference the processor limits are raised step by step", [&] {
+        slowdownPerProcessor = 0;
         throttled = 0;
         minutes(1);
         check(throttled <= 12);
@@ -917,9 +921,9 @@
     });
 }
 
-// One of twelve workers fails every task within a second, so it always has the most free capacity
-// and attracts the next tasks.
-Test(scheduler, workerThatFailsEverything)
+// One of twelve workers fails every task within a second. It therefore always has free capacity,
+// and without a quarantine it would get the next tasks again.
+Test(scheduler, workerThatFailsAllTasks)
 {
     scheduler_fixture fixture(12);
     for (int job = 0; job < 30; ++job)
@@ -936,12 +940,12 @@
             fixture.subject.taskFailed(placed.task, placed.worker, "disk error", fixture.now);
         }
     }
-    section("it causes few failures and single probes, and no job is quarantined", [&] {
+    section("the worker causes few failures, and no job is quarantined", [&] {
         check(failures >= 3 && failures <= 8);
         check(fixture.subject.stats().refusedQuarantined == 0);
         check(fixture.subject.pendingTaskCount() == 0);
     });
-    section("it is used again after a successful probe", [&] {
+    section("the worker is used again after a successful probe", [&] {
         fixture.submit(batchTask("fill", 0, {4'000, 4 * Gigabyte, 0}), 100);
         for (int minute = 0; minute < 120; ++minute) {
             fixture.now += std::chrono::minutes(1);
@@ -954,7 +958,7 @@
     });
 }
 
-Test(scheduler, badJob)
+Test(scheduler, jobThatAlwaysFails)
 {
     scheduler_fixture fixture(6);
     fixture.submit(batchTask("broken", 0, {1'000, Gigabyte, 0}), 50);
@@ -968,11 +972,12 @@
         }
         reportedRefusals += static_cast<int>(fixture.actionsOf<refuse_action>().size());
     }
-    section("it is quarantined after failures on three workers, and this is reported once", [&] {
-        check(reportedRefusals == 1);
-        check(failures <= 200);
-        check(fixture.subject.pendingTaskCount() == 50); // none is lost
-        check(fixture.subject.explain({"broken", 0}, fixture.now).find("no such file")
-              != std::string::npos);
-    });
+    section("the job is quarantined after failures on three workers, and this is reported once",
+            [&] {
+                check(reportedRefusals == 1);
+                check(failures <= 200);
+                check(fixture.subject.pendingTaskCount() == 50); // none is lost
+                check(fixture.subject.explain({"broken", 0}, fixture.now).find("no such file")
+                      != std::string::npos);
+            });
 }
