--- a/bench/placement_bench.cpp
+++ b/bench/placement_bench.cpp
@@ -1,6 +1,13 @@
 // Compares placement policies on the same seeded sequences at two loads.
 //
 //   placement_bench [seed...]
+//
+// Columns that are not named like their member of model_result:
+//   p99/goal  serviceP99Ratio       (interf)  evictionsForInterference
+//   late      serviceLateFraction   killed    memoryKills
+//   slowdown  meanSlowdown          waste-h   wastedHours
+//   finished  batchFinished         limits    throttles
+//   cpu-h     finishedHours         urgent    maxUrgentDelay
 #include <cstdlib>
 #include <vector>
 
--- a/libs/placement/relief.h
+++ b/libs/placement/relief.h
@@ -5,7 +5,7 @@
 //   chooseRelief       throttle, otherwise checkpoint and evict, or nothing
 //   chooseThrottleLift which throttled task gets processors back
 //
-// These functions have no state and consider the tasks of one worker. The scheduler keeps the
+// The functions have no state and consider the tasks of one worker. The scheduler keeps the latency
 // signals, the cool-down and the budget.
 #pragma once
 
--- a/libs/placement/resources.h
+++ b/libs/placement/resources.h
@@ -1,6 +1,6 @@
 // Resources, tasks and workers as placement sees them.
 //
-//   resources            processor time, memory and accelerators, as integers
+//   resources            its dimensions are processor time, memory and accelerators, as integers
 //   task_ref             identity of a task
 //   task_spec            properties of a task that matter for placement
 //   worker_info          properties of a worker that matter for placement
--- a/libs/placement/scheduler.h
+++ b/libs/placement/scheduler.h
@@ -21,7 +21,7 @@
 // taskReleased. After a restart taskPlaced adds a task that is placed according to the table. Each
 // event names the worker. An event for a worker on which the task is not placed is late or a
 // duplicate; it is ignored and counted. The code that reports events must drop those of earlier
-// attempts, since an attempt on the same worker cannot be distinguished here.
+// attempts: the scheduler cannot distinguish two attempts on the same worker.
 #pragma once
 
 #include <cstddef>
