--- a/libs/work/leases.h
+++ b/libs/work/leases.h
@@ -17,14 +17,14 @@
     milliseconds grantPeriod{1'800'000}; // an owner may send grants for this long after a renewal
     milliseconds grantLease{15'000};     // an agent's lease, counted from the sending of its report
     milliseconds taskLease{30'000};      // longest lease of a task of failover class Lease
-    milliseconds proofTaskLease{3'600'000}; // of class Proof: longer than any absence of an agent
+    milliseconds proofTaskLease{3'600'000}; // of class Proof: longer than an agent may be absent
     milliseconds safetyMargin{1'000};       // added to each wait for another process's lease to end
     std::int64_t clockDriftPpm = 500;       // largest difference in rate between two clocks
 };
 
-// How long to wait for the answer to a write. After that no answer will come, because the queue to
-// the platform or the ring buffer of the waiting thread was full; the write is then in doubt, like
-// one whose answer was lost.
+// How long to wait for the answer to a write. An answer that is still missing then never comes: the
+// queue to the platform or the ring buffer of the waiting thread was full, and the write or its
+// answer was dropped. Whether the write took effect must be read from its rows.
 constexpr milliseconds AnswerTimeout{10'000};
 
 // Workers that have sent an owner no report for a while, each with the time until which it may
--- a/libs/work/messages.h
+++ b/libs/work/messages.h
@@ -39,6 +39,7 @@
 std::string textOf(const task_id &task);
 task_id taskIdFromText(std::string_view text); // throws error BadRequest
 
+// One attempt to execute a task. Attempts of a task are numbered from 1.
 struct task_attempt
 {
     task_id task;
@@ -87,7 +88,7 @@
     std::uint64_t sequence = 0;    // increases with each report of the session
     std::uint64_t epoch = 0;       // newest epoch that the worker itself has recorded
     std::vector<task_event> events;
-    std::uint64_t ackedReservation = 0; // newest `newestReservation` fully applied under `epoch`
+    std::uint64_t ackedReservation = 0; // reservations of `epoch` up to this number are applied
 };
 
 // What the owner's reservation ledger counts for an attempt, if more than the declared size.
@@ -111,8 +112,8 @@
     std::uint32_t attempt = 0;
     failover_class failover = failover_class::Lease;
     std::string checkpoint; // object name to resume from; empty: start from the beginning
-    // Names of checkpoints of later attempts that ended without a report, newest first. The worker
-    // resumes from the first of them that exists instead of `checkpoint`.
+    // Names of checkpoints that later attempts may have written without reporting them, newest
+    // first. The worker resumes from the first of them that exists, else from `checkpoint`.
     std::vector<std::string> newerCheckpoints;
 };
 
@@ -135,7 +136,7 @@
     std::vector<task_attempt> evictions; // to be checkpointed and ended
     std::map<std::string, Json::Value> specs;     // by job, for `tasks` and `backlog`
     std::vector<task_reservation> reservations{}; // of `tasks`, and those not yet acknowledged
-    std::uint64_t newestReservation = 0;          // acknowledged by the agent's next report
+    std::uint64_t newestReservation = 0;          // number of the newest; acknowledged by the agent
     // The complete list: a task that is not in it runs without a limit. Absent in grants of owners
     // of earlier versions.
     std::optional<std::vector<cpu_limit>> cpuLimits{};
--- a/libs/work/ownership.cpp
+++ b/libs/work/ownership.cpp
@@ -144,13 +144,13 @@
 }
 
 // Finds out from the rows whether the pending write has taken effect:
-// - A row carries its operation id: it has.
-// - Not so, and the versions still meet its conditions: it may be in flight. Exactly the same write
-//   is sent again; its conditions let at most one copy take effect.
-// - Not so, and a version has changed: it never will, and is dropped.
-// Versions are compared with the write's own conditions, also when it is not in doubt yet: the scan
-// that shows another owner's write may come before the answer, and later scans may show the same
-// versions. If they were compared with the last scan, the write would be repeated forever and the
+// - Its row carries its operation id: it has taken effect.
+// - No such row, and the versions still meet its conditions: it may be in flight. Exactly the same
+//   write is sent again; its conditions let at most one copy take effect.
+// - No such row, and a version has changed: it can never take effect, and is dropped.
+// Versions are compared with the write's own conditions, even before it is in doubt: the scan that
+// shows another owner's write may arrive before the answer, and later scans may show no further
+// change. If versions were compared with the last scan, the write would be repeated forever and the
 // shard neither acquired nor released.
 void shard_ownership::resolveFromRows(shard_state &state, const table_row *row,
                                       const table_row *lease, time_point now)
@@ -369,8 +369,9 @@
     row["silentWaitMs"] = Json::Int64(millisecondsUntil(state.earlierLeasesEndAt, now) + 1);
     if (state.earlierLeasesEndAt <= now)
         row["silentWaitMs"] = 0;
-    // When entries are replaced one after the other, each new owner would otherwise start a new
-    // wait for workers that are long gone, and their tasks would wait as well.
+    // Remaining waits for single workers. Without them, when entries are replaced one after the
+    // other, each new owner would wait anew for workers that are long gone, and so would the tasks
+    // of these workers.
     for (const auto &[worker, until] : unresponsive)
         row["quietMs"][worker] = Json::Int64(until > now ? millisecondsUntil(until, now) + 1 : 0);
     write.transaction.writes.push_back({shardKey(state.info.shard), row});
@@ -416,7 +417,7 @@
                                             state.earlierLeasesEndAt, write.unresponsive});
         break;
     case pending_write::purpose::Renew:
-        // Counted from before the write was sent: other entries see its effect later than that.
+        // Counted from before the write was sent, as other entries count from when they see it.
         state.leaseVersion = version;
         state.grantUntil = write.sentAt + m_settings.leases.grantPeriod;
         state.nextRenewalAt = write.sentAt + m_settings.leases.renewInterval;
--- a/libs/work/ownership.h
+++ b/libs/work/ownership.h
@@ -60,9 +60,9 @@
 {
     std::vector<entry_info> entries; // all live entries, including this one
 };
-// The next two carry the current unresponsive workers of each owned shard, by shard number. They
-// must be read at that moment: for a worker that has reported since, a handed-over shard would name
-// an end of its lease that is too early.
+// ownership_tick and release_shards carry the unresponsive workers of each owned shard, by shard
+// number. Read them right before the event: if a worker reports in between, the handed-over row
+// would state an end of its lease that is too early.
 struct ownership_tick // time has passed
 {
     std::map<int, unresponsive_workers> unresponsive;
@@ -86,9 +86,10 @@
     int shard = 0;
     std::uint64_t epoch = 0;
     std::uint64_t shardVersion = 0; // of `shard/<n>`: each write of the owner is conditional on it
-    time_point earlierLeasesEndAt; // a worker not yet attached may hold an earlier lease until then
-    unresponsive_workers
-            unresponsive; // exceptions from the previous owner: each until its own time
+    // Until when a worker that has not yet attached may hold a lease of an earlier owner.
+    time_point earlierLeasesEndAt;
+    // Exceptions to it from the previous owner: each may hold a lease until its own time.
+    unresponsive_workers unresponsive;
 };
 struct lost_shard // the shard is handed over, or another entry owns it: stop deciding for it
 {
@@ -101,11 +102,12 @@
     lease_settings leases;
     milliseconds scanInterval{1'000};    // between two scans of the shard rows
     milliseconds takeoverStagger{1'000}; // extra wait before a takeover, per preference rank
-    milliseconds handOverDelay{60'000}; // an owner that isn't the preferred one hands over after it
+    // An owner hands its shard over when another live entry has been preferred for this long.
+    milliseconds handOverDelay{60'000};
 };
 
-// Acquires, renews and hands over shards for one entry. Performs no I/O: events go in, actions come
-// out.
+// Acquires, renews and hands over shards for one entry. Performs no I/O: the entry calls handle()
+// with each event and carries out the actions that it returns. Not thread-safe.
 class shard_ownership
 {
 public:
@@ -116,8 +118,8 @@
     std::vector<ownership_action> handle(const ownership_event &event, time_point now);
 
     bool owns(int shard) const;
-    // No grant may be sent at or after this time; the caller checks it right before each send. A
-    // time in the past when the shard is not owned.
+    // No lease may be granted at or after this time: the shard's task_coordinator gets it as
+    // grant_deadline_changed. A time in the past when the shard is not owned.
     time_point grantDeadline(int shard) const;
     // True once all shards are handed over after release_shards.
     bool isReleased() const;
@@ -129,7 +131,7 @@
         table_transaction transaction;
         std::uint64_t rowVersion = 0;      // condition: version of the shard's row
         std::uint64_t leaseVersion = 0;    // condition: version of its lease row
-        time_point sentAt;                 // when it was decided, so before its first sending
+        time_point sentAt;                 // before its first sending
         time_point retryAt = Never;        // when it is sent again
         time_point earlierLeasesEndAt;     // for Acquire
         unresponsive_workers unresponsive; // for Acquire
@@ -145,7 +147,7 @@
         std::uint64_t leaseVersion = 0;
         std::uint64_t epoch = 0;
         bool isHandedOver = false;          // the last owner handed the shard over
-        milliseconds remainingLeaseWait{0}; // remaining wait of the last owner at the hand-over
+        milliseconds remainingLeaseWait{0}; // what the last owner still had to wait at the handover
         std::map<std::string, milliseconds> unresponsive; // the same for single workers
         time_point versionsSeenAt;                        // when these versions were first seen
         time_point unchangedSince; // unchanged since then, without a long gap between scans
--- a/libs/work/quota_parts.cpp
+++ b/libs/work/quota_parts.cpp
@@ -21,12 +21,12 @@
             operation(left.accelerators, right.accelerators)};
 }
 
-resources larger(const resources &left, const resources &right)
+resources elementwiseMax(const resources &left, const resources &right)
 {
     return combine(left, right, [](auto a, auto b) { return std::max(a, b); });
 }
 
-resources smaller(const resources &left, const resources &right)
+resources elementwiseMin(const resources &left, const resources &right)
 {
     return combine(left, right, [](auto a, auto b) { return std::min(a, b); });
 }
@@ -77,7 +77,8 @@
         team.demand.limit = demand.limit;
         team.demand.inUse = limitedDimensionsOf(demand.inUse, demand.limit);
         team.demand.demanded = limitedDimensionsOf(
-                smaller(larger(demand.inUse, demand.demanded), demand.limit), demand.limit);
+                elementwiseMin(elementwiseMax(demand.inUse, demand.demanded), demand.limit),
+                demand.limit);
         team.demand.largestWaiting = limitedDimensionsOf(demand.largestWaiting, demand.limit);
         team.isYielding = now >= team.nextYieldAt && isOtherShardBelowEqualShare(team);
         if (!team.inFlightOperation.empty() && now >= team.answerDeadline)
@@ -113,11 +114,11 @@
     const team_state &team = found->second;
     resources part = currentPart(team);
     if (!team.inFlightOperation.empty())
-        part = smaller(part, team.inFlightPart);
+        part = elementwiseMin(part, team.inFlightPart);
     if (team.inDoubtPart)
-        part = smaller(part, *team.inDoubtPart);
+        part = elementwiseMin(part, *team.inDoubtPart);
     // While yielding, quota of ended tasks is not reused in this shard.
-    return team.isYielding ? smaller(part, partToKeep(team)) : part;
+    return team.isYielding ? elementwiseMin(part, partToKeep(team)) : part;
 }
 
 // An equal share for each shard that has a part or waits for one.
@@ -152,7 +153,7 @@
     const auto &resourcesInUse = team.demand.inUse;
     const resources equal = limitedDimensionsOf(equalShare(team), team.demand.limit);
     const bool fitsOne = (resourcesInUse + team.demand.largestWaiting).fitsIn(equal);
-    return fitsOne ? larger(equal, resourcesInUse) : resourcesInUse;
+    return fitsOne ? elementwiseMax(equal, resourcesInUse) : resourcesInUse;
 }
 
 // What the other shards leave of the limit; negative after operators have lowered the limit.
@@ -173,7 +174,7 @@
     const resources partKept = partToKeep(team);
     if (team.isYielding && !part.fitsIn(partKept)) {
         team.nextRaiseAt = now + 2 * m_settings.readInterval; // by then others have read the row
-        return smaller(part, partKept);
+        return elementwiseMin(part, partKept);
     }
     if (part.fitsIn(demand.demanded)) // the demand needs all of it
         team.keepUnusedUntil = now + m_settings.unusedReturnDelay;
@@ -183,10 +184,11 @@
         return part;
     const resources minimumNeeded = demand.inUse + demand.largestWaiting;
     const resources upperBound = isOtherShardBelowEqualShare(team)
-                                         ? larger(equalShare(team), minimumNeeded)
+                                         ? elementwiseMax(equalShare(team), minimumNeeded)
                                          : demand.limit;
     const resources raised =
-            larger(part, smaller(smaller(demand.demanded, upperBound), unallocatedQuota(team)));
+            elementwiseMax(part, elementwiseMin(elementwiseMin(demand.demanded, upperBound),
+                                                unallocatedQuota(team)));
     return minimumNeeded.fitsIn(raised) ? raised : part;
 }
 
@@ -243,7 +245,7 @@
             team.inFlightOperation.clear();
         else if (event.result.outcome == write_outcome::Unknown)
             markInDoubt(name, team, now + m_settings.readInterval);
-        else // also if Applied: parts always become known by reading the row
+        else // also after Applied: parts are only taken from rows that were read
             markInDoubt(name, team, now);
         break;
     }
@@ -255,7 +257,8 @@
 void quota_parts::markInDoubt(const std::string &name, team_state &team, time_point writeAt)
 {
     team.inFlightOperation.clear();
-    team.inDoubtPart = smaller(team.inDoubtPart.value_or(team.inFlightPart), team.inFlightPart);
+    team.inDoubtPart =
+            elementwiseMin(team.inDoubtPart.value_or(team.inFlightPart), team.inFlightPart);
     team.nextWriteAt = writeAt;
     m_actions.emplace_back(read_rows{{keyOf(name)}});
     team.isStale = true;
@@ -296,7 +299,7 @@
     for (const auto &shard : parts.getMemberNames()) {
         const int shardNumber = std::stoi(shard);
         if (shardNumber
-            < static_cast<int>(m_settings.shardCount)) // there may have been more shards before
+            < static_cast<int>(m_settings.shardCount)) // the number of shards may have been reduced
             team.parts[shardNumber] = resourcesFromJson(parts[shard]);
     }
     team.waitingShards.clear();
--- a/libs/work/quota_parts.h
+++ b/libs/work/quota_parts.h
@@ -42,7 +42,7 @@
     resources largestWaiting; // size of the largest waiting task; 0: none waits
 };
 
-// Writes and reads of rows that the caller carries out.
+// Writes and reads of rows, which the owner of the quota_parts carries out.
 using quota_action = std::variant<commit_rows, read_rows>;
 
 // Keeps this shard's part of each team's quota, and decides when the part grows or shrinks. Used by
@@ -51,8 +51,8 @@
 {
 public:
     // `shardVersion` is the version of the shard's row, a condition of each write.
-    // `operationPrefix` starts the id of each write and must be unique for each tenure of a shard:
-    // other than in task_coordinator, nothing is appended that tells tenures apart.
+    // `operationPrefix` starts the id of each write and must be unique for each tenure of a shard,
+    // as quota_parts, unlike task_coordinator, doesn't append shard and epoch to it.
     quota_parts(int shard, std::uint64_t shardVersion, std::string operationPrefix,
                 quota_settings settings);
 
@@ -60,13 +60,13 @@
     // placer goes through the waiting tasks. With one shard it does nothing.
     std::vector<quota_action> update(const std::map<std::string, team_demand> &demands,
                                      time_point now);
-    // Answers to writes and reads of others are ignored.
+    // Answers to writes and reads that other classes requested are ignored.
     std::vector<quota_action> handle(const write_answered &event, time_point now);
     void handle(const rows_read &event);
 
     // How much the team's tasks in this shard may use together. Only the dimensions with a limit
-    // are meaningful. Zero for a team that update() was not told of, and until its row was read; so
-    // it is not to be called with one shard.
+    // are meaningful. Zero for a team that was not in the last update(), and until the team's row
+    // was read. Don't call it with one shard: no row is read then.
     resources usableQuota(const std::string &team) const;
 
 private:
--- a/libs/work/task_coordinator.cpp
+++ b/libs/work/task_coordinator.cpp
@@ -20,7 +20,7 @@
         {task_change::Reverted, "reverted"},
 }};
 
-constexpr name_table<coordinator_counter, 14> CountNames = {{
+constexpr name_table<coordinator_counter, 14> CounterNames = {{
         {coordinator_counter::StaleIncarnation, "stale_incarnation"},
         {coordinator_counter::StaleSession, "stale_session"},
         {coordinator_counter::StaleReport, "stale_report"},
@@ -59,7 +59,7 @@
 
 std::string_view nameOf(coordinator_counter reason)
 {
-    return nameOf(CountNames, reason);
+    return nameOf(CounterNames, reason);
 }
 
 task_coordinator::task_coordinator(shard_tenure tenure, const std::string &operationPrefix,
@@ -231,7 +231,7 @@
     record.incarnation = m_workers[event.worker].incarnation;
     record.isBacklogged = event.isBacklogged;
     stageRecord(event.task, record, now);
-    // An earlier placement with this attempt number may have had no effect.
+    // Drops the state of an earlier placement with this attempt number that took no effect.
     m_volatileStates.erase(event.task);
     if (event.reserved == resources{})
         return;
@@ -327,13 +327,13 @@
     worker.isAttached = report.epoch == m_tenure.epoch;
     worker.ackedReservation = worker.isAttached ? report.ackedReservation : 0;
     if (m_store.isDeclaredSilent(report.worker)) {
-        // Its tasks may already run elsewhere, and the table says that it holds no lease. So it
-        // gets no grant before its removal from the silent workers is committed.
+        // The worker's tasks may already run elsewhere, and the table says that the worker holds no
+        // lease. So it gets no grant before its removal from the silent workers is committed.
         count(coordinator_counter::WorkerReturned);
         m_store.stageSilent(report.worker, false, now);
         return;
     }
-    // The agent counts its lease from the sending of this report, which was earlier.
+    // The agent counts its lease from the sending of this report, so the lease ends earlier.
     worker.leaseUntil = now + leaseExpiryWait(m_settings.leases.grantLease, m_settings.leases);
     worker.isLeaseLapsed = false;
     m_workersToGrant.insert(report.worker);
@@ -374,8 +374,8 @@
 {
     if (report.session == worker.session)
         return true;
-    const bool isCurrent = now - worker.lastReportAt < m_settings.leases.grantLease;
-    if (worker.replacedSessions.contains(report.session) && isCurrent) {
+    const bool isSessionActive = now - worker.lastReportAt < m_settings.leases.grantLease;
+    if (worker.replacedSessions.contains(report.session) && isSessionActive) {
         count(coordinator_counter::StaleSession);
         return false;
     }
@@ -408,13 +408,13 @@
     if (event.kind == task_event_kind::Started) {
         applyStarted(report, event);
     } else if (event.kind == task_event_kind::Checkpointed) {
-        task_record latest = record;
-        latest.checkpoint = event.checkpoint;
-        stageRecord(event.task, latest, now);
+        task_record updated = record;
+        updated.checkpoint = event.checkpoint;
+        stageRecord(event.task, updated, now);
     } else {
-        const task_record latest = recordAfterEnd(record, event);
-        stageRecord(event.task, latest, now, latest.state == task_state::Done);
-        emitChange(event.task, task_change::EndReported, latest, record.worker);
+        const task_record updated = recordAfterEnd(record, event);
+        stageRecord(event.task, updated, now, updated.state == task_state::Done);
+        emitChange(event.task, task_change::EndReported, updated, record.worker);
     }
 }
 
@@ -718,7 +718,8 @@
     return {found->second.begin(), found->second.end()};
 }
 
-// Updates the list of the worker's tasks: those on it by their committed or newest record.
+// Adds the task to the worker's tasks or removes it. A task is on a worker if its committed or its
+// newest record says so.
 void task_coordinator::updateWorkerIndex(const task_id &task, const std::string &worker)
 {
     if (worker.empty())
@@ -777,7 +778,7 @@
         m_tasksByWorker[record.worker].insert(task);
         worker_state &worker = m_workers[record.worker];
         worker.incarnation = std::max(worker.incarnation, record.incarnation);
-        // The last owner has already waited for these for a while.
+        // The previous owner has already waited for a part of this worker's lease.
         if (m_tenure.unresponsive.contains(record.worker))
             worker.leaseUntil = m_tenure.unresponsive.at(record.worker);
         else if (!m_store.isCommittedSilent(record.worker))
--- a/libs/work/task_records.cpp
+++ b/libs/work/task_records.cpp
@@ -32,7 +32,16 @@
 }};
 
 // Positions in the list of a stored record. Trailing default values are left out.
-enum record_member { State, Attempt, Checkpoint, Failures, Worker, Incarnation, Ahead, Members };
+enum record_member {
+    State,
+    Attempt,
+    Checkpoint,
+    Failures,
+    Worker,
+    Incarnation,
+    Backlogged,
+    MemberCount
+};
 
 Json::Value memberOr(const Json::Value &list, int index, const Json::Value &defaultValue)
 {
@@ -118,7 +127,7 @@
     task_record record;
     if (value.isInt() && value.asInt() == 0)
         return record;
-    if (!value.isArray() || value.size() < 2 || value.size() > Members || !value[0].isString())
+    if (!value.isArray() || value.size() < 2 || value.size() > MemberCount || !value[0].isString())
         throw error(error_kind::BadRequest, "a task record must be a list of 2 to 7 members");
     const auto state = valueOf(StoredStateNames, value[State].asString());
     if (!state)
@@ -130,7 +139,7 @@
     record.failures = memberOr(value, Failures, 0).asUInt();
     record.worker = memberOr(value, Worker, "").asString();
     record.incarnation = memberOr(value, Incarnation, 0).asUInt64();
-    record.isBacklogged = memberOr(value, Ahead, 0).asUInt() != 0;
+    record.isBacklogged = memberOr(value, Backlogged, 0).asUInt() != 0;
     return record;
 }
 
--- a/libs/work/task_store.cpp
+++ b/libs/work/task_store.cpp
@@ -19,7 +19,7 @@
 constexpr const char *AppliedGenerationKey = "followed";
 constexpr const char *GenerationMember = "generation";
 
-constexpr name_table<store_counter, 4> CountNames = {{
+constexpr name_table<store_counter, 4> CounterNames = {{
         {store_counter::CommitRefused, "commit_refused"},
         {store_counter::CommitUnknown, "commit_unknown"},
         {store_counter::CommitConflict, "commit_conflict"},
@@ -75,7 +75,7 @@
 
 std::string_view nameOf(store_counter reason)
 {
-    return nameOf(CountNames, reason);
+    return nameOf(CounterNames, reason);
 }
 
 task_store::task_store(int shard, std::uint64_t shardVersion, std::string operationPrefix,
@@ -187,6 +187,7 @@
 
 // --- Records and jobs ----------------------------------------------------------------------------
 
+// Returns the record, changed to Cancelled or Cancelling if its job is cancelled.
 task_record task_store::view(const task_record &record, const std::optional<stored_job> &job)
 {
     if (!job || !job->isCancelled)
@@ -408,8 +409,8 @@
     table_transaction &transaction = m_transaction->transaction;
     transaction.operationId = m_operationPrefix + "/" + std::to_string(++m_operationCount);
     transaction.conditions.push_back({shardKey(m_shard), m_shardVersion});
-    // Rows that become due within the commit window are sent along. The removal of a job is sent in
-    // a transaction of its own, with rows that are all committed.
+    // Takes along the rows that become due within the commit window. The removal of a job is sent
+    // in a transaction of its own, when all rows of the job are committed.
     const time_point until = now + m_settings.commitWindow;
     const bool isRemoval = m_rowsByDueTime.begin()->second.kind == row_kind::Removal;
     auto position = m_rowsByDueTime.begin();
@@ -529,8 +530,8 @@
         current.retryAt = now + retryDelay();
         return;
     case write_outcome::Conflict:
-        // Either a copy of this transaction has taken effect, or a row has changed otherwise. The
-        // rows are read to find out.
+        // Either a copy of this transaction has taken effect, or another writer has changed a row.
+        // The rows are read to find out.
         m_actions.emplace_back(store_counter::CommitConflict);
         current.isResolving = true;
         current.retryAt = now;
@@ -599,6 +600,8 @@
     }
 }
 
+// Returns whether `rows` show that the transaction in flight has taken effect, and the version that
+// it gave to its rows. Removals leave no operation id: they have taken effect if all rows are gone.
 bool task_store::hasTakenEffect(const std::map<std::string, const table_row *> &rows,
                                 std::uint64_t *version) const
 {
@@ -700,6 +703,7 @@
     return std::min(m_settings.initialRetryDelay * (1 << doublings), m_settings.maxRetryDelay);
 }
 
+// True if the job is cancelled, all its changes are committed and none of its tasks may be running.
 bool task_store::canRemoveJob(const std::string &id) const
 {
     const auto found = m_jobs.find(id);
@@ -767,7 +771,7 @@
         return;
     std::uint32_t index = row.chunk * m_settings.tasksPerChunk;
     for (const auto &value : arrayMember(found->value, "tasks")) {
-        if (value.isIntegral() && value.asUInt() > 1) {
+        if (value.isIntegral() && value.asUInt() > 1) { // this many tasks without a record
             index += value.asUInt();
             continue;
         }
--- a/libs/work/task_store.h
+++ b/libs/work/task_store.h
@@ -108,8 +108,8 @@
     bool isNewlyCancelled = false; // this write cancelled it
 };
 
-// Keeps the three versions of each row, and sends, retries and resolves transactions. Performs no
-// I/O: events go in, actions come out.
+// Keeps the three versions of each row, and sends, retries and resolves transactions. Used by
+// task_coordinator. Performs no I/O: events go in, actions come out.
 class task_store
 {
 public:
@@ -126,7 +126,7 @@
     // reads as Cancelled, Placed as Cancelling.
     task_record newestRecord(const task_id &task) const; // staged, else in flight, else committed
     task_record committedRecord(const task_id &task) const; // as the table holds it
-    bool hasUncommittedChange(const task_id &task) const;   // if so, the two may differ
+    bool hasUncommittedChange(const task_id &task) const;   // if so, these records may differ
     bool isInJobRange(const task_id &task) const;           // a task that this shard has or had
     bool hasUncommittedJobChange(const std::string &id) const;
     // `isLazy`: nobody waits for this change; it is collected for lazyCommitWindow.
@@ -157,7 +157,8 @@
 
 private:
     // Rows that are due at the same time are sent in this order. AppliedGeneration comes first, so
-    // that a change of a job is never in the table without its generation.
+    // that a change of a job is never in the table without its generation. Removal stands for the
+    // deletion of a job's row and chunks.
     enum class row_kind { AppliedGeneration, Job, Chunk, Silent, Removal };
 
     struct row_id
--- a/libs/work/task_supervisor.cpp
+++ b/libs/work/task_supervisor.cpp
@@ -25,7 +25,7 @@
         {task_outcome::Lapsed, "lapsed"},
 }};
 
-constexpr name_table<supervisor_counter, 9> CountNames = {{
+constexpr name_table<supervisor_counter, 9> CounterNames = {{
         {supervisor_counter::StaleEpoch, "stale_epoch"},
         {supervisor_counter::StaleIncarnation, "stale_incarnation"},
         {supervisor_counter::OtherSession, "other_session"},
@@ -123,7 +123,7 @@
 
 std::string_view nameOf(supervisor_counter reason)
 {
-    return nameOf(CountNames, reason);
+    return nameOf(CounterNames, reason);
 }
 
 Json::Value toJson(const worker_listing &listing)
@@ -237,8 +237,8 @@
     return grant.epoch >= m_epoch && grant.incarnation == m_incarnation;
 }
 
-// Has the worker record the epoch; the next report acknowledges it only after that. A replacement
-// of this agent reads it from the worker's listing, and so refuses the old owner's grants too.
+// Has the worker record the epoch; reports contain it only after that. A process that replaces this
+// agent reads the epoch from the worker's listing, and so refuses the old owner's grants too.
 void task_supervisor::adoptEpoch(std::uint64_t epoch, time_point now)
 {
     if (epoch <= m_epoch)
@@ -356,7 +356,7 @@
     if (isBacklog && !grant.mayStartBacklog)
         return;
     // The lease of this grant must still hold, not only the agent's lease: a newer grant may have
-    // extended that one, while this grant was delayed and its task has moved to another worker.
+    // extended the agent's lease, while this grant was delayed and its task moved elsewhere.
     if (now >= grantLeaseEnd) {
         count(supervisor_counter::LeaseLapsed);
         return;
@@ -427,7 +427,7 @@
                                 const resources &reserved, time_point grantLeaseEnd)
 {
     supervised_task &supervised = m_tasks[task.task];
-    // What is known of an earlier attempt, such as its refusal, doesn't concern this one.
+    // State of an earlier attempt, such as its refusal, doesn't apply to this one.
     if (supervised.attempt != task.attempt)
         supervised = supervised_task();
     supervised.attempt = task.attempt;
@@ -569,7 +569,8 @@
             it = m_tasks.erase(it);
             continue;
         }
-        // Another agent of this worker reported its outcome, and the worker was told to forget it.
+        // A running attempt is missing if another agent of this worker has reported its outcome
+        // and told the worker to forget it.
         if (isRefused || (isMissing && supervised.state == supervised_state::Running)) {
             supervised.state = supervised_state::Ended;
             addEvent(attempt, task_event_kind::Lost, now);
--- a/libs/work/task_supervisor.h
+++ b/libs/work/task_supervisor.h
@@ -101,18 +101,18 @@
 {
     granted_task task;
     Json::Value spec;
-    // Both times are counted from when the worker made listing `listing`.
+    // `lease` and `startWithin` are counted from when the worker made listing `listing`.
     milliseconds lease{0};         // lease of the task
     milliseconds startWithin{0};   // the worker refuses a later start
     std::uint64_t listing = 0;     // number of the listing
-    std::uint64_t incarnation = 0; // of the worker that made the listing; any other refuses
+    std::uint64_t incarnation = 0; // that made the listing; any other refuses the start
 };
 struct worker_renew
 {
     task_attempt attempt;
     milliseconds lease{0}; // counted from when the worker made listing `listing`
     std::uint64_t listing = 0;
-    std::uint64_t incarnation = 0; // of the worker that made the listing; any other ignores this
+    std::uint64_t incarnation = 0; // that made the listing; any other ignores the renewal
 };
 struct worker_stop // also sent for an attempt that is not running: it must never start later
 {
@@ -123,7 +123,7 @@
     task_attempt attempt;
     std::string checkpoint; // name of the object to write
 };
-// Limit the processor time of a running attempt. Listings don't show the limit, so the caller
+// Limit the processor time of a running attempt. Listings don't show the limit, so the agent
 // reports a missing answer as cpu_limit_unconfirmed, and the limit is sent again after the next
 // grant.
 struct worker_cpu_limit
@@ -148,7 +148,7 @@
     LeaseLapsed,           // start not sent: the lease given by its grant had lapsed
     OverCapacity,          // start refused: the task does not fit on the worker
     StaleListing,          // reordered or duplicated listing
-    StaleAttempt,          // grant of an older attempt than the one known here
+    StaleAttempt,          // grant of an older attempt than the agent knows of
     BacklogStarted,        // backlog task started while the table was down
     ReservationNotApplied, // raised reservation that does not fit beside the running tasks
 };
@@ -191,7 +191,8 @@
     // Tasks that count against the worker's capacity: starting or running ones, including those
     // that are being stopped.
     std::vector<running_task> occupyingTasks() const;
-    // Total size of these tasks except `task`, each with the larger of declared and reserved size.
+    // Total size of occupyingTasks() except `task`, each with the larger of its declared and
+    // reserved size.
     resources occupiedByOthers(const task_id &task) const;
     // End of the agent's own lease, which the owner's grants extend. Tasks of class Lease get no
     // lease beyond it; those of class Proof are renewed in any case.
@@ -216,7 +217,7 @@
         Json::Value spec;
         resources reservedSize;   // from the owner, if more than the declared size
         time_point startDeadline; // while Starting: the worker refuses the start from then on
-        std::uint64_t refusedAtListing = 0;      // newest listing when the worker refused the start
+        std::uint64_t refusedAtListing = 0;      // newest listing at the refusal; 0: not refused
         std::int64_t cpuLimit = UnknownCpuLimit; // millicores that the worker was told; 0: none
     };
 
--- a/libs/work/trace_checker.cpp
+++ b/libs/work/trace_checker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr name_table<trace_violation_kind, 10> KindNames = {{
+constexpr name_table<trace_violation_kind, 10> ViolationNames = {{
         {trace_violation_kind::BadLine, "bad_line"},
         {trace_violation_kind::OverCapacity, "over_capacity"},
         {trace_violation_kind::StartedWhileRunning, "two_places"},
@@ -43,7 +43,7 @@
 
 std::string_view nameOf(trace_violation_kind kind)
 {
-    return nameOf(KindNames, kind);
+    return nameOf(ViolationNames, kind);
 }
 
 void trace_checker::addEvent(const Json::Value &event)
--- a/libs/work/trace_checker.h
+++ b/libs/work/trace_checker.h
@@ -33,6 +33,7 @@
 
 namespace zinniabarrow::work {
 
+// Capacity of a worker, or what a task uses of it.
 struct trace_size
 {
     std::int64_t millicores = 0;
@@ -61,6 +62,7 @@
     std::string detail;   // task or worker, and what happened
 };
 
+// Add the events of a trace in order, then call finish().
 class trace_checker
 {
 public:
--- a/libs/work/usage.h
+++ b/libs/work/usage.h
@@ -20,10 +20,11 @@
 
 namespace zinniabarrow::work {
 
+// Measured usage of one task.
 struct task_usage
 {
-    std::int64_t millicores = 0;
-    std::int64_t bytes = 0;
+    std::int64_t millicores = 0; // processor time
+    std::int64_t bytes = 0;      // memory
 
     bool operator==(const task_usage &) const = default;
 };
@@ -57,6 +58,7 @@
 public:
     usage_reporter(std::string session, usage_settings settings);
 
+    // Call at each report interval with the usage of all tasks of the worker.
     usage_report nextReport(const usage_by_task &measured, time_point now);
     // Makes the next report a full one. Call when an answer is missing or the owner changes.
     void requestFullReport() { m_nextFullReportAt = time_point(); }
--- a/libs/work/worker_tasks.h
+++ b/libs/work/worker_tasks.h
@@ -28,17 +28,17 @@
         : m_incarnation(incarnation)
     { }
 
-    // Removes and returns the tasks whose lease has lapsed. Call it first after any wait; the
-    // caller must end their processes before it does anything else.
+    // Removes and returns the tasks whose lease has lapsed. Call it before anything else after each
+    // wait, and end the processes of the returned tasks before the next call of this class.
     std::vector<task_attempt> endLapsedTasks(time_point now);
 
     worker_listing list(const worker_list &request, time_point now);
     start_result start(const worker_start &request, time_point now);
     void renew(const worker_renew &request);
-    // Returns true if the attempt (or an older one of the task) was running: the caller must end
-    // its process. An attempt that has not run yet will never start.
+    // Returns true if the attempt, or an older one of the task, was running: its process must then
+    // be ended. An attempt that has not run yet will never start.
     bool stop(const worker_stop &request);
-    // To be called when a running attempt has ended.
+    // Call when a running attempt has ended.
     void recordEnd(const finished_task &finished);
     void forget(const worker_forget &request) { m_finished.erase(request.attempt); }
 
--- a/tests/quota_parts_test.cpp
+++ b/tests/quota_parts_test.cpp
@@ -1,6 +1,6 @@
-// Several shards share a team's quota through one row, while answers are lost or late and owners
-// change. Runs the decision code on a virtual clock; tasks start as soon as the shard's part
-// allows.
+// Several shards share a team's quota through one row, while writes and answers are lost or late
+// and owners change. Runs the decision code on a virtual clock; a task starts as soon as its
+// shard's part allows.
 #include <algorithm>
 #include <deque>
 #include <functional>
@@ -20,6 +20,8 @@
 
 namespace {
 
+// AnswerLost: the write takes effect. NeverSent: it is lost. Late: it takes effect after 5 s. In
+// all three cases the owner learns that the outcome is unknown.
 enum class write_fault { None, AnswerLost, NeverSent, Late, Refused };
 constexpr write_fault Faults[] = {write_fault::AnswerLost, write_fault::NeverSent,
                                   write_fault::Late, write_fault::Refused};
@@ -58,9 +60,9 @@
     std::int64_t maxCoresInUse = 0; // largest number in use at the same time, by all shards
     std::function<write_fault(tenure &)> chooseFault = [](tenure &) { return write_fault::None; };
 
-    quota_model(std::size_t count, std::int64_t limitCores, std::int64_t unitCores)
+    quota_model(std::size_t count, std::int64_t limitCores, std::int64_t coresPerTask)
         : quotaCores(limitCores)
-        , taskCores(unitCores)
+        , taskCores(coresPerTask)
         , shardStates(count)
     {
         for (std::size_t shard = 0; shard < count; ++shard)
@@ -191,7 +193,7 @@
     model.runFor(seconds(60));
 }
 
-void checkQuotaKept(const quota_model &model)
+void checkQuotaAndCompletion(const quota_model &model)
 {
     check(model.maxCoresInUse <= model.quotaCores);
     for (const auto &state : model.shardStates)
@@ -218,7 +220,7 @@
         check(model.coresInUse() >= 8);
     });
     model.runFor(seconds(60));
-    checkQuotaKept(model);
+    checkQuotaAndCompletion(model);
     section("no writes without demand", [&] {
         model.runFor(seconds(10));
         const auto before = model.commits;
@@ -240,14 +242,14 @@
     check(model.shardStates[0].waiting < 25);
 }
 
-// Each fault is injected into each write of a part, with and without a change of that shard's owner
-// before the fault has an effect. A late write of the old owner must not add to what the new owner
-// lets tasks use.
+// Injects each fault into each write of a part, with and without a change of the writing shard's
+// owner before the fault has an effect. A late write of the old owner must not add to what the new
+// owner lets tasks use.
 Test(quota_parts, every_write_with_each_fault)
 {
     quota_model faultFree(3, 10, 1);
     runShiftingDemand(faultFree);
-    checkQuotaKept(faultFree);
+    checkQuotaAndCompletion(faultFree);
     const auto writes = faultFree.commits;
     require(writes > 8);
     for (std::size_t faultyWrite = 1; faultyWrite <= writes; ++faultyWrite) {
@@ -268,15 +270,15 @@
                 section("write " + std::to_string(faultyWrite) + ", fault "
                                 + std::to_string(static_cast<int>(fault))
                                 + (hasOwnerChange ? ", owner changed" : ""),
-                        [&] { checkQuotaKept(model); });
+                        [&] { checkQuotaAndCompletion(model); });
             }
         }
     }
 }
 
-// An idle shard returns its part, and that write is delayed for 5 s, so that its owner, or the next
-// one, sees the part unchanged. Tasks that it started within this part would, once the write takes
-// effect, exceed the quota together with the tasks of the shard that takes the returned part.
+// An idle shard returns its part, and that write is delayed for 5 s. Until then the shard's owner,
+// or the next one, reads the part unchanged. If it started tasks within this part, they would
+// exceed the quota together with the tasks of the shard that takes the returned part.
 Test(quota_parts, late_return)
 {
     for (const bool hasOwnerChange : {false, true}) {
@@ -286,7 +288,7 @@
         check(model.shardStates[0].taskEndTimes.empty());
         time_point sentAt;
         model.chooseFault = [&](tenure &owner) {
-            if (sentAt != time_point()) // the table is down for the others meanwhile
+            if (sentAt != time_point()) // later writes are lost until the first one takes effect
                 return model.now < sentAt + seconds(5) ? write_fault::NeverSent : write_fault::None;
             sentAt = model.now;
             model.shardStates[0].waiting = 10;
@@ -302,7 +304,8 @@
         model.runFor(milliseconds(800));
         model.shardStates[1].waiting = 10;
         model.runFor(seconds(60));
-        section(hasOwnerChange ? "owner changed" : "same owner", [&] { checkQuotaKept(model); });
+        section(hasOwnerChange ? "owner changed" : "same owner",
+                [&] { checkQuotaAndCompletion(model); });
     }
 }
 
@@ -322,7 +325,7 @@
         model.step();
     model.shardStates[0].waiting = 10;
     model.runFor(seconds(10));
-    checkQuotaKept(model);
+    checkQuotaAndCompletion(model);
 }
 
 // Random faults and owner changes all the time: the shards must stay within the quota at every
@@ -345,6 +348,6 @@
         }
         model.chooseFault = [](tenure &) { return write_fault::None; };
         model.runFor(seconds(90));
-        section("seed " + std::to_string(seed), [&] { checkQuotaKept(model); });
+        section("seed " + std::to_string(seed), [&] { checkQuotaAndCompletion(model); });
     }
 }
--- a/tests/shard_simulation.h
+++ b/tests/shard_simulation.h
@@ -31,7 +31,7 @@
     int session = 0;          // incremented when the agent is replaced
     unsigned killedTasks = 0; // running tasks that were stopped without a checkpoint
     bool isAlive = true;
-    int cpuLimitsToLose = 0; // number of next calls that do not reach the worker
+    int cpuLimitsToLose = 0; // number of the next CPU limits that do not reach the worker
     std::map<work::task_attempt, std::int64_t> cpuLimits; // millicores received; 0: lifted
 
     void startAgent()
@@ -90,7 +90,7 @@
         }
     }
 
-    // The worker is lost with its tasks and comes back empty, with a higher incarnation.
+    // Replaces the worker: its tasks are lost, and its incarnation increases.
     void replaceWorker(shard_host &host)
     {
         host.worker = std::make_unique<work::worker_tasks>(host.worker->incarnation() + 1);
@@ -159,18 +159,18 @@
                            {{work::shardKey(0), Json::Value(Json::objectValue)}}});
         const work::shard_tenure tenure{0, epoch, row ? row->version + 1 : 1, {}};
         owner = std::make_unique<owned_shard>(tenure, "op", work::coordinator_settings(),
-                                              settings(), 1, counters, log);
+                                              makeSchedulerSettings(), 1, counters, log);
         feed(work::rows_read{{}, m_platform.scan("work/0/")});
         feed(work::grant_deadline_changed{Never});
     }
 
-    // Same settings as in the daemon.
-    static placement::scheduler_settings settings()
+    // Same settings as in the entry.
+    static placement::scheduler_settings makeSchedulerSettings()
     {
-        placement::scheduler_settings out;
-        out.sizes.minProcessorShare = 1.0;
-        out.weights = {0.7, 0.2, 0.1}; // Mtkvari's weights
-        return out;
+        placement::scheduler_settings result;
+        result.sizes.minProcessorShare = 1.0;
+        result.weights = {0.7, 0.2, 0.1}; // of Mtkvari's deployment
+        return result;
     }
 
     void feed(const work::coordinator_event &event) { perform(owner->handle(event, now)); }
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -1,5 +1,5 @@
-// The owner's shard together with agents and workers: what one side decides must also hold on the
-// other side.
+// The owner of a shard together with its agents and workers: what the owner decides must reach the
+// agents, and both must count the same reservations.
 #include "shard_simulation.h"
 
 #include "base/errors.h"
@@ -21,7 +21,7 @@
     return job;
 }
 
-std::string hostOf(const shard_simulation &simulation, const work::task_attempt &attempt)
+std::string hostRunning(const shard_simulation &simulation, const work::task_attempt &attempt)
 {
     for (const auto &[id, host] : simulation.hosts) {
         if (host.worker->runs(attempt))
@@ -30,9 +30,9 @@
     return {};
 }
 
-// No worker is filled above its size in the owner's ledger, in the agent's, or by the sizes that
-// the worker was given; and the agent never counts less than the declared size.
-void checkNoExcess(const shard_simulation &simulation)
+// Neither what the owner's ledger reserves on a worker, nor what the agent counts, nor the declared
+// sizes of the running tasks exceed the worker's size.
+void checkCapacities(const shard_simulation &simulation)
 {
     for (const auto &[id, host] : simulation.hosts) {
         check(simulation.reservedByOwner(id).fitsIn(host.size));
@@ -70,7 +70,7 @@
         simulation.advance(seconds(5));
         check(shard_simulation::countedByAgent(host) == raised);
     });
-    section("the next configuration does not undo a raise", [&] {
+    section("the next configuration does not undo the raise", [&] {
         simulation.currentConfiguration.jobs["other"] = batchJob(1, {1000, 10 * Gigabyte, 0});
         simulation.acceptConfiguration();
         simulation.advance(seconds(5));
@@ -78,7 +78,7 @@
         check(simulation.reservedByOwner("w0") == both);
         check(shard_simulation::countedByAgent(host) == simulation.reservedByOwner("w0"));
     });
-    section("a start that does not fit beside it is refused by the agent alone", [&] {
+    section("a task that does not fit beside the raised reservation fails the agent's check", [&] {
         const resources next{0, 15 * Gigabyte, 0};
         check(!(host.supervisor->occupiedByOthers({}) + next).fitsIn(host.size));
         check(host.killedTasks == 0);
@@ -88,7 +88,7 @@
 // Sizes grow at random while grants are lost and agents are replaced. Neither ledger may exceed its
 // worker's size; tasks that no longer fit are evicted with a checkpoint by the owner, never killed
 // by an agent.
-Test(shard, random_raises_exceed_no_ledger)
+Test(shard, random_raises_never_exceed_a_worker)
 {
     double evictions = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -100,14 +100,15 @@
             simulation.acceptConfiguration();
             for (int step = 0; step < 60; ++step) {
                 simulation.advance(milliseconds(600));
-                checkNoExcess(simulation);
+                checkCapacities(simulation);
                 const auto tasks = simulation.running("season");
                 if (tasks.empty())
                     continue;
                 const auto &task = tasks[drawIndex(simulation.random, tasks.size())].attempt;
                 const auto gigabytes =
                         static_cast<std::int64_t>(4 + drawIndex(simulation.random, 16));
-                simulation.sampleUsage(hostOf(simulation, task), task.task, gigabytes * Gigabyte);
+                simulation.sampleUsage(hostRunning(simulation, task), task.task,
+                                       gigabytes * Gigabyte);
                 if (drawIndex(simulation.random, 20) == 0)
                     simulation.hosts.at("w0").startAgent();
             }
@@ -142,13 +143,14 @@
     simulation.sampleUsage("w0", task, 25 * Gigabyte);
     simulation.advance(seconds(5));
     check(simulation.counters.value("evictions_total", "memory_pressure") == 1);
-    checkNoExcess(simulation);
+    checkCapacities(simulation);
     check(simulation.hosts.at("w0").killedTasks == 0);
 }
 
-// A noisy batch task is throttled to protect the service beside it. The worker misses the call, its
-// agent is replaced, the owner dies. The next grant names every limit, so the task neither stays at
-// full speed nor stays throttled forever by a limit that no owner knows.
+// A batch task that interferes with the service beside it is throttled. Meanwhile calls to the
+// worker are lost, its agent is replaced, or the owner dies. Each grant contains every limit, so
+// the task neither runs on at full speed nor stays throttled forever by a limit that no owner
+// knows.
 Test(shard, limits_reach_the_worker_and_are_lifted)
 {
     shard_simulation simulation(1);
@@ -158,13 +160,13 @@
     service.pool = "shared";
     service.size = {4000, 8 * Gigabyte, 0};
     simulation.acceptConfiguration();
-    const auto samples = [&](int count, double targetRatio) {
+    const auto sampleLatencies = [&](int count, double targetRatio) {
         for (int sample = 0; sample < count; ++sample) {
             simulation.advance(seconds(2));
             simulation.sampleLatency("w0", "tickets", targetRatio);
         }
     };
-    samples(10, 0.5);
+    sampleLatencies(10, 0.5);
     simulation.currentConfiguration.jobs["noisy"] = batchJob(1, {8000, 8 * Gigabyte, 0});
     simulation.acceptConfiguration();
     simulation.advance(seconds(2));
@@ -172,7 +174,7 @@
     const auto attempt = simulation.running("noisy")[0].attempt;
     simulation.grantLossRate = 0.7;
     host.cpuLimitsToLose = 2;
-    samples(6, 1.5);
+    sampleLatencies(6, 1.5);
     simulation.grantLossRate = 0;
     simulation.advance(seconds(6));
     section("the limit is repeated until the worker has received it", [&] {
@@ -186,7 +188,7 @@
         check(host.cpuLimits[attempt] == 4000);
     });
     section("a service without answers does not lift the limit", [&] {
-        samples(100, 0);
+        sampleLatencies(100, 0);
         check(simulation.counters.value("throttles_total", "lifted") == 0);
     });
     section("a new owner, which does not know the limit, lifts it", [&] {
--- a/tests/thread_check.cpp
+++ b/tests/thread_check.cpp
@@ -1,6 +1,6 @@
-// Runs the data structures that actors and HTTP threads share under the thread sanitizer. A
-// separate program, because neither Criterion nor CAF runs under that sanitizer. Prints a closing
-// line that CI reads; the sanitizer turns a data race into exit code 66.
+// Runs the data structures that actors and HTTP threads share under the thread sanitizer. This is a
+// separate program, because neither Criterion nor CAF runs under that sanitizer. CI reads the last
+// line of the output; the sanitizer turns a data race into exit code 66.
 #include <atomic>
 #include <thread>
 #include <vector>
@@ -23,11 +23,11 @@
 int passed = 0;
 int failed = 0;
 
-void check(bool holds, const char *what)
+void check(bool condition, const char *description)
 {
-    ++(holds ? passed : failed);
-    if (!holds)
-        fmt::print("FAILED: {}\n", what);
+    ++(condition ? passed : failed);
+    if (!condition)
+        fmt::print("FAILED: {}\n", description);
 }
 
 struct item
@@ -36,8 +36,8 @@
     int sequence = 0;
 };
 
-// Writers count a refusal when the ring is full and go on; the reader must get every item that was
-// pushed.
+// Several threads push items; a push into a full ring is refused and counted. The reader must get
+// every item that was pushed, in each writer's order.
 void checkRingLosesNothing()
 {
     bounded_ring<item> ring(Capacity);
@@ -56,9 +56,9 @@
     bool inOrder = true;
     std::vector<int> last(Writers, -1);
     while (true) {
-        const bool isOver = writing == 0;
+        const bool hasEnded = writing == 0;
         const auto next = ring.pop();
-        if (!next && isOver)
+        if (!next && hasEnded)
             break;
         if (!next)
             continue;
@@ -69,7 +69,8 @@
     for (auto &writer : writers)
         writer.join();
     check(popped == pushed, "every pushed item is read once");
-    check(pushed + refused == Writers * ItemsPerWriter, "every other item is a counted refusal");
+    check(pushed + refused == Writers * ItemsPerWriter,
+          "every item is pushed or counted as refused");
     check(inOrder, "the items of each writer keep their order");
 }
 
@@ -91,19 +92,19 @@
     std::size_t bytes = 0;
     for (int round = 0; round < 50; ++round)
         bytes += sharedMetrics.text().size();
-    for (auto &each : countingThreads)
-        each.join();
+    for (auto &countingThread : countingThreads)
+        countingThread.join();
     check(bytes > 0, "the text is read while threads count");
     check(sharedMetrics.value("refusals_total", "queue_full") == Writers * 500, "no count is lost");
 }
 
-// Sends one body through a ring; every third reader stops midway. Returns true when the number of
-// bytes is right.
-bool streamOne(receiver_threads &threads, int sequence, std::atomic<int> &reportedEnds)
+// Sends one body through a ring; every third reader stops midway. Returns true if the reader got as
+// many bytes as expected.
+bool streamBody(receiver_threads &threads, int sequence, std::atomic<int> &reportedEnds)
 {
     constexpr std::size_t Chunk = 4096;
     constexpr std::size_t Chunks = 300;
-    const bool abandons = sequence % 3 == 0;
+    const bool stopsEarly = sequence % 3 == 0;
     const auto ring = std::make_shared<body_ring>(monotonic_clock::now() + seconds(60));
     threads.run([ring] {
         body_end end;
@@ -121,7 +122,7 @@
     std::size_t bytes = 0;
     for (auto part = reader.takePart(); !part.empty(); part = reader.takePart()) {
         bytes += part.size();
-        if (abandons && bytes > Chunk)
+        if (stopsEarly && bytes > Chunk)
             return true;
     }
     return bytes == Chunk * Chunks && !reader.end();
@@ -139,7 +140,7 @@
         for (int reader = 0; reader < Writers; ++reader) {
             readers.emplace_back([&] {
                 for (int sequence = 0; sequence < Bodies; ++sequence)
-                    completeBodies += streamOne(threads, sequence, reportedEnds) ? 1 : 0;
+                    completeBodies += streamBody(threads, sequence, reportedEnds) ? 1 : 0;
             });
         }
         for (auto &reader : readers)
--- a/tests/usage_test.cpp
+++ b/tests/usage_test.cpp
@@ -68,15 +68,15 @@
         fullBytes = std::max(fullBytes, bytes);
         sum += bytes;
     }
-    std::fprintf(stderr, "| 32 tasks | whole %zu B | 30 reports in a minute: %.0f B/s |\n",
+    std::fprintf(stderr, "| 32 tasks | full report %zu B | 30 reports in a minute: %.0f B/s |\n",
                  fullBytes, static_cast<double>(sum) / 60);
     check(fullBytes < 2'200);
     check(sum / 60 < 150);
 }
 
 // An owner that places tasks by usage must not keep an old value because a report was lost, nor
-// return to it because a report arrived twice or late. Faults hit reports of changes at all places;
-// after the next full report the owner knows what the worker measured.
+// return to it because a report arrived twice or late. Reports are lost, swapped and delayed at
+// random; after the next full report the owner must know what the worker measured.
 Test(usage, lost_duplicated_and_reordered)
 {
     const usage_settings settings;
@@ -104,7 +104,7 @@
             const auto delivered = inFlight;
             for (const auto &report : delivered) {
                 const auto known = tracker.applyReport("w", report);
-                // No usage that the owner learns is older than the report it comes from.
+                // What the newest report yields must be what was measured for it.
                 if (known && report.sequence == static_cast<std::uint64_t>(turn) + 1) {
                     for (const auto &[task, usage] : *known)
                         check(measured.contains(task)
--- a/tests/work_faults_test.cpp
+++ b/tests/work_faults_test.cpp
@@ -9,13 +9,14 @@
 namespace {
 
 constexpr milliseconds FaultDuration = seconds(100); // longer than any lease of the simulation
-const task_id Watcher{"watch", 1};                   // class Proof, never evicted
+const task_id ProofService{"watch", 1};              // class Proof, never evicted
 
 struct fault
 {
     std::string name;
     std::function<void(work_model &, const std::string &worker)> inject;
-    bool mayRestartWatcher = false; // true if the instance restarts, which proves that it ended
+    // True if the worker's instance restarts, which proves that the service on it has ended.
+    bool mayRestartProofService = false;
 };
 
 model_entry &ownerOf(work_model &model)
@@ -60,7 +61,7 @@
              [](work_model &model, const std::string &worker) {
                  model.freeze(model.agents.at("agent-" + worker), FaultDuration);
              }},
-            {"agent frozen while another takes its place",
+            {"agent frozen while a second one runs",
              [](work_model &model, const std::string &worker) {
                  model.startSecondAgent(worker, FaultDuration);
              }},
@@ -157,11 +158,11 @@
 
     require(injectAt != Never);
     checkNoViolations(model);
-    if (!fault.mayRestartWatcher)
-        check(model.startCount(Watcher) == 1);
+    if (!fault.mayRestartProofService)
+        check(model.startCount(ProofService) == 1);
 }
 
-// Injects faults of random kind, place, time and length, several at once.
+// Injects random faults on random workers, at random times and for random lengths, several at once.
 void runRandomFaults(std::uint64_t seed)
 {
     random_generator random(seed);
@@ -187,8 +188,8 @@
     checkNoViolations(model);
 }
 
-// Injects each fault at the step itself (the decision may not have been sent yet), and while its
-// writes, messages and effects are in flight.
+// Injects each fault at the step itself, when the decision may not have been sent yet, and at
+// several times after it, when writes and messages of the step are in flight.
 void injectAtEachOffset(const std::string &step)
 {
     for (const auto &fault : allFaults()) {
@@ -201,9 +202,9 @@
 
 } // namespace
 
-// Each task must run in one place at a time, resume from its checkpoint and end once, whatever
-// fails at whichever step. Each test injects every fault in turn at one step of a task's life. The
-// fault lasts longer than any lease, so decisions from before it meet decisions from after it.
+// Whatever fails, each task must run on one worker at a time, resume from its checkpoint and end
+// once. Each test injects every fault in turn at one step of a task's execution. The fault lasts
+// longer than any lease, so decisions from before it meet decisions from after it.
 Test(work_faults, place)
 {
     injectAtEachOffset("place");
@@ -225,8 +226,8 @@
     injectAtEachOffset("cancel");
 }
 
-// Several faults at once, at random times. Seeds that have revealed a bug stay in the list: 112 is
-// a start request that was delivered to the next incarnation of its worker and carried out there.
+// Several faults at once, at random times. Seeds that have revealed a fault of the code are kept:
+// with 112, a start request was delivered to the next incarnation of its worker and executed.
 Test(work_faults, random_faults)
 {
     constexpr std::uint64_t Seeds = 80;
--- a/tests/work_fixtures.h
+++ b/tests/work_fixtures.h
@@ -1,5 +1,5 @@
 // Fixtures for the tests of libs/work: the coordinator of one shard, and an agent with its worker.
-// The test itself plays the part of everything else.
+// The test itself provides all other inputs, such as decisions of the placer and answers.
 #pragma once
 
 #include <optional>
@@ -71,7 +71,7 @@
     {
         feed(write_answered{transaction.operationId, platform.commit(transaction)});
     }
-    // The answer is lost. `applied`: the transaction has taken effect before that.
+    // Answers that the outcome is unknown. `applied`: the transaction has taken effect.
     void loseAnswer(const table_transaction &transaction, bool applied)
     {
         if (applied)
@@ -101,7 +101,7 @@
     }
 };
 
-// An agent and its worker. The test makes the grants.
+// An agent and its worker. The test creates the grants.
 struct supervisor_fixture
 {
     bool hasRoom = true; // answer of the capacity check
@@ -110,7 +110,7 @@
     worker_tasks worker{1};
     time_point now{seconds(1)};
     std::vector<supervisor_action> actions; // of the last event
-    std::uint64_t reportCount = 0;          // sent so far
+    std::uint64_t reportCount = 0;          // reports sent so far; also the newest's sequence
 
     supervisor_fixture() { advance(milliseconds(0)); }
     void feed(const supervisor_event &event)
@@ -126,7 +126,7 @@
     void perform(const worker_start &action) { worker.start(action, now); }
     void perform(const worker_renew &action) { worker.renew(action); }
     void perform(const worker_stop &action) { worker.stop(action); }
-    // Advances the time; then the worker is listed and the agent ticks.
+    // Advances the time; then the agent gets a listing of the worker and a tick.
     void advance(milliseconds length)
     {
         now += length;
--- a/tests/work_model.h
+++ b/tests/work_model.h
@@ -1,6 +1,6 @@
-// A simulation around the decision code of libs/work: an in-memory table with faults, workers that
-// remember what docs/design/OWNERSHIP.md requires, and a message queue on a virtual clock. What the
-// workers do is written as a trace, which the trace checker reads at the end of each run.
+// Simulates two entries, agents, workers and the table around the decision code of libs/work, with
+// faults of the table, the network and the processes, on a virtual clock. What the workers do is
+// written as a trace, which the trace checker reads at the end of each run.
 #pragma once
 
 #include <algorithm>
@@ -29,8 +29,8 @@
 enum class table_fault { None, Down, Slow, AnswerLost };
 enum class network_fault { None, Duplicated, Reordered, Dropped };
 
-// Every process can be killed (its memory is lost) or frozen (messages to and from it wait until it
-// goes on, including those that it had decided to send but had not sent yet).
+// Every process can be killed (its memory is lost) or frozen: messages to and from it wait until it
+// continues, including those that it had decided to send but had not sent yet.
 struct process
 {
     std::string name;
@@ -60,10 +60,10 @@
     std::map<task_id, std::string> workerByTask;
 };
 
-// Counts besides the trace.
+// Counts over the whole run: counters by name, and applied writes and reads of the table.
 struct model_counts
 {
-    std::map<std::string, int> byReason;
+    std::map<std::string, int> byName;
     std::size_t commits = 0;
     std::size_t rows = 0;
     std::size_t rowBytes = 0;
@@ -75,13 +75,13 @@
 public:
     static constexpr int SlotsPerWorker = 6; // tasks that fit on a worker
 
-    explicit work_model(std::uint64_t seed, int size = 3)
+    explicit work_model(std::uint64_t seed, int workerCount = 3)
         : m_random(seed)
     {
         leaseSettings.grantPeriod = seconds(60);
         for (const auto *name : {"entry-a", "entry-b"})
             entries[name].name = name;
-        for (int i = 0; i < size; ++i) {
+        for (int i = 0; i < workerCount; ++i) {
             const std::string name = "w" + std::to_string(i);
             workers[name].name = name;
             agents["agent-" + name].name = "agent-" + name;
@@ -120,7 +120,7 @@
     {
         target.isAlive = false;
         target.restartAt = now + restartAfter;
-        if (auto *worker = findIn(workers, target.name)) {
+        if (auto *worker = findOrNull(workers, target.name)) {
             worker->tasks = worker_tasks(worker->tasks.incarnation() + 1);
             traceWorker(target.name);
         }
@@ -138,7 +138,7 @@
         for (const auto &[name, entry] : entries)
             agents.at("agent-" + worker).unreachablePeers.insert(name);
     }
-    // Starts a second agent for a worker whose first agent is only frozen, and continues later.
+    // Freezes the worker's agent for `length`, and starts a second agent beside it.
     void startSecondAgent(const std::string &worker, milliseconds length)
     {
         freeze(agents.at("agent-" + worker), length);
@@ -209,7 +209,7 @@
     std::map<std::string, model_worker> workers;
     model_counts counts;
     std::string trace;
-    // Called at each step of a task's life with the step ("place", "run", "evict", "resume" or
+    // Called at each step of a task's execution with the step ("place", "run", "evict", "resume" or
     // "cancel") and the task's worker.
     std::function<void(const std::string &step, const std::string &worker)> onStep;
 
@@ -231,18 +231,18 @@
     };
 
     template <typename Map>
-    static typename Map::mapped_type *findIn(Map &map, const std::string &name)
+    static typename Map::mapped_type *findOrNull(Map &map, const std::string &name)
     {
         const auto found = map.find(name);
         return found == map.end() ? nullptr : &found->second;
     }
     process *find(const std::string &name)
     {
-        if (auto *entry = findIn(entries, name))
+        if (auto *entry = findOrNull(entries, name))
             return entry;
-        if (auto *agent = findIn(agents, name))
+        if (auto *agent = findOrNull(agents, name))
             return agent;
-        return findIn(workers, name);
+        return findOrNull(workers, name);
     }
 
     // Messages. `from` and `to` are names of processes; empty: the table.
@@ -477,10 +477,10 @@
         }
         return {};
     }
-    void notifyStep(const std::string &name, const std::string &worker)
+    void notifyStep(const std::string &step, const std::string &worker)
     {
         if (onStep)
-            onStep(name, worker);
+            onStep(step, worker);
     }
     void feedCoordinator(model_entry &entry, const coordinator_event &event)
     {
@@ -603,14 +603,14 @@
                 entry.workerByTask[action.task] = action.worker;
         }
     }
-    void perform(model_entry &, const fenced &) { ++counts.byReason["fenced"]; }
+    void perform(model_entry &, const fenced &) { ++counts.byName["fenced"]; }
     void perform(model_entry &, const store_counter &reason)
     {
-        ++counts.byReason[std::string(nameOf(reason))];
+        ++counts.byName[std::string(nameOf(reason))];
     }
     void perform(model_entry &, const coordinator_counter &reason)
     {
-        ++counts.byReason[std::string(nameOf(reason))];
+        ++counts.byName[std::string(nameOf(reason))];
     }
 
     // Agents.
@@ -632,7 +632,7 @@
     }
     void perform(model_agent &, model_worker &, const increment_counter &action)
     {
-        ++counts.byReason[std::string(nameOf(action.reason))];
+        ++counts.byName[std::string(nameOf(action.reason))];
     }
     void perform(model_agent &, model_worker &, const worker_cpu_limit &) { }
     void perform(model_agent &agent, model_worker &worker, const worker_list &action)
--- a/tests/work_takeover_test.cpp
+++ b/tests/work_takeover_test.cpp
@@ -1,4 +1,5 @@
-// How long tasks are stopped when an owner, a worker, both, or the platform fails. Virtual time.
+// How long tasks are stopped when an owner, a worker, both, or the platform fails, in virtual time.
+// Prints the times as rows of a table.
 #include <fmt/core.h>
 
 #include "work_model.h"
@@ -77,9 +78,9 @@
 
 } // namespace
 
-// A seat hold (class Lease) on a lost instance must soon run elsewhere, as a parent waits for it; a
-// lease watcher (class Proof) must keep running whatever happens to the scheduler. Each case starts
-// from the same state. The bounds are the sums of the waits that docs/design/OWNERSHIP.md requires.
+// A task of class Lease on a lost instance must soon run elsewhere, as callers wait for it; a task
+// of class Proof must keep running whatever happens to the scheduler. Each section starts from the
+// same state. The bounds are the sums of the waits that docs/design/OWNERSHIP.md requires.
 Test(work_takeover, takeover_times)
 {
     section("the owner dies: live agents attach to its successor, and no task stops", [] {
@@ -111,7 +112,7 @@
         check(result.leaseTaskRestart <= seconds(22));
         check(result.leaseTaskStarts == 2 && result.proofTaskStarts == 1);
     });
-    section("both: the successor waits for the whole grant period for the silent worker", [] {
+    section("owner and worker lost: the successor waits for the whole grant period", [] {
         work_model model(1);
         startServices(model);
         const std::string worker = model.workerRunning(LeaseTask);
@@ -126,7 +127,7 @@
         check(result.leaseTaskRestart > seconds(60) && result.leaseTaskRestart <= seconds(90));
         check(result.leaseTaskStarts == 2 && result.proofTaskStarts == 1);
     });
-    section("both, but the owner had already declared the worker silent: no second wait", [] {
+    section("the owner dies after it declared the worker silent: no second wait", [] {
         work_model model(1);
         startServices(model);
         const std::string worker = model.workerRunning(LeaseTask);
@@ -140,10 +141,11 @@
     });
 }
 
-// A worker is lost, but its agent lives and reports. If the owner took these reports as a sign of
-// the worker, a seat hold would stay there until the worker came back, if ever. The agent must stop
-// reporting for a worker that has not answered for as long as a task lease: by then the hold has
-// ended there, as nobody renews it. The watcher still waits for the worker's next incarnation.
+// A worker is lost, but its agent lives and reports. If the owner took these reports as a sign that
+// the worker lives, a task of class Lease would stay there until the worker came back, if ever. The
+// agent must stop reporting for a worker that has not answered for the length of a task lease: by
+// then the task has ended there, as nobody renews its lease. A task of class Proof still waits for
+// the worker's next incarnation.
 Test(work_takeover, a_worker_is_lost_and_its_agent_lives)
 {
     work_model model(1);
@@ -159,8 +161,8 @@
 
 // A worker and its agent are lost, and the entries are replaced one after the other, as in a
 // rollout. Each new owner knows only what the rows say. It must not start a new wait for the silent
-// worker, or a parent waits that much longer for the seat hold that ran there: the rows tell how
-// long its predecessor has already waited.
+// worker, or the tasks that ran there are stopped for that much longer: the rows say how long the
+// previous owner has already waited.
 Test(work_takeover, entries_are_replaced_while_a_worker_is_silent)
 {
     const auto replaceOwner = [](work_model &model) {
@@ -171,7 +173,7 @@
         model.runFor(seconds(1));
         model.kill(*owner, seconds(1));
     };
-    section("its task waits little longer than with a single owner", [&] {
+    section("the silent worker's task waits little longer than with a single owner", [&] {
         work_model model(1);
         startServices(model);
         const time_point start = model.now;
@@ -195,7 +197,7 @@
         check(waitTime > seconds(0) && waitTime <= seconds(22));
         check(model.violations().empty());
     });
-    section("no task runs twice, whichever owner got the last report of which worker", [&] {
+    section("no task runs twice with workers isolated and owners replaced at random", [&] {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             work_model model(seed);
             startServices(model);
@@ -245,7 +247,7 @@
         print("platform down 120 s, then up", result);
         check(result.proofTaskStarts == 1 && result.leaseTaskStarts == 2);
     });
-    section("owner dead and platform down throughout", [] {
+    section("owner dead and platform down for twice the grant period", [] {
         work_model model(2);
         startServices(model);
         model.tableFault = table_fault::Down;
@@ -260,7 +262,7 @@
 }
 
 // Batch work continues while the table is down: tasks of the backlog start as others end, and all
-// ends are reported in order once the table is back.
+// ends are reported in order once the table is up again.
 Test(work_takeover, backlog)
 {
     work_model model(3, 1);
--- a/tests/work_test.cpp
+++ b/tests/work_test.cpp
@@ -24,7 +24,7 @@
     return fmt::format(R"({{"event":"accepted","task":"j/0","service":false,"failover":"{}"}})",
                        failover);
 }
-// A trace line about an attempt of task j/0; `checkpoint` only for events that have one.
+// A trace line about an attempt of task j/0. Only some events use `checkpoint`.
 std::string line(const std::string &event, int attempt, const std::string &on,
                  const std::string &checkpoint = {})
 {
@@ -59,6 +59,7 @@
             line("placed", 2, "b"),  line("resumed", 2, "b", "c"),
             line("ended", 2, "b"),
     };
+    // The violations in the first `keepCount` lines of the valid trace, followed by `rest`.
     const auto kindsAfter = [&](std::size_t keepCount, const std::vector<std::string> &rest) {
         std::vector<std::string> lines(validTrace.begin(),
                                        validTrace.begin() + static_cast<long>(keepCount));
@@ -183,24 +184,24 @@
 // granted once, and never before it is known to be committed.
 Test(work, a_write_without_an_answer)
 {
-    for (const bool effect : {true, false}) {
-        section(effect ? "after the effect" : "before the effect", [&] {
+    for (const bool hasTakenEffect : {true, false}) {
+        section(hasTakenEffect ? "the write took effect" : "the write took no effect yet", [&] {
             coordinator_fixture fixture;
             fixture.submit("job", 1);
             fixture.commitAndAnswer(*fixture.nextCommit());
             fixture.report("w", 1);
             fixture.feed(placement_decided{{"job", 0}, "w", false});
             const auto commit = fixture.nextCommit();
-            fixture.loseAnswer(*commit, effect);
+            fixture.loseAnswer(*commit, hasTakenEffect);
             check(!fixture.coordinator.isPlaceable({"job", 0}));
             fixture.report("w", 2);
             check(actionsOf<send_grant>(fixture.actions).front().grant.tasks.empty());
             require(fixture.readRowsBack());
-            if (!effect) {
+            if (!hasTakenEffect) {
                 const auto again = fixture.nextCommit(seconds(10));
                 require(again.has_value());
                 check(again->operationId == commit->operationId);
-                section("a refused repeat doesn't tell whether the first one took effect", [&] {
+                section("a refused repeat doesn't show whether the first write took effect", [&] {
                     fixture.feed(
                             write_answered{again->operationId, {write_outcome::Refused, 0, {}}});
                     check(!fixture.coordinator.isPlaceable({"job", 0}));
@@ -231,9 +232,9 @@
     fixture.feed(placement_decided{{"job", 0}, "w", false});
     fixture.commitAndAnswer(*fixture.nextCommit());
 
-    const write_result taken = fixture.platform.commit(
+    const write_result takeover = fixture.platform.commit(
             {"take again", {}, {{shardKey(0), Json::Value(Json::objectValue)}}});
-    fixture.coordinator = task_coordinator({0, 2, taken.sequence, {}}, "op", {});
+    fixture.coordinator = task_coordinator({0, 2, takeover.sequence, {}}, "op", {});
     fixture.feed(rows_read{{}, fixture.platform.scan("work/0/")});
     fixture.feed(grant_deadline_changed{Never});
     fixture.submit("other", 1);
@@ -274,9 +275,9 @@
             read.rows.push_back(*row);
     }
     fixture.feed(read);
-    const auto settled = actionsOf<task_changed>(fixture.actions);
-    require(settled.size() == 1);
-    check(settled[0].task.job == "bad" && settled[0].change == task_change::Reverted);
+    const auto changes = actionsOf<task_changed>(fixture.actions);
+    require(changes.size() == 1);
+    check(changes[0].task.job == "bad" && changes[0].change == task_change::Reverted);
     fixture.commitAndAnswer(*fixture.nextCommit());
     check(fixture.coordinator.find({"good", 0}).state == task_state::Placed);
     check(fixture.coordinator.isPlaceable({"bad", 0}));
@@ -291,7 +292,7 @@
 }
 
 // A backlogged task waits at the agent. It starts when the owner finds room, or is withdrawn; the
-// withdrawal must not cut off a task that is already running without the owner's knowledge.
+// withdrawal must not end a task that already runs without the owner's knowledge.
 Test(work, a_backlogged_task)
 {
     coordinator_fixture fixture;
@@ -342,10 +343,10 @@
     check(!fixture.coordinator.hasTask({"job", 9}) && !fixture.coordinator.hasTask({"other", 1}));
 }
 
-// A worker that runs only a lease watcher (class Proof) falls silent: no task of it may start
-// elsewhere, so no row declares it silent. Batch tasks placed there would be requeued at the next
-// tick, placed there again, and so on, while other workers are idle. So it must get no tasks until
-// its next grant.
+// A worker that runs only a task of class Proof stops reporting: the task may not start elsewhere,
+// so no row declares the worker silent. Batch tasks placed there would be requeued at the next
+// tick, placed there again, and so on, while other workers are idle. So the worker must get no
+// tasks until its next grant.
 Test(work, a_silent_worker_gets_no_tasks)
 {
     coordinator_fixture fixture;
@@ -361,7 +362,7 @@
     fixture.feed(placement_decided{{"watch", 0}, "w", false});
     fixture.commitAndAnswer(*fixture.nextCommit());
     require(fixture.coordinator.canPlaceOn("w"));
-    section("silent for longer than its lease", [&] {
+    section("no report for longer than its lease", [&] {
         for (int tick = 0; tick < 400; ++tick) {
             fixture.now += milliseconds(100);
             fixture.feed(coordinator_tick{});
@@ -372,7 +373,7 @@
         check(actionsOf<coordinator_counter>(fixture.actions).front()
               == coordinator_counter::NotPlaceable);
     });
-    section("it reports again: it gets a grant, and tasks may be placed on it", [&] {
+    section("when it reports again, it gets a grant, and tasks may be placed on it", [&] {
         fixture.report("w", 2);
         check(actionsOf<send_grant>(fixture.actions).size() == 1);
         check(fixture.coordinator.canPlaceOn("w"));
@@ -427,9 +428,9 @@
 }
 
 // Urgent work arrives with a new generation, so the planning run that evicts tasks for it happens
-// while the rows of the jobs that this generation changes are being written. The placer counts on
-// the room: if the eviction were dropped because of the write, the urgent work would wait until it
-// gives up.
+// while the rows of the jobs that this generation changes are being written. If the eviction were
+// dropped because of the write, the placer would wait for the room until the urgent work's deadline
+// has passed.
 Test(work, an_eviction_while_the_jobs_row_is_written)
 {
     coordinator_fixture fixture;
@@ -444,12 +445,12 @@
     fixture.feed(job_accepted{spec});
     const auto written = fixture.nextCommit();
     require(written.has_value());
-    section("it is sent to the agent all the same", [&] {
+    section("the eviction is sent to the agent nevertheless", [&] {
         fixture.feed(eviction_decided{{"job", 0}});
         fixture.report("w", 2);
         check(actionsOf<send_grant>(fixture.actions).front().grant.evictions.size() == 1);
     });
-    section("also after the row is written", [&] {
+    section("it is still in the next grant after the row is written", [&] {
         fixture.commitAndAnswer(*written);
         fixture.report("w", 3);
         check(actionsOf<send_grant>(fixture.actions).front().grant.evictions.size() == 1);
@@ -589,9 +590,9 @@
 }
 
 // Reports are costly, so an agent sends few of them while they are answered. But the owner may die,
-// and its successor's first grant must come before the agent's lease of 15 s is over, or the seat
-// holds of a live worker would end. So reports are sent quickly while they are unanswered, and
-// while events are unacknowledged.
+// and the first grant of the next owner must come before the agent's lease of 15 s is over, or the
+// tasks of class Lease on a live worker would end. So reports are sent quickly while they are
+// unanswered, and while events are unacknowledged.
 Test(work, reports_are_few_while_they_are_answered)
 {
     supervisor_settings settings;
@@ -612,7 +613,7 @@
         return fixture.reportCount;
     };
     const auto always = [](worker_grant &) { return true; };
-    // An extra report that tells at once that the worker has recorded the epoch.
+    // The extra report that is sent at once when the worker has recorded the epoch.
     constexpr std::uint64_t EpochReport = 1;
     section("answered: one in four seconds",
             [&] { check(reportsIn(seconds(60), seconds(15), always) == 15 + EpochReport); });
@@ -643,22 +644,25 @@
 {
     supervisor_settings settings;
     settings.reportInterval = seconds(4);
-    task_supervisor keeper("w", "s", settings, [](const auto &, const auto &) { return true; });
-    supervisor_fixture answers;
+    task_supervisor idleSupervisor("w", "s", settings,
+                                   [](const auto &, const auto &) { return true; });
+    supervisor_fixture grantSource;
     worker_tasks worker{1};
     time_point now{seconds(1)};
     int ticks = 0;
     int listings = 0;
     for (const auto end = now + seconds(60); now < end; ++ticks) {
-        for (const auto &action : keeper.handle(supervisor_tick{}, now)) {
+        for (const auto &action : idleSupervisor.handle(supervisor_tick{}, now)) {
             if (std::holds_alternative<worker_list>(action)) {
                 ++listings;
-                keeper.handle(listing_received{worker.list({keeper.epoch()}, now)}, now);
+                idleSupervisor.handle(listing_received{worker.list({idleSupervisor.epoch()}, now)},
+                                      now);
             } else if (const auto *sent = std::get_if<send_report>(&action)) {
-                keeper.handle(grant_received{answers.grant(sent->report.sequence)}, now);
+                idleSupervisor.handle(grant_received{grantSource.grant(sent->report.sequence)},
+                                      now);
             }
         }
-        now = std::max(now, keeper.nextTick());
+        now = std::max(now, idleSupervisor.nextTick());
     }
     check(listings == 60);
     check(ticks <= 60 + 15 + 1); // listings, reports, and the first report after the first listing
@@ -697,7 +701,7 @@
     check(fixture.coordinator.isPlaceable({"lease", 0}));
     check(fixture.coordinator.find({"proof", 0}).state == task_state::Placed);
 
-    section("it gets no grant meanwhile", [&] {
+    section("it gets no grant while it is silent", [&] {
         fixture.feed(eviction_decided{{"proof", 0}});
         check(actionsOf<send_grant>(fixture.actions).empty());
     });
@@ -754,21 +758,21 @@
     const std::vector<shard_info> shards = {{0, "z1"}};
     shard_ownership a({"a", "z2"}, "a#1", shards, {});
     shard_ownership b({"b", "z2"}, "b#1", shards, {});
-    const std::vector<entry_info> both = {{"a", "z2"}, {"b", "z2"}};
+    const std::vector<entry_info> bothEntries = {{"a", "z2"}, {"b", "z2"}};
     time_point now{seconds(1)};
     std::optional<became_owner> newest;
     // Lets one entry read the rows (if `reads`), tick and write; its writes are refused unless
     // `commits`.
     const auto takeTurn = [&](shard_ownership &owner, bool reads, bool commits) {
-        owner.handle(peers_changed{both}, now);
+        owner.handle(peers_changed{bothEntries}, now);
         if (reads)
             owner.handle(shard_rows_read{platform.scan(ShardPrefix), now}, now);
         for (const auto &action : actionsOf<commit_shard>(owner.handle(ownership_tick{}, now))) {
             write_result result{write_outcome::Refused, 0, {}};
             if (commits)
                 result = platform.commit(action.transaction);
-            const shard_write_answered settled{action.transaction.operationId, result};
-            for (const auto &became : actionsOf<became_owner>(owner.handle(settled, now)))
+            const shard_write_answered answered{action.transaction.operationId, result};
+            for (const auto &became : actionsOf<became_owner>(owner.handle(answered, now)))
                 newest = became;
         }
     };
@@ -783,7 +787,7 @@
     shard_ownership &first = a.owns(0) ? a : b;
     shard_ownership &second = a.owns(0) ? b : a;
 
-    section("its grant period is counted from before the renewal was sent", [&] {
+    section("the grant period is counted from before the renewal was sent", [&] {
         advance(2, [&] { takeTurn(second, true, true); });
         const time_point sent = now;
         const auto renewals = actionsOf<commit_shard>(first.handle(ownership_tick{}, now));
@@ -802,7 +806,7 @@
         advance(5, [&] { takeTurn(first, true, true), takeTurn(second, true, true); });
         check(first.owns(0) && !second.owns(0));
     });
-    section("the owner pauses: the other takes over, and the old one cannot renew", [&] {
+    section("the owner pauses: the other entry takes over, and the old owner cannot renew", [&] {
         const time_point until = first.grantDeadline(0);
         const time_point start = now;
         while (!second.owns(0) && now - start < seconds(30))
@@ -815,7 +819,7 @@
         takeTurn(first, true, true);
         check(!first.owns(0));
     });
-    section("two entries try to acquire it at the same moment: one of them gets it", [&] {
+    section("two entries try to acquire the shard at the same moment: one of them gets it", [&] {
         memory_platform fresh;
         shard_ownership c({"c", "z2"}, "c#1", shards, {});
         shard_ownership d({"d", "z2"}, "d#1", shards, {});
@@ -829,7 +833,7 @@
         d.handle(shard_write_answered{other.operationId, fresh.commit(other)}, now);
         check(c.owns(0) && !d.owns(0));
     });
-    section("a planned shutdown hands over at once", [&] {
+    section("a planned shutdown hands the shard over at once", [&] {
         for (const auto &action : actionsOf<commit_shard>(second.handle(release_shards{}, now))) {
             const write_result result = platform.commit(action.transaction);
             second.handle(shard_write_answered{action.transaction.operationId, result}, now);
--- a/tests/work_waits_test.cpp
+++ b/tests/work_waits_test.cpp
@@ -1,5 +1,5 @@
-// Waits of owners and agents: each wait must end, also if the event that ends it arrives at a
-// moment at which it can't be acted on.
+// Each wait of an owner or an agent must end, even if the event that ends it never comes or arrives
+// while it can't be handled.
 #include "section.h"
 #include "work/quota_parts.h"
 #include "work_fixtures.h"
@@ -29,8 +29,8 @@
     }
     void write(shard_ownership &owner, const table_transaction &transaction)
     {
-        const shard_write_answered settled{transaction.operationId, platform.commit(transaction)};
-        owner.handle(settled, now);
+        const shard_write_answered answered{transaction.operationId, platform.commit(transaction)};
+        owner.handle(answered, now);
     }
     // Advances the time by `length` seconds. Each second the entry reads, ticks and may write.
     void advance(shard_ownership &owner, int length)
@@ -47,14 +47,14 @@
 } // namespace
 
 // Guards against a shard without an owner, whose tasks are stopped forever. While an entry's write
-// is in flight, the entry reads that another one has acquired the shard; only then is it told that
-// the write has failed. The other entry dies before it writes again, so no later scan shows a
-// change, and nobody owns the shard.
-Test(work_waits, a_write_made_void_by_another_owner)
+// is in flight, the entry reads that another one has acquired the shard, and only then gets the
+// answer that its write failed. The other entry dies before it writes again, so later scans show no
+// change. The first entry must acquire the shard nevertheless.
+Test(work_waits, a_write_invalidated_by_another_owner)
 {
     // The lease of an owner, the allowance for clock drift and two scans.
     constexpr int AcquiredAfterSeconds = 9;
-    section("of an entry that wanted to acquire the shard", [] {
+    section("the write acquires the shard", [] {
         shard_fixture fixture;
         auto late = shard_fixture::makeEntry("late");
         auto first = shard_fixture::makeEntry("first");
@@ -69,7 +69,7 @@
         fixture.advance(late, AcquiredAfterSeconds);
         check(late.owns(0));
     });
-    const auto superseded = [](shard_fixture &fixture, shard_ownership &owner) {
+    const auto supersedeOwner = [](shard_fixture &fixture, shard_ownership &owner) {
         fixture.advance(owner, 2);
         require(owner.owns(0));
         auto next = shard_fixture::makeEntry("next");
@@ -81,17 +81,17 @@
         require(!owner.owns(0));
         fixture.write(owner, *renewal);
     };
-    section("of an owner that was paused and renews", [&] {
+    section("the write renews the lease of an owner that was paused", [&] {
         shard_fixture fixture;
         auto owner = shard_fixture::makeEntry("owner");
-        superseded(fixture, owner);
+        supersedeOwner(fixture, owner);
         fixture.advance(owner, AcquiredAfterSeconds);
         check(owner.owns(0));
     });
-    section("and a planned shutdown of it has nothing to wait for", [&] {
+    section("a planned shutdown of such an owner does not wait", [&] {
         shard_fixture fixture;
         auto owner = shard_fixture::makeEntry("owner");
-        superseded(fixture, owner);
+        supersedeOwner(fixture, owner);
         owner.handle(release_shards{}, fixture.now);
         fixture.advance(owner, 2);
         check(owner.isReleased());
@@ -101,7 +101,7 @@
 // Guards against urgent work that waits until its deadline has passed. The placer evicts a task
 // that was placed a moment ago, because it loses the least work, while the write of its placement
 // is still in flight. From then on the placer counts the task as stopping; if the eviction were
-// dropped, nobody would ever stop it.
+// dropped, nothing would ever stop the task.
 Test(work_waits, an_eviction_while_the_placement_is_written)
 {
     coordinator_fixture fixture;
@@ -112,22 +112,22 @@
     const auto placing = fixture.nextCommit();
     require(placing.has_value());
     fixture.feed(eviction_decided{{"job", 0}});
-    const auto checkpointsGranted = [](const coordinator_fixture &from) {
+    const auto countGrantedEvictions = [](const coordinator_fixture &from) {
         const auto grants = actionsOf<send_grant>(from.actions);
         return grants.empty() ? 0 : grants.front().grant.evictions.size();
     };
-    section("it is sent to the agent once the placement is committed", [&] {
+    section("the eviction is sent to the agent once the placement is committed", [&] {
         coordinator_fixture written = fixture;
         written.commitAndAnswer(*placing);
-        check(checkpointsGranted(written) == 1);
+        check(countGrantedEvictions(written) == 1);
     });
     section("also when the answer to that write is lost", [&] {
         coordinator_fixture lost = fixture;
         lost.loseAnswer(*placing, true);
         require(lost.readRowsBack());
-        check(checkpointsGranted(lost) == 1);
+        check(countGrantedEvictions(lost) == 1);
     });
-    section("but doesn't apply to the next placement, if this one has no effect", [&] {
+    section("it doesn't apply to the next placement if this placement has no effect", [&] {
         coordinator_fixture none = fixture;
         Json::Value foreign(Json::objectValue);
         foreign["tasks"] = Json::Value(Json::arrayValue);
@@ -138,7 +138,7 @@
         none.feed(placement_decided{{"job", 0}, "w", false});
         none.commitAndAnswer(*none.nextCommit());
         check(none.coordinator.find({"job", 0}).state == task_state::Placed);
-        check(checkpointsGranted(none) == 0);
+        check(countGrantedEvictions(none) == 0);
     });
 }
 
@@ -149,7 +149,7 @@
 Test(work_waits, the_answer_to_a_write_never_comes)
 {
     constexpr int WithinSeconds = 15;
-    section("to an entry that acquires a shard", [] {
+    section("a write that acquires a shard", [] {
         shard_fixture fixture;
         auto owner = shard_fixture::makeEntry("owner");
         fixture.read(owner);
@@ -157,7 +157,7 @@
         fixture.advance(owner, WithinSeconds);
         check(owner.owns(0));
     });
-    section("to an owner that renews: the write took effect, and this is found out", [] {
+    section("a renewal that took effect: the rows show it", [] {
         shard_fixture fixture;
         auto owner = shard_fixture::makeEntry("owner");
         fixture.advance(owner, 2);
@@ -168,7 +168,7 @@
         fixture.advance(owner, 1);
         check(owner.grantDeadline(0) > fixture.now + lease_settings().grantPeriod - seconds(2));
     });
-    section("to an owner's write of task records", [] {
+    section("a write of task records", [] {
         coordinator_fixture fixture;
         fixture.submit("job", 1);
         const auto dropped = fixture.nextCommit();
@@ -187,7 +187,7 @@
         fixture.commitAndAnswer(*again);
         check(fixture.coordinator.isPlaceable({"job", 0}));
     });
-    section("to a shard's write of its part of a quota", [] {
+    section("a write of a shard's part of a quota", [] {
         memory_platform platform;
         platform.commit({"take", {}, {{shardKey(0), Json::Value(Json::objectValue)}}});
         quota_parts parts(0, 1, "op", quota_settings{2});
@@ -215,9 +215,9 @@
 }
 
 // Guards against tasks that stay on a lost worker forever, while new ones are placed there too: the
-// worker's agent lives, and the owner takes each of its reports as a sign of the worker. The
-// worker's tasks of class Lease have ended when their leases are over, as nobody renews them. From
-// then on the agent must stop reporting, so that the owner moves them.
+// worker's agent lives, and the owner takes each of its reports as a sign that the worker lives.
+// Once the leases of the worker's tasks of class Lease are over, the tasks have ended, as nobody
+// renews the leases. From then on the agent must stop reporting, so that the owner moves them.
 Test(work_waits, a_lost_worker_with_a_live_agent)
 {
     supervisor_fixture agent;
@@ -241,7 +241,7 @@
         check(agent.reportCount == before);
         check(agent.supervisor.nextTick() > agent.now);
     });
-    section("the worker answers again: the agent reports at once", [&] {
+    section("when the worker answers again, the agent reports at once", [&] {
         const auto before = agent.reportCount;
         agent.advance(milliseconds(100));
         check(agent.reportCount == before + 1);
--- a/tests/work_writes_test.cpp
+++ b/tests/work_writes_test.cpp
@@ -1,4 +1,5 @@
-// How much the table must write at the peak rate of task starts, compared with other row layouts.
+// Measures how many rows the table must write at the peak rate of task starts, and compares this
+// with other row layouts.
 #include <set>
 
 #include <fmt/core.h>
@@ -23,7 +24,7 @@
 
 struct write_statistics
 {
-    double seconds = 0;
+    double seconds = 0; // length of the measurement
     std::size_t transactions = 0;
     std::size_t rows = 0;
     std::size_t bytes = 0;
@@ -100,17 +101,17 @@
         std::vector<task_id> unplaced;
         for (const auto &waiting : m_waiting) {
             if (m_coordinator.isPlaceable(waiting))
-                feed(placement_decided{waiting, name(drawIndex(m_random, m_workers)), false});
+                feed(placement_decided{waiting, workerName(drawIndex(m_random, m_workers)), false});
             else
                 unplaced.push_back(waiting);
         }
         m_waiting = unplaced;
     }
-    static std::string name(std::size_t index) { return fmt::format("worker-{:03}", index); }
+    static std::string workerName(std::size_t index) { return fmt::format("worker-{:03}", index); }
 
     void report(int index)
     {
-        const std::string id = name(index);
+        const std::string id = workerName(index);
         worker &state = m_workerStates[id];
         const agent_report report{id, 1, id + "#1", ++state.sequence, 1, state.events};
         m_statistics.messageBytes += compactJson(toJson(report)).size();
@@ -183,7 +184,8 @@
     write_statistics m_statistics;
 };
 
-// Prints one line of figures, and checks that less than `maxRowsPerSecond` rows are written.
+// Prints one line of figures. Checks that fewer than `maxRowsPerSecond` rows are written, and that
+// rows and messages stay small.
 void measurePeak(int shards, double maxRowsPerSecond)
 {
     const write_statistics statistics = peak_load_shard(shards).run();
