--- a/libs/jobs/configuration_tracker.h
+++ b/libs/jobs/configuration_tracker.h
@@ -1,4 +1,5 @@
-// Tracks whether the configuration version that an entry applies is the newest one.
+// Tracks whether the configuration version that an entry applies is the newest one. Used by the
+// configuration_follower.
 #pragma once
 
 #include <cstdint>
@@ -27,16 +28,16 @@
     // Entries learn of it within 0.4 s, one ping period. With this limit, callers on persistent
     // connections are refused before the promise is broken.
     static constexpr milliseconds MaxUnreadTime{800};
-    // An unchanged configuration is confirmed every second, as of the second before. The limit
-    // tolerates one lost answer.
+    // An unchanged configuration is confirmed every second, as of the time of the request, a second
+    // earlier. The limit tolerates one lost answer.
     static constexpr milliseconds MaxUnconfirmedTime{3500};
     // Bytes; an answer that carries no changes is not larger.
     static constexpr std::uint64_t MaxEmptyAnswerBytes = 256;
 
     void recordAppliedVersion(std::int64_t version);                    // this entry applies it
     void recordOtherEntryVersion(std::int64_t version, time_point now); // another entry applies it
-    void recordAnswerStart(std::uint64_t bytes, time_point now);        // its header arrived
-    void recordAnswerRead(time_point requestedAt); // read to its end and applied
+    void recordAnswerStart(std::uint64_t bytes, time_point now); // an answer's header arrived
+    void recordAnswerRead(time_point requestedAt);               // an answer was read and applied
 
     configuration_freshness freshness(time_point now) const;
     bool isConfirmed(time_point now) const; // within MaxUnconfirmedTime
--- a/libs/jobs/evacuations.h
+++ b/libs/jobs/evacuations.h
@@ -1,5 +1,5 @@
-// Evacuated zones: operators have ruled that no task starts there any more. Entries read the zones
-// from rows in the platform's store; an agent learns from the entries whether its own zone is one.
+// Evacuated zones: those in which operators let no more tasks start. Entries read them from rows in
+// the platform's store; an agent learns from the entries whether its own zone is evacuated.
 #pragma once
 
 #include <optional>
--- a/libs/jobs/interference_estimator.cpp
+++ b/libs/jobs/interference_estimator.cpp
@@ -35,9 +35,9 @@
 { }
 
 interference_estimator::image_estimate &
-interference_estimator::estimateFor(const std::string &serving)
+interference_estimator::estimateFor(const std::string &servingImage)
 {
-    auto &estimate = m_estimates[serving];
+    auto &estimate = m_estimates[servingImage];
     if (estimate.coefficients.size() == 0) {
         estimate.coefficients.addCoefficient(m_settings.priorBaseLoad,
                                              m_settings.baseLoadDeviation);
@@ -47,12 +47,12 @@
 }
 
 std::size_t interference_estimator::findOrAddIndex(image_estimate &estimate,
-                                                   const std::string &bestEffort)
+                                                   const std::string &bestEffortImage)
 {
-    const auto known = coefficientIndexOf(estimate.bestEffortImages, bestEffort);
+    const auto known = coefficientIndexOf(estimate.bestEffortImages, bestEffortImage);
     if (known != NotFound || estimate.bestEffortImages.size() >= m_settings.maxImages)
         return known;
-    estimate.bestEffortImages.push_back(bestEffort);
+    estimate.bestEffortImages.push_back(bestEffortImage);
     return estimate.coefficients.addCoefficient(m_settings.priorLoadPerCore,
                                                 m_settings.priorDeviation);
 }
@@ -63,14 +63,14 @@
                                      const std::map<std::string, double> &bestEffortCores)
 {
     std::vector<std::pair<std::size_t, double>> present;
-    for (const auto &[image, amount] : bestEffortCores) {
+    for (const auto &[image, coresInUse] : bestEffortCores) {
         const auto index = findOrAddIndex(estimate, image);
         if (index != NotFound)
-            present.emplace_back(index, amount);
+            present.emplace_back(index, coresInUse);
     }
     std::vector<double> inputs(estimate.coefficients.size(), 0.0);
-    for (const auto &[index, amount] : present)
-        inputs[index] = amount;
+    for (const auto &[index, coresInUse] : present)
+        inputs[index] = coresInUse;
     return inputs;
 }
 
@@ -106,12 +106,12 @@
         || !reachesBound(estimate.coefficients.predict(inputs), change))
         updateCoefficients(estimate, inputs, change, m_settings.changeNoise);
     // The part of the load that the neighbours don't explain is the image's own.
-    double own = loadOf(static_cast<double>(sample.tailLatencyMs), estimate.floorMs);
-    for (const auto &[bestEffort, cores] : sample.bestEffortCores)
-        own -= loadPerCore(sample.image, bestEffort) * cores;
+    double ownLoad = loadOf(static_cast<double>(sample.tailLatencyMs), estimate.floorMs);
+    for (const auto &[bestEffortImage, cores] : sample.bestEffortCores)
+        ownLoad -= loadPerCore(sample.image, bestEffortImage) * cores;
     constexpr double Weight =
             0.02; // of the newest sample: about the last minute on one worker counts
-    estimate.baseLoad += Weight * (std::max(0.0, own) - estimate.baseLoad);
+    estimate.baseLoad += Weight * (std::max(0.0, ownLoad) - estimate.baseLoad);
 }
 
 void interference_estimator::updateFloorAndTarget(image_estimate &estimate,
@@ -137,27 +137,27 @@
             m_settings.forgettingFactor); // interference changes over time
 }
 
-double interference_estimator::loadPerCore(const std::string &serving,
-                                           const std::string &bestEffort) const
+double interference_estimator::loadPerCore(const std::string &servingImage,
+                                           const std::string &bestEffortImage) const
 {
-    const auto estimate = m_estimates.find(serving);
+    const auto estimate = m_estimates.find(servingImage);
     if (estimate == m_estimates.end())
         return m_settings.priorLoadPerCore;
-    const auto index = coefficientIndexOf(estimate->second.bestEffortImages, bestEffort);
+    const auto index = coefficientIndexOf(estimate->second.bestEffortImages, bestEffortImage);
     return index == NotFound ? m_settings.priorLoadPerCore
                              : estimate->second.coefficients.mean(index);
 }
 
-double interference_estimator::baseLoad(const std::string &serving) const
+double interference_estimator::baseLoad(const std::string &servingImage) const
 {
-    const auto estimate = m_estimates.find(serving);
+    const auto estimate = m_estimates.find(servingImage);
     return estimate == m_estimates.end() ? m_settings.priorBaseLoad : estimate->second.baseLoad;
 }
 
-double interference_estimator::loadAtTarget(const std::string &serving) const
+double interference_estimator::loadAtTarget(const std::string &servingImage) const
 {
     constexpr double DefaultLoadAtTarget = 0.8; // a target is usually about five times the floor
-    const auto estimate = m_estimates.find(serving);
+    const auto estimate = m_estimates.find(servingImage);
     if (estimate == m_estimates.end() || estimate->second.latencyTargetMs <= 0)
         return DefaultLoadAtTarget;
     return loadOf(estimate->second.latencyTargetMs, estimate->second.floorMs);
@@ -166,10 +166,10 @@
 interference_table interference_estimator::table() const
 {
     interference_table interference;
-    for (const auto &[serving, estimate] : m_estimates) {
-        interference[serving].floorMs = estimate.floorMs;
+    for (const auto &[servingImage, estimate] : m_estimates) {
+        interference[servingImage].floorMs = estimate.floorMs;
         for (std::size_t index = 0; index < estimate.bestEffortImages.size(); ++index)
-            interference[serving].loadsPerCore[estimate.bestEffortImages[index]] =
+            interference[servingImage].loadsPerCore[estimate.bestEffortImages[index]] =
                     estimate.coefficients.mean(index + 1);
     }
     return interference;
--- a/libs/jobs/interference_estimator.h
+++ b/libs/jobs/interference_estimator.h
@@ -4,10 +4,11 @@
 // up:
 //   load = 1 - floor / tail
 //        = baseLoad(serving) + sum over best-effort images of loadPerCore(serving, image) x cores
-// `floor` is the lowest tail latency measured for the serving image. `cores` counts the cores in
-// use: of ten runs that share the cores of two, each causes a fifth of the interference. Adding up
-// tail latencies instead was tried on the same measurements: a single stalled sample outweighs a
-// hundred others, and harmless neighbours are blamed.
+// `floor` is the lowest tail latency measured for the serving image, less a tenth. `cores` counts
+// the cores in use, not those requested: when ten runs share the cores that two of them request,
+// each causes a fifth of the interference that it would cause alone. Tail latencies themselves are
+// not added up: a single stalled sample would outweigh a hundred others, and interference would be
+// attributed to harmless neighbours.
 #pragma once
 
 #include <cstddef>
@@ -22,7 +23,7 @@
 namespace zinniabarrow::jobs {
 
 // The change on a worker within half a second, for the runs of a serving image that were measured
-// both times. Their own load changes slowly while neighbours come and go at once, so changes
+// both times. Their own load changes slowly while neighbours come and go abruptly, so changes
 // separate the neighbours' part of the load from the runs' own.
 struct interference_change
 {
@@ -68,6 +69,8 @@
                                      // others keep the prior
 };
 
+// Each entry's worker_pool has one, and sends its table to the agents, which throttle best-effort
+// runs by it.
 class interference_estimator
 {
 public:
@@ -75,12 +78,13 @@
 
     // Called for each sample in the workers' reports.
     void learn(const interference_sample &sample);
-    // The load that each core in use by `bestEffort` adds to `serving`, both images.
-    double loadPerCore(const std::string &serving, const std::string &bestEffort) const;
+    // The load that each core in use by runs of the best-effort image adds to runs of the serving
+    // image.
+    double loadPerCore(const std::string &servingImage, const std::string &bestEffortImage) const;
     // The load of the image without neighbours.
-    double baseLoad(const std::string &serving) const;
+    double baseLoad(const std::string &servingImage) const;
     // The load at which the image's tail latency is at its target.
-    double loadAtTarget(const std::string &serving) const;
+    double loadAtTarget(const std::string &servingImage) const;
     interference_table table() const; // all that was learned, for the agents
 
 private:
@@ -93,12 +97,14 @@
         double latencyTargetMs = 0;
     };
 
-    image_estimate &estimateFor(const std::string &serving);
+    image_estimate &estimateFor(const std::string &servingImage);
     static void updateFloorAndTarget(image_estimate &estimate, const interference_sample &sample);
-    std::size_t findOrAddIndex(image_estimate &estimate, const std::string &bestEffort);
+    std::size_t findOrAddIndex(image_estimate &estimate, const std::string &bestEffortImage);
     std::vector<double> coresByIndex(image_estimate &estimate,
                                      const std::map<std::string, double> &bestEffortCores);
+    // Learns from the load itself, when the sample has no change.
     void learnLevel(image_estimate &estimate, const interference_sample &sample);
+    // Learns from the change of the load since the previous sample.
     void learnChange(image_estimate &estimate, const interference_sample &sample);
     void updateCoefficients(image_estimate &estimate, const std::vector<double> &inputs,
                             double load, double noise) const;
--- a/libs/jobs/job_controller.cpp
+++ b/libs/jobs/job_controller.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Keeps only the newest ones: the end of a run that is older than this many others is no longer
-// reported.
+// Keeps only the newest runs: an end is no longer expected once this many later runs of the task
+// are unreported, too.
 void addUnreportedRun(task_state &task, int run)
 {
     constexpr std::size_t MaxUnreportedRuns = 4;
@@ -211,7 +211,8 @@
         markStarted(found->first, found->second, now);
 }
 
-// Written to the row because callers count waiting jobs by the rows, at any entry.
+// The start is written to the job's row because callers count waiting jobs at any entry, and
+// entries know the jobs of other owners only by their rows.
 void job_controller::markStarted(const std::string &id, owned_job &job, time_point now)
 {
     if (std::exchange(job.record.hasStarted, true))
@@ -346,7 +347,8 @@
     }
 }
 
-// Returns true when it ended a placement.
+// Ends the placements on the worker that are of an epoch before `epoch`. Returns true when there
+// were any.
 bool job_controller::endPlacementsBefore(const std::string &id, owned_job &job,
                                          const std::string &worker, std::int64_t epoch)
 {
@@ -380,7 +382,8 @@
             // again.
             const bool mayStart = job.record.shouldRun(state) && !job.stopOrders.contains(key);
             (mayStart ? job.startOrders : job.stopOrders)[key] = {worker, job.revision, false, now};
-            // The report that told of the restart includes all runs that are there.
+            // The report that showed the restart includes all runs of the worker, so no start is
+            // missing from it.
             if (const auto startsInFlight = m_startsInFlight.find(worker);
                 startsInFlight != m_startsInFlight.end())
                 startsInFlight->second.erase(key);
--- a/libs/jobs/job_controller.h
+++ b/libs/jobs/job_controller.h
@@ -1,10 +1,12 @@
 // Controls the jobs that an entry owns: places their tasks on workers, decides what to write to the
 // store, and which orders to send to agents. A run is one attempt to execute a task, and an order
-// tells an agent to start or to stop a run. The class does no I/O: the entry passes in events with
-// their time, and carries out the actions that `takeActions` returns.
+// tells an agent to start or to stop a run. The class does no I/O: the entry (app/job_entry.h)
+// passes in events with their time, and carries out the actions that `takeActions` returns.
 //
 // An occurrence is one scheduled repetition of a job. A token is a number that the entry chose for
-// a request or a report that waits until a change is stored.
+// a request or a report that waits until a change is stored. To notify a token is to return a
+// `change_stored` with it from `takeActions`, or an `ownership_lost` when the entry loses the job
+// first.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +26,7 @@
 namespace zinniabarrow::jobs {
 
 // Write the job's row on the condition that its version is still `expectedVersion`; 0: that the row
-// does not exist. Each job has at most one write in flight. The caller repeats it unchanged until
+// does not exist. Each job has at most one write in flight. The entry repeats it unchanged until
 // its outcome is known.
 struct write_row
 {
@@ -44,15 +46,16 @@
     run_order order;
 };
 
-// The change that the request or report with this token waits for is in the store.
+// The change that the request or report with this token waits for is stored: the entry answers it.
 struct change_stored
 {
     std::int64_t token = 0;
 };
 
 // The job now belongs to another entry, or its row was deleted, so this entry does not store the
-// change that `token` stands for. The new owner is not named: for a cancel, the entry reads the
-// job's row and writes the cancel there; an agent then reports the end of a run to all entries.
+// change that `token` stands for. The new owner is not named because the entry does not need it:
+// for a cancel, the entry reads the job's row and writes the cancel there; for the end of a run,
+// the agent reports the end to all entries.
 struct ownership_lost
 {
     std::int64_t token = 0;
@@ -79,21 +82,21 @@
     // no longer takes effect.
     milliseconds startInFlightTimeout{700};
     // How long a best-effort task waits for a worker on which it causes no lateness. After that, it
-    // is placed on any worker that has room. The second time applies while at most a little over
-    // half of the service's processors are in use or reserved: callers then consider a job lost
-    // when none of its tasks runs for 3 s. The first one applies otherwise. A job that has waited
-    // for it is certainly late already; before, its lateness is no reason to make others late as
-    // well.
+    // is placed on any worker that has room. `maxInterferenceWaitWhenIdle` applies while at most
+    // 55% of the service's processors are in use or reserved, since callers then consider a job
+    // lost when none of its tasks runs for 3 s. `maxInterferenceWait` applies otherwise. It is so
+    // long that a job which has waited for it has certainly missed its objective: until then, its
+    // own lateness does not justify making others late.
     milliseconds maxInterferenceWait{60'000};
     milliseconds maxInterferenceWaitWhenIdle{2500};
     // That a job has started is written with its next change, or by a write of its own after this
     // time.
     milliseconds startedWriteDelay{800};
-    // How often a wait for a worker, or for the answer to an order, is logged.
+    // Interval of the log lines about a wait for a worker, an unanswered order or underserved jobs.
     milliseconds waitLogInterval{2000};
     // A long-running task that is not known to run for this long is logged as stalled, and again
-    // every `stallLogInterval`. Callers count the outage of such a task from 6 s on; the 3 s above
-    // apply to a job of which nothing runs.
+    // every `stallLogInterval`. Callers count the outage of such a task from 6 s on, that of a
+    // whole job from 3 s on.
     milliseconds stallThreshold{6000};
     milliseconds stallLogInterval{4000};
     milliseconds stallCheckInterval{1000};
@@ -115,7 +118,7 @@
     void notifyWhenStored(const std::string &job, std::int64_t token);
     // Cancels an owned job and stops its runs. Notifies `token` once the cancel is stored.
     void cancel(const std::string &job, std::int64_t token);
-    job_state storedState(const std::string &job) const;    // as it is stored; must be owned
+    job_state storedState(const std::string &job) const;    // in the store; must be owned
     const job_record *record(const std::string &job) const; // null: not owned
 
     // --- events of the store
@@ -125,7 +128,7 @@
     // was deleted.
     void rowConflict(const std::string &job, std::int64_t version,
                      const std::optional<std::string> &content);
-    // Takes over a job whose owner is gone, as this entry has found.
+    // Takes over a job after this entry has found that its owner is gone.
     void adopt(const std::string &job, const job_record &record, std::int64_t version,
                const std::string &payload);
     // Another writer changed the row, according to the store's change feed.
@@ -142,8 +145,7 @@
     void checkpointReported(const std::string &worker, const run_progress &progress);
     // A worker has started the run: the job counts as started.
     void runStarted(const started_run &run, time_point now);
-    // `agentIncarnation` is the agent's, by its reports at the time when the order was sent; 0:
-    // unknown.
+    // `agentIncarnation` is that of the agent, by its reports, when the order was sent; 0: unknown.
     void orderAnswered(const std::string &worker, const order_answer &answer, time_point now,
                        std::int64_t agentIncarnation);
     // The order got no answer; it is sent again after `orderRetryDelay`.
@@ -229,8 +231,8 @@
         // duration is counted from then.
         std::map<std::pair<task_id, int>, time_point> startAcceptedAt;
         std::map<task_id, std::vector<std::string>> avoidedWorkers; // newest last
-        // By occurrence and step: when planning last found no waiting task, or was first done. The
-        // interference wait is counted from then.
+        // By occurrence and step: when planning last found no waiting task of the step, or first
+        // considered the step. The interference wait is counted from then.
         std::map<std::pair<int, int>, time_point> waitingSince;
         // By occurrence and step: steps with tasks that planning found no worker for, for the log
         // and the timeline.
@@ -248,13 +250,13 @@
     void notifyStored(owned_job &job);
     void dropJob(const std::string &id);
     void applyCancel(const std::string &id, owned_job &job, const job_record &row);
-    // The end of a run that is placed, of a task that is not done.
+    // Handles the end of a placed run whose task is not done.
     void endPlacedRun(const std::string &id, owned_job &job, const std::string &worker,
                       const run_end &end, time_point now);
-    // The end of a run that is placed, of a task that another run has done.
-    void endRedundantRun(const std::string &id, owned_job &job, const std::string &worker,
-                         const run_end &end);
-    // The end of a run that is no longer placed.
+    // Handles the end of a redundant run: it is still placed, but another run has done its task.
+    void endRedundant(const std::string &id, owned_job &job, const std::string &worker,
+                      const run_end &end);
+    // Handles the end of a run that is no longer placed.
     void endUnplacedRun(const std::string &id, owned_job &job, const std::string &worker,
                         const run_end &end, time_point now);
     void applyRunEnd(const std::string &id, owned_job &job, const std::string &worker,
@@ -301,7 +303,7 @@
                     const placement_preferences &preferences = {});
     void logUnplacedTasks(const std::string &id, owned_job &job, int occurrence, int stepIndex,
                           int tasks, const placement_preferences &preferences, time_point now);
-    // Long-running jobs with tasks that are unplaced, not running, or late.
+    // Logs long-running jobs with tasks that are unplaced, not running, or late.
     void logUnderservedJobs(time_point now);
     void logStalledTasks(time_point now, std::int64_t wallMs);
     void logIfStalled(owned_job &job, const task_id &task, const task_state &state, time_point now);
@@ -310,8 +312,8 @@
                                               const task_state &state, time_point now) const;
     std::string describeStall(const owned_job &job, const task_id &task, const task_state &state,
                               stall_reason reason, time_point now) const;
-    int countReportedRuns(const std::string &id, const std::string &worker) const;
-    static int countPlacedRuns(const owned_job &job, const std::string &worker);
+    int countReported(const std::string &id, const std::string &worker) const;
+    static int countPlaced(const owned_job &job, const std::string &worker);
     void logCompletedJobs(std::int64_t wallMs);
     void logIfUnanswered(const std::string &id, const task_id &task, int run, pending_order &order,
                          time_point now);
@@ -334,7 +336,7 @@
     std::map<std::string, std::set<std::pair<task_id, int>>> m_startsInFlight;
     time_point m_nextUnderservedLogAt{}; // when underserved jobs are logged next
     time_point m_nextStallCheckAt{};     // when tasks are checked for stalls next
-    // Jobs whose row does not say yet that they have started, and when it is to be written.
+    // Jobs whose row does not show yet that they have started, and when that is to be written.
     std::map<std::string, time_point> m_startedWriteDueAt;
     std::int64_t m_nextWriteNumber = 1;
     std::vector<controller_action> m_actions;
--- a/libs/jobs/job_controller_ends.cpp
+++ b/libs/jobs/job_controller_ends.cpp
@@ -1,4 +1,4 @@
-// How reported ends of runs change the jobs that an entry owns.
+// Applies reported ends of runs to the jobs that an entry owns.
 #include <algorithm>
 #include <utility>
 
@@ -17,14 +17,13 @@
     const auto &id = found->first;
     auto &job = found->second;
     auto *task = job.record.find(end.task);
-    // The run was placed by a later owner, of which this entry has not learned yet. If it
+    // The run was placed by a later owner, of which this entry has not learned yet. If this entry
     // acknowledged the end, the end would be in no row, and the task would run again. A task that
     // is done never runs again.
     if (task != nullptr && !task->done && end.run > task->lastRun)
         return false;
     if (task != nullptr && isPlacedOn(*task, worker, end.run))
-        task->done ? endRedundantRun(id, job, worker, end)
-                   : endPlacedRun(id, job, worker, end, now);
+        task->done ? endRedundant(id, job, worker, end) : endPlacedRun(id, job, worker, end, now);
     else if (task != nullptr && !task->done && !isFinal(job.record.state()))
         endUnplacedRun(id, job, worker, end, now);
     job.waitingTokens.push_back({token, job.revision});
@@ -53,8 +52,8 @@
 }
 
 // The task was done by another run, so the outcome of this one changes nothing.
-void job_controller::endRedundantRun(const std::string &id, owned_job &job,
-                                     const std::string &worker, const run_end &end)
+void job_controller::endRedundant(const std::string &id, owned_job &job, const std::string &worker,
+                                  const run_end &end)
 {
     removePlacement(job, end.task, end.run);
     job.startAcceptedAt.erase({end.task, end.run});
@@ -160,8 +159,8 @@
 {
     auto &task = *job.record.find(end.task);
     ++task.failures;
-    // A long-running task that fails after it has served for a while does not discredit its worker,
-    // where the other tasks of its job are.
+    // When a long-running task fails after it has served for a while, its worker is not at fault.
+    // Its next run may go there again, where the other tasks of its job are.
     constexpr milliseconds MinServingTime{5000}; // a faulty worker fails its runs at once
     if (step.isLongRunning && runDuration && *runDuration >= MinServingTime)
         return;
--- a/libs/jobs/job_controller_log.cpp
+++ b/libs/jobs/job_controller_log.cpp
@@ -91,8 +91,8 @@
     }
 }
 
-// Logs where the time of a completed job went: it started with too little slack, its steps took
-// longer than their estimates, or its tasks waited for workers.
+// Logs how the time of each completed job was spent. This shows why a job was late: it started with
+// too little slack, its steps took longer than their estimates, or its tasks waited for workers.
 void job_controller::logCompletedJobs(std::int64_t wallMs)
 {
     for (const auto &id : std::exchange(m_completedJobs, {})) {
--- a/libs/jobs/job_controller_placing.cpp
+++ b/libs/jobs/job_controller_placing.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double MostlyUsedShare = 0.55; // of a service's processors: a little over half
+constexpr double MostlyUsedShare = 0.55; // of a service's processors, see maxInterferenceWait
 
 // A different seed for each run, so that a task that was refused tends to try another worker.
 std::uint64_t tieBreakSeedOf(const task_id &task, int run)
@@ -94,6 +94,7 @@
 }
 
 // Places all tasks of the gang or none: a member that runs alone occupies its worker in vain.
+// Returns true when the gang waits for workers.
 bool job_controller::placeGang(const std::string &id, owned_job &job, int occurrence, int stepIndex,
                                time_point now)
 {
--- a/libs/jobs/job_controller_stalls.cpp
+++ b/libs/jobs/job_controller_stalls.cpp
@@ -50,15 +50,14 @@
     // Reports list only runs with a latency target.
     const bool isReported = step.latencyTargetMs > 0;
     if (isReported
-        && countReportedRuns(task.job, runPlacement.worker)
-                   < countPlacedRuns(job, runPlacement.worker))
+        && countReported(task.job, runPlacement.worker) < countPlaced(job, runPlacement.worker))
         return stall_reason::NotRunning;
     return std::nullopt;
 }
 
 // Runs of the job that the worker's latest report lists; only runs with a latency target are
 // listed.
-int job_controller::countReportedRuns(const std::string &id, const std::string &worker) const
+int job_controller::countReported(const std::string &id, const std::string &worker) const
 {
     const auto *view = m_workers.find(worker);
     if (view == nullptr)
@@ -69,7 +68,7 @@
 }
 
 // Placed runs of the job that the worker should report.
-int job_controller::countPlacedRuns(const owned_job &job, const std::string &worker)
+int job_controller::countPlaced(const owned_job &job, const std::string &worker)
 {
     int placed = 0;
     for (const auto &steps : job.record.tasks) {
@@ -144,8 +143,7 @@
                             last.epoch);
     if (reason == stall_reason::NotRunning)
         text += fmt::format(", {} of {} runs of its job running there",
-                            countReportedRuns(task.job, last.worker),
-                            countPlacedRuns(job, last.worker));
+                            countReported(task.job, last.worker), countPlaced(job, last.worker));
     return text;
 }
 
--- a/libs/jobs/least_squares.cpp
+++ b/libs/jobs/least_squares.cpp
@@ -48,15 +48,16 @@
 void least_squares::applyForgetting(double forgettingFactor)
 {
     for (std::size_t index = 0; index < m_means.size(); ++index) {
-        auto &own = m_covariance[index][index];
-        own = std::max(own, std::min(m_initialVariances[index], own / forgettingFactor));
+        auto &ownVariance = m_covariance[index][index];
+        ownVariance = std::max(ownVariance,
+                               std::min(m_initialVariances[index], ownVariance / forgettingFactor));
     }
 }
 
-void least_squares::clampToMinimum(double lowest)
+void least_squares::clampToMinimum(double minimum)
 {
     for (auto &mean : m_means)
-        mean = std::max(lowest, mean);
+        mean = std::max(minimum, mean);
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/least_squares.h
+++ b/libs/jobs/least_squares.h
@@ -1,6 +1,6 @@
 // Recursive least squares: estimates the coefficients of a linear sum, updated sample by sample.
-// The joint covariance is kept, so that inputs that occur only together share the evidence until
-// one of them is seen without the other.
+// The joint covariance is kept, so that the effect of inputs that occur only together is divided
+// between them until one of them is seen without the other.
 #pragma once
 
 #include <cstddef>
@@ -21,7 +21,7 @@
     void update(const std::vector<double> &inputs, double sum, double noise);
     // Reduces the weight of old samples by a factor below 1: the variances grow, up to the prior's.
     void applyForgetting(double forgettingFactor);
-    void clampToMinimum(double lowest); // all coefficients
+    void clampToMinimum(double minimum); // raises all lower coefficients to it
 
 private:
     std::vector<double> m_means;
--- a/libs/jobs/load_forecast.cpp
+++ b/libs/jobs/load_forecast.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-constexpr std::size_t HorizonSamples = 4;  // two seconds, the length of most best-effort runs
-constexpr double InitialDeviation = 0.5;   // deviation of each coefficient before the first sample
-constexpr double Noise = 0.07;             // load: deviation of one sample from its forecast
+constexpr std::size_t HorizonSamples = 4; // two seconds, the length of most best-effort runs
+constexpr double InitialDeviation =
+        0.5;                   // deviation of each coefficient earlierLoad the first sample
+constexpr double Noise = 0.07; // load: deviation of one sample from its forecast
 constexpr double ForgettingFactor = 0.999; // a sample's weight fades within about 1,000 samples
 
 } // namespace
@@ -38,15 +39,16 @@
     history.pop_front();
 }
 
-double load_forecast::peakLoadAhead(const run_key &run, double now) const
+double load_forecast::peakLoadAhead(const run_key &run, double currentLoad) const
 {
     const auto found = m_histories.find(run);
     if (found == m_histories.end() || found->second.size() <= HorizonSamples)
-        return now;
+        return currentLoad;
     const auto &history = found->second;
-    const double before = history[history.size() - 1 - HorizonSamples];
-    const double forecast = std::clamp(m_predictor.predict({1, now, before}), 0.0, 1.0);
-    return std::max(now, forecast);
+    const double earlierLoad = history[history.size() - 1 - HorizonSamples];
+    const double forecast =
+            std::clamp(m_predictor.predict({1, currentLoad, earlierLoad}), 0.0, 1.0);
+    return std::max(currentLoad, forecast);
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/load_forecast.h
+++ b/libs/jobs/load_forecast.h
@@ -1,7 +1,7 @@
-// Predicts the load of a serving run some seconds ahead, as a linear combination of its present
-// load and its load some seconds ago. The coefficients are learned from all runs of the worker. The
-// turn of a periodic load is predicted before it happens; a constant load is expected to stay, and
-// a random one to return to its mean.
+// Predicts the load of a serving run two seconds ahead, as a linear combination of its present load
+// and its load two seconds ago. Used by the agent's throttle_controller. The coefficients are
+// learned from all runs of the worker. The turn of a periodic load is predicted before it happens;
+// a constant load is expected to stay, and a random one to return to its mean.
 #pragma once
 
 #include <deque>
@@ -20,13 +20,14 @@
 
     load_forecast();
 
-    // Called every half second, at each sampling of the worker, with the loads of all serving runs
-    // without that of their neighbours. The histories of other runs are dropped.
+    // Called every half second, at each sampling of the worker, with the loads of all serving runs,
+    // less what their neighbours add. The histories of other runs are dropped.
     void recordLoads(const std::map<run_key, double> &loads);
-    // The higher one of the load now and the load predicted for the horizon.
-    double peakLoadAhead(const run_key &run, double now) const;
+    // Returns the higher of `currentLoad` and the load predicted for two seconds ahead.
+    double peakLoadAhead(const run_key &run, double currentLoad) const;
 
 private:
+    // Adds a sample to the history of a run, and learns from it when the history is long enough.
     void appendAndLearn(std::deque<double> &history, double load);
 
     least_squares m_predictor;                         // inputs: 1, the load now, the load earlier
--- a/libs/jobs/model.cpp
+++ b/libs/jobs/model.cpp
@@ -219,7 +219,9 @@
 
 void checkSpec(const job_spec &spec)
 {
-    const auto reject = [](const std::string &why) { throw error(error_kind::BadRequest, why); };
+    const auto reject = [](const std::string &reason) {
+        throw error(error_kind::BadRequest, reason);
+    };
     if (spec.steps.empty() || spec.steps.size() > MaxSteps)
         reject(fmt::format("a job must have 1 to {} steps", MaxSteps));
     if (spec.occurrences < 0 || spec.occurrences > MaxOccurrences)
--- a/libs/jobs/model.h
+++ b/libs/jobs/model.h
@@ -11,6 +11,7 @@
 
 namespace zinniabarrow::jobs {
 
+// Amounts of resources: those that a task reserves, or that a worker has or uses.
 struct task_size
 {
     std::int64_t millicores = 0;   // thousandths of a core
@@ -23,6 +24,7 @@
     bool fitsInto(const task_size &room) const;
 };
 
+// One step of a job: tasks of the same kind that may run in parallel.
 struct step_spec
 {
     int count = 1;                    // number of tasks
@@ -40,10 +42,12 @@
     std::string image;                // program image that the tasks run; empty: unknown
     std::int64_t latencyTargetMs = 0; // tail latency to stay below, ms; 0: no target
     bool isBestEffort = false;        // reserves no processors, uses idle ones
-    // Most tasks that the scheduler itself may make unavailable at a time; 0: not specified.
+    // Limit of the tasks that the scheduler itself may make unavailable at a time; 0: not
+    // specified.
     int maxUnavailable = 0;
 };
 
+// A job as its caller submits it.
 struct job_spec
 {
     std::string payload; // passed unchanged to each task
@@ -92,6 +96,7 @@
     std::int64_t agentIncarnation = 0;
 };
 
+// The progress of one task, as the job's owner knows it.
 struct task_state
 {
     bool done = false;
@@ -108,7 +113,7 @@
     bool isWaiting() const { return !done && placements.empty(); }
 };
 
-int countWaiting(const std::vector<task_state> &step); // number of tasks without a worker
+int countWaiting(const std::vector<task_state> &step); // number of tasks neither done nor placed
 
 enum class job_state { Queued, Running, Completed, Failed, Cancelled };
 std::string_view nameOf(job_state state);
@@ -125,7 +130,7 @@
 
 using occurrence_tasks = std::vector<std::vector<task_state>>; // indexed by step, then by task
 
-// The mutable part of a job, as it is stored in the job's row of the platform's store.
+// A job without its payload, as it is stored in the job's row of the platform's store.
 struct job_record
 {
     owner_id owner;
@@ -143,7 +148,7 @@
 
     task_state *find(const task_id &task); // null: no such task
     const task_state *find(const task_id &task) const;
-    bool hasRunAnyTask() const; // true once some task has certainly run
+    bool hasRunAnyTask() const; // some task is done, failed, or has a checkpoint
     // True while a run of the task may start or continue.
     bool shouldRun(const task_state &task) const;
     bool isStepDone(int occurrence, int step) const;
--- a/libs/jobs/queues.h
+++ b/libs/jobs/queues.h
@@ -1,5 +1,5 @@
-// The queues of the operator's configuration, and the lookup of the queue that a request path
-// addresses.
+// The queues of the operators' configuration, and the lookup of the queue that a request addresses
+// by its host and path.
 #pragma once
 
 #include <cstddef>
@@ -13,6 +13,7 @@
 
 namespace zinniabarrow::jobs {
 
+// Requests to the host whose path starts with the prefix address the queue of the policy.
 struct queue_route
 {
     std::string host;
@@ -20,6 +21,7 @@
     queue_policy policy;
 };
 
+// One version of the operators' configuration of queues.
 struct queue_configuration
 {
     std::int64_t version = 0;
@@ -42,7 +44,8 @@
     std::int64_t version() const { return m_version; }
     std::size_t size() const { return m_routes.size(); }
     std::size_t prefixLengthCount() const { return m_prefixLengths.size(); }
-    // Returns the route with the longest matching prefix; none: no queue matches.
+    // Returns the route with the longest matching prefix; none: no queue matches. A port in `host`
+    // is ignored.
     std::optional<route_match> find(const std::string &host, const std::string &path) const;
 
 private:
--- a/libs/jobs/record.cpp
+++ b/libs/jobs/record.cpp
@@ -117,7 +117,7 @@
 {
     constexpr rapidjson::SizeType MemberCount = 3;
     if (!row.IsArray() || row.Size() != MemberCount)
-        throw error(error_kind::BadRequest, "a job's record: a placement has three members");
+        throw error(error_kind::BadRequest, "job record: a placement must have three members");
     return {large_json::asText(row[0]), large_json::asNumber(row[1]), large_json::asCount(row[2])};
 }
 
@@ -125,12 +125,12 @@
 {
     constexpr rapidjson::SizeType MemberCount = 7;
     if (!row.IsArray() || row.Size() != MemberCount)
-        throw error(error_kind::BadRequest, "a job's record: a redundant run has seven members");
+        throw error(error_kind::BadRequest, "job record: a redundant run must have seven members");
     auto *task = record.find({"", large_json::asCount(row[3]), large_json::asCount(row[4]),
                               large_json::asCount(row[5])});
     if (task == nullptr || !task->done)
         throw error(error_kind::BadRequest,
-                    "a job's record: a redundant run belongs to a task that is not done");
+                    "job record: a redundant run belongs to a task that is not done");
     task->placements.push_back({large_json::asText(row[0]), large_json::asNumber(row[1]),
                                 large_json::asCount(row[2]), large_json::asNumber(row[6])});
 }
@@ -166,7 +166,8 @@
     task_state task;
     if (value.IsInt()) {
         task.done = value.GetInt() == 1;
-        // 1 for a done task, whose run numbers are no longer needed.
+        // The stored 1 also serves as run number of a done task, whose real one is no longer
+        // needed.
         task.lastRun = value.GetInt();
         return task;
     }
@@ -186,11 +187,11 @@
 occurrence_tasks occurrenceFrom(const large_json::value &steps)
 {
     if (!steps.IsArray())
-        throw error(error_kind::BadRequest, "a job's record: steps are an array");
+        throw error(error_kind::BadRequest, "job record: steps must be an array");
     occurrence_tasks result;
     for (const auto &row : steps.GetArray()) {
         if (!row.IsArray())
-            throw error(error_kind::BadRequest, "a job's record: tasks are an array");
+            throw error(error_kind::BadRequest, "job record: tasks must be an array");
         auto &stepTasks = result.emplace_back();
         stepTasks.reserve(row.Size());
         for (const auto &task : row.GetArray())
@@ -258,7 +259,7 @@
     using namespace large_json;
     const auto value = parseObject(text);
     if (numberOr0(value, "v") != RecordVersion)
-        throw error(error_kind::BadRequest, "a job's record: unknown version");
+        throw error(error_kind::BadRequest, "job record: unknown version");
     job_record record;
     record.owner = {textOrEmpty(value, "o"), numberOr0(value, "i")};
     record.writeId = textOrEmpty(value, "w");
@@ -275,7 +276,7 @@
     forEach(value, "t", [&](const auto &steps) { record.tasks.push_back(occurrenceFrom(steps)); });
     for (const auto &steps : record.tasks) {
         if (steps.size() != record.steps.size())
-            throw error(error_kind::BadRequest, "a job's record: steps and tasks do not match");
+            throw error(error_kind::BadRequest, "job record: steps and tasks do not match");
     }
     forEach(value, "x", [&](const auto &row) { readRedundantRun(row, record); });
     return record;
--- a/libs/jobs/retry_delay.h
+++ b/libs/jobs/retry_delay.h
@@ -5,8 +5,8 @@
 
 namespace zinniabarrow::jobs {
 
-// The delay depends on how long the store has been unreachable. A short outage mostly ends by
-// itself at once. One that has lasted longer takes 4 to 9 s, and callers that retry every second
+// The delay depends on how long the store has been unreachable. An outage that is still short
+// mostly ends soon. One that has lasted longer takes 4 to 9 s, and callers that retry every second
 // would use up their few retries before it ends.
 constexpr milliseconds ShortOutage{1000};
 constexpr seconds RetryDelayShortOutage{1};
--- a/libs/jobs/rows.h
+++ b/libs/jobs/rows.h
@@ -46,6 +46,7 @@
     std::int64_t version = 0;
     std::int64_t storeClockMs = 0; // the store's monotonic clock, ms; 0: not reported
 };
+// Some row did not have its expected version; nothing was written.
 struct conflicting
 {
     // Present content of the expected rows; rows that do not exist are left out.
@@ -57,6 +58,7 @@
 { };
 using commit_result = std::variant<committed, conflicting, not_committed, in_doubt>;
 
+// One page of a read of a table.
 struct row_page
 {
     std::vector<row> rows;
@@ -66,6 +68,7 @@
     std::int64_t storeClockMs = 0;
 };
 
+// One page of a table's change feed.
 struct feed_page
 {
     std::vector<row> rows;
--- a/libs/jobs/service_history.cpp
+++ b/libs/jobs/service_history.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr milliseconds RecordInterval{1000}; // workers report as often
-constexpr double Weight = 0.05;              // of the newest count: about the last 20 matter
+constexpr double NewestCountWeight = 0.05;   // of the newest count: about the last 20 matter
 
 } // namespace
 
@@ -27,13 +27,13 @@
                   [&](const auto &entry) { return !counts.contains(entry.first); });
     for (const auto &[job, count] : counts) {
         auto &served = m_servedFractions.try_emplace(job, m_average).first->second;
-        served += Weight * (servedFraction(count) - served);
+        served += NewestCountWeight * (servedFraction(count) - served);
     }
     if (m_servedFractions.empty())
         return;
-    const auto sum =
-            std::accumulate(m_servedFractions.begin(), m_servedFractions.end(), 0.0,
-                            [](double before, const auto &entry) { return before + entry.second; });
+    const auto sum = std::accumulate(
+            m_servedFractions.begin(), m_servedFractions.end(), 0.0,
+            [](double partialSum, const auto &entry) { return partialSum + entry.second; });
     m_average = sum / static_cast<double>(m_servedFractions.size());
 }
 
--- a/libs/jobs/service_history.h
+++ b/libs/jobs/service_history.h
@@ -1,5 +1,6 @@
 // How well the callers of each serving job have been served recently, by the workers' reports.
-// Shows which jobs have already had their share of the interference by best-effort runs.
+// Kept by the worker_pool, to which it shows which jobs have already had their share of the
+// interference by best-effort runs.
 #pragma once
 
 #include <map>
--- a/libs/jobs/stall_timer.h
+++ b/libs/jobs/stall_timer.h
@@ -16,8 +16,9 @@
     EarlierEpoch,       // placed in an epoch before the worker's current one
     NotRunning,         // start accepted, but the worker reports too few runs of the job
 };
-std::string_view nameOf(stall_reason why);
+std::string_view nameOf(stall_reason reason);
 
+// How long one long-running task has been stalled, and when that is logged.
 struct stall_timer
 {
     time_point lastRunningAt{}; // last known to be running, or first checked
--- a/libs/jobs/urgency.cpp
+++ b/libs/jobs/urgency.cpp
@@ -65,11 +65,11 @@
 
 job_urgency urgencyOf(const job_record &record, std::int64_t wallMs)
 {
-    using standing = job_urgency::deadline_state;
+    using deadline_status = job_urgency::deadline_state;
     const auto slack = slackMs(record, wallMs);
     if (slack < 0)
-        return {record.policy.priority, standing::Late, record.acceptedAtMs};
-    return {record.policy.priority, standing::OnTime, slack};
+        return {record.policy.priority, deadline_status::Late, record.acceptedAtMs};
+    return {record.policy.priority, deadline_status::OnTime, slack};
 }
 
 } // namespace zinniabarrow::jobs
--- a/libs/jobs/urgency.h
+++ b/libs/jobs/urgency.h
@@ -1,4 +1,4 @@
-// The order in which waiting jobs are given workers.
+// The order in which an entry's job_controller gives workers to waiting jobs.
 #pragma once
 
 #include <cstdint>
--- a/libs/jobs/worker_pool.cpp
+++ b/libs/jobs/worker_pool.cpp
@@ -64,10 +64,10 @@
 
 task_size reservedSize(const task_size &size, bool isBestEffort)
 {
-    auto counted = size;
+    auto reserved = size;
     if (isBestEffort)
-        counted.millicores = 0;
-    return counted;
+        reserved.millicores = 0;
+    return reserved;
 }
 
 worker_pool::worker_pool(const pool_settings &settings)
@@ -77,8 +77,8 @@
 bool worker_pool::update(const worker_report &report, time_point now)
 {
     auto &view = m_workers[report.worker];
-    // A delayed report from a previous incarnation of the agent. Runs placed by it would be
-    // refused.
+    // A delayed report from a previous incarnation of the agent. Runs placed on the basis of it
+    // would be refused.
     if (report.agentIncarnation != 0 && report.agentIncarnation < view.lastReport.agentIncarnation)
         return false;
     const bool isNewIncarnation = view.lastReport.agentIncarnation != report.agentIncarnation
@@ -242,7 +242,7 @@
     if (!step.dataRack.empty() && step.dataRack != latest.rack)
         score -= 0.5; // a task on another rack than its data takes half as long again
     score -= 0.25 * std::max(0.0, view.slowdown - 1.3); // estimates alone are off by a fifth
-    constexpr double LateJobPenalty = 4; // as much as all of the worker's processors in use
+    constexpr double LateJobPenalty = 4; // as much as an overcommitment by all processors
     return score - LateJobPenalty * latenessCost(view, step);
 }
 
@@ -290,9 +290,9 @@
     if (!step.isBestEffort)
         return jobs;
     // Width of the range of load between certainly on time and certainly late: the serving runs'
-    // own load varies while the best-effort run works.
+    // own load varies while the best-effort run is active.
     constexpr double LoadUncertainty = 0.2; // load
-    constexpr double FullBlameLoad = 0.05;  // load; a run that adds less is only partly to blame
+    constexpr double FullWeightLoad = 0.05; // load; a run that adds less counts in proportion
     const double cores = static_cast<double>(step.size.millicores) / 1000;
     for (const auto &run : view.lastReport.serving) {
         const double addedLoad = m_interferenceEstimator.loadPerCore(run.image, step.image) * cores;
@@ -303,11 +303,13 @@
             continue;
         auto &worstLateness = jobs[run.job];
         worstLateness =
-                std::max(worstLateness, probability * std::min(1.0, addedLoad / FullBlameLoad));
+                std::max(worstLateness, probability * std::min(1.0, addedLoad / FullWeightLoad));
     }
     return jobs;
 }
 
+// Expected number of jobs that the task makes or keeps late here. A job that is late elsewhere
+// counts only in part.
 double worker_pool::expectedLateJobs(const worker_view &view, const step_spec &step) const
 {
     double sum = 0;
@@ -316,10 +318,11 @@
     return sum;
 }
 
-// Expected lateness as it counts in the choice between workers. A job that was served less than the
-// average counts in full here: a job with many tasks is nearly always late somewhere and would
-// otherwise attract all best-effort runs. `expectedLateJobs`, which decides whether a best-effort
-// task waits, makes no such difference, since the harm is the same in either case.
+// Expected number of late jobs as it counts in the choice between workers. A job that was served
+// worse than the average counts in full here, even if it is late elsewhere: a job with many tasks
+// is nearly always late somewhere and would otherwise attract all best-effort runs.
+// `expectedLateJobs`, which decides whether a best-effort task waits, makes no such exception,
+// since the task causes the same lateness in either case.
 double worker_pool::latenessCost(const worker_view &view, const step_spec &step) const
 {
     double sum = 0;
@@ -331,7 +334,7 @@
 double worker_pool::latenessWeight(const worker_view &view, const std::string &job) const
 {
     constexpr double LateElsewhereWeight =
-            0.3; // what a job that is late elsewhere still has to lose
+            0.3; // users of a job that is late elsewhere lose little more
     return isLateElsewhere(view, job) ? LateElsewhereWeight : 1;
 }
 
@@ -343,6 +346,7 @@
     return load;
 }
 
+// Jobs with a run here that the interference of its neighbours puts over its latency target.
 std::set<std::string> worker_pool::lateJobsOf(const worker_view &view) const
 {
     constexpr double LateMargin = 0.05; // load
--- a/libs/jobs/worker_pool.h
+++ b/libs/jobs/worker_pool.h
@@ -64,7 +64,7 @@
     LabelMismatch,      // neither its kind nor its rack is the label that the step requires
     BestEffortFull,     // best-effort runs would only slow each other down
     WouldCauseLateness, // a best-effort task would make serving runs late
-    Avoided,            // the caller excluded it
+    Avoided,            // excluded from this choice
     RefusedByAgent,     // its agent refused a task of this size or smaller since its last report
     NoProcessors,
     NoMemory,
@@ -103,7 +103,7 @@
     std::int64_t startDeadlineFor(const std::string &worker, std::int64_t agentIncarnation,
                                   time_point now) const;
 
-    // Sets the zones in which no more runs are started, from the operators' configuration.
+    // Sets the zones in which no more runs are started; see evacuations.h.
     void setEvacuatedZones(std::set<std::string> zones) { m_evacuatedZones = std::move(zones); }
 
     // Records how a run ended on the worker. `slowdown` is its actual run time over its estimate;
--- a/tests/interference_estimator_test.cpp
+++ b/tests/interference_estimator_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr double FloorMs = 25;
-constexpr double LongestTailMs = 2200;          // ms, as measured by workers
+constexpr double LongestTailMs = 2200;          // as measured by workers
 constexpr double InterferingLoadPerCore = 0.06; // the other half of the pairs is harmless
 constexpr int ImageCount = 9;                   // best-effort images
 
@@ -83,10 +83,10 @@
 } // namespace
 
 // Guards against estimates that diverge within seconds, so that interfering runs are placed beside
-// a service, whose callers get late answers, or harmless ones are kept away. It happened when a
-// variance was cut down to its initial value: the matrix was no covariance any more, and each
-// further sample made the estimates worse.
-Test(interference_estimator, learns_which_pairs_interfere)
+// a service, whose callers get late answers, or harmless ones are kept away. This happens when a
+// variance is reduced to its initial value: the matrix is no covariance any more, and each further
+// sample makes the estimates worse.
+Test(interference, learns_which_pairs_interfere)
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         section("seed " + std::to_string(seed), [&] {
@@ -112,8 +112,9 @@
     }
 }
 
-// The same in the first seconds of a service: one steady neighbour, then none, then another.
-Test(interference_estimator, estimates_stay_bounded_from_the_first_samples_on)
+// Guards against the same divergence in the first seconds of a service: one steady neighbour, then
+// none, then another.
+Test(interference, estimates_stay_bounded_from_the_first_samples_on)
 {
     for (const double cores : {0.5, 1.0, 2.0, 3.2, 5.0, 10.0}) {
         section(std::to_string(cores) + " cores", [&] {
@@ -133,7 +134,7 @@
     }
 }
 
-Test(interference_estimator, a_pair_never_measured_keeps_the_prior)
+Test(interference, a_pair_never_measured_keeps_the_prior)
 {
     interference_estimator estimator;
     check(estimator.loadPerCore("serving", "fill-0") == estimator_settings().priorLoadPerCore);
@@ -144,7 +145,7 @@
 
 // A tail latency beyond the measurable range only says that the load is at least that high. It must
 // not lower the estimates of runs whose total load is far beyond the range.
-Test(interference_estimator, a_tail_beyond_the_measurable_range_lowers_no_estimate)
+Test(interference, a_tail_beyond_the_measurable_range_lowers_no_estimate)
 {
     interference_estimator estimator;
     measured_worker worker(3);
@@ -171,14 +172,15 @@
     interference_sample next()
     {
         ++m_sampleCount;
-        const double own = 0.42 * (1 + 0.5 * std::sin((m_sampleCount + m_phase) / 20 * 2 * M_PI));
+        const double ownLoad =
+                0.42 * (1 + 0.5 * std::sin((m_sampleCount + m_phase) / 20 * 2 * M_PI));
         const auto before = m_bestEffortCores;
         if (m_sampleCount % 3 == 0) {
             m_bestEffortCores.clear();
-            if (own < 0.42)
+            if (ownLoad < 0.42)
                 m_bestEffortCores[imageName(static_cast<int>(m_random() % ImageCount))] = 3.5;
         }
-        double load = own;
+        double load = ownLoad;
         load = withInterference(load, m_bestEffortCores);
         std::normal_distribution<double> noise(0, 0.02);
         const double tail = FloorMs / (1 - std::min(0.97, load + noise(m_random)));
@@ -207,7 +209,7 @@
 // Guards against late answers that recur for as long as a service runs. Interfering batch runs are
 // placed beside it while its load is low; judged by the level of the load they look harmless, and
 // are placed there again.
-Test(interference_estimator, runs_that_are_placed_while_the_load_is_low)
+Test(interference, runs_that_are_placed_while_the_load_is_low)
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
         section("seed " + std::to_string(seed), [&] {
@@ -248,13 +250,14 @@
     {
         constexpr double Cores = 12;
         ++m_sampleCount;
-        const double own = 0.48 * (1 + 0.5 * std::sin((m_sampleCount + m_phase) / 20 * 2 * M_PI));
+        const double ownLoad =
+                0.48 * (1 + 0.5 * std::sin((m_sampleCount + m_phase) / 20 * 2 * M_PI));
         if (m_sampleCount % 4 == 0) {
             m_bestEffortCores.clear();
-            if (own < 0.48)
+            if (ownLoad < 0.48)
                 m_bestEffortCores[imageName(m_nextImage++ % ImageCount)] = Cores;
         }
-        const serving_sample serving{{"site", 0, 0, 0}, 1, "serving", tailAt(own), TargetMs};
+        const serving_sample serving{{"site", 0, 0, 0}, 1, "serving", tailAt(ownLoad), TargetMs};
         std::vector<best_effort_run> bestEffort;
         for (const auto &[image, cores] : m_bestEffortCores)
             bestEffort.push_back({{image, 0, 0, 0}, 1, image, cores, cores});
@@ -262,11 +265,11 @@
     }
 
 private:
-    std::int64_t tailAt(double own)
+    std::int64_t tailAt(double ownLoad)
     {
         std::normal_distribution<double> noise(0, 0.02);
         std::uniform_int_distribution<std::int64_t> queueing(1000, 2200);
-        const double load = withInterference(own, m_bestEffortCores) + noise(m_random);
+        const double load = withInterference(ownLoad, m_bestEffortCores) + noise(m_random);
         return load >= 0.98 ? queueing(m_random) : static_cast<std::int64_t>(FloorMs / (1 - load));
     }
 
@@ -283,8 +286,8 @@
 } // namespace
 
 // Guards against late answers that recur beside the runs that interfere most. They take the tail
-// latency beyond the measurable range at once, and such samples were ignored.
-Test(interference_estimator, interference_beyond_the_measurable_range_is_learned)
+// latency beyond the measurable range at once, so the estimator must learn from such samples, too.
+Test(interference, interference_beyond_the_measurable_range_is_learned)
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         section("seed " + std::to_string(seed), [&] {
--- a/tests/interference_sharing_test.cpp
+++ b/tests/interference_sharing_test.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-constexpr int Workers = 24;
-constexpr std::array<int, 10> Widths{2, 3, 4, 4, 6, 6, 8, 10, 16, 24};
+constexpr int WorkerCount = 24;
+constexpr std::array<int, 10> TaskCounts{2, 3, 4, 4, 6, 6, 8, 10, 16, 24};
 
 struct placed_run
 {
@@ -34,9 +34,9 @@
         : m_random(seed)
     {
         trainInterference(m_pool, "site", "heavy", LoadPerCore, 400);
-        for (std::size_t job = 0; job < Widths.size(); ++job) {
-            for (int task = 0; task < Widths[job]; ++task)
-                m_workers[workerNamed(randomBelow(Workers))].push_back(
+        for (std::size_t job = 0; job < TaskCounts.size(); ++job) {
+            for (int task = 0; task < TaskCounts[job]; ++task)
+                m_workers[workerNamed(randomBelow(WorkerCount))].push_back(
                         {"site", 0, fmt::format("job-{}", job)});
         }
     }
@@ -46,10 +46,10 @@
         constexpr milliseconds Step{250};
         for (const auto until = m_now + time; m_now < until; m_now += Step) {
             std::erase_if(m_placedRuns, [&](const auto &run) { return run.endsAt <= m_now; });
-            for (int number = 0; number < Workers; ++number)
-                report(workerNamed(number));
-            place();
-            recordService();
+            for (int number = 0; number < WorkerCount; ++number)
+                sendReport(workerNamed(number));
+            placeRuns();
+            recordServedFractions();
         }
     }
 
@@ -58,7 +58,7 @@
     double average() const
     {
         return std::accumulate(m_servedSums.begin(), m_servedSums.end(), 0.0) / m_sampleCount
-               / static_cast<double>(Widths.size());
+               / static_cast<double>(TaskCounts.size());
     }
 
 private:
@@ -73,27 +73,28 @@
     }
 
     // Updates the worker's report. The own loads of its serving runs vary at random.
-    void report(const std::string &worker)
+    void sendReport(const std::string &worker)
     {
         auto &serving = m_workers[worker];
-        auto message = acceptingReport(worker);
-        message.used = {static_cast<std::int64_t>(serving.size()) * 2 * MillicoresPerCore, 1000, 0};
+        auto workerReport = acceptingReport(worker);
+        workerReport.used = {static_cast<std::int64_t>(serving.size()) * 2 * MillicoresPerCore,
+                             1000, 0};
         double cores = 0;
         for (const auto &run : m_placedRuns)
             cores += run.worker == worker ? RunCores : 0;
-        message.bestEffortDemand["heavy"] = cores;
-        message.bestEffortMillicores = static_cast<std::int64_t>(cores * 1000);
+        workerReport.bestEffortDemand["heavy"] = cores;
+        workerReport.bestEffortMillicores = static_cast<std::int64_t>(cores * 1000);
         for (auto &run : serving) {
             run.headroom = std::clamp(run.headroom + randomBetween(-0.04, 0.04), 0.05, 0.5);
             run.isLate = LoadPerCore * cores > run.headroom;
-            message.serving.push_back(run);
+            workerReport.serving.push_back(run);
         }
-        m_pool.update(message, m_now);
+        m_pool.update(workerReport, m_now);
     }
 
     // Places more best-effort runs than fit without interference: most wait for a worker where they
-    // make nobody late, one in three goes anyway.
-    void place()
+    // make nobody late, one in three is placed anyway.
+    void placeRuns()
     {
         step_spec step;
         step.isBestEffort = true;
@@ -101,8 +102,9 @@
         step.size = {static_cast<std::int64_t>(RunCores * 1000), 500, 0};
         step.estimateMs = 2000;
         for (int arrival = 0; arrival < 4; ++arrival) {
-            const bool isPatient = randomBelow(3) > 0;
-            const auto worker = m_pool.chooseWorker("tickets", step, {}, m_now, {1, isPatient});
+            const bool avoidsInterference = randomBelow(3) > 0;
+            const auto worker =
+                    m_pool.chooseWorker("tickets", step, {}, m_now, {1, avoidsInterference});
             if (!worker)
                 continue;
             m_pool.reserve(*worker, step);
@@ -110,15 +112,16 @@
         }
     }
 
-    void recordService()
+    void recordServedFractions()
     {
-        std::array<int, Widths.size()> late{};
+        std::array<int, TaskCounts.size()> lateTasks{};
         for (const auto &[worker, serving] : m_workers) {
             for (const auto &run : serving)
-                late[static_cast<std::size_t>(std::stoi(run.job.substr(4)))] += run.isLate ? 1 : 0;
+                lateTasks[static_cast<std::size_t>(std::stoi(run.job.substr(4)))] +=
+                        run.isLate ? 1 : 0;
         }
-        for (std::size_t job = 0; job < Widths.size(); ++job)
-            m_servedSums[job] += std::max(0.0, 1 - 4.0 * late[job] / Widths[job]);
+        for (std::size_t job = 0; job < TaskCounts.size(); ++job)
+            m_servedSums[job] += std::max(0.0, 1 - 4.0 * lateTasks[job] / TaskCounts[job]);
         ++m_sampleCount;
     }
 
@@ -130,7 +133,7 @@
     worker_pool m_pool;
     std::map<std::string, std::vector<serving_headroom>> m_workers;
     std::vector<placed_run> m_placedRuns;
-    std::array<double, Widths.size()> m_servedSums{};
+    std::array<double, TaskCounts.size()> m_servedSums{};
     int m_sampleCount = 0;
 };
 
@@ -144,9 +147,9 @@
     for (unsigned seed = 1; seed <= Seeds; ++seed) {
         interference_simulation simulation(seed);
         simulation.advance(seconds(60));
-        for (std::size_t job = 0; job < Widths.size(); ++job) {
+        for (std::size_t job = 0; job < TaskCounts.size(); ++job) {
             cr_expect(simulation.servedFraction(job) >= simulation.average() / 2,
-                      "seed %u, %d tasks: served %.2f, on average %.2f", seed, Widths[job],
+                      "seed %u, %d tasks: served %.2f, on average %.2f", seed, TaskCounts[job],
                       simulation.servedFraction(job), simulation.average());
         }
     }
--- a/tests/job_controller_test.cpp
+++ b/tests/job_controller_test.cpp
@@ -1,5 +1,6 @@
-// The controller of the jobs that an entry owns: the order of steps, one run of a task at a time,
-// and what must hold when a write, an order, a worker or the entry itself is lost.
+// Tests job_controller, which controls the jobs that an entry owns: the order of steps, one run of
+// a task at a time, and what must hold when a write, an order, a worker or the entry itself is
+// lost.
 #include <algorithm>
 #include <utility>
 
@@ -184,7 +185,7 @@
         require(fixture.orders.size() == 3);
         check(fixture.orders[2].order.task.step == 1);
     });
-    section("it is shown as completed once its last end is stored, not before", [&] {
+    section("the job is shown as completed once its last end is stored, not before", [&] {
         fixture.acceptOrder(fixture.orders[2]);
         fixture.endRun(fixture.orders[2], end_kind::Done);
         check(fixture.controller.storedState("j") == job_state::Running);
@@ -203,7 +204,7 @@
         fixture.advance(milliseconds(700));
         check(fixture.logDetailOf("job_course").empty());
     });
-    section("then its lateness, its slack and the time that its steps took are logged", [&] {
+    section("on completion, its lateness, slack and times are logged", [&] {
         for (std::size_t index = 0; index < 3; ++index) {
             require(fixture.orders.size() > index);
             fixture.acceptOrder(fixture.orders[index]);
@@ -220,7 +221,7 @@
 
 // A caller submits its job twice, at two entries. The second entry's write conflicts with the row
 // of the first: it answers that the job is accepted, and starts nothing.
-Test(job_controller, submitted_at_two_entries)
+Test(job_controller, a_job_submitted_at_two_entries)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -235,7 +236,7 @@
 }
 
 // The answer to a write is lost. When the write is repeated, the row already has its content.
-Test(job_controller, lost_answer_to_a_write)
+Test(job_controller, the_answer_to_a_write_is_lost)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -247,7 +248,7 @@
 
 // Another entry cancels the job in its row while the owner cannot be reached. The owner finds out
 // when its next write conflicts; it keeps the job and stops its runs.
-Test(job_controller, cancelled_by_another_entry)
+Test(job_controller, a_job_cancelled_by_another_entry)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -268,9 +269,9 @@
     check(fixture.orders[0].order.kind == order_kind::Stop);
 }
 
-// A worker's lease has expired. What was placed on it has certainly ended and starts elsewhere with
-// a higher run number; what was placed in the new epoch stays.
-Test(job_controller, worker_lost)
+// A worker's lease has expired. Runs that were placed on it have certainly ended, and their tasks
+// start again with a higher run number. Runs that were placed in its new epoch stay.
+Test(job_controller, a_worker_whose_lease_expired)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -381,11 +382,11 @@
         check(newOwner.controller.record("j")->find(task)->failures == 1);
         newOwner.endRun(order, end_kind::Failed, 61);
         check(newOwner.controller.record("j")->find(task)->failures == 1);
-        test_fixture last;
-        last.controller.adopt("j", recordFrom(toText(*newOwner.controller.record("j"))), 9,
-                              "hold seat 7");
-        last.endRun(order, end_kind::Failed, 70);
-        check(last.controller.record("j")->find(task)->failures == 1);
+        test_fixture thirdOwner;
+        thirdOwner.controller.adopt("j", recordFrom(toText(*newOwner.controller.record("j"))), 9,
+                                    "hold seat 7");
+        thirdOwner.endRun(order, end_kind::Failed, 70);
+        check(thirdOwner.controller.record("j")->find(task)->failures == 1);
     });
     section("done, of one member of a gang: the whole gang is done", [] {
         test_fixture fixture;
@@ -420,9 +421,9 @@
 
 // Guards against starting a task seconds after it was done: an agent has accepted a newer run of
 // it, and only the memory of the owner, which dies, knows that this run is to be stopped.
-Test(job_controller, a_newer_run_of_a_task_that_is_done)
+Test(job_controller, a_redundant_run)
 {
-    // Run 1 ends with its epoch and run 2 is accepted; then run 1 turns out to be done.
+    // Run 1 ends with its epoch and run 2 is accepted; then run 1 is reported as done.
     const auto finishWithNewerRun = [](test_fixture &fixture, const job_spec &spec) {
         fixture.submitJob(spec);
         fixture.confirmWrite();
@@ -449,7 +450,7 @@
                    && item.order.run == run.order.run && item.worker == run.worker;
         });
     };
-    section("it stays in the row, and a new owner stops it and starts nothing", [&] {
+    section("the redundant run stays in the row, and a new owner stops it and starts nothing", [&] {
         test_fixture fixture;
         const auto newerOrder = finishWithNewerRun(fixture, test_fixture::twoSteps());
         const auto row = recordFrom(fixture.writes.back().content);
@@ -461,7 +462,7 @@
         check(countStops(newOwner, newerOrder) == 1);
         check(newOwner.countStarts(newerOrder.order.task) == 0);
     });
-    section("so it does when its job is completed, which still needs an owner", [&] {
+    section("a completed job keeps the redundant run, too, and still needs an owner", [&] {
         test_fixture fixture;
         const auto newerOrder = finishWithNewerRun(fixture, singleTaskSpec);
         check(fixture.controller.storedState("j") == job_state::Completed);
@@ -473,7 +474,7 @@
         newOwner.tick();
         newOwner.confirmWrite();
         check(countStops(newOwner, newerOrder) == 1);
-        section("until it has ended, which changes nothing else", [&] {
+        section("no owner is needed once the run has ended, which changes nothing else", [&] {
             newOwner.endRun(newerOrder, end_kind::Failed, 60);
             newOwner.confirmWrite();
             const auto last = recordFrom(newOwner.writes.back().content);
@@ -482,7 +483,7 @@
             check(newOwner.confirmedTokens == std::vector<std::int64_t>{60});
         });
     });
-    section("until it was refused, or its worker has a new epoch", [&] {
+    section("no owner is needed once the run is refused or its worker has a new epoch", [&] {
         test_fixture fixture;
         const auto newerOrder = finishWithNewerRun(fixture, singleTaskSpec);
         fixture.controller.orderAnswered(
@@ -497,7 +498,7 @@
         other.tick();
         check(!recordFrom(other.writes.back().content).needsOwner());
     });
-    section("its stop is sent again when the agent has restarted", [&] {
+    section("the stop of the run is sent again when the agent has restarted", [&] {
         test_fixture fixture;
         const auto newerOrder = finishWithNewerRun(fixture, singleTaskSpec);
         fixture.orders.clear();
@@ -522,7 +523,7 @@
     fixture.submitJob();
     fixture.confirmWrite();
     check(fixture.orders[0].order.agentIncarnation == 7);
-    section("also when it is sent again to the next incarnation", [&] {
+    section("also when the order is sent again to the next incarnation", [&] {
         const auto &worker = fixture.orders[0].worker;
         fixture.repeatReport(worker, [](auto &report) { report.agentIncarnation = 8; });
         fixture.orders.clear();
@@ -531,7 +532,7 @@
         require(!fixture.orders.empty());
         check(fixture.orders[0].order.agentIncarnation == 7);
     });
-    section("also when a new owner sends it", [&] {
+    section("also when a new owner sends the order", [&] {
         test_fixture newOwner;
         newOwner.controller.adopt("j", recordFrom(fixture.writes.back().content), 102,
                                   "hold seat 7");
@@ -540,7 +541,7 @@
         require(newOwner.orders.size() == 2);
         check(newOwner.orders[0].order.agentIncarnation == 7);
     });
-    section("on the wire too", [&] {
+    section("the wire format keeps the incarnation", [&] {
         const auto sent = orderBatchFrom(toText(order_batch{"a", "b", {fixture.orders[0].order}}));
         check(sent.orders[0].agentIncarnation == 7);
     });
@@ -555,21 +556,21 @@
     fixture.submitJob();
     fixture.confirmWrite();
     const auto first = fixture.orders[0];
-    section("on the agent's clock", [&] {
+    section("the deadline is by the agent's clock", [&] {
         check(first.order.startDeadlineMs > 5000);
         check(first.order.startDeadlineMs < 6000);
     });
-    section("on the wire too", [&] {
+    section("the wire format keeps the deadline and the clock", [&] {
         const auto sent = orderBatchFrom(toText(order_batch{"a", "b", {first.order}}));
         check(sent.orders[0].startDeadlineMs == first.order.startDeadlineMs);
         auto report = fixture.workers.find("w1")->lastReport;
         check(reportFrom(toText(report)).clockMs == 5000);
     });
-    section("the answer of an agent that it was too late, too", [] {
+    section("the wire format keeps the answer that the deadline has passed", [] {
         const order_answer answer{{"j", 0, 0, 0}, 1, order_outcome::DeadlineExceeded};
         check(orderAnswersFrom(toText({answer}))[0].outcome == order_outcome::DeadlineExceeded);
     });
-    section("when it was too late, the same run is ordered again with a later deadline", [&] {
+    section("after that answer, the same run is ordered again with a later deadline", [&] {
         fixture.orders.clear();
         fixture.controller.orderAnswered(first.worker,
                                          {first.order.task, 1, order_outcome::DeadlineExceeded},
@@ -678,7 +679,7 @@
 
 // Guards against repeating work that was saved: a delayed report names the checkpoint of an earlier
 // run.
-Test(job_controller, checkpoint_of_an_earlier_run)
+Test(job_controller, a_checkpoint_of_an_earlier_run)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -707,9 +708,9 @@
     });
 }
 
-// Guards against an owner that was suspended and takes runs from the new owner. It checks the
-// leases of workers that it has not heard from before it learns that another entry owns its jobs,
-// and must send no orders then.
+// Guards against a suspended owner that takes runs from the new owner. When it resumes, it checks
+// the leases of workers that have not reported, before it learns that another entry owns its jobs.
+// It must send no orders then.
 Test(job_controller, checking_a_lease_resends_no_orders)
 {
     test_fixture fixture;
@@ -768,14 +769,14 @@
     const auto hasStartedInRow = [&] {
         return recordFrom(fixture.writes.back().content).hasStarted;
     };
-    section("not set by an order, nor by its acceptance", [&] {
+    section("neither an order nor its acceptance marks the row", [&] {
         check(order.order.wantsStartReport);
         fixture.acceptOrder(order);
         fixture.now += milliseconds(5000);
         fixture.tick();
         check(!hasStartedInRow());
     });
-    section("set by the report of a start, with the next write or soon by a write of its own", [&] {
+    section("a reported start marks the row, with the next write or soon by one of its own", [&] {
         fixture.controller.runStarted({order.order.task, 1}, fixture.now);
         fixture.tick();
         check(fixture.writes.size() == 1);
@@ -785,13 +786,13 @@
         check(hasStartedInRow());
         fixture.confirmWrite();
     });
-    section("written only once", [&] {
+    section("the row is marked only once", [&] {
         fixture.controller.runStarted({order.order.task, 1}, fixture.now);
         fixture.now += milliseconds(801);
         fixture.tick();
         check(fixture.writes.size() == 2);
     });
-    section("set by an end, except that of a run that never started", [] {
+    section("an end marks the row, except that of a run that never started", [] {
         test_fixture other;
         other.submitJob();
         other.confirmWrite();
@@ -851,7 +852,7 @@
             fixture.tick();
         }
     };
-    section("it is sent again for a while", [&] {
+    section("the order is sent again for a while", [&] {
         test_fixture fixture;
         fixture.submitJob(oneTaskSpec);
         fixture.confirmWrite();
@@ -938,7 +939,7 @@
     });
 }
 
-Test(job_controller, limit_of_tasks_on_one_worker)
+Test(job_controller, a_limit_of_tasks_on_one_worker)
 {
     test_fixture fixture;
     auto spec = test_fixture::twoSteps();
@@ -971,7 +972,7 @@
     check(fixture.orders.size() == 3);
 }
 
-Test(job_controller, records_survive_the_store)
+Test(job_controller, a_record_is_stored_and_read)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -999,7 +1000,7 @@
 // Guards against runs that continue after a cancel. The owner dies right after it stored the
 // cancel, before it told the workers. The job is finished, but still needs an owner; the new one
 // stops its runs.
-Test(job_controller, owner_dies_right_after_a_cancel)
+Test(job_controller, an_owner_that_dies_right_after_a_cancel)
 {
     test_fixture fixture;
     fixture.submitJob();
@@ -1015,7 +1016,7 @@
     newOwner.confirmWrite();
     require(newOwner.orders.size() == 2);
     check(newOwner.orders[0].order.kind == order_kind::Stop);
-    section("once its runs have ended, it needs none", [&] {
+    section("once its runs have ended, the job needs no owner", [&] {
         for (const auto &order : std::vector(newOwner.orders))
             newOwner.endRun(order, end_kind::Stopped);
         newOwner.confirmWrite();
@@ -1038,14 +1039,14 @@
 
 namespace {
 
-// Makes both workers run a serving image close to its target, with which the image `press`
+// Makes both workers run a serving image close to its target, with which the image `indexer`
 // interferes.
 void loadWorkers(test_fixture &fixture, std::int64_t usedMillicores)
 {
     for (int sampleNumber = 0; sampleNumber < 200; ++sampleNumber) {
         const double cores = sampleNumber % 2 == 0 ? 0.0 : 4.0;
         const auto tail = static_cast<std::int64_t>(25 / (1 - 0.4 - 0.06 * cores));
-        fixture.workers.interferenceEstimator().learn({"site", tail, 150, {{"press", cores}}});
+        fixture.workers.interferenceEstimator().learn({"site", tail, 150, {{"indexer", cores}}});
     }
     for (const char *name : {"w1", "w2"}) {
         worker_report report;
@@ -1066,7 +1067,7 @@
     step_spec step;
     step.size = {2000, 100, 0};
     step.isBestEffort = true;
-    step.image = "press";
+    step.image = "indexer";
     step.estimateMs = 2000;
     spec.steps = {step};
     return spec;
@@ -1082,10 +1083,10 @@
 
 } // namespace
 
-// A batch job waits while it would make users of a service late on every worker, since it has time
-// and they have none. But it does not wait forever. Where most of the service is idle, its caller
-// considers a job lost when nothing of it runs for 3 s; where the service is full, the job is still
-// completed in the end.
+// A batch job waits while it would make a service late on every worker, since its objective leaves
+// it time. But it does not wait forever. While most of the service is idle, the caller of a job
+// considers it lost when none of its tasks runs for 3 s. While most of it is in use, the job must
+// still be completed in the end.
 Test(job_controller, best_effort_tasks_wait_for_a_harmless_placement)
 {
     section("most of the service is idle", [] {
@@ -1096,7 +1097,7 @@
         check(!isPlacedAfter(fixture, milliseconds(2499), 4000));
         check(isPlacedAfter(fixture, milliseconds(1), 4000));
     });
-    section("most of it is in use", [] {
+    section("most of the service is in use", [] {
         test_fixture fixture;
         loadWorkers(fixture, 12'000);
         fixture.submitJob(bestEffortJob());
@@ -1108,7 +1109,7 @@
 // A task that has served for a while and fails goes back to the worker where the other tasks of its
 // job are, so that users of the service depend on one worker and not on many. One that fails at
 // once goes elsewhere.
-Test(job_controller, a_long_running_task_that_fails_goes_back)
+Test(job_controller, a_failed_long_running_task_returns_to_its_worker)
 {
     const auto returnsAfter = [](milliseconds servingTime) {
         test_fixture fixture;
@@ -1212,7 +1213,7 @@
         check(!oldOwner.controller.runEnded(order.worker, reportedEnds[0], oldOwner.now, 50));
         check(agent.noteNotOwned({reportedEnds[0].task, 1, reportedEnds[0].endKind}, Self.entry));
     });
-    section("the new owner learns of it by the next report, and the task runs again", [&] {
+    section("the new owner learns of the end by the next report, and the task runs again", [&] {
         const auto reportedEnds = agent.endsFor(Other.entry);
         require(reportedEnds.size() == 1);
         check(newOwnerController.runEnded(order.worker, reportedEnds[0], newOwner.now, 51));
@@ -1325,14 +1326,14 @@
         require(lines.size() == 1);
         check(lines[0].ends_with(
                 "ms: not_at_work, run 1 on w1, epoch 1, 0 of 1 runs of its job running there"));
-        section("logged again until it runs", [&] {
+        section("logged again until the task runs", [&] {
             fixture.advance(seconds(8));
             check(fixture.takeStallLines().size() == 2);
             fixture.runningTasks = 1;
             fixture.advance(seconds(20));
             check(fixture.takeStallLines().empty());
         });
-        section("logged anew, counted from when it last ran", [&] {
+        section("logged again after it stops, counted from when it last ran", [&] {
             fixture.runningTasks = 0;
             fixture.advance(seconds(5));
             check(fixture.takeStallLines().empty());
@@ -1344,19 +1345,19 @@
         const auto lines = fixture.takeStallLines();
         return lines.size() == 1 ? lines[0] : std::string();
     };
-    section("its start has no answer", [&] {
+    section("the start order has no answer", [&] {
         stall_fixture fixture;
         fixture.isAnswering = false;
         fixture.storeAndStart();
         fixture.advance(seconds(8));
         check(singleStallLine(fixture).ends_with("ms: start_unanswered, run 1 on w1, epoch 1"));
     });
-    section("its placement is not stored", [&] {
+    section("the placement is not stored", [&] {
         stall_fixture fixture;
         fixture.advance(seconds(8));
         check(singleStallLine(fixture).ends_with("ms: not_stored, run 1 on w1, epoch 1"));
     });
-    section("its worker is silent", [&] {
+    section("the agent of its worker is silent", [&] {
         stall_fixture fixture;
         fixture.storeAndStart();
         fixture.runningTasks = 1;
@@ -1446,7 +1447,7 @@
         require(isResent(fixture));
         check(fixture.orders[2].order.run == 1);
     });
-    section("an accepted stop: it is sent again, too", [&] {
+    section("an accepted stop: the order is sent again, too", [&] {
         test_fixture fixture;
         submitAndOrder(fixture);
         fixture.acceptOrder(fixture.orders[0]);
--- a/tests/large_long_running_tasks_test.cpp
+++ b/tests/large_long_running_tasks_test.cpp
@@ -1,4 +1,4 @@
-// Large long-running tasks among small short ones.
+// Tests that large long-running tasks are placed among small short ones.
 #include <criterion/criterion.h>
 
 #include "saturated_workers.h"
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Required time limit for placing a long-running task when there is room for it twice over.
-constexpr milliseconds PlacedWithin{3000};
+// Required time limit for placing long-running tasks when the workers have room for twice as many.
+constexpr milliseconds PlacementTimeLimit{3000};
 
 } // namespace
 
@@ -19,7 +19,7 @@
 {
     saturated_workers workers;
     workers.simulation.submit(0, "large-service", longRunningStep(6, 4 * Cores));
-    workers.advanceUnderLoad(PlacedWithin);
+    workers.advanceUnderLoad(PlacementTimeLimit);
     cr_expect(workers.simulation.countRunning("large-service") == 6, "%d of 6 tasks running",
               workers.simulation.countRunning("large-service"));
 }
--- a/tests/load_forecast_test.cpp
+++ b/tests/load_forecast_test.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 const load_forecast::run_key Run{{"site", 0, 0, 0}, 1};
-constexpr int PerSecond = 2; // samples
-constexpr int HorizonSamples = 2 * PerSecond;
+constexpr int SamplesPerSecond = 2;
+constexpr int HorizonSamples = 2 * SamplesPerSecond;
 
-// A users' load of 0.42 that varies by half with a period of `periodSeconds`, measured with noise.
+// A load of 0.42 that varies by half with a period of `periodSeconds`, measured with noise.
 class periodic_load
 {
 public:
@@ -27,8 +27,8 @@
 
     double at(int sample) const
     {
-        const double turns = sample / (m_period * PerSecond);
-        return 0.42 * (1 + 0.5 * std::sin(turns * 2 * M_PI));
+        const double periods = sample / (m_period * SamplesPerSecond);
+        return 0.42 * (1 + 0.5 * std::sin(periods * 2 * M_PI));
     }
     double measuredAt(int sample)
     {
@@ -59,12 +59,12 @@
             double error = 0;
             double persistenceError = 0;
             for (int sample = 0; sample < 240; ++sample) {
-                const double now = load.measuredAt(sample);
-                forecast.recordLoads({{Run, now}});
+                const double currentLoad = load.measuredAt(sample);
+                forecast.recordLoads({{Run, currentLoad}});
                 if (sample < 120)
                     continue;
-                error += std::abs(forecast.peakLoadAhead(Run, now) - peakOf(load, sample));
-                persistenceError += std::abs(now - peakOf(load, sample));
+                error += std::abs(forecast.peakLoadAhead(Run, currentLoad) - peakOf(load, sample));
+                persistenceError += std::abs(currentLoad - peakOf(load, sample));
             }
             check(error < 0.55 * persistenceError);
         });
--- a/tests/overload_order_test.cpp
+++ b/tests/overload_order_test.cpp
@@ -1,5 +1,5 @@
-// The order in which jobs are given workers when they ask for slightly more than the workers can
-// do, over a minute and a half of virtual time.
+// Tests the order in which jobs are given workers when they ask for slightly more than the workers
+// can do, in a simulation of a minute and a half.
 #include <algorithm>
 #include <random>
 #include <string>
@@ -35,7 +35,8 @@
     bool isCompleted = false;
 };
 
-// Actual run time of the remaining steps: of each, that of its longest task, counted in full.
+// Sum of the actual run times of the remaining steps. Each step takes as long as its longest task,
+// which counts in full even when it has started.
 std::int64_t remainingActualMs(const simulated_job &job)
 {
     std::int64_t remainingMs = 0;
@@ -77,7 +78,7 @@
                                          * static_cast<double>(estimatedCriticalPathMs(job.record)))
                + job.record.policy.targetLatencyMs;
     }
-    std::int64_t between(std::int64_t low, std::int64_t high)
+    std::int64_t randomBetween(std::int64_t low, std::int64_t high)
     {
         return std::uniform_int_distribution<std::int64_t>(low, high)(m_random);
     }
@@ -87,19 +88,19 @@
     {
         job_spec spec;
         simulated_job job;
-        const auto steps = between(1, 3);
+        const auto steps = randomBetween(1, 3);
         for (int index = 0; index < steps; ++index) {
             step_spec step;
-            step.count = static_cast<int>(between(2, 16));
+            step.count = static_cast<int>(randomBetween(2, 16));
             step.size = {1000, 100, 0};
-            step.estimateMs = between(600, 2400);
+            step.estimateMs = randomBetween(600, 2400);
             if (index > 0)
                 step.after = {index - 1};
             spec.steps.push_back(step);
-            const auto slowest = step.estimateMs * between(130, 150) / 100;
+            const auto slowest = step.estimateMs * randomBetween(130, 150) / 100;
             auto &taskTimesMs = job.actualMs.emplace_back();
             for (int task = 0; task < step.count; ++task) {
-                taskTimesMs.push_back(slowest * between(70, 100) / 100);
+                taskTimesMs.push_back(slowest * randomBetween(70, 100) / 100);
                 m_requestedMs += taskTimesMs.back();
             }
         }
@@ -141,9 +142,9 @@
             startTasksOf(index, now);
     }
 
-    void startTasksOf(std::size_t number, std::int64_t now)
+    void startTasksOf(std::size_t jobNumber, std::int64_t now)
     {
-        auto &job = m_jobs[number];
+        auto &job = m_jobs[jobNumber];
         for (int step = 0; step < static_cast<int>(job.actualMs.size()); ++step) {
             if (!job.record.isStepReady(0, step))
                 continue;
@@ -153,8 +154,8 @@
                 if (!task.isWaiting() || m_runningTasks.size() >= SlotCount)
                     continue;
                 task.placements.push_back({"w", 1, 1, 0});
-                m_runningTasks.push_back(
-                        {number, step, index, now + taskTimesMs[static_cast<std::size_t>(index)]});
+                m_runningTasks.push_back({jobNumber, step, index,
+                                          now + taskTimesMs[static_cast<std::size_t>(index)]});
             }
         }
     }
@@ -191,6 +192,7 @@
         share += overload_simulation(seed).onTimeShare() / Seeds;
         hindsightShare += overload_simulation(seed).onTimeShareWithHindsight() / Seeds;
     }
-    cr_expect(share >= hindsightShare, "%.3f on time, %.3f with lost jobs last", share,
+    cr_expect(share >= hindsightShare,
+              "%.3f on time, %.3f when jobs that cannot be on time come last", share,
               hindsightShare);
 }
--- a/tests/saturated_workers.h
+++ b/tests/saturated_workers.h
@@ -1,4 +1,5 @@
-// Saturated workers: long-running tasks, and short ones that ask for more than the remaining room.
+// Simulated workers that are saturated by long-running tasks and by short ones, which ask for more
+// than the remaining room.
 #pragma once
 
 #include <fmt/core.h>
--- a/tests/service_history_test.cpp
+++ b/tests/service_history_test.cpp
@@ -35,18 +35,18 @@
     check(servedFraction({0, 0}) == 0);
 }
 
-// Guards against interference that stays with a job that already had its share, and against a wrong
-// verdict on a job that is new or has recovered.
+// Guards against further interference with a job that has already had its share, and against a
+// wrong result for a job that is new or has recovered.
 Test(service_history, jobs_below_average)
 {
     history_fixture fixture;
-    section("no job is while all are served alike", [&] {
+    section("no job is below average while all are served alike", [&] {
         fixture.advance(seconds(5), {{"a", {4, 0}}, {"b", {8, 0}}});
         check(!fixture.history.isBelowAverage("a"));
         check(!fixture.history.isBelowAverage("b"));
         check(!fixture.history.isBelowAverage("unknown"));
     });
-    section("a late job is, also for a while afterwards", [&] {
+    section("a late job is below average, also for a while afterwards", [&] {
         fixture.advance(seconds(5), {{"a", {4, 0}}, {"b", {8, 2}}});
         check(fixture.history.isBelowAverage("b"));
         check(!fixture.history.isBelowAverage("a"));
@@ -57,7 +57,7 @@
         fixture.advance(seconds(1), {{"a", {4, 0}}, {"b", {8, 0}}, {"new", {2, 0}}});
         check(!fixture.history.isBelowAverage("new"));
     });
-    section("not any more once others had their share", [&] {
+    section("it no longer is below average once another job was served worse", [&] {
         fixture.advance(seconds(10), {{"a", {4, 1}}, {"b", {8, 0}}});
         check(fixture.history.isBelowAverage("a"));
         check(!fixture.history.isBelowAverage("b"));
--- a/tests/stall_checker.h
+++ b/tests/stall_checker.h
@@ -1,5 +1,5 @@
-// Checks the users' rule on stalled tasks in a simulated cluster after all faults have ended: each
-// long-running task of an unfinished job has run within the last 6 s, and some task of each
+// Checks that no task is stalled for too long in a simulated cluster after all faults have ended:
+// each long-running task of an unfinished job has run within the last 6 s, and some task of each
 // unfinished job within the last 3 s.
 #pragma once
 
@@ -31,8 +31,8 @@
         }
     }
 
-    // Adds violations of the rule. Must be called only when the last fault ended longer ago than a
-    // task may stall, which is 6 s.
+    // Records violations of the limits. Must be called only when the last fault ended longer ago
+    // than a task may stall, which is 6 s.
     void check(const cluster_simulation &simulation)
     {
         for (const auto &[job, row] : simulation.rows()) {
--- a/tests/underserved_jobs_test.cpp
+++ b/tests/underserved_jobs_test.cpp
@@ -1,4 +1,4 @@
-// Log lines about long-running jobs that are underserved.
+// Tests the log lines about long-running jobs that are underserved.
 #include <string>
 #include <vector>
 
@@ -40,7 +40,7 @@
         check(lines.back()
               == "2 long-running tasks, 0 placed, 0 of 0 with a latency target running, 0 late");
     });
-    section("the resource that is short, and that no end of a short task would help", [&] {
+    section("the short resource, and that no worker would have room without its short tasks", [&] {
         const auto lines = linesOf(workers, "tasks_unplaced", "too-large");
         require(!lines.empty());
         check(lines.back().ends_with(": 8 no_processors, 0 with room beside long-running runs"));
--- a/tests/worker_pool_test.cpp
+++ b/tests/worker_pool_test.cpp
@@ -1,5 +1,5 @@
-// The choice of the worker for a task, when best-effort runs interfere with serving runs; and what
-// the pool takes from reports.
+// Tests worker_pool: the choice of the worker for a task when best-effort runs interfere with
+// serving runs, and what the pool takes from reports.
 #include <criterion/criterion.h>
 
 #include "base/json.h"
@@ -94,11 +94,11 @@
         receiveReport(0, {});
         check(deadlineAfter({}) == 0);
     });
-    section("counted from the reading, as if the report had taken no time", [&] {
+    section("counted from the clock reading, as if the report had taken no time", [&] {
         receiveReport(ClockMs, {});
         check(deadlineAfter({}) == ClockMs + OrderValidityMs);
     });
-    section("counted on at the slowest rate that clock drift allows", [&] {
+    section("extrapolated at the slowest rate that clock drift allows", [&] {
         check(deadlineAfter(milliseconds(500)) == ClockMs + 500 - 20 + OrderValidityMs);
         check(deadlineAfter(milliseconds(1000)) == ClockMs + 1000 - 40 + OrderValidityMs);
     });
@@ -106,7 +106,7 @@
         receiveReport(ClockMs + 200, milliseconds(1000));
         check(deadlineAfter(milliseconds(1000)) == ClockMs + 1000 - 40 + OrderValidityMs);
     });
-    section("a prompt report sets it forward", [&] {
+    section("a prompt report sets the clock forward", [&] {
         receiveReport(ClockMs + 2000, milliseconds(2000));
         check(deadlineAfter(milliseconds(2000)) == ClockMs + 2000 + OrderValidityMs);
     });
@@ -147,8 +147,9 @@
             [&] { check(chooseAndReserve(pool, servingStep("site", 1)) == firstWorker); });
 }
 
-// Guards against late answers for seconds because a batch job was placed beside a service that it
-// is known to harm; and against a batch job that waits although another worker would have done.
+// Guards against late answers for seconds because a batch job was placed beside a service with
+// which it is known to interfere, and against a batch job that waits although another worker could
+// take it.
 Test(worker_pool, best_effort_tasks_avoid_harmful_placements)
 {
     worker_pool pool;
@@ -195,7 +196,7 @@
 
 // Guards against making all jobs late at once. Users of a job depend on all of its tasks, so one
 // late task spoils the whole job. If best-effort runs are spread over many workers, each with a
-// task of another job, all jobs are late, although one crowded worker would have spoiled only one.
+// task of another job, all jobs are late. On one crowded worker, they would make only one job late.
 Test(worker_pool, best_effort_tasks_harm_few_jobs)
 {
     worker_pool pool;
@@ -211,7 +212,7 @@
         pool.update(reportWithServing("two-jobs", {{"site", 0, "b"}, {"site", 0, "c"}}), Now);
         check(chooseDespiteInterference() == "one-job");
     });
-    section("a job that is late elsewhere has little left to lose", [&] {
+    section("harm to a job that is late elsewhere weighs little", [&] {
         auto crowded = reportWithServing("crowded", {{"site", 0, "b"}});
         crowded.bestEffortDemand = {{"heavy", 8}};
         crowded.isAccepting = false;
@@ -223,9 +224,9 @@
 }
 
 // Guards against sending all best-effort runs to one job. A job with many tasks is nearly always
-// late somewhere. If harming it counted almost nothing for that reason, its users would get less
-// than half of what others get.
-Test(worker_pool, an_underserved_job_is_spared)
+// late somewhere. If further interference with it counted almost nothing for that reason, its users
+// would be served less than half as well as others.
+Test(worker_pool, best_effort_tasks_avoid_an_underserved_job)
 {
     worker_pool pool;
     trainInterference(pool, "site", "heavy", 0.06);
@@ -239,9 +240,9 @@
         auto step = bestEffortStep("heavy");
         return pool.chooseWorker("tickets", step, {}, now, {1, false}).value_or("none");
     };
-    section("at first the job that is late elsewhere is harmed",
+    section("at first, the job that is late elsewhere gets the best-effort task",
             [&] { check(chooseAt(Now) == "wide"); });
-    section("but no longer once it was served less than others", [&] {
+    section("once it was served worse than others, the other job gets it", [&] {
         std::string last;
         for (int second = 1; second <= 5; ++second)
             last = chooseAt(Now + seconds(second));
@@ -260,7 +261,7 @@
                        150,
                        {{"heavy", 2.0}},
                        interference_change{0.002, {{"heavy", -1.0}}, true}}};
-    section("as written", [&] {
+    section("with all fields", [&] {
         const auto parsedReport = reportFrom(toText(report));
         check(parsedReport.serving.front().job == "a");
         check(parsedReport.serving.front().isLate);
@@ -269,7 +270,7 @@
         check(parsedReport.samples.front().change->bestEffortCores.at("heavy") == -1.0);
         check(parsedReport.samples.front().change->isLowerBound);
     });
-    section("without jobs and changes", [&] {
+    section("from the previous release, without jobs and changes", [&] {
         auto text = parseJsonObject(toText(report));
         text["serving"][0].removeMember("job");
         text["serving"][0].removeMember("late");
@@ -281,7 +282,7 @@
         check(parsedReport.usedByLongRunning == parsedReport.used);
         check(!parsedReport.samples.front().change);
     });
-    section("with a change that was measured", [&] {
+    section("with a change that is exact, not a lower bound", [&] {
         auto text = parseJsonObject(toText(report));
         text["samples"][0].removeMember("change_at_least");
         check(!reportFrom(compactJson(text)).samples.front().change->isLowerBound);
