--- a/app/config_actor.cpp
+++ b/app/config_actor.cpp
@@ -277,7 +277,7 @@
     if (action.peer.empty()) {
         m_platform.enqueue([this, action](platform_client &platform) {
             const auto object =
-                    platform.getObject(std::string(config::MergedPrefix) + action.digest);
+                    platform.getObject(std::string(config::ContentPrefix) + action.digest);
             const bool found = object && object->version != 0;
             post(config::content_read{action.request, found, found ? object->content : ""});
         });
--- a/libs/config/fields.h
+++ b/libs/config/fields.h
@@ -143,7 +143,7 @@
     template <typename T>
     void operator()(const char *name, const T &member)
     {
-        m_object[name] = written(member);
+        m_object[name] = toValue(member);
     }
 
     // An empty optional is left out.
@@ -151,40 +151,40 @@
     void operator()(const char *name, const std::optional<T> &member)
     {
         if (member)
-            m_object[name] = written(*member);
+            m_object[name] = toValue(*member);
     }
 
     Json::Value takeObject() { return std::move(m_object); }
 
 private:
-    static Json::Value written(const std::string &member) { return member; }
-    static Json::Value written(const Json::Value &member) { return member; }
-    static Json::Value written(bool member) { return member; }
-    static Json::Value written(double member) { return member; }
-    static Json::Value written(int member) { return member; }
-    static Json::Value written(std::uint16_t member) { return member; }
-    static Json::Value written(std::int64_t member) { return Json::Int64(member); }
-    static Json::Value written(std::uint64_t member) { return Json::UInt64(member); }
-    static Json::Value written(milliseconds member) { return Json::Int64(member.count()); }
-    static Json::Value written(const endpoint &member) { return toText(member); }
+    static Json::Value toValue(const std::string &member) { return member; }
+    static Json::Value toValue(const Json::Value &member) { return member; }
+    static Json::Value toValue(bool member) { return member; }
+    static Json::Value toValue(double member) { return member; }
+    static Json::Value toValue(int member) { return member; }
+    static Json::Value toValue(std::uint16_t member) { return member; }
+    static Json::Value toValue(std::int64_t member) { return Json::Int64(member); }
+    static Json::Value toValue(std::uint64_t member) { return Json::UInt64(member); }
+    static Json::Value toValue(milliseconds member) { return Json::Int64(member.count()); }
+    static Json::Value toValue(const endpoint &member) { return toText(member); }
     template <typename T>
-    static Json::Value written(const std::vector<T> &member)
+    static Json::Value toValue(const std::vector<T> &member)
     {
         Json::Value array(Json::arrayValue);
         for (const auto &element : member)
-            array.append(written(element));
+            array.append(toValue(element));
         return array;
     }
     template <typename T>
-    static Json::Value written(const std::map<std::string, T> &member)
+    static Json::Value toValue(const std::map<std::string, T> &member)
     {
         Json::Value object(Json::objectValue);
         for (const auto &[name, element] : member)
-            object[name] = written(element);
+            object[name] = toValue(element);
         return object;
     }
     template <typename T>
-    static Json::Value written(const T &member)
+    static Json::Value toValue(const T &member)
     {
         if constexpr (std::is_enum_v<T>) {
             return std::string(nameOf(member));
--- a/libs/config/folder.cpp
+++ b/libs/config/folder.cpp
@@ -212,7 +212,7 @@
 
 } // namespace
 
-merged_folder merge(std::vector<json_text> files)
+merged_folder mergeFiles(std::vector<json_text> files)
 {
     std::sort(files.begin(), files.end(),
               [](const json_text &a, const json_text &b) { return a.file() < b.file(); });
--- a/libs/config/folder.h
+++ b/libs/config/folder.h
@@ -112,7 +112,7 @@
 };
 
 // Merges files in the order of their names, whatever the order of `files`.
-merged_folder merge(std::vector<json_text> files);
+merged_folder mergeFiles(std::vector<json_text> files);
 
 // Schema of the merged folder.
 const json_schema &folderSchema();
--- a/libs/config/generation_events.h
+++ b/libs/config/generation_events.h
@@ -140,7 +140,7 @@
 };
 
 // Reads the content with this digest from the process `peer`, or, if `peer` is empty, from the
-// object store, where its name is MergedPrefix + digest.
+// object store, where its name is ContentPrefix + digest.
 struct read_content
 {
     std::uint64_t request = 0;
--- a/libs/config/generation_follower.cpp
+++ b/libs/config/generation_follower.cpp
@@ -28,8 +28,9 @@
     return {};
 }
 
-generation_actions generation_follower::considerStored(std::uint64_t generation,
-                                                       const std::string &digest, time_point now)
+generation_actions generation_follower::considerAcceptedGeneration(std::uint64_t generation,
+                                                                   const std::string &digest,
+                                                                   time_point now)
 {
     return considerGeneration(generation, digest, "", now);
 }
--- a/libs/config/generation_follower.h
+++ b/libs/config/generation_follower.h
@@ -48,8 +48,8 @@
 
     // Called for the generation that the table names. If it is the highest known one and not in
     // force here, its content is fetched, with the object store as one of the sources.
-    generation_actions considerStored(std::uint64_t generation, const std::string &digest,
-                                      time_point now);
+    generation_actions considerAcceptedGeneration(std::uint64_t generation,
+                                                  const std::string &digest, time_point now);
     // Puts a generation in force whose content the caller already has. Does nothing if it is not
     // above the one in force.
     generation_actions adoptContent(std::uint64_t generation, const std::string &text);
--- a/libs/config/generation_records.h
+++ b/libs/config/generation_records.h
@@ -21,7 +21,7 @@
 
 // Names in the platform's object store and table.
 inline constexpr std::string_view FolderPrefix = "folder/"; // objects: the operators' files
-inline constexpr std::string_view MergedPrefix =
+inline constexpr std::string_view ContentPrefix =
         "config/merged/"; // objects: contents of generations, named by digest
 inline constexpr std::string_view AcceptedRowKey =
         "config/accepted"; // row: the accepted generation
--- a/libs/config/generations.cpp
+++ b/libs/config/generations.cpp
@@ -68,17 +68,20 @@
         }
         generation_actions operator()(const accepted_row_read &e)
         {
-            return manager.onAcceptedRow(e, now);
+            return manager.onAcceptedRowRead(e, now);
         }
-        generation_actions operator()(const folder_listed &e) { return manager.onListed(e, now); }
-        generation_actions operator()(const files_read &e) { return manager.onFiles(e, now); }
+        generation_actions operator()(const folder_listed &e)
+        {
+            return manager.onFolderListed(e, now);
+        }
+        generation_actions operator()(const files_read &e) { return manager.onFilesRead(e, now); }
         generation_actions operator()(const content_written &e)
         {
-            return manager.onContent(e, now);
+            return manager.onContentWritten(e, now);
         }
         generation_actions operator()(const generation_committed &e)
         {
-            return manager.onCommitted(e, now);
+            return manager.onGenerationCommitted(e, now);
         }
     };
     auto actions = std::visit(visitor{*this, now}, event);
@@ -180,7 +183,8 @@
 
 // --- Steps of a round ----------------------------------------------------------------------------
 
-generation_actions generation_manager::onAcceptedRow(const accepted_row_read &event, time_point now)
+generation_actions generation_manager::onAcceptedRowRead(const accepted_row_read &event,
+                                                         time_point now)
 {
     if (!isAwaited(phase::ReadingRow, event.request))
         return {};
@@ -206,13 +210,14 @@
         append(actions,
                m_follower.adoptContent(m_acceptedRow.generation, m_proposal->proposedText));
     }
-    append(actions, m_follower.considerStored(m_acceptedRow.generation, m_acceptedRow.digest, now));
+    append(actions, m_follower.considerAcceptedGeneration(m_acceptedRow.generation,
+                                                          m_acceptedRow.digest, now));
     const bool hasHighestKnown =
             m_follower.generation() > 0 && m_follower.generation() >= m_highestKnownAtRead;
     // The row may have been restored from an older backup. An entry that has just started and knows
     // only this row would assign a generation number that is already in force at another entry, so
     // it accepts nothing before it has received its peers' reports.
-    if (!hasHeardPeers(now) || !isListingDue(now)) {
+    if (!havePeersReported(now) || !isListingDue(now)) {
         append(actions, endRound(now + m_settings.pollInterval));
     } else if (isRowOutdated() && hasHighestKnown) {
         ++m_counters.rewrittenRows;
@@ -237,7 +242,7 @@
            && m_acceptedRow.digest != m_follower.digest();
 }
 
-generation_actions generation_manager::onListed(const folder_listed &event, time_point now)
+generation_actions generation_manager::onFolderListed(const folder_listed &event, time_point now)
 {
     const bool isFirst = isAwaited(phase::FirstListing, event.request);
     if (!isFirst && !isAwaited(phase::SecondListing, event.request))
@@ -289,7 +294,7 @@
     return sendQuery(phase::ReadingFiles, std::move(query), now);
 }
 
-generation_actions generation_manager::onFiles(const files_read &event, time_point now)
+generation_actions generation_manager::onFilesRead(const files_read &event, time_point now)
 {
     if (!isAwaited(phase::ReadingFiles, event.request))
         return {};
@@ -365,11 +370,12 @@
             earlierDigests.begin() + static_cast<std::ptrdiff_t>(keptCount), earlierDigests.end());
     m_proposal = std::move(newProposal);
     // The content is written first, since no process could adopt a row whose content is missing.
-    const auto name = std::string(MergedPrefix) + m_proposal->row.digest;
+    const auto name = std::string(ContentPrefix) + m_proposal->row.digest;
     return sendQuery(phase::WritingContent, write_content{0, name, m_proposal->proposedText}, now);
 }
 
-generation_actions generation_manager::onContent(const content_written &event, time_point now)
+generation_actions generation_manager::onContentWritten(const content_written &event,
+                                                        time_point now)
 {
     if (!isAwaited(phase::WritingContent, event.request))
         return {};
@@ -383,8 +389,8 @@
     return sendQuery(phase::Committing, std::move(commit), now);
 }
 
-generation_actions generation_manager::onCommitted(const generation_committed &event,
-                                                   time_point now)
+generation_actions generation_manager::onGenerationCommitted(const generation_committed &event,
+                                                             time_point now)
 {
     if (!isAwaited(phase::Committing, event.request))
         return {};
@@ -410,7 +416,7 @@
     m_unconfirmedOperation.clear();
     auto actions = m_follower.adoptContent(m_proposal->row.generation, m_proposal->proposedText);
     for (const auto &digest : m_proposal->unneededDigests)
-        actions.push_back(remove_content{std::string(MergedPrefix) + digest});
+        actions.push_back(remove_content{std::string(ContentPrefix) + digest});
     endRound(now + m_settings.pollInterval);
     return actions;
 }
@@ -461,9 +467,9 @@
     return all;
 }
 
-bool generation_manager::hasHeardPeers(time_point now) const
+bool generation_manager::havePeersReported(time_point now) const
 {
-    if (now >= m_startedAt + m_settings.peerListenTime)
+    if (now >= m_startedAt + m_settings.peerReportTimeout)
         return true;
     const auto entries = std::count_if(m_reports.begin(), m_reports.end(), [](const auto &known) {
         return known.second.report.role == "entry";
@@ -478,7 +484,7 @@
 // one, and would send callers to services that no longer exist.
 void generation_manager::updateReadiness(time_point now)
 {
-    if (m_isReady || generation() < m_follower.highestKnownGeneration() || !hasHeardPeers(now))
+    if (m_isReady || generation() < m_follower.highestKnownGeneration() || !havePeersReported(now))
         return;
     const bool isNewSystem = m_isRowRead && m_acceptedRow.generation == 0;
     m_isReady = generation() > 0 || isNewSystem;
--- a/libs/config/generations.h
+++ b/libs/config/generations.h
@@ -44,7 +44,7 @@
     milliseconds contentTimeout{1000};
     // After a start, the longest wait for peers' reports before this entry accepts a generation or
     // is ready.
-    milliseconds peerListenTime{2000};
+    milliseconds peerReportTimeout{2000};
     milliseconds pushInterval{1000};      // between two pushes to processes that are behind
     milliseconds reportRetention{60'000}; // a process's report is dropped when it gets older
     std::size_t maxFilesPerRead = 32;     // files requested at once
@@ -82,9 +82,9 @@
     generation_actions handle(const generation_event &event, time_point now);
 
     // True once this entry may serve callers. It has then read the table's row and heard all peers,
-    // or waited peerListenTime, and the highest generation that it knows of is in force here; while
-    // the table is unreachable, it knows of generations from peers only. If no generation was ever
-    // accepted, it must have read that from the row. Stays true from then on.
+    // or waited peerReportTimeout, and the highest generation that it knows of is in force here;
+    // while the table is unreachable, it knows of generations from peers only. If no generation was
+    // ever accepted, it must have read that from the row. Stays true from then on.
     bool isReady() const { return m_isReady; }
 
     const generation_follower &follower() const { return m_follower; }
@@ -138,11 +138,11 @@
     generation_actions onTick(time_point now);
     generation_actions onScanNow(time_point now);
     generation_actions onReport(const report_received &event, time_point now);
-    generation_actions onAcceptedRow(const accepted_row_read &event, time_point now);
-    generation_actions onListed(const folder_listed &event, time_point now);
-    generation_actions onFiles(const files_read &event, time_point now);
-    generation_actions onContent(const content_written &event, time_point now);
-    generation_actions onCommitted(const generation_committed &event, time_point now);
+    generation_actions onAcceptedRowRead(const accepted_row_read &event, time_point now);
+    generation_actions onFolderListed(const folder_listed &event, time_point now);
+    generation_actions onFilesRead(const files_read &event, time_point now);
+    generation_actions onContentWritten(const content_written &event, time_point now);
+    generation_actions onGenerationCommitted(const generation_committed &event, time_point now);
 
     generation_actions beginRound(time_point now);
     generation_actions handleFirstListing(const file_versions &listing, time_point now);
@@ -163,7 +163,7 @@
     generation_actions failRound(time_point now);
     generation_actions abandonChangedRound(time_point now);
     bool isRowOutdated() const;
-    bool hasHeardPeers(time_point now) const;
+    bool havePeersReported(time_point now) const;
     void rememberListing(const file_versions &listing);
     std::vector<folder_file> filesOfListing();
     file_status refusedStatus(file_status status) const;
--- a/libs/config/validate.cpp
+++ b/libs/config/validate.cpp
@@ -281,7 +281,7 @@
     auto texts = parseFiles(ordered, result.problems);
     if (!result.problems.empty())
         return result;
-    result.merged = merge(std::move(texts));
+    result.merged = mergeFiles(std::move(texts));
     const auto &merged = result.merged;
     result.problems = folderSchema().check(merged.value,
                                            [&](const std::string &pointer, const Json::Value &) {
--- a/tests/config_records_test.cpp
+++ b/tests/config_records_test.cpp
@@ -97,7 +97,7 @@
     });
     section("lower generations change nothing, whatever their source", [&] {
         check(agent.handle(reportOf("e3", 4, older), Start).empty());
-        check(agent.considerStored(5, digestOf(older), Start).empty());
+        check(agent.considerAcceptedGeneration(5, digestOf(older), Start).empty());
         check(agent.adoptContent(3, older).empty());
         check(agent.generation() == 5 && agent.counters().digestConflicts == 1);
     });
--- a/tests/config_simulation.h
+++ b/tests/config_simulation.h
@@ -48,7 +48,7 @@
     time_point pausedUntil{};
     time_point nextAnnounce{};
 
-    const generation_follower &usedFollower() const
+    const generation_follower &activeFollower() const
     {
         return manager ? manager->follower() : *follower;
     }
@@ -173,7 +173,7 @@
     {
         return std::all_of(m_processes.begin(), m_processes.end(), [&](const auto &simulated) {
             return !simulated.second.isAlive
-                   || simulated.second.usedFollower().generation() >= generation;
+                   || simulated.second.activeFollower().generation() >= generation;
         });
     }
 
@@ -199,7 +199,7 @@
             simulated.nextAnnounce = now + AnnounceInterval;
             for (const auto &[other, target] : m_processes) {
                 if (target.manager) // agents receive no announcements, only pushed reports
-                    send(simulated, target, simulated.usedFollower().report());
+                    send(simulated, target, simulated.activeFollower().report());
             }
         }
     }
@@ -339,11 +339,11 @@
             const auto &peer = process(query.peer);
             const bool isReachable = peer.isAlive && !peer.isCutFromPeers;
             const auto text =
-                    isReachable ? peer.usedFollower().contentTextFor(query.digest) : std::nullopt;
+                    isReachable ? peer.activeFollower().contentTextFor(query.digest) : std::nullopt;
             return content_read{query.request, text.has_value(), text.value_or("")};
         }
         ++platformReads;
-        const auto object = platform.getObject(std::string(MergedPrefix) + query.digest);
+        const auto object = platform.getObject(std::string(ContentPrefix) + query.digest);
         return content_read{query.request, object.has_value(), object ? object->content : ""};
     }
     generation_event answer(const write_content &query)
@@ -373,7 +373,7 @@
         check(row.generation > m_highestAccepted);
         m_highestAccepted = row.generation;
         m_acceptedAt[row.generation] = now;
-        const auto object = platform.getObject(std::string(MergedPrefix) + row.digest);
+        const auto object = platform.getObject(std::string(ContentPrefix) + row.digest);
         require(object.has_value());
         const auto files = contentFromText(object->content).files;
         for (const auto &[name, version] : m_acceptedFiles)
--- a/tests/generations_test.cpp
+++ b/tests/generations_test.cpp
@@ -35,7 +35,7 @@
 std::int64_t replicasAt(config_simulation &simulation, const std::string &id,
                         const std::string &name)
 {
-    const auto fileContent = simulation.process(id).usedFollower().mergedConfig();
+    const auto fileContent = simulation.process(id).activeFollower().mergedConfig();
     const auto found = fileContent->services.find(name);
     return found == fileContent->services.end() ? -1 : found->second.replicas;
 }
@@ -484,8 +484,9 @@
         const auto row = simulation.platform.read(std::string(AcceptedRowKey));
         check(compactJson(row->value).size() < 1024);
     });
-    section("contents that are no longer needed are removed",
-            [&] { check(simulation.platform.listObjects(std::string(MergedPrefix)).size() <= 9); });
+    section("contents that are no longer needed are removed", [&] {
+        check(simulation.platform.listObjects(std::string(ContentPrefix)).size() <= 9);
+    });
     section("one edit reads one file", [&] {
         simulation.platformReads = 0;
         simulation.put("tickets.json", service("tickets", 2));
