--- a/app/entry_pings.h
+++ b/app/entry_pings.h
@@ -8,7 +8,7 @@
 #include "app/configuration_follower.h"
 #include "app/entry_directory.h"
 #include "base/event_log.h"
-#include "net/http_caller.h"
+#include "net/http_client.h"
 
 namespace zinniabarrow {
 
--- a/app/job_requests.h
+++ b/app/job_requests.h
@@ -16,7 +16,7 @@
 #include "app/write_callbacks.h"
 #include "base/event_log.h"
 #include "jobs/job_controller.h"
-#include "net/http_caller.h"
+#include "net/http_client.h"
 #include "net/http_listener.h"
 #include "runtime/metrics.h"
 
--- a/app/order_sender.h
+++ b/app/order_sender.h
@@ -13,7 +13,7 @@
 #include "base/event_log.h"
 #include "jobs/job_controller.h"
 #include "jobs/worker_pool.h"
-#include "net/http_caller.h"
+#include "net/http_client.h"
 #include "runtime/metrics.h"
 
 namespace zinniabarrow {
--- a/app/report_sender.h
+++ b/app/report_sender.h
@@ -19,7 +19,7 @@
 #include "jobs/run_table.h"
 #include "jobs/table_source_rotation.h"
 #include "jobs/throttle_controller.h"
-#include "net/http_caller.h"
+#include "net/http_client.h"
 #include "runtime/metrics.h"
 
 namespace zinniabarrow {
--- a/app/store_client.h
+++ b/app/store_client.h
@@ -11,7 +11,7 @@
 
 #include "base/event_log.h"
 #include "jobs/rows.h"
-#include "net/http_caller.h"
+#include "net/http_client.h"
 #include "runtime/metrics.h"
 
 namespace zinniabarrow {
--- a/app/worker_calls.h
+++ b/app/worker_calls.h
@@ -14,7 +14,7 @@
 #include "jobs/run_table.h"
 #include "jobs/throttle_controller.h"
 #include "jobs/worker_liveness.h"
-#include "net/http_caller.h"
+#include "net/http_client.h"
 #include "runtime/metrics.h"
 
 namespace zinniabarrow {
--- a/libs/net/http_caller.cpp
+++ b/libs/net/http_client.cpp
@@ -1,4 +1,4 @@
-#include "net/http_caller.h"
+#include "net/http_client.h"
 
 #include <list>
 #include <map>
--- a/standins/job_platform.cpp
+++ b/standins/job_platform.cpp
@@ -13,7 +13,7 @@
 #include "base/json.h"
 #include "base/json_member.h"
 #include "jobs/lease.h"
-#include "net/http_caller.h"
+#include "net/http_client.h"
 #include "net/http_listener.h"
 #include "platform/store_wire.h"
 
--- a/tests/http_caller_test.cpp
+++ b/tests/http_client_test.cpp
@@ -11,7 +11,7 @@
 #include <criterion/criterion.h>
 
 #include "net/event_loop.h"
-#include "net/http_caller.h"
+#include "net/http_client.h"
 #include "section.h"
 
 using namespace zinniabarrow;
--- a/tests/http_listener_test.cpp
+++ b/tests/http_listener_test.cpp
@@ -10,7 +10,7 @@
 
 #include "keep_alive_caller.h"
 #include "net/event_loop.h"
-#include "net/http_caller.h"
+#include "net/http_client.h"
 #include "net/http_listener.h"
 #include "section.h"
 
--- a/tests/large_rows_test.cpp
+++ b/tests/large_rows_test.cpp
@@ -16,7 +16,7 @@
 #include "app/table_follower.h"
 #include "base/event_log.h"
 #include "net/event_loop.h"
-#include "net/http_caller.h"
+#include "net/http_client.h"
 #include "runtime/metrics.h"
 #include "section.h"
 
