--- a/app/config_actor.cpp
+++ b/app/config_actor.cpp
@@ -293,7 +293,7 @@
 void config_actor::perform(const config::adopt_generation &action)
 {
     m_generation = action.generation;
-    m_metrics.set("configuration_generation", static_cast<double>(action.generation));
+    m_metrics.setGauge("configuration_generation", static_cast<double>(action.generation));
     Json::Value fields(Json::objectValue);
     fields["generation"] = Json::UInt64(action.generation);
     fields["digest"] = action.digest;
--- a/app/config_follower_actor.cpp
+++ b/app/config_follower_actor.cpp
@@ -73,7 +73,8 @@
         if (const auto *read = std::get_if<config::read_content>(&action)) {
             fetchContent(*read);
         } else if (const auto *adopted = std::get_if<config::adopt_generation>(&action)) {
-            m_metrics.set("configuration_generation", static_cast<double>(adopted->generation));
+            m_metrics.setGauge("configuration_generation",
+                               static_cast<double>(adopted->generation));
             Json::Value fields(Json::objectValue);
             fields["generation"] = Json::UInt64(adopted->generation);
             m_log.info("generation_in_force", fields);
--- a/app/entry_pings.h
+++ b/app/entry_pings.h
@@ -15,7 +15,7 @@
 // The parts of an entry that entry_pings uses. All of them must outlive it.
 struct entry_pings_dependencies
 {
-    net::http_caller &caller;
+    net::http_client &caller;
     configuration_follower &configuration;
     entry_directory &directory;
     event_log &log;
@@ -40,7 +40,7 @@
     void applyDescription(const std::string &text);
 
     std::string m_self;
-    net::http_caller &m_caller;
+    net::http_client &m_caller;
     configuration_follower &m_configuration;
     entry_directory &m_directory;
     event_log &m_log;
--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -110,9 +110,9 @@
 private:
     // All tasks of a job's step are started at the same time, and each new connection costs the
     // worker time, so many idle connections are kept.
-    static net::caller_limits callerLimits()
+    static net::client_limits callerLimits()
     {
-        net::caller_limits limits;
+        net::client_limits limits;
         limits.maxIdlePerPeer = 16;
         return limits;
     }
@@ -506,7 +506,7 @@
     net::event_loop m_loop;
     event_log m_log;
     metrics m_metrics;
-    net::http_caller m_caller;
+    net::http_client m_caller;
     store_client m_store;
     table_follower m_entriesFollower;
     table_follower m_cancelsFollower;
--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -485,7 +485,7 @@
     net::event_loop m_loop;
     event_log m_log;
     metrics m_metrics;
-    net::http_caller m_caller;
+    net::http_client m_caller;
     store_client m_store;
     entry_registration m_registration;
     configuration_follower m_configuration;
--- a/app/report_sender.h
+++ b/app/report_sender.h
@@ -28,7 +28,7 @@
 struct report_sender_dependencies
 {
     const job_agent_settings &settings;
-    net::http_caller &caller;
+    net::http_client &caller;
     const lease_keeper &leaseKeeper;
     const worker_presence &workerPresence;
     jobs::run_table &runTable;
@@ -72,7 +72,7 @@
     void handleEvacuation(time_point now);
 
     const job_agent_settings &m_settings;
-    net::http_caller &m_caller;
+    net::http_client &m_caller;
     const lease_keeper &m_leaseKeeper;
     const worker_presence &m_workerPresence;
     jobs::run_table &m_runTable;
--- a/app/request_actor.cpp
+++ b/app/request_actor.cpp
@@ -372,7 +372,7 @@
     for (const auto &peer : m_peers)
         status["peers"].append(peer.address);
     status["refusals"] = Json::Value(Json::objectValue);
-    for (const auto &[reason, count] : m_metrics.byReason("refusals_total"))
+    for (const auto &[reason, count] : m_metrics.countsByReason("refusals_total"))
         status["refusals"][reason] = count;
     status["upstreams"] = Json::Value(Json::arrayValue);
     for (const auto &upstream : m_membership.routableUpstreams())
--- a/app/store_client.cpp
+++ b/app/store_client.cpp
@@ -50,7 +50,7 @@
 
 } // namespace
 
-store_client::store_client(net::event_loop &loop, net::http_caller &caller, std::string address,
+store_client::store_client(net::event_loop &loop, net::http_client &caller, std::string address,
                            relay_provider relays, metrics &counters, event_log &log)
     : m_loop(loop)
     , m_caller(caller)
@@ -97,14 +97,15 @@
 
 void store_client::sendTo(const std::string &peer, bool isDirect, http_request request,
                           duration callTimeout, answer_begun_callback onAnswerBegun,
-                          net::http_caller::call_callback done)
+                          net::http_client::call_callback done)
 {
     const auto sentAt = net::suspendAwareNow();
     // The answer time of a long poll tells nothing about the store's speed.
     const bool isLongPoll = callTimeout > timeout() + RelayAllowance;
     // Time until the answer begins. The time for the rest depends on its size and on the link.
     auto answerTime = std::make_shared<duration>(milliseconds(5));
-    net::large_call limits{{callTimeout, MaxStall, callTimeout + MaxTransferTime}, MaxAnswerBytes};
+    net::large_call_options limits{{callTimeout, MaxStall, callTimeout + MaxTransferTime},
+                                   MaxAnswerBytes};
     limits.onHead = [sentAt, isLongPoll, answerTime,
                      onAnswerBegun = std::move(onAnswerBegun)](std::uint64_t bytes) {
         if (!isLongPoll)
@@ -120,7 +121,7 @@
 
 // One try, directly or through a relay, whichever is expected to work.
 void store_client::send(http_request request, duration extraTimeout,
-                        answer_begun_callback onAnswerBegun, net::http_caller::call_callback done)
+                        answer_begun_callback onAnswerBegun, net::http_client::call_callback done)
 {
     const auto relays = m_relays();
     const bool isDirect = relays.empty() || net::suspendAwareNow() >= m_avoidDirectUntil;
--- a/app/store_client.h
+++ b/app/store_client.h
@@ -31,7 +31,7 @@
     using relay_provider = std::function<std::vector<std::string>()>;
 
     // `relays` returns the internal addresses of processes that may be able to reach the store.
-    store_client(net::event_loop &loop, net::http_caller &caller, std::string address,
+    store_client(net::event_loop &loop, net::http_client &caller, std::string address,
                  relay_provider relays, metrics &counters, event_log &log);
 
     // Retries the identical write until it is known to have taken effect or to have failed its
@@ -59,9 +59,9 @@
 
 private:
     void send(http_request request, duration extraTimeout, answer_begun_callback onAnswerBegun,
-              net::http_caller::call_callback done);
+              net::http_client::call_callback done);
     void sendTo(const std::string &peer, bool isDirect, http_request request, duration callTimeout,
-                answer_begun_callback onAnswerBegun, net::http_caller::call_callback done);
+                answer_begun_callback onAnswerBegun, net::http_client::call_callback done);
     void tryCommit(std::shared_ptr<jobs::row_transaction> transaction, duration backoff,
                    commit_callback done);
     void readNextPage(std::string table, std::string partition, std::string from,
@@ -70,7 +70,7 @@
     duration timeout() const;
 
     net::event_loop &m_loop;
-    net::http_caller &m_caller;
+    net::http_client &m_caller;
     std::string m_address;
     relay_provider m_relays;
     metrics &m_metrics;
--- a/libs/net/http_client.cpp
+++ b/libs/net/http_client.cpp
@@ -36,15 +36,15 @@
 
 } // namespace
 
-struct http_caller::shared_state
+struct http_client::shared_state
 {
-    shared_state(event_loop &eventLoop, const caller_limits &callerLimits)
+    shared_state(event_loop &eventLoop, const client_limits &callerLimits)
         : loop(eventLoop)
         , limits(callerLimits)
     { }
 
     event_loop &loop;
-    caller_limits limits;
+    client_limits limits;
     std::map<std::string, std::list<std::unique_ptr<pooled_connection>>> idle;
 
     std::unique_ptr<pooled_connection> takeConnection(const std::string &peer)
@@ -81,8 +81,9 @@
 class pending_call : public std::enable_shared_from_this<pending_call>
 {
 public:
-    pending_call(std::shared_ptr<http_caller::shared_state> state, std::string peer,
-                 const http_request &request, large_call options, http_caller::call_callback done)
+    pending_call(std::shared_ptr<http_client::shared_state> state, std::string peer,
+                 const http_request &request, large_call_options options,
+                 http_client::call_callback done)
         : m_state(std::move(state))
         , m_peer(std::move(peer))
         , m_options(std::move(options))
@@ -229,12 +230,12 @@
         });
     }
 
-    std::shared_ptr<http_caller::shared_state> m_state;
+    std::shared_ptr<http_client::shared_state> m_state;
     std::string m_peer;
-    large_call m_options;
+    large_call_options m_options;
     answer_deadline m_deadline;
     bool m_isHeadReceived = false;
-    http_caller::call_callback m_callback;
+    http_client::call_callback m_callback;
     std::unique_ptr<pooled_connection> m_connection;
     http::request<http::string_body> m_request;
     std::optional<http::response_parser<http::string_body>> m_parser;
@@ -242,21 +243,21 @@
 
 } // namespace
 
-http_caller::http_caller(event_loop &loop, const caller_limits &limits)
+http_client::http_client(event_loop &loop, const client_limits &limits)
     : m_state(std::make_shared<shared_state>(loop, limits))
 { }
 
-http_caller::~http_caller() = default;
+http_client::~http_client() = default;
 
-void http_caller::call(const std::string &peer, http_request request, duration timeLimit,
+void http_client::call(const std::string &peer, http_request request, duration timeLimit,
                        call_callback done)
 {
     call(peer, std::move(request),
-         large_call{{timeLimit, timeLimit, timeLimit}, m_state->limits.answerBytesLimit},
+         large_call_options{{timeLimit, timeLimit, timeLimit}, m_state->limits.answerBytesLimit},
          std::move(done));
 }
 
-void http_caller::call(const std::string &peer, http_request request, large_call options,
+void http_client::call(const std::string &peer, http_request request, large_call_options options,
                        call_callback done)
 {
     std::make_shared<pending_call>(m_state, peer, request, std::move(options), std::move(done))
--- a/libs/net/http_client.h
+++ b/libs/net/http_client.h
@@ -15,7 +15,7 @@
 
 namespace zinniabarrow::net {
 
-struct caller_limits
+struct client_limits
 {
     std::size_t maxIdlePerPeer = 4; // idle connections kept for reuse, per peer
     // Must stay below listener_limits::maxIdleTime, so that the peer does not close an idle
@@ -27,35 +27,35 @@
 };
 
 // Options of a call whose answer may be large.
-struct large_call
+struct large_call_options
 {
     call_time_limits timeLimits;
-    // Bytes of the answer's body; replaces caller_limits::answerBytesLimit. Set it: 0 allows no
+    // Bytes of the answer's body; replaces client_limits::answerBytesLimit. Set it: 0 allows no
     // body.
     std::size_t answerBytesLimit = 0;
     // Called when the head of the answer has arrived, with the Content-Length; 0: not declared.
     std::function<void(std::uint64_t bytes)> onHead = [](std::uint64_t) {};
 };
 
-class http_caller
+class http_client
 {
 public:
     using call_callback = std::function<void(call_result)>;
 
-    explicit http_caller(event_loop &loop, const caller_limits &limits = {});
-    ~http_caller();
-    http_caller(const http_caller &) = delete;
-    http_caller &operator=(const http_caller &) = delete;
+    explicit http_client(event_loop &loop, const client_limits &limits = {});
+    ~http_client();
+    http_client(const http_client &) = delete;
+    http_client &operator=(const http_client &) = delete;
 
     // Sends the request to `peer` ("ip:port") without blocking. `done` is called exactly once, from
-    // the loop and never within call(); also if this http_caller is destroyed before. `timeLimit`
+    // the loop and never within call(); also if this http_client is destroyed before. `timeLimit`
     // includes connecting.
     void call(const std::string &peer, http_request request, duration timeLimit,
               call_callback done);
-    void call(const std::string &peer, http_request request, large_call options,
+    void call(const std::string &peer, http_request request, large_call_options options,
               call_callback done);
 
-    struct shared_state; // public for http_caller.cpp only
+    struct shared_state; // public for http_client.cpp only
 
 private:
     std::shared_ptr<shared_state> m_state;
--- a/libs/runtime/metrics.cpp
+++ b/libs/runtime/metrics.cpp
@@ -84,7 +84,7 @@
     counter->Increment(static_cast<double>(bytes));
 }
 
-void metrics::set(std::string_view name, double value)
+void metrics::setGauge(std::string_view name, double value)
 {
     const std::lock_guard lock(m_impl->mutex);
     auto &gauge = m_impl->gauges[std::string(name)];
@@ -120,7 +120,7 @@
     return found == m_impl->controlBytesCounters.end() ? 0 : found->second->Value();
 }
 
-std::map<std::string, double> metrics::byReason(std::string_view name) const
+std::map<std::string, double> metrics::countsByReason(std::string_view name) const
 {
     const std::lock_guard lock(m_impl->mutex);
     std::map<std::string, double> values;
--- a/libs/runtime/metrics.h
+++ b/libs/runtime/metrics.h
@@ -28,12 +28,12 @@
     // Adds to control_bytes_total, by kind of message and direction; HTTP heads included, TCP/IP
     // headers not.
     void countControlBytes(std::string_view kind, byte_direction direction, std::size_t bytes);
-    void set(std::string_view name, double value);
+    void setGauge(std::string_view name, double value);
     void observeMilliseconds(std::string_view name, double value);
 
     double value(std::string_view name, std::string_view reason) const; // 0 when never counted
     double controlBytes(std::string_view kind, byte_direction direction) const;
-    std::map<std::string, double> byReason(std::string_view name) const;
+    std::map<std::string, double> countsByReason(std::string_view name) const;
     std::string text() const;
 
 private:
--- a/standins/job_platform.cpp
+++ b/standins/job_platform.cpp
@@ -523,7 +523,7 @@
 
     net::event_loop loop;
     milliseconds taskTime;
-    net::http_caller caller;
+    net::http_client caller;
     run_history history;
     store_standin store;
     std::vector<std::unique_ptr<worker_standin>> workerStandins;
--- a/tests/http_client_test.cpp
+++ b/tests/http_client_test.cpp
@@ -1,4 +1,4 @@
-// Tests how http_caller classifies calls that get no answer.
+// Tests how http_client classifies calls that get no answer.
 #include <optional>
 #include <string>
 #include <vector>
@@ -66,7 +66,7 @@
 std::optional<call_failure> failureOfCall(const std::string &address)
 {
     net::event_loop loop;
-    net::http_caller caller(loop);
+    net::http_client caller(loop);
     std::optional<call_failure> failure;
     caller.call(address, {"GET", "/", {}, ""}, seconds(5), [&](const call_result &result) {
         if (const auto *failed = std::get_if<call_failure>(&result))
@@ -80,7 +80,7 @@
 } // namespace
 
 // Guards against mistaking a worker that could not be reached in time for one that has ended.
-Test(http_caller, refused_and_unreachable_peers)
+Test(http_client, refused_and_unreachable_peers)
 {
     full_port port;
     section("no process listens: the connection is refused",
--- a/tests/http_listener_test.cpp
+++ b/tests/http_listener_test.cpp
@@ -38,7 +38,7 @@
                                     result.body = request.body.size();
                                     respond({200, {}, ""});
                                 });
-    net::http_caller caller(loop);
+    net::http_client caller(loop);
     http_request request;
     request.method = "POST";
     request.body.assign(bytes, 'x');
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -202,7 +202,7 @@
 Test(http_server, address_limit)
 {
     auto limits = fewThreads();
-    limits.maxPerAddress = 2;
+    limits.maxConnectionsPerAddress = 2;
     limits.readTimeout = seconds(3600);
     counting_server server(limits);
     stalled_callers callers(server.address());
@@ -230,7 +230,7 @@
 {
     auto limits = fewThreads();
     limits.connectionLimit = 2;
-    limits.maxPerAddress = 1;
+    limits.maxConnectionsPerAddress = 1;
     limits.readTimeout = seconds(3600);
     counting_server server(limits);
     stalled_callers callers(server.address());
@@ -269,7 +269,7 @@
     });
     section("unread in the socket of a connection", [] {
         auto limits = fewThreads();
-        limits.maxPerAddress = 1;
+        limits.maxConnectionsPerAddress = 1;
         blocked_server server(limits, connection_event::AddressLimitReached);
         keep_alive_caller first(server.address());
         require(first.send("GET", "/seats"));
--- a/tests/large_rows_test.cpp
+++ b/tests/large_rows_test.cpp
@@ -153,7 +153,7 @@
 {
     slow_store store(link);
     net::event_loop loop;
-    net::http_caller caller(loop);
+    net::http_client caller(loop);
     metrics counters;
     event_log log("entry", "e");
     store_client client(
--- a/tests/thread_check.cpp
+++ b/tests/thread_check.cpp
@@ -84,7 +84,7 @@
             for (int sequence = 0; sequence < 1000; ++sequence) {
                 sharedMetrics.count("refusals_total",
                                     sequence % 2 == 0 ? "queue_full" : "draining");
-                sharedMetrics.set("gauge", writer);
+                sharedMetrics.setGauge("gauge", writer);
                 sharedMetrics.observeMilliseconds("latency_ms", sequence);
             }
         });
