--- a/app/agent.cpp
+++ b/app/agent.cpp
@@ -34,7 +34,7 @@
         , m_log("agent", settings.id, settings.logLevel)
         , m_sender(m_actorRuntime, RpcTimeout, m_metrics)
         , m_admission(m_actorRuntime, settings, m_self.incarnation, m_metrics,
-                      [this] { m_probe->noteUnreachable(); })
+                      [this] { m_probe->reportUnreachable(); })
         , m_configFollower(m_actorRuntime, settings, m_sender, m_metrics, m_log)
         , m_endpoint(m_metrics, [this] { return m_isReady.load(); })
         , m_server(addressOf(settings.listen), {EntryConnections, settings.maxBodyBytes},
--- a/app/owned_shard.cpp
+++ b/app/owned_shard.cpp
@@ -74,7 +74,7 @@
 
 owned_shard::owned_shard(const work::shard_tenure &tenure, const std::string &operationPrefix,
                          const work::coordinator_settings &coordinatorSettings,
-                         const placement::scheduler_settings &placerSettings,
+                         const placement::scheduler_settings &schedulerSettings,
                          std::size_t shardCount, metrics &counters, const logger &log)
     : m_tenure(tenure)
     , m_coordinator(tenure, operationPrefix, coordinatorSettings)
@@ -82,7 +82,7 @@
                    work::quota_settings{shardCount})
     , m_leaseSettings(coordinatorSettings.leases)
     , m_maxBacklogPerWorker(coordinatorSettings.maxBacklogPerWorker)
-    , m_placer(placerSettings)
+    , m_scheduler(schedulerSettings)
     , m_shardCount(shardCount)
     , m_metrics(counters)
     , m_log(log)
@@ -125,7 +125,7 @@
             spec.declared = work::declaredSize(job->spec.taskSpec);
         }
         m_sizeOnlyTasks.insert(task);
-        m_placer.taskPlaced(spec, record.worker, spec.declared, stateOf(record.state), now);
+        m_scheduler.taskPlaced(spec, record.worker, spec.declared, stateOf(record.state), now);
         if (record.isBacklogged)
             m_adoptedBacklog[task] =
                     now + 2 * work::leaseExpiryWait(m_leaseSettings.grantLease, m_leaseSettings);
@@ -138,24 +138,25 @@
     switch (change.change) {
     case work::task_change::Placed:
         logTask("task_placed", change);
-        m_placer.placementSettled(ref, change.worker, placement::placement_outcome::Applied, now);
+        m_scheduler.placementSettled(ref, change.worker, placement::placement_outcome::Applied,
+                                     now);
         break;
     case work::task_change::Started:
-        m_placer.taskRunning(ref, change.worker, now);
+        m_scheduler.taskRunning(ref, change.worker, now);
         break;
     case work::task_change::EndReported:
         // While the table is down, no other event frees capacity for the backlog.
         if (change.state == work::task_state::Done)
-            m_placer.taskEnded(ref, change.worker, now);
+            m_scheduler.taskEnded(ref, change.worker, now);
         break; // other capacity is freed once the end is stored
     case work::task_change::Requeued: {
         logTask("task_freed", change);
         const auto failures = m_coordinator.find(change.task).failures;
         auto &seenFailures = m_seenFailures[change.task];
         if (failures > seenFailures)
-            m_placer.taskFailed(ref, change.worker, "failed", now);
+            m_scheduler.taskFailed(ref, change.worker, "failed", now);
         else
-            m_placer.taskReleased(ref, change.worker, now);
+            m_scheduler.taskReleased(ref, change.worker, now);
         seenFailures = failures;
         break;
     }
@@ -163,18 +164,18 @@
         logTask("task_ended", change);
         m_metrics.count("tasks_ended_total", nameOf(change.state));
         if (change.state == work::task_state::Failed)
-            m_placer.taskFailed(ref, change.worker, "failed permanently", now);
+            m_scheduler.taskFailed(ref, change.worker, "failed permanently", now);
         if (change.state != work::task_state::Done)
-            m_placer.cancelTasks(std::vector{ref}, now);
-        m_placer.taskEnded(ref, change.worker, now);
+            m_scheduler.cancelTasks(std::vector{ref}, now);
+        m_scheduler.taskEnded(ref, change.worker, now);
         m_seenFailures.erase(change.task);
         break;
     case work::task_change::Reverted:
         // A pending task has no worker in the table; the placer knows which worker's capacity it
         // had reserved.
         if (change.state == work::task_state::Pending)
-            m_placer.placementSettled(ref, m_placer.workerOf(ref),
-                                      placement::placement_outcome::NotApplied, now);
+            m_scheduler.placementSettled(ref, m_scheduler.workerOf(ref),
+                                         placement::placement_outcome::NotApplied, now);
         break;
     }
 }
@@ -210,12 +211,12 @@
     feedCoordinator(work::generation_applied{adopted.generation}, actions, now);
     m_teamLimits.clear();
     for (const auto &[name, team] : adopted.mergedConfig->teams) {
-        m_placer.setTeam({name, team.weight, team.quota, {}});
+        m_scheduler.setTeam({name, team.weight, team.quota, {}});
         if (team.quota != resources{})
             m_teamLimits[name] = team.quota;
     }
     for (const auto &[name, pool] : adopted.mergedConfig->pools)
-        m_placer.setPool({name, pool.workerSize}, now);
+        m_scheduler.setPool({name, pool.workerSize}, now);
     std::set<std::string> wantedJobs;
     for (const auto &[name, service] : adopted.mergedConfig->services) {
         work::job_spec job;
@@ -301,11 +302,11 @@
         // placed again with its full description: without its pool it would never be evicted,
         // throttled or monitored.
         if (m_sizeOnlyTasks.erase({job.id, index}) > 0 && isPlaced) {
-            m_placer.taskPlaced(spec, record.worker, reservationFor(spec, record.worker),
-                                stateOf(record.state), now);
+            m_scheduler.taskPlaced(spec, record.worker, reservationFor(spec, record.worker),
+                                   stateOf(record.state), now);
         } else if (isPlaced || record.state == work::task_state::Pending) {
             // A placed task keeps its reservation, its raises and its CPU limit.
-            m_placer.taskPending(spec, now);
+            m_scheduler.taskPending(spec, now);
         }
     }
 }
@@ -315,7 +316,7 @@
 resources owned_shard::reservationFor(const placement::task_spec &task,
                                       const std::string &worker) const
 {
-    const auto *ledger = m_placer.ledgerOf(worker);
+    const auto *ledger = m_scheduler.ledgerOf(worker);
     const auto *reservation = ledger == nullptr ? nullptr : ledger->find(task.ref());
     return reservation == nullptr ? task.declared : reservation->reserved;
 }
@@ -327,7 +328,7 @@
         const auto *job = m_coordinator.job(id);
         if (wantedJobs.count(id) > 0 || job == nullptr || job->isCancelled)
             continue;
-        m_placer.cancelJob(id, now);
+        m_scheduler.cancelJob(id, now);
         Json::Value fields(Json::objectValue);
         fields["job"] = id;
         m_log.info("job_cancelled", fields);
@@ -342,9 +343,9 @@
     for (const auto &[id, place] : workers) {
         const bool isUsable = m_coordinator.canPlaceOn(id) && place.serving;
         if (isUsable && m_usableWorkers.insert(id).second)
-            m_placer.addWorker(place.worker, now);
+            m_scheduler.addWorker(place.worker, now);
         else if (!isUsable && m_usableWorkers.erase(id) > 0)
-            m_placer.removeWorker(id, now);
+            m_scheduler.removeWorker(id, now);
     }
 }
 
@@ -357,7 +358,7 @@
     resolveAdoptedBacklog(actions, now);
     const bool down = m_coordinator.isTableDown(now);
     const auto scope = down ? placement::plan_scope::BacklogOnly : placement::plan_scope::All;
-    for (const auto &decision : m_placer.plan(now, MaxDecisions, scope)) {
+    for (const auto &decision : m_scheduler.plan(now, MaxDecisions, scope)) {
         if (const auto *place = std::get_if<placement::place_action>(&decision)) {
             applyPlacement(*place, actions, now);
         } else if (const auto *raise = std::get_if<placement::raise_action>(&decision)) {
@@ -366,7 +367,7 @@
                             actions, now);
         } else if (const auto *preempt = std::get_if<placement::preempt_action>(&decision)) {
             m_metrics.count("evictions_total", nameOf(preempt->reason));
-            m_placer.taskStopping(preempt->victim, preempt->worker, now);
+            m_scheduler.taskStopping(preempt->victim, preempt->worker, now);
             feedCoordinator(work::eviction_decided{taskIdOf(preempt->victim)}, actions, now);
         } else if (const auto *throttled = std::get_if<placement::throttle_action>(&decision)) {
             feedCoordinator(cpuLimitFor(*throttled), actions, now);
@@ -388,14 +389,14 @@
         return;
     std::map<std::string, work::team_demand> demands;
     for (const auto &[team, limit] : m_teamLimits) {
-        const auto usage = m_placer.usageOf(team);
+        const auto usage = m_scheduler.usageOf(team);
         demands[team] = {limit, usage.reservedSum, usage.reservedSum + usage.pendingSum,
                          usage.largestPending};
     }
     for (auto &action : m_quotaParts.update(demands, now))
         std::visit([&](auto &one) { actions.emplace_back(std::move(one)); }, action);
     for (const auto &[team, limit] : m_teamLimits)
-        m_placer.setLocalTeamLimit(team, m_quotaParts.usableQuota(team));
+        m_scheduler.setLocalTeamLimit(team, m_quotaParts.usableQuota(team));
 }
 
 // The table does not say whether an earlier owner let a backlog task start. Until this is known,
@@ -413,12 +414,12 @@
         if (isUndecided && !m_coordinator.canPlaceOn(record.worker))
             notStartedFrom =
                     now + 2 * work::leaseExpiryWait(m_leaseSettings.grantLease, m_leaseSettings);
-        const bool fits = isUndecided && m_placer.isWithinLimits(taskRefOf(task));
+        const bool fits = isUndecided && m_scheduler.isWithinLimits(taskRefOf(task));
         const bool isKnownWaiting = isUndecided && !fits && now >= notStartedFrom;
         if (fits)
             feedCoordinator(work::backlog_start_decided{task}, actions, now);
         if (isKnownWaiting)
-            m_placer.taskInBacklog(taskRefOf(task), record.worker, now);
+            m_scheduler.taskInBacklog(taskRefOf(task), record.worker, now);
         item = !isUndecided || fits || isKnownWaiting ? m_adoptedBacklog.erase(item)
                                                       : std::next(item);
     }
@@ -444,14 +445,14 @@
                                         reservationAboveDeclared(action.task, action.reserved)},
                 actions, now);
     } else {
-        m_placer.placementSettled(action.task, action.worker,
-                                  placement::placement_outcome::NotApplied, now);
+        m_scheduler.placementSettled(action.task, action.worker,
+                                     placement::placement_outcome::NotApplied, now);
     }
 }
 
 void owned_shard::updateBacklogs(std::vector<work::coordinator_action> &actions, time_point now)
 {
-    const auto backlog = m_placer.planBacklog(now, m_maxBacklogPerWorker);
+    const auto backlog = m_scheduler.planBacklog(now, m_maxBacklogPerWorker);
     for (const auto &action : backlog.withdrawn) {
         m_metrics.count("backlog_total", "taken_back");
         feedCoordinator(work::eviction_decided{taskIdOf(action.task)}, actions, now);
@@ -462,8 +463,8 @@
             m_metrics.count("backlog_total", "placed");
             feedCoordinator(work::placement_decided{task, action.worker, true, {}}, actions, now);
         } else {
-            m_placer.placementSettled(action.task, action.worker,
-                                      placement::placement_outcome::NotApplied, now);
+            m_scheduler.placementSettled(action.task, action.worker,
+                                         placement::placement_outcome::NotApplied, now);
         }
     }
 }
@@ -477,7 +478,7 @@
 
 work::cpu_limit_decided owned_shard::cpuLimitFor(const placement::throttle_action &action)
 {
-    const auto *ledger = m_placer.ledgerOf(action.worker);
+    const auto *ledger = m_scheduler.ledgerOf(action.worker);
     const auto *reservation = ledger == nullptr ? nullptr : ledger->find(action.task);
     const bool isLifted =
             reservation == nullptr || action.millicores >= reservation->reserved.millicores;
@@ -503,7 +504,7 @@
 
 void owned_shard::usageSampled(const placement::usage_sample &sample, time_point now)
 {
-    m_placer.usageSampled(sample, now);
+    m_scheduler.usageSampled(sample, now);
 }
 
 void owned_shard::latencySampled(const std::string &worker, const std::string &service,
@@ -517,7 +518,7 @@
         if (record.worker != worker || target == m_latencyTargets.end()
             || task.job.compare(0, prefix.size(), prefix) != 0)
             continue;
-        m_placer.latencySampled({taskRefOf(task), worker, p99, target->second, measuredAt}, now);
+        m_scheduler.latencySampled({taskRefOf(task), worker, p99, target->second, measuredAt}, now);
     }
 }
 
@@ -527,7 +528,7 @@
     json["shard"] = m_tenure.shard;
     json["epoch"] = Json::UInt64(m_tenure.epoch);
     json["table_down"] = m_coordinator.isTableDown(now);
-    json["pending"] = Json::UInt64(m_placer.pendingTaskCount());
+    json["pending"] = Json::UInt64(m_scheduler.pendingTaskCount());
     json["jobs"] = Json::Value(Json::objectValue);
     for (const auto &id : m_coordinator.jobs()) {
         const auto *job = m_coordinator.job(id);
@@ -541,7 +542,7 @@
     }
     json["workers"] = Json::Value(Json::arrayValue);
     for (const auto &id : m_usableWorkers) {
-        const auto *ledger = m_placer.ledgerOf(id);
+        const auto *ledger = m_scheduler.ledgerOf(id);
         if (ledger == nullptr)
             continue;
         Json::Value worker(Json::objectValue);
@@ -549,7 +550,7 @@
         worker["size"] = placement::toJson(ledger->size());
         worker["reserved"] = placement::toJson(ledger->reserved());
         worker["tasks"] = Json::UInt64(ledger->reservations().size());
-        worker["backlog"] = Json::UInt64(m_placer.backlogLengthOf(id));
+        worker["backlog"] = Json::UInt64(m_scheduler.backlogLengthOf(id));
         json["workers"].append(worker);
     }
     json["refused"] = Json::Value(Json::objectValue);
@@ -568,7 +569,7 @@
     const auto refusal = m_refusalReasons.find(work::textOf(task));
     if (refusal != m_refusalReasons.end())
         return "refused: " + refusal->second;
-    return m_placer.explain(taskRefOf(task), now);
+    return m_scheduler.explain(taskRefOf(task), now);
 }
 
 } // namespace zinniabarrow
--- a/app/owned_shard.h
+++ b/app/owned_shard.h
@@ -38,7 +38,7 @@
     // tenure of a shard.
     owned_shard(const work::shard_tenure &tenure, const std::string &operationPrefix,
                 const work::coordinator_settings &coordinatorSettings,
-                const placement::scheduler_settings &placerSettings, std::size_t shardCount,
+                const placement::scheduler_settings &schedulerSettings, std::size_t shardCount,
                 metrics &counters, const logger &log);
 
     int number() const { return m_tenure.shard; }
@@ -108,7 +108,7 @@
     std::map<std::string, resources> m_teamLimits; // by team; only teams with a quota
     work::lease_settings m_leaseSettings;
     std::size_t m_maxBacklogPerWorker; // tasks placed before they have room
-    placement::scheduler m_placer;
+    placement::scheduler m_scheduler;
     std::size_t m_shardCount; // shards in total; a job's tasks are distributed over them in turn
     metrics &m_metrics;
     const logger &m_log;
--- a/app/scheduling_actor.cpp
+++ b/app/scheduling_actor.cpp
@@ -31,7 +31,7 @@
     return out;
 }
 
-placement::scheduler_settings placerSettings(const config::entry_settings &settings)
+placement::scheduler_settings schedulerSettings(const config::entry_settings &settings)
 {
     placement::scheduler_settings out;
     out.weights.tailLatency = settings.weights.tailLatency;
@@ -336,7 +336,7 @@
     const auto prefix = m_self.fullId() + "/work-" + std::to_string(action.shard) + "-"
                         + std::to_string(action.epoch);
     m_shards[action.shard] =
-            std::make_unique<owned_shard>(owner, prefix, settings, placerSettings(m_settings),
+            std::make_unique<owned_shard>(owner, prefix, settings, schedulerSettings(m_settings),
                                           m_settings.shards, m_metrics, m_log);
 }
 
--- a/app/upstream_probe.cpp
+++ b/app/upstream_probe.cpp
@@ -21,7 +21,7 @@
 
 upstream_probe::~upstream_probe() = default;
 
-void upstream_probe::noteUnreachable()
+void upstream_probe::reportUnreachable()
 {
     if (m_isUp.exchange(false))
         m_thread->wake();
--- a/app/upstream_probe.h
+++ b/app/upstream_probe.h
@@ -25,7 +25,7 @@
     ~upstream_probe();
 
     // Reports that a request could not connect. May be called on any thread.
-    void noteUnreachable();
+    void reportUnreachable();
     void stop();
 
 private:
