--- a/app/admission_actor.cpp
+++ b/app/admission_actor.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t RingCapacity = 8192;
-constexpr seconds TailLatencyWindow{2}; // tail latency is taken over the answers of this period
+constexpr seconds TailLatencyWindow{2}; // tail latency is that of the answers in this period
 constexpr milliseconds TickInterval{20};
 
 request::admission_settings admissionSettings(const config::agent_settings &settings)
@@ -104,9 +104,9 @@
     ++m_openRequests;
     auto response = admitAndRun(request, attempt);
     response.headers[RequestIdHeader] = attempt.requestId;
-    const auto current = load();
+    const auto currentLoad = load();
     response.headers[LoadHeader] =
-            std::to_string(current.inFlight) + "," + std::to_string(current.queued);
+            std::to_string(currentLoad.inFlight) + "," + std::to_string(currentLoad.queued);
     --m_openRequests;
     return response;
 }
@@ -124,10 +124,10 @@
     if (!m_actor->post(std::move(newArrival)))
         return refuse({key, error_kind::Overloaded,
                        answerFor(error_kind::Overloaded).suggestedRetryDelay});
-    const auto chosen = decision.get();
-    if (const auto *refusal = std::get_if<request::admission::refuse>(&chosen))
+    const auto admissionVerdict = decision.get();
+    if (const auto *refusal = std::get_if<request::admission::refuse>(&admissionVerdict))
         return refuse(*refusal);
-    if (const auto *refusal = std::get_if<delivery::guard_refusal>(&chosen)) {
+    if (const auto *refusal = std::get_if<delivery::guard_refusal>(&admissionVerdict)) {
         m_metrics.count("attempts_refused_total", nameOf(refusal->kind));
         auto response = refusalAnswer(refusal->kind, refusal->executionState, milliseconds(0));
         if (refusal->hasEnded)
@@ -146,24 +146,24 @@
                            executed::Unknown,
                            monotonic_clock::now() - startedAt};
     if (response.stream) {
-        // The upstream works on the request until its last byte has arrived, so the slot is held
-        // that long.
+        // The slot is held until the last byte of the answer has arrived, because the upstream
+        // works on the request until then.
         response.stream->observeEnd(
-                [this, attemptEnd, startedAt](body_end end, duration waited) mutable {
+                [this, attemptEnd, startedAt](body_end end, duration callerWaitTime) mutable {
                     if (end)
                         m_metrics.count("streams_cut_total", nameOf(*end));
                     else
-                        attemptEnd.ran = executed::Yes;
-                    attemptEnd.event.slowCallerTime = waited;
+                        attemptEnd.executionResult = executed::Yes;
+                    attemptEnd.event.slowCallerTime = callerWaitTime;
                     attemptEnd.event.isComplete = !end;
                     reportEnd(attemptEnd, startedAt);
                 });
         return response;
     }
     if (response.header(ExecutedHeader) == nameOf(executed::No))
-        attemptEnd.ran = executed::No;
+        attemptEnd.executionResult = executed::No;
     else if (response.header(ErrorHeader).empty())
-        attemptEnd.ran = executed::Yes;
+        attemptEnd.executionResult = executed::Yes;
     attemptEnd.isLate = response.header(ErrorHeader) == nameOf(error_kind::AnswerLate);
     reportEnd(attemptEnd, startedAt);
     return response;
@@ -192,7 +192,7 @@
     }
     http_response response = std::get<http_response>(result);
     std::erase_if(response.headers,
-                  [](const auto &entry) { return isReservedHeader(entry.first); });
+                  [](const auto &field) { return isReservedHeader(field.first); });
     return response;
 }
 
@@ -257,10 +257,10 @@
 
 void admission_actor::on(const attempt_end &newEvent, time_point now)
 {
-    m_guard.recordEnd(newEvent.requestId, newEvent.attempt, newEvent.ran, now);
-    // A late attempt took at least that long; it counts, so that an upstream that answers nothing
-    // by the deadline is seen as slow.
-    if (newEvent.ran == executed::Yes || newEvent.isLate)
+    m_guard.recordEnd(newEvent.requestId, newEvent.attempt, newEvent.executionResult, now);
+    // An attempt without an answer by its deadline counts with the time until then, so that an
+    // upstream that answers nothing in time is seen as slow.
+    if (newEvent.executionResult == executed::Yes || newEvent.isLate)
         recordAnswerTime(newEvent.answeredAfter, now);
     feed(newEvent.event);
 }
@@ -268,7 +268,7 @@
 void admission_actor::on(const cancel_requested &newEvent, time_point now)
 {
     if (!m_guard.cancelAttempt(newEvent.requestId, newEvent.attempt, now))
-        return; // it is running or unknown here: its end decides
+        return; // it may have started; then its end is reported as usual
     const auto key = keyOf(newEvent.requestId, newEvent.attempt);
     feed(request::admission::cancelled{key});
     const auto waiting = m_attempts.find(key);
@@ -325,8 +325,9 @@
     if (const auto *refusal = std::get_if<request::admission::refuse>(&action)) {
         m_guard.recordEnd(attempt.requestId, attempt.attempt, executed::No, now);
         waiting.verdictPromise->set_value(*refusal);
-    } else if (const auto late = m_guard.startAttempt(attempt.requestId, attempt.attempt, now)) {
-        waiting.verdictPromise->set_value(*late);
+    } else if (const auto guardRefusal =
+                       m_guard.startAttempt(attempt.requestId, attempt.attempt, now)) {
+        waiting.verdictPromise->set_value(*guardRefusal);
         feed(request::admission::finished{key, duration(0), duration(0), true}); // frees its slot
     } else {
         waiting.verdictPromise->set_value(std::get<request::admission::start>(action));
--- a/app/admission_actor.h
+++ b/app/admission_actor.h
@@ -1,5 +1,6 @@
-// The agent's admission control: decides which requests reach the upstream and when, runs them
-// there and answers the entry.
+// The agent's admission control: decides which requests are sent to the upstream and when, sends
+// them, and returns its answers to the entries. An attempt is one forwarding of a caller's request
+// by an entry; a request may have several.
 #pragma once
 
 #include <functional>
@@ -30,19 +31,22 @@
                     std::function<void()> onUnreachable);
     ~admission_actor();
 
-    // Runs on the HTTP thread of an entry's connection; returns when the request has its answer or,
-    // for a streamed answer, its head.
+    // Runs on the HTTP thread of an entry's connection. Returns the whole answer, or the head of a
+    // streamed one.
     http_response serve(const http_request &request);
-    // Cancels an attempt whose caller is gone: it must not start if it still waits.
+    // Called when an entry no longer waits for the attempt: it is not started if it is still
+    // queued. An attempt that has started is not stopped.
     void cancel(const std::string &requestId, std::uint32_t attempt);
 
+    // New requests are refused from now on. Those that are queued or running are still served;
+    // isDrained() becomes true when all of them are answered.
     void drain();
     bool isDrained() const
     {
         return m_runningCount == 0 && m_waitingCount == 0 && m_openRequests == 0;
     }
     request::upstream_load load() const;
-    // Tail latency over the upstream's most recent answers; nothing while there are none.
+    // 99th percentile of the upstream's answer times in the last 2 s; nullopt without answers.
     std::optional<request::latency_reading> tailLatency() const;
     void stop();
 
@@ -60,7 +64,7 @@
         request::admission::finished event;
         std::string requestId;
         std::uint32_t attempt = 0;
-        executed ran = executed::Unknown;
+        executed executionResult = executed::Unknown;
         duration answeredAfter{0}; // until the answer, or its first part, arrived
         bool isLate = false;       // the upstream did not answer by the deadline
     };
--- a/app/agent.cpp
+++ b/app/agent.cpp
@@ -20,7 +20,8 @@
 
 constexpr milliseconds RpcTimeout{500};
 constexpr milliseconds PollInterval{10};
-// In this time, entries that this agent cannot reach learn from other entries that it leaves.
+// Minimum duration of a drain. Entries that this agent cannot reach learn in this time from other
+// entries that it is leaving.
 constexpr milliseconds MinLeavingTime{1500};
 constexpr std::size_t EntryConnections = 192;
 
@@ -95,8 +96,8 @@
 
     std::string advertisedAddress() const
     {
-        const auto &other = m_settings.listen.advertise;
-        return other ? config::toText(*other) : toText(m_server.address());
+        const auto &advertised = m_settings.listen.advertise;
+        return advertised ? config::toText(*advertised) : toText(m_server.address());
     }
 
     socket_address upstreamAddress() const
@@ -148,7 +149,7 @@
             if (auto answer = m_endpoint.serve(request))
                 return *answer;
         }
-        if (!m_isStarted) { // an entry that routes to an earlier incarnation of this agent
+        if (!m_isStarted) { // sent to an earlier incarnation of this agent
             auto answer = refusalAnswer(error_kind::Starting);
             answer.headers[RequestIdHeader] = request.header(RequestIdHeader);
             return answer;
--- a/app/agent.h
+++ b/app/agent.h
@@ -1,4 +1,6 @@
-// The agent daemon: one runs beside each upstream, on the upstream's worker.
+// The agent daemon: one runs beside each upstream, on the upstream's worker. It admits the requests
+// that entries forward to the upstream, and has the worker run the tasks that the shard's owner
+// grants.
 #pragma once
 
 #include "config/settings.h"
--- a/app/announcement_actor.cpp
+++ b/app/announcement_actor.cpp
@@ -83,7 +83,7 @@
     }
     const auto &answer = std::get<announce_reply>(newEvent);
     if (!answer.reply)
-        return; // the announcer repeats it, and turns to another entry when one does not answer
+        return; // the announcer sends it again, or replaces the entry if that stays unresponsive
     try {
         handleReply(answer);
     } catch (const error &) {
@@ -103,7 +103,7 @@
     const auto reply = request::announceReplyFromJson(*answer.reply);
     m_announcer.handleReply(answer.entry, reply, now);
     if (reply.needsFullAnnouncement)
-        m_reportThrottle.resetReceiver(answer.entry); // it was replaced and lost the reports too
+        m_reportThrottle.resetReceiver(answer.entry); // the entry restarted and lost the reports
     else if (answer.sentReport)
         m_reportThrottle.recordAnswer(answer.entry, *answer.sentReport, now);
 }
--- a/app/announcement_actor.h
+++ b/app/announcement_actor.h
@@ -1,4 +1,6 @@
-// Announces the agent's upstream and worker to the entries.
+// Announces the agent's upstream and worker to the entries: which service the upstream serves, its
+// state and load, and which configuration generation the agent follows. Entries route requests only
+// to upstreams that are announced.
 #pragma once
 
 #include <functional>
@@ -18,6 +20,9 @@
 class announcement_actor
 {
 public:
+    // `load` and `generationReport` are called on the actor's thread for the messages.
+    // `onSuperseded` is called there once, when a newer process announces itself under this agent's
+    // id: this process must stop then.
     announcement_actor(actor_runtime &system, const config::agent_settings &settings,
                        const process_identity &self, const std::string &ownAddress,
                        rpc_sender &sender, std::function<request::upstream_load()> load,
@@ -25,8 +30,8 @@
                        std::function<void()> onSuperseded);
     ~announcement_actor();
 
-    // Leaving is sent to every entry immediately and repeated until each one has acknowledged it or
-    // was given up.
+    // Announces the new state. Leaving is sent to every entry immediately and repeated until each
+    // entry has acknowledged it or counts as unresponsive; isLeaveComplete() is true then.
     void setState(request::upstream_state state);
     bool isLeaveComplete() const { return m_isLeaveComplete; }
     void stop();
@@ -49,8 +54,7 @@
     std::function<request::upstream_load()> m_load;
     std::function<config::generation_report()> m_generationReport;
     std::atomic<bool> m_isLeaveComplete{false};
-    std::function<void()> m_onSuperseded; // called once when a newer process announces under this
-                                          // id: stop this one
+    std::function<void()> m_onSuperseded;
     bool m_isSupersededReported = false;
 
     // Used only on the actor's thread.
--- a/app/entry.cpp
+++ b/app/entry.cpp
@@ -17,7 +17,7 @@
 
 constexpr milliseconds RpcTimeout{500};
 constexpr milliseconds PollInterval{10};
-// In this time, load balancers see /readyz fail before connections are closed.
+// For this long, load balancers see /readyz fail before requests are refused.
 constexpr milliseconds UnreadyBeforeDrain{500};
 constexpr std::size_t RpcConnections = 128;
 
--- a/app/entry.h
+++ b/app/entry.h
@@ -1,4 +1,4 @@
-// The entry daemon: callers' requests, scheduling and configuration.
+// The entry daemon: serves callers' requests, schedules tasks and distributes the configuration.
 #pragma once
 
 #include "config/settings.h"
--- a/app/entry_directory.cpp
+++ b/app/entry_directory.cpp
@@ -111,10 +111,10 @@
     if (owner.entry == self.entry)
         return owner.incarnation == self.incarnation ? std::nullopt : std::optional(self.entry);
     if (isAlive(owner.entry, now)) {
-        // A restarted entry takes over the jobs of its own earlier incarnation.
+        // Also if it has restarted: then it takes over the jobs of its own earlier incarnation.
         return std::nullopt;
     }
-    // After the start, no entry counts as dead before all of them had time to send a heartbeat.
+    // After this entry's start, no other one counts as dead before it had time to send a heartbeat.
     if (now - m_startedAt < HeartbeatTimeout)
         return std::nullopt;
     return preferredLiveEntry(job, now);
--- a/app/entry_directory.h
+++ b/app/entry_directory.h
@@ -1,5 +1,5 @@
 // The other entries of the system as one entry knows them: their addresses and whether they are
-// alive. Decides which of them takes over or places jobs.
+// alive. Decides which entry takes over the jobs of a dead one, and which places a service's tasks.
 #pragma once
 
 #include <cstdint>
@@ -61,8 +61,9 @@
     // The one entry that places all long-running tasks of a service. All entries choose the same
     // one while they agree on which entries are alive.
     std::string placerOf(const std::string &service, time_point now) const;
-    // The entry that should take over a job of `owner`. None if the owner is alive, or if this
-    // entry has not run long enough to judge that.
+    // The entry that should take over a job of `owner`; `self` is this entry. An entry takes over
+    // the jobs of its own earlier incarnation. None if the owner is alive, or if this entry has not
+    // run long enough to judge that.
     std::optional<std::string> successorOf(const std::string &job, const jobs::owner_id &owner,
                                            const jobs::owner_id &self, time_point now) const;
 
--- a/app/forwarding.cpp
+++ b/app/forwarding.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-constexpr std::size_t MaxStoredAnswerBytes = 4096; // larger answers are not stored with a claim
+// Larger answers are not stored with the claim of the request's idempotency key.
+constexpr std::size_t MaxStoredAnswerBytes = 4096;
 
 std::optional<request::upstream_load> loadOf(const http_response &response)
 {
@@ -24,7 +25,7 @@
     return load;
 }
 
-// Any other value means unknown.
+// Unknown for any other name.
 executed executedNamed(const std::string &name)
 {
     if (name == nameOf(executed::No))
@@ -130,7 +131,7 @@
     if (!end)
         return started;
     started.outcome = delivery::outcomeOf(*end);
-    // When the caller has gone away, that says nothing about the upstream.
+    // OutcomeUnknown: the caller has stopped reading, which says nothing about the upstream.
     if (*end != error_kind::OutcomeUnknown)
         started.routingResult.outcome = request::attempt_outcome::Failed;
     return started;
--- a/app/forwarding.h
+++ b/app/forwarding.h
@@ -19,23 +19,25 @@
 };
 service_target splitTarget(const std::string &target);
 
-// Result of an attempt, for the request's flow and for the router.
+// Result of an attempt, for the request flow (delivery::request_flow) and for the router.
 struct forwarded_attempt
 {
-    delivery::attempt_outcome outcome; // of a streamed answer: if its rest arrives complete
+    delivery::attempt_outcome outcome; // of a streamed answer: provided that the rest arrives
     request::attempt_ended routingResult;
-    http_response answer; // to be passed to the caller only if the outcome is a whole answer
+    http_response answer; // for the caller, only if `outcome` is a complete_answer
 };
 
 // Result of an attempt with a streamed answer, once the stream has ended with `end`.
-forwarded_attempt finishStreamedAttempt(forwarded_attempt begun, body_end end);
+forwarded_attempt finishStreamedAttempt(forwarded_attempt started, body_end end);
 
+// Sends attempts to agents over pooled connections. Called on callers' HTTP threads.
 class forwarder
 {
 public:
     explicit forwarder(std::size_t maxAnswerBytes);
 
-    // A large answer is returned with its stream, which a thread of `threads` receives.
+    // Blocks until the answer has arrived, at most until `deadline`. A large answer is returned
+    // with a stream of its body, which a thread of `threads` receives.
     forwarded_attempt send(const http_request &request, const std::string &id,
                            std::uint32_t attempt, const request::route &upstream,
                            time_point deadline, receiver_threads &threads);
--- a/app/owned_shard.cpp
+++ b/app/owned_shard.cpp
@@ -41,8 +41,10 @@
 
 placement::reservation_state stateOf(work::task_state state)
 {
-    const bool ends = state == work::task_state::Evicting || state == work::task_state::Cancelling;
-    return ends ? placement::reservation_state::Stopping : placement::reservation_state::Running;
+    const bool isEnding =
+            state == work::task_state::Evicting || state == work::task_state::Cancelling;
+    return isEnding ? placement::reservation_state::Stopping
+                    : placement::reservation_state::Running;
 }
 
 // The part of a task's description that its worker needs.
@@ -94,7 +96,7 @@
     auto actions = m_coordinator.handle(event, now);
     if (const auto *write = std::get_if<work::write_answered>(&event)) {
         for (auto &action : m_quotaParts.handle(*write, now))
-            std::visit([&](auto &one) { actions.emplace_back(std::move(one)); }, action);
+            std::visit([&](auto &each) { actions.emplace_back(std::move(each)); }, action);
     }
     if (const auto *rows = std::get_if<work::rows_read>(&event))
         m_quotaParts.handle(*rows);
@@ -111,8 +113,8 @@
     return actions;
 }
 
-// After a takeover the placer's ledgers start from the tasks in the table, whether their placement
-// is confirmed or not.
+// After a takeover the scheduler's ledgers start from the tasks in the table, whether their
+// placement is confirmed or not.
 void owned_shard::adoptRecordedTasks(time_point now)
 {
     m_hasAdopted = true;
@@ -148,7 +150,7 @@
         // While the table is down, no other event frees capacity for the backlog.
         if (change.state == work::task_state::Done)
             m_scheduler.taskEnded(ref, change.worker, now);
-        break; // other capacity is freed once the end is stored
+        break; // after any other end, capacity is freed once the end is stored
     case work::task_change::Requeued: {
         logTask("task_freed", change);
         const auto failures = m_coordinator.find(change.task).failures;
@@ -171,7 +173,7 @@
         m_seenFailures.erase(change.task);
         break;
     case work::task_change::Reverted:
-        // A pending task has no worker in the table; the placer knows which worker's capacity it
+        // A pending task has no worker in the table; the scheduler knows which worker's capacity it
         // had reserved.
         if (change.state == work::task_state::Pending)
             m_scheduler.placementSettled(ref, m_scheduler.workerOf(ref),
@@ -305,7 +307,7 @@
             m_scheduler.taskPlaced(spec, record.worker, reservationFor(spec, record.worker),
                                    stateOf(record.state), now);
         } else if (isPlaced || record.state == work::task_state::Pending) {
-            // A placed task keeps its reservation, its raises and its CPU limit.
+            // A task that is placed already keeps its reservation, its raises and its CPU limit.
             m_scheduler.taskPending(spec, now);
         }
     }
@@ -340,10 +342,10 @@
 void owned_shard::reconcileWorkers(const std::map<std::string, reported_worker> &workers,
                                    time_point now)
 {
-    for (const auto &[id, place] : workers) {
-        const bool isUsable = m_coordinator.canPlaceOn(id) && place.serving;
+    for (const auto &[id, reported] : workers) {
+        const bool isUsable = m_coordinator.canPlaceOn(id) && reported.serving;
         if (isUsable && m_usableWorkers.insert(id).second)
-            m_scheduler.addWorker(place.worker, now);
+            m_scheduler.addWorker(reported.worker, now);
         else if (!isUsable && m_usableWorkers.erase(id) > 0)
             m_scheduler.removeWorker(id, now);
     }
@@ -394,28 +396,28 @@
                          usage.largestPending};
     }
     for (auto &action : m_quotaParts.update(demands, now))
-        std::visit([&](auto &one) { actions.emplace_back(std::move(one)); }, action);
+        std::visit([&](auto &each) { actions.emplace_back(std::move(each)); }, action);
     for (const auto &[team, limit] : m_teamLimits)
         m_scheduler.setLocalTeamLimit(team, m_quotaParts.usableQuota(team));
 }
 
-// The table does not say whether an earlier owner let a backlog task start. Until this is known,
-// the task counts as placed; otherwise its capacity and quota could be given away twice. An agent
-// reports each running task in the first report after a grant has named it. A task that was not
-// named and reported within two leases has expired, so a task that no agent has reported by then is
-// still waiting.
+// The table does not say whether an earlier owner allowed a backlog task to start. Until this is
+// known, the task counts as placed; otherwise its capacity and quota could be given away twice. An
+// agent reports each running task in its first report after a grant that names the task. A run that
+// no grant has named for two leases has lost its lease. So a task that no agent has reported by
+// then does not run and is still in the backlog.
 void owned_shard::resolveAdoptedBacklog(std::vector<work::coordinator_action> &actions,
                                         time_point now)
 {
     for (auto item = m_adoptedBacklog.begin(); item != m_adoptedBacklog.end();) {
-        auto &[task, notStartedFrom] = *item;
+        auto &[task, reportDeadline] = *item;
         const auto record = m_coordinator.find(task);
         const bool isUndecided = record.isBacklogged && record.state == work::task_state::Placed;
         if (isUndecided && !m_coordinator.canPlaceOn(record.worker))
-            notStartedFrom =
+            reportDeadline =
                     now + 2 * work::leaseExpiryWait(m_leaseSettings.grantLease, m_leaseSettings);
         const bool fits = isUndecided && m_scheduler.isWithinLimits(taskRefOf(task));
-        const bool isKnownWaiting = isUndecided && !fits && now >= notStartedFrom;
+        const bool isKnownWaiting = isUndecided && !fits && now >= reportDeadline;
         if (fits)
             feedCoordinator(work::backlog_start_decided{task}, actions, now);
         if (isKnownWaiting)
--- a/app/owned_shard.h
+++ b/app/owned_shard.h
@@ -27,15 +27,15 @@
     bool serving = true;      // false: the agent is leaving and takes no new tasks
 };
 
-// Keeps a shard's task coordinator, which stores the tasks in the table, and its placer, which
+// Keeps a shard's task coordinator, which stores the tasks in the table, and its scheduler, which
 // decides where they run, consistent with each other. The scheduling actor has one for each shard
 // that it owns, and calls it on its own thread only. Resources are in millicores, bytes and
 // accelerators.
 class owned_shard
 {
 public:
-    // `operationPrefix` starts the ids of all writes to the table; it must be unique for each
-    // tenure of a shard.
+    // `operationPrefix` starts the ids of all writes to the table. It must be unique for each
+    // tenure, the ownership of a shard during one epoch.
     owned_shard(const work::shard_tenure &tenure, const std::string &operationPrefix,
                 const work::coordinator_settings &coordinatorSettings,
                 const placement::scheduler_settings &schedulerSettings, std::size_t shardCount,
@@ -50,15 +50,15 @@
     // Applies one coordinator event. May be called before the coordinator has read the table.
     std::vector<work::coordinator_action> handle(const work::coordinator_event &event,
                                                  time_point now);
-    // Applies the reported workers to the placer, and a configuration that is newer than the last
-    // one to jobs, teams and pools of workers. `workers` is by worker id. Called at each tick; does
-    // nothing until the coordinator has read the table.
+    // Applies the reported workers to the scheduler, and a configuration that is newer than the
+    // last one to jobs, teams and pools of workers. `workers` is by worker id. Called at each tick;
+    // does nothing until the coordinator has read the table.
     std::vector<work::coordinator_action>
     reconcile(const adopted_configuration &adopted,
               const std::map<std::string, reported_worker> &workers, time_point now);
-    // Plans once: decides placements, evictions, throttles and backlogs. A worker's backlog is
-    // the tasks that were placed on it before it has room for them. Called at the planning
-    // interval; does nothing until the coordinator has read the table.
+    // Makes one planning run: decides placements, evictions, throttles and backlogs. A worker's
+    // backlog is the tasks that were placed on it before it has room for them. Called at the
+    // planning interval; does nothing until the coordinator has read the table.
     std::vector<work::coordinator_action> plan(time_point now);
 
     void usageSampled(const placement::usage_sample &sample, time_point now);
@@ -73,7 +73,7 @@
     }
     // For operators: tasks by job and state, workers with their reservations, and refused tasks.
     Json::Value status(time_point now) const;
-    // For operators: why the task is refused, or what the placer says of it.
+    // For operators, in one sentence: why the task is refused or pending, or where it is.
     std::string explain(const work::task_id &task, time_point now) const;
     bool containsTask(const work::task_id &task) const;
 
@@ -113,14 +113,14 @@
     metrics &m_metrics;
     const logger &m_log;
 
-    bool m_hasAdopted = false; // the placer has the tasks that the table held at takeover
-    // Backlog tasks that an earlier owner placed and may have let start. If no agent has reported
-    // the task by the given time, it has not started.
+    bool m_hasAdopted = false; // the scheduler has the tasks that the table held at takeover
+    // Backlog tasks that an earlier owner placed and may have allowed to start. A task that no
+    // agent has reported by the given time has not started.
     std::map<work::task_id, time_point> m_adoptedBacklog;
     std::uint64_t m_appliedGeneration = 0; // of the configuration that was applied last
-    std::set<std::string> m_usableWorkers; // workers that the placer may use
-    // Tasks taken over from the table of which the placer knows the declared size at most, until a
-    // configuration describes them.
+    std::set<std::string> m_usableWorkers; // workers that the scheduler may use
+    // Tasks taken over from the table of which the scheduler knows the declared size at most, until
+    // a configuration describes them.
     std::set<work::task_id> m_sizeOnlyTasks;
     // Number of the task's failed attempts when it was last requeued.
     std::map<work::task_id, std::uint32_t> m_seenFailures;
--- a/app/request_actor.cpp
+++ b/app/request_actor.cpp
@@ -163,19 +163,19 @@
 http_response request_actor::forwardAndReport(const waiting_request &waitingRequest,
                                               const std::string &id, const forward_step &step)
 {
-    auto sent = m_forwarder.send(waitingRequest.request(), id, step.attempt, step.upstream,
-                                 step.deadline, m_receiverThreads);
-    if (sent.answer.stream) {
-        auto head = sent.answer; // only the head; the body follows through the stream
-        reportStreamedAnswer(id, step.attempt, std::move(sent));
+    auto forwarded = m_forwarder.send(waitingRequest.request(), id, step.attempt, step.upstream,
+                                      step.deadline, m_receiverThreads);
+    if (forwarded.answer.stream) {
+        auto head = forwarded.answer; // only the head; the body follows through the stream
+        reportStreamedAnswer(id, step.attempt, std::move(forwarded));
         return head;
     }
-    auto answer = std::move(sent.answer);
-    reportEnd(id, step.attempt, std::move(sent));
+    auto answer = std::move(forwarded.answer);
+    reportEnd(id, step.attempt, std::move(forwarded));
     return answer;
 }
 
-// The thread that sees the end of the stream reports it, always after the start was reported.
+// The start of the answer is reported first, then its end, by the thread that ends the stream.
 void request_actor::reportStreamedAnswer(const std::string &id, std::uint32_t attempt,
                                          forwarded_attempt startedAttempt)
 {
@@ -190,10 +190,11 @@
     });
 }
 
-void request_actor::reportEnd(const std::string &id, std::uint32_t attempt, forwarded_attempt sent)
+void request_actor::reportEnd(const std::string &id, std::uint32_t attempt,
+                              forwarded_attempt forwarded)
 {
-    attempt_result attemptResult{{id, attempt, std::move(sent.outcome)},
-                                 std::move(sent.routingResult)};
+    attempt_result attemptResult{{id, attempt, std::move(forwarded.outcome)},
+                                 std::move(forwarded.routingResult)};
     // The ring holds more events than all requests in flight can post. If it were full
     // nevertheless, the request would end at its deadline.
     if (!m_actor->post(std::move(attemptResult)))
@@ -215,7 +216,7 @@
     } else {
         answer = lastAnswer;
         std::erase_if(answer.headers,
-                      [](const auto &entry) { return isReservedHeader(entry.first); });
+                      [](const auto &field) { return isReservedHeader(field.first); });
     }
     answer.headers[ExecutedHeader] = std::string(nameOf(executed::Yes));
     return answer;
@@ -385,7 +386,8 @@
     feed(newEvent, now);
 }
 
-// The flow's deadlines are exact to the microsecond; everything else is done as late as it allows.
+// The request flow's deadlines are kept to the microsecond; maintenance and publishing wait until
+// they are due.
 time_point request_actor::nextTick() const
 {
     return std::min({m_flow.nextWake(), m_nextMaintenanceAt, m_nextPublishAt});
@@ -449,8 +451,8 @@
 {
     if (const auto *refusal = std::get_if<delivery::refuse_request>(&action.answer))
         m_metrics.count("refusals_total", nameOf(refusal->kind));
-    else if (const auto *passed = std::get_if<delivery::pass_answer>(&action.answer);
-             passed != nullptr && passed->isStreaming)
+    else if (const auto *passedAnswer = std::get_if<delivery::pass_answer>(&action.answer);
+             passedAnswer != nullptr && passedAnswer->isStreaming)
         m_metrics.count("answers_total", "streamed");
     else
         m_metrics.count("answers_total", "whole");
@@ -570,11 +572,11 @@
     const auto budget = m_retryBudgets.find(m_retryService);
     if (budget == m_retryBudgets.end())
         return false;
-    request::failed_attempt failed;
-    failed.kind = kind;
+    request::failed_attempt failedAttempt;
+    failedAttempt.kind = kind;
     // The request flow checks the request's deadline and number of attempts itself.
-    failed.deadline = Never;
-    const auto verdict = budget->second.requestRetry(failed, m_now);
+    failedAttempt.deadline = Never;
+    const auto verdict = budget->second.requestRetry(failedAttempt, m_now);
     if (const auto *denied = std::get_if<request::give_up>(&verdict)) {
         m_metrics.count("retries_denied_total", nameOf(denied->denialReason));
         return false;
--- a/app/request_actor.h
+++ b/app/request_actor.h
@@ -29,23 +29,25 @@
 
 namespace zinniabarrow {
 
-// Instructions of the actor to the HTTP thread that holds a caller's connection: first
-// forward_step, which sends the request to an upstream.
+// The actor instructs the HTTP thread of a caller's connection by steps: any number of
+// forward_step, then one answer_step.
+
+// Send the request to an upstream and report the result to the actor.
 struct forward_step
 {
     std::uint32_t attempt = 0; // number of the attempt, counted from 1
     request::route upstream;   // the chosen upstream and its agent's address
     time_point deadline;       // the caller's
 };
-// Gives the caller its final answer.
+// Give the caller its final answer.
 struct answer_step
 {
     delivery::caller_answer answer;
 };
 using call_step = std::variant<forward_step, answer_step>;
 
-// One caller's request, and a queue of instructions that the actor fills and the caller's HTTP
-// thread waits for.
+// One caller's request, and a queue of steps that the actor fills and the caller's HTTP thread
+// waits for.
 class waiting_request
 {
 public:
@@ -101,15 +103,16 @@
 
     // JSON-RPC methods: run on an HTTP thread and block until the actor has answered.
 
-    // An agent tells its state: everything in member "whole", or a short heartbeat in "beat".
+    // An agent announces its state: in full in member "whole", or by a heartbeat in "beat".
     Json::Value announce(const Json::Value &parameters);
-    // Another entry tells what it knows of agents, in member "digest".
+    // Another entry sends what it knows of the agents, in member "digest".
     Json::Value digest(const Json::Value &parameters);
     // For operators: requests in flight, peers, refusals by reason, upstreams.
     Json::Value status();
 
-    // Begins the drain and returns; isDrained() tells when no request is in flight and the records
-    // of claims are stored or given up. The entry calls drain(), waits, and calls stop().
+    // Begins the drain and returns: new requests are refused. isDrained() becomes true when no
+    // request is in flight and the records of claims are stored or given up. The entry calls
+    // drain(), waits, and calls stop().
     void drain();
     bool isDrained() const { return m_isDrained; }
     void stop(); // ends the threads
@@ -163,7 +166,7 @@
                                    const forward_step &step);
     void reportStreamedAnswer(const std::string &id, std::uint32_t attempt,
                               forwarded_attempt startedAttempt);
-    void reportEnd(const std::string &id, std::uint32_t attempt, forwarded_attempt sent);
+    void reportEnd(const std::string &id, std::uint32_t attempt, forwarded_attempt forwarded);
     http_response finalAnswer(const answer_step &step, const http_response &lastAnswer) const;
     // Run on the actor's thread.
     void handle(event &newEvent);
--- a/app/scheduling_actor.cpp
+++ b/app/scheduling_actor.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t RingCapacity = 32768;
 constexpr milliseconds TickInterval{100};
-// Reported when the platform executor's queue is full.
+// Result of a write that was not sent, because the platform executor's queue was full.
 const write_result NotSentResult{write_outcome::Refused, 0, {}};
 
 work::lease_settings leaseSettings(const config::entry_settings &settings)
@@ -85,7 +85,7 @@
 
 void scheduling_actor::updateMembers(members_snapshot snapshot)
 {
-    // If the ring is full this snapshot is dropped; the next one follows soon.
+    // If the actor's ring of events is full, this snapshot is dropped; the next one follows soon.
     m_actor->post(std::move(snapshot));
 }
 
@@ -254,7 +254,8 @@
 
 void scheduling_actor::tick()
 {
-    // Half a tick early: a tick that comes slightly early must not delay planning by a whole tick.
+    // Planning is due half a tick early, because otherwise a tick that comes slightly early would
+    // delay it by a whole tick.
     const auto now = monotonic_clock::now();
     const bool isPlanDue = now + TickInterval / 2 >= m_nextPlanAt;
     if (isPlanDue)
@@ -329,7 +330,7 @@
     settings.store.maxRowsPerCommit = m_settings.placement.maxTasksPerCommit;
     settings.store.tasksPerChunk *= static_cast<std::uint32_t>(m_settings.shards);
     settings.maxBacklogPerWorker = m_settings.placement.backlogPerWorker;
-    // The placer has to count each start, so it decides on starts itself.
+    // The scheduler has to count each start, so it decides on starts itself.
     settings.startsBacklogWhenDown = false;
     const work::shard_tenure owner{action.shard, action.epoch, action.shardVersion,
                                    action.earlierLeasesEndAt, action.unresponsive};
--- a/app/scheduling_actor.h
+++ b/app/scheduling_actor.h
@@ -1,5 +1,6 @@
 // The entry's scheduling: owns shards of workers, places tasks on them and sends grants to their
-// agents.
+// agents. A grant is the owner's message to an agent that says which tasks may run, with which
+// leases.
 #pragma once
 
 #include <functional>
@@ -32,7 +33,9 @@
                      metrics &counters, const logger &log);
     ~scheduling_actor();
 
+    // Called with the entries that are alive; all of them share the shards.
     void updateMembers(members_snapshot snapshot);
+    // Called when the configuration in force has changed.
     void applyConfiguration(adopted_configuration adopted);
 
     // JSON-RPC methods. They block until the actor has answered.
--- a/app/supervisor_actor.cpp
+++ b/app/supervisor_actor.cpp
@@ -292,7 +292,7 @@
 {
     if (!newEvent.answer || !(*newEvent.answer)["owner"].asBool()) {
         if (newEvent.entry == m_ownerEntry)
-            m_ownerKnownUntil = {}; // it no longer owns the shard: ask all entries
+            m_ownerKnownUntil = {}; // no answer, or no longer the owner: ask all entries
         return;
     }
     m_ownerEntry = newEvent.entry;
--- a/app/supervisor_actor.h
+++ b/app/supervisor_actor.h
@@ -1,4 +1,4 @@
-// Runs the tasks of the agent's worker under the shard owner's grants, and reports on them to the
+// Has the agent's worker run the tasks that the shard's owner grants, and reports on them to the
 // owner.
 #pragma once
 
@@ -43,7 +43,7 @@
 private:
     struct report_answered
     {
-        std::size_t entry;
+        std::size_t entry; // index in the entries of the settings
         std::optional<Json::Value> answer;
     };
     struct throttle_requested
--- a/app/upstream_probe.h
+++ b/app/upstream_probe.h
@@ -1,9 +1,9 @@
 // Tracks whether the upstream beside the agent accepts connections.
 //
 // It counts as down as soon as a connection fails, and as up once a connection attempt of the probe
-// succeeds. Without this, every request that the entries send to a dead upstream would cost a retry
-// from their budget, and at low traffic callers would be refused although other upstreams could
-// answer.
+// succeeds. Without the probe, every request that the entries send to a dead upstream would cost a
+// retry from their budget, and at low traffic callers would be refused although other upstreams
+// could answer.
 #pragma once
 
 #include <atomic>
@@ -18,8 +18,8 @@
 class upstream_probe
 {
 public:
-    // `onChanged` runs on the probe's thread, for the first time when the upstream accepts a
-    // connection.
+    // `onChanged` gets true when the upstream accepts connections and false when it is down. It
+    // runs on the probe's thread, for the first time when the upstream accepts a connection.
     upstream_probe(actor_runtime &system, socket_address upstream,
                    std::function<void(bool)> onChanged);
     ~upstream_probe();
--- a/libs/work/quota_parts.h
+++ b/libs/work/quota_parts.h
@@ -57,7 +57,7 @@
                 quota_settings settings);
 
     // Takes the demand of every team that has a limit. Call before each planning run, in which the
-    // placer goes through the waiting tasks. With one shard it does nothing.
+    // scheduler goes through the waiting tasks. With one shard it does nothing.
     std::vector<quota_action> update(const std::map<std::string, team_demand> &demands,
                                      time_point now);
     // Answers to writes and reads that other classes requested are ignored.
--- a/libs/work/task_coordinator.cpp
+++ b/libs/work/task_coordinator.cpp
@@ -241,7 +241,7 @@
 }
 
 // The raise is sent with the next grant, which answers the next report. That is soon enough: the
-// placer's ledger already counts the raise, so tasks that start meanwhile fit beside it.
+// scheduler's ledger already counts the raise, so tasks that start meanwhile fit beside it.
 void task_coordinator::on(const reservation_raised &event, time_point)
 {
     const task_record record = m_store.newestRecord(event.task);
@@ -278,7 +278,7 @@
            && committed.attempt == latest.attempt;
 }
 
-// Also accepted while the placement itself is in flight: the placer evicts the youngest tasks
+// Also accepted while the placement itself is in flight: the scheduler evicts the youngest tasks
 // first, and counts the task as stopping from now on. If the decision were dropped, nobody would
 // repeat it, and urgent work would wait for the room.
 void task_coordinator::on(const eviction_decided &event, time_point)
--- a/libs/work/task_coordinator.h
+++ b/libs/work/task_coordinator.h
@@ -1,7 +1,7 @@
 // The owner's decisions about the tasks of one shard: what is granted to which agent, what an
-// agent's report changes, and when a silent worker's tasks may start elsewhere. The placer chooses
-// the worker of a task; its decisions come in as placement_decided, backlog_start_decided,
-// eviction_decided, reservation_raised and cpu_limit_decided.
+// agent's report changes, and when a silent worker's tasks may start elsewhere. The scheduler
+// (placement::scheduler) chooses the worker of a task; its decisions come in as placement_decided,
+// backlog_start_decided, eviction_decided, reservation_raised and cpu_limit_decided.
 //
 // General terms:
 //   owner          the entry that decides for a shard at present
@@ -56,8 +56,8 @@
 {
     std::string job;
 };
-// The placer has chosen a worker for a task. If the task or the worker has changed meanwhile or the
-// backlog is full, the decision has no effect and a task_changed with Reverted follows.
+// The scheduler has chosen a worker for a task. If the task or the worker has changed meanwhile or
+// the backlog is full, the decision has no effect and a task_changed with Reverted follows.
 struct placement_decided
 {
     task_id task;
@@ -65,10 +65,10 @@
     // Placed before there is room. Starts after backlog_start_decided; while the table is down also
     // without it, if coordinator_settings::startsBacklogWhenDown is set.
     bool isBacklogged = false;
-    resources reserved{}; // in the placer's reservation ledger; all 0: the declared size
+    resources reserved{}; // in the scheduler's reservation ledger; all 0: the declared size
 };
-// The placer now reserves more for a placed task. The next grant tells the agent, which must count
-// the raised size as well.
+// The scheduler now reserves more for a placed task. The next grant tells the agent, which must
+// count the raised size as well.
 struct reservation_raised
 {
     task_id task;
@@ -113,7 +113,7 @@
     worker_grant grant;
 };
 
-// The placer's reservation ledger follows these changes. A task counts against its worker from
+// The scheduler's reservation ledger follows these changes. A task counts against its worker from
 // placement_decided until Requeued or Ended, or until EndReported if its state is Done then; a
 // backlogged one only from backlog_start_decided or Started. After Reverted it counts only if
 // `state` and `worker` say that it is on a worker.
--- a/libs/work/task_store.cpp
+++ b/libs/work/task_store.cpp
@@ -784,7 +784,7 @@
 
 // Takes over a row that another writer has changed. Staged changes of a chunk are dropped, so that
 // one row can't block the rest of its transaction forever: agents repeat their events, and the
-// placer decides again. Of any other row only the version is taken over.
+// scheduler decides again. Of any other row only the version is taken over.
 void task_store::reloadRow(const row_id &row, const table_row *found)
 {
     if (row.kind != row_kind::Chunk) {
--- a/tests/entry_directory_test.cpp
+++ b/tests/entry_directory_test.cpp
@@ -13,7 +13,7 @@
 
 const time_point Now{seconds(1000)};
 
-entry_directory fourOthers()
+entry_directory directoryOfFourOthers()
 {
     entry_directory directory("entry-self", Now);
     for (const std::string name : {"entry-a", "entry-b", "entry-c", "entry-d"}) {
@@ -29,15 +29,15 @@
 // forwarded their callers' requests to the same one, that one would run out of processor time.
 Test(entry_directory, targets_of_forwarded_requests)
 {
-    auto directory = fourOthers();
+    auto directory = directoryOfFourOthers();
     section("the order depends on the request, and each entry is first for some requests", [&] {
-        std::set<std::string> first;
+        std::set<std::string> firstTargets;
         for (int number = 0; number < 40; ++number) {
             const auto order = directory.liveEntriesFor("/holds/" + std::to_string(number), Now);
             check(order.size() == 4);
-            first.insert(order.front());
+            firstTargets.insert(order.front());
         }
-        check(first.size() == 4);
+        check(firstTargets.size() == 4);
     });
     section("a leaving or silent entry is not among the targets", [&] {
         directory.recordHeartbeat("entry-a", 1, true, Now);
--- a/tests/fleet_scenario.h
+++ b/tests/fleet_scenario.h
@@ -25,7 +25,7 @@
     return options;
 }
 
-// True once every entry routes to `upstreams` upstreams.
+// Waits until every running entry routes to `upstreams` upstreams; false after WaitLimit.
 inline bool waitForUpstreams(fleet &system, unsigned upstreams)
 {
     return waitUntil(
@@ -42,15 +42,15 @@
             WaitLimit);
 }
 
-// Starts everything; returns when every entry routes to every upstream.
+// Starts all processes and waits until every entry routes to every upstream.
 inline void startAndWait(fleet &system)
 {
     system.startAll();
     require(waitForUpstreams(system, system.options().workers));
 }
 
-// Runs `scenario` while a thread of its own applies the load; starts it after a sixth of the
-// requests is done.
+// Runs `scenario` once a sixth of the requests is completed, while another thread goes on sending
+// the rest; returns when both have ended.
 template <typename Scenario>
 void runUnderLoad(fleet &system, const load_options &options, load_result &result,
                   Scenario &&scenario)
@@ -103,6 +103,7 @@
             WaitLimit);
 }
 
+// Starts all processes with `batch` and waits until its first task has started.
 inline void startWithBatch(fleet &system, const batch_options &batch)
 {
     system.startAll();
--- a/tests/process_evict_test.cpp
+++ b/tests/process_evict_test.cpp
@@ -43,7 +43,7 @@
 }
 
 // The urgent job gets a team of its own, because the batch has used up its team's quota.
-void submitUrgent(fleet &system)
+void submitUrgentJob(fleet &system)
 {
     auto folder = makeBatchConfig(urgentJob());
     auto &quota = folder["teams"]["gates"]["quota"];
@@ -58,7 +58,7 @@
 void startUntilEviction(fleet &system)
 {
     startFullFleet(system);
-    submitUrgent(system);
+    submitUrgentJob(system);
     require(waitUntil([&] { return countTraced(system, "evicted", batchJob().job) > 0; },
                       WaitLimit));
 }
@@ -100,16 +100,16 @@
 
 // An urgent purchase job arrives while the workers are full. Batch tasks are checkpointed and
 // requeued, the urgent tasks start in their place, and the batch resumes from its checkpoints.
-Test(process_evict, urgent_work_takes_room)
+Test(process_evict, urgent_tasks_take_the_capacity_of_batch_tasks)
 {
     fleet system(smallFleet());
     startFullFleet(system);
-    submitUrgent(system);
+    submitUrgentJob(system);
     checkAllTasksCompleted(system);
 }
 
-// The same for a team whose own batch has used up its quota: its own batch tasks are evicted.
-Test(process_evict, urgent_work_of_a_team_at_its_quota)
+// An urgent job of a team whose batch has used up the team's quota: that batch's tasks are evicted.
+Test(process_evict, urgent_tasks_of_a_team_at_its_quota)
 {
     fleet system(smallFleet());
     startFullFleet(system);
@@ -117,8 +117,8 @@
     checkAllTasksCompleted(system);
 }
 
-// The owner is killed when the first batch task has been evicted. Its successor reads from the
-// table which tasks are evicted, being evicted, or pending: none is resumed twice or lost.
+// The shard's owner is killed when the first batch task has been evicted. Its successor reads from
+// the table which tasks are evicted, being evicted, or pending: none is resumed twice or lost.
 Test(process_evict, owner_killed_in_mid_eviction)
 {
     fleet system(smallFleet());
@@ -159,7 +159,7 @@
     Json::Value lose(Json::objectValue);
     lose["lose_answers"] = 10;
     setFaultEverywhere(system, lose);
-    submitUrgent(system);
+    submitUrgentJob(system);
     checkAllTasksCompleted(system);
 }
 
--- a/tests/process_interference_test.cpp
+++ b/tests/process_interference_test.cpp
@@ -22,7 +22,7 @@
     options.workers = Workers;
     options.upstreamWorkMs = WorkMs;
     options.hasInterference = true;
-    // Mtkvari's weights, as seat holds are urgent
+    // Tail latency weighs most, because seat holds are latency-critical.
     auto &weights = options.entrySettings["weights"];
     weights["tail_latency"] = 0.7;
     weights["throughput"] = 0.2;
@@ -37,7 +37,7 @@
     return folder;
 }
 
-// Requests at a steady rate until destroyed.
+// Sends requests at a steady rate until it is destroyed.
 class steady_load
 {
 public:
@@ -47,7 +47,7 @@
     { }
     ~steady_load()
     {
-        m_stopping = true;
+        m_isStopping = true;
         m_thread.join();
     }
     load_result &result() { return m_result; }
@@ -58,7 +58,7 @@
         load_options options;
         options.requests = PerSecond;
         options.perSecond = PerSecond;
-        for (unsigned round = 0; !m_stopping; ++round) {
+        for (unsigned round = 0; !m_isStopping; ++round) {
             options.prefix = "round-" + std::to_string(round);
             load_generator(m_system, options, m_result).run();
         }
@@ -66,11 +66,12 @@
 
     fleet &m_system;
     load_result m_result;
-    std::atomic<bool> m_stopping{false};
+    std::atomic<bool> m_isStopping{false};
     std::thread m_thread; // last: it uses all members above
 };
 
-unsigned throttlesOf(fleet &system, const std::string &job)
+// How often tasks of the job were throttled.
+unsigned countThrottles(fleet &system, const std::string &job)
 {
     unsigned sum = 0;
     for (unsigned index = 0; index < Workers; ++index)
@@ -83,13 +84,13 @@
     return system.getJson(system.workerAddress(index), "/noise")["noise"].asDouble();
 }
 
-// The worker with the highest noise.
+// Index of the worker with the highest noise.
 unsigned findNoisiestWorker(fleet &system)
 {
-    unsigned most = 0;
+    unsigned noisiest = 0;
     for (unsigned index = 1; index < Workers; ++index)
-        most = noiseOn(system, index) > noiseOn(system, most) ? index : most;
-    return most;
+        noisiest = noiseOn(system, index) > noiseOn(system, noisiest) ? index : noisiest;
+    return noisiest;
 }
 
 struct answer_counts
@@ -115,20 +116,21 @@
     return answers;
 }
 
-double evictionsByEntries(fleet &system, const std::string &reason)
+// The evictions that all entries together have counted for the reason.
+double countEvictions(fleet &system, const std::string &reason)
 {
     double sum = 0;
-    const auto wanted = "zinniabarrow_evictions_total{reason=\"" + reason + "\"} ";
+    const auto seriesName = "zinniabarrow_evictions_total{reason=\"" + reason + "\"} ";
     for (unsigned entry = 0; entry < system.options().entries; ++entry) {
         const auto text = system.getText(system.entryRpcAddress(entry), "/metrics");
-        const auto found = text.find(wanted);
+        const auto found = text.find(seriesName);
         if (found != std::string::npos)
-            sum += std::atof(text.c_str() + found + wanted.size());
+            sum += std::atof(text.c_str() + found + seriesName.size());
     }
     return sum;
 }
 
-batch_options batchOf(const std::string &job, int tasks, std::int64_t millicores)
+batch_options hourLongBatch(const std::string &job, int tasks, std::int64_t millicores)
 {
     batch_options batch;
     batch.job = job;
@@ -141,8 +143,9 @@
 } // namespace
 
 // Callers see seat holds take two and a half times as long when a noisy batch task shares the
-// upstream's instance. The agent measures the late answers and reports them to the owner, which
-// attributes them to the job class that arrived and throttles that class's task and no other.
+// upstream's instance. The agent measures the late answers and reports them to the shard's
+// owner, which attributes them to the class of the task that has arrived there and throttles that
+// task and no other.
 // Throttled to a half, the service meets its target again, and nothing is evicted.
 Test(process_interference, noisy_batch_is_throttled)
 {
@@ -153,7 +156,7 @@
     for (unsigned index = 0; index < Workers; ++index)
         system.setFault(system.workerAddress(index), noise);
     system.putFolderFile("10-base.json", folderWithTarget(system.options()));
-    system.putFolderFile("20-quiet.json", makeBatchConfig(batchOf("quiet", Workers, 2000)));
+    system.putFolderFile("20-quiet.json", makeBatchConfig(hourLongBatch("quiet", Workers, 2000)));
     steady_load load(system);
     section("the service meets its target beside quiet batch tasks", [&] {
         require(waitUntil([&] { return countTraced(system, "started", "quiet") == Workers; },
@@ -163,21 +166,21 @@
         for (unsigned index = 0; index < Workers; ++index)
             check(countAnswers(system, index).beyondTarget == 0);
     });
-    system.putFolderFile("30-noisy.json", makeBatchConfig(batchOf("noisy", 1, 8000)));
+    system.putFolderFile("30-noisy.json", makeBatchConfig(hourLongBatch("noisy", 1, 8000)));
     require(waitUntil([&] { return countTraced(system, "started", "noisy") == 1; }, WaitLimit));
     const auto noisiestWorker = findNoisiestWorker(system);
     section("the noisy task is throttled", [&] {
         check(noiseOn(system, noisiestWorker) > 0);
-        check(waitUntil([&] { return throttlesOf(system, "noisy") > 0; }, WaitLimit));
+        check(waitUntil([&] { return countThrottles(system, "noisy") > 0; }, WaitLimit));
     });
-    section("the service is below its target again", [&] {
+    section("the service meets its target again", [&] {
         const auto answers = countAnswers(system, noisiestWorker);
         check(answers.withinTarget * 20 >= (answers.withinTarget + answers.beyondTarget) * 19);
         check(noiseOn(system, noisiestWorker) < Noise);
     });
-    section("quiet batch was not throttled, and nothing was evicted", [&] {
-        check(throttlesOf(system, "quiet") == 0);
-        check(evictionsByEntries(system, "interference") <= 3); // the budget's burst
+    section("quiet batch tasks were neither throttled nor evicted", [&] {
+        check(countThrottles(system, "quiet") == 0);
+        check(countEvictions(system, "interference") <= 3); // the burst of the eviction budget
         check(countTraced(system, "evicted", "quiet") == 0);
         checkTraceClean(system);
     });
--- a/tests/process_requests_test.cpp
+++ b/tests/process_requests_test.cpp
@@ -7,9 +7,8 @@
 
 // A caller gets either its own whole answer or a truthful refusal. An agent is killed under load:
 // its requests in flight end as unknown, or are retried if they never reached it. Another agent is
-// paused for longer than the silence after which it is no longer routed to, and resumes with
-// requests whose callers were answered long ago. This holds because only attempts that are known
-// not to have run are retried.
+// paused until entries no longer route to it, and resumes with requests whose callers were answered
+// long ago. The guarantee holds because only attempts that are known not to have run are retried.
 Test(process_requests, agents_killed_and_paused)
 {
     fleet system(smallFleet());
@@ -20,23 +19,24 @@
     options.deadline = milliseconds(2000);
     runUnderLoad(system, options, result, [&] {
         section("an agent is killed", [&] { system.agent(0)->signal(SIGKILL); });
-        section("another is paused for longer than the silence timeout", [&] {
+        section("another agent is paused for longer than the silence timeout", [&] {
             system.agent(1)->signal(SIGSTOP);
             std::this_thread::sleep_for(milliseconds(3500));
             system.agent(1)->signal(SIGCONT);
         });
-        section("the killed one is replaced", [&] { system.startAgent(0); });
+        section("the killed agent is replaced", [&] { system.startAgent(0); });
     });
     section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
     section("most requests were answered nevertheless",
             [&] { check(result.countRefusals() * 10 < result.sentRequests); });
-    section("all four are routed to again", [&] { check(waitForUpstreams(system, 4)); });
+    section("entries route to all four upstreams again",
+            [&] { check(waitForUpstreams(system, 4)); });
 }
 
-// A caller of a killed entry sees its connection end. When it repeats the request with the same key
-// at another entry, it is answered, asked to retry later, or told that the outcome is unknown; the
-// request never runs twice. The entry dies between the claim and the record of the outcome; the
-// claim remains in the table.
+// A caller of a killed entry sees its connection end. When the caller repeats the request with the
+// same key at another entry, it is answered, asked to retry later, or told that the outcome is
+// unknown; the request never runs twice. If the entry dies between the claim and the record of the
+// outcome, the claim remains in the table.
 Test(process_requests, entries_killed_and_paused)
 {
     fleet system(smallFleet());
@@ -47,12 +47,12 @@
     options.deadline = milliseconds(2000);
     runUnderLoad(system, options, result, [&] {
         section("an entry is killed", [&] { system.entry(0)->signal(SIGKILL); });
-        section("another is paused and resumed", [&] {
+        section("another entry is paused and resumed", [&] {
             system.entry(1)->signal(SIGSTOP);
             std::this_thread::sleep_for(milliseconds(2500));
             system.entry(1)->signal(SIGCONT);
         });
-        section("the killed one is replaced and serves again", [&] {
+        section("the killed entry is replaced and serves again", [&] {
             system.startEntry(0);
             system.waitForEntry(0);
         });
@@ -102,19 +102,18 @@
     section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// Guards against a connection of a caller, or of an entry, that is closed without an answer, so
-// that nobody knows whether the request ran. This happens when the process is told to stop while it
-// lags behind: when it answers its last request, further requests are already in its sockets, or on
-// connections that wait to be accepted.
-Test(process_requests, requests_that_reach_a_stopping_process_that_lags)
+// Guards against a request of a caller, or of an entry, whose connection is closed without an
+// answer, so that nobody knows whether it ran. A process that is told to stop and is then paused
+// finds further requests in its sockets, or on connections that wait to be accepted.
+Test(process_requests, requests_to_a_stopping_process_that_is_paused)
 {
     fleet system(smallFleet());
     startAndWait(system);
-    const auto stopBehind = [](child_process &process, const std::string &address,
-                               const std::string &path) {
+    const auto stopAndPause = [](child_process &process, const std::string &address,
+                                 const std::string &path) {
         std::vector<std::unique_ptr<keep_alive_caller>> callers;
         const auto connectMore = [&] {
-            for (int each = 0; each < 8; ++each) {
+            for (int number = 0; number < 8; ++number) {
                 callers.push_back(std::make_unique<keep_alive_caller>(address));
                 require(callers.back()->isOpen());
             }
@@ -132,21 +131,21 @@
             require(caller->send("GET", path));
         std::this_thread::sleep_for(milliseconds(1000));
         process.signal(SIGCONT);
-        int cutOff = 0;
+        int cutOffCount = 0;
         for (const auto &caller : callers)
-            cutOff += caller->requestOutcome() == request_outcome::ClosedWithoutAnswer ? 1 : 0;
-        check(cutOff == 0);
+            cutOffCount += caller->requestOutcome() == request_outcome::ClosedWithoutAnswer ? 1 : 0;
+        check(cutOffCount == 0);
         check(process.waitForExit(WaitLimit) == 0);
     };
     section("an entry",
-            [&] { stopBehind(*system.entry(0), system.entryAddress(0), "/tickets/seats"); });
+            [&] { stopAndPause(*system.entry(0), system.entryAddress(0), "/tickets/seats"); });
     section("an agent",
-            [&] { stopBehind(*system.agent(0), system.agentAddress(0), "/tickets/seats"); });
+            [&] { stopAndPause(*system.agent(0), system.agentAddress(0), "/tickets/seats"); });
 }
 
 // While the table is down, a caller's keyed purchase is refused immediately as not executed, with a
-// time to retry after. Reads and purchases without a key continue, since they need no stored
-// decision.
+// time to retry after. Reads and purchases without a key continue, because they need no claim in
+// the table.
 Test(process_requests, platform_down)
 {
     fleet system(smallFleet());
@@ -169,7 +168,7 @@
         check(waitUntil([&] { return callers.sendRequest(2, keyed, "keyed").empty(); }, WaitLimit));
         check(countExecutions(system)["keyed"] == 1);
     });
-    section("a lost answer to the claim is resolved by reading the row back", [&] {
+    section("a lost answer to the write of a claim is resolved by reading the row", [&] {
         Json::Value lose(Json::objectValue);
         lose["lose_answers"] = 1;
         system.setFault(system.platformAddress(), lose);
@@ -233,8 +232,8 @@
     section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// An operator stops an entry that has not finished starting because the platform is down: it exits
-// with 0 and does not wait for the platform.
+// An operator stops an entry that cannot finish its start because the platform is down. The entry
+// exits with 0 and does not wait for the platform.
 Test(process_requests, stop_during_start_and_outage)
 {
     fleet system(smallFleet());
--- a/tests/process_shards_test.cpp
+++ b/tests/process_shards_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr unsigned Shards = 4;
 
-// With these worker names every shard has at least one worker.
+// The names that the fleet gives to eight workers put at least one of them into every shard.
 fleet_options shardedFleet()
 {
     auto options = smallFleet();
@@ -24,28 +24,28 @@
 // Index of the entry that owns each shard, by shard.
 std::map<int, unsigned> shardOwners(fleet &system)
 {
-    std::map<int, unsigned> found;
+    std::map<int, unsigned> owners;
     for (unsigned entry = 0; entry < system.options().entries; ++entry) {
         if (!system.entry(entry)->isRunning())
             continue;
         try {
             const auto status = system.rpc(entry, "status", Json::objectValue);
             for (const auto &shard : status["scheduling"]["shards"])
-                found[shard["shard"].asInt()] = entry;
+                owners[shard["shard"].asInt()] = entry;
         } catch (const std::exception &) {
             continue; // paused, or just starting
         }
     }
-    return found;
+    return owners;
 }
 
 bool waitForOwnersExcept(fleet &system, unsigned entry)
 {
     return waitUntil(
             [&] {
-                const auto found = shardOwners(system);
-                return found.size() == Shards
-                       && std::none_of(found.begin(), found.end(),
+                const auto owners = shardOwners(system);
+                return owners.size() == Shards
+                       && std::none_of(owners.begin(), owners.end(),
                                        [&](const auto &item) { return item.second == entry; });
             },
             WaitLimit);
@@ -84,12 +84,12 @@
     }
     std::sort(changes.begin(), changes.end());
     int running = 0;
-    int most = 0;
+    int maxRunning = 0;
     for (const auto &[at, change] : changes) {
         running += change;
-        most = std::max(most, running);
+        maxRunning = std::max(maxRunning, running);
     }
-    return most;
+    return maxRunning;
 }
 
 } // namespace
@@ -115,7 +115,7 @@
 }
 
 // An owner of some shards is paused for longer than its lease, and resumes in the belief that it
-// still owns them. Each shard's epoch rejects it independently; no task is granted twice.
+// still owns them. Its writes are rejected by the epoch of each shard; no task is granted twice.
 Test(process_shards, owner_paused_longer_than_its_lease)
 {
     const auto batch = batchOf(96, 1500);
@@ -134,7 +134,7 @@
 
 // The platform goes down in the middle of a batch: running tasks continue, each shard's backlog
 // starts as tasks end, and the remaining tasks follow once the table is back. No shard changes its
-// owner, since no entry can renew.
+// owner, because no entry can write the row of a shard.
 Test(process_shards, platform_down)
 {
     const auto batch = batchOf(96, 3000);
@@ -163,14 +163,14 @@
     fleet system(shardedFleet());
     startWithBatch(system, batch);
     require(waitForStarts(system, batch));
-    section("it grows: each task ends once", [&] {
+    section("the batch grows: each task ends once", [&] {
         batch.tasks = 30;
         system.putFolderFile("20-batch.json", makeBatchConfig(batch));
         check(waitForEnds(system, batch));
         check(countTraced(system, "started", batch.job) == 30);
         checkEachEndedOnce(system, batch);
     });
-    section("another one shrinks to a task: the others are cancelled in every shard", [&] {
+    section("another batch shrinks to one task: the others are cancelled in every shard", [&] {
         auto watch = batchOf(12, 3'600'000);
         watch.job = "watch";
         system.putFolderFile("30-watch.json", makeBatchConfig(watch));
--- a/tests/process_stream_test.cpp
+++ b/tests/process_stream_test.cpp
@@ -28,9 +28,9 @@
     return options;
 }
 
-std::string largeTarget(std::uint64_t bytes, const std::string &more = {})
+std::string largeTarget(std::uint64_t bytes, const std::string &parameters = {})
 {
-    return "/tickets/large?bytes=" + std::to_string(bytes) + more;
+    return "/tickets/large?bytes=" + std::to_string(bytes) + parameters;
 }
 
 struct received_answer
@@ -188,7 +188,7 @@
         check(isWhole(answer, LargeBytes));
         check(answer.head.header("Transfer-Encoding") == "chunked");
     });
-    section("around the size from which answers are streamed", [&] {
+    section("with sizes around the one from which answers are streamed", [&] {
         for (const auto bytes :
              {MaxBufferedAnswerBytes - 1, MaxBufferedAnswerBytes, MaxBufferedAnswerBytes + 1}) {
             const auto answer = caller.fetch(get(largeTarget(bytes)));
@@ -350,7 +350,7 @@
         check(isWhole(answer, LargeBytes));
         check(answered == 20);
     });
-    section("never more than the upstream's slots", [&] {
+    section("the upstream never gets more requests than it has slots", [&] {
         std::atomic<unsigned> whole{0};
         std::vector<std::thread> threads;
         for (unsigned index = 0; index < CallerCount; ++index) {
@@ -399,8 +399,8 @@
 // the processes wait for the last byte before they stop it, and then exit with 0.
 Test(process_stream, planned_stops)
 {
-    const auto stopDuring = [](const std::string &what, auto &&processOf) {
-        section(what, [&] {
+    const auto stopDuring = [](const std::string &title, auto &&processOf) {
+        section(title, [&] {
             fleet system(singlePathFleet());
             startAndWait(system);
             large_caller caller(system);
@@ -429,8 +429,9 @@
 // of requests in flight keeps the process running until the last byte is sent.
 Test(process_stream, planned_stop_with_the_rest_in_the_ring)
 {
-    constexpr std::uint64_t Step = 128 * 1024; // half of a ring: some answer ends within a ring
-    constexpr unsigned Most = 32;
+    // Answers grow by half of a ring, so that the rest of some answer fits into the ring.
+    constexpr std::uint64_t Step = 128 * 1024;
+    constexpr unsigned MaxCallers = 32;
     fleet system(singlePathFleet());
     startAndWait(system);
     std::vector<std::unique_ptr<paused_caller>> callers;
@@ -438,7 +439,7 @@
         return system.rpc(0, "status", Json::objectValue)["in_flight"].asUInt() == 0;
     };
     bool isFullyBuffered = true; // by the buffers on the path and the entry's ring
-    for (unsigned index = 1; isFullyBuffered && index <= Most; ++index) {
+    for (unsigned index = 1; isFullyBuffered && index <= MaxCallers; ++index) {
         callers.push_back(std::make_unique<paused_caller>(system, index * Step));
         check(waitUntil([&] { return callers.back()->hasBegun(); }, WaitLimit));
         isFullyBuffered = waitUntil(isReceived, milliseconds(500));
--- a/tests/process_work_test.cpp
+++ b/tests/process_work_test.cpp
@@ -49,7 +49,7 @@
 }
 
 // Index of a worker on which a task of the batch has started.
-unsigned workerThatStarted(const fleet &system, const batch_options &batch)
+unsigned workerWithStartedTask(const fleet &system, const batch_options &batch)
 {
     for (const auto &line : system.workerTrace()) {
         if (line["event"] != "started" || !line["task"].asString().starts_with(batch.job + "@"))
@@ -66,9 +66,9 @@
 } // namespace
 
 // An operator sees the batch finish although the entry that owned its shard was killed. Another
-// entry takes the shard over once its row was unchanged for the owner's lease. Agents attach to the
-// new epoch, so running tasks continue, and the new owner places the tasks that were not placed
-// yet.
+// entry takes the shard over once the shard's row was unchanged for the owner's lease. Agents
+// attach to the new epoch, so running tasks continue, and the new owner places the tasks that were
+// not placed yet.
 Test(process_work, owner_killed)
 {
     const auto batch = batchOf(60, 1500);
@@ -160,7 +160,7 @@
     fleet system(smallFleet());
     startWithBatch(system, batch);
     require(waitForStarts(system, batch));
-    const auto victim = workerThatStarted(system, batch);
+    const auto victim = workerWithStartedTask(system, batch);
     system.worker(victim)->signal(SIGKILL);
     system.worker(victim)->waitForExit(WaitLimit);
     system.startWorker(victim);
@@ -171,19 +171,19 @@
     });
 }
 
-// The table is down for longer than the leases of the owner and the agents: lease watchers and
+// The table is down for longer than the leases of the owner and the agents: long-running tasks and
 // running batch tasks continue, and the ends are recorded once the table is back.
 Test(process_work, table_down)
 {
     auto options = smallFleet();
     options.entrySettings["agent_lease_ms"] = 4000;
     fleet system(options);
-    batch_options watchers;
-    watchers.job = "watch";
-    watchers.tasks = 8;
-    watchers.runMs = 3'600'000;
-    watchers.failover = "proof";
-    startWithBatch(system, watchers);
+    batch_options longRunning;
+    longRunning.job = "watch";
+    longRunning.tasks = 8;
+    longRunning.runMs = 3'600'000;
+    longRunning.failover = "proof";
+    startWithBatch(system, longRunning);
     require(waitUntil([&] { return countTraced(system, "started", "watch") == 8; }, WaitLimit));
     batch_options batch;
     batch.tasks = 8;
@@ -211,7 +211,7 @@
 Test(process_work, backlog_while_the_table_is_down)
 {
     const auto batch = batchOf(60, 3000);
-    const auto startedDuring = [&](unsigned perWorker) {
+    const auto startsDuringOutage = [&](unsigned perWorker) {
         auto options = smallFleet();
         options.entrySettings["placement"]["backlog_per_worker"] = perWorker;
         fleet system(options);
@@ -229,11 +229,11 @@
         return started;
     };
     section("four for each worker: all of them start during the outage", [&] {
-        const auto started = startedDuring(4);
+        const auto started = startsDuringOutage(4);
         cr_expect(started >= 8, "started %u", started);
     });
     section("none: nothing starts during the outage", [&] {
-        const auto started = startedDuring(0);
+        const auto started = startsDuringOutage(0);
         cr_expect(started == 0, "started %u", started);
     });
 }
