--- a/libs/jobs/throttle_controller.cpp
+++ b/libs/jobs/throttle_controller.cpp
@@ -166,10 +166,10 @@
         shouldPause = needsPause(sample, now) || shouldPause;
     std::vector<run_speed> changes;
     for (const auto &run : bestEffort) {
-        const int percent = shouldPause ? 0 : 100;
+        const int targetPercent = shouldPause ? 0 : 100;
         const auto lastSpeed = m_confirmedSpeeds.try_emplace({run.task, run.run}, 100).first;
-        if (lastSpeed->second != percent)
-            changes.push_back({run.task, run.run, percent});
+        if (lastSpeed->second != targetPercent)
+            changes.push_back({run.task, run.run, targetPercent});
     }
     return changes;
 }
--- a/tests/in_flight_reservations_test.cpp
+++ b/tests/in_flight_reservations_test.cpp
@@ -246,25 +246,25 @@
 
     static jobs::worker_report report(std::int64_t epoch = 1, std::int64_t agentIncarnation = 5)
     {
-        jobs::worker_report workerReport;
-        workerReport.worker = "w1";
-        workerReport.agentIncarnation = agentIncarnation;
-        workerReport.epoch = epoch;
-        workerReport.service = "tickets";
-        workerReport.isAccepting = true;
-        workerReport.capacity = {16 * Cores, 64'000, 0};
-        return workerReport;
+        jobs::worker_report agentReport;
+        agentReport.worker = "w1";
+        agentReport.agentIncarnation = agentIncarnation;
+        agentReport.epoch = epoch;
+        agentReport.service = "tickets";
+        agentReport.isAccepting = true;
+        agentReport.capacity = {16 * Cores, 64'000, 0};
+        return agentReport;
     }
 
     // Processes the parts of a report in the same order as an entry.
-    void takeReport(const jobs::worker_report &workerReport)
+    void takeReport(const jobs::worker_report &agentReport)
     {
-        const bool hasRestarted = pool.update(workerReport, now) && workerReport.epoch > 0;
-        for (const auto &end : workerReport.ends)
-            controller.runEnded(workerReport.worker, end, now, 1);
+        const bool hasRestarted = pool.update(agentReport, now) && agentReport.epoch > 0;
+        for (const auto &end : agentReport.ends)
+            controller.runEnded(agentReport.worker, end, now, 1);
         if (hasRestarted)
-            controller.workerRestarted(workerReport.worker, workerReport.epoch, now);
-        controller.workerReported(workerReport.worker, now);
+            controller.workerRestarted(agentReport.worker, agentReport.epoch, now);
+        controller.workerReported(agentReport.worker, now);
     }
 
     void planAndCollect()
@@ -299,20 +299,20 @@
     });
     section("an end that arrives before the answer frees the capacity", [] {
         single_worker_fixture fixture;
-        auto workerReport = single_worker_fixture::report();
+        auto agentReport = single_worker_fixture::report();
         for (const auto &order : fixture.orders)
-            workerReport.ends.push_back(
+            agentReport.ends.push_back(
                     {1, order.order.task, order.order.run, jobs::end_kind::Done, ""});
-        fixture.takeReport(workerReport);
+        fixture.takeReport(agentReport);
         check(fixture.used() == 0);
     });
     section("a start sent a second ago is in the report or no longer takes effect", [] {
         single_worker_fixture fixture;
         fixture.now += seconds(1);
-        auto workerReport = single_worker_fixture::report();
-        workerReport.used = {16 * Cores, 800, 0};
+        auto agentReport = single_worker_fixture::report();
+        agentReport.used = {16 * Cores, 800, 0};
         for (int round = 0; round < 3; ++round) {
-            fixture.takeReport(workerReport);
+            fixture.takeReport(agentReport);
             check(fixture.used() == 16 * Cores);
         }
     });
--- a/tests/order_search.cpp
+++ b/tests/order_search.cpp
@@ -44,8 +44,8 @@
 
 void printTrace(std::uint64_t seed, search_kind kind)
 {
-    const auto result = order_search(seed, true, kind).run();
-    for (const auto &line : result.trace)
+    const auto tracedResult = order_search(seed, true, kind).run();
+    for (const auto &line : tracedResult.trace)
         fmt::print("    {}\n", line);
 }
 
--- a/tests/shard_simulation.h
+++ b/tests/shard_simulation.h
@@ -167,10 +167,10 @@
     // Same settings as in the entry.
     static placement::scheduler_settings makeSchedulerSettings()
     {
-        placement::scheduler_settings result;
-        result.sizes.minProcessorShare = 1.0;
-        result.weights = {0.7, 0.2, 0.1}; // of Mtkvari's deployment
-        return result;
+        placement::scheduler_settings schedulerSettings;
+        schedulerSettings.sizes.minProcessorShare = 1.0;
+        schedulerSettings.weights = {0.7, 0.2, 0.1}; // of Mtkvari's deployment
+        return schedulerSettings;
     }
 
     void feed(const work::coordinator_event &event) { perform(owner->handle(event, now)); }
--- a/tests/work_model.h
+++ b/tests/work_model.h
@@ -477,10 +477,10 @@
         }
         return {};
     }
-    void notifyStep(const std::string &step, const std::string &worker)
+    void notifyStep(const std::string &stepName, const std::string &worker)
     {
         if (onStep)
-            onStep(step, worker);
+            onStep(stepName, worker);
     }
     void feedCoordinator(model_entry &entry, const coordinator_event &event)
     {
