--- a/app/configuration_follower.h
+++ b/app/configuration_follower.h
@@ -1,6 +1,6 @@
-// Follows what operators write to the platform's store: the configuration that an entry uses, with
-// a judgement of whether a newer version may exist, and the availability zones that are being
-// evacuated.
+// Follows what operators write to the platform's store: the configuration that an entry uses, and
+// the availability zones that are being evacuated. Also tells whether a newer version of the
+// configuration may exist (jobs::configuration_freshness).
 #pragma once
 
 #include <cstddef>
@@ -28,7 +28,7 @@
     // Reads the configuration and the evacuated zones, and follows their changes from then on.
     void start();
     // Another entry uses this version, which may be newer than this entry's own. Called for each
-    // ping and each answer to one.
+    // ping of another entry and each answer to one of this entry's.
     void notePeerVersion(std::int64_t version);
 
     const jobs::queue_table *queues() const; // null before a configuration was read
@@ -37,7 +37,8 @@
     // entry knows all changes.
     bool isConfirmed() const;
     const jobs::evacuated_zones &evacuatedZones() const { return m_evacuated; }
-    // Also logs when the configuration has become outdated, and when it is up to date again.
+    // Whether a newer version may exist. Also logs when the configuration has become outdated, and
+    // when it no longer is.
     jobs::configuration_freshness freshness();
 
 private:
@@ -54,8 +55,9 @@
     table_follower m_follower;
     std::optional<jobs::queue_table> m_queues;
     jobs::evacuated_zones m_evacuated;
-    std::int64_t m_rowVersion = 0;             // store version of the configuration row read last
-    std::optional<time_point> m_answerBegunAt; // when the last answer with changes began to arrive
+    std::int64_t m_rowVersion = 0; // store version of the configuration row read last
+    // When the last answer of the store's change feed that carries changes began to arrive.
+    std::optional<time_point> m_answerBegunAt;
     jobs::configuration_tracker m_tracker;
     bool m_wasOutdated = false; // at the last call of freshness()
 };
--- a/app/job_takeover.h
+++ b/app/job_takeover.h
@@ -1,5 +1,6 @@
-// Takes over the jobs of dead or leaving entries and of this entry's earlier incarnations. Removes
-// the rows of jobs that ended long ago.
+// Takes over the jobs of dead or leaving entries and of this entry's earlier incarnations, as far
+// as the entry_directory names this entry as their successor. Removes the rows of this
+// entry's jobs some time after callers may last ask for their final state.
 #pragma once
 
 #include <functional>
@@ -32,11 +33,12 @@
     job_takeover(const job_takeover_dependencies &dependencies,
                  std::function<void()> onActionsReady);
 
-    // Looks for jobs to take over and for rows to remove. Called regularly, once all jobs were
-    // read. `self`: this incarnation of the entry.
+    // Looks for jobs to take over and for rows to remove. Called by job_entry a few times a second,
+    // as soon as the job_view holds all jobs of the store. `self`: this incarnation of the entry.
     void scan(const jobs::owner_id &self);
 
 private:
+    // Reads the job's payload, then makes this entry's job_controller the owner.
     void adopt(const std::string &id);
     void removeOldRows(const std::string &self, time_point now);
 
--- a/app/lease_keeper.h
+++ b/app/lease_keeper.h
@@ -18,7 +18,9 @@
 public:
     struct callbacks
     {
-        std::function<void()> epochLost; // no task may start until epochSettled
+        // The lease is acquired anew, or all runs of the epoch have ended: no task may start until
+        // epochSettled.
+        std::function<void()> epochLost;
         std::function<void(const jobs::epoch_settled &)> epochSettled;
         std::function<void()> fenceAcquired; // calls to the worker must carry the new fence
     };
@@ -28,17 +30,18 @@
 
     const jobs::worker_lease &lease() const { return m_lease; }
     // Acquires a new fence, a number that rises each time and makes orders and calls with an
-    // earlier one invalid. The epoch is settled later, when it is known which runs of an earlier
-    // epoch are still active. `reason` is logged.
+    // earlier one invalid. The epoch is settled later: it continues if the worker's incarnation is
+    // still that of the lease row and no watcher has ended the epoch. Otherwise a new one begins
+    // once all runs of the earlier one have ended. `reason` is logged.
     void acquire(const char *reason);
-    // Called every LeaseRenewInterval. `heldUntil` is set while the worker does not answer: the end
-    // of its last hold, until which it may go on with its runs. The lease is then renewed up to
-    // that time only.
+    // Called every LeaseRenewInterval, and when the worker answers again. `heldUntil` is set while
+    // the worker does not answer, and at the agent's end: a hold call lets the worker's runs
+    // continue until a deadline, and this is the last one. The lease is then renewed only up to it.
     void renew(std::optional<time_point> heldUntil = std::nullopt);
     // Both pass on to jobs::worker_lease what was observed of the worker. observeWorker() returns
     // whether all its runs have to be stopped before a new epoch can begin.
     bool observeWorker(const std::string &incarnation, std::size_t activeRunCount);
-    void noteAllRunsEnded(const std::string &nextIncarnation);
+    void noteAllRunsEnded(const std::string &nextIncarnation); // of the worker; empty: none yet
 
 private:
     void execute();
--- a/libs/jobs/interference_estimator.h
+++ b/libs/jobs/interference_estimator.h
@@ -4,7 +4,7 @@
 // up:
 //   load = 1 - floor / tail
 //        = baseLoad(serving) + sum over best-effort images of loadPerCore(serving, image) x cores
-// `floor` is the lowest tail latency measured for the serving image, less a tenth. `cores` counts
+// `floor` is 0.9 times the lowest tail latency measured for the serving image. `cores` counts
 // the cores in use, not those requested: when ten runs share the cores that two of them request,
 // each causes a fifth of the interference that it would cause alone. Tail latencies themselves are
 // not added up: a single stalled sample would outweigh a hundred others, and interference would be
@@ -22,32 +22,33 @@
 
 namespace zinniabarrow::jobs {
 
-// The change on a worker within half a second, for the runs of a serving image that were measured
-// both times. Their own load changes slowly while neighbours come and go abruptly, so changes
-// separate the neighbours' part of the load from the runs' own.
+// How the load of a serving image's runs on one worker changed between two measurements, half a
+// second apart. Only runs that were measured both times count. Their own load changes slowly while
+// neighbours come and go abruptly, so changes separate the neighbours' part of the load from the
+// runs' own.
 struct interference_change
 {
     double inverseTailDrop = 0;                    // 1/ms: how far 1 / tail fell, mean of the runs
     std::map<std::string, double> bestEffortCores; // by image: change of the cores in use
-    // Before or after the change, the load exceeded what a tail latency can show: it changed by at
-    // least this much.
+    // Before or after the change, a queue was growing, and its tail latency no longer shows the
+    // load: the load changed by at least this much.
     bool isLowerBound = false;
 };
 
-// One measurement of a serving image on one worker.
+// One measurement of a serving image on one worker, of its run with the longest tail latency there.
 struct interference_sample
 {
     std::string image;
     std::int64_t tailLatencyMs = 0;
     std::int64_t latencyTargetMs = 0;
     std::map<std::string, double> bestEffortCores;  // by image: cores in use
-    std::optional<interference_change> change = {}; // since half a second earlier
+    std::optional<interference_change> change = {}; // since half a second earlier, if measured then
 };
 
 // What was learned of a serving image.
 struct image_interference
 {
-    double floorMs = 0;                         // lowest tail latency less a tenth; 0: unknown
+    double floorMs = 0;                         // see the head of this file; 0: unknown
     std::map<std::string, double> loadsPerCore; // by best-effort image: load by each core in use
 };
 using interference_table = std::map<std::string, image_interference>; // by serving image
@@ -55,18 +56,23 @@
 // The load that corresponds to a tail latency; from 0 to below 1.
 double loadOf(double tailLatencyMs, double floorMs);
 
+// Means and standard deviations are in units of load.
 struct estimator_settings
 {
-    double priorLoadPerCore = 0.03; // for a pair never measured: half of the pairs are near 0,
-                                    // the others between 0.03 and 0.07
+    // For a serving and a best-effort image never measured together. Half of all such pairs are
+    // near 0, the others between 0.03 and 0.07.
+    double priorLoadPerCore = 0.03;
     double priorDeviation = 0.04;
     double priorBaseLoad = 0.5;
     double baseLoadDeviation = 0.2;
-    double levelNoise = 0.15;        // deviation of one sample; own load varies by half
-    double changeNoise = 0.08;       // deviation of one change
-    double forgettingFactor = 0.998; // a sample's weight fades within about 500 of its image
-    std::size_t maxImages = 64;      // serving ones, and best-effort ones for each of them; all
-                                     // others keep the prior
+    double levelNoise = 0.15;  // of one sample's load; a serving run's own load varies by half
+    double changeNoise = 0.08; // of one change of the load
+    // The weight of earlier samples is multiplied by this with each sample of the same serving
+    // image, so that about the last 500 count.
+    double forgettingFactor = 0.998;
+    // Limit of the serving images, and of the best-effort images for each of them. All others keep
+    // the prior.
+    std::size_t maxImages = 64;
 };
 
 // Each entry's worker_pool has one, and sends its table to the agents, which throttle best-effort
@@ -79,11 +85,11 @@
     // Called for each sample in the workers' reports.
     void learn(const interference_sample &sample);
     // The load that each core in use by runs of the best-effort image adds to runs of the serving
-    // image.
+    // image; the prior if never measured.
     double loadPerCore(const std::string &servingImage, const std::string &bestEffortImage) const;
-    // The load of the image without neighbours.
+    // The load of the image without neighbours; the prior if never measured.
     double baseLoad(const std::string &servingImage) const;
-    // The load at which the image's tail latency is at its target.
+    // The load at which the image's tail latency is at its target; 0.8 if never measured.
     double loadAtTarget(const std::string &servingImage) const;
     interference_table table() const; // all that was learned, for the agents
 
--- a/libs/jobs/run_table.h
+++ b/libs/jobs/run_table.h
@@ -27,7 +27,7 @@
     int run = 0;
     std::string payload;
     std::string checkpoint;
-    time_point callDeadline{}; // the worker isn't called later
+    time_point callDeadline{}; // agent's clock; the worker isn't called later
 };
 
 // Call the worker to stop the run.
@@ -39,7 +39,7 @@
 
 using run_action = std::variant<start_run, stop_run>;
 
-// Whether new runs may be started on the worker; see readinessOf().
+// Whether new runs may be started on the worker; see readinessOf() in worker_liveness.h.
 enum class start_readiness {
     Ready,
     RetryLater,  // perhaps soon: the entry repeats the order
@@ -49,7 +49,7 @@
 // The outcome of a start call to the worker.
 enum class start_answer {
     Started,     // the run exists
-    Refused,     // the worker will not start the run by this call; an earlier call may have
+    Refused,     // this call does not start the run; an earlier call may have started it
     NotExecuted, // the worker did nothing; the call may be repeated
     Unanswered,  // the run may start up to the call's deadline
 };
@@ -65,8 +65,8 @@
     std::int64_t measured = 0;
 };
 
-// The result of one poll of the worker: its active runs, and all ends that it has not been allowed
-// to forget.
+// The result of one poll of the worker: its active runs, and the ends of its other runs. The worker
+// forgets an end once a poll has told it that it may, see `acknowledgedThrough`.
 struct run_listing
 {
     std::int64_t clockMs = 0; // worker's clock
@@ -107,11 +107,14 @@
     // The capacity that the worker announced, and whether runs may be started there now. Called
     // before orders are handled.
     void setWorkerState(const task_size &capacity, start_readiness readiness);
-    // Sets the worker's epoch, a number that rises once all runs of the worker have ended. 0: none,
-    // and orders are answered with NotReady. The runs in the table stay as they are; the agent
-    // calls `stopAll` or `clearRuns` before a new epoch begins.
+    // Sets the worker's epoch, a number that is raised each time all runs of the worker have ended.
+    // A start order that was placed under another epoch starts no run. 0: none, and orders are
+    // answered with NotReady. The runs in the table stay as they are; the agent calls `stopAll` or
+    // `clearRuns` before a new epoch begins.
     void setEpoch(std::int64_t epoch);
-    void setAgentIncarnation(std::int64_t incarnation); // as in the reports
+    // The agent's incarnation as in worker_report. A start order that was placed in another one
+    // can claim a run that exists, but starts none.
+    void setAgentIncarnation(std::int64_t incarnation);
     // The worker was restarted or is gone: none of its runs exists any more. Sets the epoch to 0.
     // Ends that are not acknowledged are still reported.
     void clearRuns();
@@ -133,7 +136,8 @@
     bool acknowledgeEnd(const run_end_id &end, time_point now);
 
     // `owner` received the end and answered that the job belongs to another entry. From now on the
-    // end is reported to all entries. False: it already was, or the run has another owner by now.
+    // end is reported to all entries. False: this was already the case, or the run has another
+    // owner by now.
     bool noteNotOwned(const run_end_id &end, const std::string &owner);
 
     // The calls to the worker that are due: first and repeated starts and stops, and stops of
@@ -149,17 +153,19 @@
     // Number of ends so far that had to be reported to an entry for the first time. It never falls;
     // the agent sends reports at once when it has grown.
     std::size_t newEndCount() const { return m_newEndCount; }
-    std::int64_t acknowledgedThrough() const; // the worker may forget ends up to this one
-    task_size used() const;                   // by runs that have not ended
+    // Sequence number up to which all ends are acknowledged: the worker may forget these.
+    std::int64_t acknowledgedThrough() const;
+    task_size used() const; // by runs that have not ended
     // The part of `used` that long-running runs use: those that last until their job is cancelled.
     task_size usedByLongRunning() const;
     // Requested by best-effort runs, which only use idle processors. Not included in `used`.
     std::int64_t bestEffortMillicores() const;
-    // Whether an entry has claimed each active run. Only orders give the sizes of runs, so the
-    // worker's free capacity is unknown before.
+    // Whether every active run is claimed. Until then the worker's free capacity is unknown, as
+    // only the orders that claim runs give their sizes.
     bool allRunsClaimed() const;
     std::size_t activeRunCount() const; // runs that have not ended
-    // There are unacknowledged ends of a worker that is gone: no other process can report them.
+    // There are unacknowledged ends of a worker that is gone. No other process can report them, so
+    // the agent must not exit.
     bool hasEndsOfGoneWorker() const;
     // Runs with a latency target, and their tail latencies by the last listing.
     std::vector<serving_sample> servingSamples() const;
@@ -186,7 +192,8 @@
         std::string checkpoint;
         run_phase phase = run_phase::Starting;
         std::int64_t measured = 0; // as in listed_run
-        // Worker's clock: no start call takes effect later; 0: no call is open.
+        // Worker's clock: no start call takes effect later. 0: none was made, or the run is known
+        // to have started.
         std::int64_t lastStartEffectMs = 0;
         int openStartCalls = 0;     // start calls that the worker has not rejected
         time_point startDeadline{}; // the worker isn't called later
--- a/libs/jobs/worker_pool.h
+++ b/libs/jobs/worker_pool.h
@@ -1,8 +1,9 @@
 // An entry's view of the workers, built from their agents' reports, and the choice of the worker
 // for a task. Each entry has one pool: it passes in the reports, and its job_controller chooses
-// workers. A run is one attempt to execute a task. "Serving" runs are those with a latency target;
-// best-effort runs reserve no processors and interfere with serving runs. Independent of
-// worker_chooser and quarantine in the placement library.
+// workers. A step of a job consists of tasks of the same kind (step_spec in model.h), and a run is
+// one attempt to execute a task. "Serving" runs are those with a latency target; best-effort runs
+// reserve no processors and interfere with serving runs. Independent of worker_chooser and
+// quarantine in the placement library.
 #pragma once
 
 #include <cstdint>
@@ -24,14 +25,16 @@
 // What an entry knows of one worker.
 struct worker_view
 {
-    // Latest report, without its run ends and checkpoints. `used`, `usedByLongRunning`, the two
-    // best-effort sums and `serving` also include this entry's own placements since then.
+    // Latest report, without its run ends and checkpoints. `used`, `usedByLongRunning`,
+    // `bestEffortMillicores`, `bestEffortDemand` and `serving` also include this entry's own
+    // placements since then.
     worker_report lastReport;
     time_point lastReportAt{};        // when the report arrived
     std::optional<agent_clock> clock; // of the agent's present incarnation
     // Sizes that the agent refused since the report for lack of room.
     std::vector<task_size> refusedSizes;
-    // Jobs with a task that is over its latency target here, by the report.
+    // Late jobs: those with a serving run here that is expected to miss its latency target, as its
+    // best-effort neighbours add more load than its headroom in the report.
     std::set<std::string> lateJobs;
     int consecutiveFailures = 0;   // failed runs since the last one that was done
     time_point quarantinedUntil{}; // no task is placed here before
@@ -44,8 +47,9 @@
     // second.
     milliseconds reportTimeout{2500};
     // How long a start order is valid. An agent starts nothing by an order that arrives later: the
-    // task may be done by then. The stop order, sent later, may even have arrived first, and the
-    // agent may no longer know of it. The sender's response timeout is a little shorter.
+    // task may be done by then. A stop order for the run may even have overtaken the start order,
+    // and the agent may have forgotten the stop order. The order_sender waits a little less long
+    // for the answer to an order.
     milliseconds startOrderValidity{700};
     // A worker on which this many runs fail in a row is quarantined for `quarantineTime`. A few per
     // cent of tasks fail wherever they run, so four failures in a row rarely happen by chance.
@@ -53,7 +57,7 @@
     milliseconds quarantineTime{6000};
 };
 
-// Why a worker can take no task of a step at present.
+// Why a worker can take no task of a step at present. Counted in the log by `describeUnfitWorkers`.
 enum class unfit_reason {
     None,               // the worker can take the task
     ServiceMismatch,    // belongs to another service than the job
@@ -64,19 +68,19 @@
     LabelMismatch,      // neither its kind nor its rack is the label that the step requires
     BestEffortFull,     // best-effort runs would only slow each other down
     WouldCauseLateness, // a best-effort task would make serving runs late
-    Avoided,            // excluded from this choice
+    Avoided,            // in the `avoid` list of this choice
     RefusedByAgent,     // its agent refused a task of this size or smaller since its last report
     NoProcessors,
     NoMemory,
     NoAccelerators
 };
-std::string_view nameOf(unfit_reason reason);
+std::string_view nameOf(unfit_reason reason); // as in the log
 
 // How one choice of a worker is made.
 struct placement_preferences
 {
-    // Waiting tasks of the step, this one included. For a serving task, a worker on which more of
-    // them fit is preferred.
+    // Waiting tasks of the step, including the one for which a worker is chosen. For a serving
+    // task, a worker on which more of them fit is preferred.
     int waitingTasks = 1;
     // Whether a best-effort task is left waiting rather than make serving runs exceed their latency
     // targets.
@@ -97,9 +101,9 @@
     // Whether its agent has reported within `reportTimeout`.
     bool isReporting(const std::string &worker, time_point now) const;
     // Deadline of a start order that is sent now, by the clock of the agent, ms; 0: the agent's
-    // clock is unknown. `agentIncarnation` is that of the agent when the run was placed. Before the
-    // first report of that incarnation, the deadline is one that has passed: the order can claim a
-    // run that exists, but starts none.
+    // clock is unknown. `agentIncarnation` is that of the agent when the run was placed. While
+    // the last report is of an earlier incarnation, the deadline is one that has already passed:
+    // the order can claim a run that exists, but starts none.
     std::int64_t startDeadlineFor(const std::string &worker, std::int64_t agentIncarnation,
                                   time_point now) const;
 
@@ -116,8 +120,8 @@
                                             const std::vector<std::string> &avoid, time_point now,
                                             const placement_preferences &preferences = {}) const;
     // Explains for the log why `chooseWorker` found no worker: the number of workers of the service
-    // for each unfit_reason, and how many of those that lack room have it beside their long-running
-    // runs, counting no others.
+    // for each unfit_reason, and how many of the workers that lack room would have room for the
+    // task if they had only their long-running runs.
     std::string describeUnfitWorkers(const std::string &service, const step_spec &step,
                                      const std::vector<std::string> &avoid, time_point now,
                                      const placement_preferences &preferences = {}) const;
@@ -130,11 +134,12 @@
     // Adds a placement to the worker's used resources, until its next report replaces them.
     void reserve(const std::string &worker, const step_spec &step);
     // Records that the agent had no room for a task of this step. Until its next report, no task of
-    // that size or larger is placed there. Ignored when a report has arrived since `reportedAt`,
-    // the arrival of the report that the refused order was based on.
+    // that size or larger is placed there. `reportedAt`: when the report arrived on which the
+    // refused order was based; the refusal is ignored if a newer report has arrived since.
     void recordRefusal(const std::string &worker, const step_spec &step, time_point reportedAt);
 
-    // Learns from the samples in the reports; its table is sent to agents.
+    // The entry passes it the samples in the reports, and sends its table to agents that ask for
+    // it.
     interference_estimator &interferenceEstimator() { return m_interferenceEstimator; }
 
 private:
@@ -155,9 +160,14 @@
     // late.
     std::map<std::string, double> expectedLateness(const worker_view &view,
                                                    const step_spec &step) const;
+    // Sum of these probabilities with the jobs' weights; decides whether the task waits.
     double expectedLateJobs(const worker_view &view, const step_spec &step) const;
+    // The same for the choice between workers, with full weight for jobs that were served worse
+    // than the average.
     double latenessCost(const worker_view &view, const step_spec &step) const;
+    // Weight of one more late run of the job here: less than 1 if the job is late elsewhere too.
     double latenessWeight(const worker_view &view, const std::string &job) const;
+    // Load that the best-effort runs on the worker add to the serving run.
     double interferenceLoad(const worker_view &view, const serving_headroom &run) const;
     std::set<std::string> lateJobsOf(const worker_view &view) const;
     bool isLateElsewhere(const worker_view &view, const std::string &job) const;
@@ -166,7 +176,7 @@
     std::map<std::string, worker_view> m_workers;
     std::set<std::string> m_evacuatedZones;
     interference_estimator m_interferenceEstimator;
-    service_history m_serviceHistory; // how well each serving job was served recently
+    service_history m_serviceHistory; // how well callers of each serving job were served recently
 };
 
 // The part of a task's size that is reserved on a worker: best-effort tasks reserve no processors.
--- a/libs/placement/latency_signal.h
+++ b/libs/placement/latency_signal.h
@@ -2,8 +2,8 @@
 // time: a moving average with hysteresis. The scheduler keeps one signal per instance.
 //
 // A single slow sample does not raise the signal. A raised signal is lowered only when the average
-// has fallen well below the level that raised it. docs/design/PLACEMENT.md describes the
-// alternative that was compared.
+// has fallen well below the level that raised it. docs/design/PLACEMENT.md compares the moving
+// average with another kind of signal.
 #pragma once
 
 #include <array>
@@ -23,7 +23,8 @@
 public:
     static constexpr std::size_t MaxSamples = 16;
 
-    // Adds a sample. `excess`: log(p99 / target).
+    // Adds a sample. `excess`: log(p99 / target). `settings`: the scheduler's, the same for all
+    // signals.
     void add(double excess, const latency_signal_settings &settings);
     // Drops the samples but keeps the state: samples from before an action do not show its effect.
     void clearSamples() { m_count = 0; }
--- a/libs/placement/scheduler.h
+++ b/libs/placement/scheduler.h
@@ -14,7 +14,10 @@
 // Terms: a hold is capacity of a worker that is kept free for a task until the victims preempted
 // for that task have stopped, or until its withdrawal from another worker's backlog is confirmed. A
 // worker's backlog is the list of batch tasks assigned to the worker before it has free capacity. A
-// rank orders tasks by priority, see rankOf(). A slot is the index of a worker in worker_table.
+// rank orders tasks by priority, see rankOf(). A slot is the index of a worker in worker_table. A
+// pool is a named set of workers; each task runs only on workers of its pool. A raise is an
+// increase of a placed task's reservation. Relief is throttling or evicting batch tasks on the
+// worker of a service whose latency signal is raised.
 //
 // Order of calls for one task: taskPending; plan returns a place_action; placementSettled with the
 // result of the write; taskRunning; then taskEnded, taskFailed, or taskStopping followed by
@@ -61,8 +64,8 @@
     // Sets the portion of the team's limit that this scheduler may use when several schedulers
     // share it.
     void setLocalTeamLimit(const std::string &team, const resources &localLimit);
-    // What the team has reserved here and what its pending tasks need; for dividing its limit among
-    // several schedulers.
+    // What the team has reserved in this scheduler and what its pending tasks need; for dividing
+    // the team's limit among several schedulers.
     team_usage usageOf(const std::string &team);
 
     // For a known worker, returns it to service and updates its properties.
@@ -77,8 +80,8 @@
     void taskPending(const task_spec &task, time_point now);
     // Adds a placement that the table already holds, even if it does not fit. `reserved` is the
     // reservation, which may differ from the declared size. While the job's configuration is
-    // unknown, leave the pool empty, and call this again once it is known: until then the task is
-    // never evicted or throttled, and a service is not monitored.
+    // unknown, leave `task.pool` empty, and call this again once it is known: until then the task
+    // is never evicted or throttled, and a service is not monitored.
     void taskPlaced(const task_spec &task, const std::string &worker, const resources &reserved,
                     reservation_state state, time_point now);
     // Result of the write that stores a placement or a backlog assignment. After Unknown, call it
@@ -115,7 +118,8 @@
     // `perWorker` tasks per worker, and withdraws tasks for which other workers have free capacity
     // now.
     backlog_plan planBacklog(time_point now, std::size_t perWorker);
-    // A task that was added with taskPlaced is in the worker's backlog and does not run yet.
+    // Called after taskPlaced, for a task that the table lists in the worker's backlog: the task
+    // does not run yet, and its reservation is released.
     void taskInBacklog(const task_ref &task, const std::string &worker, time_point now);
     // True if the task is placed, its worker's reservations fit the worker's size, and the team is
     // within its quota.
@@ -131,7 +135,7 @@
     const reservation_ledger *ledgerOf(const std::string &worker) const; // null: unknown worker
     std::size_t pendingTaskCount() const { return m_pendingTaskCount; }
     const interference_model &interference() const { return m_interference; }
-    // The number that identifies the class in the interference model.
+    // The number by which the interference model identifies the job class, task_spec::jobClass.
     class_number classNumber(const std::string &jobClass);
 
 private:
@@ -156,6 +160,7 @@
         std::uint64_t sequence = 0; // of the job
         std::int32_t nextIndex = 0; // first task index to try in that job
     };
+    // After TaskBlocked, the job's next task is tried; after JobBlocked, the team's next job.
     enum class try_result { Placed, TaskBlocked, JobBlocked };
     struct found_task
     {
@@ -220,6 +225,7 @@
     void holdCapacity(planning_pass &pass, job_record &job, std::int32_t index,
                       const placement_request &request, const preemption_plan &plan);
     void preemptForQuota(planning_pass &pass, job_record &job);
+    // Expected change of the team's reservations by tasks with a hold and by stopping victims.
     resources pendingTeamChange(std::uint16_t team);
     bool isStopping(const task_ref &task);
     placement_request requestFor(const job_record &job, const task_record &record,
@@ -267,12 +273,14 @@
     eviction_budget m_evictionBudget;
     std::vector<task_ref> m_raisesToSend; // tasks whose worker has to be told a raised reservation
     std::uint64_t m_lastHoldNumber = 0;
-    std::set<task_ref> m_backlogTasks;    // tasks in backlogs
-    std::set<task_ref> m_tasksWithHold;   // tasks for which capacity is held
-    std::vector<task_ref> m_quotaVictims; // stopping for urgent tasks of their own team
-    std::set<int> m_deferredRaiseSlots;   // slots with a deferred raise
-    std::set<int> m_disturbedSlots;       // slots with a raised signal or throttled tasks
-    std::set<int> m_quarantinedSlots;     // slots of quarantined workers
+    std::set<task_ref> m_backlogTasks;  // tasks in backlogs
+    std::set<task_ref> m_tasksWithHold; // tasks for which capacity is held
+    // Stopping tasks that were preempted for urgent tasks of their own team, which was at its
+    // quota.
+    std::vector<task_ref> m_quotaVictims;
+    std::set<int> m_deferredRaiseSlots; // slots of workers without capacity for a raise
+    std::set<int> m_disturbedSlots;     // slots with a raised latency signal or throttled tasks
+    std::set<int> m_quarantinedSlots;   // slots of quarantined workers
 };
 
 } // namespace zinniabarrow::placement
--- a/libs/placement/task_table.h
+++ b/libs/placement/task_table.h
@@ -29,11 +29,12 @@
 {
     int workerSlot = NoWorker; // slot of the worker where it is placed; NoWorker: not placed
     bool cancelled = false;    // never placed again
-    bool stopsSoon = false;    // no long checkpoint: cancelled, or preempted for an urgent task
-    class_number jobClass = 0; // when it was placed; the job may change later
-    std::uint16_t team = 0;    // team whose quota is charged
-    resources chargedQuota;    // amount charged to the team's quota
-    resources sentReservation; // reservation last sent to the worker
+    // It is being stopped without a long checkpoint: cancelled, or preempted for an urgent task.
+    bool stopsSoon = false;
+    class_number jobClass = 0;        // when it was placed; the job may change later
+    std::uint16_t team = 0;           // team whose quota is charged
+    resources chargedQuota;           // amount charged to the team's quota
+    resources sentReservation;        // reservation last sent to the worker
     std::int64_t limitMillicores = 0; // processor limit; below sentReservation while throttled
     std::int64_t peakBytes = 0;       // largest memory use measured on this worker
     time_point pendingSince;
@@ -43,22 +44,23 @@
     resources holdAmount;         // capacity held there
     time_point holdUntil;         // afterwards the hold expires and another worker is tried
     std::uint64_t holdNumber = 0; // increases with each hold; older holds are served first
-    int avoidedSlot = NoWorker;   // where it was evicted or failed, or preemption was too slow
+    int avoidedSlot = NoWorker;   // where it failed or was evicted, or its hold was abandoned
     time_point avoidUntil;
     int backlogSlot = NoWorker;   // in whose backlog it is; then neither pending nor placed
     bool isBacklogStored = false; // the table holds this backlog assignment
     time_point withdrawableFrom;  // from then on it may move to another worker
 };
 
-// Why the tasks of a job are still pending.
+// Why the tasks of a job are still pending; shown to operators by scheduler::explain(), and used by
+// planBacklog() to choose jobs.
 enum class wait_reason {
-    NotTried,
-    NoWorkers,
-    NoCapacity,
+    NotTried,   // no attempt to place a task of the job has failed yet
+    NoWorkers,  // its pool has no workers
+    NoCapacity, // no worker has enough free capacity
     TeamAtQuota,
-    JobQuarantined,
-    Preempting,
-    WouldSlowService,
+    JobQuarantined,   // its tasks failed too often, see quarantine.h
+    Preempting,       // until the tasks preempted for it have stopped
+    WouldSlowService, // a batch task that fits only where it would slow a service too much
 };
 
 struct job_record
@@ -73,9 +75,10 @@
     std::set<std::int32_t> pending;                      // indexes of pending tasks
     job_usage usage;                                     // of the job's own tasks
     wait_reason waitReason = wait_reason::NotTried;      // why its tasks are pending
-    std::uint64_t blockedRevision = 0; // capacityRevision at which it did not fit; 0: not blocked
+    // pool_state::capacityRevision at which the job did not fit; 0: not blocked.
+    std::uint64_t blockedRevision = 0;
     time_point retryAt;                // retried at this time even without new capacity
-    bool isQuarantineReported = false; // for the current quarantine
+    bool isQuarantineReported = false; // plan() has returned the refuse_action of this quarantine
 };
 
 // Order of placement: by priority, and services before batch within a priority. Lower ranks first.
--- a/libs/work/ownership.h
+++ b/libs/work/ownership.h
@@ -30,7 +30,8 @@
     std::string zone;
 };
 
-// Keys of the shard's row and of its lease row. Both are stored, so they must never change.
+// Keys of the shard's row and of its lease row. Rows are stored under them, so the form of the keys
+// must never change.
 std::string shardKey(int shard);
 std::string shardLeaseKey(int shard);
 constexpr const char *ShardPrefix = "shard/";
@@ -60,9 +61,10 @@
 {
     std::vector<entry_info> entries; // all live entries, including this one
 };
-// ownership_tick and release_shards carry the unresponsive workers of each owned shard, by shard
-// number. Read them right before the event: if a worker reports in between, the handed-over row
-// would state an end of its lease that is too early.
+// ownership_tick and release_shards carry, by shard number, the unresponsive workers of each owned
+// shard and until when each may hold a lease (leases.h). At a handover these times are written to
+// the shard's row. Read them right before the event: a worker that reports in between gets a new
+// lease, which would end later than the row says.
 struct ownership_tick // time has passed
 {
     std::map<int, unresponsive_workers> unresponsive;
@@ -86,9 +88,10 @@
     int shard = 0;
     std::uint64_t epoch = 0;
     std::uint64_t shardVersion = 0; // of `shard/<n>`: each write of the owner is conditional on it
-    // Until when a worker that has not yet attached may hold a lease of an earlier owner.
+    // Until when a worker may hold a lease of an earlier owner, unless it has recorded this epoch.
     time_point earlierLeasesEndAt;
-    // Exceptions to it from the previous owner: each may hold a lease until its own time.
+    // Workers that were unresponsive at the handover: for each, the time here applies instead of
+    // earlierLeasesEndAt.
     unresponsive_workers unresponsive;
 };
 struct lost_shard // the shard is handed over, or another entry owns it: stop deciding for it
@@ -100,8 +103,9 @@
 struct ownership_settings
 {
     lease_settings leases;
-    milliseconds scanInterval{1'000};    // between two scans of the shard rows
-    milliseconds takeoverStagger{1'000}; // extra wait before a takeover, per preference rank
+    milliseconds scanInterval{1'000}; // between two scans of the shard rows
+    // Extra wait before a takeover, times this entry's position (from 0) in ownersByPreference().
+    milliseconds takeoverStagger{1'000};
     // An owner hands its shard over when another live entry has been preferred for this long.
     milliseconds handOverDelay{60'000};
 };
@@ -129,14 +133,15 @@
     {
         enum class purpose { Acquire, Renew, Release } kind = purpose::Acquire;
         table_transaction transaction;
-        std::uint64_t rowVersion = 0;      // condition: version of the shard's row
-        std::uint64_t leaseVersion = 0;    // condition: version of its lease row
-        time_point sentAt;                 // before its first sending
-        time_point retryAt = Never;        // when it is sent again
-        time_point earlierLeasesEndAt;     // for Acquire
-        unresponsive_workers unresponsive; // for Acquire
-        std::uint64_t epoch = 0;           // for Acquire
-        bool isInDoubt = false;            // may have taken effect, or may still do so
+        std::uint64_t rowVersion = 0;   // condition: version of the shard's row
+        std::uint64_t leaseVersion = 0; // condition: version of its lease row
+        time_point sentAt;              // before its first sending
+        time_point retryAt = Never;     // when it is sent again
+        // For Acquire: the values of became_owner.
+        time_point earlierLeasesEndAt;
+        unresponsive_workers unresponsive;
+        std::uint64_t epoch = 0;
+        bool isInDoubt = false; // may have taken effect, or may still do so
     };
 
     struct shard_state
@@ -150,7 +155,8 @@
         milliseconds remainingLeaseWait{0}; // what the last owner still had to wait at the handover
         std::map<std::string, milliseconds> unresponsive; // the same for single workers
         time_point versionsSeenAt;                        // when these versions were first seen
-        time_point unchangedSince; // unchanged since then, without a long gap between scans
+        // Since when all scans found these versions. Restarts after a long gap between two scans.
+        time_point unchangedSince;
         std::optional<time_point> lastReadAt;
         // While owned.
         bool isOwned = false;
--- a/libs/work/quota_parts.h
+++ b/libs/work/quota_parts.h
@@ -42,22 +42,24 @@
     resources largestWaiting; // size of the largest waiting task; 0: none waits
 };
 
-// Writes and reads of rows, which the owner of the quota_parts carries out.
+// Writes and reads of rows, which the code that calls quota_parts (owned_shard, in app/) carries
+// out.
 using quota_action = std::variant<commit_rows, read_rows>;
 
-// Keeps this shard's part of each team's quota, and decides when the part grows or shrinks. Used by
-// the owner of the shard. Performs no I/O. Not thread-safe.
+// Keeps this shard's part of each team's quota, and decides when the part grows or shrinks. The
+// entry that owns the shard has one, in its owned_shard. Performs no I/O. Not thread-safe.
 class quota_parts
 {
 public:
     // `shardVersion` is the version of the shard's row, a condition of each write.
-    // `operationPrefix` starts the id of each write and must be unique for each tenure of a shard,
-    // as quota_parts, unlike task_coordinator, doesn't append shard and epoch to it.
+    // `operationPrefix` starts the id of each write and must be unique for each tenure of a shard.
+    // Unlike task_coordinator, quota_parts appends neither shard nor epoch, so it must contain
+    // them.
     quota_parts(int shard, std::uint64_t shardVersion, std::string operationPrefix,
                 quota_settings settings);
 
-    // Takes the demand of every team that has a limit. Call before each planning run, in which the
-    // scheduler goes through the waiting tasks. With one shard it does nothing.
+    // Takes the demand of every team that has a limit. Call before each
+    // placement::scheduler::plan(). With one shard it does nothing.
     std::vector<quota_action> update(const std::map<std::string, team_demand> &demands,
                                      time_point now);
     // Answers to writes and reads that other classes requested are ignored.
@@ -73,19 +75,23 @@
     struct team_state
     {
         team_demand demand;
-        bool isLoaded = false;                // the row was read at least once
-        bool isStale = false;                 // must be read again before the next write
-        std::uint64_t version = 0;            // of the row; 0: there is no row
-        std::map<int, resources> parts;       // by shard
-        std::set<int> waitingShards;          // shards that need more than their part
-        std::string inFlightOperation;        // operation id of the write in flight; empty: none
-        resources inFlightPart;               // this shard's part in that write
-        time_point answerDeadline;            // the write in flight is in doubt from then on
-        std::optional<resources> inDoubtPart; // smallest part in writes that may still take effect
-        time_point nextWriteAt;               // earliest time of the next write
-        time_point keepUnusedUntil;           // an unused part is kept until then
-        time_point nextRaiseAt;  // earliest time of the next raise: others go first after a yield
-        time_point nextYieldAt;  // earliest time to yield: a raised part is used first
+        bool isLoaded = false;          // the row was read at least once
+        bool isStale = false;           // must be read again before the next write
+        std::uint64_t version = 0;      // of the row; 0: there is no row
+        std::map<int, resources> parts; // by shard
+        std::set<int> waitingShards;    // shards that need more than their part
+        std::string inFlightOperation;  // operation id of the write in flight; empty: none
+        resources inFlightPart;         // this shard's part in that write
+        time_point answerDeadline;      // the write in flight is in doubt from then on
+        // Set while writes are in doubt: the smallest part that any of them would give this shard.
+        std::optional<resources> inDoubtPart;
+        time_point nextWriteAt;     // earliest time of the next write
+        time_point keepUnusedUntil; // an unused part is kept until then
+        // Earliest time to raise the part: after this shard gave quota up, others may take it
+        // first.
+        time_point nextRaiseAt;
+        // Earliest time to give quota up: a part that was just raised may be used first.
+        time_point nextYieldAt;
         bool isYielding = false; // gives up quota to another shard as tasks end
     };
 
--- a/libs/work/task_store.cpp
+++ b/libs/work/task_store.cpp
@@ -73,9 +73,9 @@
 
 } // namespace
 
-std::string_view nameOf(store_counter reason)
+std::string_view nameOf(store_counter counter)
 {
-    return nameOf(CounterNames, reason);
+    return nameOf(CounterNames, counter);
 }
 
 task_store::task_store(int shard, std::uint64_t shardVersion, std::string operationPrefix,
--- a/libs/work/task_store.h
+++ b/libs/work/task_store.h
@@ -4,8 +4,10 @@
 // Rows, all under "work/<shard>/" and written only under the shard's epoch:
 //   job/<id>             specification, range of tasks, whether the job is cancelled
 //   task/<id>/<chunk>    records of 64 tasks; tasks without a record were never placed
-//   silent               workers declared silent: they get no grant until they are removed again
-//   followed             newest generation of the configuration that was applied here
+//   silent               workers declared silent, see task_coordinator.h; they get no grant while
+//                        this row lists them
+//   followed             newest generation of the configuration that was applied here, the
+//                        "applied generation"
 // Changes are collected for a short window and sent as one transaction. Only one transaction is in
 // flight at a time.
 #pragma once
@@ -31,8 +33,8 @@
     milliseconds commitWindow{100};       // how long changes are collected before they are sent
     milliseconds lazyCommitWindow{1'000}; // the same for changes that nobody waits for
     std::size_t maxRowsPerCommit = 50;
-    // Task indexes per row. Set to 64 times the jobs' stride, so that a row holds 64 of the shard's
-    // tasks.
+    // Task indexes per row. Set to 64 times the number of shards, which is job_spec::indexStride,
+    // so that a row holds 64 of the shard's tasks.
     std::uint32_t tasksPerChunk = 64;
     milliseconds initialRetryDelay{100}; // after a refused or unanswered write; doubles each time
     milliseconds maxRetryDelay{5'000};
@@ -56,14 +58,14 @@
 {
     int shard = 0;
 };
-// Counters for metrics.
+// Increment this counter of the metrics.
 enum class store_counter {
     CommitRefused,  // the platform refused the transaction: nothing changed
     CommitUnknown,  // outcome unknown: the rows are read back to find out
     CommitConflict, // a row had changed: it is read again, the other rows are sent without it
     CommitResent,   // the same transaction was sent again
 };
-std::string_view nameOf(store_counter reason);
+std::string_view nameOf(store_counter counter); // as in the metrics
 using store_action = std::variant<commit_rows, read_rows, scan_rows, fenced, store_counter>;
 
 // Events of the platform.
@@ -78,8 +80,9 @@
     std::vector<table_row> rows;   // those of them that exist
 };
 
-// A change of a task's committed record; or, if `isReverted`, a staged change that was dropped,
-// with `after` as the record that holds instead.
+// A change of a task's committed record from `before` to `after`. If `isReverted`, a staged change
+// was dropped: `before` is the dropped record, `after` the committed one. Taken by
+// task_coordinator.
 struct record_change
 {
     task_id task;
@@ -114,7 +117,8 @@
 {
 public:
     // `shardVersion` is the version of the shard's row; every write is conditional on it.
-    // `operationPrefix` must be unique for each tenure of a shard.
+    // `operationPrefix` starts the id of each write and must be unique for each tenure of a shard
+    // (shard_tenure).
     task_store(int shard, std::uint64_t shardVersion, std::string operationPrefix,
                store_settings settings);
 
@@ -127,7 +131,8 @@
     task_record newestRecord(const task_id &task) const; // staged, else in flight, else committed
     task_record committedRecord(const task_id &task) const; // as the table holds it
     bool hasUncommittedChange(const task_id &task) const;   // if so, these records may differ
-    bool isInJobRange(const task_id &task) const;           // a task that this shard has or had
+    // The index is that of a task that the job has in this shard, or had before it shrank.
+    bool isInJobRange(const task_id &task) const;
     bool hasUncommittedJobChange(const std::string &id) const;
     // `isLazy`: nobody waits for this change; it is collected for lazyCommitWindow.
     void stageRecord(const task_id &task, const task_record &record, time_point now,
@@ -144,7 +149,8 @@
     bool isCommittedSilent(const std::string &worker) const; // as the table holds it
     void stageSilent(const std::string &worker, bool isSilent, time_point now);
 
-    std::uint64_t appliedGeneration() const; // newest version; 0: none
+    // Newest generation of the configuration that was applied here, committed or not; 0: none.
+    std::uint64_t appliedGeneration() const;
     void stageAppliedGeneration(std::uint64_t generation, time_point now);
 
     void handle(const write_answered &event, time_point now);
@@ -250,7 +256,7 @@
     std::map<row_id, time_point> m_dirtyRows; // staged rows, with the time at which each is due
     std::set<std::pair<time_point, row_id>> m_rowsByDueTime;
     std::optional<transaction_state> m_transaction;
-    int m_consecutiveFailures = 0; // transactions without success since the last success
+    int m_consecutiveFailures = 0; // writes refused or without a known outcome since a success
     time_point m_failingSince = Never;
     time_point m_retryAt; // earliest time of the next transaction
     std::vector<store_action> m_actions;
