--- a/app/forwarding.cpp
+++ b/app/forwarding.cpp
@@ -69,20 +69,20 @@
     case call_failure::IncompleteAnswer:
         break;
     }
-    return delivery::attempt_cut{};
+    return delivery::attempt_disconnected{};
 }
 
-request::attempt_outcome routingOutcome(const delivery::attempt_outcome &outcome)
+request::routing_outcome routingOutcome(const delivery::attempt_outcome &outcome)
 {
     if (std::holds_alternative<delivery::complete_answer>(outcome))
-        return request::attempt_outcome::Answered;
+        return request::routing_outcome::Answered;
     const auto *refused = std::get_if<delivery::attempt_refused>(&outcome);
     if (refused == nullptr || refused->executionState != executed::No
         || refused->kind == error_kind::UpstreamUnreachable)
-        return request::attempt_outcome::Failed;
+        return request::routing_outcome::Failed;
     if (refused->kind == error_kind::Draining || refused->kind == error_kind::Starting)
-        return request::attempt_outcome::Leaving;
-    return request::attempt_outcome::Refused;
+        return request::routing_outcome::Leaving;
+    return request::routing_outcome::Refused;
 }
 
 http_request requestForAgent(const http_request &from, const std::string &id, std::uint32_t attempt,
@@ -133,7 +133,7 @@
     started.outcome = delivery::outcomeOf(*end);
     // OutcomeUnknown: the caller has stopped reading, which says nothing about the upstream.
     if (*end != error_kind::OutcomeUnknown)
-        started.routingResult.outcome = request::attempt_outcome::Failed;
+        started.routingResult.outcome = request::routing_outcome::Failed;
     return started;
 }
 
--- a/app/forwarding.h
+++ b/app/forwarding.h
@@ -23,7 +23,7 @@
 struct forwarded_attempt
 {
     delivery::attempt_outcome outcome; // of a streamed answer: provided that the rest arrives
-    request::attempt_ended routingResult;
+    request::routing_result routingResult;
     http_response answer; // for the caller, only if `outcome` is a complete_answer
 };
 
--- a/app/request_actor.h
+++ b/app/request_actor.h
@@ -125,8 +125,8 @@
     };
     struct attempt_result
     {
-        delivery::attempt_ended event;  // for the request flow
-        request::attempt_ended routing; // for the router
+        delivery::attempt_ended event;   // for the request flow
+        request::routing_result routing; // for the router
     };
     struct announce_received
     {
--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -67,7 +67,7 @@
     for (const auto &policy : policies()) {
         routing_scenario scenario;
         scenario.policy = policy;
-        scenario.doAnswersCarryLoad = false;
+        scenario.answersCarryLoad = false;
         printRow(std::string(nameOf(policy)), scenario);
     }
 }
@@ -82,7 +82,7 @@
             scenario.policy = policy;
             scenario.load = load;
             scenario.entriesByZone = 5;
-            scenario.doAnswersCarryLoad = false;
+            scenario.answersCarryLoad = false;
             printRow(std::string(nameOf(policy)), scenario);
         }
     }
@@ -186,7 +186,7 @@
     for (auto _ : state) {
         const auto target = std::get<route>(routes.choose("tickets", {}, now));
         routes.attemptStarted(target, now);
-        routes.attemptEnded({target, attempt_outcome::Answered, milliseconds(20), {}, {}}, now);
+        routes.attemptEnded({target, routing_outcome::Answered, milliseconds(20), {}, {}}, now);
     }
 }
 BENCHMARK(attemptOf)->Arg(11)->Arg(79)->Arg(790);
--- a/bench/routing_scenario.cpp
+++ b/bench/routing_scenario.cpp
@@ -186,8 +186,8 @@
     void publishLoad(upstream_node &node)
     {
         for (auto &entry : m_entries) {
-            entry->requestRouter.apply(upstream_reported{node.announced.agentId, 1, node.load()},
-                                       m_clock.now());
+            entry->requestRouter.apply(
+                    upstream_load_reported{node.announced.agentId, 1, node.load()}, m_clock.now());
         }
         m_clock.schedule(m_scenario.reportPeriod, [this, &node] { publishLoad(node); });
     }
@@ -251,8 +251,8 @@
     {
         if (m_scenario.areAllUnreachable || node.isUnreachable) {
             m_clock.schedule(delay, [=, this] {
-                attempt_ended ended{
-                        target, attempt_outcome::Failed, m_clock.now() - sentAt, {}, {}};
+                routing_result ended{
+                        target, routing_outcome::Failed, m_clock.now() - sentAt, {}, {}};
                 pending->entry->requestRouter.attemptEnded(ended, m_clock.now());
                 retry(pending, error_kind::UpstreamUnreachable);
             });
@@ -286,13 +286,13 @@
     void recordLost(const std::shared_ptr<request> &pending, const route &target, time_point sentAt)
     {
         ++m_result.lost;
-        attempt_ended ended{target, attempt_outcome::Failed, m_clock.now() - sentAt, {}, {}};
+        routing_result ended{target, routing_outcome::Failed, m_clock.now() - sentAt, {}, {}};
         pending->entry->requestRouter.attemptEnded(ended, m_clock.now());
     }
 
     std::optional<upstream_load> loadForAnswer(const upstream_node &node) const
     {
-        if (!m_scenario.doAnswersCarryLoad)
+        if (!m_scenario.answersCarryLoad)
             return std::nullopt;
         return node.load();
     }
@@ -301,8 +301,8 @@
                     const route &target, duration delay, time_point sentAt)
     {
         m_clock.schedule(delay, [=, this, load = loadForAnswer(node)] {
-            attempt_ended ended{
-                    target, attempt_outcome::Answered, m_clock.now() - sentAt, load, {}};
+            routing_result ended{
+                    target, routing_outcome::Answered, m_clock.now() - sentAt, load, {}};
             pending->entry->requestRouter.attemptEnded(ended, m_clock.now());
             m_clock.schedule(m_scenario.callerDelay, [=, this] { recordAnswer(*pending); });
         });
@@ -313,8 +313,8 @@
                      const admission::refuse &refusal)
     {
         m_clock.schedule(delay, [=, this, load = loadForAnswer(node)] {
-            attempt_ended ended{target, attempt_outcome::Refused, m_clock.now() - sentAt, load,
-                                refusal.retryAfter};
+            routing_result ended{target, routing_outcome::Refused, m_clock.now() - sentAt, load,
+                                 refusal.retryAfter};
             pending->entry->requestRouter.attemptEnded(ended, m_clock.now());
             retry(pending, refusal.errorKind);
         });
--- a/bench/routing_scenario.h
+++ b/bench/routing_scenario.h
@@ -40,7 +40,7 @@
     microseconds zoneDelay{500};     // one way between zones
     microseconds localDelay{100};    // one way within a zone
     milliseconds reportPeriod{1000}; // between announcements of load
-    bool doAnswersCarryLoad = true;
+    bool answersCarryLoad = true;
     // Requests per slot above which an entry considers upstreams in other zones.
     double spillThreshold = router_settings{}.spillAboveLoad;
     // Requests that may wait in the queue of each upstream.
--- a/libs/delivery/flow_json.cpp
+++ b/libs/delivery/flow_json.cpp
@@ -85,7 +85,7 @@
     return value;
 }
 
-Json::Value outcomeJson(const attempt_cut &cut)
+Json::Value outcomeJson(const attempt_disconnected &cut)
 {
     Json::Value value(Json::objectValue);
     value["outcome"] = "cut";
@@ -120,7 +120,7 @@
     if (name == "unreachable")
         return attempt_unreachable{};
     if (name == "cut")
-        return attempt_cut{boolMember(value, "ended")};
+        return attempt_disconnected{boolMember(value, "ended")};
     if (name == "late")
         return attempt_timed_out{};
     if (name == "too_large")
--- a/libs/delivery/flow_messages.cpp
+++ b/libs/delivery/flow_messages.cpp
@@ -29,7 +29,7 @@
 {
     if (failure == error_kind::AnswerTooLarge)
         return attempt_too_large{};
-    return attempt_cut{};
+    return attempt_disconnected{};
 }
 
 std::string_view nameOf(flow_counter counter)
--- a/libs/delivery/flow_messages.h
+++ b/libs/delivery/flow_messages.h
@@ -72,7 +72,7 @@
 { };
 
 // The connection broke after at least a part of the request had been sent.
-struct attempt_cut
+struct attempt_disconnected
 {
     bool hasEnded = false; // the agent confirmed that the attempt is no longer running
 };
@@ -86,7 +86,7 @@
 { };
 
 using attempt_outcome = std::variant<complete_answer, attempt_refused, attempt_unreachable,
-                                     attempt_cut, attempt_timed_out, attempt_too_large>;
+                                     attempt_disconnected, attempt_timed_out, attempt_too_large>;
 
 // Outcome of an attempt whose answer was not complete.
 attempt_outcome outcomeOf(error_kind failure);
--- a/libs/delivery/request_flow.cpp
+++ b/libs/delivery/request_flow.cpp
@@ -287,7 +287,7 @@
                                            milliseconds(0)});
 }
 
-void request_flow::handleOutcome(active_request &request, const attempt_cut &cut)
+void request_flow::handleOutcome(active_request &request, const attempt_disconnected &cut)
 {
     handleOutcome(request, attempt_refused{error_kind::AnswerIncomplete, executed::Unknown,
                                            cut.hasEnded, milliseconds(0)});
--- a/libs/delivery/request_flow.h
+++ b/libs/delivery/request_flow.h
@@ -98,7 +98,7 @@
     void handleOutcome(active_request &request, const complete_answer &answer);
     void handleOutcome(active_request &request, const attempt_refused &refusal);
     void handleOutcome(active_request &request, const attempt_unreachable &outcome);
-    void handleOutcome(active_request &request, const attempt_cut &cut);
+    void handleOutcome(active_request &request, const attempt_disconnected &cut);
     void handleOutcome(active_request &request, const attempt_timed_out &outcome);
     void handleOutcome(active_request &request, const attempt_too_large &outcome);
 
--- a/libs/request/membership.cpp
+++ b/libs/request/membership.cpp
@@ -55,7 +55,7 @@
     updateRoutability(*memberRecord, outcome.changes, now);
     if (memberRecord->isRoutable) {
         outcome.changes.emplace_back(
-                upstream_reported{message.agentId, message.incarnation, message.load});
+                upstream_load_reported{message.agentId, message.incarnation, message.load});
     }
     outcome.reply = {message.sequence, std::nullopt, message.incarnation, false,
                      memberRecord->period};
@@ -127,7 +127,7 @@
             out.emplace_back(upstream_left{memberRecord.lastMessage.agentId,
                                            memberRecord.lastMessage.incarnation,
                                            leave_reason::Replaced});
-            ++m_counters.left[leave_reason::Replaced];
+            ++m_counters.departures[leave_reason::Replaced];
         }
         m_directMemberCount -= memberRecord.hasDirectHeartbeats ? 1 : 0;
         memberRecord = member{};
@@ -296,7 +296,7 @@
     const auto reason = leaving     ? leave_reason::Left
                         : isServing ? leave_reason::Silent
                                     : leave_reason::NotReady;
-    ++m_counters.left[reason];
+    ++m_counters.departures[reason];
     out.emplace_back(upstream_left{memberRecord.lastMessage.agentId,
                                    memberRecord.lastMessage.incarnation, reason});
 }
--- a/libs/request/membership.h
+++ b/libs/request/membership.h
@@ -1,7 +1,8 @@
 // Membership: the set of upstreams that an entry may route requests to.
 //
 //   membership_settings   identity of this entry, periods, limits
-//   membership_change     upstream_joined, upstream_left, upstream_reported: input of the router
+//   membership_change     upstream_joined, upstream_left or upstream_load_reported: input of the
+//                         router
 //   membership            takes announcements, heartbeats and digests; returns changes and digests
 //   announceTargets       the entries that an agent announces its upstream to
 //
@@ -73,14 +74,14 @@
 };
 
 // New load figures of a routable upstream.
-struct upstream_reported
+struct upstream_load_reported
 {
     std::string agentId;
     std::uint64_t incarnation = 0; // of the agent
     upstream_load load;
 };
 
-using membership_change = std::variant<upstream_joined, upstream_left, upstream_reported>;
+using membership_change = std::variant<upstream_joined, upstream_left, upstream_load_reported>;
 
 struct announce_outcome
 {
@@ -102,7 +103,7 @@
     std::uint64_t overLimit = 0;     // refused because of maxMembers or maxPeers
     std::uint64_t staleDigests = 0;
     std::uint64_t resyncs = 0; // peers that had to be sent all records again
-    std::map<leave_reason, std::uint64_t> left;
+    std::map<leave_reason, std::uint64_t> departures;
 };
 
 // Keeps the upstreams that this entry knows, and decides which are routable. The entry calls it
--- a/libs/request/router.cpp
+++ b/libs/request/router.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr name_table<attempt_outcome, 4> OutcomeNames{{
-        {attempt_outcome::Answered, "answered"},
-        {attempt_outcome::Refused, "refused"},
-        {attempt_outcome::Leaving, "leaving"},
-        {attempt_outcome::Failed, "failed"},
+constexpr name_table<routing_outcome, 4> OutcomeNames{{
+        {routing_outcome::Answered, "answered"},
+        {routing_outcome::Refused, "refused"},
+        {routing_outcome::Leaving, "leaving"},
+        {routing_outcome::Failed, "failed"},
 }};
 
 constexpr std::array<std::string_view, 3> PolicyNames{"two_choices", "round_robin",
@@ -31,7 +31,7 @@
     return PolicyNames.at(policy.index());
 }
 
-std::string_view nameOf(attempt_outcome outcome)
+std::string_view nameOf(routing_outcome outcome)
 {
     return nameOf(OutcomeNames, outcome);
 }
@@ -72,7 +72,7 @@
     m_upstreams.erase(found);
 }
 
-void router::on(const upstream_reported &change, time_point now)
+void router::on(const upstream_load_reported &change, time_point now)
 {
     if (upstream *match = find(change.agentId, change.incarnation)) {
         match->isLeaving = false;
@@ -233,9 +233,9 @@
         ++match->ownAttempts;
 }
 
-void router::attemptEnded(const attempt_ended &attempt, time_point now)
+void router::attemptEnded(const routing_result &attempt, time_point now)
 {
-    ++m_counters.ended[attempt.outcome];
+    ++m_counters.endedAttempts[attempt.outcome];
     upstream *match = find(attempt.upstream.agentId, attempt.upstream.incarnation);
     if (!match)
         return;
@@ -243,20 +243,20 @@
     if (attempt.load)
         recordLoad(*match, *attempt.load, now);
     switch (attempt.outcome) {
-    case attempt_outcome::Answered: {
+    case routing_outcome::Answered: {
         auto &latency = m_averageLatency[match->announced.service];
         latency += (attempt.latency - latency) / (latency.count() == 0 ? 1 : LatencySmoothing);
         recordSuccess(*match, now);
         break;
     }
-    case attempt_outcome::Refused:
+    case routing_outcome::Refused:
         recordSuccess(*match, now);
         match->backOffUntil = now + std::min(attempt.retryAfter, m_settings.maxBackoff);
         break;
-    case attempt_outcome::Leaving:
+    case routing_outcome::Leaving:
         match->isLeaving = true;
         break;
-    case attempt_outcome::Failed:
+    case routing_outcome::Failed:
         recordFailure(*match, now);
         break;
     }
--- a/libs/request/router.h
+++ b/libs/request/router.h
@@ -37,7 +37,7 @@
     double maxEjectedShare = 0.3;
     milliseconds initialCoolDown{2000};  // first ejection; doubled by each further one
     milliseconds maxCoolDown{60 * 1000}; // upper bound of the doubled cool-down
-    // Longest pause after an upstream refused a request because of its load: attempt_ended's
+    // Longest pause after an upstream refused a request because of its load: routing_result's
     // retryAfter, which is meant for callers, is reduced to this.
     milliseconds maxBackoff{20};
 };
@@ -67,19 +67,19 @@
 
 // How an attempt ended, as far as it concerns routing. The entry derives it from
 // delivery::attempt_outcome.
-enum class attempt_outcome {
+enum class routing_outcome {
     Answered, // complete answer, whatever its HTTP status
     Refused,  // refused because of load or deadline, not executed
     Leaving,  // refused with Draining or Starting, not executed: gets no requests for now
     Failed,   // unreachable, connection lost, or timed out
 };
-std::string_view nameOf(attempt_outcome outcome);
+std::string_view nameOf(routing_outcome outcome);
 
 // What the router learns from an ended attempt; not the event delivery::attempt_ended.
-struct attempt_ended
+struct routing_result
 {
     route upstream;
-    attempt_outcome outcome = attempt_outcome::Answered;
+    routing_outcome outcome = routing_outcome::Answered;
     duration latency{};                // of the whole attempt
     std::optional<upstream_load> load; // as reported with the answer
     milliseconds retryAfter{};         // only with Refused; limited by maxBackoff
@@ -91,10 +91,10 @@
     std::uint64_t ownRegion = 0;   // sent to another zone of the entry's region
     std::uint64_t otherRegion = 0; // sent to another region
     std::uint64_t ejected = 0;
-    std::uint64_t ejectionsCapped = 0;              // not ejected because of maxEjectedShare
-    std::uint64_t readmitted = 0;                   // ejected upstreams that were admitted again
-    std::map<error_kind, std::uint64_t> refused;    // requests without a route, by error kind
-    std::map<attempt_outcome, std::uint64_t> ended; // attempts, by outcome
+    std::uint64_t ejectionsCapped = 0;           // not ejected because of maxEjectedShare
+    std::uint64_t readmitted = 0;                // ejected upstreams that were admitted again
+    std::map<error_kind, std::uint64_t> refused; // requests without a route, by error kind
+    std::map<routing_outcome, std::uint64_t> endedAttempts; // by outcome
 };
 
 // Keeps the load and health of each routable upstream, and chooses one for each attempt. Called by
@@ -114,7 +114,7 @@
 
     // Each started attempt must be ended exactly once, even if its upstream has left meanwhile.
     void attemptStarted(const route &upstream, time_point now);
-    void attemptEnded(const attempt_ended &attempt, time_point now);
+    void attemptEnded(const routing_result &attempt, time_point now);
 
     // Moving average over the answered attempts of a service; zero if there were none.
     duration expectedLatency(const std::string &service) const;
@@ -148,7 +148,7 @@
 
     void on(const upstream_joined &change, time_point now);
     void on(const upstream_left &change, time_point now);
-    void on(const upstream_reported &change, time_point now);
+    void on(const upstream_load_reported &change, time_point now);
 
     locality localityOf(const announcement &announcedUpstream) const;
     upstream *find(const std::string &agentId, std::uint64_t incarnation);
--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -154,6 +154,6 @@
     });
     section("failures become the outcome of their attempt", [] {
         check(std::holds_alternative<attempt_too_large>(outcomeOf(error_kind::AnswerTooLarge)));
-        check(std::holds_alternative<attempt_cut>(outcomeOf(error_kind::OutcomeUnknown)));
+        check(std::holds_alternative<attempt_disconnected>(outcomeOf(error_kind::OutcomeUnknown)));
     });
 }
--- a/tests/delivery_simulation.h
+++ b/tests/delivery_simulation.h
@@ -219,7 +219,8 @@
             const auto ended = [=, this](const attempt_outcome &outcome) {
                 const bool isLost = activeFault == fault::AnswerLost || incarnation != m_incarnation
                                     || disconnectingAgents.contains(action.agentId);
-                const attempt_outcome seen = isLost ? attempt_outcome(attempt_cut{}) : outcome;
+                const attempt_outcome seen =
+                        isLost ? attempt_outcome(attempt_disconnected{}) : outcome;
                 schedule(entry, milliseconds(1), [=, this](fault) {
                     handleEvent(entry, attempt_ended{action.id, action.attempt, seen});
                 });
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -185,7 +185,7 @@
     section("b forwards the change to c", [&] {
         check(exchangeDigest(b, "b", c, "c", later));
         check(c.routableUpstreams().empty());
-        check(c.counters().left.at(leave_reason::Left) == 1);
+        check(c.counters().departures.at(leave_reason::Left) == 1);
     });
     section("digests without changes have no records", [&] {
         exchangeDigest(b, "b", c, "c", later + seconds(2));
--- a/tests/request_flow_test.cpp
+++ b/tests/request_flow_test.cpp
@@ -82,9 +82,9 @@
         check(find<choose_upstream>(actions)->excluded == std::vector<std::string>{"a1"});
     });
     section("a request that may have run is retried only if it is idempotent and has ended", [] {
-        check(!retries("POST", attempt_cut{true}));
-        check(!retries("GET", attempt_cut{false}));
-        check(retries("GET", attempt_cut{true}));
+        check(!retries("POST", attempt_disconnected{true}));
+        check(!retries("GET", attempt_disconnected{false}));
+        check(retries("GET", attempt_disconnected{true}));
         check(!retries("POST", refusalOf(error_kind::OutcomeUnknown, executed::Unknown)));
         check(!retries("PUT", attempt_timed_out{}));
         check(!retries("PUT", attempt_too_large{}));
@@ -117,7 +117,7 @@
 Test(request_flow, refusal_after_a_try_that_may_have_run)
 {
     forwarded_request request("PUT");
-    check(find<choose_upstream>(request.end(attempt_cut{true})));
+    check(find<choose_upstream>(request.end(attempt_disconnected{true})));
     request.flow.handle(upstream_chosen{"r", "a2"}, Start);
     check(find<choose_upstream>(request.end(refusalOf(error_kind::QueueFull, executed::No), 2)));
     const auto actions = request.flow.handle(no_upstream_available{"r"}, Start);
@@ -134,10 +134,10 @@
         check(request.flow.inFlight() == 0);
     });
     section("an unknown outcome is reported at once", [] {
-        check(isRefusedAs(forwarded_request("POST").end(attempt_cut{}), error_kind::OutcomeUnknown,
-                          executed::Unknown));
-        check(isRefusedAs(forwarded_request("GET").end(attempt_cut{}), error_kind::AnswerIncomplete,
-                          executed::Unknown));
+        check(isRefusedAs(forwarded_request("POST").end(attempt_disconnected{}),
+                          error_kind::OutcomeUnknown, executed::Unknown));
+        check(isRefusedAs(forwarded_request("GET").end(attempt_disconnected{}),
+                          error_kind::AnswerIncomplete, executed::Unknown));
     });
     section("the answer of an earlier attempt is ignored", [] {
         forwarded_request request("POST");
@@ -227,7 +227,7 @@
     });
     section("no outcome causes another attempt or answer", [&] {
         for (const attempt_outcome &outcome :
-             {attempt_outcome(attempt_cut{true}), attempt_outcome(attempt_unreachable{}),
+             {attempt_outcome(attempt_disconnected{true}), attempt_outcome(attempt_unreachable{}),
               attempt_outcome(refusalOf(error_kind::QueueFull, executed::No)),
               attempt_outcome(complete_answer{})}) {
             forwarded_request request("GET");
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -65,7 +65,7 @@
             subject.attemptStarted({id, "", 1}, now);
     }
 
-    void end(const std::string &id, attempt_outcome outcome, milliseconds retryAfter = {})
+    void end(const std::string &id, routing_outcome outcome, milliseconds retryAfter = {})
     {
         subject.attemptEnded({{id, "", 1}, outcome, milliseconds(20), {}, retryAfter}, now);
     }
@@ -74,7 +74,7 @@
     {
         for (int i = 0; i < count; ++i) {
             start(id);
-            end(id, attempt_outcome::Failed);
+            end(id, routing_outcome::Failed);
         }
     }
 
@@ -105,7 +105,7 @@
     section("overloaded: all refused because of their load, for at most 20 ms", [&] {
         for (const auto *id : {"u0", "u1"}) {
             fixture.start(id);
-            fixture.end(id, attempt_outcome::Refused, milliseconds(5000));
+            fixture.end(id, routing_outcome::Refused, milliseconds(5000));
         }
         check(fixture.chosen() == "overloaded");
         fixture.now += milliseconds(20);
@@ -113,9 +113,9 @@
     });
     section("a draining upstream gets no requests until it announces again", [&] {
         fixture.start("u0");
-        fixture.end("u0", attempt_outcome::Leaving);
+        fixture.end("u0", routing_outcome::Leaving);
         check(fixture.shares()["u1"] == 1000);
-        fixture.subject.apply(upstream_reported{"u0", 1, {}}, fixture.now);
+        fixture.subject.apply(upstream_load_reported{"u0", 1, {}}, fixture.now);
         check(fixture.shares()["u0"] > 300);
     });
 }
@@ -184,7 +184,7 @@
     section("a success resets the count of failures", [&] {
         fixture.fail("u1", 4);
         fixture.start("u1");
-        fixture.end("u1", attempt_outcome::Answered);
+        fixture.end("u1", routing_outcome::Answered);
         fixture.fail("u1", 4);
         check(fixture.shares()["u1"] > 0);
     });
@@ -197,7 +197,7 @@
         check(fixture.shares()["u0"] == 0);
     });
     section("a failed probe doubles the cool-down", [&] {
-        fixture.end("u0", attempt_outcome::Failed);
+        fixture.end("u0", routing_outcome::Failed);
         fixture.now += milliseconds(3999);
         check(fixture.shares()["u0"] == 0);
         fixture.now += milliseconds(1);
@@ -205,7 +205,7 @@
     });
     section("a successful probe readmits it with a slow start", [&] {
         fixture.start("u0");
-        fixture.end("u0", attempt_outcome::Answered);
+        fixture.end("u0", routing_outcome::Answered);
         check(fixture.subject.counters().readmitted == 1);
         check(fixture.shares()["u0"] < 40);
         fixture.now += seconds(10);
@@ -249,7 +249,7 @@
     });
     section("its failures do not count for the new incarnation", [&] {
         for (int i = 0; i < 8; ++i)
-            fixture.end("u0", attempt_outcome::Failed);
+            fixture.end("u0", routing_outcome::Failed);
         check(fixture.subject.ejectedCount("tickets") == 0);
     });
     section("a late leave of the old incarnation has no effect", [&] {
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -81,7 +81,7 @@
 {
     routing_scenario scenario;
     scenario.entriesByZone = 5;
-    scenario.doAnswersCarryLoad = false;
+    scenario.answersCarryLoad = false;
     scenario.runTime = seconds(10);
     const auto result = run(scenario);
     check(result.goodput() > 0.998);
