--- a/bench/delivery_bench.cpp
+++ b/bench/delivery_bench.cpp
@@ -75,7 +75,7 @@
 };
 
 // Records of finished attempts that an agent keeps.
-void remembered(benchmark::State &state)
+void guardRecords(benchmark::State &state)
 {
     const auto count = static_cast<int>(state.range(0));
     for (auto _ : state) {
@@ -92,8 +92,8 @@
     state.SetItemsProcessed(state.iterations() * count);
 }
 
-// Requests that wait for their upstream's choice, without a key.
-void inFlight(benchmark::State &state)
+// Requests without an idempotency key that wait for the choice of an upstream.
+void requestsInFlight(benchmark::State &state)
 {
     const auto count = static_cast<int>(state.range(0));
     for (auto _ : state) {
@@ -108,9 +108,9 @@
     state.SetItemsProcessed(state.iterations() * count);
 }
 
-// Requests with an idempotency key, from arrival to the record of their end; each answer of 1 KiB
-// is kept.
-void keyedAndKept(benchmark::State &state)
+// Requests with an idempotency key, from arrival until their outcome is stored; each answer of 1
+// KiB is cached.
+void keyedRequests(benchmark::State &state)
 {
     const auto count = static_cast<int>(state.range(0));
     for (auto _ : state) {
@@ -127,9 +127,9 @@
     state.SetItemsProcessed(state.iterations() * count);
 }
 
-BENCHMARK(remembered)->Arg(20'000)->Arg(200'000);
-BENCHMARK(inFlight)->Arg(1000)->Arg(4000);
-BENCHMARK(keyedAndKept)->Arg(1000)->Arg(8000);
+BENCHMARK(guardRecords)->Arg(20'000)->Arg(200'000);
+BENCHMARK(requestsInFlight)->Arg(1000)->Arg(4000);
+BENCHMARK(keyedRequests)->Arg(1000)->Arg(8000);
 
 } // namespace
 
--- a/bench/load_signal_bench.cpp
+++ b/bench/load_signal_bench.cpp
@@ -1,11 +1,11 @@
-// Compares two signals that trigger the relief of services: a plain moving average, and the
+// Compares two signals that a service is disturbed: a plain moving average, and the
 // recency-weighted count over time slices with thresholds for rising and falling counts ("Adaptive
 // fault tolerance by switching between replication and erasure codes", formula 1 and Table 2). Both
 // get the same seeded sequences of late requests per slice.
 //
-// Each signal is tuned on one sequence and evaluated on others. Wrong: slices in which the signal
-// differs from the simulated state. Raises: how often the signal went up; each triggers an action
-// that costs batch work.
+// Each signal is tuned on one sequence and evaluated on others. Columns of the table: "wrong"
+// counts the slices in which the signal differs from the simulated state, "raises" how often the
+// signal was raised; each time triggers an action that costs batch work.
 #include <algorithm>
 #include <cmath>
 #include <deque>
--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -1,8 +1,8 @@
 // Membership at several sizes in virtual time: bytes per node, and how long changes take to reach
 // all entries.
 //
-//   membership_bench            the tables
-//   membership_bench --benchmark_filter=...   the processor time of the decisions, by size
+//   membership_bench                          the tables
+//   membership_bench --benchmark_filter=...   processor time of a heartbeat and of a tick, by size
 #include <algorithm>
 #include <string>
 
@@ -55,10 +55,10 @@
     fmt::print("Messages, without packet headers\n");
     print("announcement", toJson(fullAnnouncement));
     print("heartbeat", toJson(heartbeatOf(fullAnnouncement)));
-    print("answer to either", toJson(reply));
-    print("digest without news", toJson(idle));
+    print("announce reply", toJson(reply));
+    print("digest without changes", toJson(idle));
     print("digest with one record", toJson(digestWithRecord));
-    print("digest's answer", toJson(ack));
+    print("digest ack", toJson(ack));
 }
 
 void printRow(int agents, int entries)
@@ -102,7 +102,7 @@
                rejoined, rejoinTraffic.sent + rejoinTraffic.received);
 }
 
-void heartbeatOfOne(benchmark::State &state)
+void handleHeartbeat(benchmark::State &state)
 {
     mesh nodes(makeSettings(static_cast<int>(state.range(0)), 3));
     nodes.runFor(seconds(20));
@@ -112,16 +112,16 @@
         benchmark::DoNotOptimize(nodes.entry(0).handleMessage(repeatedHeartbeat, nodes.now()));
     }
 }
-BENCHMARK(heartbeatOfOne)->Arg(11)->Arg(790);
+BENCHMARK(handleHeartbeat)->Arg(11)->Arg(790);
 
-void tickOfEntry(benchmark::State &state)
+void tickEntry(benchmark::State &state)
 {
     mesh nodes(makeSettings(static_cast<int>(state.range(0)), 3));
     nodes.runFor(seconds(20));
     for (auto _ : state)
         benchmark::DoNotOptimize(nodes.entry(0).tick(nodes.now()));
 }
-BENCHMARK(tickOfEntry)->Arg(11)->Arg(790);
+BENCHMARK(tickEntry)->Arg(11)->Arg(790);
 
 } // namespace
 
@@ -133,9 +133,10 @@
         return 0;
     }
     printMessageSizes();
-    fmt::print("\nBytes a second at rest, the busiest node, sent and received; times in ms\n");
+    fmt::print("\nBytes a second of the busiest node without changes, sent and received; times in "
+               "ms\n");
     fmt::print("{:>7}{:>8}{:>12}{:>12}{:>9}{:>9}{:>9}{:>10}{:>13}\n", "agents", "entries",
-               "entry B/s", "agent B/s", "known", "leaving", "silent", "new entry", "its bytes");
+               "entry B/s", "agent B/s", "routable", "leaving", "silent", "new entry", "its bytes");
     printRow(11, 3);
     printRow(79, 5);
     printRow(790, 15);
--- a/bench/overload_scenario.cpp
+++ b/bench/overload_scenario.cpp
@@ -64,7 +64,7 @@
     void arrive(const std::string &team)
     {
         const std::string id = team + std::to_string(m_nextNumber++);
-        m_admitted[id] = {team, m_now + Timeout, {}};
+        m_requests[id] = {team, m_now + Timeout, {}};
         m_events.push({m_now + drawExponential(1 / m_requestsPerSecondByTeam.at(team)), "", team});
         applyActions(m_admission.handle(admission::arrived{id, "tickets", team, 0, m_now + Timeout},
                                         m_now));
@@ -72,7 +72,7 @@
 
     void finish(const std::string &id, const std::string &team)
     {
-        const auto endedRequest = m_admitted.extract(id).mapped();
+        const auto endedRequest = m_requests.extract(id).mapped();
         const bool isOnTime = m_now <= endedRequest.deadline;
         ++(isOnTime ? m_result.onTime : m_result.late);
         m_result.onTimeByTeam[team] += isOnTime ? 1 : 0;
@@ -83,12 +83,12 @@
     {
         for (const auto &action : actions) {
             if (const auto *started = std::get_if<admission::start>(&action)) {
-                auto &request = m_admitted.at(started->id);
+                auto &request = m_requests.at(started->id);
                 request.serviceTime = drawExponential(ServiceSeconds);
                 m_events.push({m_now + request.serviceTime, started->id, request.team});
             } else {
                 ++m_result.refused;
-                m_admitted.erase(std::get<admission::refuse>(action).id);
+                m_requests.erase(std::get<admission::refuse>(action).id);
             }
         }
     }
@@ -98,7 +98,7 @@
     random_generator m_random{Seed};
     time_point m_now{};
     std::priority_queue<pending_event> m_events;
-    std::map<std::string, sent_request> m_admitted;
+    std::map<std::string, sent_request> m_requests;
     overload_result m_result;
     int m_nextNumber = 0;
 };
--- a/bench/overload_scenario.h
+++ b/bench/overload_scenario.h
@@ -1,5 +1,5 @@
-// Simulates one admission controller, also under more requests than its upstream can serve, in
-// virtual time.
+// Simulates one admission controller in virtual time, up to more requests than its upstream can
+// serve.
 #pragma once
 
 #include <map>
--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -2,7 +2,7 @@
 // tables.
 //
 //   routing_bench            all tables
-//   routing_bench --benchmark_filter=...   the processor time of the decisions, by size
+//   routing_bench --benchmark_filter=...   processor time of routing and of admission, by size
 #include <algorithm>
 #include <deque>
 #include <string>
@@ -23,7 +23,7 @@
     return {two_choices{}, round_robin{}, least_known_load{}};
 }
 
-void printHead()
+void printHeader()
 {
     fmt::print("{:<18}{:>6}{:>9}{:>6}{:>6}{:>7}{:>9}{:>6}{:>6}{:>9}{:>7}  refused\n", "policy",
                "load", "requests", "p50", "p99", "p99.9", "in time", "late", "lost", "retries",
@@ -48,8 +48,8 @@
 
 void comparePolicies()
 {
-    fmt::print("Policies (seed 1, 20 s; latencies in ms as the caller sees them)\n");
-    printHead();
+    fmt::print("Policies (seed 1, 20 s; latencies in ms as the caller measures them)\n");
+    printHeader();
     for (const double load : {0.5, 0.8, 0.95, 1.5}) {
         for (const auto &policy : policies()) {
             routing_scenario scenario;
@@ -63,7 +63,7 @@
 void compareStaleLoad()
 {
     fmt::print("\nLoad known from announcements alone, one a second\n");
-    printHead();
+    printHeader();
     for (const auto &policy : policies()) {
         routing_scenario scenario;
         scenario.policy = policy;
@@ -75,7 +75,7 @@
 void compareManyEntries()
 {
     fmt::print("\n15 entries, load known from announcements alone, one a second\n");
-    printHead();
+    printHeader();
     for (const double load : {0.8, 0.95}) {
         for (const auto &policy : policies()) {
             routing_scenario scenario;
@@ -91,7 +91,7 @@
 void compareQueues()
 {
     fmt::print("\nLength of the queue in the agent (two_choices)\n");
-    printHead();
+    printHeader();
     for (const double load : {0.95, 1.5}) {
         for (const int limit : {0, 4, 8, 16, 24, 48}) {
             routing_scenario scenario;
@@ -105,7 +105,7 @@
 void compareSpill()
 {
     fmt::print("\nSpill threshold (two_choices)\n");
-    printHead();
+    printHeader();
     for (const double load : {0.5, 0.8, 0.95}) {
         for (const double threshold : {0.25, 0.5, 0.75, 1.0, 1.5, 3.0}) {
             routing_scenario scenario;
@@ -119,7 +119,7 @@
 void compareFaults()
 {
     fmt::print("\nFaults (two_choices)\n");
-    printHead();
+    printHeader();
     routing_scenario oneUnreachable;
     oneUnreachable.isLastUnreachable = true;
     printRow("one unreachable", oneUnreachable);
@@ -136,7 +136,7 @@
 void compareBackOff()
 {
     fmt::print("\nBack-off after a refusal for load (two_choices)\n");
-    printHead();
+    printHeader();
     for (const int backOff : {0, 5, 20, 100, 1000}) {
         routing_scenario scenario;
         scenario.load = 1.5;
@@ -149,7 +149,7 @@
 {
     constexpr double RequestsPerSecond = 8 / 0.020;
     constexpr seconds Length{20};
-    fmt::print("\nOne admission, two teams, callers with 200 ms: requests a second\n");
+    fmt::print("\nOne admission, two teams, deadlines of 200 ms: requests a second\n");
     fmt::print("{:>6}{:>10}{:>8}{:>10}\n", "load", "in time", "late", "refused");
     for (const double load : {0.5, 0.8, 1.0, 1.5, 2.0, 4.0, 8.0}) {
         const auto result = runOverload(
@@ -179,7 +179,7 @@
 }
 
 // One attempt: choose an upstream, start, end.
-void attemptOf(benchmark::State &state)
+void routeAttempt(benchmark::State &state)
 {
     auto routes = makeRouter(static_cast<int>(state.range(0)), two_choices{});
     const time_point now(seconds(100));
@@ -189,11 +189,11 @@
         routes.attemptEnded({target, routing_outcome::Answered, milliseconds(20), {}, {}}, now);
     }
 }
-BENCHMARK(attemptOf)->Arg(11)->Arg(79)->Arg(790);
+BENCHMARK(routeAttempt)->Arg(11)->Arg(79)->Arg(790);
 
 // One request through an admission controller whose slots are taken and whose queue holds
 // `state.range(0)` requests.
-void requestThroughGate(benchmark::State &state)
+void admitRequest(benchmark::State &state)
 {
     admission controller({});
     time_point now(seconds(100));
@@ -225,7 +225,7 @@
         running.pop_front();
     }
 }
-BENCHMARK(requestThroughGate)->Arg(0)->Arg(8)->Arg(15);
+BENCHMARK(admitRequest)->Arg(0)->Arg(8)->Arg(15);
 
 } // namespace
 
--- a/bench/routing_scenario.cpp
+++ b/bench/routing_scenario.cpp
@@ -89,7 +89,7 @@
     time_point deadline;
     duration work{}; // service time at an upstream of speed 1
     int attempts = 0;
-    std::set<std::string> tried;
+    std::set<std::string> triedAgents;
 };
 
 class simulation
@@ -133,20 +133,20 @@
 
     void addUpstream(const std::string &zone)
     {
-        announcement about;
-        about.agentId = "agent-" + std::to_string(m_upstreams.size());
-        about.address = "10.0.0." + std::to_string(m_upstreams.size() + 1) + ":7000";
-        about.zone = zone;
-        about.region = "kartli";
-        about.service = Service;
-        about.slots = m_scenario.slots;
-        about.incarnation = 1;
-        about.state = upstream_state::Serving;
+        announcement upstreamAnnouncement;
+        upstreamAnnouncement.agentId = "agent-" + std::to_string(m_upstreams.size());
+        upstreamAnnouncement.address = "10.0.0." + std::to_string(m_upstreams.size() + 1) + ":7000";
+        upstreamAnnouncement.zone = zone;
+        upstreamAnnouncement.region = "kartli";
+        upstreamAnnouncement.service = Service;
+        upstreamAnnouncement.slots = m_scenario.slots;
+        upstreamAnnouncement.incarnation = 1;
+        upstreamAnnouncement.state = upstream_state::Serving;
         admission_settings settings;
         settings.slots = m_scenario.slots;
         settings.queueLimit = m_scenario.queueLimit;
         m_upstreams.push_back(std::make_unique<upstream_node>(
-                upstream_node{about, admission(settings), 1.0, false, {}}));
+                upstream_node{upstreamAnnouncement, admission(settings), 1.0, false, {}}));
     }
 
     void addEntries()
@@ -229,18 +229,18 @@
     void startAttempt(const std::shared_ptr<request> &pending)
     {
         auto &routes = pending->entry->requestRouter;
-        const auto decision = routes.choose(Service, pending->tried, m_clock.now());
+        const auto decision = routes.choose(Service, pending->triedAgents, m_clock.now());
         if (const auto *kind = std::get_if<error_kind>(&decision))
             return recordRefusal(*kind);
         const auto target = std::get<route>(decision);
         ++pending->attempts;
         ++m_result.attempts;
-        pending->tried.insert(target.agentId);
+        pending->triedAgents.insert(target.agentId);
         routes.attemptStarted(target, m_clock.now());
         auto &node = upstreamOf(target);
-        const bool local = node.announced.zone == pending->entry->zone;
-        m_result.otherZoneAttempts += local ? 0 : 1;
-        const duration delay = local ? m_scenario.localDelay : m_scenario.zoneDelay;
+        const bool isLocal = node.announced.zone == pending->entry->zone;
+        m_result.otherZoneAttempts += isLocal ? 0 : 1;
+        const duration delay = isLocal ? m_scenario.localDelay : m_scenario.zoneDelay;
         const time_point sentAt = m_clock.now();
         m_clock.schedule(
                 delay, [=, this, &node] { deliverAttempt(node, pending, target, delay, sentAt); });
@@ -346,9 +346,9 @@
     void applyActions(upstream_node &node, const std::vector<admission::action> &actions)
     {
         for (const auto &action : actions) {
-            const auto id = std::visit([](const auto &done) { return done.id; }, action);
-            const auto caller = node.actionCallbacks.extract(id);
-            caller.mapped()(action);
+            const auto id = std::visit([](const auto &each) { return each.id; }, action);
+            const auto actionCallback = node.actionCallbacks.extract(id);
+            actionCallback.mapped()(action);
         }
     }
 
--- a/bench/routing_scenario.h
+++ b/bench/routing_scenario.h
@@ -33,14 +33,14 @@
     std::vector<int> upstreamsByZone{5, 4, 2};
     int entriesByZone = 1;           // number of entries in each zone
     int slots = 8;                   // requests that each upstream executes at the same time
-    milliseconds serviceTime{20};    // mean, exponential
+    milliseconds serviceTime{20};    // mean of the exponential distribution
     double slowFactor = 3.0;         // of the first upstream of the first zone, which is slow
-    milliseconds timeout{400};       // of the callers, from sending the request
+    milliseconds timeout{400};       // of the callers, from the sending of the request on
     microseconds callerDelay{3000};  // one way between caller and entry
     microseconds zoneDelay{500};     // one way between zones
     microseconds localDelay{100};    // one way within a zone
     milliseconds reportPeriod{1000}; // between announcements of load
-    bool answersCarryLoad = true;
+    bool answersCarryLoad = true;    // agents report their load with each answer and refusal
     // Requests per slot above which an entry considers upstreams in other zones.
     double spillThreshold = router_settings{}.spillAboveLoad;
     // Requests that may wait in the queue of each upstream.
--- a/libs/delivery/attempt_guard.cpp
+++ b/libs/delivery/attempt_guard.cpp
@@ -21,8 +21,8 @@
                                                          time_point now)
 {
     removeExpired(now);
-    // Addressed to an earlier process of this agent. That one may have started the attempt; its
-    // memory is lost, but the upstream still runs.
+    // Addressed to an earlier process of this agent, which may have started the attempt. Its
+    // records are lost, but the upstream may still execute the request.
     if (attempt.incarnation != m_incarnation)
         return OutcomeNotKnown;
     const auto id = stableHash(attempt.requestId);
@@ -31,7 +31,8 @@
         if (auto refusal = checkRepeat(found->second, attempt))
             return refusal;
     } else if (m_records.size() >= m_settings.maxRememberedRequests) {
-        // The memory is full. Removing a record would allow a duplicate of that request to start.
+        // No more requests can be remembered. Removing a record would allow a duplicate of that
+        // request to start.
         // The refusal says Unknown because it is not recorded: a duplicate of this attempt may
         // still start later.
         return guard_refusal{error_kind::Overloaded, executed::Unknown, false};
@@ -105,7 +106,7 @@
     auto found = m_records.find(id);
     if (found == m_records.end() || found->second.attempt < attempt) {
         // The cancel arrived before its attempt. It is recorded so that the attempt does not start.
-        // If the memory is full, the attempt will be refused because of that.
+        // If no more requests can be remembered, the attempt will be refused because of that.
         if (found != m_records.end() && found->second.currentState == state::Running)
             return false;
         if (found == m_records.end() && m_records.size() >= m_settings.maxRememberedRequests)
@@ -126,8 +127,8 @@
                                                    std::uint32_t attempt)
 {
     const auto found = m_records.find(stableHash(requestId));
-    const bool known = found != m_records.end() && found->second.attempt == attempt;
-    return known ? &found->second : nullptr;
+    const bool isNewest = found != m_records.end() && found->second.attempt == attempt;
+    return isNewest ? &found->second : nullptr;
 }
 
 void attempt_guard::recordEvent(std::uint64_t id, request_record &record, time_point now)
@@ -140,10 +141,10 @@
 {
     while (!m_eventsByAge.empty()
            && m_eventsByAge.front().first + m_settings.retentionTime <= now) {
-        const auto [touchedAt, id] = m_eventsByAge.front();
+        const auto [eventAt, id] = m_eventsByAge.front();
         m_eventsByAge.pop_front();
         const auto found = m_records.find(id);
-        if (found == m_records.end() || found->second.lastEventAt != touchedAt)
+        if (found == m_records.end() || found->second.lastEventAt != eventAt)
             continue;
         if (found->second.currentState == state::Running
             || found->second.currentState == state::Waiting)
--- a/libs/delivery/attempt_guard.h
+++ b/libs/delivery/attempt_guard.h
@@ -3,7 +3,7 @@
 // only after the end of the previous one, and, unless the request is idempotent, only if that one
 // was certainly not executed.
 //
-//   guard_settings    limits of the memory
+//   guard_settings    how many requests are remembered, and how long
 //   incoming_attempt  an attempt as an entry forwarded it
 //   attempt_guard     called when an attempt arrives, is about to start, ends or is cancelled
 #pragma once
@@ -42,7 +42,7 @@
 {
     error_kind kind = error_kind::OutcomeUnknown;
     executed executionState = executed::Unknown;
-    bool hasEnded = false; // the attempt is certainly not running and won't start in this agent
+    bool hasEnded = false; // the attempt certainly does not run and won't start in this agent
 };
 
 // Remembers the newest attempt of each request. Called by the agent. Not thread-safe.
@@ -59,18 +59,19 @@
     // returned, the attempt may start.
     std::optional<guard_refusal> startAttempt(const std::string &requestId, std::uint32_t attempt,
                                               time_point now);
-    // Called when an attempt was refused before its start (`executionState` is No) or no longer
-    // runs.
+    // Called when an attempt was refused before its start (`executionState` is then No) or has
+    // stopped running.
     void recordEnd(const std::string &requestId, std::uint32_t attempt, executed executionState,
                    time_point now);
-    // Called when the entry no longer waits for the attempt. True: it has not started and never
-    // will. False: this is not certain, because it runs or has ended, a newer attempt is known, or
-    // the memory is full.
+    // Called when the entry no longer waits for the attempt. Returns true if the attempt has not
+    // started and never will; false if that is not certain, because it runs or has ended, a newer
+    // attempt is known, or maxRememberedRequests is reached.
     bool cancelAttempt(const std::string &requestId, std::uint32_t attempt, time_point now);
 
     std::size_t rememberedRequests() const { return m_records.size(); }
 
 private:
+    // Waiting: admitted, but not started. Refused: not started, and never will be.
     enum class state { Waiting, Running, Ended, Refused };
 
     struct request_record
--- a/libs/delivery/claim_coordinator.cpp
+++ b/libs/delivery/claim_coordinator.cpp
@@ -1,5 +1,6 @@
 // Sections: Claims and their ends | Verdicts and cached claims | Open claims |
-// Timers: sending, reading, timeouts | Results from the table | Eras and sweeping
+// Timers: sending, reading, timeouts | Results from the table | Outages of the table |
+// Eras and sweeping
 
 #include "delivery/claim_coordinator.h"
 
@@ -25,8 +26,8 @@
 
 std::optional<std::uint64_t> eraFromJson(const Json::Value &value)
 {
-    const bool known = value.isObject() && value["era"].isUInt64();
-    return known ? std::optional(value["era"].asUInt64()) : std::nullopt;
+    const bool isValid = value.isObject() && value["era"].isUInt64();
+    return isValid ? std::optional(value["era"].asUInt64()) : std::nullopt;
 }
 
 table_transaction makeRemoval(const std::string &operationId, const std::vector<table_row> &rows)
@@ -116,15 +117,15 @@
         return;
     claim->wantedRow.state = state;
     claim->wantedRow.answer = std::move(answer);
-    // Records of an end share transactions with other claims; an end alone waits for endRecordDelay
-    // so that others can join it.
+    // Outcomes are written in transactions with other rows. If nothing else is due, an outcome
+    // waits for endRecordDelay, so that others can share its transaction.
     if (claim->currentPhase == phase::Stored)
         queueCommit(m_rowKeys[requestId], *claim, m_now + m_settings.endRecordDelay);
     runDueWork();
 }
 
-// Called when a claimant is gone without having forwarded anything. A claim that was never sent is
-// removed; one that may be in the table is marked NotRun there, so that a repeat of the request may
+// Called when the request of a claim has ended without having been forwarded. A claim that was
+// never sent is removed; one that may be in the table is set to NotRun there, so that a repeat may
 // run.
 void claim_coordinator::dropClaim(const std::string &key)
 {
@@ -141,13 +142,13 @@
 std::optional<claim_verdict>
 claim_coordinator::verdictFromMemory(const claim_request &request) const
 {
-    const auto openEntry = m_openClaims.find(request.rowKey);
-    if (openEntry != m_openClaims.end()) {
-        const auto &row = openEntry->second.wantedRow;
+    const auto open = m_openClaims.find(request.rowKey);
+    if (open != m_openClaims.end()) {
+        const auto &row = open->second.wantedRow;
         // A released claim is not free until the table has stored the release: another entry would
         // still refuse a repeat.
-        const bool sameBody = row.requestHash == request.requestHash;
-        if (row.state == claim_state::NotRun || (row.state == claim_state::Started && sameBody))
+        const bool sameRequest = row.requestHash == request.requestHash;
+        if (row.state == claim_state::NotRun || (row.state == claim_state::Started && sameRequest))
             return claim_refused{error_kind::KeyInProgress};
         return verdictFor(row, request.requestHash);
     }
@@ -167,8 +168,9 @@
         return claim_refused{error_kind::AlreadyExecuted};
     if (row.state == claim_state::Unknown)
         return claim_refused{error_kind::OutcomeUnknown};
-    // The claim is Started. An entry that died or lost its record of the end never completes it; if
-    // it were this entry's claim, it would still be open.
+    // The claim is Started. It never ends if its entry has died or no longer knows it. An
+    // unfinished claim of this entry itself is no longer known to it: otherwise the claim would be
+    // open.
     const bool canStillEnd = row.entryId != m_entryId && m_isEntryAlive(row.entryId)
                              && row.era + MaxErasInProgress >= m_era;
     return claim_refused{canStillEnd ? error_kind::KeyInProgress : error_kind::OutcomeUnknown};
@@ -265,8 +267,8 @@
     sweepIfDue();
 }
 
-// A table that does not respond must not hold up a request: it is refused while it is certain that
-// it has not run.
+// A table that does not respond must not hold up a request: the request is refused while it is
+// certain that it has not run.
 void claim_coordinator::timeOutClaims()
 {
     while (!m_timeouts.empty() && m_timeouts.begin()->first <= m_now) {
@@ -279,8 +281,8 @@
 
 void claim_coordinator::sendReads()
 {
-    // The number of uncertain rows is limited by the transactions in flight, which limits these
-    // reads as well.
+    // These reads need no limit of their own: maxCommitsInFlight limits the number of rows whose
+    // state is uncertain.
     if (m_isTableDown || m_readQueue.empty())
         return;
     std::vector<std::string> keys;
@@ -324,8 +326,8 @@
 void claim_coordinator::sendCommit(const std::vector<std::string> &keys)
 {
     table_transaction transaction{nextOperationId(), {}, {}};
-    // A row that is written with an old era would be removed too early, and a late repeat would run
-    // again. So the era must still be the current one when the row is written.
+    // The era must still be the current one when a row is written. A row with an old era would be
+    // removed too early, and a late repeat would run again.
     transaction.conditions.push_back({EraKey, m_eraVersion});
     for (const auto &key : keys) {
         auto &claim = m_openClaims.at(key);
@@ -389,16 +391,16 @@
             commitApplied(key, result.sequence);
             break;
         case write_outcome::Conflict:
-            // One row made the whole transaction fail. Reading all of its rows shows which one, and
-            // the others are sent again together.
+            // One row made the whole transaction fail. All of its rows are read to find out which
+            // one; the others are sent again together.
             if (eraPassed)
                 queueCommit(key, claim, m_now);
             else
                 queueRead(key, claim);
             break;
         case write_outcome::Unknown:
-            // The transaction may have been applied although its result is lost: nothing is
-            // forwarded until the row has been read and has our own request id.
+            // The transaction may have been applied although its result is lost. The request is
+            // forwarded only if the row, when read, has its request id.
             claim.hasUnknownCommit = true;
             queueRead(key, claim);
             break;
@@ -418,7 +420,7 @@
     confirmStored(key, claim, claim.sentState);
 }
 
-// Called when the table certainly has our row with the state `stored`.
+// Called when the table certainly has this claim's row, with the state `stored`.
 void claim_coordinator::confirmStored(const std::string &key, open_claim &claim, claim_state stored)
 {
     claim.hasUnknownCommit = false; // conditions of older transactions fail from now on
@@ -484,7 +486,7 @@
     auto &claim = m_openClaims.at(key);
     if (row == nullptr) {
         claim.version = 0;
-        // The row is written even if the claimant is gone: the transaction without a result may be
+        // The row is written even if its request has ended: the transaction without a result may be
         // applied at any later time and would block the key for its whole lifetime.
         if (claim.awaitsVerdict || claim.isGranted || claim.hasUnknownCommit)
             queueCommit(key, claim, m_now);
@@ -546,8 +548,8 @@
         tableAnswered();
 }
 
-// Claims that wait to be sent or read back are refused at once: they have not run, and their
-// callers learn it before claimTimeout.
+// Claims that wait to be sent or read back are refused at once: their requests have not run, and
+// the callers are answered before claimTimeout.
 void claim_coordinator::refuseUnsentClaims()
 {
     std::vector<std::string> keys;
@@ -587,8 +589,8 @@
     m_eraVersion = version;
     m_era = row == nullptr ? 0 : eraFromJson(row->value).value_or(0);
     m_nextEraReadAt = m_now + m_settings.eraDuration / 4;
-    // Incremented only after it was seen unchanged for eraDuration on one clock. So eras never
-    // advance faster than time, whichever entry increments them and whatever was paused.
+    // The era is incremented only after it was seen unchanged for eraDuration on one clock. So eras
+    // never advance faster than time, whichever entry increments them and whichever was paused.
     if (m_era == 0 || m_now - m_eraVersionSeenAt >= m_settings.eraDuration)
         incrementEra();
 }
@@ -606,7 +608,7 @@
 void claim_coordinator::handleEraCommit(const write_result &result)
 {
     m_eraCommitId.clear();
-    m_nextEraReadAt = m_now; // read back, whatever the result was
+    m_nextEraReadAt = m_now; // whatever the result was
     recordTableOutcome(result.outcome);
     if (m_isTableDown)
         refuseUnsentClaims();
--- a/libs/delivery/claim_coordinator.h
+++ b/libs/delivery/claim_coordinator.h
@@ -1,5 +1,6 @@
 // Claims on idempotency keys: which request may run under a key, and what its outcome was. A claim
-// is a row of the platform's table that says which request holds a key.
+// is a row of the platform's table that says which request holds a key. The holder of a claim is
+// that request, or the entry that processes it.
 //
 //   claim_state         state of a claim in the table
 //   claim_row           value of a claim's row; toJson and claimRowFromJson
@@ -41,7 +42,7 @@
 struct claim_row
 {
     std::string requestId;         // of the request that holds the claim
-    std::string entryId;           // names the process of the entry that holds the claim
+    std::string entryId;           // incarnation of the entry that holds the claim
     std::uint64_t requestHash = 0; // of method, path and body
     claim_state state = claim_state::Started;
     std::uint64_t era = 0; // in which the claim was made, see claim_settings::eraDuration
@@ -119,8 +120,8 @@
 // Prefix of one part of the table; `index` modulo 4096.
 std::string claimRowPrefix(std::size_t index);
 
-// Whether this incarnation of an entry is believed to be alive. A wrong answer changes only the
-// error kind of a refusal, never whether a request runs.
+// Whether the incarnation `entryId` of an entry is believed to be alive. A wrong result changes
+// only the error kind of a refusal, never whether a request runs.
 using entry_alive_check = std::function<bool(const std::string &entryId)>;
 
 // increment_counter comes from flow_messages.h, as do the actions on the table.
@@ -152,6 +153,7 @@
     void tick(time_point now);
 
     std::vector<claim_action> takeActions();
+    // Time at which tick() is due.
     time_point nextWake() const;
     // Number of claims whose final state is not stored yet.
     std::size_t openClaimCount() const { return m_openClaims.size(); }
--- a/libs/delivery/claim_row.cpp
+++ b/libs/delivery/claim_row.cpp
@@ -55,7 +55,7 @@
 
 std::string claimRowKey(const std::string &service, const std::string &team, const std::string &key)
 {
-    // The lengths keep scopes apart whose parts contain the separator.
+    // The lengths make the scope unique, even if a name contains the separator.
     const auto scope =
             fmt::format("{}:{}/{}:{}/{}", service.size(), service, team.size(), team, key);
     return claimRowPrefix(stableHash(scope)) + scope;
--- a/libs/delivery/flow_json.cpp
+++ b/libs/delivery/flow_json.cpp
@@ -85,11 +85,11 @@
     return value;
 }
 
-Json::Value outcomeJson(const attempt_disconnected &cut)
+Json::Value outcomeJson(const attempt_disconnected &disconnection)
 {
     Json::Value value(Json::objectValue);
     value["outcome"] = "cut";
-    value["ended"] = cut.hasEnded;
+    value["ended"] = disconnection.hasEnded;
     return value;
 }
 
--- a/libs/delivery/flow_messages.h
+++ b/libs/delivery/flow_messages.h
@@ -88,7 +88,7 @@
 using attempt_outcome = std::variant<complete_answer, attempt_refused, attempt_unreachable,
                                      attempt_disconnected, attempt_timed_out, attempt_too_large>;
 
-// Outcome of an attempt whose answer was not complete.
+// Outcome of an attempt whose answer answer_check has rejected with `failure`.
 attempt_outcome outcomeOf(error_kind failure);
 
 // The head and the first part of a body that is too large to be stored have arrived and may be
@@ -151,10 +151,11 @@
     std::string id;
     std::uint32_t attempt = 0; // counted from 1
     std::string agentId;
-    time_point deadline = Never; // sent as the time that is left when the bytes are written
+    time_point deadline = Never; // sent as the time left at the moment of sending
 };
 
-// Tell the agent that nobody waits for the attempt: it must not start if it has not yet.
+// Tell the agent that nobody waits for the attempt: if it has not started, it must not start any
+// more.
 struct cancel_attempt
 {
     std::string id;
@@ -217,16 +218,16 @@
     Arrived,            // requests that arrived
     Passed,             // complete answers passed on
     Streamed,           // answers whose first part was passed on before their end
-    StreamCut,          // of these, incomplete ones: the caller's connection was closed
+    StreamCut,          // streamed answers that broke off: the caller's connection was closed
     Replayed,           // answered with a stored answer
     Refused,            // answered with an error; by kind
     Retried,            // retries; by kind of the failed attempt
-    RetryDenied,        // not retried because the budget is spent; by kind of the failed attempt
+    RetryDenied,        // retries refused by the retry budget; by kind of the failed attempt
     StaleEvent,         // events of an earlier attempt or of an ended request
     DuplicateEvent,     // events that were processed before
-    LateOutcome,        // outcomes that arrived after the caller's answer and decided a claim
-    ProceededUnclaimed, // idempotent requests that went on without a claim
-    ClaimResent,        // claims or records that had to be read back or sent again
+    LateOutcome,        // outcomes that arrived after the caller was answered and decided a claim
+    ProceededUnclaimed, // idempotent requests forwarded without a claim
+    ClaimResent,        // rows of claims that had to be read back or written again
     ClaimSwept,         // expired rows whose removal was sent
 };
 
@@ -237,11 +238,11 @@
     std::uint64_t amount = 1;
 };
 
-// The drain is complete: no request is in flight, and all records are stored or drainTimeout is
-// over. Returned once.
+// The drain is complete: no request is in flight, and the outcomes of all claims are stored or
+// drainTimeout is over. Returned once.
 struct flow_drained
 {
-    std::uint64_t recordsLost = 0; // records that were not stored in time
+    std::uint64_t recordsLost = 0; // claims whose outcome was not stored in time
 };
 
 using flow_action =
--- a/libs/delivery/request_flow.cpp
+++ b/libs/delivery/request_flow.cpp
@@ -57,7 +57,7 @@
     , m_claims(std::move(entryId), settings.claims, std::move(isEntryAlive))
 {
     // Two eras after its claim, a request is assumed to have ended. If it could still run, a repeat
-    // would be told too early that the outcome is unknown.
+    // would be answered too early that the outcome is unknown.
     if (settings.claims.eraDuration <= settings.maxRequestTime + settings.lateOutcomeTimeout)
         throw error(error_kind::BadSettings,
                     "claims.eraDuration must exceed maxRequestTime + lateOutcomeTimeout");
@@ -86,8 +86,8 @@
 
 void request_flow::on(const request_arrived &event)
 {
-    // A duplicate could otherwise be forwarded to another agent, which has no record of the
-    // request.
+    // Otherwise a duplicate could be forwarded to another agent, which has no record of the request
+    // and might run it again.
     if (m_requests.contains(event.id) || m_endedIds.contains(event.id))
         return count(flow_counter::DuplicateEvent);
     count(flow_counter::Arrived);
@@ -151,7 +151,7 @@
     if (request->arrived.deadline <= m_now)
         return handleDeadline(*request);
     // No retry is possible from here on: the caller has the first bytes. The claim stays open until
-    // the body has ended, so that a repeat until then is told that the key is in progress.
+    // the body has ended, so that a repeat until then is refused as KeyInProgress.
     count(flow_counter::Streamed);
     m_actions.emplace_back(answer_caller{event.id, pass_answer{event.attempt, event.status, true}});
     request->currentStep = step::Streaming;
@@ -287,10 +287,10 @@
                                            milliseconds(0)});
 }
 
-void request_flow::handleOutcome(active_request &request, const attempt_disconnected &cut)
+void request_flow::handleOutcome(active_request &request, const attempt_disconnected &disconnection)
 {
     handleOutcome(request, attempt_refused{error_kind::AnswerIncomplete, executed::Unknown,
-                                           cut.hasEnded, milliseconds(0)});
+                                           disconnection.hasEnded, milliseconds(0)});
 }
 
 void request_flow::handleOutcome(active_request &request, const attempt_timed_out &)
@@ -343,9 +343,9 @@
     // For non-idempotent requests, every unknown outcome is reported with the same error kind.
     const bool isOutcomeUnknown =
             executionState == executed::Unknown && answerFor(kind).execution != executed::Unknown;
-    const bool isCutChange =
+    const bool isInterruptedChange =
             kind == error_kind::AnswerIncomplete && !isIdempotent(request.arrived.method);
-    if (isOutcomeUnknown || isCutChange)
+    if (isOutcomeUnknown || isInterruptedChange)
         kind = error_kind::OutcomeUnknown;
     count(flow_counter::Refused, kind);
     m_actions.emplace_back(answer_caller{
@@ -376,7 +376,7 @@
     if (!request.holdsClaim)
         return refuseActive(request, error_kind::AnswerLate, executed::Unknown);
     // The attempt may still run, and its late outcome will decide the claim. Until then repeats are
-    // told correctly that the key is in progress.
+    // refused as KeyInProgress.
     count(flow_counter::Refused, error_kind::AnswerLate);
     m_actions.emplace_back(
             answer_caller{request.arrived.id, refuse_request{error_kind::AnswerLate,
@@ -386,9 +386,9 @@
     scheduleWake(request, m_now + m_settings.lateOutcomeTimeout);
 }
 
-// Called when the body of a streamed answer has ended. If it is complete, the claim records that
-// the request was executed. If the connection broke, nothing is known about the execution: a repeat
-// of the key is answered `outcome_unknown` and never runs.
+// Called when the body of a streamed answer has ended. If the body is complete, the claim records
+// that the request was executed. If the connection broke, the outcome is unknown: a repeat of the
+// key is answered `outcome_unknown` and never runs.
 void request_flow::finishStreamed(active_request &request, const attempt_outcome &outcome)
 {
     const bool isComplete = std::holds_alternative<complete_answer>(outcome);
--- a/libs/delivery/request_flow.h
+++ b/libs/delivery/request_flow.h
@@ -63,13 +63,17 @@
     // Time at which a flow_tick is due; Never if nothing waits.
     time_point nextWake() const;
 
-    std::size_t inFlight() const { return m_inFlight; } // requests without a complete answer
+    // Number of requests without a complete answer.
+    std::size_t inFlight() const { return m_inFlight; }
     // Number of claims whose final state is not stored yet.
     std::size_t openClaims() const { return m_claims.openClaimCount(); }
     std::size_t cachedAnswerBytes() const { return m_claims.cachedBytes(); }
     bool isDraining() const { return m_isDraining; }
 
 private:
+    // Claiming: waits for the verdict on its claim. Choosing: waits for the router. Forwarded:
+    // waits for the end of an attempt. Streaming: the caller gets a large answer as it arrives.
+    // Answered: the caller has been answered; the outcome of the attempt still decides the claim.
     enum class step { Claiming, Choosing, Forwarded, Streaming, Answered };
 
     struct active_request
@@ -98,7 +102,7 @@
     void handleOutcome(active_request &request, const complete_answer &answer);
     void handleOutcome(active_request &request, const attempt_refused &refusal);
     void handleOutcome(active_request &request, const attempt_unreachable &outcome);
-    void handleOutcome(active_request &request, const attempt_disconnected &cut);
+    void handleOutcome(active_request &request, const attempt_disconnected &disconnection);
     void handleOutcome(active_request &request, const attempt_timed_out &outcome);
     void handleOutcome(active_request &request, const attempt_too_large &outcome);
 
--- a/libs/request/admission.cpp
+++ b/libs/request/admission.cpp
@@ -125,15 +125,16 @@
 void admission::markTeamActive(const std::string &team)
 {
     bool anyActive = false;
-    double least = 0;
+    double lowestServedTime = 0;
     for (const auto &[name, state] : m_teams) {
         if (state.waitingCount + state.runningCount == 0)
             continue;
-        least = anyActive ? std::min(least, state.servedTime) : state.servedTime;
+        lowestServedTime =
+                anyActive ? std::min(lowestServedTime, state.servedTime) : state.servedTime;
         anyActive = true;
     }
     if (anyActive)
-        m_virtualTime = std::max(m_virtualTime, least);
+        m_virtualTime = std::max(m_virtualTime, lowestServedTime);
     auto &state = m_teams[team];
     if (state.waitingCount + state.runningCount == 0)
         state.servedTime = std::max(state.servedTime, m_virtualTime);
@@ -288,8 +289,8 @@
             std::chrono::duration<double, duration::period>(currentEstimate.deviation)
             * m_settings.deadlineMargin);
     const duration needed = currentEstimate.mean + margin;
-    // Unusable connections are soon closed, so the request waits for that as long as its deadline
-    // allows.
+    // Unusable connections are closed soon, so the request waits for one to be closed as long as
+    // its deadline allows.
     if (expectedStart == Never)
         return now + needed > request.deadline ? decision::Refuse : decision::Wait;
     // If nothing is running, a request is started whatever the estimate is. Otherwise a slow period
@@ -340,21 +341,20 @@
     m_actions.emplace_back(refuse{id, kind, retryAfterFor(kind, now)});
 }
 
-// Each refused request gets its own retry time after the backlog; successive times are the mean
-// service time divided by the number of slots apart. With the same time for all, the refused
-// requests would be retried together and be refused together.
+// Each refused request gets its own retry time after the end of the backlog. Successive retry times
+// differ by the mean service time divided by the number of slots. With the same time for all, the
+// refused requests would be retried together and be refused together.
 milliseconds admission::retryAfterFor(error_kind kind, time_point now)
 {
     const auto fixed = answerFor(kind).suggestedRetryDelay;
     if (fixed.count() == 0 || kind == error_kind::Draining)
         return fixed;
     const time_point latest = now + m_settings.maxRetryAfter;
-    const time_point behindBacklog = now + backlog(now);
-    m_nextRetryAt =
-            std::max(m_nextRetryAt, behindBacklog) + m_overallEstimate.mean / m_settings.slots;
+    const time_point backlogEnd = now + backlog(now);
+    m_nextRetryAt = std::max(m_nextRetryAt, backlogEnd) + m_overallEstimate.mean / m_settings.slots;
     m_nextRetryAt = std::min(m_nextRetryAt, latest);
-    const auto after = std::chrono::ceil<milliseconds>(m_nextRetryAt - now);
-    return std::max(after, m_settings.minRetryAfter);
+    const auto delay = std::chrono::ceil<milliseconds>(m_nextRetryAt - now);
+    return std::max(delay, m_settings.minRetryAfter);
 }
 
 duration admission::backlog(time_point now) const
--- a/libs/request/admission.h
+++ b/libs/request/admission.h
@@ -6,9 +6,9 @@
 //   admission_counters   totals since the start, refusals by error kind
 //
 // A request is started, waits in a short queue, or is refused at once with an error kind. A queued
-// request is refused as soon as its expected end is later than its deadline. The next request to
-// start is one of the team that was served least; within a team, priority decides, then the
-// deadline. A slot is one of the requests that the upstream runs at the same time.
+// request is refused as soon as its expected end is later than its deadline. The team that was
+// served least gets the next free slot; within a team, the highest priority starts first, then the
+// earliest deadline. A slot is the capacity to run one request; an upstream has a fixed number.
 #pragma once
 
 #include <cstdint>
@@ -30,8 +30,8 @@
     milliseconds initialServiceTime{20}; // estimate until any request has finished
     // Safety margin that is added to the expected end, in mean deviations of the service time.
     double deadlineMargin = 1.0;
-    // Bounds of a Retry-After that is computed from the backlog. That of Draining is fixed, and 0
-    // stays 0.
+    // Bounds of a Retry-After that is computed from the backlog. Refusals as Draining have a fixed
+    // one, and those that a retry can't avoid have none.
     milliseconds minRetryAfter{50};
     milliseconds maxRetryAfter{10 * 1000};
 };
@@ -41,13 +41,13 @@
     std::uint64_t arrived = 0;
     std::uint64_t started = 0;
     std::uint64_t finished = 0;
-    std::uint64_t cancelled = 0; // cancelled by the caller while they waited
+    std::uint64_t cancelled = 0; // waiting requests whose callers have disconnected
     std::uint64_t ignored = 0;   // duplicate arrivals, and ends of requests that are not running
     std::map<error_kind, std::uint64_t> refused;
 };
 
-// Decides for the requests to one upstream which are started, which wait and which are refused. Its
-// caller, the agent, calls handle() with each event and carries out the actions. Not thread-safe.
+// Decides for the requests to one upstream which are started, which wait and which are refused. The
+// agent calls handle() with each event and carries out the actions. Not thread-safe.
 class admission
 {
 public:
@@ -65,7 +65,7 @@
     {
         std::string id;
         duration elapsedTime{};    // since the `start` action
-        duration slowCallerTime{}; // part of it spent waiting for a slowly reading caller
+        duration slowCallerTime{}; // of it: time spent waiting for a slowly reading caller
         // False: the answer was cut off; the elapsed time can then only raise the estimate of the
         // service time.
         bool isComplete = true;
@@ -85,8 +85,8 @@
     // served.
     struct drain_started
     { };
-    // Time has passed. Wanted repeatedly while requests wait, as their deadlines pass without an
-    // event.
+    // Time has passed. Must be sent repeatedly while requests wait, since no other event tells that
+    // a deadline can't be met any more.
     struct tick
     { };
     using event =
@@ -107,7 +107,7 @@
 
     explicit admission(admission_settings settings);
 
-    // Processes one event and returns the actions that the caller must carry out, in order.
+    // Processes one event and returns the actions to carry out, in order.
     std::vector<action> handle(const event &newEvent, time_point now);
 
     bool isDrained() const { return m_isDraining && m_running.empty() && m_waiting.empty(); }
--- a/libs/request/announcement.h
+++ b/libs/request/announcement.h
@@ -1,7 +1,8 @@
 // Messages with which agents announce their upstreams to entries, and entries inform each other.
 //
-//   announcement    full description of an upstream: at start, after a change, on an entry's
-//   request heartbeat       periodic compact message of the same agent: state and load only
+//   announcement    full description of an upstream: sent at the start, after a change, and when an
+//                   entry asks for it
+//   heartbeat       periodic compact message of the same agent: state and load only
 //   announce_reply  the entry's reply: accepted or refused, and the heartbeat period
 //   digest          sent by one entry to another: what changed since the last acknowledged digest
 //   digest_ack      reply to a digest: the version up to which the receiver has applied changes
@@ -37,6 +38,7 @@
     duration latency{}; // estimated mean service time
 };
 
+// Resources of the worker on which the upstream runs.
 struct announced_size
 {
     std::int64_t millicores = 0;
@@ -98,7 +100,7 @@
     std::string senderId;           // id of the sending entry
     std::uint64_t incarnation = 0;  // of the sending entry's process
     std::uint64_t sequence = 0;     // increased by each digest of the incarnation
-    std::uint64_t sinceVersion = 0; // version that the receiver acknowledged last
+    std::uint64_t sinceVersion = 0; // version of the sender that the receiver acknowledged last
     std::uint64_t upToVersion = 0;  // version that the receiver has after applying the records
     std::vector<digest_record> records;
 };
@@ -109,7 +111,9 @@
 {
     std::string senderId;          // id of the entry that received the digest
     std::uint64_t incarnation = 0; // of the digest's sender, as known to the receiver
-    std::uint64_t upToVersion = 0; // version applied; below sinceVersion: requests a resync
+    // Version that the receiver has applied. If it is below the digest's sinceVersion, the sender
+    // sends all later records again.
+    std::uint64_t upToVersion = 0;
 };
 Json::Value toJson(const digest_ack &message); // JSON array without member names
 digest_ack digestAckFromJson(const Json::Value &values);
--- a/libs/request/announcer.h
+++ b/libs/request/announcer.h
@@ -32,6 +32,8 @@
     milliseconds unresponsiveRetryInterval{30 * 1000}; // between messages to a replaced entry
 };
 
+// Announces one upstream to the entries. The agent calls tick() and sends the messages that it
+// returns, and passes each reply to handleReply(). Not thread-safe.
 class announcer
 {
 public:
@@ -42,8 +44,8 @@
     };
 
     // The incarnation in `self` must be higher than that of any earlier process of this agent. The
-    // wall clock at the start, in milliseconds, is sufficient: see handleReply for a clock that was
-    // set back.
+    // wall clock at the start, in milliseconds, is sufficient: if it was set back, handleReply()
+    // raises the incarnation.
     announcer(announcer_settings settings, announcement self);
 
     // Leaving is final: later changes of the state are ignored.
@@ -68,9 +70,10 @@
 private:
     struct announce_target
     {
-        bool isAnnouncementAcked = false;      // acknowledged the current state and incarnation
-        std::uint64_t ackableFromSequence = 0; // replies to earlier messages are no acks
-        time_point nextSendAt{};               // when the next message is due
+        bool isAnnouncementAcked = false; // acknowledged the current state and incarnation
+        // A reply to a message with a lower sequence acknowledges nothing.
+        std::uint64_t ackableFromSequence = 0;
+        time_point nextSendAt{};     // when the next message is due
         time_point lastReplyAt{};    // last reply, or the first message if there was no reply yet
         bool hasSent = false;        // a message was sent since this entry became a target
         bool isUnresponsive = false; // did not reply for replaceAfterPeriods; cleared by a reply
--- a/libs/request/latency_window.h
+++ b/libs/request/latency_window.h
@@ -15,9 +15,10 @@
 struct latency_reading
 {
     microseconds p99{0};   // over the answers in the window
-    time_point measuredAt; // mean of the times at which the answers were served
+    time_point measuredAt; // mean of the midpoints between start and end of the answers
 };
 
+// Keeps the latencies of the newest answers of an upstream. Not thread-safe.
 class latency_window
 {
 public:
--- a/libs/request/membership.cpp
+++ b/libs/request/membership.cpp
@@ -75,12 +75,12 @@
                          grantedPeriod()};
         return outcome;
     }
-    announcement isFull = found->second.lastMessage;
-    isFull.incarnation = message.incarnation;
-    isFull.sequence = message.sequence;
-    isFull.state = message.state;
-    isFull.load = message.load;
-    return acceptMessage(isFull, false, now);
+    announcement updated = found->second.lastMessage;
+    updated.incarnation = message.incarnation;
+    updated.sequence = message.sequence;
+    updated.state = message.state;
+    updated.load = message.load;
+    return acceptMessage(updated, false, now);
 }
 
 announce_outcome membership::makeRefusal(error_kind kind, const announcement &message)
@@ -94,7 +94,8 @@
 }
 
 // A late message of an old incarnation would restore the address of an instance that is gone, and
-// one with an old sequence would revert a Leaving. Both are recognized by their numbers alone.
+// one with an old sequence would revert the Leaving state. Incarnation and sequence suffice to
+// recognize both.
 bool membership::isStale(const member &memberRecord, const announcement &message) const
 {
     const auto &last = memberRecord.lastMessage;
@@ -188,10 +189,9 @@
     digest_outcome outcome;
     for (const auto &record : message.records)
         applyRecord(record, message.senderId, outcome.changes, now);
-    // If sinceVersion is higher than the applied version, the sender assumes that this entry has
-    // records that it lacks, because this process is new. The ack then has the version that is
-    // really applied, and the sender continues from there. Otherwise the records before
-    // sinceVersion would never arrive.
+    // A sinceVersion above the applied version counts on records that only an earlier process of
+    // this entry has received. The ack then has the version that is really applied, and the sender
+    // continues from there. Otherwise the records before sinceVersion would never arrive.
     if (message.sinceVersion <= sender->appliedVersion)
         sender->appliedVersion = std::max(sender->appliedVersion, message.upToVersion);
     const bool hasChanges =
@@ -228,9 +228,9 @@
     const auto found = m_peers.find(message.senderId);
     if (found == m_peers.end())
         return;
-    // The wall clock was set back since an earlier process of this entry, so its peers would treat
-    // every digest as stale: continue above the incarnation that they know. An entry that was
-    // acknowledged before is itself the older process and does not do so.
+    // If the wall clock was set back since an earlier process of this entry, the peers treat every
+    // digest as stale, so the incarnation is raised above the one that they know. A process that
+    // was acknowledged before is the older of two processes and keeps its incarnation.
     if (message.incarnation > m_settings.incarnation && !m_wasAcknowledged)
         m_settings.incarnation = message.incarnation + 1;
     if (message.incarnation != m_settings.incarnation)
@@ -260,8 +260,8 @@
     return out;
 }
 
-// Instances are replaced all the time. If departed ones were kept, maxMembers and maxPeers would
-// eventually cause new ones to be refused.
+// Instances are replaced all the time. If departed members and peers were kept, new ones would
+// eventually be refused because of maxMembers and maxPeers.
 void membership::removeDeparted(time_point now)
 {
     std::erase_if(m_members, [&](const auto &entry) {
@@ -373,8 +373,8 @@
     return result;
 }
 
-// At the limit, the upstream that departed first is removed. Live ones never are, or a flood of new
-// names would push serving upstreams out of routing.
+// At the limit, the upstream that departed first is removed. Live upstreams are never removed:
+// otherwise a flood of new agent ids would remove serving upstreams from routing.
 bool membership::evictOldestDeparted()
 {
     auto oldest = m_members.end();
@@ -424,8 +424,8 @@
     return std::max(needed, m_settings.minDigestPeriod);
 }
 
-// An agent that missed the reply with a shorter period keeps its old period. A timeout that relies
-// on the new one alone would make the agent silent and remove a healthy upstream from routing.
+// An agent that missed the reply with a shorter period keeps its old period. A timeout computed
+// from the new period alone would remove its healthy upstream from routing.
 duration membership::heartbeatTimeout(const member &memberRecord) const
 {
     const duration interval =
@@ -436,9 +436,9 @@
     return period * m_settings.missedHeartbeatLimit + period / 2;
 }
 
-// The failure of a peer says nothing about the agents whose heartbeats it received. They need some
-// periods to notice it and to announce to another entry; a shorter timeout would remove healthy
-// upstreams from routing.
+// The failure of a peer says nothing about the agents whose heartbeats it received. These agents
+// need several heartbeat periods to notice the failure and to announce to another entry; a shorter
+// timeout would remove healthy upstreams from routing.
 duration membership::peerTimeout() const
 {
     return digestPeriod() * m_settings.missedDigestLimit
--- a/libs/request/membership.h
+++ b/libs/request/membership.h
@@ -42,8 +42,8 @@
     milliseconds minDigestPeriod{1000}; // least time between digests without changes to one peer
     int digestBytes = 80;               // size on the wire of one digest without changes
     int digestBytesPerSecond = 500;     // limit for digests with all peers, both directions
-    // Heartbeat periods that agents need to move to another entry. The reports of a peer whose
-    // digests stopped count for this much longer.
+    // Heartbeat periods that an agent needs to replace a failed entry by another one. The reports
+    // of a peer whose digests stopped arriving count for this much longer.
     int reannouncePeriods = 10;
     int missedDigestLimit = 3; // missed digests until a peer's reports no longer count
     // How long departed upstreams are kept, so that late messages about them are recognized.
@@ -102,8 +102,8 @@
     std::uint64_t staleMessages = 0; // refused for an old incarnation or sequence
     std::uint64_t overLimit = 0;     // refused because of maxMembers or maxPeers
     std::uint64_t staleDigests = 0;
-    std::uint64_t resyncs = 0; // peers that had to be sent all records again
-    std::map<leave_reason, std::uint64_t> departures;
+    std::uint64_t resyncs = 0; // times a peer lost its records and had to be sent them again
+    std::map<leave_reason, std::uint64_t> departures; // upstreams that stopped being routable
 };
 
 // Keeps the upstreams that this entry knows, and decides which are routable. The entry calls it
@@ -122,7 +122,8 @@
     std::vector<membership_change> tick(time_point now);
 
     // Returns the digest that is due for `peer`: at once after a change, otherwise every
-    // digestPeriod(). It counts as sent. A peer that is not known yet is added.
+    // digestPeriod(). The returned digest counts as sent. A peer that is not known yet is added.
+    // Absent if none is due, or if the peer is not known and maxPeers is reached.
     std::optional<digest> digestFor(const std::string &peer, time_point now);
 
     // Time between digests without changes to the same peer; grows with the number of peers.
@@ -152,11 +153,11 @@
     {
         std::uint64_t incarnation = 0;
         std::uint64_t sequence = 0;       // of its last digest
-        std::uint64_t appliedVersion = 0; // version of its table that this entry has applied
+        std::uint64_t appliedVersion = 0; // version of its members that this entry has applied
         time_point lastDigestAt{};        // when its last digest arrived
         bool hasReceivedDigest = false;
-        std::uint64_t ackedVersion = 0; // version of this entry's table that it acknowledged
-        std::uint64_t sentVersion = 0;  // version of this entry's table that was last sent to it
+        std::uint64_t ackedVersion = 0; // version of this entry's members that it acknowledged
+        std::uint64_t sentVersion = 0;  // version of this entry's members that was last sent to it
         time_point digestSentAt{};      // when a digest was last sent to it
         bool hasSent = false;
     };
@@ -186,7 +187,7 @@
     membership_counters m_counters;
     std::map<std::string, member> m_members; // by agent id
     std::map<std::string, peer> m_peers;     // by entry id
-    std::uint64_t m_version = 0;             // of this entry's table; increased by each change
+    std::uint64_t m_version = 0;             // of m_members; increased by each change
     std::uint64_t m_digestSequence = 0;
     std::size_t m_directMemberCount = 0; // members with direct heartbeats
     bool m_wasAcknowledged = false;      // by any peer, in this incarnation
--- a/libs/request/retry_budget.cpp
+++ b/libs/request/retry_budget.cpp
@@ -26,19 +26,19 @@
 retry_budget::retry_budget(retry_budget_settings settings, time_point now)
     : m_settings(settings)
     , m_tokens(settings.minRetriesPerSecond)
-    , m_floorAddedAt(now)
+    , m_timedTokensAddedAt(now)
 { }
 
 void retry_budget::requestStarted(time_point now)
 {
     ++m_counters.requests;
-    addFloorTokens(now);
+    addTimedTokens(now);
     addTokens(m_settings.retriesPerRequest);
 }
 
 retry_verdict retry_budget::requestRetry(const failed_attempt &failed, time_point now)
 {
-    addFloorTokens(now);
+    addTimedTokens(now);
     const auto denial = denialOf(failed, now);
     if (!denial) {
         m_tokens -= 1.0;
@@ -75,13 +75,13 @@
     m_tokens = std::min(m_tokens + tokens, m_settings.maxSavedRetries);
 }
 
-void retry_budget::addFloorTokens(time_point now)
+void retry_budget::addTimedTokens(time_point now)
 {
-    if (now <= m_floorAddedAt)
+    if (now <= m_timedTokensAddedAt)
         return;
-    const std::chrono::duration<double> passed = now - m_floorAddedAt;
+    const std::chrono::duration<double> passed = now - m_timedTokensAddedAt;
     addTokens(passed.count() * m_settings.minRetriesPerSecond);
-    m_floorAddedAt = now;
+    m_timedTokensAddedAt = now;
 }
 
 } // namespace zinniabarrow::request
--- a/libs/request/retry_budget.h
+++ b/libs/request/retry_budget.h
@@ -24,7 +24,7 @@
     int maxAttempts = 3;              // attempts of one request, including the first
 };
 
-// Why an attempt is not retried.
+// Why a failed attempt is not followed by another one.
 enum class retry_denial {
     MayHaveRun,    // the request may have been executed
     SameElsewhere, // it was not executed, and other upstreams would refuse it as well
@@ -43,6 +43,7 @@
 };
 using retry_verdict = std::variant<retry_now, give_up>;
 
+// The attempt for which a retry is requested.
 struct failed_attempt
 {
     error_kind kind = error_kind::Internal;
@@ -58,12 +59,14 @@
     std::map<retry_denial, std::uint64_t> denied; // by reason
 };
 
+// Limits the retries of one service. The entry calls it for each new request and for each failed
+// attempt. Not thread-safe.
 class retry_budget
 {
 public:
     retry_budget(retry_budget_settings settings, time_point now);
 
-    // Adds the share of a new request to the budget. Not called for retries.
+    // Adds retriesPerRequest tokens for a new request. Not called for retries.
     void requestStarted(time_point now);
 
     // Decides on a retry; takes one token if the verdict is retry_now.
@@ -75,12 +78,12 @@
 private:
     std::optional<retry_denial> denialOf(const failed_attempt &failed, time_point now) const;
     void addTokens(double tokens);
-    void addFloorTokens(time_point now);
+    void addTimedTokens(time_point now);
 
     retry_budget_settings m_settings;
     retry_counters m_counters;
-    double m_tokens;           // available retries
-    time_point m_floorAddedAt; // minRetriesPerSecond has been added up to this time
+    double m_tokens;                 // available retries
+    time_point m_timedTokensAddedAt; // minRetriesPerSecond has been added up to this time
 };
 
 } // namespace zinniabarrow::request
--- a/libs/request/router.cpp
+++ b/libs/request/router.cpp
@@ -50,7 +50,7 @@
 void router::on(const upstream_joined &change, time_point now)
 {
     const auto &announcedUpstream = change.upstream;
-    const bool first = m_byService[announcedUpstream.service].empty();
+    const bool isFirst = m_byService[announcedUpstream.service].empty();
     auto &joined = m_upstreams[announcedUpstream.agentId];
     joined = upstream{};
     joined.announced = announcedUpstream;
@@ -58,7 +58,7 @@
     joined.serviceTime = m_settings.initialServiceTime;
     joined.averageOthersLoad = announcedUpstream.load.inFlight + announcedUpstream.load.queued;
     // The first upstream of a service gets all requests anyway, so it skips the slow start.
-    joined.slowStartedAt = first ? now - m_settings.slowStartTime : now;
+    joined.slowStartedAt = isFirst ? now - m_settings.slowStartTime : now;
     recordLoad(joined, announcedUpstream.load, now);
     m_byService[announcedUpstream.service].insert(announcedUpstream.agentId);
 }
@@ -103,10 +103,11 @@
     if (all.empty())
         return makeRefusal(anyBackingOff ? error_kind::Overloaded : error_kind::NoUpstream);
     upstream *chosen = nullptr;
-    for (const auto where : {locality::OwnZone, locality::OwnRegion, locality::OtherRegion}) {
+    for (const auto wantedLocality :
+         {locality::OwnZone, locality::OwnRegion, locality::OtherRegion}) {
         candidates sameLocality;
         for (upstream *candidate : all) {
-            if (candidate->proximity == where)
+            if (candidate->proximity == wantedLocality)
                 sameLocality.push_back(candidate);
         }
         if (sameLocality.empty())
@@ -124,7 +125,8 @@
                  chosen->announced.incarnation};
 }
 
-// The upstreams that may get a request now.
+// The upstreams that may get a request now. Sets `anyBackingOff` if one is left out only because it
+// refused a request because of its load.
 router::candidates router::eligibleUpstreams(const std::string &service,
                                              const std::set<std::string> &excluded, time_point now,
                                              bool &anyBackingOff)
@@ -174,7 +176,7 @@
                                  time_point now)
 {
     auto &turn = m_nextTurn[service];
-    for (std::size_t tries = 0; tries < from.size(); ++tries) {
+    for (std::size_t checkedCount = 0; checkedCount < from.size(); ++checkedCount) {
         upstream *next = from[turn++ % from.size()];
         if (drawUniform(m_random) < slowStartFactor(*next, now))
             return next;
@@ -208,10 +210,10 @@
     return m_settings.slowStartShare + (1.0 - m_settings.slowStartShare) * progress;
 }
 
-// Requests that other entries have sent, as far as reports show. A report is mostly outdated after
-// one service time; from then on the average load is the better estimate. With a longer half-life,
-// or without the average, all entries would send to the upstream that last reported a low load
-// until it refuses, and then to the next one.
+// Requests at the upstream that other entries have sent, estimated from its reports. A report is
+// mostly outdated after one service time; from then on the average load is the better estimate.
+// With a longer half-life, or without the average, all entries would send to the upstream that last
+// reported a low load until it refuses, and then to the next one.
 double router::estimatedOthersLoad(const upstream &target, time_point now) const
 {
     const std::chrono::duration<double> age = now - target.reportedAt;
--- a/libs/request/router.h
+++ b/libs/request/router.h
@@ -37,8 +37,8 @@
     double maxEjectedShare = 0.3;
     milliseconds initialCoolDown{2000};  // first ejection; doubled by each further one
     milliseconds maxCoolDown{60 * 1000}; // upper bound of the doubled cool-down
-    // Longest pause after an upstream refused a request because of its load: routing_result's
-    // retryAfter, which is meant for callers, is reduced to this.
+    // Longest pause after an upstream refused a request because of its load. Its retryAfter, which
+    // is meant for callers, is reduced to this.
     milliseconds maxBackoff{20};
 };
 
@@ -54,14 +54,15 @@
 using routing_policy = std::variant<two_choices, round_robin, least_known_load>;
 std::string_view nameOf(const routing_policy &policy);
 
+// The agent to which an attempt is sent.
 struct route
 {
     std::string agentId;
     std::string address;
     std::uint64_t incarnation = 0;
 };
-// The error is Overloaded if no upstream can be chosen and at least one only because it refused a
-// request just now because of its load. Otherwise it is NoUpstream: none is known, or each is
+// A route, or the error to answer if no upstream can be chosen. Overloaded: at least one upstream
+// is paused because it refused a request because of its load. NoUpstream: none is known, or each is
 // excluded, ejected or leaving.
 using routing_decision = std::variant<route, error_kind>;
 
@@ -75,7 +76,7 @@
 };
 std::string_view nameOf(routing_outcome outcome);
 
-// What the router learns from an ended attempt; not the event delivery::attempt_ended.
+// Result of an ended attempt, as passed to the router.
 struct routing_result
 {
     route upstream;
@@ -112,7 +113,8 @@
     routing_decision choose(const std::string &service, const std::set<std::string> &excluded,
                             time_point now);
 
-    // Each started attempt must be ended exactly once, even if its upstream has left meanwhile.
+    // Called when an attempt starts and ends. Each started attempt must be ended exactly once, even
+    // if its upstream has left meanwhile.
     void attemptStarted(const route &upstream, time_point now);
     void attemptEnded(const routing_result &attempt, time_point now);
 
@@ -136,7 +138,7 @@
         double averageOthersLoad = 0; // moving average of reportedOthersLoad
         time_point reportedAt{};      // time of the last load report
         duration serviceTime{};       // as reported
-        time_point slowStartedAt{};   // start of the slow start
+        time_point slowStartedAt{};   // when the slow start began
         time_point backOffUntil{};    // gets no requests until then because it refused one
         bool isLeaving = false;       // refused an attempt with Draining or Starting
         health state = health::Admitted;
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -45,10 +45,10 @@
             arrive(prefix + std::to_string(i), timeout, team);
     }
 
-    void finish(const std::string &id, milliseconds took, milliseconds slowCallerTime = {},
+    void finish(const std::string &id, milliseconds elapsedTime, milliseconds slowCallerTime = {},
                 bool isComplete = true)
     {
-        handle(admission::finished{id, took, slowCallerTime, isComplete});
+        handle(admission::finished{id, elapsedTime, slowCallerTime, isComplete});
     }
 
     bool hasStarted(const std::string &id) const
@@ -68,7 +68,7 @@
     std::map<std::string, admission::refuse> refused;
 };
 
-constexpr milliseconds Patient{10 * 1000};
+constexpr milliseconds LongTimeout{10 * 1000};
 
 } // namespace
 
@@ -76,7 +76,7 @@
 {
     section("eight requests run at the same time, never nine", [] {
         admission_fixture fixture;
-        fixture.arriveMany("r", 20, Patient);
+        fixture.arriveMany("r", 20, LongTimeout);
         check(fixture.started.size() == 8);
         check(fixture.controller.waitingCount() == 12);
         section("a finished request frees its slot", [&] {
@@ -89,7 +89,7 @@
             check(fixture.controller.counters().ignored == 1);
         });
         section("a duplicate arrival starts no second request", [&] {
-            fixture.arrive("r1", Patient);
+            fixture.arrive("r1", LongTimeout);
             check(fixture.controller.runningCount() == 8
                   && fixture.controller.waitingCount() == 11);
         });
@@ -101,14 +101,14 @@
     section("unusable connections count against the limit of 64", [] {
         admission_fixture fixture;
         fixture.handle(admission::connections_changed{60});
-        fixture.arriveMany("r", 8, Patient);
+        fixture.arriveMany("r", 8, LongTimeout);
         check(fixture.started.size() == 4);
         fixture.handle(admission::connections_changed{59});
         check(fixture.started.size() == 5);
     });
     section("the length of the queue is limited", [] {
         admission_fixture fixture;
-        fixture.arriveMany("r", 8 + 16 + 1, Patient);
+        fixture.arriveMany("r", 8 + 16 + 1, LongTimeout);
         check(fixture.controller.waitingCount() == 16);
         check(fixture.wasRefused("r24", error_kind::QueueFull));
     });
@@ -118,10 +118,10 @@
 // `executed: no` and a Retry-After. Eight requests of 20 ms (deviation 10 ms) are running; a
 // request that waits for the first free slot ends after 40 ms and needs a margin of 10 ms, one in
 // the second round needs 20 ms more.
-Test(admission, deadlinesByPosition)
+Test(admission, deadlinesByQueuePosition)
 {
     admission_fixture fixture;
-    fixture.arriveMany("running", 8, Patient);
+    fixture.arriveMany("running", 8, LongTimeout);
     section("the first round needs 50 ms", [&] {
         fixture.arrive("a", milliseconds(49));
         check(fixture.wasRefused("a", error_kind::DeadlineTooClose));
@@ -149,29 +149,29 @@
 Test(admission, frozenUpstream)
 {
     admission_fixture fixture;
-    fixture.arriveMany("running", 8, Patient);
+    fixture.arriveMany("running", 8, LongTimeout);
     fixture.arrive("waiting", milliseconds(1000));
-    const time_point startAction = fixture.now;
-    while (fixture.refused.empty() && fixture.now < startAction + seconds(2)) {
+    const time_point startedAt = fixture.now;
+    while (fixture.refused.empty() && fixture.now < startedAt + seconds(2)) {
         fixture.now += milliseconds(10);
         fixture.handle(admission::tick{});
     }
     check(fixture.wasRefused("waiting", error_kind::DeadlineTooClose));
-    check(fixture.now - startAction == milliseconds(500));
+    check(fixture.now - startedAt == milliseconds(500));
     section("later requests with one second left are refused at once", [&] {
-        fixture.now = startAction + seconds(2);
+        fixture.now = startedAt + seconds(2);
         fixture.arrive("later", milliseconds(1000));
         check(fixture.wasRefused("later", error_kind::DeadlineTooClose));
     });
 }
 
 // A slow period raised the estimated service time far above every deadline. The upstream is fast
-// again, but if every request were refused, nothing would run and the estimate could not fall.
-Test(admission, recoversFromOneSlowSpell)
+// again; if every request were refused, nothing would run and the estimate could never fall.
+Test(admission, recoversAfterSlowPeriod)
 {
     admission_fixture fixture;
     for (int i = 0; i < 30; ++i) {
-        fixture.arrive("slow" + std::to_string(i), Patient * 10);
+        fixture.arrive("slow" + std::to_string(i), LongTimeout * 10);
         fixture.finish("slow" + std::to_string(i), milliseconds(5000));
     }
     int answered = 0;
@@ -190,56 +190,57 @@
 // answer slowly, which must not count as service time.
 Test(admission, callersThatReadSlowly)
 {
-    const auto takesShortDeadlines = [](admission_fixture &subject) {
-        subject.arrive("long", Patient);
+    const auto acceptsShortDeadlines = [](admission_fixture &subject) {
+        subject.arrive("long", LongTimeout);
         subject.arrive("short", milliseconds(1500));
         return subject.hasStarted("long") && subject.hasStarted("short");
     };
-    const auto afterAnswers = [](milliseconds took, milliseconds slowCallerTime, bool isComplete) {
+    const auto fixtureAfterAnswers = [](milliseconds elapsedTime, milliseconds slowCallerTime,
+                                        bool isComplete) {
         admission_fixture subject;
         for (int index = 0; index < 20; ++index) {
             const auto id = "before" + std::to_string(index);
-            subject.arrive(id, Patient);
-            subject.finish(id, took, slowCallerTime, isComplete);
+            subject.arrive(id, LongTimeout);
+            subject.finish(id, elapsedTime, slowCallerTime, isComplete);
         }
         return subject;
     };
     section("the time of slow callers is not service time", [&] {
-        auto subject = afterAnswers(milliseconds(9000), milliseconds(8900), true);
-        check(takesShortDeadlines(subject));
+        auto subject = fixtureAfterAnswers(milliseconds(9000), milliseconds(8900), true);
+        check(acceptsShortDeadlines(subject));
     });
     section("a slow service raises the estimate", [&] {
-        auto subject = afterAnswers(milliseconds(9000), milliseconds(1000), true);
-        check(!takesShortDeadlines(subject));
+        auto subject = fixtureAfterAnswers(milliseconds(9000), milliseconds(1000), true);
+        check(!acceptsShortDeadlines(subject));
     });
-    section("the time until an answer broke off is service time", [&] {
-        auto subject = afterAnswers(milliseconds(20), milliseconds(0), true);
+    section("the time until an answer breaks off is service time", [&] {
+        auto subject = fixtureAfterAnswers(milliseconds(20), milliseconds(0), true);
         for (int index = 0; index < 20; ++index) {
             const auto id = "cut" + std::to_string(index);
-            subject.arrive(id, Patient);
+            subject.arrive(id, LongTimeout);
             subject.finish(id, milliseconds(9000), milliseconds(1), false);
         }
-        check(!takesShortDeadlines(subject));
+        check(!acceptsShortDeadlines(subject));
     });
-    section("an answer that its caller left does not lower the estimate", [&] {
-        auto subject = afterAnswers(milliseconds(4000), milliseconds(0), true);
+    section("an answer whose caller disconnected does not lower the estimate", [&] {
+        auto subject = fixtureAfterAnswers(milliseconds(4000), milliseconds(0), true);
         for (int index = 0; index < 20; ++index) {
             const auto id = "left" + std::to_string(index);
-            subject.arrive(id, Patient);
+            subject.arrive(id, LongTimeout);
             subject.finish(id, milliseconds(2000), milliseconds(1990), false);
         }
-        check(!takesShortDeadlines(subject));
+        check(!acceptsShortDeadlines(subject));
     });
 }
 
-// One team's bulk requests fill the queue of an upstream; then another team sends one request. The
-// team with the full share loses its newest request, and the other team's request is next.
+// One team's requests fill the queue of an upstream; then another team sends one request. The team
+// that fills the queue loses its newest request, and the other team's request starts next.
 Test(admission, teams)
 {
     section("one request of another team gets into a full queue and starts first", [] {
         admission_fixture fixture;
-        fixture.arriveMany("flood", 24, Patient, "school");
-        fixture.arrive("gate", Patient, "parent");
+        fixture.arriveMany("flood", 24, LongTimeout, "school");
+        fixture.arrive("gate", LongTimeout, "parent");
         check(fixture.wasRefused("flood23", error_kind::FairShareExceeded));
         fixture.finish("flood0", milliseconds(20));
         check(fixture.started.back() == "gate");
@@ -247,11 +248,11 @@
     section("a team that was idle for a long time has no credit", [] {
         admission_fixture fixture;
         for (int i = 0; i < 1000; ++i) {
-            fixture.arrive("busy" + std::to_string(i), Patient, "school");
+            fixture.arrive("busy" + std::to_string(i), LongTimeout, "school");
             fixture.finish("busy" + std::to_string(i), milliseconds(20));
         }
-        fixture.arriveMany("s", 16, Patient, "school");
-        fixture.arriveMany("p", 8, Patient, "parent");
+        fixture.arriveMany("s", 16, LongTimeout, "school");
+        fixture.arriveMany("p", 8, LongTimeout, "parent");
         fixture.started.clear();
         for (int i = 0; i < 8; ++i)
             fixture.finish("s" + std::to_string(i), milliseconds(20));
@@ -259,7 +260,7 @@
                                            [](const auto &id) { return id[0] == 'p'; });
         check(parents >= 4 && parents <= 7);
     });
-    section("a team within its share is not affected by another one's sevenfold load", [] {
+    section("a team within its share is not affected by one that sends seven times its share", [] {
         const auto result = runOverload({{"flood", 1400.0}, {"light", 100.0}}, seconds(20));
         check(result.onTimeByTeam.at("light") > 0.97 * 20 * 100 * 0.95);
         check(result.onTimeByTeam.at("flood") > 20 * 250);
@@ -269,11 +270,11 @@
 Test(admission, priorities)
 {
     admission_fixture fixture;
-    fixture.arriveMany("running", 8, Patient);
-    fixture.arriveMany("plain", 15, Patient);
-    fixture.arrive("urgent", Patient, "club", 5);
+    fixture.arriveMany("running", 8, LongTimeout);
+    fixture.arriveMany("plain", 15, LongTimeout);
+    fixture.arrive("urgent", LongTimeout, "club", 5);
     section("a full queue loses the newest request of the lowest priority", [&] {
-        fixture.arrive("urgent2", Patient, "club", 5);
+        fixture.arrive("urgent2", LongTimeout, "club", 5);
         check(fixture.wasRefused("plain14", error_kind::QueueFull));
         check(!fixture.refused.contains("urgent2"));
     });
@@ -285,7 +286,7 @@
 
 // Callers send up to four times what the upstream can process. As many requests as before are
 // answered in time; the rest are refused at once, and hardly any answer is late.
-Test(admission, goodputStaysFlat)
+Test(admission, goodputUnderOverload)
 {
     constexpr double Capacity = 8 / 0.020;
     constexpr int Seconds = 20;
@@ -304,7 +305,7 @@
 Test(admission, retryAfterSpreadsCallers)
 {
     admission_fixture fixture;
-    fixture.arriveMany("r", 8 + 16 + 200, Patient);
+    fixture.arriveMany("r", 8 + 16 + 200, LongTimeout);
     std::vector<milliseconds> times;
     for (const auto &[id, refusal] : fixture.refused)
         times.push_back(refusal.retryAfter);
@@ -320,9 +321,9 @@
 Test(admission, drain)
 {
     admission_fixture fixture;
-    fixture.arriveMany("r", 12, Patient);
+    fixture.arriveMany("r", 12, LongTimeout);
     fixture.handle(admission::drain_started{});
-    fixture.arrive("new", Patient);
+    fixture.arrive("new", LongTimeout);
     check(fixture.wasRefused("new", error_kind::Draining));
     for (int i = 0; i < 12; ++i) {
         check(!fixture.controller.isDrained());
@@ -335,7 +336,7 @@
 // A service is slow for a while, then gets no requests. The agent must report the latency of recent
 // answers only, and none if there are no answers: otherwise figures of an hour ago would be
 // reported as current, and uninvolved tasks on the worker would be throttled.
-Test(admission, latencyWindowForgets)
+Test(admission, latencyWindowDropsOldAnswers)
 {
     latency_window window(seconds(2));
     time_point now{seconds(100)};
--- a/tests/at_most_once_test.cpp
+++ b/tests/at_most_once_test.cpp
@@ -1,5 +1,5 @@
-// At-most-once execution: every step of a keyed request is combined with every fault, and the
-// upstream counts its executions.
+// At-most-once execution: every step of a request with an idempotency key is combined with every
+// fault, and the simulated upstream counts its executions.
 #include <fmt/core.h>
 
 #include "delivery_simulation.h"
@@ -13,23 +13,23 @@
 
 namespace {
 
-// One order: the first try, and repeats through both entries, some long after the end.
+// Sends an order: its first request, and repeats through both entries, some long after its end.
 void sendOrder(delivery_simulation &simulation, const std::string &method, const std::string &key)
 {
     simulation.settings.claims.sweepInterval = milliseconds(1000); // sweeps are steps too
-    const std::vector<std::pair<std::string, int>> tries{
+    const std::vector<std::pair<std::string, int>> requests{
             {"e1", 0}, {"e2", 20}, {"e1", 300}, {"e2", 1500}, {"e1", 9000}, {"e2", 50'000}};
-    for (std::size_t i = 0; i < tries.size(); ++i)
-        simulation.send(fmt::format("{}/r{}", tries[i].first, i), tries[i].first,
-                        milliseconds(100 + tries[i].second), method, key);
+    for (std::size_t i = 0; i < requests.size(); ++i)
+        simulation.send(fmt::format("{}/r{}", requests[i].first, i), requests[i].first,
+                        milliseconds(100 + requests[i].second), method, key);
 }
 
-// Must hold after every run, whatever faults it had.
+// Checks what must hold after every simulation, whatever faults it had.
 void checkGuarantees(delivery_simulation &simulation, const std::string &description,
-                     bool mayRepeat)
+                     bool mayRunTwice)
 {
     for (const auto &[order, count] : simulation.runsByOrder)
-        cr_expect(mayRepeat || count <= 1, "%s: %s ran %d times", description.c_str(),
+        cr_expect(mayRunTwice || count <= 1, "%s: %s ran %d times", description.c_str(),
                   order.c_str(), count);
     cr_expect(simulation.overlappingRequests.empty(), "%s: two attempts at once",
               description.c_str());
@@ -37,7 +37,7 @@
         for (const auto &refusal : refusals) {
             const bool isTruthful =
                     refusal.executionState != executed::No || simulation.runs[id] == 0;
-            cr_expect(isTruthful, "%s: %s ran, its answer says that it did not",
+            cr_expect(isTruthful, "%s: %s ran, but its answer says that it did not",
                       description.c_str(), id.c_str());
         }
     }
@@ -49,7 +49,7 @@
 }
 
 // After a fault that proves that nothing ran, a later repeat must run the order.
-void checkProgress(delivery_simulation &simulation, const std::string &description, fault single)
+void checkProgress(delivery_simulation &simulation, const std::string &description, fault onlyFault)
 {
     using enum fault;
     for (const auto *entry : {"e1", "e2"}) {
@@ -57,8 +57,10 @@
                 simulation.deadEntries.contains(entry) ? 0 : simulation.flow(entry).openClaims();
         cr_expect(open == 0, "%s: %s keeps %zu claims open", description.c_str(), entry, open);
     }
-    const bool uncertain = single == EntryDies || single == AgentDies || single == AnswerLost;
-    cr_expect(uncertain || simulation.runsByOrder["k"] == 1, "%s: never ran", description.c_str());
+    const bool isOutcomeUncertain =
+            onlyFault == EntryDies || onlyFault == AgentsDie || onlyFault == AnswerLost;
+    cr_expect(isOutcomeUncertain || simulation.runsByOrder["k"] == 1, "%s: the order never ran",
+              description.c_str());
 }
 
 void runFaults(const std::string &method, const std::string &key,
@@ -78,7 +80,7 @@
         checkProgress(simulation, description, faults.begin()->second);
 }
 
-int stepsOf(const std::string &method, bool streaming = false)
+int countSteps(const std::string &method, bool streaming = false)
 {
     delivery_simulation simulation;
     simulation.hasLargeAnswers = streaming;
@@ -99,7 +101,7 @@
             check(simulation.runsByOrder["k"] == 1);
             check(simulation.answers["e1/r0"] == std::vector<std::string>{"passed"});
         });
-        section("a repeat meanwhile is refused as in progress",
+        section("a repeat during the execution is refused as in progress",
                 [&] { check(simulation.answers["e2/r1"].front() == "key_in_progress"); });
         section("later repeats get the first answer through either entry", [&] {
             for (const auto *id : {"e1/r2", "e2/r3", "e1/r4", "e2/r5"})
@@ -110,7 +112,7 @@
 
 // Entry e1 dies while the upstream executes the order, so the end is never recorded. Repeats
 // through e2 must not be refused as in progress for ever.
-Test(at_most_once, entry_dies_while_it_runs)
+Test(at_most_once, entry_dies_during_execution)
 {
     for (const bool isKnownDead : {false, true}) {
         delivery_simulation simulation;
@@ -126,14 +128,15 @@
     }
 }
 
-// Each try gets one true answer. Every step (arrival, claim, its result, choice, forward, start,
-// answer, record of the end) is combined with every fault: a dying or frozen entry, replaced
-// agents, lost, duplicate and late messages, a table that is unavailable, does not respond, or
-// applies a write late. The claim in the table, the read-back and the memory of the agents each
-// prevent another way of running twice.
+// Each request gets exactly one answer, which must be true, or none if its entry dies. Every step
+// (arrival, claim, its result, choice, forward, start, answer, record of the end) is combined with
+// every fault: a dying or frozen entry, replaced agents, lost, duplicate and late messages, a table
+// that is unavailable, does not respond, or applies a write late. The claim in the table, the read
+// after a commit without a result and the agents' records of attempts each prevent another way of
+// running twice.
 Test(at_most_once, every_step_and_fault)
 {
-    const auto steps = stepsOf("POST");
+    const auto steps = countSteps("POST");
     check(steps > 40);
     for (const std::string method : {"POST", "PUT"}) {
         for (const std::string key : {"k", ""}) {
@@ -148,9 +151,9 @@
 }
 
 // The same with three simultaneous faults in each run, drawn from a seeded generator.
-Test(at_most_once, faults_together)
+Test(at_most_once, simultaneous_faults)
 {
-    const auto steps = stepsOf("POST");
+    const auto steps = countSteps("POST");
     for (std::uint32_t seed = 1; seed <= 1500; ++seed) {
         random_generator random(seed);
         std::map<int, fault> faults;
@@ -163,9 +166,8 @@
 }
 
 // The answer is large: the caller gets its first part before the body has ended, and every message
-// is combined with every fault. No repeat executes the order again. While the body is being sent
-// the key is in progress; afterwards a repeat is told that the order was executed or that its
-// outcome is unknown.
+// is combined with every fault. No repeat executes the order again. While the body is being sent a
+// repeat is refused as in progress, afterwards as already executed or with an unknown outcome.
 Test(at_most_once, streamed_answers)
 {
     section("without faults", [] {
@@ -192,7 +194,7 @@
             check(simulation.answers[id].front() == "outcome_unknown");
     });
     section("every step and fault", [] {
-        const auto steps = stepsOf("POST", true);
+        const auto steps = countSteps("POST", true);
         check(steps > 40);
         for (const std::string method : {"POST", "PUT"}) {
             for (int step = 1; step <= steps; ++step) {
--- a/tests/attempt_test.cpp
+++ b/tests/attempt_test.cpp
@@ -1,5 +1,5 @@
-// attempt_guard, the agent's memory of attempts, and answer_check, which proves that an answer is
-// complete.
+// attempt_guard, which keeps the agent from starting an attempt twice, and answer_check, which
+// proves that an answer is complete.
 #include "base/answer_check.h"
 #include "delivery/attempt_guard.h"
 #include "delivery/flow_messages.h"
@@ -32,7 +32,7 @@
 
 // An attempt reaches the agent twice, late, or after its cancel. The request must not be executed
 // twice, and the agent may say "not run" only of attempts that never start on it.
-Test(attempt_guard, copies)
+Test(attempt_guard, duplicates)
 {
     section("a duplicate never starts, whatever happened to the first copy", [] {
         attempt_guard guard(1, {});
@@ -67,7 +67,7 @@
     });
 }
 
-Test(attempt_guard, late)
+Test(attempt_guard, late_and_cancelled_attempts)
 {
     section("after its deadline an attempt is refused as not run, on arrival and before the start",
             [] {
@@ -94,12 +94,12 @@
     });
 }
 
-Test(attempt_guard, memory)
+Test(attempt_guard, remembered_requests)
 {
     attempt_guard guard(1, {100, milliseconds(90'000)});
     for (int i = 0; i < 100; ++i)
         guard.admitAttempt({std::to_string(i), 1, 1, false, Start + seconds(1)}, Start);
-    section("a full memory refuses new requests and keeps all records", [&] {
+    section("at the limit new requests are refused and all records are kept", [&] {
         check(isUnknown(guard.admitAttempt({"new", 1, 1, false, Start + seconds(1)}, Start)));
         check(isUnknown(guard.admitAttempt({"0", 1, 1, false, Start + seconds(1)}, Start)));
     });
@@ -115,7 +115,7 @@
 
 // An upstream dies in the middle of an answer, or answers late on a connection that was reused. The
 // caller must get an error, never an incomplete answer or that of another caller.
-Test(answer_check, whole_answers)
+Test(answer_check, complete_answers)
 {
     const auto run = [](answer_head head, std::uint64_t bytes, bool lastChunk,
                         const std::string &method = "GET") {
@@ -126,33 +126,33 @@
         return answer.checkEnd(lastChunk);
     };
     using enum body_framing;
-    section("have all declared bytes, or the last chunk", [&] {
+    section("a complete answer has all declared bytes, or the last chunk", [&] {
         check(!run({200, "r", Length, 10, 50}, 10, false));
         check(!run({200, "r", Chunked, 0, 50}, 10, true));
         check(!run({204, "r", UntilClose, 0, 50}, 0, false));
         check(!run({200, "r", Length, 10, 50}, 0, false, "HEAD"));
     });
-    section("do not break off and are not longer than declared", [&] {
+    section("an answer that breaks off or is longer than declared is incomplete", [&] {
         check(run({200, "r", Length, 10, 50}, 9, false) == error_kind::AnswerIncomplete);
         check(run({200, "r", Length, 10, 50}, 11, false) == error_kind::AnswerIncomplete);
         check(run({200, "r", Chunked, 0, 50}, 10, false) == error_kind::AnswerIncomplete);
         check(run({204, "r", Length, 0, 50}, 1, false) == error_kind::AnswerIncomplete);
     });
-    section("have an end that can be proved", [&] {
+    section("an answer whose end can't be proved is incomplete", [&] {
         check(run({200, "r", UntilClose, 0, 50}, 10, true) == error_kind::AnswerIncomplete);
         check(run({200, "r", Conflicting, 10, 50}, 10, true) == error_kind::AnswerIncomplete);
         check(run({100, "r", Length, 0, 50}, 0, true) == error_kind::AnswerIncomplete);
         check(answer_check("r", "GET", {}).checkEnd(true) == error_kind::AnswerIncomplete);
     });
-    section("belong to the request", [&] {
+    section("an answer to another request leaves the outcome unknown", [&] {
         check(run({200, "q", Length, 1, 50}, 1, true) == error_kind::OutcomeUnknown);
     });
-    section("are limited in size", [&] {
+    section("head and body of an answer are limited in size", [&] {
         check(run({200, "r", Length, 1001, 50}, 0, true) == error_kind::AnswerTooLarge);
         check(run({200, "r", Chunked, 0, 50}, 1001, true) == error_kind::AnswerTooLarge);
         check(run({200, "r", Length, 1, 101}, 1, true) == error_kind::AnswerTooLarge);
     });
-    section("failures become the outcome of their attempt", [] {
+    section("a failed check becomes the outcome of the attempt", [] {
         check(std::holds_alternative<attempt_too_large>(outcomeOf(error_kind::AnswerTooLarge)));
         check(std::holds_alternative<attempt_disconnected>(outcomeOf(error_kind::OutcomeUnknown)));
     });
--- a/tests/claim_coordinator_test.cpp
+++ b/tests/claim_coordinator_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Sends keyed orders evenly over one second, half through each entry.
+// Sends orders with different idempotency keys evenly over one second, half through each entry.
 void sendBurst(delivery_simulation &simulation, int orders, int keyOffset = 0)
 {
     for (int i = 0; i < orders; ++i) {
@@ -43,7 +43,8 @@
 
 } // namespace
 
-// The platform accepts several hundred writes a second from all its users together.
+// The platform accepts several hundred writes a second from all its users together, so the claims
+// of a burst must share transactions.
 Test(claim_coordinator, writes_of_a_burst)
 {
     delivery_simulation simulation;
@@ -79,7 +80,7 @@
                         fmt::format("k{}", i));
     }
     simulation.runUntil(milliseconds(12'000));
-    fmt::print("60 keyed a second: {} transactions, p50 {} us, p99 {} us\n",
+    fmt::print("60 requests with a key a second: {} transactions, p50 {} us, p99 {} us\n",
                simulation.transactions, latencyPercentile(simulation, 0.5).count(),
                latencyPercentile(simulation, 0.99).count());
     check(countOf(simulation, "passed") == 600);
@@ -134,7 +135,7 @@
         check(simulation.answers["e2/big"].front() == "already_executed");
         check(simulation.refusals["e2/big"].front().executionState == executed::Yes);
     });
-    section("a repeat of this entry's own forgotten claim is told that the outcome is unknown",
+    section("a repeat is told that the outcome is unknown if its entry no longer knows its claim",
             [&] {
                 const auto key = claimRowKey("tickets", "kartli", "lost");
                 simulation.send("e2/lost", "e2", milliseconds(2100), "POST", "lost");
@@ -177,9 +178,9 @@
         check(countOf(simulation, "platform_unavailable") == sent);
         check(countOf(simulation, "passed") == 2 * sent + 2);
         check(simulation.flow("e1").openClaims() == 0);
-        // Only a table that does not respond makes callers wait, and only those who are first to
-        // notice the outage: a commit and its read-back time out (602 ms here), and six times two
-        // keyed orders arrive meanwhile.
+        // Only a table that does not respond makes callers wait, and only those whose requests
+        // arrive before the outage is noticed: a commit and the read that follows time out (602 ms
+        // here), and six times two requests with a key arrive meanwhile.
         int slow = 0;
         for (const auto &[id, at] : simulation.answeredAt)
             slow += at - simulation.sentAt.at(id) > milliseconds(100) ? 1 : 0;
@@ -188,9 +189,9 @@
     }
 }
 
-// The table fails under load, with uncertain claims and records to write. They must not all send
-// requests to it: each entry sends one probe at a time, and completes all claims when the table is
-// back.
+// The table fails under load, while claims are uncertain and outcomes wait to be written. An entry
+// must not send a request to the table for each of them: it sends one probe at a time, and
+// completes all claims when the table is back.
 Test(claim_coordinator, outage_under_load)
 {
     for (const auto kind : {fault::TableRefuses, fault::TableHangs}) {
@@ -227,9 +228,9 @@
     check(simulation.runsByOrder["k"] == 1);
 }
 
-// The entry is stopped while the table is unavailable. The caller has been answered, but the record
-// of the end must still be written so that a repeat through another entry gets the answer. The
-// entry waits for that, but at most for drainTimeout.
+// The entry is stopped while the table is unavailable. The caller has been answered, but the
+// outcome must still be written so that a repeat through another entry gets the answer. The entry
+// waits for that, but at most for drainTimeout.
 Test(claim_coordinator, drain_in_an_outage)
 {
     for (const int drainTime : {500, 5000}) {
@@ -256,7 +257,7 @@
 }
 
 // The table does not respond for longer than claimTimeout.
-Test(claim_coordinator, patience)
+Test(claim_coordinator, claim_timeout)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
@@ -272,7 +273,7 @@
 
 // Keys live for a stated time, and no row stays for ever. Entries increment the era only after they
 // have seen it unchanged for eraDuration, so a row may live longer than stated, never shorter.
-Test(claim_coordinator, life_of_keys)
+Test(claim_coordinator, key_lifetime)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
@@ -299,15 +300,15 @@
 
 // Another entry has incremented the era, and this one has not noticed. A claim written with the old
 // era would be removed too early, and a late repeat would run again.
-Test(claim_coordinator, era_that_has_passed)
+Test(claim_coordinator, outdated_era)
 {
     delivery_simulation simulation;
     simulation.refusingAgents.clear();
     simulation.send("e1/1", "e1", milliseconds(100), "POST", "k1");
     simulation.runUntil(milliseconds(1000));
-    Json::Value raised(Json::objectValue);
-    raised["era"] = 9;
-    simulation.platform.commit({"other", {}, {{"claim-era", raised}}});
+    Json::Value newEra(Json::objectValue);
+    newEra["era"] = 9;
+    simulation.platform.commit({"other", {}, {{"claim-era", newEra}}});
     simulation.send("e1/2", "e1", milliseconds(1100), "POST", "k2");
     simulation.runUntil(milliseconds(2000));
     check(simulation.answers["e1/2"].front() == "passed");
@@ -315,7 +316,7 @@
     check(claimRowFromJson(row->value).era == 9);
 }
 
-Test(claim_coordinator, memory)
+Test(claim_coordinator, cache_and_rows)
 {
     section("cached claims are limited by the bytes of their answers", [] {
         delivery_simulation simulation;
--- a/tests/delivery_simulation.h
+++ b/tests/delivery_simulation.h
@@ -1,5 +1,8 @@
 // Simulation of entries, agents with one upstream each, the table and callers, on a virtual clock.
 // Every message is a numbered step, and any step can be combined with a fault.
+//
+// An order is what callers want to have executed once: all requests with the same idempotency key
+// belong to one order, and a request without a key is an order of its own.
 #pragma once
 
 #include <algorithm>
@@ -23,20 +26,22 @@
 
 enum class fault {
     None,
-    EntryDies,           // the entry of this step; messages to it are lost
-    EntryFreezes,        // for three seconds, longer than every deadline here
-    AgentDies,           // all agents are replaced, their upstreams keep running
-    AnswerLost,          // the step takes effect, but its answer is lost
-    SecondAnswerArrives, // a commit is duplicated, and only the second result arrives
-    Duplicated,          // both copies at the same time
-    Delayed,             // by three seconds, longer than every deadline here
-    DuplicatedLate,      // a second copy arrives half a second later
-    TableRefuses,        // for two seconds
-    TableHangs,          // for two seconds: results are Unknown, nothing is applied
-    WriteDelayed,        // the result of a commit is Unknown; it is applied 700 ms later
+    EntryDies,        // the entry of this step; messages to it are lost
+    EntryFreezes,     // for three seconds, longer than every deadline here
+    AgentsDie,        // all agents are replaced, their upstreams keep running
+    AnswerLost,       // the step takes effect, but its answer is lost
+    OnlySecondResult, // a commit is duplicated, and only the second result arrives
+    Duplicated,       // both copies at the same time
+    Delayed,          // by three seconds, longer than every deadline here
+    DuplicatedLate,   // a second copy arrives half a second later
+    TableRefuses,     // for two seconds
+    TableHangs,       // for two seconds: results are Unknown, nothing is applied
+    WriteDelayed,     // the result of a commit is Unknown; it is applied 700 ms later
     Last
 };
 
+// Runs real request_flows and attempt_guards. A test sets the faults, sends requests, calls
+// runUntil() and checks the recorded answers and executions.
 class delivery_simulation
 {
 public:
@@ -47,7 +52,7 @@
     bool hasLargeAnswers = false;               // the head of an answer arrives before its end
     memory_platform platform;
     std::map<std::string, int> runs;           // executions, by request id
-    std::map<std::string, int> runsByOrder;    // executions, by key, or by request id without a key
+    std::map<std::string, int> runsByOrder;    // executions, by order
     std::set<std::string> overlappingRequests; // requests with two executions at the same time
     std::map<std::string, std::vector<refuse_request>> refusals; // by request id
     // By request id: "passed", "replayed" or the error kind.
@@ -55,16 +60,17 @@
     std::map<std::string, time_point> answeredAt; // by request id
     std::map<std::string, time_point> sentAt;     // by request id
     std::map<std::string, std::string> entryOf;   // by request id
-    std::map<std::string, std::string> orderOf;   // by request id
-    std::map<std::string, std::uint64_t> counts;  // by counter name
-    std::map<std::string, time_point> drainedAt;  // by entry
+    // Order by request id: the key, or the request id if it has no key.
+    std::map<std::string, std::string> orderOf;
+    std::map<std::string, std::uint64_t> counts; // by counter name
+    std::map<std::string, time_point> drainedAt; // by entry
     std::set<std::string> deadEntries;
     std::uint64_t tableCalls = 0; // commits, reads and scans sent to the table
     std::uint64_t transactions = 0;
     std::uint64_t rowsWritten = 0;
     std::vector<std::string> trace; // events and actions of tracedEntry as lines of JSON
     std::string tracedEntry;
-    int step = 0;
+    int step = 0; // number of the last step
     time_point now{};
 
     // A caller sends a request to `entry` at `when`.
@@ -119,14 +125,14 @@
     }
 
 private:
-    using effect = std::function<void(fault)>;
+    using delivery_callback = std::function<void(fault)>;
     struct message
     {
         std::string entry;
-        effect deliver;
+        delivery_callback deliver;
     };
 
-    void schedule(const std::string &entry, duration delay, effect deliver)
+    void schedule(const std::string &entry, duration delay, delivery_callback deliver)
     {
         m_messages.emplace(now + delay, message{entry, std::move(deliver)});
     }
@@ -159,7 +165,7 @@
             deadEntries.insert(item.entry);
         if (activeFault == fault::EntryFreezes)
             m_frozenUntil[item.entry] = now + seconds(3);
-        if (activeFault == fault::AgentDies) {
+        if (activeFault == fault::AgentsDie) {
             m_guards.clear();
             ++m_incarnation;
         }
@@ -191,7 +197,7 @@
         for (const auto &action : actions) {
             if (entry == tracedEntry)
                 record(toJson(action, now));
-            std::visit([&](const auto &entryFlow) { perform(entry, entryFlow); }, action);
+            std::visit([&](const auto &details) { perform(entry, details); }, action);
         }
     }
 
@@ -219,10 +225,10 @@
             const auto ended = [=, this](const attempt_outcome &outcome) {
                 const bool isLost = activeFault == fault::AnswerLost || incarnation != m_incarnation
                                     || disconnectingAgents.contains(action.agentId);
-                const attempt_outcome seen =
+                const attempt_outcome receivedOutcome =
                         isLost ? attempt_outcome(attempt_disconnected{}) : outcome;
                 schedule(entry, milliseconds(1), [=, this](fault) {
-                    handleEvent(entry, attempt_ended{action.id, action.attempt, seen});
+                    handleEvent(entry, attempt_ended{action.id, action.attempt, receivedOutcome});
                 });
             };
             const auto refused = [=](const guard_refusal &refusal) {
@@ -305,7 +311,7 @@
             } else if (!isTableDown) {
                 result = commit(action.transaction);
             }
-            if (activeFault == fault::SecondAnswerArrives)
+            if (activeFault == fault::OnlySecondResult)
                 result = commit(action.transaction);
             if (activeFault == fault::AnswerLost)
                 result = write_result{};
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -50,18 +50,18 @@
         if (const auto *left = std::get_if<upstream_left>(&change))
             return left->reason;
     }
-    throw error(error_kind::Internal, "nobody left");
+    throw error(error_kind::Internal, "no upstream_left among the changes");
 }
 
 // Sends one digest from `from` to `to` and its ack back. Returns true if a digest was due.
 bool exchangeDigest(membership &from, const std::string &fromId, membership &to,
-                    const std::string &toId, time_point now, bool answerLost = false)
+                    const std::string &toId, time_point now, bool isAckLost = false)
 {
     const auto message = from.digestFor(toId, now);
     if (!message)
         return false;
     const auto outcome = to.handleMessage(digestFromJson(toJson(*message)), now);
-    if (outcome.ack && !answerLost)
+    if (outcome.ack && !isAckLost)
         from.handleMessage(*outcome.ack);
     return message->senderId == fromId;
 }
@@ -121,7 +121,7 @@
     });
 }
 
-Test(membership, silence)
+Test(membership, silentAgents)
 {
     auto entry = makeEntry("e0");
     entry.handleMessage(makeAnnouncement(1, 1), Start);
@@ -144,7 +144,7 @@
 
 // The entry receives heartbeats of fewer agents than before and requests a shorter period, but the
 // reply is lost. The agent keeps its old period, and its healthy upstream must stay routable.
-Test(membership, lostPeriod)
+Test(membership, lostPeriodReply)
 {
     auto entry = makeEntry("e0");
     const auto deliver = [&](int index, std::uint64_t sequence, upstream_state state,
@@ -194,10 +194,10 @@
     });
 }
 
-// Entry b routes to an upstream because a reports its heartbeats. It must stop when a reports the
-// agent as silent or when no digests of a arrive; when a is replaced, the reports of the old
-// process are void.
-Test(membership, wordOfPeers)
+// Entry b routes to an upstream because entry a reports that it receives the agent's heartbeats. b
+// must stop routing to it when a reports the agent as silent, when no digests of a arrive, and when
+// a is replaced by a new process that has not reported the agent.
+Test(membership, reportsOfPeers)
 {
     auto a = makeEntry("a");
     auto b = makeEntry("b");
@@ -284,9 +284,9 @@
     });
 }
 
-// The entry is flooded with new names. Serving upstreams stay, the flood is refused and counted,
-// and departed upstreams are removed first.
-Test(membership, bound)
+// The entry is flooded with new agent ids. Departed upstreams are removed first, serving ones stay,
+// and the rest of the flood is refused and counted.
+Test(membership, limits)
 {
     membership_settings settings;
     settings.maxMembers = 2;
@@ -313,7 +313,7 @@
 
 // Two processes use one agent id: the newer one was started while the older one was paused, and the
 // older one must stop when it resumes. A clock that was set back must not keep a new process out.
-Test(membership, agentsReplaced)
+Test(membership, replacedAgents)
 {
     auto entry = makeEntry("e0");
     announcer_settings settings;
@@ -326,13 +326,13 @@
             agent.handleReply(sent.entry, outcome.reply, now);
         }
     };
-    announcer old(settings, makeAnnouncement(5, 0));
-    exchangeMessages(old, Start);
-    announcer fresh(settings, makeAnnouncement(6, 0));
-    exchangeMessages(fresh, Start + seconds(10));
+    announcer olderAgent(settings, makeAnnouncement(5, 0));
+    exchangeMessages(olderAgent, Start);
+    announcer newerAgent(settings, makeAnnouncement(6, 0));
+    exchangeMessages(newerAgent, Start + seconds(10));
     section("the older process stops announcing when it resumes", [&] {
-        exchangeMessages(old, Start + seconds(11));
-        check(old.isSuperseded() && old.tick(Start + seconds(20)).empty());
+        exchangeMessages(olderAgent, Start + seconds(11));
+        check(olderAgent.isSuperseded() && olderAgent.tick(Start + seconds(20)).empty());
         check(entry.knownUpstreams().front().incarnation == 6);
     });
     section("a new process with an older clock raises its incarnation above the known one", [&] {
@@ -341,8 +341,8 @@
         exchangeMessages(withOlderClock, Start + seconds(12));
         check(!withOlderClock.isSuperseded() && withOlderClock.self().incarnation == 7);
         check(entry.routableUpstreams().front().incarnation == 7);
-        exchangeMessages(fresh, Start + seconds(13));
-        check(fresh.isSuperseded());
+        exchangeMessages(newerAgent, Start + seconds(13));
+        check(newerAgent.isSuperseded());
     });
     section("a reply to an earlier message does not acknowledge Leaving", [&] {
         announcer leaving(settings, makeAnnouncement(9, 0));
@@ -356,11 +356,12 @@
     });
 }
 
-// Real announcers and memberships; every message is counted. An upstream that leaves must get no
-// new requests within seconds at every entry, including one that is disconnected from its agent.
+// Real announcers and memberships exchange messages, whose bytes are counted. Within seconds after
+// an upstream starts to leave, no entry may route to it, not even one that is disconnected from the
+// agent.
 Test(membership, mesh)
 {
-    section("agents and entries find each other with nothing but their settings", [] {
+    section("agents and entries find each other by their settings alone", [] {
         mesh nodes(meshOf(11, 5));
         nodes.runFor(seconds(5));
         for (int i = 0; i < 5; ++i)
@@ -408,11 +409,11 @@
                 mesh nodes(meshOf(11, 4));
                 nodes.runFor(seconds(5));
                 for (int second = 0; second < 240; ++second) {
-                    for (const int dead : {0, 1}) {
+                    for (const int stoppedEntry : {0, 1}) {
                         if (second % 120 == 0)
-                            nodes.stopEntry(dead);
+                            nodes.stopEntry(stoppedEntry);
                         if (second % 120 == 60)
-                            nodes.startEntry(dead);
+                            nodes.startEntry(stoppedEntry);
                     }
                     nodes.runFor(seconds(1));
                     require(nodes.countRoutableAt(2) == 11 && nodes.countRoutableAt(3) == 11);
@@ -470,8 +471,8 @@
 {
     const auto full = makeAnnouncement(3, 9);
     section("messages are unchanged after conversion to text and back", [&] {
-        const auto again = announcementFromJson(parseJson(compactJson(toJson(full))));
-        check(toJson(again) == toJson(full));
+        const auto parsed = announcementFromJson(parseJson(compactJson(toJson(full))));
+        check(toJson(parsed) == toJson(full));
         const auto compact = heartbeatOf(full);
         check(toJson(heartbeatFromJson(toJson(compact))) == toJson(compact));
         const announce_reply reply{4, error_kind::StaleIncarnation, 3, false, milliseconds(5)};
@@ -501,18 +502,18 @@
                                  "[\"a\",1,1,0,1,5]", "[\"a\",-1,1]", "null"}) {
             const auto json = parseJson(text);
             int refused = 0;
-            const auto attempt = [&](auto &&parse) {
+            const auto countRefusal = [&](auto &&parse) {
                 try {
                     parse(json);
                 } catch (const error &problem) {
                     refused += problem.kind() == error_kind::BadRequest ? 1 : 0;
                 }
             };
-            attempt([](const auto &value) { announcementFromJson(value); });
-            attempt([](const auto &value) { heartbeatFromJson(value); });
-            attempt([](const auto &value) { announceReplyFromJson(value); });
-            attempt([](const auto &value) { digestFromJson(value); });
-            attempt([](const auto &value) { digestAckFromJson(value); });
+            countRefusal([](const auto &value) { announcementFromJson(value); });
+            countRefusal([](const auto &value) { heartbeatFromJson(value); });
+            countRefusal([](const auto &value) { announceReplyFromJson(value); });
+            countRefusal([](const auto &value) { digestFromJson(value); });
+            countRefusal([](const auto &value) { digestAckFromJson(value); });
             check(refused == 5);
         }
     });
--- a/tests/request_flow_test.cpp
+++ b/tests/request_flow_test.cpp
@@ -111,10 +111,10 @@
     });
 }
 
-// The first attempt of an idempotent request was cut, and all other agents refuse the request. The
-// last refusal says "not run", but the first attempt may have been executed, so the answer must not
-// say so.
-Test(request_flow, refusal_after_a_try_that_may_have_run)
+// The connection of an idempotent request's first attempt broke, and all other agents refuse the
+// request. The last refusal says "not run", but the first attempt may have been executed, so the
+// caller must not be answered "not run".
+Test(request_flow, refusal_after_attempt_that_may_have_run)
 {
     forwarded_request request("PUT");
     check(find<choose_upstream>(request.end(attempt_disconnected{true})));
@@ -185,7 +185,7 @@
     check(!find<flow_drained>(request.flow.handle(flow_drain_started{}, Start)));
 }
 
-Test(request_flow, bounds)
+Test(request_flow, limits)
 {
     section("requests above maxInFlight are refused as not run", [] {
         flow_settings settings;
@@ -214,15 +214,15 @@
 // other attempt and no second answer follow, and a drain waits for the end of the body.
 Test(request_flow, streamed_answers)
 {
-    const auto begin = [](forwarded_request &request, std::uint32_t attempt = 1,
-                          milliseconds after = milliseconds(10)) {
+    const auto startAnswer = [](forwarded_request &request, std::uint32_t attempt = 1,
+                                milliseconds after = milliseconds(10)) {
         return request.flow.handle(answer_started{"r", attempt, 200}, Start + after);
     };
     section("the head is passed on once, and the request stays in flight", [&] {
         forwarded_request request("GET");
-        const auto actions = begin(request);
+        const auto actions = startAnswer(request);
         check(find<answer_caller>(actions) != nullptr && refusalIn(actions) == nullptr);
-        check(find<answer_caller>(begin(request)) == nullptr);
+        check(find<answer_caller>(startAnswer(request)) == nullptr);
         check(request.flow.inFlight() == 1);
     });
     section("no outcome causes another attempt or answer", [&] {
@@ -231,7 +231,7 @@
               attempt_outcome(refusalOf(error_kind::QueueFull, executed::No)),
               attempt_outcome(complete_answer{})}) {
             forwarded_request request("GET");
-            begin(request);
+            startAnswer(request);
             const auto actions = request.end(outcome);
             check(find<choose_upstream>(actions) == nullptr);
             check(find<answer_caller>(actions) == nullptr);
@@ -240,26 +240,27 @@
     });
     section("an answer that starts after the deadline is refused as late", [&] {
         forwarded_request request("POST");
-        const auto actions = begin(request, 1, milliseconds(501));
+        const auto actions = startAnswer(request, 1, milliseconds(501));
         check(isRefusedAs(actions, error_kind::AnswerLate, executed::Unknown));
     });
     section("the answer of an earlier attempt is not passed on", [&] {
         forwarded_request request("POST");
         request.end(attempt_unreachable{});
         request.flow.handle(upstream_chosen{"r", "a2"}, Start + milliseconds(20));
-        check(find<answer_caller>(begin(request, 1, milliseconds(30))) == nullptr);
-        check(find<answer_caller>(begin(request, 2, milliseconds(30))) != nullptr);
+        check(find<answer_caller>(startAnswer(request, 1, milliseconds(30))) == nullptr);
+        check(find<answer_caller>(startAnswer(request, 2, milliseconds(30))) != nullptr);
     });
     section("a drain waits for the end of the body for a limited time", [&] {
         forwarded_request request("GET");
-        begin(request);
+        startAnswer(request);
         check(find<flow_drained>(
                       request.flow.handle(flow_drain_started{}, Start + milliseconds(20)))
               == nullptr);
         check(find<flow_drained>(request.end(complete_answer{}, 1, milliseconds(30))) != nullptr);
-        forwarded_request lost("GET");
-        begin(lost);
-        lost.flow.handle(flow_drain_started{}, Start + milliseconds(20));
-        check(find<flow_drained>(lost.flow.handle(flow_tick{}, Start + seconds(60))) != nullptr);
+        forwarded_request unfinished("GET");
+        startAnswer(unfinished);
+        unfinished.flow.handle(flow_drain_started{}, Start + milliseconds(20));
+        check(find<flow_drained>(unfinished.flow.handle(flow_tick{}, Start + seconds(60)))
+              != nullptr);
     });
 }
--- a/tests/retry_budget_test.cpp
+++ b/tests/retry_budget_test.cpp
@@ -1,4 +1,5 @@
-// Retries happen only if nothing was executed, the budget allows it, and time is left.
+// Retry budget: a retry is granted only if the request was not executed, time is left, and the
+// budget allows it.
 #include "request/retry_budget.h"
 #include "section.h"
 
@@ -15,15 +16,15 @@
     return {kind, 1, Start + seconds(5), milliseconds(20)};
 }
 
-bool granted(const retry_verdict &verdict)
+bool isGranted(const retry_verdict &verdict)
 {
     return std::holds_alternative<retry_now>(verdict);
 }
 
-bool denied(const retry_verdict &verdict, retry_denial why)
+bool isDenied(const retry_verdict &verdict, retry_denial reason)
 {
     const auto *givenUp = std::get_if<give_up>(&verdict);
-    return givenUp && givenUp->denialReason == why;
+    return givenUp && givenUp->denialReason == reason;
 }
 
 } // namespace
@@ -34,29 +35,29 @@
         for (const auto &row : errorAnswers()) {
             retry_budget budget({}, Start);
             const auto verdict = budget.requestRetry(failedBy(row.kind), Start);
-            check(granted(verdict) == row.retryElsewhere);
-            check(row.execution == executed::No || denied(verdict, retry_denial::MayHaveRun));
+            check(isGranted(verdict) == row.retryElsewhere);
+            check(row.execution == executed::No || isDenied(verdict, retry_denial::MayHaveRun));
         }
     });
     section("no retry if there is no time for another attempt", [] {
         retry_budget budget({}, Start);
         auto failed = failedBy(error_kind::UpstreamUnreachable);
         failed.deadline = Start + milliseconds(20);
-        check(denied(budget.requestRetry(failed, Start), retry_denial::NoTimeLeft));
+        check(isDenied(budget.requestRetry(failed, Start), retry_denial::NoTimeLeft));
         failed.deadline += milliseconds(1);
-        check(granted(budget.requestRetry(failed, Start)));
+        check(isGranted(budget.requestRetry(failed, Start)));
     });
     section("no retry after maxAttempts attempts", [] {
         retry_budget budget({}, Start);
         auto failed = failedBy(error_kind::QueueFull);
         failed.attempts = 3;
-        check(denied(budget.requestRetry(failed, Start), retry_denial::AttemptLimit));
+        check(isDenied(budget.requestRetry(failed, Start), retry_denial::AttemptLimit));
     });
 }
 
 // Every upstream is down. Without a budget each request would be sent three times, and recovering
 // upstreams would get three times the load. The caller is answered `retry_budget_spent`.
-Test(retryBudget, noStorm)
+Test(retryBudget, noRetryStorm)
 {
     retry_budget budget({}, Start);
     time_point now = Start;
@@ -67,14 +68,14 @@
         budget.requestStarted(now);
         auto failed = failedBy(error_kind::UpstreamUnreachable);
         failed.deadline = now + seconds(5);
-        for (; granted(budget.requestRetry(failed, now)); ++failed.attempts)
+        for (; isGranted(budget.requestRetry(failed, now)); ++failed.attempts)
             ++retries;
     }
     section("retries are at most a tenth of the requests plus one a second", [&] {
         check(retries <= Requests / 10 + 10 + 1);
         check(retries >= Requests / 10);
     });
-    section("the answer and the counters have the reason", [&] {
+    section("the verdict and the counters give the reason", [&] {
         const auto verdict = budget.requestRetry(failedBy(error_kind::UpstreamUnreachable), Start);
         check(std::get<give_up>(verdict).kind == error_kind::RetryBudgetSpent);
         check(budget.counters().denied.at(retry_denial::BudgetSpent) > 8000);
@@ -87,9 +88,10 @@
     });
 }
 
-// With one request a minute, a share of the requests would never earn a whole retry, and a single
-// failed connection would reach the caller.
-Test(retryBudget, floorForLittleTraffic)
+// At one request a minute, retriesPerRequest alone would earn the first retry after ten minutes,
+// and a single failed connection would be answered with an error. minRetriesPerSecond prevents
+// that.
+Test(retryBudget, minimumRateForLittleTraffic)
 {
     retry_budget budget({}, Start);
     for (int minute = 1; minute <= 10; ++minute) {
@@ -97,6 +99,6 @@
         budget.requestStarted(now);
         auto failed = failedBy(error_kind::UpstreamUnreachable);
         failed.deadline = now + seconds(5);
-        check(granted(budget.requestRetry(failed, now)));
+        check(isGranted(budget.requestRetry(failed, now)));
     }
 }
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -28,15 +28,15 @@
     void join(const std::string &id, const std::string &zone = "kartli-a",
               const std::string &region = "kartli", std::uint64_t incarnation = 1)
     {
-        announcement about;
-        about.agentId = id;
-        about.address = "10.0.0.1:7100";
-        about.zone = zone;
-        about.region = region;
-        about.service = "tickets";
-        about.slots = 8;
-        about.incarnation = incarnation;
-        subject.apply(upstream_joined{about}, now);
+        announcement upstreamAnnouncement;
+        upstreamAnnouncement.agentId = id;
+        upstreamAnnouncement.address = "10.0.0.1:7100";
+        upstreamAnnouncement.zone = zone;
+        upstreamAnnouncement.region = region;
+        upstreamAnnouncement.service = "tickets";
+        upstreamAnnouncement.slots = 8;
+        upstreamAnnouncement.incarnation = incarnation;
+        subject.apply(upstream_joined{upstreamAnnouncement}, now);
     }
 
     // Adds `count` upstreams and lets their slow start pass.
@@ -93,7 +93,7 @@
 
 } // namespace
 
-Test(router, answersThatNameTheFault)
+Test(router, refusals)
 {
     router_fixture fixture;
     section("no_upstream: none is known, or all are excluded", [&] {
@@ -128,7 +128,7 @@
     fixture.join("far", "uusimaa-a", "uusimaa");
     fixture.now += seconds(20);
     section("the entry's own zone is preferred", [&] { check(fixture.shares()["near"] == 1000); });
-    section("up to one request per slot", [&] {
+    section("the own zone is preferred up to one request per slot", [&] {
         fixture.start("near", 7);
         check(fixture.chosen() == "near");
         fixture.start("near", 1);
@@ -140,12 +140,12 @@
         check(fixture.chosen() == "near");
     });
     section("another region is the last choice", [&] {
-        router_fixture two;
-        two.join("other", "kartli-b");
-        two.join("far", "uusimaa-a", "uusimaa");
-        two.now += seconds(20);
-        check(two.shares()["other"] == 1000);
-        check(two.chosen({"other"}) == "far");
+        router_fixture withoutOwnZone;
+        withoutOwnZone.join("other", "kartli-b");
+        withoutOwnZone.join("far", "uusimaa-a", "uusimaa");
+        withoutOwnZone.now += seconds(20);
+        check(withoutOwnZone.shares()["other"] == 1000);
+        check(withoutOwnZone.chosen({"other"}) == "far");
     });
 }
 
@@ -170,7 +170,7 @@
 }
 
 // An upstream refuses connections. Since its attempts fail at once, it always looks idle and would
-// get more and more requests, which use up the retries of the callers. It is ejected after five
+// get more and more requests, whose retries would use up the retry budget. It is ejected after five
 // failures.
 Test(router, ejection)
 {
@@ -225,11 +225,11 @@
     check(fixture.subject.counters().ejectionsCapped == 8);
     section("one of two upstreams may be ejected, a single one never", [] {
         for (const int count : {1, 2}) {
-            router_fixture few;
-            few.joinMany(count);
-            few.fail("u0", 20);
-            check(few.subject.ejectedCount("tickets") == count - 1);
-            check(few.chosen() == (count == 1 ? "u0" : "u1"));
+            router_fixture smallFixture;
+            smallFixture.joinMany(count);
+            smallFixture.fail("u0", 20);
+            check(smallFixture.subject.ejectedCount("tickets") == count - 1);
+            check(smallFixture.chosen() == (count == 1 ? "u0" : "u1"));
         }
     });
 }
@@ -252,7 +252,7 @@
             fixture.end("u0", routing_outcome::Failed);
         check(fixture.subject.ejectedCount("tickets") == 0);
     });
-    section("a late leave of the old incarnation has no effect", [&] {
+    section("a late upstream_left of the old incarnation has no effect", [&] {
         fixture.subject.apply(upstream_left{"u0", 1, leave_reason::Left}, fixture.now);
         check(fixture.subject.upstreamCount("tickets") == 2);
     });
--- a/tests/routing_policy_test.cpp
+++ b/tests/routing_policy_test.cpp
@@ -1,4 +1,5 @@
-// Regression limits for the comparison in routing_bench: one seeded sequence in virtual time.
+// Limits for the results of routing_scenario, which routing_bench prints: latencies, goodput and
+// retries of the routing policies on one seeded sequence of requests in virtual time.
 #include <string>
 
 #include "routing_scenario.h"
@@ -24,31 +25,32 @@
     return result.onTime + result.late + result.totalRefused();
 }
 
-struct bound
+struct scenario_limits
 {
     double load;
-    int p50, p99, p999; // milliseconds
-    double inTime;
+    int p50, p99, p999; // upper limits, milliseconds
+    double minGoodput;
 };
 
-void checkBounds(const scenario_result &result, const bound &limit)
+void checkLimits(const scenario_result &result, const scenario_limits &limit)
 {
     section("at load " + std::to_string(limit.load), [&] {
         check(accountedFor(result) == result.requests);
         check(result.latencyPercentile(0.5).count() <= limit.p50);
         check(result.latencyPercentile(0.99).count() <= limit.p99);
         check(result.latencyPercentile(0.999).count() <= limit.p999);
-        check(result.goodput() >= limit.inTime);
+        check(result.goodput() >= limit.minGoodput);
     });
 }
 
 } // namespace
 
-Test(routingPolicy, bounds)
+Test(routingPolicy, limits)
 {
-    for (const bound &limit : {bound{0.5, 22, 120, 235, 0.999}, bound{0.8, 23, 122, 240, 0.999},
-                               bound{0.95, 28, 140, 260, 0.998}, bound{1.5, 62, 215, 335, 0.65}})
-        checkBounds(runAt(limit.load), limit);
+    for (const scenario_limits &limit :
+         {scenario_limits{0.5, 22, 120, 235, 0.999}, scenario_limits{0.8, 23, 122, 240, 0.999},
+          scenario_limits{0.95, 28, 140, 260, 0.998}, scenario_limits{1.5, 62, 215, 335, 0.65}})
+        checkLimits(runAt(limit.load), limit);
     section("no request is refused below the capacity", [] {
         check(runAt(0.5).totalRefused() == 0);
         check(runAt(0.8).totalRefused() == 0);
@@ -62,13 +64,14 @@
 Test(routingPolicy, comparison)
 {
     section("with a slow upstream, policies by load are better than round_robin", [] {
-        const auto turns = runAt(0.95, round_robin{});
+        const auto roundRobinResult = runAt(0.95, round_robin{});
         for (const routing_policy &policy :
              {routing_policy(two_choices{}), routing_policy(least_known_load{})}) {
-            const auto known = runAt(0.95, policy);
-            check(known.requests == turns.requests);
-            check(known.latencyPercentile(0.99) < turns.latencyPercentile(0.99));
-            check(known.onTime > turns.onTime);
+            const auto loadAwareResult = runAt(0.95, policy);
+            check(loadAwareResult.requests == roundRobinResult.requests);
+            check(loadAwareResult.latencyPercentile(0.99)
+                  < roundRobinResult.latencyPercentile(0.99));
+            check(loadAwareResult.onTime > roundRobinResult.onTime);
         }
     });
 }
