--- a/app/config_actor.cpp
+++ b/app/config_actor.cpp
@@ -14,8 +14,8 @@
 constexpr std::size_t RingCapacity = 8192;
 constexpr milliseconds TickInterval{100};
 constexpr milliseconds PlatformReplyTimeout{2000};
-// A process that has sent nothing for this long is shown as silent: three times the longest
-// interval between announcements in a fleet of the current size.
+// A process whose last report is older than this is shown as silent. 10 s is three times the
+// longest interval between announcements in a fleet of the current size.
 constexpr milliseconds SilenceTimeout{10'000};
 constexpr std::uint64_t OperationSeedStream = 11;
 
@@ -79,7 +79,8 @@
 
 void config_actor::post(config::generation_event newEvent)
 {
-    // A lost event is handled like a missing answer of the platform: the manager asks again.
+    // The manager treats a dropped event like a missing answer of the platform: the
+    // request times out.
     if (!m_actor->post(std::move(newEvent)))
         m_metrics.count("ring_full_total", "configuration");
 }
@@ -168,7 +169,7 @@
     if (result.outcome == write_outcome::Refused)
         throw rpc_refusal(std::string(nameOf(error_kind::PlatformUnavailable)),
                           "the platform refused the write: nothing was written, try again later");
-    // The operator waits for this file, so scan now instead of at the next interval.
+    // The operator waits for this file, so the folder is scanned now instead of at the next poll.
     post(config::scan_now{});
     return toJson(result);
 }
--- a/app/config_actor.h
+++ b/app/config_actor.h
@@ -1,5 +1,6 @@
-// The entry's side of configuration: watches the operators' folder, accepts generations, pushes
-// them to the other processes and answers operators' commands.
+// The entry's side of configuration: watches the operators' folder, accepts generations (states of
+// the whole folder), tells the other processes of them and answers operators' commands. The
+// decisions are made by config/generations.h; the actor has the thread and makes the calls.
 #pragma once
 
 #include <functional>
@@ -22,12 +23,14 @@
 
 namespace zinniabarrow {
 
+// A generation that came into force in this entry.
 struct adopted_configuration
 {
     std::uint64_t generation = 0;
     std::shared_ptr<const config::configuration> mergedConfig;
 };
 
+// The public functions may be called from any thread. `onAdopted` is called on the actor's thread.
 class config_actor
 {
 public:
@@ -37,22 +40,24 @@
                  std::function<void(adopted_configuration)> onAdopted);
     ~config_actor();
 
-    // Whether this entry may serve callers: only once it knows the highest generation in force.
+    // Whether this entry may serve callers; see generation_manager::isReady.
     bool isReady() const { return m_isReady; }
-    std::uint64_t generation() const { return m_generation; }
+    std::uint64_t generation() const { return m_generation; } // in force in this entry; 0: none yet
 
+    // Called with each report of another process that arrives in an announcement or heartbeat.
     void receiveReport(const config::generation_report &report);
-    Json::Value ownReport() const; // which generation this entry runs
+    Json::Value ownReport() const; // the generation_report of this entry
+    // Called when the known agents or entries change; reports are pushed to their addresses.
     void updateMembers(const members_snapshot &snapshot);
 
     // JSON-RPC methods. They block until the actor or the platform has answered.
-    // {report}; returns this entry's own report
+    // {report, address}, of which only the report is used; returns this entry's own report
     Json::Value handleGenerationPush(const Json::Value &parameters);
-    Json::Value readContent(const Json::Value &parameters); // {digest}
-    Json::Value folderView();
-    Json::Value fileStatus(const Json::Value &parameters); // {name, version}
-    Json::Value putFile(const Json::Value &parameters);    // {name, content, version?}
-    Json::Value removeFile(const Json::Value &parameters); // {name, version?}
+    Json::Value readContent(const Json::Value &parameters); // {digest, scope?, have?}
+    Json::Value folderView();                               // a folder_view
+    Json::Value fileStatus(const Json::Value &parameters);  // {name, version}
+    Json::Value putFile(const Json::Value &parameters);     // {name, content, version?}
+    Json::Value removeFile(const Json::Value &parameters);  // {name, version?}
 
     void stop();
 
--- a/app/config_follower_actor.cpp
+++ b/app/config_follower_actor.cpp
@@ -90,7 +90,9 @@
     return m_report;
 }
 
-// Agents do not access the object store: whatever source the follower names, an entry is asked.
+// Agents do not access the object store, so the content is always requested from an entry: from the
+// source that the follower chose if its address is known, otherwise from the entry that pushed
+// last.
 void config_follower_actor::fetchContent(const config::read_content &action)
 {
     const auto known = m_entryAddresses.find(action.peer);
--- a/app/config_follower_actor.h
+++ b/app/config_follower_actor.h
@@ -1,4 +1,6 @@
-// The agent's side of configuration: applies the highest generation that any entry reports.
+// The agent's side of configuration: puts the highest generation in force that any entry reports.
+// The decisions are made by config/generation_follower.h; the actor has the thread and makes the
+// calls.
 #pragma once
 
 #include <future>
@@ -17,6 +19,7 @@
 
 namespace zinniabarrow {
 
+// The public functions may be called from any thread.
 class config_follower_actor
 {
 public:
@@ -24,9 +27,10 @@
                           rpc_sender &sender, metrics &counters, const logger &log);
     ~config_follower_actor();
 
-    // JSON-RPC method, {report, address}: returns this process's own report.
+    // JSON-RPC method with {report, address}, where `address` is the rpc address of the entry that
+    // sent the report. Returns this process's own report.
     Json::Value handleGenerationPush(const Json::Value &parameters);
-    // Sent with every announcement, so that entries know which generation each process runs.
+    // Sent with announcements, so that entries know which generation is in force in each process.
     config::generation_report report() const;
     void stop();
 
--- a/app/main.cpp
+++ b/app/main.cpp
@@ -1,4 +1,4 @@
-// zinniabarrow: one binary with a subcommand for each role and for operators.
+// zinniabarrow: one binary with a subcommand for each daemon and for each operators' command.
 #include <cstdio>
 #include <cstdlib>
 #include <string>
@@ -109,7 +109,7 @@
     } catch (const std::system_error &problem) {
         // Destructors are skipped: threads that were already started may wait for others that were
         // never created.
-        fmt::print(stderr, "the system refused a resource: {}\n", problem.what());
+        fmt::print(stderr, "the system could not provide a resource: {}\n", problem.what());
         std::_Exit(ExitFailed);
     }
 }
--- a/app/operator_commands.cpp
+++ b/app/operator_commands.cpp
@@ -25,8 +25,9 @@
 namespace {
 
 constexpr milliseconds CallTimeout{3000};
-constexpr milliseconds PollInterval{50};
+constexpr milliseconds PollInterval{50}; // between two queries while following a file
 constexpr int DefaultFollowMs = 10'000;
+
 struct operator_command
 {
     const char *name;
@@ -40,7 +41,7 @@
     explicit command_line(const std::string &name)
         : m_command("zinniabarrow " + name, ' ', Version)
         , m_entry("e", "entry", "rpc address of any entry", true, "", "ip:port", m_command)
-        , m_json("", "json", "print JSON for programs", m_command)
+        , m_json("", "json", "print JSON instead of text", m_command)
     {
         m_command.setExceptionHandling(false);
     }
@@ -56,8 +57,8 @@
     TCLAP::SwitchArg m_json;
 };
 
-// Throws `error` with the kind that the process returned, or NoUpstream when `address` did not
-// answer.
+// Calls a JSON-RPC method of the process at `address`. Throws `error` with the kind that the
+// process returned, or NoUpstream if there was no answer.
 Json::Value callProcess(const std::string &address, const std::string &method,
                         const Json::Value &parameters)
 {
@@ -98,7 +99,7 @@
 {
     TCLAP::CmdLine command("zinniabarrow check", ' ', Version);
     command.setExceptionHandling(false);
-    TCLAP::SwitchArg json("", "json", "print JSON for programs", command);
+    TCLAP::SwitchArg json("", "json", "print JSON instead of text", command);
     TCLAP::UnlabeledValueArg<std::string> folder("folder", "folder to check", true, "", "DIR",
                                                  command);
     command.parse(count, arguments);
@@ -212,11 +213,12 @@
 
 // --- put, remove, follow -------------------------------------------------------------------------
 
+// What `put --follow`, `remove --follow` and `follow` wait for.
 struct follow_request
 {
     std::string entry;
     std::string name;
-    std::uint64_t version = 0;
+    std::uint64_t version = 0; // 0: the removal of the file
     time_point deadline;
     bool json = false;
 };
@@ -368,7 +370,7 @@
         fmt::print("{} is draining: it takes no new requests and tasks\n", agent.getValue());
         return ExitDone;
     }
-    fmt::print(stderr, "agent {} has no upstream in service: see status\n", agent.getValue());
+    fmt::print(stderr, "agent {} has no known upstream: see status\n", agent.getValue());
     return ExitFailed;
 }
 
--- a/app/operator_commands.h
+++ b/app/operator_commands.h
@@ -1,5 +1,5 @@
-// Operators' commands. Each one works through any one entry and says which processes it could not
-// reach.
+// Operators' commands, called from main(). Each one, except check and check-trace, is given the
+// address of any one entry, and prints which other processes it could not reach.
 //
 //   check DIR            checks a folder offline
 //   status               shows configuration, upstreams, workers, tasks and refusals
--- a/app/process.h
+++ b/app/process.h
@@ -1,4 +1,5 @@
-// What the daemon roles share: shutdown signals, process identity, reading of settings files.
+// Helpers that all daemons and operators' commands share: version, exit codes, shutdown signals,
+// process identity, reading of files.
 #pragma once
 
 #include <csignal>
@@ -13,11 +14,12 @@
 
 // Exit codes, the same for every subcommand.
 constexpr int ExitDone = 0;
-constexpr int ExitFailed = 1; // the request was refused, or the command failed
+constexpr int ExitFailed = 1; // the request was refused, or the command or daemon failed
 constexpr int ExitUsage = 2;  // wrong arguments
 
 // Blocks SIGTERM and SIGINT in this thread and all threads that it starts, so that only wait()
-// receives them. Further signals stay pending and do not cut a drain short.
+// receives them. Signals after the first one stay pending and do not cut a drain short. SIGPIPE is
+// ignored.
 class stop_signals
 {
 public:
@@ -29,12 +31,14 @@
     sigset_t m_set;
 };
 
-// The identity of the process named `id`. Its incarnation is the current wall clock time in ms.
+// The identity of the process named `id`. Its incarnation is the current wall clock time in ms,
+// so that a later start has a higher one.
 process_identity identityFor(const std::string &id);
 
 // Returns the file's content. Throws error BadSettings if it can't be read.
 std::string readTextFile(const std::string &fileName);
 
+// The address and port that a daemon listens on.
 socket_address addressOf(const config::listen_settings &listen);
 
 } // namespace zinniabarrow
--- a/libs/config/content_slice.h
+++ b/libs/config/content_slice.h
@@ -1,10 +1,10 @@
-// A content slice: the part of a generation's content that one agent needs, which is its own
-// service and pool. Agents don't fetch the whole content, because it grows with every job of every
-// team, and an agent takes no job definitions from it: entries tell it which tasks to run. A pool
-// is the set of workers of one kind that services and jobs name.
+// A content slice: the part of a generation's content that one agent needs, which is the service of
+// its upstream and the pool of its worker. Agents don't fetch the whole content, because it grows
+// with every job of every team, and an agent needs no job definitions: entries tell it which tasks
+// to run. A pool is a set of workers of one kind, which services and jobs refer to by name.
 //
 // Agents request a slice with the RPC `generation_content`. A peer of an older release doesn't know
-// slices; it ignores the scope and answers with the whole content. The agent accepts both answers.
+// slices: it ignores the scope and answers with the whole content. Agents accept both answers.
 #pragma once
 
 #include <optional>
@@ -30,10 +30,10 @@
 // exception in an actor's handler ends the actor.
 read_content readContentFromJson(const Json::Value &value);
 
-// The answer of this process, whose own follower is `source`: {content} for a query without a
-// scope, {slice, slice_digest} for one with a scope, {slice_digest} if the requester already holds
-// that slice, or {} if the digest isn't that of the content in force here or if only a slice is
-// held here.
+// The answer of a process to a peer's query, taken from the process's own follower `source`:
+// {content} for a query without a scope, {slice, slice_digest} for one with a scope, {slice_digest}
+// if the requester already holds that slice, or {} if the digest isn't that of the content in force
+// here or if only a slice is held here.
 Json::Value answerReadContent(const generation_follower &source, const read_content &query);
 
 // Converts an answer to the event of the query with the number `request`. Without an answer the
--- a/libs/config/fields.h
+++ b/libs/config/fields.h
@@ -1,7 +1,8 @@
-// Converts plain structs to JSON and back. For each struct a function template `describe(archive,
-// object)` calls `archive(name, member)` once for each member; it serves both directions. For an
-// enum, `nameOf(value)` and `fromName(name, value)` do the same. The functions are found by
-// argument-dependent look-up, so they belong into the namespace of the type.
+// Converts plain structs to JSON (`membersToJson`) and back (`readMembers`). The file that uses
+// them defines a function template `describe(archive, object)` for each struct, which calls
+// `archive(name, member)` once for each member; the same template serves reading and writing. For
+// an enum it defines `nameOf(value)` and `fromName(name, value)`. All of these are found by
+// argument-dependent lookup, so they must be in the namespace of the type.
 #pragma once
 
 #include <cstddef>
@@ -190,7 +191,7 @@
             return std::string(nameOf(member));
         } else {
             field_writer writer;
-            // `describe` takes a mutable reference for the reader's sake; the writer only reads.
+            // field_reader needs the mutable reference of `describe`; field_writer only reads.
             describe(writer, const_cast<T &>(member));
             return writer.takeObject();
         }
@@ -199,15 +200,18 @@
     Json::Value m_object{Json::objectValue};
 };
 
+// Converts a struct that has a `describe` to a JSON object.
 template <typename T>
 Json::Value membersToJson(const T &object)
 {
     field_writer writer;
-    // `describe` takes a mutable reference for the reader's sake; the writer only reads.
+    // field_reader needs the mutable reference of `describe`; field_writer only reads.
     describe(writer, const_cast<T &>(object));
     return writer.takeObject();
 }
 
+// Converts a JSON object to a struct that has a `describe`. Missing members keep their defaults.
+// Throws BadRequest if `value` is no object or has a member of the wrong type.
 template <typename T>
 T readMembers(const Json::Value &value)
 {
--- a/libs/config/folder.cpp
+++ b/libs/config/folder.cpp
@@ -112,8 +112,8 @@
 
 namespace {
 
-// Applies the files one after the other. Counts how many values of each file are still in force, to
-// tell which files are overridden completely.
+// Applies the files one after the other. Counts how many values of each file no later file has
+// replaced, to find the files that are overridden completely.
 class folder_merger
 {
 public:
@@ -160,8 +160,7 @@
         }
         eraseReplacedValues(pointer);
         target.removeMember(name);
-        // A deletion counts as a value of its file: it is in force until a later file contains the
-        // member again.
+        // A deletion counts as a value of its file until a later file contains the member again.
         recordValue(pointer);
     }
 
@@ -203,11 +202,11 @@
         }
     }
 
-    const json_text *m_file = nullptr;
+    const json_text *m_file = nullptr; // the file that is being applied
     merged_folder m_merged;
-    std::map<std::string, std::string> m_fileOfValue; // of each value or deletion, by JSON pointer
-    std::map<std::string, int> m_valueCounts; // number of values and deletions in force, by file
-    std::map<std::string, std::string> m_lastReplacer;
+    std::map<std::string, std::string> m_fileOfValue;  // of each value or deletion, by JSON pointer
+    std::map<std::string, int> m_valueCounts;          // values and deletions not replaced, by file
+    std::map<std::string, std::string> m_lastReplacer; // file that replaced the last value, by file
 };
 
 } // namespace
--- a/libs/config/folder.h
+++ b/libs/config/folder.h
@@ -1,5 +1,5 @@
 // The operators' configuration folder: small JSON files that are merged into one configuration of
-// services, jobs, instance pools and teams.
+// services, jobs, instance pools and teams. config/validate.h checks a folder and merges it.
 //
 // Each file is applied as a JSON merge patch (RFC 7396), in the byte order of the file names.
 // Objects are merged member by member. Any other value, arrays included, replaces the earlier value
@@ -22,7 +22,7 @@
 
 namespace zinniabarrow::config {
 
-// Services and jobs of higher priority are placed first.
+// Services and jobs of a higher class, in this order, are placed first.
 enum class priority_class { Urgent, Normal, Low };
 std::string_view nameOf(priority_class priority); // as in the files: "urgent", ...
 
@@ -33,9 +33,9 @@
     std::string pool;                // instance pool whose workers run the replicas
     std::int64_t replicas = 1;       // number of replicas that run at once
     resources size;                  // of one replica
-    std::uint16_t port = 0;          // that a replica listens on; 0: assigned when it starts
-    milliseconds latencyTarget{100}; // for the 99th percentile of the answer times
-    priority_class priority = priority_class::Normal; //
+    std::uint16_t port = 0;          // each replica listens on it; 0: assigned when it starts
+    milliseconds latencyTarget{100}; // target for the 99th percentile of answer times
+    priority_class priority = priority_class::Normal; // order of placement
     failover_class failover = failover_class::Lease;  // when a silent worker's replica is replaced
     std::string interferenceClass; // services and jobs of one class share interference
                                    // measurements; empty: a class of its own, by its name
@@ -51,13 +51,13 @@
     resources size;                                   // of one task
     milliseconds runTimeEstimate{60'000};             // of one task
     bool isCheckpointable = false;                    // an evicted task resumes from its checkpoint
-    priority_class priority = priority_class::Normal; //
+    priority_class priority = priority_class::Normal; // order of placement
     failover_class failover = failover_class::Lease;  // when a silent worker's task is replaced
     std::string interferenceClass;                    // as in service_spec
     bool operator==(const job_spec &) const = default;
 };
 
-// An instance pool.
+// An instance pool: workers of one kind, which services and jobs refer to by the pool's name.
 struct pool_spec
 {
     std::vector<std::string> zones; // availability zones of its workers
@@ -66,10 +66,11 @@
     bool operator==(const pool_spec &) const = default;
 };
 
+// A team, with the resources that its services and jobs may use.
 struct team_spec
 {
-    resources quota;   // limit for the team's services and running tasks together
-    double weight = 1; // relative share of the capacity that quotas leave over
+    resources quota;   // limit on the team's services and running tasks together
+    double weight = 1; // relative share when teams compete for capacity
     bool operator==(const team_spec &) const = default;
 };
 
--- a/libs/config/folder_schema.h
+++ b/libs/config/folder_schema.h
@@ -1,4 +1,5 @@
-// JSON schema of the merged configuration folder, embedded in the binary.
+// JSON schema of the merged configuration folder, embedded in the binary; see `folderSchema` for
+// the compiled one.
 #pragma once
 
 namespace zinniabarrow::config {
--- a/libs/config/generation_events.h
+++ b/libs/config/generation_events.h
@@ -1,5 +1,6 @@
 // Events that generation_follower and generation_manager handle, and the actions that they return
-// for their caller to execute.
+// for the code that calls them to execute. In the daemons these callers are config_actor (entry)
+// and config_follower_actor (agent).
 //
 // Actions that expect an answer carry a number `request`, and the event with the answer repeats it.
 // An answer to an earlier request is ignored.
@@ -21,7 +22,7 @@
 
 // --- Events
 
-// Time has passed; sent at regular intervals.
+// Sent at regular intervals, so that deadlines are checked and rounds begin.
 struct tick
 { };
 
@@ -54,15 +55,15 @@
 struct folder_listed
 {
     std::uint64_t request = 0;
-    bool isAnswered = false;
+    bool isAnswered = false; // false: the platform did not answer
     std::vector<stored_object> objects;
 };
 
-// Answer to `read_files`: the objects that exist, with their content.
+// Answer to `read_files`: those of the requested objects that exist, with their content.
 struct files_read
 {
     std::uint64_t request = 0;
-    bool isAnswered = false;
+    bool isAnswered = false; // false: the platform did not answer each read
     std::vector<stored_object> objects;
 };
 
@@ -80,8 +81,7 @@
     write_result result;
 };
 
-// An operator has changed the folder or asks for the state of a file: scan the folder now instead
-// of at the next poll.
+// An operator's command has changed the folder: scan it now instead of at the next poll.
 struct scan_now
 { };
 
@@ -110,7 +110,7 @@
     std::vector<std::string> names;
 };
 
-// Puts this object unconditionally. That is safe because its name contains its content's digest.
+// Writes this object unconditionally. That is safe because its name contains its content's digest.
 struct write_content
 {
     std::uint64_t request = 0;
@@ -118,7 +118,8 @@
     std::string content;
 };
 
-// Commits a transaction that writes the row AcceptedRowKey if it has not changed.
+// Commits a transaction that writes the row AcceptedRowKey, on the condition that the row still has
+// the version that was read.
 struct commit_generation
 {
     std::uint64_t request = 0;
@@ -132,7 +133,7 @@
     std::string name;
 };
 
-// Selects the part of a content that an agent needs.
+// Selects the part of a content that an agent needs; see config/content_slice.h.
 struct content_scope
 {
     std::string service; // that the agent's upstream serves
@@ -146,11 +147,11 @@
     std::uint64_t request = 0;
     std::string digest;
     std::string peer;
-    std::optional<content_scope> scope{}; // request only this slice, if the peer supports slices
-    std::string heldSliceDigest{};        // of the slice in force here; empty: none
+    std::optional<content_scope> scope{}; // set: request only this slice
+    std::string heldSliceDigest{};        // of the slice that this process holds; empty: none
 };
 
-// This generation is in force in this process from now on.
+// Tells the process that this generation is in force in it from now on.
 struct adopt_generation
 {
     std::uint64_t generation = 0;
--- a/libs/config/generation_follower.cpp
+++ b/libs/config/generation_follower.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t MaxSources = 16;
+constexpr std::size_t MaxSources = 16; // processes remembered as sources of one content
 
 } // namespace
 
@@ -121,8 +121,8 @@
                          m_sliceDigest}};
 }
 
-// The next source is tried at once. Only after all sources have failed there is a pause, so that an
-// outage of all sources doesn't cause a storm of requests.
+// The next source is tried at once. After all sources have failed, there is a pause of readTimeout,
+// so that an outage of all sources doesn't cause a storm of requests.
 void generation_follower::markSourceFailed(time_point now)
 {
     ++m_counters.failedReads;
@@ -150,8 +150,9 @@
     return checkDeadline(now);
 }
 
-// Checks the digest: a truncated or mixed-up content under the right name would put a wrong
-// configuration in force in this process only. If it doesn't match, the next source is tried.
+// Refuses a content that does not have the expected digest; the next source is then tried. Without
+// this check a truncated or interchanged content would put a wrong configuration in force in this
+// process only.
 std::optional<generation_actions> generation_follower::applyWholeContent(const std::string &text)
 {
     if (digestOf(text) != m_fetch->digest)
@@ -159,12 +160,13 @@
     return adoptContent(m_fetch->generation, text);
 }
 
-// The digest of the whole content can't be checked with a slice. Instead the source answers only
-// for the generation in force there, and the slice has a digest of its own, which shows truncation.
+// The digest of the whole content can't be checked with a slice. Instead the source sends a slice
+// only of the generation in force there, and the slice has a digest of its own, which shows
+// truncation.
 //
-// The answer may leave out the content if the requester already holds the slice. That is accepted
-// only for exactly the slice in force here: otherwise a process that has just started would report
-// the generation without having any content.
+// The source leaves out the content if the requester says that it already holds this slice. Such an
+// answer is accepted only if the digest is that of the slice held here: otherwise a process that
+// has just started could report the generation without having any content.
 std::optional<generation_actions> generation_follower::applySlice(const content_read &answer)
 {
     if (!m_settings.scope)
--- a/libs/config/generation_records.h
+++ b/libs/config/generation_records.h
@@ -1,7 +1,9 @@
 // Records about generations of the configuration: what is stored at the platform, what processes
 // report to each other, and what operators see.
 //
-// A generation is one accepted state of the whole configuration folder; generations are numbered.
+// A generation is one accepted state of the whole configuration folder; generations are numbered
+// from 1. The accepted generation is the one that the table names; a process has a generation in
+// force once it uses that generation's configuration.
 #pragma once
 
 #include <cstdint>
@@ -33,15 +35,16 @@
 // however large the folder grows.
 struct generation_content
 {
-    configuration mergedConfig;                      //
+    configuration mergedConfig;                      // merged from all files
     file_versions files;                             // the files that were merged
-    std::map<std::string, std::string> overriddenBy; // as in merged_folder
+    std::map<std::string, std::string> overriddenBy; // as merged_folder::overriddenBy
 };
 
 std::string contentText(const generation_content &content);  // canonical JSON
 generation_content contentFromText(const std::string &text); // throws BadRequest
 
-// 16 hexadecimal digits of a hash and the length of the text, such as "00c5f3a09b1e7d42-1830".
+// 16 hexadecimal digits of a hash and the length of the text in bytes, as
+// "00c5f3a09b1e7d42-1830".
 std::string digestOf(const std::string &text);
 std::string digestOf(const file_versions &files);
 
@@ -50,7 +53,7 @@
 {
     std::uint64_t generation = 0;             // from 1; never decreases
     std::string digest;                       // of the generation's content
-    std::string folderDigest;                 // of the file versions that were merged
+    std::string folderDigest;                 // digestOf the file versions that were merged
     std::string operationId;                  // of the transaction that wrote the row
     std::vector<std::string> previousDigests; // of the contents of earlier generations that are
                                               // still stored, newest first
@@ -60,7 +63,7 @@
 accepted_row acceptedRowFromJson(const Json::Value &value); // throws BadRequest
 
 // Tells which generation is in force in a process. Entries and agents send it with their
-// announcements, and push it to others when it changes.
+// announcements; entries also push it to other processes when it changes.
 struct generation_report
 {
     std::string process;          // id of the process
@@ -73,6 +76,7 @@
 Json::Value toJson(const generation_report &report);
 generation_report generationReportFromJson(const Json::Value &value); // throws BadRequest
 
+// The latest report of another process.
 struct received_report
 {
     generation_report report;
@@ -90,7 +94,7 @@
 {
     generation_report report;
     lag_reason reason = lag_reason::Behind;
-    milliseconds silence{0}; // since its last report
+    milliseconds silence{0}; // time since its last report
 };
 
 Json::Value toJson(const lagging_process &laggingProcess);
@@ -109,15 +113,15 @@
 };
 std::string_view nameOf(file_state state);
 
-// What became of one version of a file in the folder.
+// The state of one version of a file in the folder.
 struct file_status
 {
     std::string name;
     std::uint64_t version = 0; // 0: the removal of the file
     file_state state = file_state::Pending;
     std::uint64_t generation = 0;  // in force in the process that answered
-    std::string reason;            // for operators to read; empty if in force
-    std::vector<problem> problems; // if refused: all of the folder, those of this file first
+    std::string reason;            // text for operators; empty if in force or pending
+    std::vector<problem> problems; // if refused: those of the whole folder, this file's first
 };
 
 Json::Value toJson(const file_status &status);
--- a/libs/config/generations.cpp
+++ b/libs/config/generations.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::size_t MaxKeptContents = 8; // of earlier generations, for lagging processes
-constexpr std::size_t MaxReports = 10'000;
+constexpr std::size_t MaxKeptContents = 8; // of earlier generations; lagging processes fetch them
+constexpr std::size_t MaxReports = 10'000; // processes whose reports are kept
 
 void append(generation_actions &actions, generation_actions more)
 {
@@ -144,7 +144,8 @@
     return actions;
 }
 
-// Operators and their scripts may ask often; one scan in each poll interval serves all of them.
+// Operators and their scripts may write files often; one scan in each poll interval serves them
+// all.
 generation_actions generation_manager::onScanNow(time_point now)
 {
     if (now < m_nextScan)
@@ -161,12 +162,12 @@
     return now >= m_nextListing || isRowOutdated();
 }
 
-// If every entry listed a large folder in every round, the listings would take more of the network
-// than all other control traffic. So larger folders are listed less often. Operators' tools don't
-// have to wait for it, since they send `scan_now`.
+// If every entry listed a large folder in every round, the listings would cause more traffic than
+// all other control messages. So larger folders are listed less often. An operator's command
+// doesn't wait for the next listing, since it causes a `scan_now`.
 void generation_manager::scheduleListing(const file_versions &listing, time_point now)
 {
-    constexpr std::size_t ListingOverheadBytes = 40;
+    constexpr std::size_t ListingOverheadBytes = 40; // of each file, in addition to its name
     std::size_t bytes = 0;
     for (const auto &[name, version] : listing)
         bytes += FolderPrefix.size() + name.size() + ListingOverheadBytes;
@@ -201,8 +202,8 @@
     m_isRowRead = true;
     generation_actions actions;
     // If the answer to an earlier write was lost, the row's operation id tells whether the write
-    // took effect. Without this check the entry would take the generation that it wrote itself for
-    // one of another entry.
+    // took effect. Without this check the entry would treat the generation that it wrote itself as
+    // that of another entry.
     if (m_proposal && !m_unconfirmedOperation.empty()
         && m_acceptedRow.operationId == m_unconfirmedOperation) {
         m_unconfirmedOperation.clear();
@@ -215,8 +216,8 @@
     const bool hasHighestKnown =
             m_follower.generation() > 0 && m_follower.generation() >= m_highestKnownAtRead;
     // The row may have been restored from an older backup. An entry that has just started and knows
-    // only this row would assign a generation number that is already in force at another entry, so
-    // it accepts nothing before it has received its peers' reports.
+    // only this row could assign a generation number that is already in force at another entry. So
+    // it accepts no generation before it has received its peers' reports.
     if (!havePeersReported(now) || !isListingDue(now)) {
         append(actions, endRound(now + m_settings.pollInterval));
     } else if (isRowOutdated() && hasHighestKnown) {
@@ -231,9 +232,9 @@
 }
 
 // True if the table was restored from an older backup: its row has a lower generation than one that
-// was in force, or another content for the same generation. Following it would revert an accepted
-// configuration. So the content in force is written again under a higher number, or, if that
-// content is lost, the current state of the folder.
+// was in force, or another content for the same generation. Following the row would revert an
+// accepted configuration. So the content in force is written again under a higher number, or, if
+// this entry doesn't have that content, the current state of the folder is proposed.
 bool generation_manager::isRowOutdated() const
 {
     if (m_acceptedRow.generation < m_highestKnownAtRead)
@@ -269,7 +270,7 @@
     if (m_refusal.folderDigest == folderDigest)
         return endRound(now + m_settings.pollInterval);
     // An empty listing may mean that the object store lost its data; accepting it would stop every
-    // service. To remove everything, an operator leaves a file with an empty object.
+    // service. To remove everything, an operator keeps one file that contains an empty object.
     if (listing.empty()) {
         ++m_counters.refusedFolders;
         m_refusal = {folderDigest,
@@ -285,8 +286,8 @@
     read_files query;
     for (const auto &[name, version] : m_roundListing) {
         const auto cached = m_cachedFiles.find(name);
-        const bool isHeld = cached != m_cachedFiles.end() && cached->second.version == version;
-        if (!isHeld && query.names.size() < m_settings.maxFilesPerRead)
+        const bool isCached = cached != m_cachedFiles.end() && cached->second.version == version;
+        if (!isCached && query.names.size() < m_settings.maxFilesPerRead)
             query.names.push_back(std::string(FolderPrefix) + name);
     }
     if (query.names.empty())
@@ -369,7 +370,8 @@
     newProposal.unneededDigests.assign(
             earlierDigests.begin() + static_cast<std::ptrdiff_t>(keptCount), earlierDigests.end());
     m_proposal = std::move(newProposal);
-    // The content is written first, since no process could adopt a row whose content is missing.
+    // The content is written before the row, since no process could adopt a generation whose
+    // content is missing.
     const auto name = std::string(ContentPrefix) + m_proposal->row.digest;
     return sendQuery(phase::WritingContent, write_content{0, name, m_proposal->proposedText}, now);
 }
@@ -406,8 +408,8 @@
         m_unconfirmedOperation.clear();
         return failRound(now);
     case write_outcome::Unknown:
-        // Neither assumed as done nor repeated: the next round begins by reading the row, which
-        // tells.
+        // The write is neither assumed to be applied nor repeated: the next round begins by reading
+        // the row, which tells whether it was applied.
         ++m_counters.unknownWrites;
         m_nextListing = now;
         return endRound(now);
@@ -421,8 +423,8 @@
     return actions;
 }
 
-// Unique also across restarts of a process with the same id: an operation of an earlier incarnation
-// must not be taken for one of this incarnation.
+// Operation ids are unique also across restarts of a process with the same id: an operation of an
+// earlier incarnation must not be taken for one of this incarnation.
 std::string generation_manager::newOperationId()
 {
     const auto high = static_cast<std::uint64_t>(m_random()) << 32U;
@@ -475,13 +477,13 @@
         return known.second.report.role == "entry";
     });
     const bool haveAllReported = static_cast<std::size_t>(entries) >= m_settings.peerCount;
-    // Until the row was read, the entry waits for the full time: a single lost answer must not be
-    // taken for an outage of the table, in which the peers would be the only source.
+    // Until the row has been read, the entry waits for the whole timeout: a single lost answer must
+    // not be taken for an outage of the table, in which the peers would be the only source.
     return haveAllReported && m_isRowRead;
 }
 
 // An entry that served callers right after its start would have no configuration or an outdated
-// one, and would send callers to services that no longer exist.
+// one, and would forward requests to services that no longer exist.
 void generation_manager::updateReadiness(time_point now)
 {
     if (m_isReady || generation() < m_follower.highestKnownGeneration() || !havePeersReported(now))
@@ -492,10 +494,11 @@
 
 void generation_manager::rememberListing(const file_versions &listing)
 {
-    const auto &before = m_latestListing ? *m_latestListing : m_follower.content().files;
+    const auto &previousListing = m_latestListing ? *m_latestListing : m_follower.content().files;
+    // Bounds the memory. A removed file whose version is forgotten here is shown as pending.
     if (m_removedVersions.size() > m_settings.limits.maxFiles)
         m_removedVersions.clear();
-    for (const auto &[name, version] : before) {
+    for (const auto &[name, version] : previousListing) {
         if (!listing.contains(name))
             m_removedVersions[name] = version;
     }
--- a/libs/config/generations.h
+++ b/libs/config/generations.h
@@ -1,12 +1,14 @@
-// Manages the configuration in an entry, a process that carries callers' requests: polls the
-// operators' folder, accepts its state as a new generation by a conditional write, and puts the
-// highest accepted generation in force. All entries do this at once; no leader is needed.
+// Manages the configuration in an entry, a process that forwards callers' requests: polls the
+// operators' folder, accepts the folder's state as a new generation by a conditional write, and
+// puts the highest accepted generation in force. All entries do this at the same time; no leader is
+// needed.
 //
 // One round of polling:
-// 1. Read the accepted row. End the round here if the folder needn't be listed yet.
+// 1. Read the accepted row of the table (see accepted_row). The round ends here if the folder
+//    needn't be listed yet.
 // 2. List the folder, read the files that changed, and list the folder again. If the two listings
 //    differ, the round is abandoned.
-// 3. Merge and validate all files. If they are refused, the round ends: the problems are kept for
+// 3. Merge and validate all files. If they are invalid, the round ends: the problems are kept for
 //    operators, and the generation in force stays.
 // 4. Write the content of the new generation, then the accepted row, on the condition that the row
 //    has not changed since step 1.
@@ -31,12 +33,13 @@
 
 namespace zinniabarrow::config {
 
+// Settings of one entry's generation_manager; config_actor derives them from the entry's settings.
 struct generation_manager_settings
 {
     std::string process;             // id of this entry
     std::size_t peerCount = 0;       // number of other entries, from this process's settings
     milliseconds pollInterval{1000}; // between two rounds
-    // Limit on the average traffic of this entry's folder listings.
+    // Limit on the average traffic that this entry's folder listings cause.
     std::size_t maxListBytesPerSecond = 1024;
     // Longest wait for an answer of the platform; after it a write's outcome is unknown.
     milliseconds answerTimeout{1500};
@@ -48,7 +51,7 @@
     milliseconds pushInterval{1000};      // between two pushes to processes that are behind
     milliseconds reportRetention{60'000}; // a process's report is dropped when it gets older
     std::size_t maxFilesPerRead = 32;     // files requested at once
-    folder_limits limits;                 // bounds that the folder must keep
+    folder_limits limits;                 // limits on the size of the folder
 };
 
 // Totals since construction.
@@ -58,21 +61,21 @@
     std::uint64_t acceptedGenerations = 0; // generations whose row this entry wrote
     // States of the folder that failed validation. A state that stays is counted once.
     std::uint64_t refusedFolders = 0;
-    std::uint64_t conflicts = 0;           // row writes that lost against another entry
+    std::uint64_t conflicts = 0;           // row writes refused because the row had changed
     std::uint64_t unknownWrites = 0;       // row writes with an unknown outcome
-    std::uint64_t confirmedByReadBack = 0; // of these, writes that a later read found applied
+    std::uint64_t confirmedByReadBack = 0; // of unknownWrites: a later read showed them applied
     std::uint64_t changedListings = 0;     // rounds abandoned because the folder changed
-    std::uint64_t platformFailures = 0;    // requests that the platform did not answer
+    std::uint64_t platformFailures = 0;    // requests that the platform did not answer or refused
     std::uint64_t invalidRows = 0;         // accepted rows that did not parse
-    // Outdated rows (the table was restored from a backup), over which this entry proposed the
+    // Outdated rows (the table was restored from a backup) for which this entry proposed the
     // content in force again under a higher number.
     std::uint64_t rewrittenRows = 0;
 };
 
-// Its owner feeds it events with the time and performs the actions that it returns; it does no
-// input or output itself, like generation_follower. Every push interval it pushes its report
-// (number and digest, not the content) to processes whose latest report has a lower generation. Not
-// thread-safe.
+// Does no I/O, like generation_follower: the code that owns it (config_actor) passes in events with
+// the current time and executes the returned actions. Every push interval the manager pushes its
+// report (number and digest, not the content) to processes whose latest report has a lower
+// generation. Not thread-safe.
 class generation_manager
 {
 public:
@@ -81,10 +84,11 @@
 
     generation_actions handle(const generation_event &event, time_point now);
 
-    // True once this entry may serve callers. It has then read the table's row and heard all peers,
-    // or waited peerReportTimeout, and the highest generation that it knows of is in force here;
-    // while the table is unreachable, it knows of generations from peers only. If no generation was
-    // ever accepted, it must have read that from the row. Stays true from then on.
+    // True once this entry may serve callers, and from then on. By then it has read the table's row
+    // and received a report of every peer, or has waited for peerReportTimeout, and the highest
+    // generation that it knows of is in force here. While the table is unreachable, it learns of
+    // generations only from other processes. Without any generation it is ready only if it has read
+    // in the table that none was ever accepted.
     bool isReady() const { return m_isReady; }
 
     const generation_follower &follower() const { return m_follower; }
@@ -95,7 +99,7 @@
     // Latest report of each other process.
     std::vector<received_report> reports() const;
 
-    // What became of one version of a file. Version 0 asks about the removal of the file.
+    // The state of one version of a file. Version 0 asks about the removal of the file.
     file_status statusOf(const std::string &name, std::uint64_t version) const;
     // Status of all files that are in the folder or in the generation in force.
     std::vector<file_status> files() const;
@@ -188,18 +192,19 @@
     bool m_isRowRead = false;       // read at least once since the start
     std::uint64_t m_rowVersion = 0; // as read at the beginning of the round
     accepted_row m_acceptedRow;     // as read at the beginning of the round
-    // Highest generation known before the row was read. A row that names a lower one is outdated;
-    // one that became known later may be newer than the row as read.
+    // Highest generation known when the reading of the row began. A row with a lower generation is
+    // outdated. A generation that became known later proves nothing, because it may have been
+    // accepted after the row was read.
     std::uint64_t m_highestKnownAtRead = 0;
-    std::string m_unconfirmedOperation; // operation id of a row write with unknown outcome
+    std::string m_unconfirmedOperation; // id of the row write whose outcome is not known yet
     file_versions m_roundListing;       // first listing of this round
-    std::optional<file_versions> m_latestListing; // latest one, also of an abandoned round
-    std::string m_latestFolderDigest;             // of m_latestListing
-    file_versions m_removedVersions;              // last version of each file that was removed
-    std::map<std::string, cached_file> m_cachedFiles;
+    std::optional<file_versions> m_latestListing;     // latest one, also of an abandoned round
+    std::string m_latestFolderDigest;                 // of m_latestListing
+    file_versions m_removedVersions;                  // last version of each file that was removed
+    std::map<std::string, cached_file> m_cachedFiles; // by name without FolderPrefix
     refusal m_refusal;
     std::optional<proposal> m_proposal;
-    std::map<std::string, received_report> m_reports;
+    std::map<std::string, received_report> m_reports; // latest, by process id
 };
 
 } // namespace zinniabarrow::config
--- a/libs/config/json_text.cpp
+++ b/libs/config/json_text.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t MaxShownLength = 80;
+constexpr std::size_t MaxShownLength = 80; // bytes of a value in a message
 
-// The parser tells the line only in its error message: "* Line 3, Column 5".
+// The parser reports the line only in the text of its error: "* Line 3, Column 5".
 int lineInMessage(const std::string &message)
 {
     constexpr std::string_view Mark = "Line ";
--- a/libs/config/json_text.h
+++ b/libs/config/json_text.h
@@ -9,7 +9,8 @@
 
 namespace zinniabarrow::config {
 
-// Something wrong in an operator's file: its location, what was found and what is allowed.
+// Something wrong in a settings file or in a file of the folder: its location, what was found and
+// what is allowed.
 struct problem
 {
     std::string file;    // name of the file; empty: the folder as a whole
@@ -49,13 +50,13 @@
     problem detail;
 };
 
-// The JSON pointer (RFC 6901) of a member or element of the value at `parent`.
+// The JSON pointer (RFC 6901) of the member or element `name` of the value at `parent`.
 std::string childPointer(const std::string &parent, std::string_view name);
 
 // The value as JSON on one line. Numbers have the shortest form that parses to the same value.
 std::string valueText(const Json::Value &value);
 
-// A description for messages: the number of members or elements, or the value, cut if it is long.
+// A description for messages: the number of members or elements, or the value, cut after 80 bytes.
 std::string shortText(const Json::Value &value);
 
 } // namespace zinniabarrow::config
--- a/libs/config/operator_view.cpp
+++ b/libs/config/operator_view.cpp
@@ -97,17 +97,17 @@
                              view.localReport.generation, view.localReport.process,
                              view.isReady ? "ready" : "not ready", view.otherProcessCount,
                              view.laggingProcesses.size());
-    for (const auto &[report, reason, silenceLimit] : view.laggingProcesses) {
-        table += fmt::format("  {:<24} {:<6} generation {:<8} {:<7} last heard {} ms ago\n",
+    for (const auto &[report, reason, sinceReport] : view.laggingProcesses) {
+        table += fmt::format("  {:<24} {:<6} generation {:<8} {:<7} last report {} ms ago\n",
                              report.process, report.role, report.generation, nameOf(reason),
-                             silenceLimit.count());
+                             sinceReport.count());
     }
     table += fmt::format("{:<32} {:>10}  {:<10}  {}\n", "FILE", "VERSION", "STATE", "REASON");
     for (const auto &file : view.files)
         table += fmt::format("{:<32} {:>10}  {:<10}  {}\n", file.name, file.version,
                              nameOf(file.state), file.reason);
     if (!view.problems.empty())
-        table += "the folder as it stands is refused:\n" + problemTable(view.problems);
+        table += "the current state of the folder is refused:\n" + problemTable(view.problems);
     return table;
 }
 
--- a/libs/config/operator_view.h
+++ b/libs/config/operator_view.h
@@ -1,4 +1,5 @@
-// The state of the configuration as operators see it: as a table for people, as JSON for programs.
+// The state of the configuration as operators see it: a table for people, JSON for programs.
+// Entries create the view; the operators' commands read it from JSON and print it.
 #pragma once
 
 #include <cstddef>
@@ -20,11 +21,12 @@
     bool isReady = false;                          // the entry may serve callers
     std::size_t otherProcessCount = 0;             // processes whose reports it has
     std::vector<lagging_process> laggingProcesses; // of these, the ones that are behind or silent
-    std::vector<file_status> files;                //
+    std::vector<file_status> files;                // of all files, by name
     std::vector<problem> problems;                 // why the folder is refused; empty if it is not
 };
 
-// Lists a process as lagging if its last report is older than `silenceLimit`.
+// The view of the entry that owns `manager`. A process also counts as lagging if its last report is
+// older than `silenceLimit`.
 folder_view folderViewOf(const generation_manager &manager, time_point now,
                          milliseconds silenceLimit = milliseconds(3000));
 Json::Value toJson(const folder_view &view);
@@ -44,6 +46,7 @@
 };
 std::string_view nameOf(rollout_state state);
 
+// How far the version of `file` has been rolled out, for the command that waits for it.
 rollout_state rolloutStateOf(const folder_view &view, const file_status &file);
 
 } // namespace zinniabarrow::config
--- a/libs/config/report_throttle.cpp
+++ b/libs/config/report_throttle.cpp
@@ -5,10 +5,10 @@
 bool report_throttle::isDue(const std::string &receiver, const generation_report &report,
                             time_point now) const
 {
-    const auto known = m_acknowledged.find(receiver);
-    return known == m_acknowledged.end() || now >= known->second.repeatAt
-           || known->second.generation != report.generation
-           || known->second.digest != report.digest;
+    const auto acknowledged = m_acknowledged.find(receiver);
+    return acknowledged == m_acknowledged.end() || now >= acknowledged->second.repeatAt
+           || acknowledged->second.generation != report.generation
+           || acknowledged->second.digest != report.digest;
 }
 
 void report_throttle::recordAnswer(const std::string &receiver, const generation_report &report,
--- a/libs/config/report_throttle.h
+++ b/libs/config/report_throttle.h
@@ -1,4 +1,4 @@
-// Decides which heartbeats carry a generation report.
+// Decides which of an agent's heartbeats to an entry carry a generation report.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,9 @@
 namespace zinniabarrow::config {
 
 // A report makes up most of a heartbeat's bytes and rarely changes. So it is included in every
-// message until the receiver has answered one that carried it, and then repeated at intervals,
-// because a receiver drops reports older than `generation_manager_settings::reportRetention`.
+// message until the receiver has answered one that carried it. After that it is repeated at
+// intervals, because a receiver drops reports older than
+// `generation_manager_settings::reportRetention`.
 class report_throttle
 {
 public:
@@ -37,7 +38,7 @@
 
     const milliseconds m_repeatInterval;
     std::map<std::string, acknowledged_report>
-            m_acknowledged; // by receiver; as many as the settings have entries
+            m_acknowledged; // by receiver; at most one for each entry in the settings
 };
 
 } // namespace zinniabarrow::config
--- a/libs/config/schema.cpp
+++ b/libs/config/schema.cpp
@@ -107,7 +107,7 @@
     return fmt::format("{}", fmt::join(parts, ", "));
 }
 
-// Compares a value with a schema recursively and reports each problem with its location.
+// Checks a value against a schema recursively and reports each problem with its location.
 class schema_checker
 {
 public:
@@ -146,19 +146,19 @@
                      const Json::Value &definition, const std::string &pointer)
     {
         const auto &properties = definition["properties"];
-        const auto &others = definition["additionalProperties"];
+        const auto &otherMembers = definition["additionalProperties"];
         const auto memberPointer = childPointer(pointer, name);
         if (properties.isMember(name)) {
             visit(member, properties[name], memberPointer);
-        } else if (!others.isObject()) {
-            if (others.isBool() && !others.asBool())
+        } else if (!otherMembers.isObject()) {
+            if (otherMembers.isBool() && !otherMembers.asBool())
                 report(member, memberPointer, "unknown key " + shortText(name),
                        joined(properties.getMemberNames()));
         } else if (!isName(name)) {
             report(member, memberPointer, "the name " + shortText(name),
                    "1 to 63 letters, digits, '.', '_' and '-', the first a letter or digit");
         } else {
-            visit(member, others, memberPointer);
+            visit(member, otherMembers, memberPointer);
         }
     }
 
@@ -226,7 +226,7 @@
     return definition["type"].isArray();
 }
 
-// The type of a definition is a name, or an array of a name and "null".
+// The type in a definition is a name, or an array of a name and "null".
 std::string typeName(const Json::Value &types)
 {
     return types.isArray() ? types[0].asString() : types.asString();
@@ -290,13 +290,13 @@
 std::vector<problem> json_schema::check(const Json::Value &root,
                                         const location_finder &locationOf) const
 {
-    schema_checker finder(locationOf);
-    finder.visit(root, m_definition, "");
-    auto problems = finder.takeProblems();
+    schema_checker checker(locationOf);
+    checker.visit(root, m_definition, "");
+    auto problems = checker.takeProblems();
     if (!problems.empty())
         return problems;
-    // schema_checker supports only some keywords of JSON Schema. The library checks all of them: a
-    // problem that only the library finds is reported without a line of its own rather than
+    // schema_checker supports only some keywords of JSON Schema; valijson checks all of them. A
+    // problem that only valijson finds is reported with the line of the whole text rather than
     // accepted.
     valijson::Validator validator;
     valijson::ValidationResults results;
--- a/libs/config/schema.h
+++ b/libs/config/schema.h
@@ -26,8 +26,8 @@
 using location_finder =
         std::function<text_location(const std::string &pointer, const Json::Value &value)>;
 
-// A compiled schema. In addition to the keywords of JSON Schema it supports the formats "name" (see
-// `isName`), "ip" (an IP address) and "ip:port" (see `parseEndpoint`).
+// A compiled JSON schema. In addition to the keywords of JSON Schema it supports the formats "name"
+// (see `isName`), "ip" (an IP address) and "ip:port" (see `parseEndpoint`).
 class json_schema
 {
 public:
@@ -48,7 +48,7 @@
     std::unique_ptr<compiled> m_compiled;
 };
 
-// An object with the "default" values of the schema.
+// An object with the "default" values of the schema; members without a default are left out.
 Json::Value defaultsOf(const Json::Value &definition);
 
 // Converts a schema to that of a merge patch (RFC 7396): any member may be missing, and null
@@ -58,8 +58,8 @@
 // Describes in one line what a value may be, such as "integer from 1 to 65535".
 std::string describeAllowed(const Json::Value &definition);
 
-// A Markdown table for the documentation, with a row for each scalar or array: key, allowed,
-// default, meaning.
+// A Markdown table for the documentation, with a row for each scalar or array member and the
+// columns key, allowed, default and meaning.
 std::string schemaTable(const Json::Value &definition);
 
 // True for 1 to 63 ASCII letters, digits, '.', '_' and '-' that start with a letter or digit.
--- a/libs/config/settings.cpp
+++ b/libs/config/settings.cpp
@@ -198,7 +198,8 @@
     }
 }
 
-// Throws unless two settings are consistent. The message has the line of `key`.
+// Throws error BadSettings unless `isConsistent`. The message names the line of the member `key` of
+// `parent`, or that of `parent` if the member is missing.
 void requireConsistent(bool isConsistent, const json_text &text, const Json::Value &parent,
                        const char *key, const std::string &pointer, const std::string &allowed)
 {
--- a/libs/config/settings.h
+++ b/libs/config/settings.h
@@ -1,5 +1,5 @@
-// Settings of the two kinds of daemons, entry and agent. Settings files are JSON; they are checked
-// against a schema and read into plain structs.
+// Settings of the two kinds of daemons, entry and agent. Each daemon reads one JSON file at its
+// start; the file is checked against a schema and read into plain structs.
 #pragma once
 
 #include <cstddef>
@@ -22,8 +22,8 @@
 {
     std::string address;               // IP address to listen on
     std::uint16_t port = 0;            // TCP port; 0: any free port
-    std::optional<endpoint> advertise; // told to other processes, if they reach this one under
-                                       // another address; empty: the address listened on
+    std::optional<endpoint> advertise; // address given to other processes, if they reach this one
+                                       // under another one; empty: the address listened on
 };
 
 struct platform_settings
@@ -67,21 +67,21 @@
 struct routing_settings
 {
     routing_policy policy = routing_policy::TwoChoices;
-    double spillThreshold = 1; // if a larger share of the own availability zone's slots is in
-                               // use, requests spill to other zones
+    double spillThreshold = 1; // if a larger share of the slots in the own availability zone is
+                               // in use, requests go to other zones too
 };
 
-// An entry carries callers' requests, places jobs and services on workers, and accepts
+// An entry forwards callers' requests, places jobs and services on workers, and accepts
 // configuration.
 struct entry_settings
 {
     std::string id;                          // unique among all processes
-    std::string region;                      //
-    std::string zone;                        // availability zone
+    std::string region;                      // region that the process runs in
+    std::string zone;                        // availability zone that the process runs in
     listen_settings listen;                  // for callers
     listen_settings rpc;                     // for entries and agents
     std::vector<endpoint> peers;             // rpc addresses of the other entries; may be empty
-    platform_settings platform;              //
+    platform_settings platform;              // table and object store
     std::size_t shards = 1;                  // number of shards of workers; equal on all entries
     milliseconds shardLease{1'800'000};      // of an entry on a shard; tasks keep running through a
                                              // platform outage of at most this length
@@ -91,22 +91,23 @@
                                              // counts as expired
     milliseconds announceTimeout{3000};      // a process that sent no announcement for this long
                                              // counts as gone
-    std::size_t maxAnswerBytes = 67'108'864; // body of an answer; large bodies are streamed
-    std::size_t maxBodyBytes = 1'048'576;    // body of a caller's request
+    std::size_t maxAnswerBytes = 67'108'864; // largest body of an answer; large bodies are streamed
+    std::size_t maxBodyBytes = 1'048'576;    // largest body of a caller's request
     std::size_t maxConnections = 256;        // callers' connections at once; each has a thread
     std::size_t maxConnectionsPerAddress = 0; // connections at once from one address; 0: no limit
     milliseconds requestReadTimeout{10'000};  // from the first to the last byte of a request
     milliseconds answerWriteTimeout{30'000};  // until the caller has received its answer
     milliseconds defaultRequestDeadline{10'000}; // for requests without a deadline
-    retry_settings retry;                        //
+    retry_settings retry;                        // retry budget
     milliseconds drainTimeout{30'000};     // longest wait for requests in flight before a stop
-    policy_weights weights;                //
+    policy_weights weights;                // goals of placement
     milliseconds configPollInterval{1000}; // between two polls of the accepted generation
-    placement_settings placement;          //
-    routing_settings routing;              //
+    placement_settings placement;          // placement of tasks on workers
+    routing_settings routing;              // choice of upstreams
     log_level logLevel = log_level::Info;  // lowest level that is logged
 };
 
+// The upstream to which an agent admits requests.
 struct upstream_settings
 {
     endpoint address;             // of the upstream on the agent's instance
@@ -115,6 +116,7 @@
     std::size_t connections = 64; // connections that it accepts at once
 };
 
+// The worker whose tasks an agent runs.
 struct worker_settings
 {
     endpoint address; // of the worker's control interface
@@ -125,10 +127,10 @@
 
 struct agent_lease_settings
 {
-    milliseconds clockMargin{500};    // a lease from the owner counts as expired this long before
-                                      // its end
-    milliseconds taskLease{10'000};   // given to the worker for each task; long enough to outlast a
-                                      // restart of the agent
+    milliseconds clockMargin{500};    // a lease from the shard's owner counts as expired this long
+                                      // before its end
+    milliseconds taskLease{10'000};   // given to the worker for each task; longer than a restart of
+                                      // the agent takes
     milliseconds renewInterval{1000}; // between two renewals of the task leases
     milliseconds ownerReportInterval{4000}; // between two reports to the shard's owner, while it
                                             // answers; renewInterval otherwise
@@ -139,18 +141,18 @@
 struct agent_settings
 {
     std::string id;                          // unique among all processes
-    std::string region;                      //
-    std::string zone;                        // availability zone
-    std::string rack;                        //
+    std::string region;                      // region that the process runs in
+    std::string zone;                        // availability zone that the process runs in
+    std::string rack;                        // rack of the worker
     listen_settings listen;                  // for entries: requests and rpc
     std::vector<endpoint> entries;           // rpc addresses of the entries; at least one
-    upstream_settings upstream;              //
-    worker_settings worker;                  //
+    upstream_settings upstream;              // upstream on the agent's instance
+    worker_settings worker;                  // worker on the agent's instance
     milliseconds announceInterval{500};      // between two announcements
-    agent_lease_settings lease;              //
-    std::size_t queueLength = 16;            // most requests that wait for a slot
-    std::size_t maxBodyBytes = 1'048'576;    // body of a request
-    std::size_t maxAnswerBytes = 67'108'864; // body of an answer; large bodies are streamed
+    agent_lease_settings lease;              // leases and their renewal
+    std::size_t queueLength = 16;            // limit on requests that wait for a slot
+    std::size_t maxBodyBytes = 1'048'576;    // largest body of a request
+    std::size_t maxAnswerBytes = 67'108'864; // largest body of an answer; large bodies are streamed
     milliseconds drainTimeout{30'000};       // longest wait for requests in flight before a stop
     log_level logLevel = log_level::Info;    // lowest level that is logged
 };
--- a/libs/config/settings_schema.h
+++ b/libs/config/settings_schema.h
@@ -1,4 +1,5 @@
-// JSON schemas of the settings files of entries and agents, embedded in the binary.
+// JSON schemas of the settings files of entries and agents, embedded in the binary; see
+// `entrySettingsSchema` and `agentSettingsSchema` for the parsed ones.
 #pragma once
 
 namespace zinniabarrow::config {
--- a/libs/config/validate.cpp
+++ b/libs/config/validate.cpp
@@ -28,8 +28,8 @@
         dimension{"accelerators", &resources::accelerators},
 };
 
-// Saturating arithmetic: on overflow a sum would wrap around, and a folder with absurdly large
-// numbers would seem to fit its pools.
+// Saturating arithmetic: with wrap-around on overflow, a folder with extremely large numbers would
+// seem to fit its pools.
 std::int64_t cappedSum(std::int64_t a, std::int64_t b)
 {
     std::int64_t sum = 0;
@@ -77,7 +77,7 @@
     std::string team;
     std::string pool;
     resources size;            // of one replica or task
-    std::int64_t replicas = 0; // that must run at once; 0 for jobs, whose tasks can wait
+    std::int64_t replicas = 0; // number that must run at once; 0 for jobs, whose tasks can wait
     text_location definedAt;   // of its first occurrence in the files
 };
 
@@ -176,10 +176,10 @@
         const auto requiredSum = multiplied(requirement.size, requirement.replicas);
         for (const auto &dimension : Dimensions) {
             auto &amount = sum.*dimension.amount;
-            const auto before = amount;
+            const auto previousAmount = amount;
             amount = cappedSum(amount, requiredSum.*dimension.amount);
             const auto limitAmount = limit.*dimension.amount;
-            if (before <= limitAmount && amount > limitAmount) {
+            if (previousAmount <= limitAmount && amount > limitAmount) {
                 report(requirement.pointer,
                        fmt::format("{} {} of services up to this one", amount, dimension.name),
                        fmt::format("at most {}, {}", limitAmount, limitName));
@@ -189,17 +189,17 @@
 
     template <typename Map>
     void reportUnknown(const std::string &pointer, const std::string &found, const char *kind,
-                       const Map &known)
+                       const Map &knownSpecs)
     {
-        constexpr std::size_t MaxNamed = 20;
+        constexpr std::size_t MaxListedNames = 20;
         std::string names;
         std::size_t count = 0;
-        for (const auto &[name, spec] : known) {
-            if (++count > MaxNamed)
+        for (const auto &[name, spec] : knownSpecs) {
+            if (++count > MaxListedNames)
                 break;
             names += (names.empty() ? "" : ", ") + name;
         }
-        if (known.size() > MaxNamed)
+        if (knownSpecs.size() > MaxListedNames)
             names += ", …";
         report(pointer, fmt::format("unknown {} \"{}\"", kind, found),
                names.empty() ? fmt::format("none, as the folder has no {}", kind) : names);
--- a/libs/config/validate.h
+++ b/libs/config/validate.h
@@ -19,10 +19,11 @@
     std::size_t maxBytes = 8 * 1024 * 1024; // of all files together
 };
 
+// Result of checkFolder.
 struct folder_check
 {
     std::vector<problem> problems; // empty: the folder may be accepted
-    merged_folder merged;          // left empty if limits are exceeded or a single file is invalid
+    merged_folder merged;          // left empty if limits are exceeded or any file is invalid
     configuration mergedConfig;    // set only if the merged folder satisfies its schema
     bool isAcceptable() const { return problems.empty(); }
 };
--- a/tests/config_docs_test.cpp
+++ b/tests/config_docs_test.cpp
@@ -1,6 +1,6 @@
-// Guards against documentation that differs from the program: tables of settings that are generated
-// from the schemas, and limits of the folder. With ZB_WRITE_DOCS=1 the test writes the tables again
-// instead of comparing them.
+// Checks that the documentation agrees with the program: the tables of settings, which are
+// generated from the schemas, and the limits of the folder. With ZB_WRITE_DOCS=1 the test writes
+// the tables again instead of comparing them.
 #include <cstdlib>
 #include <fstream>
 
--- a/tests/config_files.h
+++ b/tests/config_files.h
@@ -1,4 +1,4 @@
-// Configuration files that several tests share.
+// Configuration files that several tests share, and helpers to read files.
 #pragma once
 
 #include <filesystem>
@@ -21,6 +21,7 @@
     return text.str();
 }
 
+// All files of the folder at `path`, in any order.
 inline std::vector<folder_file> folderAt(const std::string &path)
 {
     std::vector<folder_file> files;
--- a/tests/config_records_test.cpp
+++ b/tests/config_records_test.cpp
@@ -88,7 +88,7 @@
         require(query && query->peer == "e1");
         check(agent.counters().failedReads == 2);
     });
-    section("an answer to an older question is ignored, the right one adopted", [&] {
+    section("an answer to an earlier query is ignored, the current answer is adopted", [&] {
         check(agent.handle(content_read{first.request, true, text}, Start).empty());
         actions = agent.handle(content_read{query->request, true, text}, Start);
         check(actions.size() == 2 && agent.generation() == 5);
@@ -154,20 +154,20 @@
 
 Test(config_records, operators_view)
 {
-    section("the table for operators", [] {
+    section("the table shows generation, lagging processes, files and problems", [] {
         const auto table = toTable(exampleView());
         check(table
               == "generation 7 in force at entry-1 (ready), 3 other processes, 1 lagging\n"
-                 "  agent-02                 agent  generation 6        behind  last heard 120 ms "
+                 "  agent-02                 agent  generation 6        behind  last report 120 ms "
                  "ago\n"
                  "FILE                                VERSION  STATE       REASON\n"
                  "a.json                                   12  in force    \n"
                  "b.json                                   15  refused     b.json:4: "
                  "/services/holds/team: found unknown team \"x\"; allowed: gate\n"
-                 "the folder as it stands is refused:\n"
+                 "the current state of the folder is refused:\n"
                  "b.json:4: /services/holds/team: found unknown team \"x\"; allowed: gate\n");
     });
-    section("the rollout state of a file", [] {
+    section("the rollout state depends on the state of the file and on lagging processes", [] {
         auto view = exampleView();
         check(rolloutStateOf(view, view.files[0]) == rollout_state::Waiting);
         check(rolloutStateOf(view, view.files[1]) == rollout_state::Refused);
@@ -185,31 +185,33 @@
 }
 
 // An agent reports its generation with its heartbeats, and leaves the report out once the entry has
-// answered it. If it left the report out too early, or for longer than entries keep reports, the
+// answered it. If the agent left it out too early, or for longer than entries keep reports, the
 // agent would seem to be behind or silent, and an operator would wait in vain for a change to be in
 // force everywhere.
-Test(config_records, when_a_generation_is_told)
+Test(config_records, report_repetition)
 {
-    report_throttle pace(seconds(4));
+    report_throttle throttle(seconds(4));
     const generation_report first{"agent", "agent", 3, "d3"};
     const generation_report second{"agent", "agent", 4, "d4"};
     const time_point start(seconds(100));
-    section("with every message until one is answered", [&] {
-        check(pace.isDue("e1", first, start) && pace.isDue("e1", first, start + seconds(1)));
-        pace.recordAnswer("e1", first, start);
-        check(!pace.isDue("e1", first, start + milliseconds(3'999)));
-        check(pace.isDue("e2", first, start));
+    section("the report is sent with every message until one is answered", [&] {
+        check(throttle.isDue("e1", first, start)
+              && throttle.isDue("e1", first, start + seconds(1)));
+        throttle.recordAnswer("e1", first, start);
+        check(!throttle.isDue("e1", first, start + milliseconds(3'999)));
+        check(throttle.isDue("e2", first, start));
     });
-    section("again after the repeat interval",
-            [&] { check(pace.isDue("e1", first, start + seconds(4))); });
-    section("at once when it has changed, also if the answer to an older report arrives late", [&] {
-        check(pace.isDue("e1", second, start));
-        pace.recordAnswer("e1", first, start + seconds(1));
-        check(pace.isDue("e1", second, start + seconds(1)));
-    });
-    section("at once to an entry that was replaced", [&] {
-        pace.recordAnswer("e1", second, start);
-        pace.resetReceiver("e1");
-        check(pace.isDue("e1", second, start));
+    section("the report is sent again after the repeat interval",
+            [&] { check(throttle.isDue("e1", first, start + seconds(4))); });
+    section("a changed report is sent at once, also if the answer to an older one arrives late",
+            [&] {
+                check(throttle.isDue("e1", second, start));
+                throttle.recordAnswer("e1", first, start + seconds(1));
+                check(throttle.isDue("e1", second, start + seconds(1)));
+            });
+    section("the report is sent at once to an entry that was replaced", [&] {
+        throttle.recordAnswer("e1", second, start);
+        throttle.resetReceiver("e1");
+        check(throttle.isDue("e1", second, start));
     });
 }
--- a/tests/config_session_test.cpp
+++ b/tests/config_session_test.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 const std::string GoldenPath = "tests/golden/config_session.jsonl";
-constexpr std::uint64_t SessionSeed = 1; // of the first incarnation in config_simulation
+constexpr std::uint64_t SessionSeed = 1; // seed of the first incarnation in config_simulation
 
 std::string sessionLine(time_point at, const generation_event &event,
                         const generation_actions &actions)
@@ -67,12 +67,12 @@
     };
     simulation.put("zz.json", "{\"services\": {\"tickets\": {\"replicas\": 3}}}");
     simulation.runFor(milliseconds(1200));
-    bool hasRaced = false;
+    bool hasConflicted = false;
     simulation.chooseFault = [&](const simulated_process &, const generation_action &action, int) {
-        if (!hasRaced && std::holds_alternative<write_content>(action)) {
+        if (!hasConflicted && std::holds_alternative<write_content>(action)) {
             const auto row = simulation.platform.read(std::string(AcceptedRowKey));
             simulation.platform.commit({"race", {}, {{row->key, row->value}}});
-            hasRaced = true;
+            hasConflicted = true;
         }
         return fault::None;
     };
@@ -108,7 +108,7 @@
 
 } // namespace
 
-Test(config_session, replays_to_the_byte)
+Test(config_session, replay_is_identical)
 {
     if (std::getenv("ZB_WRITE_GOLDEN"))
         std::ofstream(GoldenPath) << recordSession();
@@ -119,8 +119,8 @@
             check(golden.find(part) != std::string::npos);
     });
     section("the replay gives the same lines", [&] {
-        const auto again = replayed(golden);
-        check(again.size() == golden.size());
-        check(again == golden);
+        const auto replay = replayed(golden);
+        check(replay.size() == golden.size());
+        check(replay == golden);
     });
 }
--- a/tests/config_simulation.h
+++ b/tests/config_simulation.h
@@ -3,7 +3,8 @@
 //
 // - In each process the generation in force only rises.
 // - Each generation has one content, and no invalid configuration is ever in force.
-// - Accepted generations only rise, and no file in one is older than in the generation before.
+// - Accepted generations only rise, and no generation has an older version of a file than the
+//   generation before.
 // - An entry isn't ready until it has at least the generation that was accepted when it started.
 #pragma once
 
@@ -33,19 +34,20 @@
     Delayed,        // takes effect and is answered long after the sender's timeout
 };
 
+// An entry or an agent.
 struct simulated_process
 {
     std::string id;
     std::unique_ptr<generation_manager> manager;   // of an entry
     std::unique_ptr<generation_follower> follower; // of an agent
-    int incarnation = 0;                           // raised each time the process ends
+    int incarnation = 0;                           // increased each time the process ends
     bool isAlive = false;
     bool isCutFromPlatform = false;
     bool isCutFromPeers = false;
-    bool wasReady = false;
-    std::uint64_t minReadyGeneration = 0; // accepted when this incarnation started
-    std::uint64_t lastAdopted = 0;        // in this incarnation
-    time_point pausedUntil{};
+    bool wasReady = false;                // was ready at some time in this incarnation
+    std::uint64_t minReadyGeneration = 0; // generation accepted when this incarnation started
+    std::uint64_t lastAdopted = 0;        // generation in force, in this incarnation
+    time_point pausedUntil{};             // events are delivered only after this time
     time_point nextAnnounce{};
 
     const generation_follower &activeFollower() const
@@ -66,16 +68,17 @@
     bool isPlatformDown = false;
     time_point now{seconds(1000)};
     int step = 0;           // requests and messages so far, without announcements
-    int platformReads = 0;  // requests that reached the platform
-    int platformWrites = 0; //
+    int platformReads = 0;  // reads that reached the platform
+    int platformWrites = 0; // writes that reached the platform
     milliseconds maxConvergenceTime{
             0}; // from the acceptance of a generation until it is in force in all live processes
 
+    // `peers` is the number of other entries in this entry's settings.
     void addEntry(const std::string &id, std::size_t peers = 0)
     {
         auto &entry = m_processes[id];
         entry.id = id;
-        m_peers[id] = peers;
+        m_peerCounts[id] = peers;
         startEntry(entry);
     }
 
@@ -117,7 +120,7 @@
         platform.removeObject(std::string(FolderPrefix) + name, std::nullopt);
     }
 
-    // An operator's command makes this entry scan the folder now.
+    // Makes this entry scan the folder now, as after an operator's command.
     void scanNow(const std::string &id) { deliver(id, process(id).incarnation, scan_now{}); }
 
     void runAfter(milliseconds delay, std::function<void()> callback)
@@ -152,16 +155,16 @@
     }
 
 private:
-    static constexpr milliseconds Delay{5}; // one way
+    static constexpr milliseconds Delay{5}; // of a message, one way
     static constexpr milliseconds TickInterval{50};
     static constexpr milliseconds AnnounceInterval{500};
-    static constexpr milliseconds LateDelay{4000};
+    static constexpr milliseconds LateDelay{4000}; // of a message with fault::Delayed
 
     void startEntry(simulated_process &entry)
     {
         generation_manager_settings settings;
         settings.process = entry.id;
-        settings.peerCount = m_peers[entry.id];
+        settings.peerCount = m_peerCounts[entry.id];
         entry.manager = std::make_unique<generation_manager>(
                 settings, random_generator(static_cast<std::uint64_t>(++m_incarnationCount)), now);
         entry.minReadyGeneration = acceptedGeneration();
@@ -180,9 +183,9 @@
     void measureConvergence()
     {
         while (!m_acceptedAt.empty() && haveAllReached(m_acceptedAt.begin()->first)) {
-            const auto took = now - m_acceptedAt.begin()->second;
-            maxConvergenceTime =
-                    std::max(maxConvergenceTime, std::chrono::duration_cast<milliseconds>(took));
+            const auto duration = now - m_acceptedAt.begin()->second;
+            maxConvergenceTime = std::max(maxConvergenceTime,
+                                          std::chrono::duration_cast<milliseconds>(duration));
             m_acceptedAt.erase(m_acceptedAt.begin());
         }
     }
@@ -252,16 +255,16 @@
         const auto known = m_digests.emplace(adopted.generation, adopted.digest).first;
         check(known->second == adopted.digest); // each generation has one content
         for (const auto &[name, service] : adopted.mergedConfig->services)
-            check(adopted.mergedConfig->teams.contains(
-                    service.team)); // never an invalid configuration
+            check(adopted.mergedConfig->teams.contains(service.team)); // the configuration is valid
     }
 
     void pushReport(const simulated_process &simulated, const push_generation &push)
     {
         for (const auto &[id, target] : m_processes) {
-            const auto &named = push.processes;
+            const auto &receivers = push.processes;
             const bool isTarget =
-                    named.empty() || std::find(named.begin(), named.end(), id) != named.end();
+                    receivers.empty()
+                    || std::find(receivers.begin(), receivers.end(), id) != receivers.end();
             if (!isTarget || id == simulated.id)
                 continue;
             if (chooseFault(simulated, push, ++step) == fault::None)
@@ -365,8 +368,8 @@
         return tick{};
     } // for actions without an answer; never called
 
-    // Accepted generations only rise, their content is stored, and no file in one is older than in
-    // the generation before.
+    // Checks that accepted generations only rise, that their content is stored, and that no
+    // generation has an older version of a file than the generation before.
     void checkAcceptance()
     {
         const auto row = acceptedRowFromJson(platform.read(std::string(AcceptedRowKey))->value);
@@ -382,14 +385,14 @@
     }
 
     std::map<std::string, simulated_process> m_processes;
-    std::map<std::string, std::size_t> m_peers; // setting of each entry
-    std::multimap<time_point, std::function<void()>> m_queue;
+    std::map<std::string, std::size_t> m_peerCounts;          // setting of each entry
+    std::multimap<time_point, std::function<void()>> m_queue; // callbacks, by time
     time_point m_nextTick{};
-    std::map<std::uint64_t, std::string> m_digests;
+    std::map<std::uint64_t, std::string> m_digests; // of the content, by generation
     std::map<std::uint64_t, time_point>
             m_acceptedAt; // of generations that aren't in force everywhere yet
     std::uint64_t m_highestAccepted = 0;
-    file_versions m_acceptedFiles;
+    file_versions m_acceptedFiles; // of the highest accepted generation
     int m_incarnationCount = 0;
 };
 
--- a/tests/content_slice_test.cpp
+++ b/tests/content_slice_test.cpp
@@ -1,5 +1,5 @@
-// Tests the content slices that agents fetch: the bytes for each change, and that lost, late, wrong
-// or outdated answers never put a wrong configuration in force.
+// Tests the content slices that agents fetch: the bytes that a change takes, and that lost, late,
+// wrong or outdated answers never put a wrong configuration in force.
 #include <cstdio>
 
 #include "base/errors.h"
@@ -77,7 +77,7 @@
 }
 
 // The bytes that the same change takes for a process that fetches the whole content.
-std::size_t wholeBytes(const generation_follower &entry)
+std::size_t wholeContentBytes(const generation_follower &entry)
 {
     generation_follower wholeFollower(follower_settings{"agent", "agent"});
     return followEntry(wholeFollower, entry);
@@ -95,18 +95,18 @@
             auto agent = agentFollower();
             const auto first =
                     followEntry(agent, entry_with_content(1, contentOf(jobs, 3)).follower);
-            const entry_with_content elsewhere(2, contentOf(jobs + 1, 3));
-            const auto unchanged = followEntry(agent, elsewhere.follower);
-            check(agent.generation() == 2 && agent.digest() == elsewhere.follower.digest());
-            const entry_with_content own(3, contentOf(jobs, 4));
-            const auto changed = followEntry(agent, own.follower);
-            check(agent.generation() == 3 && agent.report().digest == own.follower.digest());
+            const entry_with_content otherChange(2, contentOf(jobs + 1, 3));
+            const auto unchanged = followEntry(agent, otherChange.follower);
+            check(agent.generation() == 2 && agent.digest() == otherChange.follower.digest());
+            const entry_with_content ownChange(3, contentOf(jobs, 4));
+            const auto changed = followEntry(agent, ownChange.follower);
+            check(agent.generation() == 3 && agent.report().digest == ownChange.follower.digest());
             check(agent.content().mergedConfig.services.at("tickets").replicas == 4);
             check(agent.content().mergedConfig.services.size() == 1
                   && agent.content().mergedConfig.jobs.empty());
             std::fprintf(stderr,
-                         "| %d jobs | whole %zu B | slice %zu B | no change to it %zu B |\n", jobs,
-                         wholeBytes(own.follower), changed, unchanged);
+                         "| %d jobs | whole %zu B | slice %zu B | unchanged slice %zu B |\n", jobs,
+                         wholeContentBytes(ownChange.follower), changed, unchanged);
             check(first < 1'000 && changed < 1'000 && unchanged < 250);
         });
     }
@@ -124,17 +124,17 @@
             "nothing",
             [&] {
                 auto agent = agentFollower();
-                const auto lost = contentQueryIn(
+                const auto lostQuery = contentQueryIn(
                         agent.handle(report_received{first.follower.report()}, Start));
-                const auto late = askOverWire(first.follower, lost, bytes);
-                generation_actions again;
-                for (auto now = Start; again.empty() && now < Start + seconds(5);
+                const auto lateAnswer = askOverWire(first.follower, lostQuery, bytes);
+                generation_actions retry;
+                for (auto now = Start; retry.empty() && now < Start + seconds(5);
                      now += milliseconds(100))
-                    again = agent.handle(tick{}, now);
-                agent.handle(askOverWire(first.follower, contentQueryIn(again), bytes), Start);
+                    retry = agent.handle(tick{}, now);
+                agent.handle(askOverWire(first.follower, contentQueryIn(retry), bytes), Start);
                 check(agent.generation() == 1);
                 followEntry(agent, second.follower);
-                check(agent.handle(late, Start).empty() && agent.generation() == 2);
+                check(agent.handle(lateAnswer, Start).empty() && agent.generation() == 2);
                 check(agent.content().mergedConfig.services.at("tickets").replicas == 4);
             });
     section("an entry with another generation in force answers without content", [&] {
@@ -170,8 +170,8 @@
     });
 }
 
-// During an upgrade processes of two releases run together: processes are replaced one by one, the
-// agents first. Each must be able to fetch contents from the other release.
+// During an upgrade processes of two releases run at the same time: processes are replaced one by
+// one, the agents first. Each release must be able to fetch contents from the other one.
 Test(content_slice, mixed_releases)
 {
     const entry_with_content entry(1, contentOf(10, 3));
@@ -182,7 +182,7 @@
         std::size_t bytes = 0;
         agent.handle(askOverWire(entry.follower, query, bytes), Start);
         check(agent.generation() == 1 && agent.digest() == entry.follower.digest());
-        section("then a newer entry answers with a slice", [&] {
+        section("after its upgrade the entry answers with a slice", [&] {
             followEntry(agent, entry_with_content(2, contentOf(10, 4)).follower);
             check(agent.generation() == 2 && agent.content().mergedConfig.jobs.empty());
         });
--- a/tests/folder_test.cpp
+++ b/tests/folder_test.cpp
@@ -18,17 +18,20 @@
 
 using files = std::vector<folder_file>;
 
+// Checks these files together with the base file (config_files.h).
 folder_check checkWithBase(files list)
 {
     list.push_back({"00-basis.json", baseFile()});
     return checkFolder(list);
 }
 
+// A file that defines the service "tickets" with these members.
 std::string service(const std::string &members)
 {
     return R"({"services": {"tickets": {)" + members + "}}}";
 }
 
+// The text of the first problem of these files together with the base file, or "accepted".
 std::string firstProblem(files list)
 {
     const auto result = checkWithBase(std::move(list));
@@ -60,25 +63,28 @@
         check(result.mergedConfig.pools.at("rink").zones == std::vector<std::string>{"imereti-a"});
     });
     section("null deletes a member, an object, or all objects of a kind", [] {
-        const auto one = checkWithBase({{"a.json", Tickets},
-                                        {"b.json", service(R"("replicas": 7)")},
-                                        {"c.json", service(R"("replicas": null)")}});
-        check(one.mergedConfig.services.at("tickets").replicas == 1);
-        const auto object = checkWithBase(
+        const auto oneMember = checkWithBase({{"a.json", Tickets},
+                                              {"b.json", service(R"("replicas": 7)")},
+                                              {"c.json", service(R"("replicas": null)")}});
+        check(oneMember.mergedConfig.services.at("tickets").replicas == 1);
+        const auto oneObject = checkWithBase(
                 {{"a.json", Tickets}, {"b.json", R"({"services": {"tickets": null}})"}});
-        check(object.isAcceptable() && object.mergedConfig.services.empty());
-        const auto kind = checkWithBase({{"a.json", Tickets}, {"b.json", R"({"services": null})"}});
-        check(kind.isAcceptable() && kind.mergedConfig.services.empty());
-        const auto nothing = checkWithBase({{"a.json", R"({"jobs": {"absent": null}})"}});
-        check(nothing.isAcceptable());
-    });
-    section("an object that is deleted and then given again does not keep its earlier members", [] {
-        const auto again = checkWithBase({{"a.json", Tickets},
-                                          {"b.json", R"({"services": {"tickets": null}})"},
-                                          {"c.json", service(R"("replicas": 2)")}});
-        check(again.problems.size() == 3); // team, pool and size are gone
-        check(again.problems.front().file == "c.json");
+        check(oneObject.isAcceptable() && oneObject.mergedConfig.services.empty());
+        const auto allServices =
+                checkWithBase({{"a.json", Tickets}, {"b.json", R"({"services": null})"}});
+        check(allServices.isAcceptable() && allServices.mergedConfig.services.empty());
+        const auto absentObject = checkWithBase({{"a.json", R"({"jobs": {"absent": null}})"}});
+        check(absentObject.isAcceptable());
     });
+    section("an object that is deleted and then defined again does not keep its earlier members",
+            [] {
+                const auto redefined =
+                        checkWithBase({{"a.json", Tickets},
+                                       {"b.json", R"({"services": {"tickets": null}})"},
+                                       {"c.json", service(R"("replicas": 2)")}});
+                check(redefined.problems.size() == 3); // team, pool and size are gone
+                check(redefined.problems.front().file == "c.json");
+            });
     section("a file whose values are all replaced is reported, with the replacing file", [] {
         const auto result = checkWithBase({{"a.json", Tickets},
                                            {"b.json", service(R"("replicas": 2)")},
@@ -93,11 +99,11 @@
 }
 
 // For an invalid folder an operator sees file, line, what was found and what is allowed, and no
-// part of the folder is accepted: if a part of an edit came into force, the configuration would be
-// one that nobody wrote.
+// part of the folder is accepted: if only part of an edit came into force, the configuration would
+// be one that nobody wrote.
 Test(folder, validation)
 {
-    section("a truncated file, an unknown key, a wrong type", [] {
+    section("a truncated file, an unknown key and a wrong type are refused", [] {
         check(firstProblem({{"a.json", "{\n\"jobs\": {"}}).starts_with("a.json:2: /: found "));
         check(firstProblem({{"a.json", "{\n\n\"job\": {}}"}})
               == "a.json:3: /job: found unknown key \"job\"; allowed: jobs, pools, services, "
@@ -110,11 +116,11 @@
                       .find("/jobs/a~1b: found the name")
               != std::string::npos);
     });
-    section("a required member that no file contains", [] {
+    section("a required member that no file contains is a problem", [] {
         check(firstProblem({{"a.json", service(R"("team": "gate", "pool": "rink")")}})
                       .starts_with("a.json:1: /services/tickets/size: found nothing; allowed: "));
     });
-    section("references to unknown teams and pools", [] {
+    section("references to unknown teams and pools are refused", [] {
         check(firstProblem({{"a.json", Tickets}, {"b.json", service("\n\n\"team\": \"gates\"")}})
               == "b.json:3: /services/tickets/team: found unknown team \"gates\"; allowed: gate");
         check(firstProblem({{"a.json", Tickets}, {"b.json", R"({"pools": {"rink": null}})"}})
@@ -135,7 +141,7 @@
                       .find("allowed: at most 999, the quota of team gate; it never fits")
               != std::string::npos);
     });
-    section("sums that exceed the pool or the quota", [] {
+    section("sums that exceed the pool or the quota are refused", [] {
         // 11 workers of 16000 millicores and 60000 bytes; a quota of 160000 millicores.
         check(firstProblem({{"a.json", Tickets},
                             {"b.json", service(R"("replicas": 200, "size": {"bytes": 30001})")}})
@@ -147,15 +153,15 @@
               != std::string::npos);
     });
     section("if two services together exceed a limit, the problem is in the later file", [] {
-        const auto half = service(R"("replicas": 100)");
+        const auto replicasChange = service(R"("replicas": 100)");
         auto other = Tickets;
         other.replace(other.find("tickets"), 7, "holds");
-        auto otherHalf = half;
-        otherHalf.replace(otherHalf.find("tickets"), 7, "holds");
+        auto otherChange = replicasChange;
+        otherChange.replace(otherChange.find("tickets"), 7, "holds");
         check(firstProblem({{"b.json", Tickets},
-                            {"c.json", half},
+                            {"c.json", replicasChange},
                             {"a.json", other},
-                            {"d.json", otherHalf}})
+                            {"d.json", otherChange}})
                       .starts_with("b.json:1: /services/tickets: found 200000 millicores"));
     });
     section("services that fit one by one exceed the pool together", [] {
@@ -178,7 +184,7 @@
                         "size": {"millicores": 1, "bytes": 9007199254740992}}}})"}});
         check(text.find("found 9223372036854775807 bytes of services") != std::string::npos);
     });
-    section("limits on files and bytes", [] {
+    section("limits on the number and size of files are enforced", [] {
         folder_limits small;
         small.maxFileBytes = 10;
         small.maxFiles = 1;
@@ -263,6 +269,7 @@
     }
 }
 
+// The example folder with up to four random files, some of them with corrupted text.
 files randomFolder(random_generator &random)
 {
     files folder = folderAt("examples/folder");
@@ -305,7 +312,7 @@
     return merged;
 }
 
-// Checks independently of the code under test what must hold for an accepted configuration.
+// Checks what must hold for an accepted configuration, independently of the code under test.
 bool isConsistent(const configuration &mergedConfiguration)
 {
     std::map<std::string, double> poolCores;
@@ -365,7 +372,7 @@
             check(configurationFromJson(toJson(result.mergedConfig)) == result.mergedConfig);
         });
     }
-    section("both results are frequent", [&] {
+    section("both accepted and refused folders are frequent", [&] {
         check(accepted > Folders / 10 && accepted < Folders * 9 / 10);
         cr_log_info("%d of %d folders accepted", accepted, Folders);
     });
--- a/tests/generations_test.cpp
+++ b/tests/generations_test.cpp
@@ -58,31 +58,31 @@
 {
     config_simulation simulation;
     addProcesses(simulation);
-    std::uint64_t first = 0;
+    std::uint64_t firstVersion = 0;
     section("an edit comes into force in every process", [&] {
-        first = simulation.put("tickets.json", service("tickets", 2));
-        check(stateAt(simulation, "e1", "tickets.json", first) == file_state::Pending);
+        firstVersion = simulation.put("tickets.json", service("tickets", 2));
+        check(stateAt(simulation, "e1", "tickets.json", firstVersion) == file_state::Pending);
         simulation.runFor(seconds(2));
         check(simulation.hasConverged());
         check(replicasAt(simulation, "a1", "tickets") == 2);
-        check(stateAt(simulation, "e2", "tickets.json", first) == file_state::InForce);
+        check(stateAt(simulation, "e2", "tickets.json", firstVersion) == file_state::InForce);
         check(simulation.entry("e1").isReady() && simulation.entry("e2").isReady());
     });
-    section("the next version supersedes it", [&] {
-        const auto second = simulation.put("tickets.json", service("tickets", 3));
+    section("the next version of the file supersedes the edit", [&] {
+        const auto secondVersion = simulation.put("tickets.json", service("tickets", 3));
         simulation.runFor(seconds(2));
         check(replicasAt(simulation, "a1", "tickets") == 3);
-        check(stateAt(simulation, "e1", "tickets.json", first) == file_state::Superseded);
-        check(stateAt(simulation, "e1", "tickets.json", second) == file_state::InForce);
+        check(stateAt(simulation, "e1", "tickets.json", firstVersion) == file_state::Superseded);
+        check(stateAt(simulation, "e1", "tickets.json", secondVersion) == file_state::InForce);
     });
-    section("a file with a later name overrides it", [&] {
-        const auto later = simulation.put("tickets.late.json", service("tickets", 4));
+    section("a file with a later name overrides the edited file", [&] {
+        const auto laterVersion = simulation.put("tickets.late.json", service("tickets", 4));
         simulation.runFor(seconds(2));
-        const auto early = simulation.entry("e1").statusOf(
+        const auto overridden = simulation.entry("e1").statusOf(
                 "tickets.json", simulation.entry("e1").files()[1].version);
-        check(early.state == file_state::Superseded);
-        check(early.reason == "every value is replaced by tickets.late.json");
-        check(stateAt(simulation, "e1", "tickets.late.json", later) == file_state::InForce);
+        check(overridden.state == file_state::Superseded);
+        check(overridden.reason == "every value is replaced by tickets.late.json");
+        check(stateAt(simulation, "e1", "tickets.late.json", laterVersion) == file_state::InForce);
         check(replicasAt(simulation, "a1", "tickets") == 4);
     });
     section("a removal has a status like an edit", [&] {
@@ -111,20 +111,20 @@
     simulation.put("tickets.json", service("tickets", 2));
     simulation.runFor(seconds(2));
     const auto before = simulation.acceptedGeneration();
-    const auto bad = simulation.put("holds.json", service("holds", 1, "nobody"));
-    const auto good = simulation.put("season.json", service("season", 1));
+    const auto invalidVersion = simulation.put("holds.json", service("holds", 1, "nobody"));
+    const auto validVersion = simulation.put("season.json", service("season", 1));
     simulation.runFor(seconds(2));
-    section("it is refused at every entry, with location and reason", [&] {
+    section("the edit is refused at every entry, with location and reason", [&] {
         for (const auto *entry : {"e1", "e2"}) {
-            const auto status = simulation.entry(entry).statusOf("holds.json", bad);
+            const auto status = simulation.entry(entry).statusOf("holds.json", invalidVersion);
             check(status.state == file_state::Refused);
             check(status.reason
                   == "holds.json:1: /services/holds/team: found unknown team \"nobody\"; allowed: "
                      "gate");
         }
     });
-    section("a valid file saved with it is refused too, with the same problem", [&] {
-        const auto status = simulation.entry("e1").statusOf("season.json", good);
+    section("a valid file that was saved with the edit is refused too, with the same problem", [&] {
+        const auto status = simulation.entry("e1").statusOf("season.json", validVersion);
         check(status.state == file_state::Refused && status.problems[0].file == "holds.json");
     });
     section("the accepted generation stays in force, and the folder is validated only once", [&] {
@@ -132,17 +132,17 @@
               && replicasAt(simulation, "a1", "holds") == -1);
         check(simulation.entry("e1").counters().refusedFolders == 1);
     });
-    section("an entry that starts now refuses it too", [&] {
+    section("an entry that starts afterwards refuses the edit too", [&] {
         simulation.restart("e1");
         simulation.runFor(seconds(4));
-        check(stateAt(simulation, "e1", "holds.json", bad) == file_state::Refused);
+        check(stateAt(simulation, "e1", "holds.json", invalidVersion) == file_state::Refused);
         check(simulation.entry("e1").generation() == before);
     });
     section("the repair is accepted", [&] {
         simulation.put("holds.json", service("holds", 1));
         simulation.runFor(seconds(2));
         check(simulation.hasConverged() && replicasAt(simulation, "a1", "holds") == 1);
-        check(stateAt(simulation, "e2", "season.json", good) == file_state::InForce);
+        check(stateAt(simulation, "e2", "season.json", validVersion) == file_state::InForce);
         check(simulation.entry("e2").problems().empty());
     });
 }
@@ -150,7 +150,7 @@
 // An operator repairs a refused file and watches its status. Between the listing of the folder and
 // its validation the entry still has the problems of the earlier version. If it reported them for
 // the repaired version, that version would be `refused` and then in force a moment later.
-Test(generations, repair_is_not_refused_for_its_predecessor)
+Test(generations, repair_is_not_refused_for_earlier_problems)
 {
     config_simulation simulation;
     addProcesses(simulation);
@@ -158,33 +158,33 @@
     simulation.put("holds.json", service("holds", 1, "nobody"));
     simulation.runFor(seconds(2));
     require(simulation.entry("e1").counters().refusedFolders == 1);
-    const auto repair = simulation.put("holds.json", service("holds", 1));
+    const auto repairVersion = simulation.put("holds.json", service("holds", 1));
     int statusChecks = 0;
     simulation.onHandled = [&](const simulated_process &each, const auto &, const auto &) {
         if (!each.manager)
             return;
         ++statusChecks;
-        check(each.manager->statusOf("holds.json", repair).state != file_state::Refused);
+        check(each.manager->statusOf("holds.json", repairVersion).state != file_state::Refused);
     };
     simulation.runFor(seconds(3));
     check(statusChecks > 0);
-    check(stateAt(simulation, "e1", "holds.json", repair) == file_state::InForce);
+    check(stateAt(simulation, "e1", "holds.json", repairVersion) == file_state::InForce);
 }
 
 // An editor has written only half of a file, or files change while an entry reads them. A mixture
 // of states in force would be a configuration that no operator wrote. So nothing may be accepted
 // until the listings before and after the reading are equal and all files parse.
-Test(generations, half_written)
+Test(generations, half_written_files)
 {
     config_simulation simulation;
     simulation.addEntry("e1");
     simulation.put("00-basis.json", baseFile());
     section("half a file is refused, the complete one accepted", [&] {
         const auto fileContent = service("tickets", 2);
-        const auto half =
+        const auto truncatedVersion =
                 simulation.put("tickets.json", fileContent.substr(0, fileContent.size() / 2));
         simulation.runFor(seconds(1));
-        check(stateAt(simulation, "e1", "tickets.json", half) == file_state::Refused);
+        check(stateAt(simulation, "e1", "tickets.json", truncatedVersion) == file_state::Refused);
         check(simulation.acceptedGeneration() == 0);
         simulation.put("tickets.json", fileContent);
         simulation.runFor(seconds(1));
@@ -221,37 +221,38 @@
 // Two operators save the same file at the same time, through different entries. The object store
 // orders the writes. At both entries the earlier version must become superseded and the later one
 // come into force.
-Test(generations, racing_operators)
+Test(generations, concurrent_edits)
 {
     config_simulation simulation;
     addProcesses(simulation);
     simulation.runFor(seconds(2));
-    const auto alice = simulation.put("tickets.json", service("tickets", 2));
-    const auto bob = simulation.put("tickets.json", service("tickets", 3));
+    const auto aliceVersion = simulation.put("tickets.json", service("tickets", 2));
+    const auto bobVersion = simulation.put("tickets.json", service("tickets", 3));
     simulation.runFor(seconds(2));
     for (const auto *entry : {"e1", "e2"}) {
-        check(stateAt(simulation, entry, "tickets.json", alice) == file_state::Superseded);
-        check(stateAt(simulation, entry, "tickets.json", bob) == file_state::InForce);
+        check(stateAt(simulation, entry, "tickets.json", aliceVersion) == file_state::Superseded);
+        check(stateAt(simulation, entry, "tickets.json", bobVersion) == file_state::InForce);
     }
     section("each generation was written by exactly one entry", [&] {
-        const auto &one = simulation.entry("e1").counters();
-        const auto &two = simulation.entry("e2").counters();
-        check(one.acceptedGenerations + two.acceptedGenerations == simulation.acceptedGeneration());
+        const auto &countersOfE1 = simulation.entry("e1").counters();
+        const auto &countersOfE2 = simulation.entry("e2").counters();
+        check(countersOfE1.acceptedGenerations + countersOfE2.acceptedGenerations
+              == simulation.acceptedGeneration());
     });
     section("a delayed write of one entry does not revert a newer one of the other", [&] {
-        bool isSlowed = false;
+        bool isDelayed = false;
         simulation.chooseFault = [&](const simulated_process &each, const generation_action &action,
                                      int) {
-            if (each.id != "e1" || isSlowed || !isAction<commit_generation>(action))
+            if (each.id != "e1" || isDelayed || !isAction<commit_generation>(action))
                 return fault::None;
-            isSlowed = true;
+            isDelayed = true;
             simulation.process("e2").isCutFromPlatform = false;
             return fault::Delayed;
         };
         simulation.process("e2").isCutFromPlatform = true;
         simulation.put("tickets.json", service("tickets", 4));
         simulation.runFor(milliseconds(700));
-        require(isSlowed);
+        require(isDelayed);
         simulation.put("tickets.json", service("tickets", 5));
         simulation.runFor(seconds(8));
         check(simulation.hasConverged() && replicasAt(simulation, "a1", "tickets") == 5);
@@ -267,16 +268,16 @@
     settings.process = "e1";
     const time_point start{seconds(1000)};
     generation_manager manager(settings, random_generator(1), start);
-    const auto toListing = [&](time_point now) {
+    const auto runUntilListing = [&](time_point now) {
         const auto queryActions = manager.handle(tick{}, now);
         const auto request = std::get<read_accepted_row>(queryActions.at(0)).request;
         const auto actions = manager.handle(accepted_row_read{request, true, {}}, now);
         return std::get<list_folder>(actions.at(0)).request;
     };
     const std::vector<stored_object> listing{{std::string(FolderPrefix) + "a.json", "", 1}};
-    const auto first = toListing(start);
+    const auto first = runUntilListing(start);
     check(manager.handle(tick{}, start + seconds(2)).empty()); // timed out
-    const auto second = toListing(start + seconds(3));
+    const auto second = runUntilListing(start + seconds(3));
     check(manager.handle(folder_listed{first, true, listing}, start + seconds(3)).empty());
     check(!manager.handle(folder_listed{second, true, listing}, start + seconds(3)).empty());
     check(manager.counters().platformFailures == 1);
@@ -302,12 +303,12 @@
                         isLost = true;
                         return kind;
                     };
-                    const auto settled = simulation.entry("e1").counters().confirmedByReadBack;
+                    const auto confirmed = simulation.entry("e1").counters().confirmedByReadBack;
                     const auto generation = simulation.acceptedGeneration();
                     simulation.put("tickets.json",
-                                   service("tickets", static_cast<int>(settled) + 1));
+                                   service("tickets", static_cast<int>(confirmed) + 1));
                     simulation.runFor(seconds(4));
-                    check(simulation.entry("e1").counters().confirmedByReadBack == settled + 1);
+                    check(simulation.entry("e1").counters().confirmedByReadBack == confirmed + 1);
                     check(simulation.acceptedGeneration() == generation + 1
                           && simulation.hasConverged());
                 });
@@ -330,18 +331,18 @@
     simulation.runFor(seconds(5));
     check(replicasAt(simulation, "e2", "tickets") == 2
           && replicasAt(simulation, "a1", "tickets") == 3);
-    section("the status lists it while it lags", [&] {
+    section("the status lists the isolated entry while it lags", [&] {
         const auto view = folderViewOf(simulation.entry("e1"), simulation.now);
         require(view.laggingProcesses.size() == 1);
         check(view.laggingProcesses[0].report.process == "e2");
         check(rolloutStateOf(view, view.files[1]) == rollout_state::Waiting);
     });
-    section("it recovers from its peers alone", [&] {
+    section("the entry gets the newer generation from its peers alone", [&] {
         isolatedEntry.isCutFromPeers = false;
         simulation.runFor(seconds(2));
         check(replicasAt(simulation, "e2", "tickets") == 3);
     });
-    section("then the change is in force everywhere", [&] {
+    section("after the reconnection the change is in force everywhere", [&] {
         isolatedEntry.isCutFromPlatform = false;
         simulation.runFor(seconds(2));
         const auto view = folderViewOf(simulation.entry("e1"), simulation.now);
@@ -352,7 +353,7 @@
 // All entries are replaced while the platform is down. A new entry that served at once would know
 // no service and refuse callers. It must first fetch the generation from a process that still has
 // it, here the agent.
-Test(generations, new_entries)
+Test(generations, all_entries_replaced)
 {
     config_simulation simulation;
     addProcesses(simulation);
@@ -396,7 +397,7 @@
     addProcesses(simulation);
     simulation.put("tickets.json", service("tickets", 2));
     simulation.runFor(seconds(2));
-    const auto old = simulation.platform.read(std::string(AcceptedRowKey))->value;
+    const auto oldRow = simulation.platform.read(std::string(AcceptedRowKey))->value;
     const auto row = std::string(AcceptedRowKey);
     for (int replicas = 3; replicas < 6; ++replicas) {
         simulation.put("tickets.json", service("tickets", replicas));
@@ -404,29 +405,29 @@
     }
     const auto highest = simulation.acceptedGeneration();
     section("an older row is replaced by one above the generation in force", [&] {
-        simulation.platform.commit({"restore", {}, {{row, old}}});
+        simulation.platform.commit({"restore", {}, {{row, oldRow}}});
         simulation.runFor(seconds(3));
         check(simulation.acceptedGeneration() > highest && simulation.hasConverged());
         check(replicasAt(simulation, "a1", "tickets") == 5);
     });
-    section("also while the folder is refused", [&] {
+    section("an older row is also replaced while the folder is refused", [&] {
         simulation.put("bad.json", service("holds", 1, "nobody"));
         simulation.runFor(seconds(1));
-        const auto raised = simulation.acceptedGeneration();
-        simulation.platform.commit({"restore", {}, {{row, old}}});
+        const auto acceptedBefore = simulation.acceptedGeneration();
+        simulation.platform.commit({"restore", {}, {{row, oldRow}}});
         simulation.runFor(seconds(3));
-        check(simulation.acceptedGeneration() > raised && simulation.hasConverged());
+        check(simulation.acceptedGeneration() > acceptedBefore && simulation.hasConverged());
         check(replicasAt(simulation, "a1", "tickets") == 5);
         simulation.remove("bad.json");
         simulation.runFor(seconds(1));
     });
-    section("also if it has the same generation number but another content", [&] {
-        auto fork = old;
-        fork["generation"] = Json::UInt64(simulation.acceptedGeneration());
-        fork["folder"] = simulation.platform.read(row)->value["folder"];
-        simulation.platform.commit({"restore", {}, {{row, fork}}});
+    section("a row with the same generation number but another content is replaced", [&] {
+        auto conflictingRow = oldRow;
+        conflictingRow["generation"] = Json::UInt64(simulation.acceptedGeneration());
+        conflictingRow["folder"] = simulation.platform.read(row)->value["folder"];
+        simulation.platform.commit({"restore", {}, {{row, conflictingRow}}});
         simulation.runFor(seconds(3));
-        check(simulation.acceptedGeneration() > fork["generation"].asUInt64()
+        check(simulation.acceptedGeneration() > conflictingRow["generation"].asUInt64()
               && simulation.hasConverged());
         check(replicasAt(simulation, "e2", "tickets") == 5);
     });
@@ -460,8 +461,9 @@
     });
 }
 
-// Guards against rows, reads and listings that grow with the number of files in the folder.
-Test(generations, sizes)
+// With many files in the folder the table's row must stay small, an edit must read only the edited
+// file, and the folder must be listed rarely.
+Test(generations, large_folder)
 {
     config_simulation simulation;
     simulation.addEntry("e1");
@@ -487,7 +489,7 @@
     section("contents that are no longer needed are removed", [&] {
         check(simulation.platform.listObjects(std::string(ContentPrefix)).size() <= 9);
     });
-    section("one edit reads one file", [&] {
+    section("an edit reads only the edited file", [&] {
         simulation.platformReads = 0;
         simulation.put("tickets.json", service("tickets", 2));
         simulation.scanNow("e1");
@@ -515,10 +517,10 @@
 
 namespace {
 
-constexpr int Steps = 80;         // cover all edits of the scenario; later steps are idle polling
+constexpr int Steps = 80;         // these cover all edits of the scenario; then it only polls
 constexpr int SettlingSteps = 24; // steps that remain after the last fault
 
-// A fault, or an event beside it, that is injected at one step of the scenario.
+// What is injected at one step of the scenario: a fault, further effects, or both.
 struct injected_fault
 {
     const char *name;
@@ -576,10 +578,10 @@
     };
 }
 
-// Runs a scenario: edits by several operators, of which one is refused and then repaired, and one
-// is a removal. Faults are given with the step at which they are injected.
-void scenario(config_simulation &simulation,
-              const std::vector<std::pair<int, injected_fault>> &injected)
+// Runs a scenario of edits by several operators. One edit is refused and then repaired, and one is
+// a removal. `injected` holds the faults, each with the step at which it is injected.
+void runScenario(config_simulation &simulation,
+                 const std::vector<std::pair<int, injected_fault>> &injected)
 {
     simulation.chooseFault = [&](const auto &, const auto &, int step) {
         auto kind = fault::None;
@@ -593,14 +595,14 @@
     };
     addProcesses(simulation);
     simulation.runFor(milliseconds(1200));
-    const auto alice = simulation.put("tickets.json", service("tickets", 2));
+    const auto aliceVersion = simulation.put("tickets.json", service("tickets", 2));
     simulation.runFor(milliseconds(300));
-    const auto bob = simulation.put("tickets.json", service("tickets", 3));
+    const auto bobVersion = simulation.put("tickets.json", service("tickets", 3));
     simulation.put("holds.json", service("holds", 1));
     simulation.runFor(milliseconds(1200));
-    const auto refused = simulation.put("season.json", service("season", 1, "nobody"));
+    const auto refusedVersion = simulation.put("season.json", service("season", 1, "nobody"));
     simulation.runFor(milliseconds(1200));
-    const auto repaired = simulation.put("season.json", service("season", 1));
+    const auto repairedVersion = simulation.put("season.json", service("season", 1));
     simulation.remove("holds.json");
     simulation.runFor(seconds(12));
     check(simulation.hasConverged());
@@ -608,10 +610,10 @@
           && replicasAt(simulation, "a1", "holds") == -1);
     for (const auto *entry : {"e1", "e2"}) {
         check(simulation.entry(entry).isReady());
-        check(stateAt(simulation, entry, "tickets.json", alice) == file_state::Superseded);
-        check(stateAt(simulation, entry, "tickets.json", bob) == file_state::InForce);
-        check(stateAt(simulation, entry, "season.json", refused) == file_state::Superseded);
-        check(stateAt(simulation, entry, "season.json", repaired) == file_state::InForce);
+        check(stateAt(simulation, entry, "tickets.json", aliceVersion) == file_state::Superseded);
+        check(stateAt(simulation, entry, "tickets.json", bobVersion) == file_state::InForce);
+        check(stateAt(simulation, entry, "season.json", refusedVersion) == file_state::Superseded);
+        check(stateAt(simulation, entry, "season.json", repairedVersion) == file_state::InForce);
         check(stateAt(simulation, entry, "holds.json", 0) == file_state::InForce);
     }
 }
@@ -626,14 +628,14 @@
 {
     const auto all = injectedFaults();
     config_simulation faultFreeRun;
-    scenario(faultFreeRun, {});
+    runScenario(faultFreeRun, {});
     require(faultFreeRun.step > Steps + SettlingSteps);
     for (const auto &injected : all) {
         milliseconds slowest{0};
         for (int step = 1; step <= Steps; ++step) {
             section(fmt::format("{} at step {}", injected.name, step), [&] {
                 config_simulation simulation;
-                scenario(simulation, {{step, injected}});
+                runScenario(simulation, {{step, injected}});
                 slowest = std::max(slowest, simulation.maxConvergenceTime);
                 check(!injected.hasBoundedDelay || simulation.maxConvergenceTime <= seconds(4));
             });
@@ -643,8 +645,8 @@
     }
 }
 
-// Injects two faults together, chosen at random with a fixed seed. A few hundred runs, because all
-// combinations would be too many.
+// Injects two faults in one run, chosen at random with a fixed seed: all combinations would be too
+// many.
 Test(generations, two_faults)
 {
     constexpr int Runs = 600;
@@ -658,7 +660,7 @@
         section(fmt::format("{} at {}, {} at {}", first.name, firstStep, second.name, secondStep),
                 [&] {
                     config_simulation simulation;
-                    scenario(simulation, {{firstStep, first}, {secondStep, second}});
+                    runScenario(simulation, {{firstStep, first}, {secondStep, second}});
                 });
     }
 }
--- a/tests/process_config_test.cpp
+++ b/tests/process_config_test.cpp
@@ -10,6 +10,7 @@
 
 namespace {
 
+// Runs operators' commands against the fleet, as processes of their own.
 class operator_client
 {
 public:
@@ -17,6 +18,7 @@
         : m_system(system)
     { }
 
+    // Runs the command `words` with the rpc address of this entry.
     command_result run(unsigned entry, std::vector<std::string> words)
     {
         std::vector<std::string> command{m_system.options().binaries + "/zinniabarrow", words[0],
@@ -25,6 +27,7 @@
         return runCommand(command, m_system.scratchFolder());
     }
 
+    // Writes a file to put, and returns its path.
     std::string file(const std::string &name, const Json::Value &content)
     {
         const auto path = m_system.scratchFolder() + "/" + name;
@@ -55,10 +58,10 @@
 
 } // namespace
 
-// An operator's edit is either in force everywhere, or is refused with file, line and reason and
-// changes nothing; a corrected edit is accepted. generations_test checks in virtual time that this
-// takes less than four seconds, with a fault injected at any step; here the command prints how long
-// it took.
+// An operator's edit either comes into force everywhere, or is refused with file, line and reason
+// and changes nothing; a corrected edit is accepted. generations_test checks in virtual time that
+// this takes less than four seconds, with a fault injected at any step; here the command prints how
+// long it took.
 Test(process_config, edits)
 {
     fleet system(smallFleet());
@@ -100,7 +103,7 @@
 // Two operators write the same file at once. The writes are ordered: one operator sees `in force`,
 // the other `superseded` (or `in force`, if it was before the other write), and all entries end
 // with the same content.
-Test(process_config, race)
+Test(process_config, concurrent_edits)
 {
     fleet system(smallFleet());
     startAndWait(system);
@@ -125,7 +128,7 @@
     }
     for (auto &each : operators)
         each.join();
-    section("each operator is told the result for its file", [&] {
+    section("each operator gets the result for its file", [&] {
         unsigned inForce = 0;
         for (const auto &result : results) {
             const bool isReported =
@@ -148,7 +151,7 @@
 // The platform goes down during a change and an entry is replaced meanwhile. The accepted
 // generation stays in force everywhere and never decreases; the edit is accepted once the platform
 // is back.
-Test(process_config, outage_in_mid_change)
+Test(process_config, outage_during_change)
 {
     fleet system(smallFleet());
     startAndWait(system);
@@ -201,7 +204,7 @@
         check(contains(followed.output, "in force"));
     });
     require(waitUntil([&] { return countTraced(system, "started", batch.job) > 0; }, WaitLimit));
-    section("status as a table and as JSON", [&] {
+    section("status prints a table or JSON", [&] {
         const auto table = operatorClient.run(0, {"status"});
         check(table.exitCode == 0);
         for (const auto *part : {"20-batch.json", "agent-3", "worker-3", "season@", "entry-2"})
@@ -210,20 +213,20 @@
         check(json["entries"].size() == 3);
         check(json["unreachable"].empty());
     });
-    section("explain says where a task is, and that one is not known", [&] {
+    section("explain tells where a task is, and fails for an unknown task", [&] {
         const auto states = taskStates(system, batch.job);
         check(!states.empty());
-        std::string job;
+        std::string taskId;
         for (const auto &line : system.workerTrace()) {
             if (line["event"] == "started" && contains(line["task"].asString(), "season@"))
-                job = line["task"].asString();
+                taskId = line["task"].asString();
         }
-        const auto known = operatorClient.run(1, {"explain", job});
+        const auto known = operatorClient.run(1, {"explain", taskId});
         check(known.exitCode == 0);
         check(contains(known.output, "worker-"));
         check(operatorClient.run(1, {"explain", "nothing@1/0"}).exitCode == 1);
     });
-    section("drain takes an agent out", [&] {
+    section("drain makes an agent exit, and fails for an unknown agent", [&] {
         check(operatorClient.run(2, {"drain", "agent-3"}).exitCode == 0);
         check(system.agent(3)->waitForExit(WaitLimit) == 0);
         check(operatorClient.run(2, {"drain", "nobody"}).exitCode == 1);
--- a/tests/process_input_test.cpp
+++ b/tests/process_input_test.cpp
@@ -1,4 +1,5 @@
-// Invalid input to real processes: each gets a clear error, and the process continues to serve.
+// Sends invalid input to real processes: each input gets an error that tells the reason, and the
+// process continues to serve.
 #include <fstream>
 
 #include "base/json.h"
@@ -89,43 +90,43 @@
     fleet system(options);
     startAndWait(system);
     const auto entry = system.entryAddress(0);
-    section("a request over the size limit", [&] {
+    section("a request over the size limit is refused", [&] {
         const auto answer = send(entry, {"POST", "/tickets/hold", {}, std::string(100'000, 'x')});
         check(answer.status == 413);
         check(answer.header("Zb-Error") == "request_too_large");
         check(answer.header("Zb-Executed") == "no");
     });
-    section("a header over the size limit", [&] {
+    section("a header over the size limit is refused", [&] {
         const auto answer =
                 send(entry, {"GET", "/tickets/seats", {{"X-Long", std::string(20'000, 'x')}}, {}});
         check(answer.status >= 400 && answer.status < 500);
         check(answer.header("Zb-Error") == "bad_request");
     });
-    section("a deadline that is not a number", [&] {
+    section("a deadline that is not a number is refused", [&] {
         const auto answer =
                 send(entry, {"GET", "/tickets/seats", {{"Zb-Deadline-Ms", "soon"}}, {}});
         check(answer.status == 400);
         check(answer.header("Zb-Error") == "bad_request");
     });
-    section("an expired deadline", [&] {
+    section("a request with an expired deadline is refused", [&] {
         const auto answer = send(entry, {"GET", "/tickets/seats", {{"Zb-Deadline-Ms", "0"}}, {}});
         check(answer.header("Zb-Error") == "deadline_passed");
         check(answer.header("Zb-Executed") == "no");
     });
-    section("a service without upstreams", [&] {
+    section("a request to a service without upstreams is refused", [&] {
         const auto answer = send(entry, {"GET", "/nobody/here", {}, {}});
         check(answer.header("Zb-Error") == "no_upstream");
         check(answer.header("Zb-Executed") == "no");
         check(!answer.header("Retry-After").empty());
     });
-    section("broken JSON between processes", [&] {
+    section("broken JSON between processes gets an error", [&] {
         for (const auto *text : {"", "{", "[1,2", R"({"jsonrpc":"2.0","method":7,"id":1})",
                                  R"({"jsonrpc":"2.0","method":"nosuch","params":{},"id":1})"}) {
             const auto answer = send(system.entryRpcAddress(0), {"POST", "/rpc", {}, text});
             check(parseJson(answer.body).isMember("error"));
         }
     });
-    section("messages with wrong members", [&] {
+    section("messages with missing members are refused", [&] {
         for (const auto *method : {"announce", "digest", "report", "usage", "explain", "generation",
                                    "generation_content", "file_status", "file_put"}) {
             try {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 
+// The error message for these settings, or "accepted".
 std::string refusalOf(const std::string &text, bool isEntry = true)
 {
     try {
@@ -85,7 +86,7 @@
         check(text.starts_with("entry.json:7: /pears: found unknown key \"pears\"; allowed: "));
         check(text.find("peers") != std::string::npos);
     });
-    section("a value out of range, of the wrong type, or missing", [&] {
+    section("a value that is out of range, of the wrong type, or missing is refused", [&] {
         check(refusalOf(replaced(entry, "8090", "70000"))
               == "entry.json:6: /rpc/port: found 70000; allowed: integer from 0 to 65535");
         check(refusalOf(replaced(entry, "8090", "80.5"))
@@ -101,12 +102,12 @@
         const auto text = refusalOf(replaced(replaced(entry, "8090", "-1"), "8080", "true"));
         check(std::count(text.begin(), text.end(), '\n') == 1);
     });
-    section("a truncated file and a duplicate key", [&] {
+    section("a truncated file and a duplicate key are refused", [&] {
         check(refusalOf(entry.substr(0, entry.size() / 2)).starts_with("entry.json:"));
         check(refusalOf(replaced(entry, "\"region\"", "\"id\"")).find("Duplicate key")
               != std::string::npos);
     });
-    section("two settings that contradict each other", [&] {
+    section("two settings that contradict each other are refused", [&] {
         check(refusalOf(replaced(entry, "\"weights\"", "\"lease_ms\": 2000, \"weights\""))
               == "entry.json:9: /lease_ms: found 2000; allowed: more than agent_lease_ms and "
                  "clock_margin_ms together");
