--- a/app/header_names.h
+++ b/app/header_names.h
@@ -17,7 +17,7 @@
 constexpr const char *ServiceHeader = "Zb-Service";
 constexpr const char *TeamHeader = "Zb-Team";
 constexpr const char *DeadlineHeader =
-        "Zb-Deadline-Ms"; // time left when the request is sent, in ms
+        "Zb-Deadline-Ms"; // time until the deadline when the request is sent, in ms
 constexpr const char *ReplayedHeader =
         "Zb-Replayed";                        // the answer was kept from the first execution
 constexpr const char *LoadHeader = "Zb-Load"; // the agent's load, as "running,waiting"
--- a/app/outbound_calls.h
+++ b/app/outbound_calls.h
@@ -45,15 +45,15 @@
 class rpc_sender
 {
 public:
-    // Gets the result; nothing when no answer came or the answer was an error.
+    // Gets the result; nullopt when no answer came or the answer was an error.
     using answer_callback = std::function<void(std::optional<Json::Value>)>;
 
     rpc_sender(actor_runtime &system, milliseconds timeout, metrics &counters);
     ~rpc_sender();
 
-    // `onAnswer` runs on a thread of the sender and must not block; callers only post an event from
-    // it. Returns false when too many calls are queued or the sender was stopped; `onAnswer` is
-    // then not called.
+    // `onAnswer` runs on a thread of the sender and must not block: let it post an event to an
+    // actor and do nothing else. Returns false when too many calls are queued or the sender was
+    // stopped; `onAnswer` is then not called.
     bool call(const std::string &target, const std::string &method, const Json::Value &parameters,
               answer_callback onAnswer);
     // Queued calls are still sent by the threads that are busy; a call that no thread takes is
--- a/app/rpc_endpoint.h
+++ b/app/rpc_endpoint.h
@@ -10,13 +10,15 @@
 
 namespace zinniabarrow {
 
+// Entries and agents pass requests for these paths to it. Call bind() before serve(), which is
+// thread-safe.
 class rpc_endpoint
 {
 public:
+    // `ready` decides the answer of /readyz; called on the server's threads.
     rpc_endpoint(metrics &counters, std::function<bool()> ready);
 
-    // An `error` that the method throws is returned to the caller under its own kind, not as an
-    // internal error.
+    // An `error` that the method throws is answered with its own kind, not as an internal error.
     void bind(const std::string &name, rpc_server::method body);
 
     // Answers the four paths above; returns nothing for any other path.
--- a/app/send_queue.cpp
+++ b/app/send_queue.cpp
@@ -14,24 +14,26 @@
         return false;
     const auto sequence = ++m_lastSequence;
     if (state.waiting.empty() && !state.isInFlight)
-        readyTargetsLike(state)[sequence] = call.target;
+        readyTargetsFor(state)[sequence] = call.target;
     state.waiting.push_back({sequence, std::move(call)});
     ++m_waitingCount;
     return true;
 }
 
-// Of the targets that may use a thread now, the one whose oldest call has waited longest; null:
-// none.
+// Returns the target whose oldest call has waited longest, of those that may use a thread now; null
+// if there is none.
 const std::string *send_queue::nextTarget() const
 {
     const auto maxUnresponsive = std::max<std::size_t>(m_limits.threads, 2) - 1;
     const bool canTakeUnresponsive =
-            !m_unresponsive.empty() && m_unresponsiveInFlight < maxUnresponsive;
-    if (m_ready.empty())
-        return canTakeUnresponsive ? &m_unresponsive.begin()->second : nullptr;
+            !m_readyUnresponsive.empty() && m_unresponsiveInFlight < maxUnresponsive;
+    if (m_readyResponsive.empty())
+        return canTakeUnresponsive ? &m_readyUnresponsive.begin()->second : nullptr;
     const bool isUnresponsiveOldest =
-            canTakeUnresponsive && m_unresponsive.begin()->first < m_ready.begin()->first;
-    return isUnresponsiveOldest ? &m_unresponsive.begin()->second : &m_ready.begin()->second;
+            canTakeUnresponsive
+            && m_readyUnresponsive.begin()->first < m_readyResponsive.begin()->first;
+    return isUnresponsiveOldest ? &m_readyUnresponsive.begin()->second
+                                : &m_readyResponsive.begin()->second;
 }
 
 std::optional<rpc_call> send_queue::take()
@@ -43,7 +45,7 @@
     auto first = std::move(state.waiting.front());
     state.waiting.pop_front();
     --m_waitingCount;
-    readyTargetsLike(state).erase(first.sequence);
+    readyTargetsFor(state).erase(first.sequence);
     state.isInFlight = true;
     m_unresponsiveInFlight += state.isUnresponsive ? 1 : 0;
     return std::move(first.call);
@@ -57,7 +59,7 @@
     state.isInFlight = false;
     state.isUnresponsive = !isAnswered;
     if (!state.waiting.empty())
-        readyTargetsLike(state)[state.waiting.front().sequence] = target;
+        readyTargetsFor(state)[state.waiting.front().sequence] = target;
     else if (isAnswered)
         m_targets.erase(found);
 }
--- a/app/send_queue.h
+++ b/app/send_queue.h
@@ -2,8 +2,9 @@
 //
 // Calls to one target keep their order and are sent one at a time, so a target that does not answer
 // occupies one thread at most. All targets that did not answer their last call together may occupy
-// all threads but one. If they could occupy all of them, calls to targets that answer at once would
-// have to wait for timeouts, and an agent's report could arrive after its lease has expired.
+// all threads but one. If unresponsive targets could occupy all threads, calls to targets that
+// answer at once would have to wait for timeouts, and an agent's report could arrive after its
+// lease has expired.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +24,8 @@
     std::string target;
     std::string method;
     Json::Value parameters;
-    std::function<void(std::optional<Json::Value>)> done; // gets the answer; none: no answer
+    // Gets the result; nullopt: no answer, or an error.
+    std::function<void(std::optional<Json::Value>)> done;
 };
 
 struct send_queue_limits
@@ -33,6 +35,7 @@
     std::size_t maxWaiting = 16'384;        // calls, to all targets together
 };
 
+// Not thread-safe; rpc_sender (app/outbound_calls.h) uses it under a mutex.
 class send_queue
 {
 public:
@@ -40,13 +43,13 @@
         : m_limits(limits)
     { }
 
-    // False if the queue is full, for this target or in all.
+    // Returns false if the queue is full, for this target or in all.
     bool push(rpc_call call);
-    // The next call to send; none if no waiting call may be sent now. completeCall() has to be
-    // called for each call that was taken.
+    // Removes and returns the next call to send; nullopt if no waiting call may be sent now. Call
+    // completeCall() when the returned call has ended.
     std::optional<rpc_call> take();
     bool canTake() const { return nextTarget() != nullptr; }
-    // The call to the target was answered or has failed.
+    // The taken call to this target was answered or has failed.
     void completeCall(const std::string &target, bool isAnswered);
 
 private:
@@ -64,16 +67,16 @@
     // Targets with a waiting call and none in flight, by the sequence number of their oldest call.
     using ready_targets = std::map<std::uint64_t, std::string>;
 
-    ready_targets &readyTargetsLike(const target_state &state)
+    ready_targets &readyTargetsFor(const target_state &state)
     {
-        return state.isUnresponsive ? m_unresponsive : m_ready;
+        return state.isUnresponsive ? m_readyUnresponsive : m_readyResponsive;
     }
     const std::string *nextTarget() const;
 
     send_queue_limits m_limits;
     std::map<std::string, target_state> m_targets;
-    ready_targets m_ready;
-    ready_targets m_unresponsive;
+    ready_targets m_readyResponsive;
+    ready_targets m_readyUnresponsive;
     std::size_t m_waitingCount = 0;
     std::size_t m_unresponsiveInFlight = 0;
     std::uint64_t m_lastSequence = 0;
--- a/include/zinniabarrow/zinniabarrow.h
+++ b/include/zinniabarrow/zinniabarrow.h
@@ -1,8 +1,8 @@
 // The zinniabarrow library: the coordination parts, without any I/O.
 //
-// Each part takes an event and the current time `now`, and returns actions for the caller to
-// execute. The parts have no clock, socket, thread or global random generator; the caller provides
-// those. See examples/embedding.cpp.
+// Each part is given an event and the current time `now`, and returns actions for the embedding
+// program to execute. The parts have no clock, socket, thread or global random generator; the
+// embedding program provides those. See examples/embedding.cpp.
 #pragma once
 
 // Shared basics: time, errors and their answers, names, hashing, random numbers.
--- a/libs/base/answer_check.h
+++ b/libs/base/answer_check.h
@@ -30,21 +30,23 @@
     std::uint64_t headBytes = 0;
 };
 
+// An answer whose head or body is larger fails with AnswerTooLarge.
 struct answer_limits
 {
     std::uint64_t maxHeadBytes = 16U << 10U;
     std::uint64_t maxBodyBytes = 8U << 20U;
 };
 
-// Each step returns the reason why the answer is not complete, or nullopt; the first reason is
-// kept. After a failure the connection must be dropped.
+// Checks one answer: call checkHead(), then checkBody() for each part of the body, then checkEnd().
+// Each returns the reason why the answer is rejected, or nullopt; after the first reason, all later
+// calls return it. After a rejection the connection must be dropped.
 class answer_check
 {
 public:
     answer_check(std::string requestId, std::string method, answer_limits limits);
 
     std::optional<error_kind> checkHead(const answer_head &head);
-    std::optional<error_kind> checkBody(std::uint64_t bytes);
+    std::optional<error_kind> checkBody(std::uint64_t bytes); // size of the part that arrived
     // `lastChunkSeen` is used for Chunked only. Returns nullopt when the answer is complete.
     std::optional<error_kind> checkEnd(bool lastChunkSeen);
 
--- a/libs/base/bounded_ring.h
+++ b/libs/base/bounded_ring.h
@@ -1,4 +1,5 @@
-// A thread-safe bounded queue between actors: several writers, one reader, and writers never block.
+// A thread-safe bounded queue between actors: several writers, one reader. Writers never wait for
+// space.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +19,7 @@
         : m_items(capacity)
     { }
 
-    // Returns false when the ring is full; the caller must refuse the work and count it.
+    // Returns false when the ring is full; the writer must then refuse the work and count it.
     bool push(T &&item)
     {
         const std::lock_guard lock(m_mutex);
--- a/libs/base/errors.h
+++ b/libs/base/errors.h
@@ -43,16 +43,16 @@
     // Between zinniabarrow's own processes; the one that sent the message is the caller then.
     StaleEpoch,       // epoch: number of a shard's owner; the sender is an earlier owner
     StaleIncarnation, // incarnation: number of a process's start; the message is of an earlier one
-    NotOwner,
-    OverCapacity, // the entry can't record another agent
-    Conflict,     // the condition of a conditional write did not hold
+    NotOwner,         // nothing reports this kind at present
+    OverCapacity,     // the entry can't record another agent
+    Conflict,         // the condition of a conditional write did not hold
     // Jobs and configuration.
     NeverFits,        // a task needs more than the largest worker of its pool has
     Quarantined,      // the job is held because it failed on several distinct workers
     QuotaExceeded,    // a task needs more than its team's quota allows
     BadSettings,      // of a process, such as an address that can't be used
     BadConfiguration, // the operators' folder can't be read
-    Superseded,
+    Superseded,       // nothing reports this kind at present
     // Every other failure.
     Internal,
 };
--- a/libs/base/large_json.h
+++ b/libs/base/large_json.h
@@ -1,6 +1,6 @@
-// Parsing of JSON texts that are large or arrive many times a second. It takes a fifth of JsonCpp's
-// CPU time and does not allocate each string separately. The records and reports of jobs use it;
-// for all other texts use base/json.h.
+// Parses JSON texts that are large or arrive many times a second. Takes a fifth of JsonCpp's CPU
+// time and does not allocate each string separately. The records and reports of jobs are parsed
+// with it; for all other texts use base/json.h.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,14 @@
 using value = rapidjson::Value; // valid as long as its Document
 
 // The Document holds copies of the strings, so `text` need not outlive it. Throws error BadRequest
-// if the text is no JSON object. All functions below throw it if a value is not of the type that
-// they return, or if `object` is none.
+// if the text is not a JSON object. All functions below throw the same error if a value does not
+// have the type that they return, or if `object` is not a JSON object.
 rapidjson::Document parseObject(std::string_view text);
 
 const value *find(const value &object, const char *name); // null when the member is absent
 
-// Required members: these throw error BadRequest also when the member is absent.
+// Required members: also throw error BadRequest when the member is absent. Numbers are integers of
+// 64 bits.
 std::string text(const value &object, const char *name);
 std::int64_t number(const value &object, const char *name);
 const value &array(const value &object, const char *name);
--- a/libs/base/time.h
+++ b/libs/base/time.h
@@ -31,6 +31,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// As a deadline or the time of the next tick: there is none.
 constexpr time_point Never = time_point::max();
 
 // Whole milliseconds, rounded towards zero.
--- a/libs/net/answer_deadline.h
+++ b/libs/net/answer_deadline.h
@@ -16,15 +16,15 @@
 
 // A large answer takes long on a slow link, which says nothing about the peer's health, so each
 // part that arrives extends the deadline. With one fixed deadline, a large answer would be
-// requested again from its first byte and never be read completely. `untilLastByte` limits a peer
-// that only sends a byte now and then.
+// requested again from its first byte and never be read completely. `untilLastByte` ends a call to
+// a peer that only sends a byte now and then.
 class answer_deadline
 {
 public:
-    answer_deadline(const call_time_limits &limits, time_point sentAt)
+    answer_deadline(const call_time_limits &limits, time_point startedAt)
         : m_betweenParts(limits.betweenParts)
-        , m_finalDeadline(sentAt + limits.untilLastByte)
-        , m_currentDeadline(std::min(sentAt + limits.untilFirstByte, m_finalDeadline))
+        , m_finalDeadline(startedAt + limits.untilLastByte)
+        , m_currentDeadline(std::min(startedAt + limits.untilFirstByte, m_finalDeadline))
     { }
 
     void extendAfterPart(time_point now)
--- a/libs/net/event_loop.h
+++ b/libs/net/event_loop.h
@@ -1,4 +1,5 @@
 // A single-threaded event loop: timers, posted functions and signals. Callbacks must not block.
+// http_listener and http_client run on it.
 // Boost.Asio is included in the .cpp files and event_loop_impl.h only.
 #pragma once
 
--- a/libs/net/event_loop_impl.h
+++ b/libs/net/event_loop_impl.h
@@ -22,9 +22,9 @@
 template <typename Buffer, typename Parser>
 void reserveBodyBuffer(Buffer &buffer, const Parser &parser)
 {
-    const auto left = parser.content_length_remaining();
-    if (left && *left > 0)
-        buffer.reserve(std::min<std::size_t>(*left, MaxReadBytes));
+    const auto remainingBytes = parser.content_length_remaining();
+    if (remainingBytes && *remainingBytes > 0)
+        buffer.reserve(std::min<std::size_t>(*remainingBytes, MaxReadBytes));
 }
 
 // Frees the memory of a large message before the connection becomes idle.
--- a/libs/net/http_client.cpp
+++ b/libs/net/http_client.cpp
@@ -38,9 +38,9 @@
 
 struct http_client::shared_state
 {
-    shared_state(event_loop &eventLoop, const client_limits &callerLimits)
+    shared_state(event_loop &eventLoop, const client_limits &clientLimits)
         : loop(eventLoop)
-        , limits(callerLimits)
+        , limits(clientLimits)
     { }
 
     event_loop &loop;
@@ -56,8 +56,9 @@
             pool.pop_back();
             // An idle connection with unread bytes or a closed peer is not reused: the bytes would
             // be taken for the answer to the next request.
-            const bool isSilent = peek(pooledConnection->stream.socket()) == socket_peek::Nothing;
-            if (now - pooledConnection->idleSince < limits.maxIdleTime && isSilent)
+            const bool hasNothingToRead =
+                    peek(pooledConnection->stream.socket()) == socket_peek::Nothing;
+            if (now - pooledConnection->idleSince < limits.maxIdleTime && hasNothingToRead)
                 return pooledConnection;
         }
         return nullptr;
@@ -223,8 +224,8 @@
         const auto *failure = std::get_if<call_failure>(&result);
         if (failure != nullptr && mayHaveArrived(*failure))
             m_state->idle.erase(m_peer);
-        // Posted to the loop instead of called from call(), so that the caller's state is
-        // consistent by then.
+        // Posted to the loop instead of called from call(), so that the code that called it has
+        // updated its own state by then.
         m_state->loop.post([done = std::move(m_callback), result = std::move(result)]() mutable {
             done(std::move(result));
         });
--- a/libs/net/http_listener.cpp
+++ b/libs/net/http_listener.cpp
@@ -129,7 +129,8 @@
         m_stream.socket().close(ignored);
     }
 
-    // A request that has begun, or whose bytes wait in the socket, is still served.
+    // At the end of the idle time, a request that has begun, or whose bytes wait in the socket, is
+    // still served.
     void handleIdleTimeout()
     {
         startReadTimer(m_state->limits.readTimeout, &connection::end);
@@ -263,7 +264,7 @@
     beast::flat_buffer m_buffer;
     std::optional<http::request_parser<http::string_body>> m_parser;
     std::optional<http::response<http::string_body>> m_answer;
-    std::list<connection *>::iterator m_position;
+    std::list<connection *>::iterator m_position; // in shared_state::connections
     connection_phase m_phase = connection_phase::Idle;
     std::uint64_t m_requestNumber = 0; // number of the current request on this connection
     bool m_keepAlive = true;
--- a/libs/net/http_listener.h
+++ b/libs/net/http_listener.h
@@ -1,5 +1,5 @@
 // HTTP/1.1 server on the event loop. Connections need no thread of their own, and an idle
-// connection costs no CPU time until bytes arrive.
+// connection costs no CPU time until bytes arrive. Not thread-safe: call it on the loop's thread.
 #pragma once
 
 #include <cstddef>
@@ -31,7 +31,9 @@
     std::size_t writing = 0;   // an answer is being sent
 };
 
-using responder = std::function<void(http_response)>; // to be called once, at any later time
+// Answers one request. May be called within the handler or later, on the loop's thread; only the
+// first call has an effect.
+using responder = std::function<void(http_response)>;
 
 class http_listener
 {
--- a/libs/net/socket_peek.h
+++ b/libs/net/socket_peek.h
@@ -7,7 +7,8 @@
 
 enum class socket_peek { Nothing, Bytes, End };
 
-// End: the peer closed the connection, or the connection is broken. Makes the socket non-blocking.
+// Returns what a read would find; End: the peer closed the connection, or the connection is broken.
+// Makes the socket non-blocking.
 inline socket_peek peek(boost::asio::ip::tcp::socket &socket)
 {
     boost::system::error_code failure;
--- a/libs/rpc/rpc.cpp
+++ b/libs/rpc/rpc.cpp
@@ -63,7 +63,7 @@
             jsonrpc::Procedure & /*procedure*/, // NOLINT(readability-identifier-naming)
             const Json::Value & /*input*/) override
     {
-        // Not used: every message between the processes is acknowledged.
+        // Not used: every message between the processes is a call that is answered.
     }
 
     std::map<std::string, method> methods;
--- a/libs/rpc/rpc.h
+++ b/libs/rpc/rpc.h
@@ -1,7 +1,7 @@
 // JSON-RPC 2.0 between zinniabarrow's processes. libjsonrpccpp implements the protocol and is used
 // in rpc.cpp only, which is compiled as C++14 because the library's headers use dynamic exception
-// specifications. This header therefore stays within C++14. It contains no transport; the caller
-// provides one.
+// specifications. This header therefore stays within C++14. It contains no transport: rpcCall() is
+// given one, and the process that has an rpc_server passes requests to its handle().
 #pragma once
 
 #include <functional>
@@ -72,8 +72,8 @@
     std::string m_kind;
 };
 
-// Sends the request text and returns the answer text. Throws std::runtime_error if no answer came,
-// also if the request was not sent; rpcCall() reports that as RpcNoAnswer.
+// Sends the request text and returns the answer text. Throws std::runtime_error if no answer came
+// or the request could not be sent; rpcCall() reports both as RpcNoAnswer.
 using rpc_transport = std::function<std::string(const std::string &request)>;
 
 // Calls the method `name` over `transport`. Throws rpc_failure.
--- a/libs/runtime/body_stream.cpp
+++ b/libs/runtime/body_stream.cpp
@@ -33,8 +33,8 @@
     const auto hasRoom = [&] {
         return m_stopped || m_bufferedBytes == 0 || m_bufferedBytes + size <= StreamRingBytes;
     };
-    // A caller that reads slowly slows the upstream down; one that does not read at all must not
-    // hold the upstream's slot for longer than the request's deadline.
+    // A caller that reads slowly slows the upstream down. A caller that does not read at all must
+    // not occupy one of the upstream's slots for longer than the request's deadline.
     if (!hasRoom()) {
         const auto waitBegan = monotonic_clock::now();
         if (!m_changed.wait_until(lock, m_deadline, hasRoom))
@@ -116,10 +116,10 @@
 {
     const std::lock_guard lock(m_mutex);
     // A reader that has taken every declared byte is finished, often a moment before the receiver
-    // has noticed that the last byte was the last one. Treated as an abandoning reader, it would
-    // turn a complete answer into an unknown outcome; the receiver reports how the answer ended.
-    const bool hasAll = m_declaredBytes && m_takenBytes == *m_declaredBytes;
-    if (!m_finished && !hasAll)
+    // has noticed that the body is complete. If this counted as abandoning the body, a complete
+    // answer would be reported as OutcomeUnknown; the receiver reports how the answer ended.
+    const bool isWholeBodyTaken = m_declaredBytes && m_takenBytes == *m_declaredBytes;
+    if (!m_finished && !isWholeBodyTaken)
         failLocked(error_kind::OutcomeUnknown);
     m_chunks.clear();
     m_bufferedBytes = 0;
--- a/libs/runtime/body_stream.h
+++ b/libs/runtime/body_stream.h
@@ -28,6 +28,7 @@
 // reading early.
 using body_end = std::optional<error_kind>;
 
+// Thread-safe. One thread receives, one forwards.
 class body_ring
 {
 public:
@@ -38,7 +39,7 @@
     explicit body_ring(time_point deadline);
 
     // --- Called by the receiving thread.
-    // Registers `interrupt`, which wakes a receiver that is blocked in a read and is never called
+    // Registers `interrupt`, which must wake a receiver that is blocked in a read. It is not called
     // after detachReceiver(). Returns false when the answer is no longer wanted; the receiver must
     // then send no request.
     bool attachReceiver(std::function<void()> interrupt);
@@ -47,8 +48,8 @@
     // Appends bytes; waits for space until the deadline. Returns an error when the deadline has
     // passed or the answer is no longer wanted; the receiver must then stop.
     body_end push(const char *data, std::size_t size);
-    void detachReceiver(); // the interrupt is not called after this
-    void finish(body_end end);
+    void detachReceiver();
+    void finish(body_end end); // receiving has ended; the body is complete if `end` is nullopt
 
     // --- Called by the forwarding thread.
     // Waits until the body has ended (returns true) or more than `bytes` have arrived (returns
@@ -84,6 +85,7 @@
     end_observer m_observer;
 };
 
+// Held by the answer that is being forwarded (http_response::stream).
 class body_reader
 {
 public:
--- a/libs/runtime/event_actor.cpp
+++ b/libs/runtime/event_actor.cpp
@@ -55,7 +55,7 @@
                 },
                 [this, self](tick_atom, std::uint64_t timer) {
                     if (timer != newestTimerNumber)
-                        return; // replaced by a timer for an earlier deadline
+                        return; // a later timer for an earlier deadline has replaced this one
                     timerDueAt = Never;
                     if (ticks.nextTickAt() <= monotonic_clock::now())
                         ticks.tick();
@@ -79,7 +79,8 @@
     // Lower limit of the delay: a tick that does not move its deadline forward would otherwise use
     // a whole core.
     static constexpr milliseconds MinTimerDelay{1};
-    // The owner of the actor is still being constructed when the thread starts.
+    // Delays the first tick: the object that owns the actor is still being constructed when the
+    // thread starts.
     static constexpr milliseconds FirstTickDelay{10};
 
     caf::actor_system &system;
--- a/libs/runtime/event_actor.h
+++ b/libs/runtime/event_actor.h
@@ -1,5 +1,5 @@
-// Actors that handle events one at a time. Each has its own thread (a detached CAF actor) and a
-// bounded queue in front of it.
+// Actors that handle events one at a time. Each has its own thread (a detached actor of CAF, the
+// C++ Actor Framework) and a bounded queue of events.
 #pragma once
 
 #include <atomic>
@@ -42,8 +42,8 @@
 };
 tick_schedule periodicTicks(duration period, std::function<void()> tick); // period 0: no ticks
 
-// The thread of an actor: runs `drain` after each wake(), and `ticks.tick` when the time that
-// `ticks.nextTickAt` returned has come.
+// The thread of an actor: runs `drain`, which handles all queued events, after each wake(), and
+// `ticks.tick` when the time that `ticks.nextTickAt` returned has come.
 class actor_thread
 {
 public:
@@ -53,7 +53,7 @@
     actor_thread &operator=(const actor_thread &) = delete;
 
     void wake(); // thread-safe; calls before the next drain are merged into one
-    void stop(); // ends the thread and returns then; may be called twice
+    void stop(); // returns when the thread has ended; may be called twice
 
 private:
     struct impl;
@@ -68,11 +68,11 @@
 {
 public:
     event_actor(actor_runtime &system, std::size_t capacity, std::function<void(Event &)> handle,
-                duration tickEvery, std::function<void()> tick)
+                duration tickPeriod, std::function<void()> tick)
         : m_ring(capacity)
         , m_handle(std::move(handle))
         , m_thread(
-                  system, [this] { drain(); }, periodicTicks(tickEvery, std::move(tick)))
+                  system, [this] { drain(); }, periodicTicks(tickPeriod, std::move(tick)))
     { }
 
     event_actor(actor_runtime &system, std::size_t capacity, std::function<void(Event &)> handle,
@@ -83,8 +83,9 @@
                   system, [this] { drain(); }, std::move(ticks))
     { }
 
-    // Thread-safe. Returns false when the queue is full: the caller must refuse the work and count
-    // it. After stop(), events are still queued while there is room, but never handled.
+    // Thread-safe. Returns false when the queue is full; the code that posts must then refuse the
+    // work and count it. After stop(), events are still queued while there is room, but not
+    // handled.
     bool post(Event event)
     {
         if (!m_ring.push(std::move(event)))
--- a/libs/runtime/http.cpp
+++ b/libs/runtime/http.cpp
@@ -33,8 +33,9 @@
 constexpr std::size_t MaxPendingRefusals = 64;
 constexpr milliseconds RefusalTimeout{250}; // for reading a request that will be refused
 constexpr std::size_t RequestsPerConnection = 1U << 30U;
-// Checks before the listening socket is closed. Counted as checks instead of a time span: a process
-// that was suspended has not checked anything meanwhile.
+// How often at most a stopping server checks that no connection waits to be accepted, before it
+// closes the listening socket anyway. Not a time span, which would pass without a check while the
+// process is suspended.
 constexpr int MaxAcceptChecks = 1000;
 constexpr milliseconds AcceptCheckInterval{1};
 
@@ -55,15 +56,15 @@
         {connection_event::StalledConnectionClosed, "made_room"},
 }};
 
-// What the current thread does with its connection: assign it to a thread, serve it, answer it with
-// a refusal, or close it.
+// What the current thread does with its connection: hand it over to the thread that will serve or
+// refuse it, serve it, answer it with a refusal, or close it.
 enum class connection_handling { Admit, Serve, Refuse, Drop };
 thread_local connection_handling currentHandling = connection_handling::Serve;
 thread_local connection_stream *currentStream = nullptr;
 
 // Runs each connection on a thread of a bounded pool. A connection beyond the limit takes over the
-// thread of a stalled one, or goes to a few threads that answer refusals at once; without those it
-// would wait in a queue unanswered.
+// thread of a stalled one, or goes to a few threads that only send refusals; otherwise it would
+// wait unanswered in a queue.
 class bounded_task_queue : public httplib::TaskQueue
 {
 public:
@@ -230,8 +231,8 @@
     bounded_task_queue *m_queue = nullptr;
 };
 
-// By these headers httplib would extract ranges from the answer and compress it, although the
-// upstream has already applied them: the caller would get a body other than the answer's.
+// Given these request headers, httplib would extract ranges from the answer and compress it. The
+// upstream has already applied them, so the caller would get another body than the upstream's.
 void disableRangesAndCompression(httplib::Request &request)
 {
     request.ranges.clear();
@@ -336,9 +337,9 @@
     return All;
 }
 
-bool header_less::operator()(const std::string &remaining, const std::string &right) const
+bool header_less::operator()(const std::string &left, const std::string &right) const
 {
-    return strcasecmp(remaining.c_str(), right.c_str()) < 0;
+    return strcasecmp(left.c_str(), right.c_str()) < 0;
 }
 
 std::string http_request::path() const
@@ -357,12 +358,12 @@
     const auto mark = target.find('?');
     if (mark == std::string::npos)
         return {};
-    const std::string wanted = name + "=";
+    const std::string namePrefix = name + "=";
     std::size_t begin = mark + 1;
     while (begin < target.size()) {
         const auto end = std::min(target.find('&', begin), target.size());
-        if (target.compare(begin, wanted.size(), wanted) == 0)
-            return target.substr(begin + wanted.size(), end - begin - wanted.size());
+        if (target.compare(begin, namePrefix.size(), namePrefix) == 0)
+            return target.substr(begin + namePrefix.size(), end - begin - namePrefix.size());
         begin = end + 1;
     }
     return {};
@@ -534,8 +535,8 @@
         server.Get(".*", handleAny).Post(".*", handleAny).Put(".*", handleAny);
         server.Patch(".*", handleAny).Delete(".*", handleAny).Options(".*", handleAny);
         server.set_error_handler([](const httplib::Request &, httplib::Response &to) {
-            // httplib refused the request itself (malformed request line, or body over the limit):
-            // add the reason.
+            // Adds the reason when httplib has refused the request itself: a malformed request
+            // line, or a body over the limit.
             if (!to.body.empty() || to.has_header(ErrorHeader))
                 return;
             const bool tooLarge = to.status == 413;
@@ -573,14 +574,14 @@
 void http_server::start()
 {
     auto &address = m_impl->address;
-    bool threadCount = true;
+    bool isBound = true;
     if (address.port == 0) {
         address.port = m_impl->server.bind_to_any_port(address.address);
-        threadCount = address.port > 0;
+        isBound = address.port > 0;
     } else {
-        threadCount = m_impl->server.bind_to_port(address.address, address.port);
+        isBound = m_impl->server.bind_to_port(address.address, address.port);
     }
-    if (!threadCount)
+    if (!isBound)
         throw error(error_kind::BadSettings,
                     "cannot listen on " + toText(address) + ": choose a free address");
     ::listen(m_impl->listener, ListenBacklog);
@@ -654,7 +655,7 @@
 }
 
 // Bytes beyond the declared length of the last answer would be read as the next answer, and a
-// caller would get data of another one. This check also detects a closed connection.
+// caller would get another caller's data. This check also detects a closed connection.
 bool http_pool::hasNoUnreadBytes(const connection &pooledConnection)
 {
     pollfd pollEntry{pooledConnection.client.socket(), POLLIN, 0};
@@ -766,6 +767,7 @@
         return !failure;
     }
 
+    // Returns why the answer can't be used, or nullopt if it is complete.
     std::optional<error_kind> end(bool received, httplib::Error problem, time_point deadline)
     {
         if (failure)
@@ -784,7 +786,7 @@
     body_sink bodySink;
     http_response response; // status and headers, once received
     bool isHeadReceived = false;
-    body_ring *ring = nullptr; // for streamed answers: its reader may interrupt the receiving
+    body_ring *ring = nullptr; // of a streamed answer; its reader may interrupt the receiving
     std::optional<error_kind> failure;
 };
 
--- a/libs/runtime/http.h
+++ b/libs/runtime/http.h
@@ -24,6 +24,7 @@
 
 namespace zinniabarrow {
 
+// Orders header names without regard to case.
 struct header_less
 {
     bool operator()(const std::string &left, const std::string &right) const;
@@ -74,7 +75,7 @@
 socket_address parseAddress(const std::string &text);
 std::string toText(const socket_address &address);
 
-// Returns true if a TCP connection to `peer` succeeds within the timeout. Blocks.
+// Returns true if a TCP connection to `peer` can be opened within the timeout. Blocks.
 bool canConnect(const socket_address &peer, milliseconds timeout);
 
 struct http_server_limits
@@ -99,9 +100,14 @@
 std::string_view nameOf(connection_event event);
 std::span<const connection_event> connectionEvents();
 
+// HTTP/1.1 server. Each admitted connection occupies a thread from its start to its end.
+// Connections beyond the limits are answered with a refusal, or closed if too many are being
+// refused.
 class http_server
 {
 public:
+    // Called on the server's threads, for several requests at once. An exception becomes an answer
+    // of its error kind, or of Internal.
     using handler = std::function<http_response(const http_request &)>;
 
     using observer = std::function<void(connection_event)>; // called on the server's threads
@@ -119,7 +125,8 @@
     // those on connections that are not accepted yet. Returns when every connection is closed.
     void stop();
     void announceClose(bool closing); // true: answers carry "Connection: close" from now on
-    socket_address address() const;
+    socket_address address() const;   // after start(), with the port that was bound
+    // Requests whose handler runs, or whose streamed body is not sent to its last byte.
     std::size_t inFlight() const;
 
 private:
@@ -144,8 +151,8 @@
 // Bytes. callStreaming() returns a larger body as a stream.
 constexpr std::size_t MaxBufferedAnswerBytes = 64 * 1024;
 
-// A header that the answer must repeat. It keeps an answer to an earlier request on the same
-// connection from being forwarded.
+// A header and the value that the answer must have in it. Prevents an answer to an earlier request
+// on the same connection from being forwarded.
 struct answer_echo
 {
     std::string header; // empty: no echo expected
--- a/libs/runtime/http_connection.cpp
+++ b/libs/runtime/http_connection.cpp
@@ -47,12 +47,12 @@
 
 } // namespace
 
-bool connection_table::isBelowAddressLimit(const std::string &address, std::size_t perAddress)
+bool connection_table::isBelowAddressLimit(const std::string &address, std::size_t maxPerAddress)
 {
     const std::lock_guard lock(m_mutex);
     const auto countOfAddress = m_countByAddress.find(address);
-    return perAddress == 0 || countOfAddress == m_countByAddress.end()
-           || countOfAddress->second < perAddress;
+    return maxPerAddress == 0 || countOfAddress == m_countByAddress.end()
+           || countOfAddress->second < maxPerAddress;
 }
 
 void connection_table::add(socket_t socket, const std::string &address)
@@ -138,9 +138,9 @@
 
 bool connection_stream::is_writable() const
 {
-    const bool first = m_phase != connection_phase::Writing;
-    return waitForSocket(POLLOUT,
-                         first ? monotonic_clock::now() + m_limits.writeTimeout : m_writeDeadline);
+    const bool isFirstWrite = m_phase != connection_phase::Writing;
+    return waitForSocket(POLLOUT, isFirstWrite ? monotonic_clock::now() + m_limits.writeTimeout
+                                               : m_writeDeadline);
 }
 
 ssize_t connection_stream::fillBuffer()
--- a/libs/runtime/http_connection.h
+++ b/libs/runtime/http_connection.h
@@ -1,5 +1,5 @@
-// The server's side of one connection: its phase, its deadlines, and which connection is closed
-// when all threads are in use. Internal to http.cpp; included nowhere else.
+// The connections of http_server: their phases and deadlines, and which one is closed when all
+// threads are in use. Internal to http_server; included by http.cpp and http_connection.cpp only.
 #pragma once
 
 #include <algorithm>
@@ -29,11 +29,11 @@
 class connection_table
 {
 public:
-    // Returns whether `address` has fewer than `perAddress` connections; 0: no limit.
-    bool isBelowAddressLimit(const std::string &address, std::size_t perAddress);
+    // Returns whether `address` has fewer than `maxPerAddress` connections; 0: no limit.
+    bool isBelowAddressLimit(const std::string &address, std::size_t maxPerAddress);
     void add(socket_t socket, const std::string &address);
     void remove(socket_t socket); // call before closing the socket: its number is reused
-    void setPhase(socket_t socket, connection_phase phase); // also on progress in a phase
+    void setPhase(socket_t socket, connection_phase phase); // call it also on progress in a phase
 
     // Closes the connection that has stalled the longest, to free its thread. Returns false when
     // none has exceeded the grace period of its phase (gracePeriodOf() in http_connection.cpp). A
@@ -65,11 +65,11 @@
                       const http_server_limits &limits);
 
     // Waits until bytes of the next request arrive, `deadline` passes or `isStopping` returns true;
-    // it is called once per CloseCheckInterval. Returns whether the connection can be read then,
-    // also after the deadline or at a stop: bytes that have arrived are still read. If so, the
-    // phase becomes Reading and the read deadline starts.
-    template <typename Closing>
-    bool waitForRequest(time_point deadline, Closing isStopping);
+    // `isStopping` is called once per CloseCheckInterval. Returns whether bytes can be read, also
+    // after the deadline or at a stop: bytes that have arrived are still read. If so, the phase
+    // becomes Reading and the time limit for reading the request starts.
+    template <typename Predicate>
+    bool waitForRequest(time_point deadline, Predicate isStopping);
     void markServing(); // call when the request is complete and its handler starts
     bool hasRequestTimedOut() const { return m_hasRequestTimedOut; }
     bool hasWriteTimedOut() const { return m_hasWriteTimedOut; }
@@ -104,8 +104,8 @@
     std::size_t m_bufferEnd = 0;   // up to here
 };
 
-template <typename Closing>
-bool connection_stream::waitForRequest(time_point deadline, Closing isStopping)
+template <typename Predicate>
+bool connection_stream::waitForRequest(time_point deadline, Predicate isStopping)
 {
     // The longest delay before an idle connection notices that the server stops. Every check wakes
     // a thread: at 20 ms, the idle connections of an entry used more CPU time than all of its
--- a/libs/runtime/metrics.h
+++ b/libs/runtime/metrics.h
@@ -1,4 +1,5 @@
-// Metrics in Prometheus text format: counters by reason, gauges and latency histograms.
+// Metrics in Prometheus text format: counters by reason, gauges and latency histograms. Each name
+// is written with the prefix "zinniabarrow_".
 #pragma once
 
 #include <cstddef>
@@ -23,18 +24,22 @@
     metrics(const metrics &) = delete;
     metrics &operator=(const metrics &) = delete;
 
-    // All members are thread-safe. `reason` is the value of the label "reason".
+    // All members are thread-safe. A metric is created at its first use.
+
+    // Adds `by` to the counter with this value of the label "reason"; 0 only creates it.
     void count(std::string_view name, std::string_view reason, double by = 1);
-    // Adds to control_bytes_total, by kind of message and direction; HTTP heads included, TCP/IP
-    // headers not.
+    // Adds to the counter control_bytes_total, by kind of message and direction. Bytes of HTTP
+    // heads are to be included, those of TCP/IP headers not.
     void countControlBytes(std::string_view kind, byte_direction direction, std::size_t bytes);
     void setGauge(std::string_view name, double value);
     void observeMilliseconds(std::string_view name, double value);
 
-    double value(std::string_view name, std::string_view reason) const; // 0 when never counted
+    // Current values of counters; 0 when never counted.
+    double value(std::string_view name, std::string_view reason) const;
     double controlBytes(std::string_view kind, byte_direction direction) const;
     std::map<std::string, double> countsByReason(std::string_view name) const;
-    std::string text() const;
+
+    std::string text() const; // all metrics, for the path /metrics
 
 private:
     struct impl;
--- a/libs/runtime/platform_client.cpp
+++ b/libs/runtime/platform_client.cpp
@@ -101,11 +101,11 @@
         return std::nullopt;
     try {
         const auto json = parseJson(response->body);
-        table_snapshot reading;
-        reading.sequence = countMember(json, "sequence");
+        table_snapshot snapshot;
+        snapshot.sequence = countMember(json, "sequence");
         for (const auto &row : arrayMember(json, "rows"))
-            reading.rows.push_back(tableRowFromJson(row));
-        return reading;
+            snapshot.rows.push_back(tableRowFromJson(row));
+        return snapshot;
     } catch (const error &) {
         return std::nullopt;
     }
--- a/libs/runtime/platform_client.h
+++ b/libs/runtime/platform_client.h
@@ -23,7 +23,8 @@
 public:
     platform_client(const socket_address &platform, milliseconds timeout);
 
-    // Outcome Unknown when no answer came: the write may have taken effect.
+    // Outcome Unknown when no answer came: the write may have taken effect. With `expected`, a
+    // write is applied only if the object still has that version (0: it must not exist).
     write_result commit(const table_transaction &transaction);
     write_result putObject(const std::string &name, const std::string &content,
                            std::optional<std::uint64_t> expected);
--- a/libs/runtime/receiver_threads.h
+++ b/libs/runtime/receiver_threads.h
@@ -1,5 +1,5 @@
-// A pool of threads that receive the answers to http_pool::callStreaming(); a
-// thread starts when it is first needed and is then reused.
+// A pool of threads that receive the answers to http_pool::callStreaming(). A thread starts when it
+// is first needed and is then reused.
 #pragma once
 
 #include <condition_variable>
--- a/tests/base_test.cpp
+++ b/tests/base_test.cpp
@@ -13,22 +13,22 @@
 using namespace zinniabarrow;
 using tests::section;
 
-Test(base, errors)
+Test(base, error_table)
 {
-    section("the table from kind to answer", [] {
+    section("the error table", [] {
         std::set<std::string_view> names;
         for (const auto &row : errorAnswers()) {
             check(answerFor(row.kind).name == row.name);
             check(errorKindNamed(row.name) == row.kind);
             names.insert(row.name);
         }
-        section("gives each kind a unique name",
+        section("each kind has a unique name",
                 [&] { check(names.size() == errorAnswers().size()); });
-        section("allows a retry elsewhere only if nothing was executed", [] {
+        section("a retry elsewhere is allowed only if nothing was executed", [] {
             for (const auto &row : errorAnswers())
                 check(!row.retryElsewhere || row.execution == executed::No);
         });
-        section("gives every 503 a retry delay", [] {
+        section("every 503 has a retry delay", [] {
             for (const auto &row : errorAnswers())
                 check(row.httpStatus != 503 || row.suggestedRetryDelay.count() > 0);
         });
@@ -47,7 +47,7 @@
     check(log.droppedCount() == 1);
 }
 
-Test(base, json)
+Test(base, json_parsing)
 {
     section("invalid text is rejected with its line number", [] {
         try {
@@ -68,7 +68,7 @@
     });
 }
 
-Test(base, rendezvous)
+Test(base, rendezvous_hashing)
 {
     section("removing a member moves only its keys", [] {
         const std::vector<std::string> all{"a", "b", "c", "d"};
@@ -81,7 +81,7 @@
     });
 }
 
-Test(base, ring)
+Test(base, bounded_ring)
 {
     section("a full ring rejects new items and keeps the old ones", [] {
         bounded_ring<int> ring(2);
--- a/tests/body_stream_test.cpp
+++ b/tests/body_stream_test.cpp
@@ -13,12 +13,12 @@
 
 constexpr std::size_t PartBytes = 16 * 1024;
 
-time_point soon()
+time_point nearDeadline()
 {
     return monotonic_clock::now() + milliseconds(50);
 }
 
-time_point muchLater()
+time_point farDeadline()
 {
     return monotonic_clock::now() + seconds(60);
 }
@@ -39,11 +39,11 @@
 // answer time.
 Test(body_ring, receiver_wait_for_slow_reader)
 {
-    constexpr std::size_t Whole = StreamRingBytes / PartBytes; // number of parts that fill the ring
-    const auto waitedFor = [](std::size_t parts) {
-        body_ring ring(muchLater());
-        std::optional<duration> seen;
-        ring.observeEnd([&](body_end, duration waited) { seen = waited; });
+    constexpr std::size_t PartsInRing = StreamRingBytes / PartBytes;
+    const auto receiverWaitFor = [](std::size_t parts) {
+        body_ring ring(farDeadline());
+        std::optional<duration> reportedWait;
+        ring.observeEnd([&](body_end, duration waited) { reportedWait = waited; });
         std::thread receiver([&] {
             pushParts(ring, parts);
             ring.finish(std::nullopt);
@@ -51,13 +51,13 @@
         std::this_thread::sleep_for(milliseconds(200));
         while (!ring.takePart().empty()) { }
         receiver.join();
-        require(seen.has_value());
-        return *seen;
+        require(reportedWait.has_value());
+        return *reportedWait;
     };
     section("a body that fits in the ring causes no wait",
-            [&] { check(waitedFor(Whole) == duration(0)); });
+            [&] { check(receiverWaitFor(PartsInRing) == duration(0)); });
     section("a larger body waits for the reader",
-            [&] { check(waitedFor(Whole + 1) > duration(0)); });
+            [&] { check(receiverWaitFor(PartsInRing + 1) > duration(0)); });
 }
 
 // A large answer is read more slowly than it arrives. The reader must get every byte, and the
@@ -65,7 +65,7 @@
 Test(body_ring, bounded)
 {
     constexpr std::size_t Parts = 1000;
-    body_ring ring(muchLater());
+    body_ring ring(farDeadline());
     std::atomic<std::size_t> pushed{0};
     std::thread receiver([&] {
         const std::string part(PartBytes, 'x');
@@ -88,19 +88,19 @@
     check(!ring.end());
 }
 
-// A caller stops reading. The receiver must wait for space until the deadline only; after that, the
-// connection and the upstream's slot are free again.
+// A caller stops reading. The receiver must wait for space until the deadline only, so that the
+// connection and the upstream's slot become free then.
 Test(body_ring, deadline_passed)
 {
     section("no reader: the receiver stops at the deadline", [] {
-        body_ring ring(soon());
+        body_ring ring(nearDeadline());
         bool interrupted = false;
         check(ring.attachReceiver([&] { interrupted = true; }));
         check(pushParts(ring, StreamRingBytes / PartBytes + 1) == error_kind::AnswerLate);
         check(interrupted);
     });
     section("no bytes arrive: the receiver is interrupted in its read", [] {
-        body_ring ring(soon());
+        body_ring ring(nearDeadline());
         std::atomic<bool> interrupted{false};
         ring.attachReceiver([&] { interrupted = true; });
         check(ring.waitForEndOrBytes(PartBytes));
@@ -108,7 +108,7 @@
         check(ring.end() == error_kind::AnswerLate);
     });
     section("a receiver that starts too late sends nothing", [] {
-        body_ring ring(soon());
+        body_ring ring(nearDeadline());
         ring.waitForEndOrBytes(PartBytes);
         check(!ring.attachReceiver([] {}));
     });
@@ -119,7 +119,7 @@
 Test(body_ring, early_end)
 {
     section("the reader stops early: the receiver stops", [] {
-        const auto ring = std::make_shared<body_ring>(muchLater());
+        const auto ring = std::make_shared<body_ring>(farDeadline());
         int interrupts = 0;
         ring->attachReceiver([&] { ++interrupts; });
         pushParts(*ring, 1);
@@ -128,7 +128,7 @@
         check(pushParts(*ring, 1) == error_kind::OutcomeUnknown);
     });
     section("after detachReceiver() there is no interrupt", [] {
-        const auto ring = std::make_shared<body_ring>(muchLater());
+        const auto ring = std::make_shared<body_ring>(farDeadline());
         int interrupts = 0;
         ring->attachReceiver([&] { ++interrupts; });
         ring->detachReceiver();
@@ -136,49 +136,49 @@
         check(interrupts == 0);
     });
     section("an incomplete body is reported after its bytes", [] {
-        body_ring ring(muchLater());
+        body_ring ring(farDeadline());
         pushParts(ring, 1);
         ring.finish(error_kind::AnswerIncomplete);
         check(ring.takePart().size() == PartBytes);
         check(ring.takePart().empty());
         check(ring.end() == error_kind::AnswerIncomplete);
     });
-    section("the end is reported once, whether observed before or after it", [] {
-        for (const bool before : {false, true}) {
-            body_ring ring(muchLater());
+    section("the end is reported once, also to an observer that is registered after it", [] {
+        for (const bool endsFirst : {false, true}) {
+            body_ring ring(farDeadline());
             int reportedEnds = 0;
-            const auto ask = [&] {
+            const auto observe = [&] {
                 ring.observeEnd([&](body_end end, duration) { reportedEnds += end ? 100 : 1; });
             };
-            if (!before)
-                ask();
+            if (!endsFirst)
+                observe();
             ring.finish(std::nullopt);
-            if (before)
-                ask();
+            if (endsFirst)
+                observe();
             check(reportedEnds == 1);
         }
     });
 }
 
-// The caller has the last declared byte, and its thread is finished, before the receiving thread
-// has registered the end. The request ran and its answer was complete; reporting an unknown outcome
-// would make the caller check with the service whether its purchase went through.
+// The reader takes the last declared byte and finishes before the receiving thread has
+// reported the end. The request ran and its answer was complete; if its outcome were reported as
+// unknown, the caller would have to ask the service whether its purchase went through.
 Test(body_ring, reader_finishes_before_receiver)
 {
-    const auto endAfter = [](std::size_t takes) {
-        body_ring ring(muchLater());
+    const auto endAfter = [](std::size_t partsTaken) {
+        body_ring ring(farDeadline());
         ring.setDeclaredLength(2 * PartBytes);
-        body_end reportedEnds = error_kind::NoUpstream;
-        ring.observeEnd([&](body_end end, duration) { reportedEnds = end; });
+        body_end reportedEnd = error_kind::NoUpstream;
+        ring.observeEnd([&](body_end end, duration) { reportedEnd = end; });
         const std::string part(PartBytes, 'x');
         for (std::size_t index = 0; index < 2; ++index) {
             ring.push(part.data(), part.size());
-            if (index < takes)
+            if (index < partsTaken)
                 ring.takePart();
         }
         ring.abandon();
         ring.finish(std::nullopt);
-        return reportedEnds;
+        return reportedEnd;
     };
     section("all declared bytes taken: the end is the one that the receiver reports",
             [&] { check(!endAfter(2).has_value()); });
--- a/tests/control_bytes_test.cpp
+++ b/tests/control_bytes_test.cpp
@@ -1,4 +1,4 @@
-// Control traffic in bytes, counted by the sender and by the receiver.
+// Tests that the sender and the receiver of a control message count the same bytes.
 #include "app/outbound_calls.h"
 #include "app/rpc_endpoint.h"
 #include "base/errors.h"
@@ -22,9 +22,9 @@
 
 } // namespace
 
-// The traffic budget of a node is computed from these counters. If a head were left out at either
-// end, or a message counted under another kind, the cost table would be wrong unnoticed. So the
-// bytes that one process counts as sent must equal those that the other counts as received.
+// The traffic budget of a node is computed from these counters. If either end left out the HTTP
+// head or counted a message under another kind, the budget would be wrong unnoticed. So the bytes
+// that one process counts as sent must equal those that the other counts as received.
 Test(control_bytes, both_ends_count_the_same)
 {
     metrics atServer;
--- a/tests/event_actor_test.cpp
+++ b/tests/event_actor_test.cpp
@@ -1,5 +1,5 @@
-// Tests of when actors tick. Except for the last test, which checks a lower bound, the tests wait
-// on conditions and measure no time.
+// Tests of when actors tick. The last test checks a lower bound of a time; the others wait for
+// conditions and measure no time.
 #include <atomic>
 #include <future>
 
@@ -9,9 +9,9 @@
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
 
-// An actor sleeps until its earliest deadline. If an event moves the deadline forward and the actor
-// kept the old one, a queued request would be refused late. Here the first deadline is an hour
-// away, so the test would never end.
+// An actor sleeps until its earliest deadline. If it kept sleeping until the old deadline after an
+// event has set an earlier one, a queued request would be refused late. Here the first deadline is
+// an hour away, so the test would not end.
 Test(actor, ticks_at_deadlines)
 {
     actor_runtime system;
@@ -26,12 +26,12 @@
                               if (++ticks == 1)
                                   ticked.set_value();
                           }});
-    section("an event moves the deadline forward", [&] {
+    section("an event sets an earlier deadline", [&] {
         deadlineActor.post(monotonic_clock::now() + std::chrono::hours(1));
         deadlineActor.post(monotonic_clock::now() + milliseconds(20));
         ticked.get_future().wait();
     });
-    section("one tick per deadline", [&] {
+    section("the actor ticks once per deadline", [&] {
         deadlineActor.stop();
         check(ticks == 1);
     });
@@ -54,25 +54,25 @@
     handled.get_future().wait();
     idleActor.stop();
     check(ticks == 0);
-    // At the start and after the one event; any other wake-up would call it again.
+    // Called at the start and after the one event; any other wake-up would call it again.
     check(nextTickCalls <= 2);
 }
 
-// A tick that leaves its deadline in the past must not use a whole core.
+// An actor whose tick leaves its deadline in the past must not use a whole core.
 Test(actor, past_deadline_does_not_spin)
 {
     actor_runtime system;
     std::atomic<int> ticks{0};
-    std::promise<void> tenth;
+    std::promise<void> tenthTick;
     const auto startedAt = monotonic_clock::now();
     event_actor<int> overdueActor(
             system, 16, [](int &) {},
             tick_schedule{[] { return time_point(); },
                           [&] {
                               if (++ticks == 10)
-                                  tenth.set_value();
+                                  tenthTick.set_value();
                           }});
-    tenth.get_future().wait();
+    tenthTick.get_future().wait();
     check(monotonic_clock::now() - startedAt >= milliseconds(10 + 9)); // a delay before each
     overdueActor.stop();
 }
--- a/tests/http_client_test.cpp
+++ b/tests/http_client_test.cpp
@@ -1,4 +1,4 @@
-// Tests how http_client classifies calls that get no answer.
+// Tests how http_client classifies calls that fail to connect.
 #include <optional>
 #include <string>
 #include <vector>
@@ -35,8 +35,8 @@
     }
     ~full_port()
     {
-        for (const auto caller : m_callers)
-            close(caller);
+        for (const auto connection : m_connections)
+            close(connection);
         close(m_socket);
     }
     full_port(const full_port &) = delete;
@@ -45,11 +45,11 @@
     // Fills the accept queue; the kernel drops further connection attempts silently.
     void fill()
     {
-        constexpr int Callers = 8;
+        constexpr int Connections = 8;
         require(listen(m_socket, 0) == 0);
-        for (int index = 0; index < Callers; ++index) {
-            m_callers.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-            static_cast<void>(connect(m_callers.back(),
+        for (int index = 0; index < Connections; ++index) {
+            m_connections.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
+            static_cast<void>(connect(m_connections.back(),
                                       reinterpret_cast<const sockaddr *>(&m_address),
                                       sizeof m_address));
         }
@@ -60,15 +60,15 @@
 private:
     int m_socket = -1;
     sockaddr_in m_address{};
-    std::vector<int> m_callers;
+    std::vector<int> m_connections;
 };
 
 std::optional<call_failure> failureOfCall(const std::string &address)
 {
     net::event_loop loop;
-    net::http_client caller(loop);
+    net::http_client client(loop);
     std::optional<call_failure> failure;
-    caller.call(address, {"GET", "/", {}, ""}, seconds(5), [&](const call_result &result) {
+    client.call(address, {"GET", "/", {}, ""}, seconds(5), [&](const call_result &result) {
         if (const auto *failed = std::get_if<call_failure>(&result))
             failure = *failed;
         loop.stop();
@@ -79,7 +79,8 @@
 
 } // namespace
 
-// Guards against mistaking a worker that could not be reached in time for one that has ended.
+// Guards against taking a worker that could not be reached in time for one that has ended: only a
+// refused connection shows that no process listens there.
 Test(http_client, refused_and_unreachable_peers)
 {
     full_port port;
--- a/tests/http_listener_test.cpp
+++ b/tests/http_listener_test.cpp
@@ -23,8 +23,8 @@
 
 struct post_result
 {
-    std::optional<int> status;       // of the answer; nullopt: no answer
-    std::optional<std::size_t> body; // bytes that the handler got; nullopt: it was not called
+    std::optional<int> status;            // of the answer; nullopt: no answer
+    std::optional<std::size_t> bodyBytes; // that the handler got; nullopt: it was not called
 };
 
 post_result post(std::size_t bytes)
@@ -35,14 +35,14 @@
     limits.maxRequestBytes = 100'000;
     net::http_listener listener(loop, {"127.0.0.1", 0}, limits,
                                 [&](const http_request &request, const net::responder &respond) {
-                                    result.body = request.body.size();
+                                    result.bodyBytes = request.body.size();
                                     respond({200, {}, ""});
                                 });
-    net::http_client caller(loop);
+    net::http_client client(loop);
     http_request request;
     request.method = "POST";
     request.body.assign(bytes, 'x');
-    caller.call(toText(listener.address()), std::move(request), seconds(30),
+    client.call(toText(listener.address()), std::move(request), seconds(30),
                 [&](const call_result &answer) {
                     if (const auto *response = std::get_if<http_response>(&answer))
                         result.status = response->status;
@@ -122,15 +122,15 @@
 Test(http_listener, large_requests)
 {
     section("a body up to the limit is accepted", [] {
-        check(post(0).body == 0);
-        check(post(1).body == 1);
-        check(post(100'000).body == 100'000);
+        check(post(0).bodyBytes == 0);
+        check(post(1).bodyBytes == 1);
+        check(post(100'000).bodyBytes == 100'000);
         check(post(100'000).status == 200);
     });
-    section("a larger one is answered with 413", [] {
-        const auto seen = post(100'001);
-        check(!seen.body);
-        check(seen.status == 413);
+    section("a body above the limit is answered with 413", [] {
+        const auto tooLarge = post(100'001);
+        check(!tooLarge.bodyBytes);
+        check(tooLarge.status == 413);
     });
 }
 
@@ -139,7 +139,7 @@
 // yet.
 Test(http_listener, requests_that_arrived_before_the_drain)
 {
-    section("unread in the socket of an idle connection", [] {
+    section("a request that is unread in the socket of an idle connection is answered", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         server.runWhenIdle(1, [&] {
@@ -149,7 +149,7 @@
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
-    section("on a connection that is not accepted yet", [] {
+    section("a request on a connection that is not accepted yet is answered", [] {
         draining_server server;
         std::optional<keep_alive_caller> caller;
         server.runWhenIdle(0, [&] {
@@ -160,7 +160,7 @@
         check(server.runUntilDrained());
         check(caller->readAnswer() == 200);
     });
-    section("shortly after the connection was accepted", [] {
+    section("a request that arrives shortly after its connection was accepted is answered", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         server.runWhenIdle(1, [&] {
@@ -170,7 +170,7 @@
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
-    section("a partial head whose rest arrives later", [] {
+    section("a request whose head is read in part is answered when the rest arrives", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         server.runWhenIdle(1, [&] {
@@ -182,7 +182,7 @@
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
-    section("after a keep-alive answer that is still being sent", [] {
+    section("a request behind a keep-alive answer that is still being sent is answered", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         caller.send("POST", "/slow");
@@ -197,7 +197,7 @@
         check(caller.readAnswer() == 200);
     });
     // The parser has taken the request line, so the buffer is empty as if nothing had arrived.
-    section("only the request line was read", [] {
+    section("a request of which only the request line was read is answered", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         caller.sendText("GET /quick HTTP/1.1\r\n");
@@ -210,7 +210,7 @@
         check(server.runUntilDrained());
         check(caller.readAnswer() == 200);
     });
-    section("with a slow answer", [] {
+    section("a request whose handler answers later is answered", [] {
         draining_server server;
         keep_alive_caller caller(server.address());
         caller.send("POST", "/slow");
@@ -227,8 +227,8 @@
     });
 }
 
-// Guards against connections that stay open although the server does not read them any more:
-// callers would wait on them until their deadline.
+// Guards against connections that stay open although the server no longer reads from them: callers
+// would wait for answers until their deadlines.
 Test(http_listener, drain_closes_connections)
 {
     section("idle connections are closed and new ones refused", [] {
@@ -275,14 +275,14 @@
     });
 }
 
-// Guards against closing a connection without an answer at the end of its idle time: its request
-// had begun to arrive before, or the server was behind and had not read it.
+// Guards against closing a connection without an answer at the end of its idle time, although its
+// request has begun to arrive or waits unread in the socket.
 Test(http_listener, requests_at_the_end_of_the_idle_time)
 {
     net::listener_limits limits;
     limits.maxIdleTime = milliseconds(1000);
     const auto afterIdleTime = limits.maxIdleTime + milliseconds(100);
-    section("the rest of a request arrives after the idle time", [&] {
+    section("a request is answered whose rest arrives after the idle time", [&] {
         for (const std::string part : {"POST /quick HTTP/1.1\r\nContent-Le",
                                        "POST /quick HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo"}) {
             const std::string whole = "POST /quick HTTP/1.1\r\nContent-Length: 4\r\n\r\nbody";
@@ -301,7 +301,7 @@
             check(caller.readAnswer() == 200);
         }
     });
-    section("requests arrive while the server is blocked", [&] {
+    section("requests are answered that arrive while the server is blocked", [&] {
         draining_server server(limits);
         std::vector<std::unique_ptr<keep_alive_caller>> callers;
         constexpr int Callers = 200; // more than the loop reads from the kernel in one turn
@@ -314,18 +314,18 @@
             server.runAfter(afterIdleTime, [&] { server.listener().drain(); });
         });
         check(server.runUntilDrained());
-        int cutOff = 0;
+        int unanswered = 0;
         for (const auto &each : callers)
-            cutOff += each->requestOutcome() == request_outcome::ClosedWithoutAnswer ? 1 : 0;
-        check(cutOff == 0);
+            unanswered += each->requestOutcome() == request_outcome::ClosedWithoutAnswer ? 1 : 0;
+        check(unanswered == 0);
     });
     section("a caller that sends nothing, or only a part, is disconnected", [&] {
         limits.readTimeout = milliseconds(200);
         draining_server server(limits);
         keep_alive_caller unused(server.address());
-        keep_alive_caller half(server.address());
-        half.sendText("POST /quick HTTP/1.1\r\nContent-Le");
-        server.runWhen([&] { return !unused.isOpen() && !half.isOpen(); },
+        keep_alive_caller partial(server.address());
+        partial.sendText("POST /quick HTTP/1.1\r\nContent-Le");
+        server.runWhen([&] { return !unused.isOpen() && !partial.isOpen(); },
                        [&] { server.listener().drain(); });
         check(server.runUntilDrained());
     });
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -1,4 +1,5 @@
-// Tests of http_server with clients that stall: each may hold a thread for a limited time only.
+// Tests of http_server: clients that stall may occupy its threads for a limited time only, and a
+// stop answers the requests that have arrived.
 #include <atomic>
 #include <condition_variable>
 #include <map>
@@ -68,8 +69,8 @@
     http_server m_server;
 };
 
-// A server whose thread blocks at a given connection event until release(), so that it falls
-// behind.
+// A server that blocks its thread at a given connection event until release(). Connections and
+// requests that arrive meanwhile wait unaccepted or unread.
 class blocked_server
 {
 public:
@@ -89,7 +90,7 @@
         std::unique_lock lock(m_mutex);
         return m_changed.wait_for(lock, WaitLimit, [this] { return m_isBlocked; });
     }
-    // Starts to stop the server, on another thread.
+    // Begins to stop the server, on another thread.
     void beginStop()
     {
         m_stopping.emplace([this] { m_server.stop(); });
@@ -213,7 +214,7 @@
         require(callers.exchange("GET /seats HTTP/1.1\r\n\r\n", "whole "));
         require(callers.send("GET /seats HTT"));
     }
-    section("one more connection from the same address", [&] {
+    section("one more connection from the same address is refused", [&] {
         require(callers.open("127.0.0.9", "GET /seats HTTP/1.1\r\n\r\n"));
         const auto answer = callers.readToEnd();
         check(answer.find("503") != std::string::npos);
@@ -221,11 +222,11 @@
         check(answer.find("Zb-Executed: no") != std::string::npos);
         check(server.count(connection_event::AddressLimitReached) == 1);
     });
-    section("another address", [&] { check(server.isAnswering()); });
+    section("a connection from another address is served", [&] { check(server.isAnswering()); });
 }
 
-// Guards against connections beyond their address's limit taking threads from other clients until a
-// thread has checked them.
+// Guards against counting a connection against the thread limit before the limit of its address is
+// checked: connections beyond their address's limit would take threads from other clients.
 Test(http_server, address_limit_before_thread_limit)
 {
     auto limits = fewThreads();
@@ -248,18 +249,18 @@
     });
 }
 
-// Guards against closing a connection without an answer: the request had reached the server before
-// it stopped, but the thread that should take it was behind.
+// Guards against closing a connection without an answer when the request has reached the server
+// before the stop, but no thread has accepted or read it yet.
 Test(http_server, requests_that_arrived_before_the_stop)
 {
-    section("on connections that are not accepted yet", [] {
+    section("a request on a connection that is not accepted yet is answered", [] {
         auto limits = fewThreads();
         limits.connectionLimit = 1;
         blocked_server server(limits, connection_event::NoFreeThread);
         keep_alive_caller first(server.address());
         require(first.send("GET", "/seats"));
         require(first.readAnswer() == 200);
-        keep_alive_caller second(server.address()); // its event blocks the accepting thread
+        keep_alive_caller second(server.address()); // its refusal blocks the accepting thread
         require(server.waitUntilBlocked());
         keep_alive_caller third(server.address());
         require(third.send("GET", "/seats"));
@@ -267,7 +268,7 @@
         server.endStop();
         check(third.requestOutcome() == request_outcome::Answered);
     });
-    section("unread in the socket of a connection", [] {
+    section("a request that is unread in the socket is answered", [] {
         auto limits = fewThreads();
         limits.maxConnectionsPerAddress = 1;
         blocked_server server(limits, connection_event::AddressLimitReached);
--- a/tests/keep_alive_caller.h
+++ b/tests/keep_alive_caller.h
@@ -49,6 +49,7 @@
                && (errno == EAGAIN || errno == EWOULDBLOCK);
     }
 
+    // Waits; returns false as soon as isOpen() is false.
     bool staysOpenFor(milliseconds span)
     {
         const auto end = monotonic_clock::now() + span;
@@ -60,8 +61,8 @@
         }
         return false;
     }
-    // Returns true if the server closed the connection after reading everything that had arrived;
-    // otherwise the connection would be reset.
+    // Returns true if the server closed the connection after reading everything that had arrived.
+    // If unread bytes were left, the connection would be reset instead.
     bool isClosedInOrder() const
     {
         char byte = 0;
--- a/tests/loop_lateness_test.cpp
+++ b/tests/loop_lateness_test.cpp
@@ -18,17 +18,17 @@
 
 } // namespace
 
-Test(loop_lateness, maximum_of_the_last_seconds)
+Test(loop_lateness, maximum_of_two_windows)
 {
     const time_point start{seconds(1000)};
     loop_lateness lateness;
     section("no timer has fired yet", [&] { check(lateness.maxLateness(start) == duration{}); });
-    section("the maximum counts, not the last value", [&] {
+    section("the result is the maximum, not the last value", [&] {
         fire(lateness, start, start + milliseconds(300));
         fire(lateness, start + milliseconds(350), start + milliseconds(360));
         check(lateness.maxLateness(start + milliseconds(400)) == milliseconds(300));
     });
-    section("it is forgotten after at most two windows", [&] {
+    section("a maximum is forgotten after at most two windows", [&] {
         check(lateness.maxLateness(start + milliseconds(1400)) == milliseconds(300));
         fire(lateness, start + milliseconds(1500), start + milliseconds(1520));
         check(lateness.maxLateness(start + milliseconds(2600)) == milliseconds(20));
@@ -37,8 +37,8 @@
             [&] { check(lateness.maxLateness(start + seconds(60)) == duration{}); });
 }
 
-// After a stall, a signal is handled before the timers that came due during it, so the lateness of
-// fired timers does not show the stall yet.
+// After the loop was blocked, a signal is handled before the timers that came due meanwhile. At
+// that point the lateness of fired timers does not show the delay yet; the overdue time does.
 Test(loop_lateness, overdue_timers)
 {
     const time_point start{seconds(1000)};
--- a/tests/memory_platform_test.cpp
+++ b/tests/memory_platform_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the in-memory table and object store on which the other tests rely.
+// Tests of the in-memory table that other tests use as a fake of the platform.
 #include "platform/memory_platform.h"
 #include "section.h"
 
--- a/tests/outbound_calls_test.cpp
+++ b/tests/outbound_calls_test.cpp
@@ -1,5 +1,5 @@
-// Calls to other processes while some of them do not answer. Waits are for conditions; the bounds
-// are on counts, not on times.
+// Tests of rpc_sender while some of the called processes do not answer. The tests wait for
+// conditions and compare counts, not times.
 #include <atomic>
 #include <string>
 #include <thread>
@@ -20,16 +20,16 @@
 
 constexpr milliseconds Timeout{500};      // of one call
 constexpr milliseconds WaitLimit{60'000}; // upper bound for waits on conditions; not a measurement
-constexpr unsigned Processes = 8;         // number of silent ones, and of answering ones
-constexpr unsigned CallsToEach = 8;       // to each of the silent ones
+constexpr unsigned Targets = 8;           // number of silent targets, and of answering ones
+constexpr unsigned CallsPerSilentTarget = 8;
 
 template <typename Condition>
-bool waitFor(Condition isTrue)
+bool waitFor(Condition condition)
 {
     const auto deadline = monotonic_clock::now() + WaitLimit;
-    while (!isTrue() && monotonic_clock::now() < deadline)
+    while (!condition() && monotonic_clock::now() < deadline)
         std::this_thread::sleep_for(milliseconds(5));
-    return isTrue();
+    return condition();
 }
 
 // Addresses that share one port stand for several processes.
@@ -45,14 +45,14 @@
     silent_server()
         : m_socket(::socket(AF_INET, SOCK_STREAM, 0))
     {
-        sockaddr_in any{};
-        any.sin_family = AF_INET;
-        auto *name = reinterpret_cast<sockaddr *>(&any);
-        socklen_t size = sizeof any;
+        sockaddr_in localAddress{};
+        localAddress.sin_family = AF_INET;
+        auto *name = reinterpret_cast<sockaddr *>(&localAddress);
+        socklen_t size = sizeof localAddress;
         const bool listens = ::bind(m_socket, name, size) == 0 && ::listen(m_socket, 1024) == 0
                              && ::getsockname(m_socket, name, &size) == 0;
         require(listens);
-        m_port = ntohs(any.sin_port);
+        m_port = ntohs(localAddress.sin_port);
     }
     ~silent_server() { ::close(m_socket); }
     silent_server(const silent_server &) = delete;
@@ -69,7 +69,7 @@
 
 // An agent calls entries that do not answer, and each of these calls fails only after the timeout.
 // If its calls to the shard's owner had to wait behind them, its report would arrive after its
-// short lease: its tasks would stop although the owner answers immediately.
+// lease has expired, and its tasks would stop although the owner answers immediately.
 Test(outbound_calls, silent_targets_do_not_delay_others)
 {
     rpc_server methods;
@@ -87,20 +87,21 @@
     const auto count = [&](const std::optional<Json::Value> &result) {
         ++(result ? answered : failedCalls);
     };
-    for (unsigned call = 0; call < CallsToEach; ++call) {
-        for (unsigned index = 0; index < Processes; ++index)
+    for (unsigned call = 0; call < CallsPerSilentTarget; ++call) {
+        for (unsigned index = 0; index < Targets; ++index)
             sender.call(addressOf(index, silent.port()), "report", Json::objectValue, count);
     }
     section("calls to answering targets complete while most calls to silent ones wait", [&] {
-        for (unsigned index = 0; index < Processes; ++index)
+        for (unsigned index = 0; index < Targets; ++index)
             sender.call(addressOf(index, answering.address().port), "report", Json::objectValue,
                         count);
-        check(waitFor([&] { return answered == Processes; }));
-        check(failedCalls < Processes * CallsToEach / 2);
+        check(waitFor([&] { return answered == Targets; }));
+        check(failedCalls < Targets * CallsPerSilentTarget / 2);
     });
     section("every call completes", [&] {
-        check(waitFor([&] { return answered + failedCalls == Processes * (CallsToEach + 1); }));
-        check(answered == Processes);
+        check(waitFor(
+                [&] { return answered + failedCalls == Targets * (CallsPerSilentTarget + 1); }));
+        check(answered == Targets);
     });
 }
 
@@ -120,8 +121,8 @@
     check(waitFor([&] { return failedCalls == 2; }));
 }
 
-// Actors call from threads of their own while the sender's threads become idle and are woken. If a
-// wake were lost, a call would stay queued until the next call, and its caller would get no answer.
+// Several threads make calls while the sender's threads become idle and are woken. If a wake-up
+// were lost, a call would stay queued until the next call, and its callback would not be called.
 Test(outbound_calls, every_call_completes)
 {
     constexpr unsigned Callers = 4;
@@ -141,7 +142,7 @@
         callers.emplace_back([&, caller] {
             for (unsigned call = 0; call < Calls; ++call) {
                 const auto before = completedCalls.load();
-                sender.call(addressOf((caller + call) % Processes, answering.address().port),
+                sender.call(addressOf((caller + call) % Targets, answering.address().port),
                             "report", Json::objectValue, [&](const auto &) { ++completedCalls; });
                 if (call % Callers == caller) // some calls then find all threads idle
                     waitFor([&] { return completedCalls > before; });
--- a/tests/process_links_test.cpp
+++ b/tests/process_links_test.cpp
@@ -1,5 +1,6 @@
-// Requests, tasks and configuration on real processes while links between them are cut, silent, or
-// lose answers.
+// Requests, tasks and configuration on real processes while links between them are cut (connections
+// are reset and new ones refused), silent (connections stay open but carry no data) or lose
+// answers.
 #include <set>
 
 #include <fmt/core.h>
@@ -109,8 +110,8 @@
 
 constexpr std::size_t StalledCallers = 300;
 
-// Keeps 300 callers stalled at entry 0: connected without sending, half of a head sent, or half of
-// a body sent.
+// Keeps 300 callers stalled at entry 0, each from its own address or all from one: connected
+// without sending, half of a head sent, or half of a body sent.
 void keepStalled(stalled_callers &callers, bool ownAddresses)
 {
     static const char *const parts[] = {
@@ -130,8 +131,8 @@
 
 // A caller of an entry that the leaving agent cannot reach is served by other upstreams, not
 // refused. The link from one agent to entry 0 is cut, that from another is silent, and both agents
-// are told to stop. Their Leaving reaches the other entries, whose digests bring it to entry 0:
-// every entry passes on every Leaving that it knows.
+// are told to stop. Their announcement that they leave (state Leaving) reaches the other entries,
+// whose digests bring it to entry 0: every entry passes on every Leaving that it knows.
 Test(process_links, leaving_past_broken_links)
 {
     auto options = smallFleet();
@@ -142,7 +143,7 @@
     startAndWait(system);
     load_result result;
     load_generator callers(system, {}, result);
-    section("the links break, the agents are asked to stop", [&] {
+    section("two links break, and their agents are told to stop", [&] {
         system.linkBetween("agent-0", "entry-0").setState(link_state::Cut);
         system.linkBetween("agent-1", "entry-0").setState(link_state::Blackholed);
         system.agent(0)->signal(SIGTERM);
@@ -153,7 +154,7 @@
         check(system.agent(0)->isRunning());
         check(system.agent(1)->isRunning());
     });
-    section("no entry sends them anything new", [&] {
+    section("no entry sends new requests to the leaving agents", [&] {
         const auto before = operationsAt(system, 0) + operationsAt(system, 1);
         for (unsigned entry = 0; entry < 3; ++entry)
             check(answeredReads(callers, entry, 40, "after-" + std::to_string(entry)) == 40);
@@ -162,11 +163,11 @@
     section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// Callers of an entry that is cut off from its peers and the table get truthful refusals, and a
-// purchase that they repeat at another entry runs once. Entry 0 loses both. A configuration is
-// accepted without it and batch tasks continue. Then all links pass again and deliver what they
-// held back. Late writes of entry 0 are rejected by the epoch and the row versions, and a
-// generation is only ever replaced by a higher one.
+// Callers of an entry that is cut off from its peers and from the platform's table get truthful
+// refusals, and a purchase that they repeat at another entry runs once. Entry 0 is cut off. A
+// configuration is accepted without it, and batch tasks continue. Then all links pass again and
+// deliver what they held back. Late writes of entry 0 are rejected by the epoch and the row
+// versions, and a generation is only ever replaced by a higher one.
 Test(process_links, entry_partitioned_and_healed)
 {
     auto options = smallFleet();
@@ -220,13 +221,13 @@
                     WaitLimit));
         });
     });
-    section("it serves keyed purchases again", [&] {
+    section("the healed entry serves keyed purchases again", [&] {
         load_generator callers(system, {}, result);
         const http_request keyed{"POST", "/tickets/hold", {{"Idempotency-Key", "healed"}}, "seat"};
         check(waitUntil([&] { return callers.sendRequest(0, keyed, "healed").empty(); },
                         WaitLimit));
     });
-    section("partitioned again: purchases that are repeated elsewhere run once", [&] {
+    section("the entry is partitioned again: purchases repeated elsewhere run once", [&] {
         setAllLinks(system, link_state::Blackholed);
         load_generator callers(system, {}, result);
         for (unsigned turn = 0; turn < 4; ++turn) {
@@ -250,14 +251,13 @@
     });
 }
 
-// An operator sees batch tasks of a lost instance start elsewhere and lease watchers stay where
-// they are, and never one of them in two places. Placement puts the batch on some workers and the
-// watchers on others, and which ones is not fixed. The agents that become silent are that of a
-// worker with batch tasks, so that there is something to start elsewhere, and that of a worker with
-// watchers, so that there is something to stay. All their links are silent for longer than the
-// short lease while their workers live. The agents stop the batch tasks before the lease that they
-// were given expires; the owner counts that lease from the last report, which was sent earlier. The
-// agents recover without intervention.
+// When agents become silent, their batch tasks (failover class lease) start elsewhere, their
+// watchers (failover class proof) do not, and no task ever runs in two places. Placement decides
+// which workers get batch tasks and which get watchers, so the test silences the agent with most of
+// the batch tasks and the one with most of the watchers. All links of these agents are silent for
+// longer than the short lease while their workers live. The agents stop the batch tasks before the
+// lease that they were given expires; the owner counts that lease from the last report, which was
+// sent earlier. The agents recover without intervention.
 Test(process_links, agent_silent_past_its_lease)
 {
     auto options = smallFleet();
@@ -290,19 +290,19 @@
     const auto others = options.workers - static_cast<unsigned>(silent.size());
     load_result result;
     load_generator callers(system, {}, result);
-    section("silent agents: their batch tasks start elsewhere, their watchers do not", [&] {
+    section("batch tasks of the silent agents start elsewhere, their watchers do not", [&] {
         setAgentLinks(system, silent, link_state::Blackholed);
         check(waitUntil([&] { return countTraced(system, "started", batch.job) > 12; }, WaitLimit));
         check(countTraced(system, "started", "watch") == 8);
     });
-    section("requests go to the others", [&] {
+    section("requests go to the other upstreams", [&] {
         check(waitForUpstreams(system, others));
         const auto before = operationsAt(system, silent);
         for (unsigned entry = 0; entry < 3; ++entry)
             check(answeredReads(callers, entry, 20, "others-" + std::to_string(entry)) == 20);
         check(operationsAt(system, silent) == before);
     });
-    section("the links pass again: entries route to the agents again", [&] {
+    section("when the links pass again, entries route to the agents again", [&] {
         setAgentLinks(system, silent, link_state::Passing);
         check(waitForUpstreams(system, 4));
         for (const auto agent : silent)
@@ -310,18 +310,18 @@
     });
     section("every batch task ends once, no watcher was started twice", [&] {
         check(waitUntil([&] { return countTraced(system, "ended", batch.job) == 12; }, WaitLimit));
-        std::this_thread::sleep_for(milliseconds(1000)); // late grants would arrive in this time
+        std::this_thread::sleep_for(milliseconds(1000)); // time for late grants to arrive
         check(countTraced(system, "started", "watch") == 8);
         checkTraceClean(system);
     });
     section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// An operator sees running tasks continue although one entry does not answer any agent. Agents call
-// that entry repeatedly, and each call fails after half a second. If calls to the shard's owner
-// waited behind these, a late report would cost an agent its short lease: its tasks would stop and
-// start elsewhere.
-Test(process_links, silent_entry_costs_no_lease)
+// Running tasks continue although the entries that own no shard do not answer any agent. Agents
+// call these entries repeatedly, and each call fails after half a second. If calls to the shard's
+// owner waited behind them, a report would arrive after the agent's short lease has expired: its
+// tasks would stop and start elsewhere.
+Test(process_links, silent_entries_cost_no_lease)
 {
     auto options = smallFleet();
     for (unsigned agent = 0; agent < 4; ++agent) {
@@ -362,9 +362,9 @@
             [&] { check(waitForUpstreams(system, 4)); });
 }
 
-// A caller whose purchase ran while its answer was lost is told that it may have run, and the
-// purchase ran once; one that is reported as not run did not run. The links from the entries to all
-// agents lose answers, then become silent, then are cut. Only a refused connection proves that
+// A caller whose purchase ran while its answer was lost is told that the purchase may have run, and
+// it ran once; a purchase that is reported as not run did not run. The links from the entries to
+// all agents lose answers, then become silent, then are cut. Only a refused connection proves that
 // nothing was sent; every other outcome is unknown and is not retried.
 Test(process_links, answers_lost_on_the_way)
 {
@@ -386,7 +386,7 @@
                && result.reportedNotExecuted.count(operation) == 0;
     };
     http_request keyed{"POST", "/tickets/hold", {{"Idempotency-Key", "lost"}}, "seat"};
-    section("answers are lost: reported as unknown, and ran once", [&] {
+    section("answers are lost: purchases are reported as unknown and ran once", [&] {
         setAllLinks(system, link_state::AnswersDropped);
         for (unsigned turn = 0; turn < 6; ++turn) {
             const auto operation = "lost-" + std::to_string(turn);
@@ -397,13 +397,13 @@
             check(countExecutions(system)["lost-" + std::to_string(turn)] == 1);
         check(countExecutions(system)["lost-keyed"] == 1);
     });
-    section("a repeat of the keyed one elsewhere does not run it again", [&] {
+    section("a keyed purchase does not run again when it is repeated at another entry", [&] {
         setAllLinks(system, link_state::Passing);
         const auto repeated = callers.sendRequest(1, keyed, "lost-keyed");
         cr_expect(!repeated.empty(), "the repeat was answered");
         check(countExecutions(system)["lost-keyed"] == 1);
     });
-    section("links are silent: reported as unknown, and delayed forwards run at most once", [&] {
+    section("links are silent: purchases are reported as unknown and run at most once", [&] {
         setAllLinks(system, link_state::Blackholed);
         for (unsigned turn = 0; turn < 3; ++turn) {
             const auto operation = "silent-" + std::to_string(turn);
@@ -412,7 +412,7 @@
         setAllLinks(system, link_state::Passing);
         check(waitUntil([&] { return buy(0, "after-silence").empty(); }, WaitLimit));
     });
-    section("links are cut: refused as not executed", [&] {
+    section("links are cut: purchases are refused as not executed", [&] {
         setAllLinks(system, link_state::Cut);
         for (unsigned turn = 0; turn < 6; ++turn)
             buy(turn % 3, "cut-" + std::to_string(turn));
@@ -426,9 +426,10 @@
     section("every guarantee was kept", [&] { checkGuaranteesKept(system, result); });
 }
 
-// A caller is answered while 300 others stall: silent, in the middle of a head, or of a body. They
-// share an address, as those of one broken client do, and get that address's share of the
-// connections; the rest is refused by threads that serve nobody else.
+// A caller is answered while 300 others stall before their head, in the middle of it, or in the
+// middle of the body. They share an address, as the connections of one broken client do, and get
+// only that address's share of the connections; further ones are refused by threads that serve
+// nobody.
 Test(process_links, stalled_callers_of_one_address)
 {
     auto options = smallFleet();
@@ -445,15 +446,15 @@
     cr_expect(result.countRefusals() == 0, "refused: %s", describeRefusals(result).c_str());
     check(connectionsRefused(system, "address_share") > 0);
     check(connectionsRefused(system, "all_in_use") == 0);
-    section("a planned stop does not wait for them forever", [&] {
+    section("a planned stop does not wait for stalled callers forever", [&] {
         system.entry(0)->signal(SIGTERM);
         check(system.entry(0)->waitForExit(WaitLimit) == 0);
     });
 }
 
-// The same from 300 addresses, so that the limit per address does not apply. The connections that
-// have stalled longest are closed, long before their deadlines, and a caller that arrives then is
-// answered at its first attempt.
+// A caller is answered while 300 others stall, each from its own address, so that the limit per
+// address does not apply. The connections that have stalled longest are closed, long before their
+// deadlines, and a caller that arrives then is answered at its first attempt.
 Test(process_links, stalled_callers_of_many_addresses)
 {
     auto options = smallFleet();
--- a/tests/process_stream_test.cpp
+++ b/tests/process_stream_test.cpp
@@ -15,9 +15,9 @@
 
 constexpr std::uint64_t MiB = 1024 * 1024;
 constexpr std::uint64_t LargeBytes = 32 * MiB;
-constexpr milliseconds LongDeadline{50'000}; // below the longest deadline that an entry allows
+constexpr milliseconds LongDeadline{50'000}; // shorter than the longest that an entry allows
 
-fleet_options singlePathFleet()
+fleet_options oneEntryOneWorkerFleet()
 {
     auto options = smallFleet();
     options.entries = 1;
@@ -28,9 +28,9 @@
     return options;
 }
 
-std::string largeTarget(std::uint64_t bytes, const std::string &parameters = {})
+std::string largeTarget(std::uint64_t bytes, const std::string &more = {})
 {
-    return "/tickets/large?bytes=" + std::to_string(bytes) + parameters;
+    return "/tickets/large?bytes=" + std::to_string(bytes) + more;
 }
 
 struct received_answer
@@ -53,8 +53,8 @@
                           const std::function<void(std::uint64_t)> &afterPart = {})
     {
         request.headers["Zb-Deadline-Ms"] = std::to_string(deadline.count());
-        const auto until = monotonic_clock::now() + deadline + seconds(5);
-        const auto result = m_pool.callStreaming(std::move(request), until, {}, m_threads);
+        const auto giveUpAt = monotonic_clock::now() + deadline + seconds(5);
+        const auto result = m_pool.callStreaming(std::move(request), giveUpAt, {}, m_threads);
         received_answer answer;
         if (!std::holds_alternative<http_response>(result)) {
             answer.failure = "no answer";
@@ -167,28 +167,28 @@
 } // namespace
 
 // A caller gets an answer of 32 MiB whole and unchanged, with the length that the upstream
-// declared, or in chunks if it declared none. A keyed purchase with such an answer runs once; a
-// repeat is told so without the answer, which is too large to be stored. An answer above the
-// configured limit is refused, not cut short.
-Test(process_stream, whole)
+// declared, or in chunks if it declared none. A purchase with an idempotency key (a keyed purchase)
+// and such an answer runs once; a repeat is answered already_executed without the answer, which is
+// too large to be stored. An answer above the configured limit is refused, not cut short.
+Test(process_stream, large_answers_arrive_whole)
 {
-    auto options = singlePathFleet();
+    auto options = oneEntryOneWorkerFleet();
     options.entrySettings["max_answer_bytes"] = Json::UInt64(LargeBytes);
     fleet system(options);
     startAndWait(system);
     large_caller caller(system);
-    section("with a declared length", [&] {
+    section("an answer with a declared length", [&] {
         const auto answer = caller.fetch(get(largeTarget(LargeBytes)));
         check(isWhole(answer, LargeBytes));
         check(answer.head.header("Content-Length") == std::to_string(LargeBytes));
         check(answer.head.header("Zb-Executed") == "yes");
     });
-    section("in chunks", [&] {
+    section("an answer in chunks", [&] {
         const auto answer = caller.fetch(get(largeTarget(LargeBytes, "&framing=chunked")));
         check(isWhole(answer, LargeBytes));
         check(answer.head.header("Transfer-Encoding") == "chunked");
     });
-    section("with sizes around the one from which answers are streamed", [&] {
+    section("answers around the size from which they are streamed", [&] {
         for (const auto bytes :
              {MaxBufferedAnswerBytes - 1, MaxBufferedAnswerBytes, MaxBufferedAnswerBytes + 1}) {
             const auto answer = caller.fetch(get(largeTarget(bytes)));
@@ -220,11 +220,11 @@
 
 // A caller whose large answer is cut midway gets an error, never a short success. The upstream
 // closes its connection after half of the body. Agent and entry have passed on bytes by then, so a
-// retry is impossible; each closes its own connection without the rest. This is detectable because
-// neither the declared length nor the last chunk ever arrives.
-Test(process_stream, cut_midway)
+// retry is impossible; each closes its own connection without the rest. The caller detects this
+// because neither the declared length nor the last chunk arrives.
+Test(process_stream, answer_cut_midway)
 {
-    fleet system(singlePathFleet());
+    fleet system(oneEntryOneWorkerFleet());
     startAndWait(system);
     large_caller caller(system);
     const auto cutNext = [&] {
@@ -250,7 +250,7 @@
                     WaitLimit));
         });
     }
-    section("a keyed purchase that was cut never runs again", [&] {
+    section("a keyed purchase whose answer was cut never runs again", [&] {
         cutNext();
         const auto request = purchase(largeTarget(LargeBytes), "cut");
         check(caller.fetch(request).failure == "answer_cut");
@@ -268,12 +268,12 @@
             [&] { check(isWhole(caller.fetch(get(largeTarget(LargeBytes))), LargeBytes)); });
 }
 
-// A caller gets its own answer although the upstream sends more than it declares. The surplus would
-// still be in the connection when the agent uses it for the next request, and would look like that
-// request's answer. A connection with bytes that arrived before its request is closed.
-Test(process_stream, false_length)
+// A caller gets its own answer although the upstream sends more bytes than it declares. The surplus
+// would still be in the connection when the agent uses it for the next request, and would be taken
+// for the answer to that request. So a connection with unread bytes is closed instead of reused.
+Test(process_stream, more_bytes_than_declared)
 {
-    fleet system(singlePathFleet());
+    fleet system(oneEntryOneWorkerFleet());
     startAndWait(system);
     large_caller caller(system);
     load_result result;
@@ -295,8 +295,8 @@
 {
     constexpr unsigned Callers = 8;
     constexpr std::size_t BufferedBytes = StreamRingBytes + 2 * StreamPartBytes; // for one answer
-    constexpr std::size_t Slack = 8 * MiB; // threads and the arenas of their allocator
-    fleet system(singlePathFleet());
+    constexpr std::size_t OverheadBytes = 8 * MiB; // threads and the arenas of their allocator
+    fleet system(oneEntryOneWorkerFleet());
     startAndWait(system);
     std::vector<std::unique_ptr<large_caller>> callers;
     for (unsigned index = 0; index < Callers; ++index)
@@ -317,40 +317,43 @@
     const auto agentGrown = system.agent(0)->peakMemoryBytes() - agentBefore;
     fmt::print("grown: entry {} bytes, agent {} bytes\n", entryGrown, agentGrown);
     check(whole == Callers);
-    cr_expect(entryGrown <= Callers * BufferedBytes + Slack, "the entry grew by %zu", entryGrown);
-    cr_expect(agentGrown <= Callers * BufferedBytes + Slack, "the agent grew by %zu", agentGrown);
+    cr_expect(entryGrown <= Callers * BufferedBytes + OverheadBytes, "the entry grew by %zu",
+              entryGrown);
+    cr_expect(agentGrown <= Callers * BufferedBytes + OverheadBytes, "the agent grew by %zu",
+              agentGrown);
 }
 
 // A caller that reads slowly slows down only its own answer. More large answers are requested than
-// the upstream has slots: the agent holds a slot until the body has ended, so the upstream never
-// has more requests than it declared. A caller that stops reading loses its answer at its deadline,
-// and the slot is freed.
+// the upstream has slots (requests that it serves at once): the agent keeps a slot occupied
+// until the body has ended, so the upstream never has more requests than it declared. A caller
+// that stops reading loses its answer at its deadline, and the slot becomes free.
 Test(process_stream, slow_readers)
 {
     constexpr unsigned Slots = 8;
     constexpr unsigned CallerCount = 12;
-    // Well above the time of one answer beside the others, because callers with a shorter deadline
-    // are refused.
+    // Well above the time of one answer beside the others, because a request that is not
+    // expected to end before its deadline is refused.
     constexpr milliseconds StoppedDeadline{8000};
-    fleet system(singlePathFleet());
+    fleet system(oneEntryOneWorkerFleet());
     startAndWait(system);
     load_result result;
-    load_generator others(system, {}, result);
-    section("others are answered while one reader pauses", [&] {
+    load_generator otherCallers(system, {}, result);
+    section("other callers are answered while one reader pauses", [&] {
         large_caller caller(system);
         unsigned answered = 0;
         const auto answer =
                 caller.fetch(get(largeTarget(LargeBytes)), LongDeadline, [&](std::uint64_t) {
                     if (answered < 20) {
-                        answered += others.sendRequest(0, get("/tickets/seats"), "beside").empty()
-                                            ? 1
-                                            : 0;
+                        answered +=
+                                otherCallers.sendRequest(0, get("/tickets/seats"), "beside").empty()
+                                        ? 1
+                                        : 0;
                     }
                 });
         check(isWhole(answer, LargeBytes));
         check(answered == 20);
     });
-    section("the upstream never gets more requests than it has slots", [&] {
+    section("the upstream never serves more requests than it has slots", [&] {
         std::atomic<unsigned> whole{0};
         std::vector<std::thread> threads;
         for (unsigned index = 0; index < CallerCount; ++index) {
@@ -386,7 +389,7 @@
         };
         check(waitUntil([&] { return atOnce() == Slots; }, WaitLimit));
         check(waitUntil([&] { return atOnce() == 0; }, WaitLimit));
-        check(others.sendRequest(0, get("/tickets/seats"), "again").empty());
+        check(otherCallers.sendRequest(0, get("/tickets/seats"), "again").empty());
         isReleased = true;
         for (auto &thread : threads)
             thread.join();
@@ -399,9 +402,9 @@
 // the processes wait for the last byte before they stop it, and then exit with 0.
 Test(process_stream, planned_stops)
 {
-    const auto stopDuring = [](const std::string &title, auto &&processOf) {
-        section(title, [&] {
-            fleet system(singlePathFleet());
+    const auto stopDuring = [](const std::string &what, auto &&processOf) {
+        section(what, [&] {
+            fleet system(oneEntryOneWorkerFleet());
             startAndWait(system);
             large_caller caller(system);
             auto &process = processOf(system);
@@ -411,7 +414,7 @@
                         if (std::exchange(stopped, true))
                             return;
                         process->signal(SIGTERM);
-                        std::this_thread::sleep_for(milliseconds(3000)); // it may exit too early
+                        std::this_thread::sleep_for(milliseconds(3000)); // time to exit too early
                         check(process->isRunning());
                     });
             check(isWhole(answer, LargeBytes));
@@ -425,22 +428,21 @@
 }
 
 // The entry has received a large answer whole, and its caller has read only a part of it, when the
-// entry is stopped as planned. The request is already decided, so only the connection's own count
-// of requests in flight keeps the process running until the last byte is sent.
+// entry is stopped as planned. For the entry's actor the request has ended, so only http_server's
+// count of requests in flight keeps the process running until the last byte is sent.
 Test(process_stream, planned_stop_with_the_rest_in_the_ring)
 {
-    // Answers grow by half of a ring, so that the rest of some answer fits into the ring.
-    constexpr std::uint64_t Step = 128 * 1024;
+    constexpr std::uint64_t StepBytes = 128 * 1024; // half of a ring: some answer ends within it
     constexpr unsigned MaxCallers = 32;
-    fleet system(singlePathFleet());
+    fleet system(oneEntryOneWorkerFleet());
     startAndWait(system);
     std::vector<std::unique_ptr<paused_caller>> callers;
     const auto isReceived = [&] {
         return system.rpc(0, "status", Json::objectValue)["in_flight"].asUInt() == 0;
     };
-    bool isFullyBuffered = true; // by the buffers on the path and the entry's ring
+    bool isFullyBuffered = true; // the entry has received the newest answer whole
     for (unsigned index = 1; isFullyBuffered && index <= MaxCallers; ++index) {
-        callers.push_back(std::make_unique<paused_caller>(system, index * Step));
+        callers.push_back(std::make_unique<paused_caller>(system, index * StepBytes));
         check(waitUntil([&] { return callers.back()->hasBegun(); }, WaitLimit));
         isFullyBuffered = waitUntil(isReceived, milliseconds(500));
     }
@@ -452,7 +454,7 @@
     });
     section("the entry is stopped while the rest of the other answers is in its ring", [&] {
         system.entry(0)->signal(SIGTERM);
-        std::this_thread::sleep_for(milliseconds(2000)); // it may exit too early
+        std::this_thread::sleep_for(milliseconds(2000)); // time to exit too early
         check(system.entry(0)->isRunning());
         for (auto &caller : callers)
             check(caller->finish());
--- a/tests/send_queue_test.cpp
+++ b/tests/send_queue_test.cpp
@@ -13,7 +13,7 @@
 }
 
 // Takes a call and returns its target and method; empty if none may be sent.
-std::string taken(send_queue &queue)
+std::string takeNext(send_queue &queue)
 {
     const auto call = queue.take();
     return call ? call->target + " " + call->method : std::string();
@@ -29,11 +29,11 @@
     queue.push(callTo("owner", "first"));
     queue.push(callTo("owner", "second"));
     queue.push(callTo("other"));
-    check(taken(queue) == "owner first");
-    check(taken(queue) == "other beat");
+    check(takeNext(queue) == "owner first");
+    check(takeNext(queue) == "other beat");
     check(!queue.canTake());
     queue.completeCall("owner", true);
-    check(taken(queue) == "owner second");
+    check(takeNext(queue) == "owner second");
 }
 
 // Three entries do not answer, the owner does. Each call to an unresponsive entry occupies a thread
@@ -43,47 +43,47 @@
 {
     send_queue queue({3, 8, 64});
     const std::vector<std::string> unresponsive = {"a", "b", "c"};
-    section("not yet known to be unresponsive: each may occupy a thread once", [&] {
+    section("targets not yet known to be unresponsive may occupy a thread each", [&] {
         for (const auto &target : unresponsive)
             queue.push(callTo(target));
-        check(taken(queue) == "a beat");
-        check(taken(queue) == "b beat");
-        check(taken(queue) == "c beat");
+        check(takeNext(queue) == "a beat");
+        check(takeNext(queue) == "b beat");
+        check(takeNext(queue) == "c beat");
         for (const auto &target : unresponsive)
             queue.completeCall(target, false);
     });
-    section("from then on one thread stays free for the others", [&] {
+    section("known unresponsive targets leave one thread to the others", [&] {
         for (const auto &target : unresponsive)
             queue.push(callTo(target));
         queue.push(callTo("owner"));
-        check(taken(queue) == "a beat");
-        check(taken(queue) == "b beat");
-        check(taken(queue) == "owner beat");
+        check(takeNext(queue) == "a beat");
+        check(takeNext(queue) == "b beat");
+        check(takeNext(queue) == "owner beat");
         queue.completeCall("owner", true);
         check(!queue.canTake());
     });
     section("a target that answers again is no longer limited", [&] {
         queue.completeCall("a", true);
-        check(taken(queue) == "c beat");
+        check(takeNext(queue) == "c beat");
         queue.push(callTo("a"));
-        check(taken(queue) == "a beat");
+        check(takeNext(queue) == "a beat");
     });
 }
 
-// The target that has waited longest goes first, so that neither responsive nor unresponsive
+// The target whose call has waited longest goes first, so that neither responsive nor unresponsive
 // targets starve the others.
 Test(send_queue, oldest_call_is_sent_first)
 {
     send_queue queue({3, 8, 64});
     queue.push(callTo("silent"));
-    check(taken(queue) == "silent beat");
+    check(takeNext(queue) == "silent beat");
     queue.completeCall("silent", false);
     queue.push(callTo("first"));
     queue.push(callTo("silent"));
     queue.push(callTo("last"));
-    check(taken(queue) == "first beat");
-    check(taken(queue) == "silent beat");
-    check(taken(queue) == "last beat");
+    check(takeNext(queue) == "first beat");
+    check(takeNext(queue) == "silent beat");
+    check(takeNext(queue) == "last beat");
 }
 
 // The number of waiting calls is bounded in all, and per target, so that a target that is gone does
@@ -96,7 +96,7 @@
     check(!queue.push(callTo("gone")));
     check(queue.push(callTo("other")));
     check(!queue.push(callTo("third")));
-    check(taken(queue) == "gone beat");
+    check(takeNext(queue) == "gone beat");
     check(queue.push(callTo("third")));
 }
 
@@ -108,9 +108,9 @@
     queue.push(callTo(""));
     queue.push(callTo("owner"));
     check(queue.canTake());
-    check(taken(queue) == " beat");
+    check(takeNext(queue) == " beat");
     queue.completeCall("", false);
-    check(taken(queue) == "owner beat");
+    check(takeNext(queue) == "owner beat");
     queue.push(callTo(""));
-    check(taken(queue) == " beat");
+    check(takeNext(queue) == " beat");
 }
--- a/tests/stalled_callers.h
+++ b/tests/stalled_callers.h
@@ -27,13 +27,13 @@
     stalled_callers(const stalled_callers &) = delete;
     stalled_callers &operator=(const stalled_callers &) = delete;
 
-    // Opens one more connection from that loopback address and sends `part`. Returns false when it
-    // was refused at once.
+    // Opens one more connection from the loopback address `from` and sends `part` of a request.
+    // Returns false when the connection failed.
     bool open(const std::string &from, const std::string &part)
     {
         const int handle = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        const int small = 4096; // small, so that an unread answer stays in the server
-        setsockopt(handle, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+        const int bufferBytes = 4096; // small, so that an unread answer stays in the server
+        setsockopt(handle, SOL_SOCKET, SO_RCVBUF, &bufferBytes, sizeof bufferBytes);
         const auto localAddress = toSocketAddress(from, 0);
         const auto serverAddress = toSocketAddress(m_server.address, m_server.port);
         const bool connected =
@@ -56,15 +56,15 @@
                == static_cast<ssize_t>(part.size());
     }
 
-    // Sends a complete request on the newest connection and reads its answer. After that the server
-    // is certain to count this connection, in whichever order its threads take new ones. Returns
-    // false when there is no answer.
-    bool exchange(const std::string &request, const std::string &lastOfAnswer)
+    // Sends a complete request on the newest connection and reads its answer, which ends with
+    // `answerEnd`. After that the server is certain to count this connection, in whichever order it
+    // admits new ones. Returns false when there is no answer.
+    bool exchange(const std::string &request, const std::string &answerEnd)
     {
         if (!send(request))
             return false;
         std::string text;
-        while (!text.ends_with(lastOfAnswer)) {
+        while (!text.ends_with(answerEnd)) {
             if (!receive(text))
                 return false;
         }
