--- a/app/entry_pings.h
+++ b/app/entry_pings.h
@@ -1,5 +1,6 @@
-// Heartbeats between entries. Each ping and each answer carries the sender's row, whether it is
-// shutting down, and the version of the configuration that it uses.
+// Heartbeats between entries. Each ping and each answer carries the sender's name and its row of
+// the store's table of entries, whether it is shutting down, and the version of the configuration
+// that it uses, by which an entry with an older one learns that its own is outdated.
 #pragma once
 
 #include <functional>
@@ -15,7 +16,7 @@
 // The parts of an entry that entry_pings uses. All of them must outlive it.
 struct entry_pings_dependencies
 {
-    net::http_client &caller;
+    net::http_client &caller; // sends the pings
     configuration_follower &configuration;
     entry_directory &directory;
     event_log &log;
@@ -24,12 +25,14 @@
 class entry_pings
 {
 public:
+    // `self`: name of this entry. `isLeaving`: whether it is shutting down.
     entry_pings(std::string self, const entry_pings_dependencies &dependencies,
                 std::function<bool()> isLeaving);
 
     // The row of this incarnation of the entry, to be sent in pings. Set before the first ping.
     void setOwnRow(const entry_row &ownRow) { m_ownRow = ownRow; }
-    // Sends a ping to each entry of the directory and applies the answers when they arrive.
+    // Sends a ping to each other entry in the directory, alive or not, and applies the answers when
+    // they arrive. Called periodically, and at once when the directory or isLeaving has changed.
     void pingAll();
     // Applies another entry's ping and returns the body of the answer. Throws error BadRequest.
     std::string handlePing(const std::string &ping);
--- a/app/report_sender.h
+++ b/app/report_sender.h
@@ -1,6 +1,7 @@
-// Sends reports about an agent's worker to all entries and applies their answers: the ends of runs
-// that entries have stored or don't own, the evacuation of the zone, and the interference table
-// (how much images slow each other down; see jobs/interference_estimator.h). Used by the agent.
+// Sends reports about an agent's worker to all entries and applies their answers: which ends of
+// runs an entry has stored, and which belong to jobs that it doesn't own, the evacuation of the
+// zone, and the interference table (how much images slow each other down; see
+// jobs/interference_estimator.h). Used by the agent.
 #pragma once
 
 #include <cstdint>
@@ -28,12 +29,12 @@
 struct report_sender_dependencies
 {
     const job_agent_settings &settings;
-    net::http_client &caller;
+    net::http_client &caller; // sends the reports
     const lease_keeper &leaseKeeper;
     const worker_presence &workerPresence;
     jobs::run_table &runTable;
     jobs::throttle_controller &throttleController;
-    metrics &counters;
+    metrics &counters; // the agent's metrics
     event_log &log;
 };
 
@@ -44,20 +45,24 @@
     report_sender(const report_sender_dependencies &dependencies,
                   std::function<bool()> isAccepting);
 
-    // Applies changed rows of the entries table; sends reports to all entries if there were rows.
+    // Applies changed rows of the entries table. Then sends reports to all entries, unless `rows`
+    // is empty.
     void updateEntries(const std::vector<jobs::row> &rows);
-    // Internal addresses of all entries, which can relay calls to the store.
+    // Internal addresses of all entries. The agent's store_client calls the store through them when
+    // it can't reach it directly.
     std::vector<std::string> relayAddresses() const;
 
     void sendPeriodicReports(); // called every second
-    void sendReports();         // called whenever something changes
-    // The samples go into all reports up to and including the next periodic one.
+    // Called when a run has ended, or the worker's epoch or readiness has changed.
+    void sendReports();
+    // The interference samples go into each report up to and including the next periodic ones, so
+    // an entry that gets several reports until then gets them several times.
     void addSamples(std::vector<jobs::interference_sample> samples);
     // Called when a new epoch of the worker begins; all its earlier runs have then ended. Entries
     // learn of it by the next reports.
     void startEpochAnnouncement(time_point now);
     // Whether some entry has not yet answered a report with the current epoch, and the time limit
-    // of 1 s for that has not passed. An agent that shuts down stays until then.
+    // of 1 s for that has not passed. While true, an agent that shuts down stays.
     bool isEpochAnnouncementOpen(time_point now) const;
     // Whether operators evacuate the worker's availability zone, by the answers of the entries.
     bool isZoneEvacuated(time_point now) const { return m_evacuation.isActive(now); }
--- a/app/table_follower.h
+++ b/app/table_follower.h
@@ -21,8 +21,9 @@
 struct followed_table
 {
     std::string table;
-    std::vector<std::string> partitions{""}; // all of the table
-    // Pause after each answer with changes, so that the next answer contains many of them.
+    // The partitions that the table consists of; by default one without a name.
+    std::vector<std::string> partitions{""};
+    // Pause after each answer of the feed, so that the next one contains many changes.
     milliseconds batchDelay{0};
 };
 
@@ -34,13 +35,14 @@
 {
     std::uint64_t bytes = 0; // length of its body; large if it contains changes
 };
-// All changes made before `requestedAt` have been passed on.
+// All changes made before `requestedAt`, on the clock of this process, have been passed on.
 struct all_changes_applied
 {
     time_point requestedAt{};
 };
 using follow_progress = std::variant<feed_answer_begun, all_changes_applied>;
 
+// Entries and agents have one for each table that they follow.
 class table_follower
 {
 public:
@@ -48,9 +50,10 @@
     using rows_callback = std::function<void(const std::vector<jobs::row> &)>;
     using complete_callback = std::function<void()>;
 
-    // `onRows` gets rows as they are read, and when they have changed. Rows of different reads can
-    // arrive in any order; their versions tell which is newer. `onComplete` is called after each
-    // read of the whole table.
+    // `onRows` gets rows as they are read, and when they have changed. The feed passes deleted rows
+    // with row::removed set; a read of the whole table passes none. Rows of different reads can
+    // arrive in any order; their versions tell which is newer. `onComplete` is called each time the
+    // whole table has been read; a read that fails is repeated.
     table_follower(
             net::event_loop &loop, store_client &store, event_log &log, followed_table followed,
             rows_callback onRows, complete_callback onComplete = [] {},
@@ -63,13 +66,13 @@
     struct full_read
     {
         std::size_t pendingPartitions = 0; // not read yet
-        std::int64_t oldestVersion = 0;    // lowest store version at which one was read
+        std::int64_t oldestVersion = 0;    // lowest store version at which a partition was read
         time_point requestedAt{};
         bool hasFailed = false;
     };
 
     void handlePartition(full_read &readState, const std::optional<jobs::row_page> &page);
-    void pollFeed(std::int64_t after);
+    void pollFeed(std::int64_t after); // for changes after this version of the store
     void handleFeedPage(const jobs::feed_page &page, time_point requestedAt);
 
     net::event_loop &m_loop;
--- a/libs/delivery/claim_coordinator.h
+++ b/libs/delivery/claim_coordinator.h
@@ -1,6 +1,6 @@
 // Claims on idempotency keys: which request may run under a key, and what its outcome was. A claim
-// is a row of the platform's table that says which request holds a key. The holder of a claim is
-// that request, or the entry that processes it.
+// is a row of the platform's table that names the one request that may run under a key, which holds
+// the claim, and the entry that processes it.
 //
 //   claim_state         state of a claim in the table
 //   claim_row           value of a claim's row; toJson and claimRowFromJson
@@ -42,14 +42,16 @@
 struct claim_row
 {
     std::string requestId;         // of the request that holds the claim
-    std::string entryId;           // incarnation of the entry that holds the claim
+    std::string entryId;           // incarnation of the entry that processes the request
     std::uint64_t requestHash = 0; // of method, path and body
     claim_state state = claim_state::Started;
-    std::uint64_t era = 0; // in which the claim was made, see claim_settings::eraDuration
+    // In which the claim was stored, see claim_settings::eraDuration. The end of a granted claim
+    // doesn't change it.
+    std::uint64_t era = 0;
     std::optional<complete_answer> answer; // set if Finished and small enough
 };
 
-std::string_view nameOf(claim_state state);
+std::string_view nameOf(claim_state state); // as in the row
 Json::Value toJson(const complete_answer &answer);
 complete_answer completeAnswerFromJson(const Json::Value &value); // throws error BadRequest
 Json::Value toJson(const claim_row &row);
@@ -58,13 +60,13 @@
 struct claim_settings
 {
     int commitBurst = 5;                  // transactions that may be sent at once after a pause
-    milliseconds commitInterval{20};      // average time between two transactions of this entry
+    milliseconds commitInterval{20};      // shortest mean time between transactions of this entry
     milliseconds endRecordDelay{100};     // an outcome waits this long to share a transaction
-    milliseconds tableRetryInterval{250}; // between two probes while the table is unavailable
+    milliseconds tableRetryInterval{250}; // between two reads that probe an unavailable table
     milliseconds claimTimeout{1000};      // a claim without verdict by then is refused as not run
     std::size_t maxBatchRows = 64;        // rows in one transaction
     std::size_t maxCommitsInFlight = 4;   // transactions without a result
-    // Claims whose final state is not stored yet; further ones are refused as Overloaded.
+    // Claims whose final state is not stored yet; further claims are refused as Overloaded.
     std::size_t maxOpenClaims = 8192;
     // Ended claims in this entry's memory, and the bytes of their answers' bodies; above either,
     // the oldest are dropped from memory.
@@ -72,9 +74,10 @@
     std::size_t maxCachedBytes = 16U << 20U;
     std::size_t maxAnswerBytes = 4096; // larger bodies are not stored
     std::size_t maxKeyBytes = 256;     // longer idempotency keys are refused
-    // The age of rows is counted in eras. The current era is a row of the table. An entry that has
-    // seen this row unchanged for eraDuration on its own clock increments the era. A key lives
-    // for at least keyLifetimeEras * eraDuration, and longer if the table is unavailable.
+    // The age of rows is counted in eras. A row of the table has the number of the current era, and
+    // every entry reads it. An entry that has seen it unchanged for eraDuration on its own clock
+    // increments it. A key lives for at least keyLifetimeEras * eraDuration, and longer if the era
+    // can't be incremented because the table is unavailable.
     milliseconds eraDuration{600'000};
     std::uint64_t keyLifetimeEras = 12;
     milliseconds sweepInterval{5000}; // between two scans for expired rows
@@ -83,10 +86,11 @@
 // The request may run.
 struct claim_granted
 { };
-// The request must not run. KeyReused: the key belongs to a request with another hash.
-// KeyInProgress: the holder may still end, or its end is not stored yet. AlreadyExecuted: it ran,
-// and no answer is stored. OutcomeUnknown: whether it ran is not known, for example because the
-// entry that held the claim has died. PlatformUnavailable and Overloaded: no claim was made.
+// The request gets no claim and must not run. KeyReused: the key belongs to a request with another
+// hash. KeyInProgress: the request that holds the claim may still be running, or its end is not
+// stored yet. AlreadyExecuted: it ran, and no answer is stored. OutcomeUnknown: whether it ran is
+// not known, for example because its entry has died. PlatformUnavailable and Overloaded: no claim
+// could be made; request_flow then runs requests with an idempotent method without one.
 struct claim_refused
 {
     error_kind kind = error_kind::Internal;
@@ -112,8 +116,8 @@
     std::uint64_t requestHash = 0;
 };
 
-// Row key of an idempotency key. It contains service and team, and one of 4096 prefixes, so that
-// the sweep can scan the table in parts.
+// Row key of an idempotency key. It contains service and team, and begins with one of 4096
+// prefixes, chosen by their hash, so that the sweep can scan the table in parts.
 std::string claimRowKey(const std::string &service, const std::string &team,
                         const std::string &key);
 
@@ -139,13 +143,15 @@
     // Asks for permission to run a request. The verdict follows in one claim_decided, at once or
     // later.
     void claim(const claim_request &request, time_point now);
-    // Called by the holder of a claim when its request has ended: executed, not executed, or
-    // unknown. Nothing may be forwarded under the claim afterwards.
+    // Called when a request that holds a claim has ended: executed, not executed, or unknown, in
+    // which case repeats are refused as OutcomeUnknown. Nothing may be forwarded under the claim
+    // afterwards.
     void recordFinished(const std::string &requestId, const complete_answer &answer,
                         time_point now);
     void recordNotRun(const std::string &requestId, time_point now);
     void recordUnknown(const std::string &requestId, time_point now);
-    // Called when the request ended before the verdict: no claim_decided follows.
+    // Called when the request ended before the verdict: no claim_decided follows. If its row may be
+    // in the table, it is set to NotRun there.
     void abandonClaim(const std::string &requestId, time_point now);
 
     void handleCommitResult(const claims_committed &event, time_point now);
@@ -161,8 +167,8 @@
 
 private:
     // CommitQueued: waits for a transaction. Committing: in a transaction. ReadQueued: the result
-    // of a transaction is uncertain. Reading: its row is being read. Stored: the table has the
-    // wanted row; if that is Started, the request may run and its end is still to come.
+    // of a transaction is uncertain. Reading: its row is being read. Stored: the table has the row
+    // with the state Started; the request may run, and its end is still to come.
     enum class phase { CommitQueued, Committing, ReadQueued, Reading, Stored };
 
     struct open_claim
@@ -171,13 +177,15 @@
         claim_state sentState = claim_state::Started; // state in the last transaction
         phase currentPhase = phase::CommitQueued;
         bool awaitsVerdict = true;     // claim_decided has not been returned yet
-        bool isGranted = false;        // the holder may have forwarded the request
+        bool isGranted = false;        // claim_granted was decided: the request may be forwarded
         bool hasUnknownCommit = false; // a transaction without a result may still be applied
         std::uint64_t version = 0;     // last known version of the row; 0: absent
         time_point nextCommitAt{};     // due time of the next transaction, while CommitQueued
         time_point timeoutAt{};        // end of claimTimeout, while awaitsVerdict
     };
 
+    // An ended claim of this entry, once its end is stored. Claims that ended as NotRun aren't
+    // kept.
     struct cached_claim
     {
         claim_row row;
@@ -195,12 +203,12 @@
 
     void endClaim(const std::string &requestId, claim_state state,
                   std::optional<complete_answer> answer);
-    void dropClaim(const std::string &key);
+    void dropClaim(const std::string &key); // erased, or NotRun if it may be in the table
     void sendVerdict(open_claim &claim, claim_verdict verdict);
     void queueCommit(const std::string &key, open_claim &claim, time_point dueAt);
     void queueRead(const std::string &key, open_claim &claim);
     void removeFromQueues(const std::string &key, const open_claim &claim);
-    void eraseClaim(const std::string &key);
+    void eraseClaim(const std::string &key); // from memory only
     void cacheClaim(const std::string &key, const claim_row &row);
     void evictOldestCached();
 
@@ -214,7 +222,7 @@
     void tableAnswered();
     void tableFailed();
     void recordTableOutcome(write_outcome outcome);
-    void refuseUnsentClaims();
+    void refuseUnsentClaims(); // those without verdict that wait to be sent or read back
 
     void runDueWork();
     void timeOutClaims();
--- a/libs/delivery/flow_messages.h
+++ b/libs/delivery/flow_messages.h
@@ -4,6 +4,9 @@
 //             attempt_ended, claims_committed, claims_read, flow_tick, flow_drain_started
 //   actions   choose_upstream, forward_request, cancel_attempt, answer_caller, commit_claims,
 //             read_claims, scan_claims, increment_counter, flow_drained
+//
+// A claim is the right to run a request under its idempotency key, see claim_coordinator.h. The
+// entry makes the ids of requests, request_flow those of transactions and reads.
 #pragma once
 
 #include <chrono>
@@ -32,6 +35,8 @@
     std::string team;           // team of the caller, may be empty
     std::string idempotencyKey; // empty: none
     std::uint64_t bodyHash = 0; // stableHash of the body
+    // The caller's, or the entry's default. request_flow reduces it to at most
+    // flow_settings::maxRequestTime from the arrival.
     time_point deadline = Never;
 };
 
@@ -49,7 +54,7 @@
     error_kind kind = error_kind::NoUpstream;
 };
 
-// An answer that answer_check has found to be complete.
+// An answer that answer_check (base/answer_check.h) has found to be complete.
 struct complete_answer
 {
     int status = 200;
@@ -63,8 +68,10 @@
 {
     error_kind kind = error_kind::Internal;
     executed executionState = executed::Unknown; // what is certain about its execution
-    bool hasEnded = false;                       // the attempt is certainly no longer running
-    milliseconds retryAfter{0};                  // 0: use the default of `kind`
+    // The attempt is certainly no longer running. A request with an idempotent method may then be
+    // retried even if it may have been executed.
+    bool hasEnded = false;
+    milliseconds retryAfter{0}; // 0: use the default of `kind`
 };
 
 // No connection could be made, so no byte of the request was sent.
@@ -81,14 +88,16 @@
 struct attempt_timed_out
 { };
 
-// The upstream executed the request, but its answer exceeds the size limit.
+// The upstream executed the request, but its answer exceeds the entry's limit for the size of
+// answers.
 struct attempt_too_large
 { };
 
 using attempt_outcome = std::variant<complete_answer, attempt_refused, attempt_unreachable,
                                      attempt_disconnected, attempt_timed_out, attempt_too_large>;
 
-// Outcome of an attempt whose answer answer_check has rejected with `failure`.
+// Outcome of an attempt whose answer answer_check has rejected with `failure`. The entry calls it
+// when the body of a streamed answer has ended with an error.
 attempt_outcome outcomeOf(error_kind failure);
 
 // The head and the first part of a body that is too large to be stored have arrived and may be
@@ -107,14 +116,15 @@
     attempt_outcome outcome;
 };
 
-// Result of commit_claims; Unknown if the platform did not answer.
+// Result of commit_claims, whose transaction writes rows of claims or the row of the current era;
+// Unknown if the platform did not answer.
 struct claims_committed
 {
     std::string operationId; // of the transaction
     write_result result;
 };
 
-// Result of read_claims or scan_claims.
+// Result of read_claims or scan_claims: rows of claims, or the row of the current era.
 struct claims_read
 {
     std::string readId;
@@ -163,7 +173,8 @@
     std::string agentId;
 };
 
-// Pass the answer of this attempt on: as a whole, or as it arrives after answer_started.
+// Pass the answer of this attempt on: as a whole, or after answer_started its first part now and
+// the rest as it arrives.
 struct pass_answer
 {
     std::uint32_t attempt = 0;
@@ -186,20 +197,22 @@
 
 using caller_answer = std::variant<pass_answer, replay_answer, refuse_request>;
 
-// The only, final answer to a request.
+// Answer the request; returned once for each. No further action follows for the rest of a streamed
+// answer.
 struct answer_caller
 {
     std::string id;
     caller_answer answer;
 };
 
-// Commit in the platform's table; claims_committed follows.
+// Commit in the platform's table: rows of claims, the next era, or the removal of expired rows.
+// claims_committed follows.
 struct commit_claims
 {
     table_transaction transaction;
 };
 
-// Read these rows; claims_read follows.
+// Read these rows, of claims or of the current era; claims_read follows.
 struct read_claims
 {
     std::string readId;
@@ -213,7 +226,7 @@
     std::string prefix;
 };
 
-// Counters. Those with "by kind" are split by error kind.
+// What is counted. Counters marked "by kind" are split by error kind.
 enum class flow_counter {
     Arrived,            // requests that arrived
     Passed,             // complete answers passed on
@@ -223,11 +236,11 @@
     Refused,            // answered with an error; by kind
     Retried,            // retries; by kind of the failed attempt
     RetryDenied,        // retries refused by the retry budget; by kind of the failed attempt
-    StaleEvent,         // events of an earlier attempt or of an ended request
+    StaleEvent,         // events of an earlier attempt or step, or of an ended request
     DuplicateEvent,     // events that were processed before
     LateOutcome,        // outcomes that arrived after the caller was answered and decided a claim
-    ProceededUnclaimed, // idempotent requests forwarded without a claim
-    ClaimResent,        // rows of claims that had to be read back or written again
+    ProceededUnclaimed, // requests with an idempotent method that ran as no claim could be made
+    ClaimResent,        // rows of transactions that certainly or perhaps were not applied
     ClaimSwept,         // expired rows whose removal was sent
 };
 
@@ -239,7 +252,7 @@
 };
 
 // The drain is complete: no request is in flight, and the outcomes of all claims are stored or
-// drainTimeout is over. Returned once.
+// flow_settings::drainTimeout is over. Returned once.
 struct flow_drained
 {
     std::uint64_t recordsLost = 0; // claims whose outcome was not stored in time
@@ -249,6 +262,6 @@
         std::variant<choose_upstream, forward_request, cancel_attempt, answer_caller, commit_claims,
                      read_claims, scan_claims, increment_counter, flow_drained>;
 
-std::string_view nameOf(flow_counter counter);
+std::string_view nameOf(flow_counter counter); // part of the metric's name
 
 } // namespace zinniabarrow::delivery
--- a/libs/delivery/request_flow.cpp
+++ b/libs/delivery/request_flow.cpp
@@ -51,9 +51,9 @@
 }
 
 request_flow::request_flow(std::string entryId, flow_settings settings,
-                           retry_allowed_check isRetryPermitted, entry_alive_check isEntryAlive)
+                           retry_allowed_check isRetryAllowed, entry_alive_check isEntryAlive)
     : m_settings(settings)
-    , m_isRetryPermitted(std::move(isRetryPermitted))
+    , m_isRetryAllowed(std::move(isRetryAllowed))
     , m_claims(std::move(entryId), settings.claims, std::move(isEntryAlive))
 {
     // Two eras after its claim, a request is assumed to have ended. If it could still run, a repeat
@@ -312,7 +312,7 @@
         return false;
     if (request.arrived.deadline - m_now < m_settings.minRetryTime)
         return false;
-    if (!m_isRetryPermitted(kind)) {
+    if (!m_isRetryAllowed(kind)) {
         count(flow_counter::RetryDenied, kind);
         return false;
     }
--- a/libs/delivery/request_flow.h
+++ b/libs/delivery/request_flow.h
@@ -1,6 +1,7 @@
 // Processing of a caller's request in an entry: claim its key, choose an upstream, forward, retry,
-// answer. A claim is the right to run a request under its idempotency key; requests without a key
-// and those with a safe method need none.
+// answer. A claim is the right to run a request under its idempotency key; of the requests with one
+// key, at whichever entry, only one at a time has it. Requests without a key and those with a safe
+// method (GET, HEAD, OPTIONS) need none.
 //
 //   flow_settings   limits and timeouts
 //   request_flow    state machine for all requests of an entry
@@ -33,7 +34,8 @@
     std::uint32_t maxAttempts = 3;       // attempts of one request, including the first
     milliseconds minRetryTime{20};       // no retry if less time is left before the deadline
     milliseconds maxRequestTime{60'000}; // later deadlines are reduced to this
-    // How long an outcome that the claim needs is waited for after the caller was answered.
+    // How long the end of an attempt is waited for after the caller was refused as AnswerLate, or
+    // after the deadline of a streamed answer: its outcome is recorded in the claim.
     milliseconds lateOutcomeTimeout{30'000};
     // How long a drain waits for outcomes to be stored after the last request was answered.
     milliseconds drainTimeout{5'000};
@@ -44,7 +46,9 @@
 // one. If so, one retry is taken from the budget.
 using retry_allowed_check = std::function<bool(error_kind)>;
 
-// Whether an HTTP method has the same effect when it is executed once or several times.
+// Whether an HTTP method has the same effect when it is executed once or several times: the safe
+// methods, PUT and DELETE. Such requests may be retried although they may have been executed, and
+// run without a claim if none can be made.
 bool isIdempotent(std::string_view method);
 
 // Called by the entry with each event. Returns exactly one answer_caller for each request that
@@ -54,7 +58,8 @@
 {
 public:
     // `entryId` names this incarnation of the entry and must never be used by another one.
-    request_flow(std::string entryId, flow_settings settings, retry_allowed_check isRetryPermitted,
+    // `isEntryAlive`: see claim_coordinator.h.
+    request_flow(std::string entryId, flow_settings settings, retry_allowed_check isRetryAllowed,
                  entry_alive_check isEntryAlive);
 
     // Processes one event and returns the actions to carry out, in order.
@@ -63,10 +68,12 @@
     // Time at which a flow_tick is due; Never if nothing waits.
     time_point nextWake() const;
 
-    // Number of requests without a complete answer.
+    // Number of requests whose callers have no complete answer; a streamed answer is complete when
+    // its body has ended.
     std::size_t inFlight() const { return m_inFlight; }
     // Number of claims whose final state is not stored yet.
     std::size_t openClaims() const { return m_claims.openClaimCount(); }
+    // Bytes of stored answers that are kept in memory for replays.
     std::size_t cachedAnswerBytes() const { return m_claims.cachedBytes(); }
     bool isDraining() const { return m_isDraining; }
 
@@ -80,13 +87,13 @@
     {
         request_arrived arrived;
         step currentStep = step::Claiming;
-        bool holdsClaim = false;           // the outcome must be recorded in m_claims
+        bool holdsClaim = false;           // its claim is granted, and no outcome recorded yet
         bool mayHaveRun = false;           // one of its attempts may have been executed
         std::uint32_t attempt = 0;         // number of the last attempt
         std::string agentId;               // of the last attempt
         std::vector<std::string> excluded; // agents of earlier attempts
-        std::optional<refuse_request> lastRefusal;
-        time_point nextWakeAt = Never; // deadline, or end of lateOutcomeTimeout
+        std::optional<refuse_request> lastRefusal; // answered if no other upstream is found
+        time_point nextWakeAt = Never;             // deadline, or end of lateOutcomeTimeout
     };
 
     void on(const request_arrived &event);
@@ -128,7 +135,7 @@
     active_request *find(const std::string &id, step expected);
 
     flow_settings m_settings;
-    retry_allowed_check m_isRetryPermitted;
+    retry_allowed_check m_isRetryAllowed;
     claim_coordinator m_claims;
     std::map<std::string, active_request> m_requests;     // by request id
     std::set<std::pair<time_point, std::string>> m_wakes; // request ids by nextWakeAt
@@ -137,7 +144,8 @@
     std::size_t m_inFlight = 0;              // requests without a complete answer
     bool m_isDraining = false;
     bool m_isDrainReported = false;
-    time_point m_drainDeadline = Never; // set when the last request of a drain has been answered
+    // End of drainTimeout; Never until the last request of a drain has been answered.
+    time_point m_drainDeadline = Never;
     time_point m_now{};                 // time of the event that is being processed
     std::vector<flow_action> m_actions; // produced by the event that is being processed
 };
--- a/libs/jobs/model.h
+++ b/libs/jobs/model.h
@@ -24,7 +24,8 @@
     bool fitsInto(const task_size &room) const;
 };
 
-// One step of a job: tasks of the same kind that may run in parallel.
+// One step of a job: tasks of the same kind that may run in parallel. `checkpointing`,
+// `prefersSameRack`, `isSpeculative` and `maxUnavailable` are stored, but have no effect.
 struct step_spec
 {
     int count = 1;                    // number of tasks
@@ -37,13 +38,13 @@
     std::string requiredLabel;        // kind or rack that the worker must have; empty: any
     std::string dataRack;             // rack of the input data, slower elsewhere; empty: none
     int maxPerWorker = 0;             // limit of tasks on one worker; 0: none
-    bool isSpeculative = false;       // copies of one task may run in parallel
+    bool isSpeculative = false;       // the caller permits parallel copies of one task
     bool isLongRunning = false;       // tasks run until the job is cancelled
     std::string image;                // program image that the tasks run; empty: unknown
     std::int64_t latencyTargetMs = 0; // tail latency to stay below, ms; 0: no target
-    bool isBestEffort = false;        // reserves no processors, uses idle ones
-    // Limit of the tasks that the scheduler itself may make unavailable at a time; 0: not
-    // specified.
+    // Reserves no processors, uses idle ones; the millicores of `size` are only requested.
+    bool isBestEffort = false;
+    // Limit of the tasks that the scheduler itself may make unavailable at a time; 0: none given.
     int maxUnavailable = 0;
 };
 
@@ -52,7 +53,7 @@
 {
     std::string payload; // passed unchanged to each task
     std::vector<step_spec> steps;
-    int occurrences = 0;                // scheduled repetitions; 0: runs once, at once
+    int occurrences = 0;                // number of scheduled runs of the job; 0: one, at once
     std::int64_t firstOccurrenceMs = 0; // Unix time at which occurrence 0 is due, ms
     std::int64_t intervalMs = 0;        // time between occurrences, ms
 
@@ -64,10 +65,11 @@
 // `targetLatencyMs`.
 struct queue_policy
 {
-    std::string queue;                // queue name
-    std::string service;              // service whose workers run the tasks
-    int priority = 0;                 // 0 is the most urgent
-    int maxAttempts = 1;              // failed runs of one task after which the job fails
+    std::string queue;   // queue name
+    std::string service; // service whose workers run the tasks
+    int priority = 0;    // 0 is the most urgent
+    // Failed runs of one task after which the job fails; there is no limit for long-running tasks.
+    int maxAttempts = 1;
     double stretch = 1;               // objective: factor on the estimated critical path
     std::int64_t targetLatencyMs = 0; // objective: fixed part, ms
 };
@@ -100,14 +102,14 @@
 struct task_state
 {
     bool done = false;
-    int lastRun = 0;  // run number of the latest placement; 0: never placed
-    int failures = 0; // number of failed runs
-    std::string checkpoint;
-    // Runs that have not ended, as far as the owner knows. More than one: speculative copies. Those
-    // of a task that is done are redundant and are being stopped.
+    int lastRun = 0;        // run number of the latest placement; 0: never placed
+    int failures = 0;       // number of failed runs
+    std::string checkpoint; // text of the latest one, passed to the next run; empty: none
+    // Runs that have not ended, as far as the owner knows. A further run is placed only when there
+    // is none. Those of a task that is done are redundant and are being stopped.
     std::vector<placement> placements;
-    // Runs that ended with their worker's epoch but whose end was never reported. The report may
-    // still arrive, and each one counts once.
+    // Runs that ended with their worker's epoch but whose end was never reported, the newest few.
+    // The report may still arrive; then it is applied, a failure only once.
     std::vector<int> unreportedRuns = {};
 
     bool isWaiting() const { return !done && placements.empty(); }
@@ -115,6 +117,7 @@
 
 int countWaiting(const std::vector<task_state> &step); // number of tasks neither done nor placed
 
+// State of a job, as its caller is told.
 enum class job_state { Queued, Running, Completed, Failed, Cancelled };
 std::string_view nameOf(job_state state);
 bool isFinal(job_state state);
@@ -134,7 +137,9 @@
 struct job_record
 {
     owner_id owner;
-    std::string writeId; // unique id of the write that stored this content
+    // Unique id of the write that stored this content: by it, a lost answer of the store is
+    // recognized as the answer to a write that was applied.
+    std::string writeId;
     queue_policy policy;
     std::vector<step_spec> steps; // the payload is stored in a row of its own
     int occurrences = 0;
@@ -142,13 +147,14 @@
     std::int64_t intervalMs = 0;
     std::int64_t acceptedAtMs = 0; // Unix time, ms
     bool cancelled = false;
-    bool failed = false;
-    bool hasStarted = false; // a worker has started a run of some task
+    bool failed = false;     // a task has failed `policy.maxAttempts` times
+    bool hasStarted = false; // a worker has started a run of some task, as far as was reported
     std::vector<occurrence_tasks> tasks;
 
     task_state *find(const task_id &task); // null: no such task
     const task_state *find(const task_id &task) const;
-    bool hasRunAnyTask() const; // some task is done, failed, or has a checkpoint
+    // Some task is done, has a failed run or a checkpoint: proves a run even without hasStarted.
+    bool hasRunAnyTask() const;
     // True while a run of the task may start or continue.
     bool shouldRun(const task_state &task) const;
     bool isStepDone(int occurrence, int step) const;
--- a/libs/jobs/throttle_controller.h
+++ b/libs/jobs/throttle_controller.h
@@ -48,7 +48,7 @@
 {
     task_id task;
     int run = 0;
-    int percent = 100; // of full speed; 0: paused
+    int percent = 100; // of full speed: 100, or 0 for a pause
 };
 
 struct throttle_settings
@@ -56,23 +56,29 @@
     // For how long a serving run may miss its target before a pause begins. Users tolerate a late
     // answer or two, but not seconds of late answers.
     milliseconds maxLateTime{2200};
-    // A pause ends once a sample shows that it helped; samples lag by half a second. A serving run
-    // that is still late after the longest pause is late because of its own load.
+    // A pause ends once a sample shows that it helped; as a sample covers the last half second, it
+    // shows that late. A serving run that is still late after the longest pause is late because of
+    // its own load.
     milliseconds minPause{400};
     milliseconds maxPause{1300};
-    double defaultLoadPerCore = 0.03; // load by one core, for a pair of images never measured
-    // Lowest tail latency (the floor) as a fraction of the latency target, for an image never
+    // Load that each core in use by a best-effort image adds to a serving image, for two images
+    // never measured together. Loads and floors: see interference_estimator.h.
+    double defaultLoadPerCore = 0.03;
+    // Floor of the tail latency as a fraction of the latency target, for a serving image never
     // measured.
     double defaultFloorFraction = 0.17;
-    // The reported headroom is zero at a tail latency of this fraction of the target.
+    // The headroom, which the agent reports to the entries, is zero if the serving run's own load
+    // is expected to take its tail latency to this fraction of the target.
     double headroomTargetFraction = 0.9;
 };
 
+// An agent has one. Its worker_calls calls it after each poll of the worker.
 class throttle_controller
 {
 public:
     explicit throttle_controller(const throttle_settings &settings = {});
 
+    // The table that entries have estimated and send in their answers to the agent's reports.
     void setInterference(interference_table table) { m_interference = std::move(table); }
     // Called after each poll of the worker. Returns the runs whose speed has to change.
     std::vector<run_speed> decideSpeeds(const std::vector<serving_sample> &serving,
@@ -80,16 +86,17 @@
                                         time_point now);
     void noteConfirmed(const run_speed &speed); // the worker has applied it
     void forget(const task_id &task, int run);  // the run has ended
-    // One sample for each serving image: its tail latency, its best-effort neighbours and the
-    // change since the last call. Called every half second.
+    // One sample for each serving image with a latency target: its longest tail latency, the cores
+    // that its best-effort neighbours use, and the change of both since the last call. Called every
+    // half second.
     std::vector<interference_sample> takeSamples(const std::vector<serving_sample> &serving,
                                                  const std::vector<best_effort_run> &bestEffort);
-    // Cores in use by image.
+    // Cores in use by the runs of each best-effort image.
     std::map<std::string, double>
     coresByImage(const std::vector<best_effort_run> &bestEffort) const;
-    // The load that best-effort neighbours may add to a serving run until it reaches
-    // headroomTargetFraction of its target, given the peak of its own load that is expected within
-    // the next seconds.
+    // The load that all best-effort neighbours together may add to a serving run until its tail
+    // latency reaches headroomTargetFraction of its target, given the peak of its own load that is
+    // expected within the next seconds.
     double headroomOf(const serving_sample &sample,
                       const std::vector<best_effort_run> &bestEffort) const;
 
@@ -98,7 +105,7 @@
 
     struct late_run
     {
-        time_point lateSince{};   // start of the late period, or the end of the last pause
+        time_point lateSince{};   // since when it has been late without a pause
         time_point pausedAt = {}; // start of the current pause; 0: none
     };
 
--- a/libs/jobs/worker_lease.h
+++ b/libs/jobs/worker_lease.h
@@ -1,5 +1,10 @@
 // The agent's side of a worker's lease: which writes of the lease row are due, and under which
 // epoch tasks may start. Makes decisions only; the agent carries out the actions.
+//
+// The lease is the agent's right to let tasks run on its worker, and a row of the platform's store
+// (lease.h). The row's fence is a number that rises whenever the agent acquires the lease; orders
+// and calls with an earlier fence start no runs. Its epoch rises once all runs of the worker have
+// certainly ended.
 #pragma once
 
 #include <cstdint>
@@ -25,12 +30,13 @@
     std::int64_t expectedVersion = 0; // 0: the row must not exist
 };
 
-// The epoch is in the row: all runs placed under earlier epochs have ended. Tasks may start under
-// it if `isSettled`, which is false as long as no incarnation of the worker belongs to the epoch.
+// The row has this epoch: all runs placed under earlier epochs have ended. Tasks may start under it
+// if worker_lease::isSettled, which is false as long as the row names no incarnation of the worker:
+// the earlier one has ended, and the next one hasn't answered a poll.
 struct epoch_settled
 {
     std::int64_t epoch = 0;
-    bool isNew = false; // false: the epoch of an earlier incarnation of the agent continues
+    bool isNew = false; // false: the epoch that the row had when the fence was acquired continues
 };
 
 using lease_action = std::variant<read_lease, write_lease, epoch_settled>;
@@ -42,13 +48,15 @@
     explicit worker_lease(std::string agent);
 
     // Called for a new incarnation of the agent or of its worker. Once the next fence is written,
-    // orders that were placed in the earlier incarnation start no further runs.
+    // start orders that entries placed under an earlier one start no further runs.
     void acquireFence();
-    // Called every LeaseRenewInterval. `heldUntil`: the worker doesn't answer, and the last hold
-    // call lets its runs continue until then; the lease is not renewed beyond that.
+    // Called every LeaseRenewInterval. The agent lets the worker's runs continue by hold calls,
+    // each up to a deadline. `heldUntil` is the deadline of the last one, given while the worker
+    // doesn't answer and at the agent's end; the lease is not renewed beyond it.
     void renew(time_point now, std::optional<time_point> heldUntil = std::nullopt);
 
-    // Called for any answer of the store, with the reading of the store's clock, ms.
+    // Called for each answer of the store to a call sent at `sentAt`. `storeMs`: reading of the
+    // store's clock in it, ms; 0: none.
     void noteStoreClock(std::int64_t storeMs, time_point sentAt, time_point now);
 
     // --- outcomes of the actions
@@ -60,13 +68,14 @@
     // A poll was answered: this incarnation of the worker has `activeRuns` runs. Returns true if
     // all of them have to be stopped, as they belong to an epoch that has ended.
     bool reconcile(const std::string &workerIncarnation, std::size_t activeRuns, time_point now);
-    // All runs have certainly ended. `workerIncarnation` is the next one; empty: none yet.
+    // Called by the agent, and by reconcile(), when all runs of the worker have certainly ended.
+    // `workerIncarnation` is the next one; empty: none yet.
     void endEpoch(const std::string &workerIncarnation, time_point now);
 
     bool holdsFence() const { return m_phase == lease_phase::Held; }
     bool isSettled() const { return m_isSettled; } // tasks may start under the epoch
-    // The epoch has ended, and only this agent knows. Until the row says so, tasks that were placed
-    // on the worker wait for the lease to expire.
+    // The epoch has ended, and the row doesn't say so yet. If the agent ended now, the tasks that
+    // were placed on the worker could start elsewhere only once the lease has expired.
     bool hasUnwrittenEnd() const
     {
         return m_nextIncarnation.has_value() || (m_pendingWrite && m_pendingWrite->beginsEpoch);
@@ -75,7 +84,8 @@
     std::int64_t epoch() const { return m_row.epoch; }
     std::int64_t fence() const { return m_row.fence; }
     const std::string &workerIncarnation() const { return m_row.workerIncarnation; }
-    // Nothing is started, and no hold granted, beyond it.
+    // End of the lease on the agent's clock. No run is started after it, and no hold call lets runs
+    // continue beyond it.
     time_point validUntil() const { return m_validUntil; }
 
     std::vector<lease_action> takeActions();
--- a/libs/request/announcer.h
+++ b/libs/request/announcer.h
@@ -22,13 +22,17 @@
 
 struct announcer_settings
 {
-    std::vector<std::string> entries;  // addresses of all entries
-    std::size_t targetCount = 2;       // entries that receive the heartbeats of this agent
+    std::vector<std::string> entries; // addresses of all entries
+    // With more than announceToAllUpTo entries, so many receive the heartbeats of this agent. Which
+    // ones is chosen by announceTargets() in membership.h.
+    std::size_t targetCount = 2;
     std::size_t announceToAllUpTo = 3; // up to this many entries, all receive heartbeats
     milliseconds initialPeriod{1000};  // heartbeat period until an entry has replied with one
     milliseconds announcementRetryInterval{500}; // between announcements that are not acknowledged
-    int requestReplyAfterPeriods = 5; // periods without a reply until an announcement is sent
-    int replaceAfterPeriods = 7;      // periods without a reply until the entry is replaced
+    // Periods without a reply until announcements are sent instead of heartbeats. An entry replies
+    // to every announcement, but not to every heartbeat.
+    int requestReplyAfterPeriods = 5;
+    int replaceAfterPeriods = 7; // periods without a reply until the entry is replaced
     milliseconds unresponsiveRetryInterval{30 * 1000}; // between messages to a replaced entry
 };
 
@@ -43,9 +47,11 @@
         std::variant<announcement, heartbeat> message;
     };
 
-    // The incarnation in `self` must be higher than that of any earlier process of this agent. The
-    // wall clock at the start, in milliseconds, is sufficient: if it was set back, handleReply()
-    // raises the incarnation.
+    // The incarnation in `self` is the number of this process of the agent, and must be higher than
+    // that of any earlier one. The wall clock at the start, in milliseconds, is sufficient: if it
+    // was set back, an entry refuses the first announcement and names the number that it knows, and
+    // handleReply() raises the incarnation above that. Once an entry has accepted this process, a
+    // higher number means that a newer process exists, see isSuperseded().
     announcer(announcer_settings settings, announcement self);
 
     // Leaving is final: later changes of the state are ignored.
@@ -61,13 +67,15 @@
 
     // A newer process uses this agent's id: this one must stop serving and exit gracefully.
     bool isSuperseded() const { return m_isSuperseded; }
-    // Every entry has acknowledged the Leaving state or is unresponsive.
+    // Every entry of the settings has acknowledged the Leaving state or is unresponsive.
     bool isLeaveComplete() const;
-    // Addresses of the entries that messages are currently sent to.
+    // Addresses of the entries that are to receive this agent's messages now, without unresponsive
+    // ones that others replace. Those are still contacted every unresponsiveRetryInterval.
     std::vector<std::string> targets() const;
     const announcement &self() const { return m_self; }
 
 private:
+    // State of one entry of the settings, whether messages are sent to it at present or not.
     struct announce_target
     {
         bool isAnnouncementAcked = false; // acknowledged the current state and incarnation
@@ -75,7 +83,7 @@
         std::uint64_t ackableFromSequence = 0;
         time_point nextSendAt{};     // when the next message is due
         time_point lastReplyAt{};    // last reply, or the first message if there was no reply yet
-        bool hasSent = false;        // a message was sent since this entry became a target
+        bool hasSent = false;        // sent a message since messages to this entry are due
         bool isUnresponsive = false; // did not reply for replaceAfterPeriods; cleared by a reply
         milliseconds period{};       // between heartbeats, as requested by the entry
     };
@@ -89,7 +97,8 @@
     announcer_settings m_settings;
     announcement m_self;
     std::map<std::string, announce_target> m_targets; // all entries, by address
-    bool m_wasAccepted = false;                       // by any entry, in this incarnation
+    // An entry has accepted this incarnation, so a higher one is that of a newer process.
+    bool m_wasAccepted = false;
     bool m_isSuperseded = false;
 };
 
--- a/libs/request/retry_budget.h
+++ b/libs/request/retry_budget.h
@@ -20,7 +20,7 @@
 {
     double retriesPerRequest = 0.1;   // retries earned by each request
     double minRetriesPerSecond = 1.0; // retries earned per second, also without traffic
-    double maxSavedRetries = 20.0;    // capacity of the bucket
+    double maxSavedRetries = 20.0;    // capacity of the bucket; it starts with minRetriesPerSecond
     int maxAttempts = 3;              // attempts of one request, including the first
 };
 
@@ -39,16 +39,19 @@
 struct give_up
 {
     retry_denial denialReason = retry_denial::MayHaveRun;
-    error_kind kind = error_kind::Internal; // error to answer the caller with
+    // Error to answer the caller with: RetryBudgetSpent, or the kind of the failed attempt. The
+    // entry ignores it, as its request_flow chooses the answer.
+    error_kind kind = error_kind::Internal;
 };
 using retry_verdict = std::variant<retry_now, give_up>;
 
-// The attempt for which a retry is requested.
+// The attempt for which a retry is requested. The entry sets only the kind and a deadline of Never:
+// its request_flow has checked the number of attempts and the time left before.
 struct failed_attempt
 {
     error_kind kind = error_kind::Internal;
     int attempts = 1;        // made so far for this request
-    time_point deadline;     // of the caller
+    time_point deadline;     // of the request
     duration expectedTime{}; // expected duration of another attempt
 };
 
@@ -69,7 +72,7 @@
     // Adds retriesPerRequest tokens for a new request. Not called for retries.
     void requestStarted(time_point now);
 
-    // Decides on a retry; takes one token if the verdict is retry_now.
+    // Decides whether the failed attempt may be retried. Takes one token if so.
     retry_verdict requestRetry(const failed_attempt &failed, time_point now);
 
     double availableRetries() const { return m_tokens; }
--- a/libs/request/router.h
+++ b/libs/request/router.h
@@ -26,14 +26,17 @@
 {
     std::string zone;   // of this entry
     std::string region; // of this entry
-    // If the upstream chosen in the own zone has more requests per slot than this, other zones are
-    // considered. A slot is one of the requests that an upstream runs at the same time.
+    // If the upstream chosen in the own zone would have more requests per slot than this, other
+    // zones are considered. The requests that run or wait there are estimated; the new one counts
+    // as well. A slot is one of the requests that an upstream runs at the same time.
     double spillAboveLoad = 1.0;
-    milliseconds initialServiceTime{20};   // until an upstream has reported its service time
+    // Until an upstream has reported its service time, which is the half-life of its load reports.
+    milliseconds initialServiceTime{20};
     milliseconds slowStartTime{10 * 1000}; // until a new upstream gets its full share
     double slowStartShare = 0.1;           // share of a new upstream at the start, 1.0: full
-    int ejectAfterFailures = 5;            // consecutive failures
-    // Of a service's upstreams. With two or more, at least one may be ejected.
+    int ejectAfterFailures = 5;            // consecutive attempts with the outcome Failed
+    // Share of a service's upstreams that may be ejected at the same time. One of two or more may
+    // be, however small the share; the only one never is.
     double maxEjectedShare = 0.3;
     milliseconds initialCoolDown{2000};  // first ejection; doubled by each further one
     milliseconds maxCoolDown{60 * 1000}; // upper bound of the doubled cool-down
@@ -71,7 +74,8 @@
 enum class routing_outcome {
     Answered, // complete answer, whatever its HTTP status
     Refused,  // refused because of load or deadline, not executed
-    Leaving,  // refused with Draining or Starting, not executed: gets no requests for now
+    Leaving,  // refused with Draining or Starting, not executed: gets no requests until the
+              // upstream reports its load to an entry again
     Failed,   // unreachable, connection lost, or timed out
 };
 std::string_view nameOf(routing_outcome outcome);
@@ -88,18 +92,20 @@
 
 struct router_counters
 {
-    std::uint64_t ownZone = 0;     // requests sent to an upstream in the entry's zone
-    std::uint64_t ownRegion = 0;   // sent to another zone of the entry's region
-    std::uint64_t otherRegion = 0; // sent to another region
+    // Choices of an upstream, one for each attempt, by where it is.
+    std::uint64_t ownZone = 0;     // in the entry's zone
+    std::uint64_t ownRegion = 0;   // in another zone of the entry's region
+    std::uint64_t otherRegion = 0; // in another region
     std::uint64_t ejected = 0;
     std::uint64_t ejectionsCapped = 0;           // not ejected because of maxEjectedShare
     std::uint64_t readmitted = 0;                // ejected upstreams that were admitted again
-    std::map<error_kind, std::uint64_t> refused; // requests without a route, by error kind
+    std::map<error_kind, std::uint64_t> refused; // choices without a route, by error kind
     std::map<routing_outcome, std::uint64_t> endedAttempts; // by outcome
 };
 
-// Keeps the load and health of each routable upstream, and chooses one for each attempt. Called by
-// the entry. Not thread-safe.
+// Keeps the load and health of each upstream that membership reports as routable (Serving, and its
+// agent's heartbeats arrive), and chooses one for each attempt. Called by the entry. Not
+// thread-safe.
 class router
 {
 public:
@@ -118,7 +124,7 @@
     void attemptStarted(const route &upstream, time_point now);
     void attemptEnded(const routing_result &attempt, time_point now);
 
-    // Moving average over the answered attempts of a service; zero if there were none.
+    // Moving average of the latency of a service's answered attempts; zero if there were none.
     duration expectedLatency(const std::string &service) const;
 
     int upstreamCount(const std::string &service) const;
@@ -134,16 +140,16 @@
         announcement announced;
         locality proximity = locality::OwnZone;
         int ownAttempts = 0;          // running attempts of this entry
-        int reportedOthersLoad = 0;   // reported requests that are not this entry's
+        int reportedOthersLoad = 0;   // reported requests, running or waiting, less ownAttempts
         double averageOthersLoad = 0; // moving average of reportedOthersLoad
         time_point reportedAt{};      // time of the last load report
         duration serviceTime{};       // as reported
         time_point slowStartedAt{};   // when the slow start began
         time_point backOffUntil{};    // gets no requests until then because it refused one
-        bool isLeaving = false;       // refused an attempt with Draining or Starting
+        bool isLeaving = false;       // routing_outcome::Leaving, and no load reported since
         health state = health::Admitted;
         int consecutiveFailures = 0;
-        int consecutiveEjections = 0; // without a successful attempt in between
+        int consecutiveEjections = 0; // since the upstream was last readmitted
         time_point ejectedUntil{};    // end of the cool-down, while Ejected
     };
     using candidates = std::vector<upstream *>;
@@ -163,6 +169,7 @@
                      time_point now);
     upstream *pickBy(least_known_load, const std::string &service, const candidates &from,
                      time_point now);
+    // Share of a full load that the upstream gets: from slowStartShare up to 1.0.
     double slowStartFactor(const upstream &target, time_point now) const;
     double estimatedOthersLoad(const upstream &target, time_point now) const;
     double estimatedLoad(const upstream &target, time_point now) const;
