--- a/standins/batch.cpp
+++ b/standins/batch.cpp
@@ -100,7 +100,7 @@
     return json;
 }
 
-std::map<std::string, unsigned> taskStates(fleet &system, const std::string &job)
+std::map<std::string, unsigned> countTasksByState(fleet &system, const std::string &job)
 {
     std::map<std::string, unsigned> states;
     const auto prefix = job + "@";
--- a/standins/batch.h
+++ b/standins/batch.h
@@ -28,7 +28,7 @@
 Json::Value makeBatchConfig(const batch_options &options);
 
 // Number of tasks of the named job by state, summed over the shards of all entries that answer.
-std::map<std::string, unsigned> taskStates(fleet &system, const std::string &job);
+std::map<std::string, unsigned> countTasksByState(fleet &system, const std::string &job);
 
 // Merges the workers' traces and the entries' logs by time and checks them with
 // work::trace_checker. `isFinished`: all jobs had time to finish, so that a task that hasn't ended
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -58,8 +58,8 @@
     line("violations in the workers' trace", batch.violations.size());
     for (const auto &violation : batch.violations)
         fmt::print("  {}: {}\n", nameOf(violation.kind), violation.detail);
-    fmt::print("{:<34}{:>10.1f}\n", "p50 ms", percentile(result.milliseconds, 0.5));
-    fmt::print("{:<34}{:>10.1f}\n", "p99 ms", percentile(result.milliseconds, 0.99));
+    fmt::print("{:<34}{:>10.1f}\n", "p50 ms", percentile(result.latenciesMs, 0.5));
+    fmt::print("{:<34}{:>10.1f}\n", "p99 ms", percentile(result.latenciesMs, 0.99));
 }
 
 // Sends reads one after the other to `address` and returns their latencies in ms.
@@ -110,7 +110,7 @@
     if (tasks > 0)
         system.putFolderFile("20-lasting.json", makeBatchConfig(longRunning));
     const auto areAllRunning = [&] {
-        return tasks == 0 || taskStates(system, longRunning.job)["running"] == tasks;
+        return tasks == 0 || countTasksByState(system, longRunning.job)["running"] == tasks;
     };
     if (!waitUntil(areAllRunning, seconds(30)))
         throw error(error_kind::Internal, "not all tasks are running; see the logs");
@@ -149,7 +149,7 @@
     load_generator load(system, callers, result);
     std::thread runner([&] { load.run(); });
     while (load.completedRequests() < requests) {
-        const auto states = taskStates(system, season.job);
+        const auto states = countTasksByState(system, season.job);
         const auto done = states.find("done");
         fmt::print("\rrequests {:>6} of {}   batch tasks {:>4} of {}",
                    std::min(load.completedRequests(), requests), requests,
@@ -158,7 +158,8 @@
         std::this_thread::sleep_for(milliseconds(200));
     }
     runner.join();
-    waitUntil([&] { return taskStates(system, season.job)["done"] == BatchTasks; }, seconds(30));
+    waitUntil([&] { return countTasksByState(system, season.job)["done"] == BatchTasks; },
+              seconds(30));
     const auto guaranteeViolations = findGuaranteeViolations(system, result);
     batch_result batch;
     batch.finishedTasks = countTraced(system, "ended", season.job);
--- a/standins/load.cpp
+++ b/standins/load.cpp
@@ -147,7 +147,7 @@
         return reason;
     }
     ++m_result.answeredRequests;
-    m_result.milliseconds.push_back(latency.count());
+    m_result.latenciesMs.push_back(latency.count());
     if (response.header("Zb-Replayed") == "yes")
         ++m_result.replayedAnswers;
     if (!isMatchingAnswer(response, request, operation))
--- a/standins/load.h
+++ b/standins/load.h
@@ -37,7 +37,7 @@
     // Operations with an attempt that was reported as not executed.
     std::set<std::string> reportedNotExecuted;
     std::set<std::string> nonIdempotent; // operations that must not be executed twice
-    std::vector<double> milliseconds;    // latencies of answered requests
+    std::vector<double> latenciesMs;     // latencies of answered requests
 
     unsigned countRefusals() const;
     unsigned countRefusalsFor(const std::string &reason) const;
--- a/tests/process_config_test.cpp
+++ b/tests/process_config_test.cpp
@@ -214,7 +214,7 @@
         check(json["unreachable"].empty());
     });
     section("explain tells where a task is, and fails for an unknown task", [&] {
-        const auto states = taskStates(system, batch.job);
+        const auto states = countTasksByState(system, batch.job);
         check(!states.empty());
         std::string taskId;
         for (const auto &line : system.workerTrace()) {
--- a/tests/process_evict_test.cpp
+++ b/tests/process_evict_test.cpp
@@ -75,7 +75,7 @@
     section("every batch task ended once", [&] {
         check(waitUntil([&] { return countTraced(system, "ended", batch) == BatchTasks; },
                         WaitLimit));
-        check(waitUntil([&] { return taskStates(system, batch)["done"] == BatchTasks; },
+        check(waitUntil([&] { return countTasksByState(system, batch)["done"] == BatchTasks; },
                         WaitLimit));
         check(countTraced(system, "ended", batch) == BatchTasks);
     });
--- a/tests/process_shards_test.cpp
+++ b/tests/process_shards_test.cpp
@@ -179,7 +179,7 @@
         system.putFolderFile("30-watch.json", makeBatchConfig(watch));
         check(waitUntil([&] { return countTraced(system, "stopped", watch.job) == 11; },
                         WaitLimit));
-        check(taskStates(system, watch.job)["running"] == 1);
+        check(countTasksByState(system, watch.job)["running"] == 1);
         checkTraceClean(system);
     });
 }
--- a/tests/process_work_test.cpp
+++ b/tests/process_work_test.cpp
@@ -199,7 +199,8 @@
     });
     section("the table comes back: the ends are recorded, nothing ran twice", [&] {
         setPlatformDown(system, false);
-        check(waitUntil([&] { return taskStates(system, batch.job)["done"] == 8; }, WaitLimit));
+        check(waitUntil([&] { return countTasksByState(system, batch.job)["done"] == 8; },
+                        WaitLimit));
         check(countTraced(system, "started", "watch") == 8);
         checkEachEndedOnce(system, batch);
     });
@@ -224,7 +225,8 @@
         std::this_thread::sleep_for(milliseconds(9000));
         const auto started = countTraced(system, "started", batch.job) - before;
         setPlatformDown(system, false);
-        check(waitUntil([&] { return taskStates(system, batch.job)["done"] == 60; }, WaitLimit));
+        check(waitUntil([&] { return countTasksByState(system, batch.job)["done"] == 60; },
+                        WaitLimit));
         checkEachEndedOnce(system, batch);
         return started;
     };
@@ -270,7 +272,7 @@
     section("nothing starts once the job's tasks are cancelled", [&] {
         check(waitUntil(
                 [&] {
-                    const auto states = taskStates(system, batch.job);
+                    const auto states = countTasksByState(system, batch.job);
                     return states.count("running") == 0 && states.count("placed") == 0
                            && states.count("pending") == 0 && states.count("cancelling") == 0;
                 },
