--- a/bench/config_bench.cpp
+++ b/bench/config_bench.cpp
@@ -36,19 +36,19 @@
     return files;
 }
 
-void checkWhole(benchmark::State &state)
+void checkFolderOfJobs(benchmark::State &state)
 {
     const auto files = makeFolder(state.range(0));
     for (auto round : state) {
         std::ignore = round;
         const auto checked = checkFolder(files);
         if (!checked.isAcceptable())
-            state.SkipWithError("refused");
+            state.SkipWithError("the folder was refused");
     }
     state.counters["jobs"] = static_cast<double>(state.range(0));
 }
 
-void takeUpContent(benchmark::State &state)
+void parseContent(benchmark::State &state)
 {
     const auto checked = checkFolder(makeFolder(state.range(0)));
     const auto text = contentText({checked.mergedConfig, {}, {}});
@@ -59,8 +59,8 @@
     state.counters["bytes"] = static_cast<double>(text.size());
 }
 
-BENCHMARK(checkWhole)->Arg(100)->Arg(1000)->Arg(10'000)->Unit(benchmark::kMillisecond);
-BENCHMARK(takeUpContent)->Arg(100)->Arg(1000)->Arg(10'000)->Unit(benchmark::kMillisecond);
+BENCHMARK(checkFolderOfJobs)->Arg(100)->Arg(1000)->Arg(10'000)->Unit(benchmark::kMillisecond);
+BENCHMARK(parseContent)->Arg(100)->Arg(1000)->Arg(10'000)->Unit(benchmark::kMillisecond);
 
 } // namespace
 
--- a/examples/embedding.cpp
+++ b/examples/embedding.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-void print(const std::vector<admission::action> &actions)
+void printActions(const std::vector<admission::action> &actions)
 {
     for (const auto &action : actions) {
         if (const auto *start = std::get_if<admission::start>(&action)) {
             fmt::print("start {}\n", start->id);
         } else {
             const auto &refusal = std::get<admission::refuse>(action);
-            fmt::print("refuse {}: {}, come back in {} ms\n", refusal.id, nameOf(refusal.errorKind),
+            fmt::print("refuse {}: {}, retry after {} ms\n", refusal.id, nameOf(refusal.errorKind),
                        refusal.retryAfter.count());
         }
     }
@@ -38,13 +38,13 @@
 
     time_point now{};
     const auto submitRequest = [&](const std::string &id, milliseconds timeLimit) {
-        print(controller.handle(admission::arrived{id, "tickets", "families", 0, now + timeLimit},
-                                now));
+        printActions(controller.handle(
+                admission::arrived{id, "tickets", "families", 0, now + timeLimit}, now));
     };
     submitRequest("a", milliseconds(1000)); // the slot is free
     submitRequest("b", milliseconds(1000)); // waits in the queue
     submitRequest("c", milliseconds(5));    // can't be completed within 5 ms: refused immediately
     now += milliseconds(10);
-    print(controller.handle(admission::finished{"a", milliseconds(10)}, now)); // b starts
+    printActions(controller.handle(admission::finished{"a", milliseconds(10)}, now)); // b starts
     return 0;
 }
--- a/include/zinniabarrow/zinniabarrow.h
+++ b/include/zinniabarrow/zinniabarrow.h
@@ -1,8 +1,8 @@
 // The zinniabarrow library: the coordination parts, without any I/O.
 //
-// Each part is given an event and the current time `now`, and returns actions for the embedding
-// program to execute. The parts have no clock, socket, thread or global random generator; the
-// embedding program provides those. See examples/embedding.cpp.
+// Each part takes an event and the current time `now`, and returns actions that the embedding
+// program executes. The parts have no clock, socket, thread or global random generator; the program
+// provides those. See examples/embedding.cpp.
 #pragma once
 
 // Shared basics: time, errors and their answers, names, hashing, random numbers.
@@ -42,8 +42,7 @@
 #include "work/trace_checker.h"
 #include "work/usage.h"
 
-// Configuration: the operators' folder as increasing generations, and the slice of it for one
-// agent.
+// Configuration: the operators' folder as numbered generations, and the slice of it for one agent.
 #include "config/content_slice.h"
 #include "config/generation_follower.h"
 #include "config/generations.h"
--- a/standins/batch.h
+++ b/standins/batch.h
@@ -16,18 +16,20 @@
 {
     std::string job = "season";
     int tasks = 40;
-    int runMs = 300; // run time of one task
-    std::string failover = "lease";
-    std::int64_t millicores = 2000;
-    std::int64_t bytes = 4'000'000'000;
+    int runMs = 300;                    // run time of one task
+    std::string failover = "lease";     // or "proof", see failover_class
+    std::int64_t millicores = 2000;     // of each task
+    std::int64_t bytes = 4'000'000'000; // of each task
     std::string priority = "normal";
 };
 
-// The configuration file with the team, the pool and the fleet's service, which every folder needs.
+// Content of the configuration file with the team, the pool and the fleet's service, which every
+// folder needs.
 Json::Value makeBaseConfig(const fleet_options &options);
+// Content of a configuration file with one batch job.
 Json::Value makeBatchConfig(const batch_options &options);
 
-// Number of tasks of the named job by state, summed over the shards of all entries that answer.
+// Number of tasks of the named job by state, summed over the shards of all running entries.
 std::map<std::string, unsigned> countTasksByState(fleet &system, const std::string &job);
 
 // Merges the workers' traces and the entries' logs by time and checks them with
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -1,11 +1,11 @@
-// zinniabarrow_demo: runs a complete system on loopback, at the size of Mtkvari's deployment, and
-// demonstrates its features.
+// zinniabarrow_demo: runs a complete system on loopback, as large as the deployment of the operator
+// Mtkvari, and demonstrates its features.
 //
 //   1. start: platform, 11 workers with upstreams and agents, 3 entries, as separate processes
 //   2. configuration: submits a folder with a team, a pool, a service and a batch job
-//   3. load: callers read, hold and buy through all entries, and repeat some purchases at another
-//   4. batch: its tasks run beside the service under leases; each finishes exactly once
-//   5. table: prints the outcomes; exit code 0 only if no guarantee was violated
+//   3. load: callers read and purchase through all entries, and repeat some purchases at another
+//   4. batch: the tasks of the job run beside the service under leases; each finishes exactly once
+//   5. results: prints a table of the outcomes; exit code 0 only if no guarantee was violated
 #include <algorithm>
 #include <cstdio>
 #include <thread>
@@ -24,7 +24,8 @@
 
 namespace {
 
-// Keyed purchases write two rows each, and the platform accepts several hundred rows a second.
+// A purchase with an idempotency key writes two rows, and the platform stand-in accepts 500 rows a
+// second.
 constexpr unsigned RequestsPerSecond = 300;
 constexpr unsigned BatchTasks = 100;
 
@@ -44,13 +45,13 @@
     };
     fmt::print("\n");
     line("requests", result.sentRequests);
-    line("answered whole", result.answeredRequests);
-    line("  of these from a kept answer", result.replayedAnswers);
-    line("repeats told to come back", result.inProgressAnswers);
+    line("complete answers", result.answeredRequests);
+    line("  of these replayed", result.replayedAnswers);
+    line("repeats refused as in progress", result.inProgressAnswers);
     for (const auto &[reason, count] : result.refusedByReason)
         line("refused: " + reason, count);
-    line("answers that were not their own", result.wrongAnswers);
-    line("broken promises at the upstreams", guaranteeViolations.size());
+    line("wrong or incomplete answers", result.wrongAnswers);
+    line("guarantee violations", guaranteeViolations.size());
     for (const auto &guaranteeViolation : guaranteeViolations)
         fmt::print("  {}\n", guaranteeViolation);
     line("batch tasks finished", batch.finishedTasks);
@@ -90,7 +91,7 @@
                    percentile(times, 0.99));
     };
     fmt::print("\n{:<34}{:>10}{:>10}\n", "one read at a time", "p50 ms", "p99 ms");
-    row("straight to an upstream", direct);
+    row("directly to an upstream", direct);
     row("through entry and agent", forwarded);
 }
 
@@ -114,7 +115,7 @@
     };
     if (!waitUntil(areAllRunning, seconds(30)))
         throw error(error_kind::Internal, "not all tasks are running; see the logs");
-    std::this_thread::sleep_for(seconds(5)); // the initial announcements have been sent
+    std::this_thread::sleep_for(seconds(5)); // until the initial announcements are sent
     fmt::print("{} workers, {} entries, {} tasks, {} s\n", options.workers, options.entries, tasks,
                observedTime.count());
     printIdleCost(system, observedTime);
@@ -171,7 +172,7 @@
             batch.finishedTasks == BatchTasks && batch.violations.empty()
             && result.wrongAnswers == 0 && guaranteeViolations.empty()
             && result.answeredRequests + result.inProgressAnswers == result.sentRequests;
-    fmt::print("\n{}\n", hasSucceeded ? "every promise was kept" : "FAILED: see the table");
+    fmt::print("\n{}\n", hasSucceeded ? "all guarantees were kept" : "FAILED: see the table");
     return hasSucceeded ? 0 : 1;
 }
 
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -52,7 +52,7 @@
            + std::to_string(1 + (pid & 255U) % 254);
 }
 
-Json::Value listenOn(const std::string &address)
+Json::Value listenSettings(const std::string &address)
 {
     const auto parsed = parseAddress(address);
     Json::Value listen(Json::objectValue);
@@ -95,17 +95,17 @@
 // Runs between fork and exec, so it only makes calls that are safe after the fork of a threaded
 // process.
 //
-// PR_SET_PDEATHSIG: a test that crashes ends without running its destructors. Its processes would
-// stay, and after a few such tests no threads would be left to start another fleet. So the kernel
-// kills the child when the test ends.
-[[noreturn]] void executeProgram(const exec_parameters &start, char *const *arguments)
+// PR_SET_PDEATHSIG: the kernel kills the child when the test ends. A test that crashes runs no
+// destructors; its processes would stay, and after a few such tests the machine would have no
+// threads left for another fleet.
+[[noreturn]] void executeProgram(const exec_parameters &parameters, char *const *arguments)
 {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != start.parent) // the parent ended before prctl
+    if (getppid() != parameters.parent) // the parent ended before prctl
         _exit(127);
     redirectDescriptor(0, "/dev/null", O_RDONLY);
-    redirectDescriptor(1, start.outFile, O_WRONLY | O_CREAT | O_APPEND);
-    redirectDescriptor(2, start.errorFile, O_WRONLY | O_CREAT | O_APPEND);
+    redirectDescriptor(1, parameters.outFile, O_WRONLY | O_CREAT | O_APPEND);
+    redirectDescriptor(2, parameters.errorFile, O_WRONLY | O_CREAT | O_APPEND);
     sigset_t noSignals;
     sigemptyset(&noSignals);
     sigprocmask(SIG_SETMASK, &noSignals, nullptr);
@@ -113,7 +113,7 @@
     close_range(FirstClosedDescriptor, ~0U, CLOSE_RANGE_CLOEXEC);
     execv(arguments[0], arguments);
     const int errorNumber = errno;
-    const auto written = write(start.errorPipeEnd, &errorNumber, sizeof errorNumber);
+    const auto written = write(parameters.errorPipeEnd, &errorNumber, sizeof errorNumber);
     _exit(written > 0 ? 127 : 126);
 }
 
@@ -274,9 +274,9 @@
     return process.substr(0, dash) == "entry" ? entryRpcAddress(index) : agentAddress(index);
 }
 
-std::string fleet::linkedAddress(const std::string &overrides, const std::string &to) const
+std::string fleet::linkedAddress(const std::string &from, const std::string &to) const
 {
-    const auto found = m_links.find({overrides, to});
+    const auto found = m_links.find({from, to});
     return found == m_links.end() ? addressOf(to) : found->second->address();
 }
 
@@ -288,9 +288,9 @@
                                                parseAddress(addressOf(ends.to)));
 }
 
-link &fleet::linkBetween(const std::string &overrides, const std::string &to)
+link &fleet::linkBetween(const std::string &from, const std::string &to)
 {
-    return *m_links.at({overrides, to});
+    return *m_links.at({from, to});
 }
 
 std::string fleet::workerId(unsigned index) const
@@ -305,8 +305,8 @@
     return path;
 }
 
-std::unique_ptr<child_process> fleet::start(const std::string &name,
-                                            const std::vector<std::string> &command) const
+std::unique_ptr<child_process> fleet::startProcess(const std::string &name,
+                                                   const std::vector<std::string> &command) const
 {
     return std::make_unique<child_process>(command, m_scratchFolder + "/" + name + ".out",
                                            m_scratchFolder + "/" + name + ".err");
@@ -314,8 +314,8 @@
 
 void fleet::startPlatform()
 {
-    m_platform = start("platform", {m_options.binaries + "/zinniabarrow_standin", "platform",
-                                    "--listen", platformAddress()});
+    m_platform = startProcess("platform", {m_options.binaries + "/zinniabarrow_standin", "platform",
+                                           "--listen", platformAddress()});
 }
 
 void fleet::startWorker(unsigned index)
@@ -324,10 +324,10 @@
     const auto traceFile = m_scratchFolder + "/" + id + ".out";
     if (std::find(m_traceFiles.begin(), m_traceFiles.end(), traceFile) == m_traceFiles.end())
         m_traceFiles.push_back(traceFile); // a restarted worker appends to the same file
-    m_workers.at(index) = start(id, {m_options.binaries + "/zinniabarrow_standin", "worker",
-                                     "--listen", workerAddress(index), "--id", id, "--millicores",
-                                     std::to_string(m_options.millicores), "--bytes",
-                                     std::to_string(m_options.bytes)});
+    m_workers.at(index) = startProcess(id, {m_options.binaries + "/zinniabarrow_standin", "worker",
+                                            "--listen", workerAddress(index), "--id", id,
+                                            "--millicores", std::to_string(m_options.millicores),
+                                            "--bytes", std::to_string(m_options.bytes)});
 }
 
 void fleet::startUpstream(unsigned index)
@@ -343,7 +343,7 @@
                                         std::to_string(m_options.upstreamWorkMs)};
     if (m_options.hasInterference)
         command.insert(command.end(), {"--worker", workerAddress(index)});
-    m_upstreams.at(index) = start(id, command);
+    m_upstreams.at(index) = startProcess(id, command);
 }
 
 void fleet::startEntry(unsigned index)
@@ -353,8 +353,8 @@
     settings["id"] = name;
     settings["region"] = m_options.region;
     settings["zone"] = m_options.zones[index % m_options.zones.size()];
-    settings["listen"] = listenOn(entryAddress(index));
-    settings["rpc"] = listenOn(entryRpcAddress(index));
+    settings["listen"] = listenSettings(entryAddress(index));
+    settings["rpc"] = listenSettings(entryRpcAddress(index));
     settings["peers"] = Json::Value(Json::arrayValue);
     for (unsigned peer = 0; peer < m_options.entries; ++peer) {
         if (peer != index)
@@ -365,7 +365,7 @@
     merge(settings, m_options.entrySettings);
     const auto file = writeSettings(name, settings);
     m_entries.at(index) =
-            start(name, {m_options.binaries + "/zinniabarrow", "entry", "--settings", file});
+            startProcess(name, {m_options.binaries + "/zinniabarrow", "entry", "--settings", file});
 }
 
 Json::Value fleet::agentSettings(unsigned index) const
@@ -376,7 +376,7 @@
     settings["region"] = m_options.region;
     settings["zone"] = m_options.zones[index % m_options.zones.size()];
     settings["rack"] = "rack-" + std::to_string(index / WorkersPerRack);
-    settings["listen"] = listenOn(agentAddress(index));
+    settings["listen"] = listenSettings(agentAddress(index));
     if (m_links.count({"entries", name}) > 0)
         settings["listen"]["advertise"] = linkedAddress("entries", name);
     settings["entries"] = Json::Value(Json::arrayValue);
@@ -400,16 +400,16 @@
     const auto name = "agent-" + std::to_string(index);
     const auto file = writeSettings(name, agentSettings(index));
     m_agents.at(index) =
-            start(name, {m_options.binaries + "/zinniabarrow", "agent", "--settings", file});
+            startProcess(name, {m_options.binaries + "/zinniabarrow", "agent", "--settings", file});
 }
 
 std::unique_ptr<child_process> fleet::startDuplicateAgent(unsigned index) const
 {
     const auto name = "agent-" + std::to_string(index) + "-twin";
     auto settings = agentSettings(index);
-    settings["listen"] = listenOn(address(DuplicateAgentPort + static_cast<int>(index)));
+    settings["listen"] = listenSettings(address(DuplicateAgentPort + static_cast<int>(index)));
     const auto file = writeSettings(name, settings);
-    return start(name, {m_options.binaries + "/zinniabarrow", "agent", "--settings", file});
+    return startProcess(name, {m_options.binaries + "/zinniabarrow", "agent", "--settings", file});
 }
 
 void fleet::startAll()
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -79,7 +79,8 @@
     std::int64_t millicores = 16'000;    // of each worker
     std::int64_t bytes = 60'000'000'000; // of each worker
     int upstreamWorkMs = 5;              // service time of one request at the upstream, ms
-    // Tasks slow the upstream of their worker, as its fault "noise" says.
+    // Upstreams are slowed by the tasks of their worker, see the fault "noise" of the worker
+    // stand-in.
     bool hasInterference = false;
     Json::Value entrySettings{Json::objectValue}; // merged over the defaults
     Json::Value agentSettings{Json::objectValue}; // merged over the defaults
@@ -87,8 +88,12 @@
     std::vector<link_ends> links; // created before the processes start
 };
 
-// The processes of each role are addressed by index. Each fleet uses its own loopback address, so
-// that tests that run concurrently never share a port.
+// Starts the processes and kills them when it is destroyed. The processes of each role are
+// addressed by index. Each fleet uses its own loopback address, so that tests that run concurrently
+// never share a port.
+//
+// Settings, logs and traces are written to a scratch folder, which is removed with the fleet unless
+// the environment variable ZINNIABARROW_KEEP_SCRATCH is set.
 class fleet
 {
 public:
@@ -104,7 +109,7 @@
     void startUpstream(unsigned index);
     void startEntry(unsigned index);
     void startAgent(unsigned index);
-    // Starts a second agent with the same id, upstream and worker on another port.
+    // Starts a second agent on another port, with the id, upstream and worker of agent `index`.
     std::unique_ptr<child_process> startDuplicateAgent(unsigned index) const;
     void waitForEntry(unsigned index); // until it is ready; on timeout throws with its log
 
@@ -122,14 +127,15 @@
     std::string entryRpcAddress(unsigned index) const; // for other processes and operators
     std::string agentAddress(unsigned index) const;
 
-    // A link of fleet_options::links. Throws std::out_of_range when it isn't one of these.
+    // One of fleet_options::links. Throws std::out_of_range when there is no such link.
     link &linkBetween(const std::string &from, const std::string &to);
 
     const fleet_options &options() const { return m_options; }
     const std::string &scratchFolder() const { return m_scratchFolder; }
     std::string workerId(unsigned index) const;
 
-    // Posts to a stand-in's /fault route. Throws std::runtime_error when it doesn't answer.
+    // Posts to /fault of the stand-in at `address`. Throws std::runtime_error if it does not
+    // answer.
     void setFault(const std::string &address, const Json::Value &fault);
     std::string getText(const std::string &address, const std::string &target);
     Json::Value getJson(const std::string &address, const std::string &target);
@@ -150,8 +156,8 @@
     void createLinks();
     Json::Value agentSettings(unsigned index) const;
     std::string writeSettings(const std::string &name, const Json::Value &settings) const;
-    std::unique_ptr<child_process> start(const std::string &name,
-                                         const std::vector<std::string> &command) const;
+    std::unique_ptr<child_process> startProcess(const std::string &name,
+                                                const std::vector<std::string> &command) const;
 
     fleet_options m_options;
     std::string m_loopbackAddress;
--- a/standins/idle.cpp
+++ b/standins/idle.cpp
@@ -41,9 +41,9 @@
 {
     const std::string prefix = "voluntary_ctxt_switches:";
     double sum = 0;
-    std::error_code ended;
+    std::error_code ignored;
     const auto tasks = "/proc/" + std::to_string(process) + "/task";
-    for (const auto &thread : std::filesystem::directory_iterator(tasks, ended)) {
+    for (const auto &thread : std::filesystem::directory_iterator(tasks, ignored)) {
         std::ifstream file(thread.path() / "status");
         std::string line;
         while (std::getline(file, line)) {
@@ -116,9 +116,9 @@
     fmt::print("{:<48}{:>10.2f}{:>10.2f}\n", "processor, % of a core",
                Percent * sum.ticks / ticksPerSecond / processSeconds,
                Percent * maxTicks / ticksPerSecond / observedTime);
-    fmt::print("{:<48}{:>10.0f}\n", "wake-ups a second", sum.wakeups / processSeconds);
-    fmt::print("{:<48}{:>10.0f}{:>10.0f}\n", "control, B/s", totalBytes(sum) / processSeconds,
-               maxBytes / observedTime);
+    fmt::print("{:<48}{:>10.0f}\n", "wake-ups per second", sum.wakeups / processSeconds);
+    fmt::print("{:<48}{:>10.0f}{:>10.0f}\n", "control messages, B/s",
+               totalBytes(sum) / processSeconds, maxBytes / observedTime);
     for (const auto &[kind, bytes] : sum.bytes)
         fmt::print("  {:<46}{:>10.0f}\n", kind, bytes / processSeconds);
 }
--- a/standins/link.cpp
+++ b/standins/link.cpp
@@ -31,7 +31,7 @@
 {
     const int handle = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | flags, 0);
     if (handle < 0)
-        throw std::runtime_error("link: no socket");
+        throw std::runtime_error("link: cannot create a socket");
     const int enabled = 1;
     setsockopt(handle, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
     setsockopt(handle, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
@@ -53,8 +53,8 @@
     m_isStopping = true;
     m_relayThread.join();
     closeListener();
-    for (const auto &each : m_connections)
-        closeConnection(each, true);
+    for (const auto &relayed : m_connections)
+        closeConnection(relayed, true);
 }
 
 void link::setState(link_state state, milliseconds delay)
@@ -75,8 +75,8 @@
         if (state == link_state::Blackholed || state == link_state::Cut)
             continue;
         acceptConnection();
-        for (auto &each : m_connections)
-            relayBothWays(each, state);
+        for (auto &relayed : m_connections)
+            relayBothWays(relayed, state);
         removeBrokenConnections();
     }
 }
@@ -85,8 +85,8 @@
 {
     if (state == link_state::Cut) {
         closeListener();
-        for (const auto &each : m_connections)
-            closeConnection(each, true);
+        for (const auto &relayed : m_connections)
+            closeConnection(relayed, true);
         m_connections.clear();
     } else if (m_listener < 0) {
         openListener();
@@ -111,7 +111,8 @@
     m_listener = -1;
 }
 
-// When the target refuses the connection, the caller's is reset: the relay has accepted it already.
+// The caller's connection is accepted before the target's is made, so it is reset when the target
+// refuses.
 void link::acceptConnection()
 {
     const int caller = accept4(m_listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -120,9 +121,9 @@
     connection accepted;
     accepted.caller = caller;
     accepted.target = newSocket(0);
-    const auto boundAddress = socketAddressOf(m_target);
-    if (connect(accepted.target, reinterpret_cast<const sockaddr *>(&boundAddress),
-                sizeof boundAddress)
+    const auto targetAddress = socketAddressOf(m_target);
+    if (connect(accepted.target, reinterpret_cast<const sockaddr *>(&targetAddress),
+                sizeof targetAddress)
         != 0) {
         closeConnection(accepted, true);
         return;
@@ -136,23 +137,23 @@
     std::vector<pollfd> descriptors;
     if (state != link_state::Blackholed && state != link_state::Cut) {
         descriptors.push_back({m_listener, POLLIN, 0});
-        for (const auto &each : m_connections) {
-            if (!each.requests.isSourceClosed && each.requests.unsentBytes.empty())
-                descriptors.push_back({each.caller, POLLIN, 0});
-            if (!each.answers.isSourceClosed && each.answers.unsentBytes.empty())
-                descriptors.push_back({each.target, POLLIN, 0});
+        for (const auto &relayed : m_connections) {
+            if (!relayed.requests.isSourceClosed && relayed.requests.unsentBytes.empty())
+                descriptors.push_back({relayed.caller, POLLIN, 0});
+            if (!relayed.answers.isSourceClosed && relayed.answers.unsentBytes.empty())
+                descriptors.push_back({relayed.target, POLLIN, 0});
         }
     }
     poll(descriptors.data(), descriptors.size(), PollTimeoutMs);
 }
 
-void link::relayBothWays(connection &each, link_state state)
+void link::relayBothWays(connection &relayed, link_state state)
 {
-    relayOneWay(each.requests, each.caller, each.target, false, each.isBroken);
-    relayOneWay(each.answers, each.target, each.caller, state == link_state::AnswersDropped,
-                each.isBroken);
-    if (each.requests.isCloseForwarded && each.answers.isCloseForwarded)
-        each.isBroken = true;
+    relayOneWay(relayed.requests, relayed.caller, relayed.target, false, relayed.isBroken);
+    relayOneWay(relayed.answers, relayed.target, relayed.caller,
+                state == link_state::AnswersDropped, relayed.isBroken);
+    if (relayed.requests.isCloseForwarded && relayed.answers.isCloseForwarded)
+        relayed.isBroken = true;
 }
 
 void link::relayOneWay(relay_buffer &buffer, int from, int to, bool shouldDiscard,
@@ -185,10 +186,10 @@
     }
 }
 
-void link::closeConnection(const connection &each, bool reset) const
+void link::closeConnection(const connection &relayed, bool reset) const
 {
-    const linger lingerNow{1, 0};
-    for (const int side : {each.caller, each.target}) {
+    const linger lingerNow{1, 0}; // close() then sends a reset
+    for (const int side : {relayed.caller, relayed.target}) {
         if (reset)
             setsockopt(side, SOL_SOCKET, SO_LINGER, &lingerNow, sizeof lingerNow);
         close(side);
@@ -197,10 +198,10 @@
 
 void link::removeBrokenConnections()
 {
-    std::erase_if(m_connections, [this](const connection &each) {
-        if (each.isBroken)
-            closeConnection(each, false);
-        return each.isBroken;
+    std::erase_if(m_connections, [this](const connection &relayed) {
+        if (relayed.isBroken)
+            closeConnection(relayed, false);
+        return relayed.isBroken;
     });
 }
 
--- a/standins/link.h
+++ b/standins/link.h
@@ -52,7 +52,7 @@
         int target = -1;
         relay_buffer requests;
         relay_buffer answers;
-        bool isBroken = false;
+        bool isBroken = false; // failed, or closed in both directions
     };
 
     void run();
@@ -61,10 +61,10 @@
     void closeListener();
     void acceptConnection();
     void waitForInput(link_state state);
-    void relayBothWays(connection &each, link_state state);
+    void relayBothWays(connection &relayed, link_state state);
     void relayOneWay(relay_buffer &buffer, int from, int to, bool shouldDiscard,
                      bool &isConnectionBroken);
-    void closeConnection(const connection &each, bool reset) const;
+    void closeConnection(const connection &relayed, bool reset) const;
     void removeBrokenConnections();
 
     const socket_address m_listen;
@@ -74,7 +74,7 @@
     std::atomic<milliseconds::rep> m_delayMs{0};
     std::atomic<unsigned> m_acceptedConnections{0};
     std::atomic<bool> m_isStopping{false};
-    // Both are used by the relay thread only.
+    // While the relay thread runs, only it uses these two.
     int m_listener = -1;
     std::vector<connection> m_connections;
     std::thread m_relayThread;
--- a/standins/load.cpp
+++ b/standins/load.cpp
@@ -93,7 +93,7 @@
             if (kind < 9)
                 purchase.headers["Idempotency-Key"] = operation;
             sendRequest(entry, purchase, operation);
-            if (kind == 8) // as a load balancer that retries at another entry
+            if (kind == 8) // as a load balancer does that retries at another entry
                 repeatWhileInProgress((entry + 1) % entries, purchase, operation);
         }
         ++m_completedRequests;
@@ -174,19 +174,20 @@
     auto executionCounts = countExecutions(system);
     for (const auto &operation : result.nonIdempotent) {
         if (executionCounts[operation] > 1)
-            violations.push_back(operation + " ran " + std::to_string(executionCounts[operation])
-                                 + " times");
+            violations.push_back(operation + " was executed "
+                                 + std::to_string(executionCounts[operation]) + " times");
     }
     for (const auto &operation : result.reportedNotExecuted) {
         if (result.mayHaveExecuted.count(operation) == 0 && executionCounts[operation] > 0)
-            violations.push_back(operation + " ran although the answer said it had not");
+            violations.push_back(operation + " was executed although reported as not executed");
     }
     for (unsigned index = 0; index < system.options().workers; ++index) {
         if (!system.upstream(index) || !system.upstream(index)->isRunning())
             continue;
         const auto executions = system.getJson(system.upstreamAddress(index), "/executions");
         if (executions["overruns"].asUInt() > 0)
-            violations.push_back("upstream " + std::to_string(index) + " had more than its slots");
+            violations.push_back("upstream " + std::to_string(index)
+                                 + " had more concurrent requests than slots");
     }
     return violations;
 }
--- a/standins/load.h
+++ b/standins/load.h
@@ -15,8 +15,10 @@
 
 struct load_options
 {
-    unsigned requests = 600;     // first attempts; repeats are added
-    unsigned perSecond = 150;    // keyed ones write two rows; the platform takes several hundred/s
+    unsigned requests = 600; // first attempts; repeats are added
+    // First attempts, over all callers. A request with an idempotency key writes two rows, and the
+    // platform stand-in accepts 500 rows a second by default.
+    unsigned perSecond = 150;
     unsigned callers = 24;       // threads
     milliseconds deadline{5000}; // of each request
     std::string prefix = "op";   // of operation names
@@ -43,6 +45,7 @@
     unsigned countRefusalsFor(const std::string &reason) const;
 };
 
+// Sends the requests of `options` and adds their outcomes to `result`.
 class load_generator
 {
 public:
@@ -52,7 +55,8 @@
     void run();
     unsigned completedRequests() const { return m_completedRequests; }
 
-    // Sends one request. Returns the reason of its refusal, empty when the complete answer arrived.
+    // Sends one request of `operation`, which identifies it in the counts. Returns the reason of
+    // the refusal or failure, empty when an answer arrived.
     std::string sendRequest(unsigned entry, http_request request, const std::string &operation);
 
 private:
--- a/standins/main.cpp
+++ b/standins/main.cpp
@@ -26,9 +26,9 @@
                                         "ip:port", command);
     TCLAP::ValueArg<std::string> id("", "id", "name in answers and traces", false, kind, "name",
                                     command);
-    TCLAP::ValueArg<int> workMs("", "work-ms", "upstream: time of one request", false, 5, "ms",
-                                command);
-    TCLAP::ValueArg<unsigned> writes("", "writes", "platform: rows written a second", false, 500,
+    TCLAP::ValueArg<int> workMs("", "work-ms", "upstream: service time of a request", false, 5,
+                                "ms", command);
+    TCLAP::ValueArg<unsigned> writes("", "writes", "platform: rows accepted per second", false, 500,
                                      "rows", command);
     TCLAP::ValueArg<std::int64_t> millicores("", "millicores", "worker: size in the trace", false,
                                              16'000, "n", command);
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -32,7 +32,7 @@
     return std::strtoull(text.c_str(), nullptr, 10);
 }
 
-// A rate limit: an amount that is refilled every second.
+// A rate limit: an amount that may be taken and is refilled every second.
 class rate_budget
 {
 public:
@@ -115,10 +115,12 @@
         return jsonResponse(200, m_stats);
     }
 
-    bool tryCharge(rate_budget &charged, std::size_t amount, const char *counter)
+    // Adds `amount` to the counter in /stats, and charges it to the budget. False if the rate is
+    // exceeded; the counter includes such refused amounts.
+    bool tryCharge(rate_budget &budget, std::size_t amount, const char *counter)
     {
         m_stats[counter] = m_stats[counter].asUInt64() + amount;
-        return charged.tryTake(amount, monotonic_clock::now());
+        return budget.tryTake(amount, monotonic_clock::now());
     }
 
     // Drops the answer if a fault asks for it; the write stays applied. The client gets a 500,
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -10,9 +10,10 @@
 
 namespace zinniabarrow::standins {
 
-// Every stand-in accepts POST /fault {"pause_ms": n}: it suspends all work for n ms, then resumes.
+// Every stand-in accepts POST /fault {"pause_ms": n}: it pauses all work for n ms.
 
-// Blocks the threads of a stand-in in `waitWhilePaused` until the pause is over.
+// Implements the fault "pause_ms": the threads of a stand-in block in `waitWhilePaused` until the
+// pause is over.
 class pause_gate
 {
 public:
@@ -23,7 +24,7 @@
     std::atomic<time_point> m_pausedUntil{time_point{}};
 };
 
-// A running stand-in; it serves requests until it is destroyed.
+// A running stand-in, as the start functions below return it; serves until it is destroyed.
 class standin
 {
 public:
@@ -38,14 +39,14 @@
 struct platform_options
 {
     socket_address address;
-    unsigned writesPerSecond = 500; // rows; a transaction above the rate is refused with 429
-    unsigned readsPerSecond = 2000; // calls
+    unsigned writesPerSecond = 500; // rows and objects; a write above the rate is refused with 429
+    unsigned readsPerSecond = 2000; // calls; refused with 429 above the rate
 };
 std::unique_ptr<standin> startPlatform(const platform_options &options);
 
 // A worker: runs tasks under leases and starts every task without a check of its own capacity.
 // POST /fault {"fail_starts": bool, "slow_ms": n, "unreachable": bool, "lose_answers": n,
-// "noise": {job: x}}: `fail_starts` lets each task fail right after its start; `unreachable`
+// "noise": {job: x}}: `fail_starts` makes each task fail right after its start; `unreachable`
 // answers 503; `noise`: each running task of that job adds x times the service time to requests of
 // the instance's upstream, less while the task is throttled. GET /noise returns the sum over all
 // tasks.
@@ -71,9 +72,9 @@
     socket_address address;
     std::string id;
     unsigned slots = 8;
-    unsigned connections = 64;
-    milliseconds workTime{5}; // service time of one request
-    // Worker on the same instance, if any; the noise of its tasks slows the upstream.
+    unsigned connections = 64; // served at the same time, each by a thread
+    milliseconds workTime{5};  // service time of one request
+    // Worker on the same instance, if any; the upstream is slowed by the noise of its tasks.
     std::optional<socket_address> workerAddress{};
 };
 std::unique_ptr<standin> startUpstream(const upstream_options &options);
--- a/standins/upstream.cpp
+++ b/standins/upstream.cpp
@@ -21,7 +21,7 @@
 constexpr milliseconds NoisePollInterval{50};
 constexpr milliseconds NoiseTimeout{1000};
 constexpr std::size_t RequestsPerConnection = 1U << 30U;
-constexpr std::size_t PartBytes = 64 * 1024; // of a large body, written at a time
+constexpr std::size_t PartBytes = 64 * 1024; // written at a time of a large body
 constexpr int WriteTimeoutSeconds = 60;      // until a slow reader is disconnected
 
 std::uint64_t numberParameter(const httplib::Request &request, const char *name)
@@ -105,8 +105,8 @@
         return fault;
     }
 
-    // Counters, and how often each operation was executed. A request that starts when all slots are
-    // taken is an overrun.
+    // Answer of /executions: counters, and how often each operation was executed. A request that
+    // starts when all slots are taken is an overrun.
     Json::Value executionsJson()
     {
         const std::lock_guard lock(m_mutex);
@@ -139,8 +139,8 @@
         --m_runningRequests;
     }
 
-    // Computed from the noise of the instance's tasks instead of measured, so that results repeat
-    // on a busy machine too.
+    // Service time of a request. Computed from the noise of the instance's tasks instead of
+    // measured, so that results repeat on a busy machine too.
     milliseconds serviceTime() const
     {
         const auto work = static_cast<double>(m_options.workTime.count()) * (1 + m_noise);
@@ -176,9 +176,9 @@
     {
         const auto operation = request.get_header_value("Operation");
         acquireSlot(operation);
-        const auto time = serviceTime();
-        ++(time <= m_targetTime.load() ? m_answersWithinTarget : m_answersBeyondTarget);
-        std::this_thread::sleep_for(time);
+        const auto requestTime = serviceTime();
+        ++(requestTime <= m_targetTime.load() ? m_answersWithinTarget : m_answersBeyondTarget);
+        std::this_thread::sleep_for(requestTime);
         releaseSlot();
         Json::Value echo(Json::objectValue);
         echo["upstream"] = m_options.id;
@@ -192,7 +192,7 @@
             reply(response, echo);
     }
 
-    // True if a fault asks to cut this answer; counts it.
+    // True if a fault asks to cut this answer, which is then counted as cut.
     bool shouldCutAnswer()
     {
         long answersLeft = m_answersToCut;
--- a/standins/worker.cpp
+++ b/standins/worker.cpp
@@ -31,13 +31,13 @@
 {
     work::task_attempt attempt;
     Json::Value spec;
-    std::int64_t totalWorkMs = 0; // total; 0: runs until stopped
+    std::int64_t totalWorkMs = 0; // 0: runs until stopped
     double progressMs = 0;        // work done, including that up to the checkpoint
     std::string checkpoint;       // object name, ProgressMark and progress in ms
     double speedFraction = 1;     // below 1 when throttled
 };
 
-// Increases with every restart of the instance.
+// Wall-clock time in ms, so that every restart of the worker has a higher incarnation.
 std::uint64_t newIncarnation()
 {
     const auto sinceUnixEpoch = std::chrono::system_clock::now().time_since_epoch();
@@ -187,7 +187,7 @@
         printTraceLine(line);
     }
 
-    void trace(const char *event, const task_run &run, const char *outcome = nullptr) const
+    void traceRun(const char *event, const task_run &run, const char *outcome = nullptr) const
     {
         Json::Value line(Json::objectValue);
         line["event"] = event;
@@ -246,7 +246,7 @@
         run.totalWorkMs = amountOrZero(run.spec, "work_ms");
         run.checkpoint = request.task.checkpoint;
         run.progressMs = progressMsFrom(run.checkpoint);
-        trace(run.checkpoint.empty() ? "started" : "resumed", run);
+        traceRun(run.checkpoint.empty() ? "started" : "resumed", run);
         m_runs[run.attempt.task] = run;
         if (m_shouldFailStarts)
             recordRunEnd(run.attempt.task, work::task_outcome::Failed, "failed to start");
@@ -338,7 +338,7 @@
 
     void endRun(const work::task_id &task, const char *event, const char *outcome)
     {
-        trace(event, m_runs.at(task), outcome);
+        traceRun(event, m_runs.at(task), outcome);
         m_runs.erase(task);
     }
 
@@ -399,7 +399,7 @@
     work::worker_tasks m_tasks;
     std::map<work::task_id, task_run> m_runs;
     std::deque<Json::Value> m_usageSamples;
-    Json::Value m_noiseByJob{Json::objectValue};      // by job
+    Json::Value m_noiseByJob{Json::objectValue};      // slowdown by one task
     std::map<std::string, unsigned> m_throttleCounts; // by job
     pause_gate m_pauseGate;
     std::atomic<bool> m_shouldFailStarts{false};
--- a/tests/process_evict_test.cpp
+++ b/tests/process_evict_test.cpp
@@ -1,6 +1,6 @@
 // Evictions on real processes: urgent tasks take the capacity of batch tasks. The batch tasks are
-// checkpointed, requeued and resumed later from their checkpoints, exactly once, whatever process
-// dies or message is lost meanwhile.
+// checkpointed, requeued and resumed later from their checkpoints, exactly once, even if a
+// process dies or a message is lost meanwhile.
 #include "fleet_scenario.h"
 
 using namespace zinniabarrow;
@@ -53,9 +53,9 @@
     system.putFolderFile("30-gate.json", folder);
 }
 
-// Returns when the first batch task has been evicted for the urgent tasks and further evictions are
-// in progress.
-void startUntilEviction(fleet &system)
+// Starts a full fleet and an urgent job. Returns when the first batch task has been evicted for the
+// urgent tasks and further evictions are in progress.
+void startFleetAndWaitForEviction(fleet &system)
 {
     startFullFleet(system);
     submitUrgentJob(system);
@@ -89,7 +89,7 @@
     });
 }
 
-void setFaultEverywhere(fleet &system, const Json::Value &fault)
+void setPlatformAndWorkerFault(fleet &system, const Json::Value &fault)
 {
     system.setFault(system.platformAddress(), fault);
     for (unsigned index = 0; index < system.options().workers; ++index)
@@ -117,12 +117,12 @@
     checkAllTasksCompleted(system);
 }
 
-// The shard's owner is killed when the first batch task has been evicted. Its successor reads from
+// The shard's owner is killed when the first batch task has been evicted. The next owner reads from
 // the table which tasks are evicted, being evicted, or pending: none is resumed twice or lost.
 Test(process_evict, owner_killed_in_mid_eviction)
 {
     fleet system(smallFleet());
-    startUntilEviction(system);
+    startFleetAndWaitForEviction(system);
     section("the owner is killed", [&] {
         for (unsigned entry = 0; entry < system.options().entries; ++entry) {
             const auto status = system.rpc(entry, "status", Json::objectValue);
@@ -138,7 +138,7 @@
 Test(process_evict, agents_killed_in_mid_eviction)
 {
     fleet system(smallFleet());
-    startUntilEviction(system);
+    startFleetAndWaitForEviction(system);
     section("the agents are killed and replaced", [&] {
         for (unsigned index = 0; index < system.options().workers; ++index)
             system.agent(index)->signal(SIGKILL);
@@ -156,9 +156,9 @@
 {
     fleet system(smallFleet());
     startFullFleet(system);
-    Json::Value lose(Json::objectValue);
-    lose["lose_answers"] = 10;
-    setFaultEverywhere(system, lose);
+    Json::Value fault(Json::objectValue);
+    fault["lose_answers"] = 10;
+    setPlatformAndWorkerFault(system, fault);
     submitUrgentJob(system);
     checkAllTasksCompleted(system);
 }
@@ -168,7 +168,7 @@
 Test(process_evict, table_down_in_mid_eviction)
 {
     fleet system(smallFleet());
-    startUntilEviction(system);
+    startFleetAndWaitForEviction(system);
     Json::Value fault(Json::objectValue);
     section("the table is down while the eviction is written", [&] {
         fault["down"] = true;
--- a/tests/process_interference_test.cpp
+++ b/tests/process_interference_test.cpp
@@ -12,7 +12,7 @@
 constexpr unsigned Workers = 3;
 constexpr int TargetMs = 200;
 constexpr int WorkMs = 100;        // alone; 250 beside one noisy task, 175 beside a throttled one
-constexpr double Noise = 1.5;      // noise of one noisy task
+constexpr double Noise = 1.5;      // of a noisy task: added service time, as a fraction of WorkMs
 constexpr unsigned Answers = 120;  // answers counted for one measurement
 constexpr unsigned PerSecond = 36; // over all upstreams; 2/3 of one upstream's slots at its slowest
 
@@ -116,7 +116,7 @@
     return answers;
 }
 
-// The evictions that all entries together have counted for the reason.
+// Evictions for the reason, from the metrics of all entries.
 double countEvictions(fleet &system, const std::string &reason)
 {
     double sum = 0;
@@ -143,10 +143,9 @@
 } // namespace
 
 // Callers see seat holds take two and a half times as long when a noisy batch task shares the
-// upstream's instance. The agent measures the late answers and reports them to the shard's
-// owner, which attributes them to the class of the task that has arrived there and throttles that
-// task and no other.
-// Throttled to a half, the service meets its target again, and nothing is evicted.
+// upstream's instance. The agent measures the late answers and reports them to the shard's owner,
+// which attributes them to the class of the task that has arrived there and throttles only that
+// task. While it runs at half speed, the service meets its target again. No quiet task is evicted.
 Test(process_interference, noisy_batch_is_throttled)
 {
     fleet system(interferenceFleet());
--- a/tests/process_requests_test.cpp
+++ b/tests/process_requests_test.cpp
@@ -1,4 +1,5 @@
-// Requests on real processes while these are killed, paused, partitioned and drained.
+// Requests on real processes while agents and entries are killed, suspended (SIGSTOP) and stopped
+// as planned, the platform is down, or upstreams fail.
 #include "fleet_scenario.h"
 #include "keep_alive_caller.h"
 
@@ -7,9 +8,10 @@
 
 // A caller gets either its own whole answer or a truthful refusal. An agent is killed under load:
 // its requests in flight end as unknown, or are retried if they never reached it. Another agent is
-// paused until entries no longer route to it, and resumes with requests whose callers were answered
-// long ago. The guarantee holds because only attempts that are known not to have run are retried.
-Test(process_requests, agents_killed_and_paused)
+// suspended until entries no longer route to it, and resumes with requests whose callers were
+// answered long ago. The guarantee holds because only attempts that are known not to have run are
+// retried.
+Test(process_requests, agents_killed_and_suspended)
 {
     fleet system(smallFleet());
     startAndWait(system);
@@ -19,7 +21,7 @@
     options.deadline = milliseconds(2000);
     runUnderLoad(system, options, result, [&] {
         section("an agent is killed", [&] { system.agent(0)->signal(SIGKILL); });
-        section("another agent is paused for longer than the silence timeout", [&] {
+        section("another agent is suspended for longer than the silence timeout", [&] {
             system.agent(1)->signal(SIGSTOP);
             std::this_thread::sleep_for(milliseconds(3500));
             system.agent(1)->signal(SIGCONT);
@@ -37,7 +39,7 @@
 // same key at another entry, it is answered, asked to retry later, or told that the outcome is
 // unknown; the request never runs twice. If the entry dies between the claim and the record of the
 // outcome, the claim remains in the table.
-Test(process_requests, entries_killed_and_paused)
+Test(process_requests, entries_killed_and_suspended)
 {
     fleet system(smallFleet());
     startAndWait(system);
@@ -47,7 +49,7 @@
     options.deadline = milliseconds(2000);
     runUnderLoad(system, options, result, [&] {
         section("an entry is killed", [&] { system.entry(0)->signal(SIGKILL); });
-        section("another entry is paused and resumed", [&] {
+        section("another entry is suspended and resumed", [&] {
             system.entry(1)->signal(SIGSTOP);
             std::this_thread::sleep_for(milliseconds(2500));
             system.entry(1)->signal(SIGCONT);
@@ -103,14 +105,14 @@
 }
 
 // Guards against a request of a caller, or of an entry, whose connection is closed without an
-// answer, so that nobody knows whether it ran. A process that is told to stop and is then paused
+// answer, so that nobody knows whether it ran. A process that is told to stop and is then suspended
 // finds further requests in its sockets, or on connections that wait to be accepted.
-Test(process_requests, requests_to_a_stopping_process_that_is_paused)
+Test(process_requests, requests_to_a_stopping_process_that_is_suspended)
 {
     fleet system(smallFleet());
     startAndWait(system);
-    const auto stopAndPause = [](child_process &process, const std::string &address,
-                                 const std::string &path) {
+    const auto stopAndSuspend = [](child_process &process, const std::string &address,
+                                   const std::string &path) {
         std::vector<std::unique_ptr<keep_alive_caller>> callers;
         const auto connectMore = [&] {
             for (int number = 0; number < 8; ++number) {
@@ -126,7 +128,7 @@
         process.signal(SIGTERM);
         std::this_thread::sleep_for(milliseconds(300));
         process.signal(SIGSTOP);
-        connectMore(); // these wait to be accepted while the process is paused
+        connectMore(); // these wait to be accepted while the process is suspended
         for (const auto &caller : callers)
             require(caller->send("GET", path));
         std::this_thread::sleep_for(milliseconds(1000));
@@ -138,9 +140,9 @@
         check(process.waitForExit(WaitLimit) == 0);
     };
     section("an entry",
-            [&] { stopAndPause(*system.entry(0), system.entryAddress(0), "/tickets/seats"); });
+            [&] { stopAndSuspend(*system.entry(0), system.entryAddress(0), "/tickets/seats"); });
     section("an agent",
-            [&] { stopAndPause(*system.agent(0), system.agentAddress(0), "/tickets/seats"); });
+            [&] { stopAndSuspend(*system.agent(0), system.agentAddress(0), "/tickets/seats"); });
 }
 
 // While the table is down, a caller's keyed purchase is refused immediately as not executed, with a
@@ -169,9 +171,9 @@
         check(countExecutions(system)["keyed"] == 1);
     });
     section("a lost answer to the write of a claim is resolved by reading the row", [&] {
-        Json::Value lose(Json::objectValue);
-        lose["lose_answers"] = 1;
-        system.setFault(system.platformAddress(), lose);
+        Json::Value lossFault(Json::objectValue);
+        lossFault["lose_answers"] = 1;
+        system.setFault(system.platformAddress(), lossFault);
         keyed.headers["Idempotency-Key"] = "k2";
         const auto outcome = callers.sendRequest(0, keyed, "lost");
         check(outcome.empty() || outcome == "platform_unavailable");
@@ -191,23 +193,23 @@
     options.deadline = milliseconds(1000);
     load_generator callers(system, options, result);
     section("every upstream cuts its next answer", [&] {
-        Json::Value cut(Json::objectValue);
-        cut["cut"] = 1;
+        Json::Value cutFault(Json::objectValue);
+        cutFault["cut"] = 1;
         for (unsigned index = 0; index < 4; ++index)
-            system.setFault(system.upstreamAddress(index), cut);
+            system.setFault(system.upstreamAddress(index), cutFault);
         for (unsigned turn = 0; turn < 8; ++turn) {
             const auto outcome = callers.sendRequest(
                     turn % 3, {"POST", "/tickets/hold", {}, "seat"}, "cut-" + std::to_string(turn));
             check(outcome.empty() || outcome == "answer_cut" || outcome == "outcome_unknown");
         }
         std::int64_t cuts = 0;
-        cut["cut"] = 0;
+        cutFault["cut"] = 0;
         for (unsigned index = 0; index < 4; ++index) {
             cuts += system.getJson(system.upstreamAddress(index), "/executions")["cuts"].asInt64();
-            system.setFault(system.upstreamAddress(index), cut);
+            system.setFault(system.upstreamAddress(index), cutFault);
         }
         check(cuts > 0);
-        check(result.countRefusals() == cuts); // every cut was detected, none passed on as whole
+        check(result.countRefusals() == cuts); // every cut answer was refused, none passed on
     });
     section("one upstream refuses connections: others answer", [&] {
         system.upstream(0)->signal(SIGKILL);
--- a/tests/process_shards_test.cpp
+++ b/tests/process_shards_test.cpp
@@ -33,7 +33,7 @@
             for (const auto &shard : status["scheduling"]["shards"])
                 owners[shard["shard"].asInt()] = entry;
         } catch (const std::exception &) {
-            continue; // paused, or just starting
+            continue; // suspended, or just starting
         }
     }
     return owners;
@@ -114,9 +114,10 @@
     });
 }
 
-// An owner of some shards is paused for longer than its lease, and resumes in the belief that it
-// still owns them. Its writes are rejected by the epoch of each shard; no task is granted twice.
-Test(process_shards, owner_paused_longer_than_its_lease)
+// An owner of some shards is suspended for longer than its lease, and then acts as if it still
+// owned them. Its writes are rejected because of the old epoch of each shard; no task is granted
+// twice.
+Test(process_shards, owner_suspended_longer_than_its_lease)
 {
     const auto batch = batchOf(96, 1500);
     fleet system(shardedFleet());
@@ -185,8 +186,8 @@
 }
 
 // A team's quota has room for 8 tasks beside its service, while the workers of all four shards have
-// room for 48. However the shards share the quota, and although an owner dies meanwhile, at most 8
-// tasks run at once, and the tasks of every shard get their turn.
+// room for 48. At most 8 tasks run at once, however the shards share the quota and although an
+// owner dies meanwhile, and the tasks of every shard finish.
 Test(process_shards, quota_over_all_shards)
 {
     const auto batch = batchOf(40, 1000);
--- a/tests/process_work_test.cpp
+++ b/tests/process_work_test.cpp
@@ -1,5 +1,5 @@
-// Tasks on real processes while owners, agents and workers are killed and paused and the table goes
-// down.
+// Tasks on real processes while owners, agents and workers are killed or suspended (SIGSTOP), or
+// the table is down.
 #include "fleet_scenario.h"
 
 using namespace zinniabarrow;
@@ -18,7 +18,7 @@
             if (!status["scheduling"]["shards"].empty())
                 return entry;
         } catch (const std::exception &) {
-            continue; // paused, or just starting
+            continue; // suspended, or just starting
         }
     }
     return system.options().entries;
@@ -85,10 +85,10 @@
     });
 }
 
-// The old owner is paused for longer than its lease and resumes in the belief that it still owns
-// the shard. Its writes are rejected by the epoch, its grants are refused as stale; no task is
-// granted twice.
-Test(process_work, owner_paused_longer_than_its_lease)
+// The old owner is suspended for longer than its lease and then acts as if it still owned the
+// shard. Its writes are rejected because of the old epoch, its grants are refused as stale; no task
+// is granted twice.
+Test(process_work, owner_suspended_longer_than_its_lease)
 {
     const auto batch = batchOf(60, 1500);
     fleet system(smallFleet());
@@ -127,10 +127,10 @@
     });
 }
 
-// An agent is replaced while it is paused, so that two agents run for one worker and upstream. When
-// the old one resumes, the entries refuse its announcements because of the older incarnation, and
-// it stops as planned. Its tasks are started once, since a worker runs an attempt once, whichever
-// agent asks.
+// An agent is replaced while it is suspended, so that two agents run for one worker and upstream.
+// When the old one resumes, the entries refuse its announcements because of the older incarnation,
+// and it shuts down as planned. Its tasks are started once, since a worker runs an attempt once,
+// whichever agent asks.
 Test(process_work, two_agents_for_one_worker)
 {
     const auto batch = batchOf(12, 6000);
@@ -160,10 +160,10 @@
     fleet system(smallFleet());
     startWithBatch(system, batch);
     require(waitForStarts(system, batch));
-    const auto victim = workerWithStartedTask(system, batch);
-    system.worker(victim)->signal(SIGKILL);
-    system.worker(victim)->waitForExit(WaitLimit);
-    system.startWorker(victim);
+    const auto killedWorker = workerWithStartedTask(system, batch);
+    system.worker(killedWorker)->signal(SIGKILL);
+    system.worker(killedWorker)->waitForExit(WaitLimit);
+    system.startWorker(killedWorker);
     section("its tasks run again, and every task ends once", [&] {
         check(waitForEnds(system, batch));
         check(countTraced(system, "started", batch.job) > 12);
@@ -190,7 +190,7 @@
     batch.runMs = 5000;
     system.putFolderFile("30-batch.json", makeBatchConfig(batch));
     require(waitForStarts(system, batch));
-    section("the table is down for twice the longest short lease", [&] {
+    section("the table is down for longer than the leases", [&] {
         setPlatformDown(system, true);
         std::this_thread::sleep_for(milliseconds(14'000));
         check(countTraced(system, "started", "watch") == 8);
@@ -230,11 +230,11 @@
         checkEachEndedOnce(system, batch);
         return started;
     };
-    section("four for each worker: all of them start during the outage", [&] {
+    section("four for each worker: half of them or more start during the outage", [&] {
         const auto started = startsDuringOutage(4);
         cr_expect(started >= 8, "started %u", started);
     });
-    section("none: nothing starts during the outage", [&] {
+    section("no backlog: nothing starts during the outage", [&] {
         const auto started = startsDuringOutage(0);
         cr_expect(started == 0, "started %u", started);
     });
@@ -251,11 +251,11 @@
     batch.runMs = 500;
     system.startAll();
     system.putFolderFile("10-base.json", makeBaseConfig(system.options()));
-    Json::Value lose(Json::objectValue);
-    lose["lose_answers"] = 10;
-    system.setFault(system.platformAddress(), lose);
+    Json::Value fault(Json::objectValue);
+    fault["lose_answers"] = 10;
+    system.setFault(system.platformAddress(), fault);
     for (unsigned index = 0; index < 4; ++index)
-        system.setFault(system.workerAddress(index), lose);
+        system.setFault(system.workerAddress(index), fault);
     system.putFolderFile("20-batch.json", makeBatchConfig(batch));
     check(waitForEnds(system, batch));
     checkEachEndedOnce(system, batch);
--- a/tests/shard_test.cpp
+++ b/tests/shard_test.cpp
@@ -125,8 +125,8 @@
 }
 
 // The owner dies. Agents report running tasks to the next owner before it has read the
-// configuration. The placer must still learn the pool of these tasks afterwards: otherwise none of
-// them could ever be evicted, and the worker would run out of memory.
+// configuration. The scheduler must still learn the pool of these tasks afterwards: otherwise none
+// of them could ever be evicted, and the worker would run out of memory.
 Test(shard, tasks_taken_over_can_be_evicted)
 {
     shard_simulation simulation(1);
--- a/tests/work_test.cpp
+++ b/tests/work_test.cpp
@@ -429,8 +429,8 @@
 
 // Urgent work arrives with a new generation, so the planning run that evicts tasks for it happens
 // while the rows of the jobs that this generation changes are being written. If the eviction were
-// dropped because of the write, the placer would wait for the room until the urgent work's deadline
-// has passed.
+// dropped because of the write, the scheduler would wait for the room until the urgent work's
+// deadline has passed.
 Test(work, an_eviction_while_the_jobs_row_is_written)
 {
     coordinator_fixture fixture;
--- a/tests/work_waits_test.cpp
+++ b/tests/work_waits_test.cpp
@@ -98,9 +98,9 @@
     });
 }
 
-// Guards against urgent work that waits until its deadline has passed. The placer evicts a task
+// Guards against urgent work that waits until its deadline has passed. The scheduler evicts a task
 // that was placed a moment ago, because it loses the least work, while the write of its placement
-// is still in flight. From then on the placer counts the task as stopping; if the eviction were
+// is still in flight. From then on the scheduler counts the task as stopping; if the eviction were
 // dropped, nothing would ever stop the task.
 Test(work_waits, an_eviction_while_the_placement_is_written)
 {
