--- a/app/entry.cpp
+++ b/app/entry.cpp
@@ -108,7 +108,7 @@
         http_server_limits limits;
         limits.connectionLimit = settings.maxConnections;
         limits.maxRequestBytes = settings.maxBodyBytes;
-        limits.maxConnectionsPerAddress = settings.maxConnectionsPerAddress;
+        limits.connectionLimitPerAddress = settings.maxConnectionsPerAddress;
         limits.readTimeout = settings.requestReadTimeout;
         limits.writeTimeout = settings.answerWriteTimeout;
         return limits;
--- a/app/entry_pings.cpp
+++ b/app/entry_pings.cpp
@@ -20,7 +20,7 @@
 entry_pings::entry_pings(std::string self, const entry_pings_dependencies &dependencies,
                          std::function<bool()> isLeaving)
     : m_self(std::move(self))
-    , m_caller(dependencies.caller)
+    , m_client(dependencies.client)
     , m_configuration(dependencies.configuration)
     , m_directory(dependencies.directory)
     , m_log(dependencies.log)
@@ -62,7 +62,7 @@
         ping.method = "POST";
         ping.target = "/v1/ping";
         ping.body = selfDescription();
-        m_caller.call(known.row.internalAddress, std::move(ping), PingTimeout,
+        m_client.call(known.row.internalAddress, std::move(ping), PingTimeout,
                       [this](const call_result &result) {
                           const auto *answer = std::get_if<http_response>(&result);
                           if (answer == nullptr || answer->status != 200)
--- a/app/entry_pings.h
+++ b/app/entry_pings.h
@@ -16,7 +16,7 @@
 // The parts of an entry that entry_pings uses. All of them must outlive it.
 struct entry_pings_dependencies
 {
-    net::http_client &caller; // sends the pings
+    net::http_client &client; // sends the pings
     configuration_follower &configuration;
     entry_directory &directory;
     event_log &log;
@@ -43,7 +43,7 @@
     void applyDescription(const std::string &text);
 
     std::string m_self;
-    net::http_client &m_caller;
+    net::http_client &m_client;
     configuration_follower &m_configuration;
     entry_directory &m_directory;
     event_log &m_log;
--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -57,9 +57,9 @@
         : m_settings(std::move(settings))
         , m_loop([this] { m_shutdown.begin(); })
         , m_log("agent", m_settings.id)
-        , m_caller(m_loop, callerLimits())
+        , m_client(m_loop, clientLimits())
         , m_store(
-                  m_loop, m_caller, m_settings.storeAddress,
+                  m_loop, m_client, m_settings.storeAddress,
                   [this] { return m_reportSender.relayAddresses(); }, m_metrics, m_log)
         , m_entriesFollower(m_loop, m_store, m_log, {EntriesTable},
                             [this](const auto &rows) { m_reportSender.updateEntries(rows); })
@@ -110,7 +110,7 @@
 private:
     // All tasks of a job's step are started at the same time, and each new connection costs the
     // worker time, so many idle connections are kept.
-    static net::client_limits callerLimits()
+    static net::client_limits clientLimits()
     {
         net::client_limits limits;
         limits.maxIdlePerPeer = 16;
@@ -119,14 +119,14 @@
 
     report_sender_dependencies reportSenderDependencies()
     {
-        return {m_settings,           m_caller,  m_leaseKeeper, m_workerPresence, m_runTable,
+        return {m_settings,           m_client,  m_leaseKeeper, m_workerPresence, m_runTable,
                 m_throttleController, m_metrics, m_log};
     }
 
     worker_calls_dependencies workerCallsDependencies()
     {
         return {m_settings.workerAddress,
-                m_caller,
+                m_client,
                 m_leaseKeeper,
                 m_workerPresence,
                 m_workerClock,
@@ -200,7 +200,7 @@
                                                m_runTable.acknowledgedThrough(), wait);
         if (m_workerPresence.id().empty())
             request.headers.clear();
-        m_caller.call(m_settings.workerAddress, std::move(request),
+        m_client.call(m_settings.workerAddress, std::move(request),
                       milliseconds(wait) + PollTimeout,
                       [this, fence = lease().fence(), now](const call_result &result) {
                           m_isPolling = false;
@@ -506,7 +506,7 @@
     net::event_loop m_loop;
     event_log m_log;
     metrics m_metrics;
-    net::http_client m_caller;
+    net::http_client m_client;
     store_client m_store;
     table_follower m_entriesFollower;
     table_follower m_cancelsFollower;
--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -53,9 +53,9 @@
         : m_settings(std::move(settings))
         , m_loop([this] { m_shutdown.begin(); })
         , m_log("entry", m_settings.id)
-        , m_caller(m_loop)
+        , m_client(m_loop)
         , m_store(
-                  m_loop, m_caller, m_settings.storeAddress,
+                  m_loop, m_client, m_settings.storeAddress,
                   [this] { return m_directory.liveInternalAddresses(suspendAwareNow()); },
                   m_metrics, m_log)
         , m_registration(m_loop, m_store, m_settings,
@@ -68,11 +68,11 @@
                   [this](const auto &rows) { applyJobRows(rows); }, [this] { handleAllJobsRead(); })
         , m_startedAt(suspendAwareNow())
         , m_directory(m_settings.id, m_startedAt)
-        , m_pings(m_settings.id, {m_caller, m_configuration, m_directory, m_log},
+        , m_pings(m_settings.id, {m_client, m_configuration, m_directory, m_log},
                   [this] { return isLeaving(); })
         , m_takeover({m_store, m_directory, m_view, m_jobController, m_metrics},
                      [this] { schedulePlan(); })
-        , m_orderSender({m_settings, m_caller, m_pool, m_jobController, m_metrics, m_log},
+        , m_orderSender({m_settings, m_client, m_pool, m_jobController, m_metrics, m_log},
                         [this] { schedulePlan(); })
         , m_leaseWatcher(m_loop, m_store, m_metrics, m_log, m_settings.id,
                          [this](const auto &worker, auto epoch) { applyEpoch(worker, epoch); })
@@ -118,7 +118,7 @@
 
     job_requests_dependencies requestDependencies()
     {
-        return {m_loop, m_caller,        m_store,          m_configuration,   m_directory,
+        return {m_loop, m_client,        m_store,          m_configuration,   m_directory,
                 m_view, m_jobController, m_writeCallbacks, m_shutdown.plan(), m_metrics,
                 m_log};
     }
@@ -485,7 +485,7 @@
     net::event_loop m_loop;
     event_log m_log;
     metrics m_metrics;
-    net::http_client m_caller;
+    net::http_client m_client;
     store_client m_store;
     entry_registration m_registration;
     configuration_follower m_configuration;
--- a/app/job_requests.cpp
+++ b/app/job_requests.cpp
@@ -68,7 +68,7 @@
                            hooks callbacks)
     : m_self(std::move(self))
     , m_loop(dependencies.loop)
-    , m_caller(dependencies.caller)
+    , m_client(dependencies.client)
     , m_store(dependencies.store)
     , m_configuration(dependencies.configuration)
     , m_directory(dependencies.directory)
@@ -192,7 +192,7 @@
     request.method = "POST";
     request.target = "/v1/jobs/" + id;
     request.body = toText(forwarded_job{newRecord(spec, policy, wallClockMs()), spec.payload});
-    m_caller.call(m_directory.find(placer)->row.internalAddress, std::move(request), PeerTimeout,
+    m_client.call(m_directory.find(placer)->row.internalAddress, std::move(request), PeerTimeout,
                   [this, placer, id, spec, policy,
                    respond = std::move(respond)](const call_result &result) {
                       const auto *answer = std::get_if<http_response>(&result);
@@ -271,7 +271,7 @@
     m_log.writeEvent("request_passed_on", {{"path", request.path()}, {"to", candidates.front()}});
     candidates.erase(candidates.begin());
     auto copy = request;
-    m_caller.call(next->row.callersAddress, std::move(copy), timeout,
+    m_client.call(next->row.callersAddress, std::move(copy), timeout,
                   [this, candidates = std::move(candidates), request = std::move(request),
                    respond = std::move(respond)](call_result result) mutable {
                       if (wasNotExecuted(result))
@@ -316,7 +316,7 @@
         return answerStoredState(id, std::move(respond));
     http_request request;
     request.target = "/v1/jobs/" + id;
-    m_caller.call(owner->row.internalAddress, std::move(request), PeerTimeout,
+    m_client.call(owner->row.internalAddress, std::move(request), PeerTimeout,
                   [this, id, respond](call_result result) {
                       auto *answer = std::get_if<http_response>(&result);
                       if (answer != nullptr && answer->status == 200)
@@ -360,7 +360,7 @@
     http_request request;
     request.method = "DELETE";
     request.target = "/v1/jobs/" + id;
-    m_caller.call(owner->row.internalAddress, std::move(request), PeerTimeout,
+    m_client.call(owner->row.internalAddress, std::move(request), PeerTimeout,
                   [this, id, answer](const call_result &result) {
                       const auto *response = std::get_if<http_response>(&result);
                       if (response != nullptr && response->status == 200)
--- a/app/job_requests.h
+++ b/app/job_requests.h
@@ -34,7 +34,7 @@
 struct job_requests_dependencies
 {
     net::event_loop &loop;
-    net::http_client &caller;
+    net::http_client &client;
     store_client &store;
     configuration_follower &configuration;
     entry_directory &directory;
@@ -104,7 +104,7 @@
 
     std::string m_self;
     net::event_loop &m_loop;
-    net::http_client &m_caller;
+    net::http_client &m_client;
     store_client &m_store;
     configuration_follower &m_configuration;
     entry_directory &m_directory;
--- a/app/order_sender.cpp
+++ b/app/order_sender.cpp
@@ -18,7 +18,7 @@
 order_sender::order_sender(const order_sender_dependencies &dependencies,
                            std::function<void()> onActionsReady)
     : m_settings(dependencies.settings)
-    , m_caller(dependencies.caller)
+    , m_client(dependencies.client)
     , m_pool(dependencies.pool)
     , m_jobController(dependencies.jobController)
     , m_metrics(dependencies.counters)
@@ -35,7 +35,7 @@
     request.method = "POST";
     request.target = "/v1/orders";
     request.body = toText(order_batch{m_settings.id, toText(m_settings.internalAddress), orders});
-    m_caller.call(
+    m_client.call(
             view->lastReport.address, std::move(request), OrderTimeout,
             [this, worker, orders = std::move(orders),
              agentIncarnation = view->lastReport.agentIncarnation](const call_result &result) {
--- a/app/order_sender.h
+++ b/app/order_sender.h
@@ -22,7 +22,7 @@
 struct order_sender_dependencies
 {
     const job_entry_settings &settings;
-    net::http_client &caller;
+    net::http_client &client;
     jobs::worker_pool &pool;
     std::optional<jobs::job_controller> &jobController; // that issues the orders
     metrics &counters;
@@ -46,7 +46,7 @@
     void handleUnanswered(const std::string &worker, const std::vector<jobs::run_order> &orders);
 
     const job_entry_settings &m_settings;
-    net::http_client &m_caller;
+    net::http_client &m_client;
     jobs::worker_pool &m_pool;
     std::optional<jobs::job_controller> &m_jobController;
     metrics &m_metrics;
--- a/app/report_sender.cpp
+++ b/app/report_sender.cpp
@@ -22,7 +22,7 @@
 report_sender::report_sender(const report_sender_dependencies &dependencies,
                              std::function<bool()> isAccepting)
     : m_settings(dependencies.settings)
-    , m_caller(dependencies.caller)
+    , m_client(dependencies.client)
     , m_leaseKeeper(dependencies.leaseKeeper)
     , m_workerPresence(dependencies.workerPresence)
     , m_runTable(dependencies.runTable)
@@ -98,7 +98,7 @@
     request.method = "POST";
     request.target = "/v1/report";
     request.body = toText(message);
-    m_caller.call(m_targets.addressOf(entry), std::move(request), ReportTimeout,
+    m_client.call(m_targets.addressOf(entry), std::move(request), ReportTimeout,
                   [this, entry, epoch = message.epoch,
                    started = std::move(message.started)](const call_result &result) {
                       handleReportResult(entry, epoch, started, result);
--- a/app/report_sender.h
+++ b/app/report_sender.h
@@ -29,7 +29,7 @@
 struct report_sender_dependencies
 {
     const job_agent_settings &settings;
-    net::http_client &caller; // sends the reports
+    net::http_client &client; // sends the reports
     const lease_keeper &leaseKeeper;
     const worker_presence &workerPresence;
     jobs::run_table &runTable;
@@ -77,7 +77,7 @@
     void handleEvacuation(time_point now);
 
     const job_agent_settings &m_settings;
-    net::http_client &m_caller;
+    net::http_client &m_client;
     const lease_keeper &m_leaseKeeper;
     const worker_presence &m_workerPresence;
     jobs::run_table &m_runTable;
--- a/app/store_client.cpp
+++ b/app/store_client.cpp
@@ -50,10 +50,10 @@
 
 } // namespace
 
-store_client::store_client(net::event_loop &loop, net::http_client &caller, std::string address,
+store_client::store_client(net::event_loop &loop, net::http_client &client, std::string address,
                            relay_provider relays, metrics &counters, event_log &log)
     : m_loop(loop)
-    , m_caller(caller)
+    , m_client(client)
     , m_address(std::move(address))
     , m_relays(std::move(relays))
     , m_metrics(counters)
@@ -112,7 +112,7 @@
             *answerTime = net::suspendAwareNow() - sentAt;
         onAnswerBegun(bytes);
     };
-    m_caller.call(peer, std::move(request), std::move(limits),
+    m_client.call(peer, std::move(request), std::move(limits),
                   [this, isDirect, answerTime, done = std::move(done)](call_result result) {
                       recordAnswer(isDirect, result, *answerTime);
                       done(std::move(result));
--- a/app/store_client.h
+++ b/app/store_client.h
@@ -31,7 +31,7 @@
     using relay_provider = std::function<std::vector<std::string>()>;
 
     // `relays` returns the internal addresses of processes that may be able to reach the store.
-    store_client(net::event_loop &loop, net::http_client &caller, std::string address,
+    store_client(net::event_loop &loop, net::http_client &client, std::string address,
                  relay_provider relays, metrics &counters, event_log &log);
 
     // Retries the identical write until it is known to have taken effect or to have failed its
@@ -70,7 +70,7 @@
     duration timeout() const;
 
     net::event_loop &m_loop;
-    net::http_client &m_caller;
+    net::http_client &m_client;
     std::string m_address;
     relay_provider m_relays;
     metrics &m_metrics;
--- a/app/worker_calls.cpp
+++ b/app/worker_calls.cpp
@@ -21,7 +21,7 @@
 
 worker_calls::worker_calls(const worker_calls_dependencies &dependencies, hooks callbacks)
     : m_address(dependencies.address)
-    , m_caller(dependencies.caller)
+    , m_client(dependencies.client)
     , m_leaseKeeper(dependencies.leaseKeeper)
     , m_workerPresence(dependencies.workerPresence)
     , m_workerClock(dependencies.workerClock)
@@ -46,7 +46,7 @@
     const auto deadline = m_workerClock.millisecondsAt(until);
     m_workerLiveness.noteHold(until);
     m_runTable.startCalled(start.task, start.run, deadline);
-    m_caller.call(m_address,
+    m_client.call(m_address,
                   platform_wire::makeStartRequest(m_workerPresence.id(), start, deadline,
                                                   lease().fence()),
                   CallTimeout,
@@ -73,7 +73,7 @@
 
 void worker_calls::execute(const stop_run &stop)
 {
-    m_caller.call(m_address,
+    m_client.call(m_address,
                   platform_wire::makeStopRequest(m_workerPresence.id(), stop, lease().fence()),
                   CallTimeout, [this](const call_result &result) {
                       if (!std::holds_alternative<http_response>(result))
@@ -92,7 +92,7 @@
     const auto changes = m_throttleController.decideSpeeds(serving, bestEffort, now);
     for (const auto &change : changes) {
         m_metrics.count("paces_total", change.percent < 100 ? "slowed" : "full");
-        m_caller.call(m_address,
+        m_client.call(m_address,
                       platform_wire::makeSpeedRequest(m_workerPresence.id(), change.task,
                                                       change.run, change.percent, lease().fence()),
                       CallTimeout, [this, change](const call_result &result) {
--- a/app/worker_calls.h
+++ b/app/worker_calls.h
@@ -23,7 +23,7 @@
 struct worker_calls_dependencies
 {
     const std::string &address; // the worker's, "ip:port"
-    net::http_client &caller;
+    net::http_client &client;
     const lease_keeper &leaseKeeper;
     const worker_presence &workerPresence;
     const worker_clock &workerClock;
@@ -56,7 +56,7 @@
     const jobs::worker_lease &lease() const { return m_leaseKeeper.lease(); }
 
     const std::string &m_address;
-    net::http_client &m_caller;
+    net::http_client &m_client;
     const lease_keeper &m_leaseKeeper;
     const worker_presence &m_workerPresence;
     const worker_clock &m_workerClock;
--- a/libs/runtime/http.cpp
+++ b/libs/runtime/http.cpp
@@ -190,7 +190,7 @@
         int port = 0;
         connection_stream(socket, m_connectionTable, m_limits)
                 .get_remote_ip_and_port(address, port);
-        if (!m_connectionTable.isBelowAddressLimit(address, m_limits.maxConnectionsPerAddress)) {
+        if (!m_connectionTable.isBelowAddressLimit(address, m_limits.connectionLimitPerAddress)) {
             m_onEvent(connection_event::AddressLimitReached);
             m_queue->refuse(run);
         } else if (!m_queue->reserveThread()) {
--- a/libs/runtime/http.h
+++ b/libs/runtime/http.h
@@ -83,7 +83,7 @@
     std::size_t connectionLimit = 128;         // connections at once; each has its own thread
     std::size_t maxRequestBytes = 1024 * 1024; // bytes; a larger request body is answered with 413
     seconds keepAliveTimeout{5};               // an idle connection is closed after this time
-    std::size_t maxConnectionsPerAddress = 0;  // connections per client address; 0: no limit
+    std::size_t connectionLimitPerAddress = 0; // connections per client address; 0: no limit
     milliseconds readTimeout{10'000};          // from the first byte of a request to its last one
     milliseconds writeTimeout{30'000};         // time for the client to read the whole answer
 };
@@ -91,7 +91,7 @@
 // Reasons for which the server refuses or closes a connection on its own.
 enum class connection_event {
     NoFreeThread,            // refused: all threads are in use
-    AddressLimitReached,     // refused: the client address has reached maxConnectionsPerAddress
+    AddressLimitReached,     // refused: the client address has reached connectionLimitPerAddress
     RefusalQueueFull,        // closed without an answer: too many refusals are queued
     RequestTimedOut,         // closed: the request did not arrive in time
     AnswerWriteTimedOut,     // closed: the client did not read its answer in time
--- a/standins/job_platform.cpp
+++ b/standins/job_platform.cpp
@@ -348,7 +348,7 @@
 {
     explicit impl(const job_platform_options &options)
         : taskTime(options.taskTime)
-        , caller(loop)
+        , client(loop)
     {
         listeners.push_back(std::make_unique<net::http_listener>(
                 loop, options.store, net::listener_limits{},
@@ -478,7 +478,7 @@
         request.target = "/-/instances/" + worker.id() + "/deregister";
         request.body = "{}";
         // The result is ignored: an agent that is down detects the loss by polling.
-        caller.call(agentTargets.at(index), std::move(request), milliseconds(500),
+        client.call(agentTargets.at(index), std::move(request), milliseconds(500),
                     [](const call_result & /*result*/) {});
     }
 
@@ -517,13 +517,13 @@
         request.target = "/-/instances/" + worker.id() + "/heartbeat";
         request.body = compactJson(body);
         // The result is ignored: an agent that is down receives the next heartbeat.
-        caller.call(agent, std::move(request), milliseconds(500),
+        client.call(agent, std::move(request), milliseconds(500),
                     [](const call_result & /*result*/) {});
     }
 
     net::event_loop loop;
     milliseconds taskTime;
-    net::http_client caller;
+    net::http_client client;
     run_history history;
     store_standin store;
     std::vector<std::unique_ptr<worker_standin>> workerStandins;
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -203,7 +203,7 @@
 Test(http_server, address_limit)
 {
     auto limits = fewThreads();
-    limits.maxConnectionsPerAddress = 2;
+    limits.connectionLimitPerAddress = 2;
     limits.readTimeout = seconds(3600);
     counting_server server(limits);
     stalled_callers callers(server.address());
@@ -231,7 +231,7 @@
 {
     auto limits = fewThreads();
     limits.connectionLimit = 2;
-    limits.maxConnectionsPerAddress = 1;
+    limits.connectionLimitPerAddress = 1;
     limits.readTimeout = seconds(3600);
     counting_server server(limits);
     stalled_callers callers(server.address());
@@ -270,7 +270,7 @@
     });
     section("a request that is unread in the socket is answered", [] {
         auto limits = fewThreads();
-        limits.maxConnectionsPerAddress = 1;
+        limits.connectionLimitPerAddress = 1;
         blocked_server server(limits, connection_event::AddressLimitReached);
         keep_alive_caller first(server.address());
         require(first.send("GET", "/seats"));
--- a/tests/large_rows_test.cpp
+++ b/tests/large_rows_test.cpp
@@ -153,11 +153,11 @@
 {
     slow_store store(link);
     net::event_loop loop;
-    net::http_client caller(loop);
+    net::http_client httpClient(loop);
     metrics counters;
     event_log log("entry", "e");
     store_client client(
-            loop, caller, store.address(), [] { return std::vector<std::string>{}; }, counters,
+            loop, httpClient, store.address(), [] { return std::vector<std::string>{}; }, counters,
             log);
     follow_result result;
     table_follower follower(loop, client, log, {"op"}, [&](const std::vector<jobs::row> &rows) {
