--- a/app/admission_actor.h
+++ b/app/admission_actor.h
@@ -31,8 +31,8 @@
                     std::function<void()> onUnreachable);
     ~admission_actor();
 
-    // Runs on the HTTP thread of an entry's connection. Returns the whole answer, or the head of a
-    // streamed one.
+    // Runs on the HTTP thread of an entry's connection. Returns the complete answer, or the head of
+    // a streamed one.
     http_response serve(const http_request &request);
     // Called when an entry no longer waits for the attempt: it is not started if it is still
     // queued. An attempt that has started is not stopped.
--- a/app/owned_shard.h
+++ b/app/owned_shard.h
@@ -57,8 +57,8 @@
     reconcile(const adopted_configuration &adopted,
               const std::map<std::string, reported_worker> &workers, time_point now);
     // Makes one planning run: decides placements, evictions, throttles and backlogs. A worker's
-    // backlog is the tasks that were placed on it before it has room for them. Called at the
-    // planning interval; does nothing until the coordinator has read the table.
+    // backlog is the tasks that were placed on it before it has free capacity for them. Called at
+    // the planning interval; does nothing until the coordinator has read the table.
     std::vector<work::coordinator_action> plan(time_point now);
 
     void usageSampled(const placement::usage_sample &sample, time_point now);
@@ -107,7 +107,7 @@
     work::quota_parts m_quotaParts;
     std::map<std::string, resources> m_teamLimits; // by team; only teams with a quota
     work::lease_settings m_leaseSettings;
-    std::size_t m_maxBacklogPerWorker; // tasks placed before they have room
+    std::size_t m_maxBacklogPerWorker; // tasks placed before the worker has capacity
     placement::scheduler m_scheduler;
     std::size_t m_shardCount; // shards in total; a job's tasks are distributed over them in turn
     metrics &m_metrics;
--- a/libs/base/errors.h
+++ b/libs/base/errors.h
@@ -39,7 +39,7 @@
     OutcomeUnknown,   // nothing tells whether the request was executed
     AnswerIncomplete, // the answer was cut off or is malformed
     AnswerTooLarge,   // the answer exceeds its size limit
-    AnswerLate,       // the deadline passed before the whole answer had arrived
+    AnswerLate,       // the deadline passed before the complete answer had arrived
     // Between zinniabarrow's own processes; the one that sent the message is the caller then.
     StaleEpoch,       // epoch: number of a shard's owner; the sender is an earlier owner
     StaleIncarnation, // incarnation: number of a process's start; the message is of an earlier one
--- a/libs/config/endpoint.h
+++ b/libs/config/endpoint.h
@@ -10,8 +10,8 @@
 
 struct endpoint
 {
-    std::string address;    // IPv4 or IPv6 address, without brackets
-    std::uint16_t port = 0; // TCP port
+    std::string address; // IPv4 or IPv6 address, without brackets
+    std::uint16_t port = 0;
     bool operator==(const endpoint &) const = default;
 };
 
--- a/libs/delivery/flow_messages.h
+++ b/libs/delivery/flow_messages.h
@@ -136,7 +136,7 @@
 struct flow_tick
 { };
 
-// A planned stop has begun: new requests are refused, those in flight end as usual.
+// A planned shutdown has begun: new requests are refused, those in flight end as usual.
 struct flow_drain_started
 { };
 
--- a/libs/jobs/job_controller.h
+++ b/libs/jobs/job_controller.h
@@ -82,11 +82,11 @@
     // no longer takes effect.
     milliseconds startInFlightTimeout{700};
     // How long a best-effort task waits for a worker on which it causes no lateness. After that, it
-    // is placed on any worker that has room. `maxInterferenceWaitWhenIdle` applies while at most
-    // 55% of the service's processors are in use or reserved, since callers then consider a job
-    // lost when none of its tasks runs for 3 s. `maxInterferenceWait` applies otherwise. It is so
-    // long that a job which has waited for it has certainly missed its objective: until then, its
-    // own lateness does not justify making others late.
+    // is placed on any worker with free capacity. `maxInterferenceWaitWhenIdle` applies while at
+    // most 55% of the service's processors are in use or reserved, since callers then consider a
+    // job lost when none of its tasks runs for 3 s. `maxInterferenceWait` applies otherwise. It is
+    // so long that a job which has waited for it has certainly missed its objective: until then,
+    // its own lateness does not justify making others late.
     milliseconds maxInterferenceWait{60'000};
     milliseconds maxInterferenceWaitWhenIdle{2500};
     // That a job has started is written with its next change, or by a write of its own after this
--- a/libs/jobs/lease.h
+++ b/libs/jobs/lease.h
@@ -14,7 +14,7 @@
 namespace zinniabarrow::jobs {
 
 // Callers consider a long-running task lost when nothing has run it for this long although there is
-// room for it.
+// free capacity for it.
 constexpr milliseconds TaskLostAfter{9000};
 
 // For how long tasks may run after the agent sent a renewal that was written. Longer than the
--- a/libs/jobs/worker_pool.h
+++ b/libs/jobs/worker_pool.h
@@ -31,7 +31,7 @@
     worker_report lastReport;
     time_point lastReportAt{};        // when the report arrived
     std::optional<agent_clock> clock; // of the agent's present incarnation
-    // Sizes that the agent refused since the report for lack of room.
+    // Sizes that the agent refused since the report for lack of free capacity.
     std::vector<task_size> refusedSizes;
     // Late jobs: those with a serving run here that is expected to miss its latency target, as its
     // best-effort neighbours add more load than its headroom in the report.
@@ -120,8 +120,8 @@
                                             const std::vector<std::string> &avoid, time_point now,
                                             const placement_preferences &preferences = {}) const;
     // Explains for the log why `chooseWorker` found no worker: the number of workers of the service
-    // for each unfit_reason, and how many of the workers that lack room would have room for the
-    // task if they had only their long-running runs.
+    // for each unfit_reason, and how many of the workers that lack free capacity would have
+    // enough for the task if they had only their long-running runs.
     std::string describeUnfitWorkers(const std::string &service, const step_spec &step,
                                      const std::vector<std::string> &avoid, time_point now,
                                      const placement_preferences &preferences = {}) const;
@@ -133,9 +133,9 @@
     double usedProcessorShare(const std::string &service, time_point now) const;
     // Adds a placement to the worker's used resources, until its next report replaces them.
     void reserve(const std::string &worker, const step_spec &step);
-    // Records that the agent had no room for a task of this step. Until its next report, no task of
-    // that size or larger is placed there. `reportedAt`: when the report arrived on which the
-    // refused order was based; the refusal is ignored if a newer report has arrived since.
+    // Records that the agent refused a task of this step for lack of free capacity. Until its next
+    // report, no task of that size or larger is placed there. `reportedAt`: when the report arrived
+    // on which the refused order was based; the refusal is ignored if a newer report has arrived.
     void recordRefusal(const std::string &worker, const step_spec &step, time_point reportedAt);
 
     // The entry passes it the samples in the reports, and sends its table to agents that ask for
--- a/libs/request/admission.h
+++ b/libs/request/admission.h
@@ -81,7 +81,7 @@
         // `connections`.
         int unusableCount = 0;
     };
-    // A planned stop has begun: new requests are refused as Draining, waiting ones are still
+    // A planned shutdown has begun: new requests are refused as Draining, waiting ones are still
     // served.
     struct drain_started
     { };
--- a/libs/runtime/http.h
+++ b/libs/runtime/http.h
@@ -179,7 +179,7 @@
     http_pool(const http_pool &) = delete;
     http_pool &operator=(const http_pool &) = delete;
 
-    // Returns the whole answer, buffered.
+    // Returns the complete answer, buffered.
     call_result call(const http_request &request, time_point deadline);
     // Like call() for answers up to MaxBufferedAnswerBytes; for a larger one it returns the head
     // and a stream. The answer is received on one of `threads`, which must not outlive the pool.
--- a/libs/work/messages.h
+++ b/libs/work/messages.h
@@ -131,7 +131,7 @@
     std::uint64_t ackedEvent = 0;        // events up to this number are committed in the table
     bool mayStartBacklog = false;        // true while the table is down: the backlog may be started
     std::vector<granted_task> tasks;     // to be started, if the agent doesn't run them yet
-    std::vector<granted_task> backlog;   // placed before there is room; wait for `mayStartBacklog`
+    std::vector<granted_task> backlog;   // no free capacity yet; wait for `mayStartBacklog`
     std::vector<task_attempt> stops;     // to be stopped without a checkpoint
     std::vector<task_attempt> evictions; // to be checkpointed and ended
     std::map<std::string, Json::Value> specs;     // by job, for `tasks` and `backlog`
--- a/libs/work/task_coordinator.cpp
+++ b/libs/work/task_coordinator.cpp
@@ -269,7 +269,7 @@
 
 // True if the task is committed as Placed and no staged or in-flight change ends that. A write of
 // the job's row doesn't count as such a change: each new generation may write job rows, just when
-// urgent work of that generation needs room.
+// urgent work of that generation needs capacity.
 bool task_coordinator::staysPlaced(const task_id &task) const
 {
     const task_record committed = m_store.committedRecord(task);
@@ -280,7 +280,7 @@
 
 // Also accepted while the placement itself is in flight: the scheduler evicts the youngest tasks
 // first, and counts the task as stopping from now on. If the decision were dropped, nobody would
-// repeat it, and urgent work would wait for the room.
+// repeat it, and urgent work would wait for the capacity.
 void task_coordinator::on(const eviction_decided &event, time_point)
 {
     const task_record latest = m_store.newestRecord(event.task);
--- a/libs/work/task_coordinator.h
+++ b/libs/work/task_coordinator.h
@@ -8,7 +8,7 @@
 //   epoch          number of an ownership of the shard; each new owner has a higher one
 //   incarnation    number that increases when a worker's instance is restarted or replaced
 //   table          the platform's table; it holds the rows of the shard's jobs and tasks
-//   backlog        tasks that are placed on a worker before there is room for them
+//   backlog        tasks that are placed on a worker before it has free capacity for them
 //
 // Terms for workers:
 //   attached       has recorded this owner's epoch, so it accepts no lease of an earlier owner
@@ -62,8 +62,8 @@
 {
     task_id task;
     std::string worker;
-    // Placed before there is room. Starts after backlog_start_decided; while the table is down also
-    // without it, if coordinator_settings::startsBacklogWhenDown is set.
+    // Placed before the worker has free capacity. Starts after backlog_start_decided; while the
+    // table is down also without it, if coordinator_settings::startsBacklogWhenDown is set.
     bool isBacklogged = false;
     resources reserved{}; // in the scheduler's reservation ledger; all 0: the declared size
 };
@@ -78,7 +78,7 @@
 {
     task_id task;
 };
-struct backlog_start_decided // there is room now for a task of a worker's backlog: it may start
+struct backlog_start_decided // a task of a worker's backlog may start: capacity and quota allow it
 {
     task_id task;
 };
@@ -249,7 +249,7 @@
         std::uint32_t attempt = 0;
         std::string startedBySession; // agent session that reported it as started
         bool isEvicting = false;
-        bool isStartAllowed = false;         // backlogged, and there is room for it now
+        bool isStartAllowed = false;         // backlogged; backlog_start_decided was received
         resources reservedSize;              // only if `reservationNumber` is set
         std::uint64_t reservationNumber = 0; // of its newest raise; 0: the declared size holds
         std::int64_t cpuLimit = 0;           // millicores; 0: none
--- a/libs/work/task_records.h
+++ b/libs/work/task_records.h
@@ -33,7 +33,7 @@
     std::uint64_t incarnation = 0; // of that worker
     std::string checkpoint;        // object name of the newest one; empty: none
     std::uint32_t failures = 0;    // attempts that ended as Failed
-    bool isBacklogged = false;     // placed before there is room; waits in the worker's backlog
+    bool isBacklogged = false;     // placed without free capacity; waits in the worker's backlog
 
     bool operator==(const task_record &) const = default;
 };
--- a/tests/job_controller_test.cpp
+++ b/tests/job_controller_test.cpp
@@ -585,7 +585,7 @@
 }
 
 // Guards against placing a task on the same worker again and again: a worker that refuses starts
-// has the most room of all. A run that it did not start goes elsewhere.
+// has the most free capacity of all. A run that it did not start goes elsewhere.
 Test(job_controller, a_run_that_never_started_goes_elsewhere)
 {
     test_fixture fixture;
@@ -830,9 +830,9 @@
     check(fixture.orders[0].worker == first.worker);
 }
 
-// Guards against a task that is stalled while another worker has room: the agent that it was placed
-// on postpones its start for seconds, because it knows of runs that nobody has claimed. Known to
-// fail, in KNOWN-RED.txt.
+// Guards against a task that is stalled while another worker has free capacity: the agent that it
+// was placed on postpones its start for seconds, because it knows of runs that nobody has claimed.
+// Known to fail, in KNOWN-RED.txt.
 Test(job_controller, a_start_that_is_put_off_goes_elsewhere, .disabled = true)
 {
     auto oneTaskSpec = test_fixture::twoSteps();
--- a/tests/large_long_running_tasks_test.cpp
+++ b/tests/large_long_running_tasks_test.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Required time limit for placing long-running tasks when the workers have room for twice as many.
+// Required time limit for placing long-running tasks when the workers have capacity for twice as
+// many.
 constexpr milliseconds PlacementTimeLimit{3000};
 
 } // namespace
--- a/tests/process_links_test.cpp
+++ b/tests/process_links_test.cpp
@@ -446,7 +446,7 @@
     cr_expect(result.countRefusals() == 0, "refused: %s", describeRefusals(result).c_str());
     check(connectionsRefused(system, "address_share") > 0);
     check(connectionsRefused(system, "all_in_use") == 0);
-    section("a planned stop does not wait for stalled callers forever", [&] {
+    section("a planned shutdown does not wait for stalled callers forever", [&] {
         system.entry(0)->signal(SIGTERM);
         check(system.entry(0)->waitForExit(WaitLimit) == 0);
     });
--- a/tests/process_requests_test.cpp
+++ b/tests/process_requests_test.cpp
@@ -6,11 +6,11 @@
 using namespace zinniabarrow;
 using namespace zinniabarrow::tests;
 
-// A caller gets either its own whole answer or a truthful refusal. An agent is killed under load:
-// its requests in flight end as unknown, or are retried if they never reached it. Another agent is
-// suspended until entries no longer route to it, and resumes with requests whose callers were
-// answered long ago. The guarantee holds because only attempts that are known not to have run are
-// retried.
+// A caller gets either its own complete answer or a truthful refusal. An agent is killed under
+// load: its requests in flight end as unknown, or are retried if they never reached it. Another
+// agent is suspended until entries no longer route to it, and resumes with requests whose callers
+// were answered long ago. The guarantee holds because only attempts that are known not to have run
+// are retried.
 Test(process_requests, agents_killed_and_suspended)
 {
     fleet system(smallFleet());
--- a/tests/process_shards_test.cpp
+++ b/tests/process_shards_test.cpp
@@ -185,9 +185,9 @@
     });
 }
 
-// A team's quota has room for 8 tasks beside its service, while the workers of all four shards have
-// room for 48. At most 8 tasks run at once, however the shards share the quota and although an
-// owner dies meanwhile, and the tasks of every shard finish.
+// A team's quota allows 8 tasks beside its service, while the workers of all four shards have
+// capacity for 48. However the shards share the quota, and although an owner dies meanwhile, at
+// most 8 tasks run at once, and the tasks of every shard get their turn.
 Test(process_shards, quota_over_all_shards)
 {
     const auto batch = batchOf(40, 1000);
--- a/tests/process_work_test.cpp
+++ b/tests/process_work_test.cpp
@@ -208,7 +208,7 @@
 
 // Workers are full and more batch tasks wait when the table goes down. Each worker has a backlog
 // whose placement is stored already: as tasks end, the owner starts backlog tasks without a write,
-// where its ledger has room. Without a backlog nothing starts until the table is back.
+// where its ledger shows free capacity. Without a backlog nothing starts until the table is back.
 Test(process_work, backlog_while_the_table_is_down)
 {
     const auto batch = batchOf(60, 3000);
--- a/tests/request_flow_test.cpp
+++ b/tests/request_flow_test.cpp
@@ -170,8 +170,8 @@
     });
 }
 
-// Planned stop: a request in flight gets its complete answer, a new one is refused as not run, and
-// the entry reports the end of the drain only afterwards.
+// Planned shutdown: a request in flight gets its complete answer, a new one is refused as not run,
+// and the entry reports the end of the drain only afterwards.
 Test(request_flow, drain)
 {
     forwarded_request request("POST");
--- a/tests/saturated_workers.h
+++ b/tests/saturated_workers.h
@@ -1,5 +1,5 @@
 // Simulated workers that are saturated by long-running tasks and by short ones, which ask for more
-// than the remaining room.
+// than the remaining capacity.
 #pragma once
 
 #include <fmt/core.h>
--- a/tests/underserved_jobs_test.cpp
+++ b/tests/underserved_jobs_test.cpp
@@ -11,8 +11,8 @@
 using namespace zinniabarrow::tests;
 
 // Guards against operators who see that callers of one service get less than others, but cannot
-// tell whether its tasks wait for room, which resource is short and what occupies it, or whether
-// they are late where they run.
+// tell whether its tasks wait for free capacity, which resource is short and what occupies it, or
+// whether they are late where they run.
 Test(underserved_jobs, the_log_says_what_a_job_lacks)
 {
     const auto linesOf = [](const saturated_workers &workers, const std::string &event,
--- a/tests/work_fixtures.h
+++ b/tests/work_fixtures.h
@@ -1,5 +1,5 @@
 // Fixtures for the tests of libs/work: the coordinator of one shard, and an agent with its worker.
-// The test itself provides all other inputs, such as decisions of the placer and answers.
+// The test itself provides all other inputs, such as decisions of the scheduler and answers.
 #pragma once
 
 #include <optional>
--- a/tests/work_model.h
+++ b/tests/work_model.h
@@ -201,7 +201,7 @@
     time_point now{seconds(1)};
     lease_settings leaseSettings;
     memory_platform platform;
-    bool placeInBacklog = false; // tasks without room go to a worker's backlog
+    bool placeInBacklog = false; // tasks for which no worker has free capacity go to a backlog
     table_fault tableFault = table_fault::None;
     network_fault networkFault = network_fault::None;
     std::map<std::string, model_entry> entries;
--- a/tests/work_test.cpp
+++ b/tests/work_test.cpp
@@ -291,8 +291,8 @@
     });
 }
 
-// A backlogged task waits at the agent. It starts when the owner finds room, or is withdrawn; the
-// withdrawal must not end a task that already runs without the owner's knowledge.
+// A backlogged task waits at the agent. It starts when the owner finds free capacity, or is
+// withdrawn; the withdrawal must not end a task that already runs without the owner's knowledge.
 Test(work, a_backlogged_task)
 {
     coordinator_fixture fixture;
@@ -319,7 +319,7 @@
         other.feed(grant_received{actionsOf<send_grant>(copy.actions).front().grant});
         check(actionsOf<worker_stop>(other.actions).size() == 1);
     });
-    section("starts when there is room", [&] {
+    section("starts when there is free capacity", [&] {
         fixture.feed(backlog_start_decided{{"job", 0}});
         agent.advance(seconds(2));
         check(exchangeReportAndGrant().tasks.size() == 1 && agent.worker.runs(agent.Task));
@@ -429,7 +429,7 @@
 
 // Urgent work arrives with a new generation, so the planning run that evicts tasks for it happens
 // while the rows of the jobs that this generation changes are being written. If the eviction were
-// dropped because of the write, the scheduler would wait for the room until the urgent work's
+// dropped because of the write, the scheduler would wait for the capacity until the urgent work's
 // deadline has passed.
 Test(work, an_eviction_while_the_jobs_row_is_written)
 {
--- a/tests/worker_pool_test.cpp
+++ b/tests/worker_pool_test.cpp
@@ -307,8 +307,8 @@
             [&] { check(pool.countServingRuns(Now + seconds(3)).empty()); });
 }
 
-// Guards against telling operators that a task has no room without naming the resource that is
-// short: they would add a worker where only memory is lacking.
+// Guards against telling operators that no worker has free capacity for a task without naming the
+// resource that is short: they would add a worker where only memory is lacking.
 Test(worker_pool, the_log_names_the_short_resource)
 {
     worker_pool pool;
