--- a/app/job_agent.cpp
+++ b/app/job_agent.cpp
@@ -43,7 +43,8 @@
 constexpr milliseconds CancelsBatchDelay{1000};
 constexpr milliseconds LogFlushInterval{100};
 constexpr milliseconds FinishLimit{300}; // the final write of the lease takes about 15 ms
-// For telling entries and the lease row that the runs of a worker that leaves have ended.
+// Time limit for telling the entries, and writing to the lease row, that the runs of a leaving
+// worker have ended.
 constexpr milliseconds HandOverLimit{5000};
 constexpr shutdown_poll_intervals ShutdownIntervals{milliseconds(150), milliseconds(10)};
 constexpr shutdown_limits ShutdownLimits{HandOverLimit, FinishLimit, HandOverLimit + FinishLimit,
@@ -188,9 +189,9 @@
         // have certainly ended.
         if (m_workerClock.isKnown() && now < lease().validUntil()
             && m_workerLiveness.isResponsive(now)) {
-            const auto until = std::min<time_point>(lease().validUntil(), now + HoldDuration);
-            deadline = m_workerClock.millisecondsAt(until);
-            m_workerLiveness.noteHold(until);
+            const auto holdUntil = std::min<time_point>(lease().validUntil(), now + HoldDuration);
+            deadline = m_workerClock.millisecondsAt(holdUntil);
+            m_workerLiveness.noteHold(holdUntil);
         }
         // While the worker's clock is unknown, the poll returns at once and only reads the clock.
         const auto maxWait = m_runTable.servingSamples().empty() ? PollWait : ServingPollWait;
@@ -239,7 +240,7 @@
             handleDepartureRefuted();
         m_workerClock.setReading(holdAnswer->listing.clockMs, now);
         m_runTable.applyListing(holdAnswer->listing, now);
-        const bool hasNewEnds = m_runTable.newEndCount() != m_endsReported;
+        const bool hasNewEnds = m_runTable.newEndCount() != m_reportedEndCount;
         settleEpoch(now);
         executeDueActions();
         m_workerCalls.adjustSpeeds(now);
@@ -286,7 +287,7 @@
     }
 
     // A worker that gets no calls ends all its runs when its last hold expires. Once that has
-    // certainly happened, they count as ended.
+    // certainly happened, the runs count as ended.
     void checkSilence(time_point now)
     {
         if (!m_workerLiveness.hasNothingRunning(now)
@@ -308,7 +309,6 @@
             return;
         }
         const auto announcement = platform_wire::parseAnnouncement(request);
-        // An announcement that can't be parsed is rejected with 400.
         if (!announcement)
             return respond({400, {}, R"({"error":"bad_request"})"});
         respond({200, {}, ""});
@@ -415,7 +415,7 @@
         for (const auto &action : m_runTable.takeDueActions(now, canStart))
             std::visit([this](const auto &typedAction) { m_workerCalls.execute(typedAction); },
                        action);
-        if (std::exchange(m_endsReported, m_runTable.newEndCount()) != m_runTable.newEndCount())
+        if (std::exchange(m_reportedEndCount, m_runTable.newEndCount()) != m_runTable.newEndCount())
             m_reportSender.sendReports();
     }
 
@@ -471,7 +471,7 @@
             m_workerListener.drain();
             break;
         case shutdown_step::GiveUp:
-            // Relayed calls to the store are open. 502: they may have been executed.
+            // Relayed calls to the store are still unanswered. 502: they may have been executed.
             m_internalListener.answerAll({502, {}, ""});
             break;
         case shutdown_step::HandOver:
@@ -515,7 +515,8 @@
 
     worker_presence m_workerPresence;
     worker_clock m_workerClock;
-    // Nothing is started before: a delayed order could start a task of a cancelled job.
+    // Until the cancellations are read, nothing is started: a delayed order could start a task of
+    // a cancelled job.
     bool m_areCancelsRead = false;
     shutdown_driver m_shutdown;
     bool m_isFinalRenewalSent = false; // see sendFinalRenewal()
@@ -525,7 +526,7 @@
     worker_liveness m_workerLiveness{suspendAwareNow()};
     worker_calls m_workerCalls;
 
-    std::size_t m_endsReported = 0; // value of m_runTable.newEndCount() at the last report
+    std::size_t m_reportedEndCount = 0; // value of m_runTable.newEndCount() at the last report
 
     time_point m_startsAllowedAt{}; // no run is started before this time
     bool m_isPolling = false;
--- a/app/job_entry.cpp
+++ b/app/job_entry.cpp
@@ -350,40 +350,41 @@
             m_jobController->checkpointReported(report.worker, progress);
         for (const auto &run : report.started)
             m_jobController->runStarted(run, now);
-        auto state = std::make_shared<pending_report>();
-        state->respond = std::move(respond);
-        state->pendingEnds = report.ends.size();
+        auto pendingReport = std::make_shared<pending_report>();
+        pendingReport->respond = std::move(respond);
+        pendingReport->pendingEnds = report.ends.size();
         for (const auto &sample : report.samples)
             m_pool.interferenceEstimator().learn(sample);
-        // An outdated copy of the zones could still contain one that is back in use.
-        state->answer.zoneEvacuated = m_configuration.isConfirmed()
-                                      && m_configuration.evacuatedZones().contains(report.zone);
+        // An outdated list of evacuated zones could still contain a zone that is back in use.
+        pendingReport->answer.zoneEvacuated =
+                m_configuration.isConfirmed()
+                && m_configuration.evacuatedZones().contains(report.zone);
         if (report.wantsInterferenceTable)
-            state->answer.interference = m_pool.interferenceEstimator().table();
+            pendingReport->answer.interference = m_pool.interferenceEstimator().table();
         for (const auto &end : report.ends)
-            handleEnd(report.worker, end, state);
-        // Only now, because the ends that were handled above end their own placements.
+            handleEnd(report.worker, end, pendingReport);
+        // Called after the ends above have been handled, which end their own placements:
         // workerRestarted() ends all other placements of earlier epochs.
         if (isNewIncarnation)
             m_jobController->workerRestarted(report.worker, report.epoch, now);
         if (m_pool.find(report.worker)->lastReport.agentIncarnation == report.agentIncarnation)
             m_jobController->workerReported(report.worker, now);
-        if (state->pendingEnds == 0)
-            answerReport(*state);
+        if (pendingReport->pendingEnds == 0)
+            answerReport(*pendingReport);
         else
-            m_loop.runAfter(ReportAnswerTimeout, [state] { answerReport(*state); });
+            m_loop.runAfter(ReportAnswerTimeout, [pendingReport] { answerReport(*pendingReport); });
         schedulePlan();
     }
 
     void handleEnd(const std::string &worker, const run_end &end,
-                   const std::shared_ptr<pending_report> &state)
+                   const std::shared_ptr<pending_report> &pendingReport)
     {
-        const auto token = m_writeCallbacks.add([state, end](bool isStored) {
-            auto &answer = state->answer;
+        const auto token = m_writeCallbacks.add([pendingReport, end](bool isStored) {
+            auto &answer = pendingReport->answer;
             auto &ends = isStored ? answer.acknowledged : answer.notOwned;
             ends.push_back({end.task, end.run, end.endKind});
-            if (--state->pendingEnds == 0)
-                answerReport(*state);
+            if (--pendingReport->pendingEnds == 0)
+                answerReport(*pendingReport);
         });
         if (m_jobController->runEnded(worker, end, suspendAwareNow(), token))
             return;
@@ -393,11 +394,11 @@
         m_writeCallbacks.resolve(token, known != nullptr && !known->needsOwner);
     }
 
-    static void answerReport(pending_report &state)
+    static void answerReport(pending_report &pendingReport)
     {
-        if (std::exchange(state.isAnswered, true))
+        if (std::exchange(pendingReport.isAnswered, true))
             return;
-        state.respond({200, {}, toText(state.answer)});
+        pendingReport.respond({200, {}, toText(pendingReport.answer)});
     }
 
     // --- Readiness for the load balancer.
--- a/app/lease_watcher.cpp
+++ b/app/lease_watcher.cpp
@@ -78,8 +78,8 @@
 void lease_watcher::evaluate(const std::string &worker, const row &row, std::int64_t storeMs)
 {
     const auto lease = leaseFrom(row.value);
-    // The epoch may be higher because another watcher has ended the previous one, or because the
-    // worker has started a new incarnation.
+    // The epoch may be higher than the last known one, because another watcher has ended that one
+    // or because a new incarnation of the worker has started.
     m_onEpochKnown(worker, lease.epoch);
     const auto verdict =
             m_expiryDetector.observe(worker, lease, row.version, storeMs, suspendAwareNow());
@@ -95,16 +95,16 @@
 void lease_watcher::endLease(const std::string &worker, const lease_row &lease,
                              std::int64_t version)
 {
-    auto next = lease;
-    ++next.epoch;
-    next.endedByWatcher = true;
+    auto endedLease = lease;
+    ++endedLease.epoch;
+    endedLease.endedByWatcher = true;
     // The id must differ from those of the agent's writes: otherwise the agent could take this row
     // for the result of its own renewal when it retries one.
-    next.writeId = fmt::format("{}:ends:{}", m_self, version);
+    endedLease.writeId = fmt::format("{}:ends:{}", m_self, version);
     const auto name = leaseRowName(worker);
     m_store.commit(
-            {{{name, version}}, {{name, toText(next), 0, false}}, {}},
-            [this, worker, epoch = next.epoch](const store_client::commit_outcome &outcome) {
+            {{{name, version}}, {{name, toText(endedLease), 0, false}}, {}},
+            [this, worker, epoch = endedLease.epoch](const store_client::commit_outcome &outcome) {
                 // The lease was renewed, or ended by another watcher or by an earlier try of
                 // this write. Reading the row again tells which.
                 if (!std::holds_alternative<committed>(outcome))
--- a/app/report_sender.cpp
+++ b/app/report_sender.cpp
@@ -168,10 +168,10 @@
         if (m_runTable.acknowledgeEnd(end, now))
             m_throttleController.forget(end.task, end.run);
     }
-    bool isNew = false;
+    bool hasMoreRecipients = false;
     for (const auto &end : answer.notOwned)
-        isNew = m_runTable.noteNotOwned(end, entry) || isNew;
-    if (isNew)
+        hasMoreRecipients = m_runTable.noteNotOwned(end, entry) || hasMoreRecipients;
+    if (hasMoreRecipients)
         sendReports();
     if (answer.zoneEvacuated)
         handleEvacuation(now);
@@ -186,7 +186,8 @@
     if (!isNew)
         return;
     m_log.writeEvent("zone_evacuated", {{"zone", m_workerPresence.lastAnnouncement().zone}});
-    sendReports(); // until its next report, an entry that doesn't know would place tasks here
+    // An entry that doesn't know of the evacuation would place tasks here until the next report.
+    sendReports();
 }
 
 } // namespace zinniabarrow
--- a/libs/config/endpoint.h
+++ b/libs/config/endpoint.h
@@ -19,7 +19,7 @@
 std::string toText(const endpoint &endpoint);
 
 // Parses the format of `toText`. Returns nothing unless `text` is an IP address with a port from 1
-// to 65535.
+// to 65535; port 0 is refused.
 std::optional<endpoint> parseEndpoint(std::string_view text);
 
 // True for an IPv4 or IPv6 address without a port.
--- a/libs/jobs/job_controller.cpp
+++ b/libs/jobs/job_controller.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Keeps only the newest runs: an end is no longer expected once this many later runs of the task
-// are unreported, too.
+// Records a run whose end is not reported yet. Only the newest such runs of a task are kept; the
+// ends of older ones are no longer expected.
 void addUnreportedRun(task_state &task, int run)
 {
     constexpr std::size_t MaxUnreportedRuns = 4;
@@ -136,7 +136,7 @@
         return;
     auto &job = found->second;
     if (job.inFlightRevision != 0 || version <= job.version)
-        return; // our own write, or a change that the write in flight will conflict with
+        return; // this entry's own write, or a change that the write in flight will conflict with
     if (record.owner != m_self) {
         addLog("job_disowned", id, "owner is " + record.owner.entry);
         return dropJob(id);
@@ -145,7 +145,7 @@
     applyCancel(id, job, record);
 }
 
-// Applies a cancel that another entry wrote to the row in the owner's place.
+// Applies a cancel that another entry wrote to the row on the owner's behalf.
 void job_controller::applyCancel(const std::string &id, owned_job &job, const job_record &row)
 {
     if (!row.cancelled || isFinal(job.record.state()))
--- a/libs/jobs/job_controller_stalls.cpp
+++ b/libs/jobs/job_controller_stalls.cpp
@@ -100,7 +100,8 @@
     }
 }
 
-// The task is long-running, its occurrence is due, and the steps that it depends on are done.
+// Returns true if the task is long-running, its occurrence is due, and the steps that it depends on
+// are done.
 bool job_controller::shouldBeRunning(const owned_job &job, const task_id &task, std::int64_t wallMs)
 {
     const auto &record = job.record;
--- a/libs/jobs/run_table.cpp
+++ b/libs/jobs/run_table.cpp
@@ -44,8 +44,8 @@
 void run_table::clearRuns()
 {
     std::erase_if(m_runs, [](const auto &entry) { return entry.second.phase != run_phase::Ended; });
-    // The worker's next incarnation numbers its ends from the start: earlier numbers must not make
-    // it forget any of them.
+    // The worker's next incarnation numbers its ends anew. If it were sent a number of an earlier
+    // incarnation, it would forget ends that are not acknowledged yet.
     for (auto &[key, tracked] : m_runs)
         tracked.end.sequence = 0;
     m_highestEndSequence = 0;
@@ -170,8 +170,8 @@
 {
     m_cancelledJobs[job] = now + m_settings.cancelRetention;
     int stopped = 0;
-    const task_id first{job, 0, 0, 0};
-    for (auto at = m_runs.lower_bound({first, 0}); at != m_runs.end(); ++at) {
+    const task_id firstTask{job, 0, 0, 0};
+    for (auto at = m_runs.lower_bound({firstTask, 0}); at != m_runs.end(); ++at) {
         auto &[key, tracked] = *at;
         if (key.first.job != job)
             break;
@@ -297,8 +297,8 @@
     const run_key key{end.task, end.run};
     m_highestEndSequence = std::max(m_highestEndSequence, end.sequence);
     const auto known = m_runs.find(key);
-    // Acknowledged before; the worker forgets it at the next poll. An end that was not listed
-    // before is new, whatever was assumed of its run.
+    // This end was acknowledged before; the worker forgets it at the next poll. An end with a
+    // higher sequence number than any in earlier listings is new, even if its run was refused.
     if (known == m_runs.end() && isRefused(key) && end.sequence <= previousHighest)
         return;
     auto &tracked = m_runs[key];
@@ -419,6 +419,7 @@
 {
     return std::any_of(m_runs.begin(), m_runs.end(), [](const auto &entry) {
         const auto &run = entry.second;
+        // clearRuns() sets the sequence numbers of a gone worker's ends to 0.
         return run.phase == run_phase::Ended && run.end.sequence == 0
                && run.end.endKind != end_kind::NeverStarted;
     });
@@ -491,9 +492,9 @@
 
 void run_table::rememberRefusal(const run_key &key, time_point now)
 {
-    auto &last = m_refusals[key.first];
-    last.upToRun = std::max(last.upToRun, key.second);
-    last.expiresAt = now + m_settings.refusalRetention;
+    auto &taskRefusal = m_refusals[key.first];
+    taskRefusal.upToRun = std::max(taskRefusal.upToRun, key.second);
+    taskRefusal.expiresAt = now + m_settings.refusalRetention;
 }
 
 bool run_table::isRefused(const run_key &key) const
--- a/libs/jobs/worker_pool.cpp
+++ b/libs/jobs/worker_pool.cpp
@@ -37,7 +37,7 @@
 // smaller than any single term of the score.
 double tieBreakOf(const std::string &worker, std::uint64_t seed)
 {
-    // As much as a quarter of a worker's processors in the score.
+    // Weighs as much in the score as a quarter of a worker's processors.
     constexpr double MaxTieBreak = 0.05;
     constexpr std::uint64_t TieBreakSteps = 1024;
     if (seed == 0)
@@ -176,7 +176,7 @@
         && processorShareWith(view, step) > MaxProcessorShare)
         return unfit_reason::BestEffortFull;
     // A best-effort task waits for a worker on which it causes no lateness: its objective leaves it
-    // time, while a late response to a user cannot be made good.
+    // time, while nothing makes up for a late response to a user.
     constexpr double MaxExpectedLateJobs = 0.15;
     if (step.isBestEffort && avoidsInterference
         && expectedLateJobs(view, step) > MaxExpectedLateJobs)
@@ -241,13 +241,14 @@
     double score = -0.2 * share - OvercommitPenalty * std::max(0.0, share - OvercommitStart);
     if (!step.dataRack.empty() && step.dataRack != latest.rack)
         score -= 0.5; // a task on another rack than its data takes half as long again
-    score -= 0.25 * std::max(0.0, view.slowdown - 1.3); // estimates alone are off by a fifth
+    // A slowdown up to 1.3 may come from the estimates alone, which are off by a fifth.
+    score -= 0.25 * std::max(0.0, view.slowdown - 1.3);
     constexpr double LateJobPenalty = 4; // as much as an overcommitment by all processors
     return score - LateJobPenalty * latenessCost(view, step);
 }
 
 // Packs serving runs onto few workers, those of the same job and image together. Best-effort runs
-// then find workers on which they make nobody late; on the others they run beside one image at one
+// then find workers on which they make no job late; on the others they run beside one image at one
 // load instead of many.
 double worker_pool::servingScore(const worker_view &view, const step_spec &step, int waitingTasks)
 {
@@ -263,7 +264,8 @@
     const auto free = static_cast<double>(latest.capacity.millicores - latest.used.millicores);
     score -=
             0.2 * free / static_cast<double>(std::max<std::int64_t>(1, latest.capacity.millicores));
-    score -= 0.25 * std::max(0.0, view.slowdown - 1.3); // estimates alone are off by a fifth
+    // A slowdown up to 1.3 may come from the estimates alone, which are off by a fifth.
+    score -= 0.25 * std::max(0.0, view.slowdown - 1.3);
     return score;
 }
 
@@ -286,9 +288,9 @@
 std::map<std::string, double> worker_pool::expectedLateness(const worker_view &view,
                                                             const step_spec &step) const
 {
-    std::map<std::string, double> jobs;
+    std::map<std::string, double> latenessByJob;
     if (!step.isBestEffort)
-        return jobs;
+        return latenessByJob;
     // Width of the range of load between certainly on time and certainly late: the serving runs'
     // own load varies while the best-effort run is active.
     constexpr double LoadUncertainty = 0.2; // load
@@ -301,11 +303,11 @@
                 std::clamp((load - run.headroom) / LoadUncertainty + 0.5, 0.0, 1.0);
         if (probability <= 0 || addedLoad <= 0)
             continue;
-        auto &worstLateness = jobs[run.job];
+        auto &worstLateness = latenessByJob[run.job];
         worstLateness =
                 std::max(worstLateness, probability * std::min(1.0, addedLoad / FullWeightLoad));
     }
-    return jobs;
+    return latenessByJob;
 }
 
 // Expected number of jobs that the task makes or keeps late here. A job that is late elsewhere
@@ -379,12 +381,12 @@
             continue;
         if (std::find(avoid.begin(), avoid.end(), name) != avoid.end())
             continue;
-        const auto candidate = score(view, step, preferences.waitingTasks)
-                               + tieBreakOf(name, preferences.tieBreakSeed);
-        if (best != nullptr && candidate <= bestScore)
+        const auto candidateScore = score(view, step, preferences.waitingTasks)
+                                    + tieBreakOf(name, preferences.tieBreakSeed);
+        if (best != nullptr && candidateScore <= bestScore)
             continue;
         best = &view;
-        bestScore = candidate;
+        bestScore = candidateScore;
     }
     if (best == nullptr)
         return std::nullopt;
@@ -418,19 +420,19 @@
 
 serving_counts worker_pool::countServingRuns(time_point now) const
 {
-    serving_counts jobs;
+    serving_counts countsByJob;
     for (const auto &[name, view] : m_workers) {
         if (now - view.lastReportAt > m_settings.reportTimeout)
             continue;
         for (const auto &run : view.lastReport.serving) {
             if (run.job.empty())
                 continue;
-            auto &job = jobs[run.job];
+            auto &job = countsByJob[run.job];
             ++job.running;
             job.late += run.isLate ? 1 : 0;
         }
     }
-    return jobs;
+    return countsByJob;
 }
 
 double worker_pool::usedProcessorShare(const std::string &service, time_point now) const
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -98,14 +98,14 @@
 // PR_SET_PDEATHSIG: the kernel kills the child when the test ends. A test that crashes runs no
 // destructors; its processes would stay, and after a few such tests the machine would have no
 // threads left for another fleet.
-[[noreturn]] void executeProgram(const exec_parameters &parameters, char *const *arguments)
+[[noreturn]] void executeProgram(const exec_parameters &execParameters, char *const *arguments)
 {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != parameters.parent) // the parent ended before prctl
+    if (getppid() != execParameters.parent) // the parent ended before prctl
         _exit(127);
     redirectDescriptor(0, "/dev/null", O_RDONLY);
-    redirectDescriptor(1, parameters.outFile, O_WRONLY | O_CREAT | O_APPEND);
-    redirectDescriptor(2, parameters.errorFile, O_WRONLY | O_CREAT | O_APPEND);
+    redirectDescriptor(1, execParameters.outFile, O_WRONLY | O_CREAT | O_APPEND);
+    redirectDescriptor(2, execParameters.errorFile, O_WRONLY | O_CREAT | O_APPEND);
     sigset_t noSignals;
     sigemptyset(&noSignals);
     sigprocmask(SIG_SETMASK, &noSignals, nullptr);
@@ -113,7 +113,7 @@
     close_range(FirstClosedDescriptor, ~0U, CLOSE_RANGE_CLOEXEC);
     execv(arguments[0], arguments);
     const int errorNumber = errno;
-    const auto written = write(parameters.errorPipeEnd, &errorNumber, sizeof errorNumber);
+    const auto written = write(execParameters.errorPipeEnd, &errorNumber, sizeof errorNumber);
     _exit(written > 0 ? 127 : 126);
 }
 
--- a/tests/process_evict_test.cpp
+++ b/tests/process_evict_test.cpp
@@ -156,9 +156,9 @@
 {
     fleet system(smallFleet());
     startFullFleet(system);
-    Json::Value fault(Json::objectValue);
-    fault["lose_answers"] = 10;
-    setPlatformAndWorkerFault(system, fault);
+    Json::Value answerLoss(Json::objectValue);
+    answerLoss["lose_answers"] = 10;
+    setPlatformAndWorkerFault(system, answerLoss);
     submitUrgentJob(system);
     checkAllTasksCompleted(system);
 }
