--- a/bench/membership_mesh.h
+++ b/bench/membership_mesh.h
@@ -67,9 +67,9 @@
 
     struct traffic
     {
-        std::uint64_t sent = 0; // bytes, packet headers included
+        std::uint64_t sent = 0; // bytes, packet headers and lost messages included
         std::uint64_t received = 0;
-        std::uint64_t messages = 0; // sent and received
+        std::uint64_t messages = 0; // number of sent and of received messages, added up
     };
     const traffic &trafficOf(const std::string &node) { return m_traffic[node]; }
     void resetTraffic() { m_traffic.clear(); }
@@ -78,7 +78,9 @@
     struct entry_node
     {
         std::unique_ptr<membership> membershipState;
-        std::set<std::string> routable; // agents that a router would route to
+        // Agents whose upstream has joined and not left by the changes that membershipState
+        // returned: a router would route to these.
+        std::set<std::string> routable;
     };
 
     void step();
--- a/bench/placement_model.h
+++ b/bench/placement_model.h
@@ -37,9 +37,11 @@
     double finishedHours = 0; // processor hours of finished batch tasks
     int evictions = 0;        // for any reason
     int evictionsForInterference = 0;
-    int memoryKills = 0;       // tasks that the kernel killed for memory
-    int failures = 0;          // failed attempts of failing jobs' tasks and on the failing worker
-    double wastedHours = 0;    // processor hours repeated or lost
+    int memoryKills = 0; // tasks that the kernel killed for memory
+    int failures = 0;    // failed attempts of failing jobs' tasks and on the failing worker
+    // Processor hours of tasks that were evicted, killed or failed: work since the last checkpoint,
+    // which is lost, and work for loading the checkpoint.
+    double wastedHours = 0;
     int throttles = 0;         // decisions of the scheduler to set or lift a CPU limit
     double maxUrgentDelay = 0; // seconds from pending to the first run, urgent tasks
     double urgentP99Delay = 0; // p99 of the same delay, in seconds
@@ -55,11 +57,13 @@
 };
 
 // Returns, in this order:
-//   first fit on declared sizes, without any learning, relief or quarantine
-//   placement_algorithm::Scored without learning of sizes and interference
-//   the same with learning, once with each of two deployments' weights
-//   the first deployment's again, without relieveServices
-//   the first deployment's again, without learning of interference
+//   "first fit, declared sizes": placement_algorithm::FirstFit without learning, relieveServices,
+//       avoidInterference and quarantine
+//   "no learning": Scored with Mtkvari's weights, without learning of sizes and interference
+//   "chosen, Mtkvari's weights": the default settings with weights that favour tail latency
+//   "chosen, VTAV's weights": the same with weights that favour throughput and few evictions
+//   "Mtkvari's, no relief": with Mtkvari's weights, without relieveServices
+//   "Mtkvari's, effects unknown": with Mtkvari's weights, without learning of interference
 std::vector<named_policy> comparedPolicies();
 // The same policy and settings always give the same result.
 model_result runModel(const placement::scheduler_settings &policy, const model_settings &settings);
--- a/bench/routing_scenario.h
+++ b/bench/routing_scenario.h
@@ -34,7 +34,7 @@
     int entriesByZone = 1;           // number of entries in each zone
     int slots = 8;                   // requests that each upstream executes at the same time
     milliseconds serviceTime{20};    // mean of the exponential distribution
-    double slowFactor = 3.0;         // of the first upstream of the first zone, which is slow
+    double slowFactor = 3.0;         // the first zone's first upstream takes this times longer
     milliseconds timeout{400};       // of the callers, from the sending of the request on
     microseconds callerDelay{3000};  // one way between caller and entry
     microseconds zoneDelay{500};     // one way between zones
@@ -50,14 +50,15 @@
     bool areAllUnreachable = false; // every upstream refuses the connection
     bool isLastUnreachable = false; // the last upstream refuses the connection
     bool isLastHanging = false;     // the last upstream accepts requests and never answers
-    double retryFraction = 0.1;     // retries per request that the retry budget allows
+    double retryFraction = 0.1;     // retries that each request adds to its entry's retry budget
 };
 
 struct scenario_result
 {
     std::uint64_t requests = 0;
-    std::uint64_t onTime = 0;   // answered by the caller's deadline; refusals are not answers
-    std::uint64_t lost = 0;     // sent to the hanging upstream and never answered; not in late
+    std::uint64_t onTime = 0; // answered by the caller's deadline; refusals are not answers
+    // Sent to the hanging upstream; never answered and not sent to another one. Not in `late`.
+    std::uint64_t lost = 0;
     std::uint64_t late = 0;     // answered after the deadline
     std::uint64_t attempts = 0; // sent to upstreams
     std::uint64_t retries = 0;
--- a/include/zinniabarrow/zinniabarrow.h
+++ b/include/zinniabarrow/zinniabarrow.h
@@ -1,7 +1,8 @@
 // The zinniabarrow library: the coordination parts, without any I/O.
 //
-// Each part takes an event and the current time `now`, and returns actions that the embedding
-// program executes. The parts have no clock, socket, thread or global random generator; the program
+// The larger parts are given events and the current time `now`, and return actions for the
+// embedding program to execute; the smaller ones, such as router and retry_budget, have plain
+// functions. No part has a clock, socket, thread or global random generator; the embedding program
 // provides those. See examples/embedding.cpp.
 #pragma once
 
@@ -34,7 +35,8 @@
 #include "placement/reservation_ledger.h"
 #include "placement/scheduler.h"
 
-// Work: ownership of workers, tasks that run once, quotas over all shards.
+// Work: which entry owns which shard of the workers, tasks that run once, and the division of
+// teams' quotas among the shards.
 #include "work/ownership.h"
 #include "work/quota_parts.h"
 #include "work/task_coordinator.h"
--- a/libs/base/answer_check.h
+++ b/libs/base/answer_check.h
@@ -1,9 +1,9 @@
 // Checks that an upstream's answer is complete and belongs to the request.
 //
 //   answer_head    what the head of an answer declares
-//   answer_check   is given the head, body sizes and end; the only place that decides completeness
+//   answer_check   is given the head, body sizes and end; decides whether the answer is complete
 //
-// http_pool runs it on every answer that a daemon receives.
+// http_pool runs it on every answer that it receives; net::http_client does not use it.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 enum class body_framing {
     Length,     // Content-Length
     Chunked,    // Transfer-Encoding: chunked
-    UntilClose, // ends when the connection closes: a truncated body can't be detected
-    Conflicting // several or contradictory declarations
+    UntilClose, // ends when the connection closes; rejected, as a truncated body can't be detected
+    Conflicting // several declarations, or an invalid length; rejected
 };
 
 struct answer_head
@@ -43,6 +43,8 @@
 class answer_check
 {
 public:
+    // `requestId` and `method` are those of the request; an empty `requestId` if no echo was
+    // requested. The method tells whether the answer has a body.
     answer_check(std::string requestId, std::string method, answer_limits limits);
 
     std::optional<error_kind> checkHead(const answer_head &head);
@@ -50,7 +52,7 @@
     // `lastChunkSeen` is used for Chunked only. Returns nullopt when the answer is complete.
     std::optional<error_kind> checkEnd(bool lastChunkSeen);
 
-    std::uint64_t receivedBytes() const { return m_received; }
+    std::uint64_t receivedBytes() const { return m_received; } // of the body
 
 private:
     std::optional<error_kind> fail(error_kind kind);
--- a/libs/base/event_log.h
+++ b/libs/base/event_log.h
@@ -28,13 +28,14 @@
 struct log_limits
 {
     std::size_t bytesPerSecond = 24 * 1024; // sustained rate; 1.4 MB per minute and process
-    // Enough to log that this entry takes over several hundred jobs.
+    // Enough for the lines of an entry that takes over several hundred jobs at once.
     std::size_t burstBytes = 128 * 1024;
 };
 
 class event_log
 {
 public:
+    // `role` ("entry" or "agent") and `id` of the process are written into each line.
     event_log(std::string role, std::string id, const log_limits &limits = {});
     ~event_log();
     event_log(const event_log &) = delete;
--- a/libs/config/folder.h
+++ b/libs/config/folder.h
@@ -36,7 +36,8 @@
     std::uint16_t port = 0;          // each replica listens on it; 0: assigned when it starts
     milliseconds latencyTarget{100}; // target for the 99th percentile of answer times
     priority_class priority = priority_class::Normal; // order of placement
-    failover_class failover = failover_class::Lease;  // when a silent worker's replica is replaced
+    failover_class failover = failover_class::Lease;  // when a silent worker's replica is replaced,
+                                                      // see base/failover.h
     std::string interferenceClass; // services and jobs of one class share interference
                                    // measurements; empty: a class of its own, by its name
     bool operator==(const service_spec &) const = default;
@@ -52,17 +53,19 @@
     milliseconds runTimeEstimate{60'000};             // of one task
     bool isCheckpointable = false;                    // an evicted task resumes from its checkpoint
     priority_class priority = priority_class::Normal; // order of placement
-    failover_class failover = failover_class::Lease;  // when a silent worker's task is replaced
+    failover_class failover = failover_class::Lease;  // when a silent worker's task is replaced,
+                                                      // see base/failover.h
     std::string interferenceClass;                    // as in service_spec
     bool operator==(const job_spec &) const = default;
 };
 
-// An instance pool: workers of one kind, which services and jobs refer to by the pool's name.
+// An instance pool: a group of workers, which services and jobs refer to by the pool's name.
 struct pool_spec
 {
     std::vector<std::string> zones; // availability zones of its workers
     std::int64_t workers = 1;       // number of workers
-    resources workerSize;           // size of the largest worker
+    resources workerSize; // size of the largest worker; config/validate.h counts every worker
+                          // with it
     bool operator==(const pool_spec &) const = default;
 };
 
@@ -104,8 +107,8 @@
 {
     Json::Value value{Json::objectValue}; // only what files contain; defaults are not filled in
     std::map<std::string, text_location> valueLocations; // of each merged value, by JSON pointer
-    std::map<std::string, std::string> overriddenBy; // files of which no value is in force, with
-                                                     // the file that replaced the last value
+    // By name of a file of which no value is in force: the file that replaced its last value.
+    std::map<std::string, std::string> overriddenBy;
 
     // File and line of the value at this JSON pointer, or of its nearest parent that a file
     // contains.
--- a/libs/config/generation_records.h
+++ b/libs/config/generation_records.h
@@ -46,15 +46,17 @@
 // 16 hexadecimal digits of a hash and the length of the text in bytes, as
 // "00c5f3a09b1e7d42-1830".
 std::string digestOf(const std::string &text);
-std::string digestOf(const file_versions &files);
+std::string digestOf(const file_versions &files); // of the list of names and versions
 
 // The table row that tells which generation is the accepted one.
 struct accepted_row
 {
-    std::uint64_t generation = 0;             // from 1; never decreases
-    std::string digest;                       // of the generation's content
-    std::string folderDigest;                 // digestOf the file versions that were merged
-    std::string operationId;                  // of the transaction that wrote the row
+    std::uint64_t generation = 0; // from 1; only restoring an older table decreases it
+    std::string digest;           // of the generation's content
+    std::string folderDigest;     // digestOf the file versions that were merged
+    // Of the transaction that wrote the row. It tells an entry whose commit got no answer whether
+    // the commit was applied.
+    std::string operationId;
     std::vector<std::string> previousDigests; // of the contents of earlier generations that are
                                               // still stored, newest first
 };
@@ -113,13 +115,13 @@
 };
 std::string_view nameOf(file_state state);
 
-// The state of one version of a file in the folder.
+// The state of one version of a file in the folder, as an entry reports it to operators.
 struct file_status
 {
     std::string name;
     std::uint64_t version = 0; // 0: the removal of the file
     file_state state = file_state::Pending;
-    std::uint64_t generation = 0;  // in force in the process that answered
+    std::uint64_t generation = 0;  // in force in the entry that reports
     std::string reason;            // text for operators; empty if in force or pending
     std::vector<problem> problems; // if refused: those of the whole folder, this file's first
 };
--- a/libs/config/report_throttle.h
+++ b/libs/config/report_throttle.h
@@ -21,7 +21,8 @@
         : m_repeatInterval(repeatInterval)
     { }
 
-    // True if the next message to `receiver` should carry `report`.
+    // True if the next message to `receiver` should carry `report`: the receiver has not answered a
+    // message with this generation and digest, or has not done so for `repeatInterval`.
     bool isDue(const std::string &receiver, const generation_report &report, time_point now) const;
     // The receiver has answered a message that carried `report`.
     void recordAnswer(const std::string &receiver, const generation_report &report, time_point now);
--- a/libs/net/http_client.h
+++ b/libs/net/http_client.h
@@ -1,6 +1,7 @@
 // HTTP/1.1 client on the event loop with a pool of idle connections per peer. Each call uses a
-// connection exclusively until it is answered; a connection whose call failed is dropped. Not
-// thread-safe: call it on the loop's thread.
+// connection exclusively until it is answered; a connection whose call failed is dropped, and if
+// the request may have arrived, so are all idle connections to that peer. Not thread-safe: call it
+// on the loop's thread.
 #pragma once
 
 #include <cstddef>
@@ -48,14 +49,15 @@
     http_client &operator=(const http_client &) = delete;
 
     // Sends the request to `peer` ("ip:port") without blocking. `done` is called exactly once, from
-    // the loop and never within call(); also if this http_client is destroyed before. `timeLimit`
-    // includes connecting.
+    // the loop and never within call(). A call that runs when this http_client is destroyed goes on
+    // and calls `done` as usual. `timeLimit` includes connecting.
     void call(const std::string &peer, http_request request, duration timeLimit,
               call_callback done);
     void call(const std::string &peer, http_request request, large_call_options options,
               call_callback done);
 
-    struct shared_state; // public for http_client.cpp only
+    // The idle connections; running calls keep it alive. Public for http_client.cpp only.
+    struct shared_state;
 
 private:
     std::shared_ptr<shared_state> m_state;
--- a/libs/net/http_listener.h
+++ b/libs/net/http_listener.h
@@ -16,9 +16,11 @@
     std::size_t maxRequestBytes = 256 * 1024; // bytes; a larger request body is answered with 413
     std::size_t maxHeadBytes = 16 * 1024;     // bytes; a larger head closes the connection
     std::size_t connectionLimit = 1500; // more are closed at once, to keep file descriptors free
-    milliseconds readTimeout{10'000};   // from a request's head to its last byte
-    milliseconds maxIdleTime{60'000};   // between requests; see readTimeout for a begun one
-    milliseconds writeTimeout{10'000};  // time for the client to read the whole answer
+    milliseconds readTimeout{10'000};   // from a request's complete head to its last byte
+    // For the complete head of the next request. A head that has begun by then gets readTimeout
+    // more; otherwise the connection is closed.
+    milliseconds maxIdleTime{60'000};
+    milliseconds writeTimeout{10'000}; // time for the client to read the whole answer
 };
 
 // Number of open connections in each state.
@@ -58,6 +60,8 @@
     listener_activity activity() const;
     socket_address address() const;
 
+    // The socket and the list of connections; connections and responders keep it alive. Public for
+    // http_listener.cpp only.
     struct shared_state;
 
 private:
--- a/libs/platform/records.h
+++ b/libs/platform/records.h
@@ -46,7 +46,7 @@
 enum class write_outcome {
     Applied,  // took effect
     Conflict, // a condition did not hold; nothing changed
-    Refused,  // not executed (platform unreachable, down or over budget); nothing changed
+    Refused,  // not executed (platform unreachable, down or at its rate limit); nothing changed
     Unknown,  // sent without an answer: may or may not have taken effect
 };
 
--- a/libs/rpc/rpc.h
+++ b/libs/rpc/rpc.h
@@ -15,7 +15,8 @@
 
 // Thrown by rpcCall() when a call returns no result. `code` is RpcRefused if the called method
 // threw; `kind` then is the kind of its rpc_refusal, or "internal" for any other exception.
-// Otherwise `code` is RpcNoAnswer or a code of JSON-RPC or of libjsonrpccpp.
+// Otherwise `code` is RpcNoAnswer, or a code of JSON-RPC or of libjsonrpccpp, such as for an
+// unknown method or an invalid answer.
 class rpc_failure : public std::runtime_error
 {
 public:
--- a/libs/runtime/body_stream.h
+++ b/libs/runtime/body_stream.h
@@ -25,7 +25,7 @@
 constexpr std::size_t StreamPartBytes = 64 * 1024;
 
 // How receiving ended: nullopt when the body is complete, OutcomeUnknown when the reader stopped
-// reading early.
+// reading early, else another error.
 using body_end = std::optional<error_kind>;
 
 // Thread-safe. One thread receives, one forwards.
@@ -43,18 +43,21 @@
     // after detachReceiver(). Returns false when the answer is no longer wanted; the receiver must
     // then send no request.
     bool attachReceiver(std::function<void()> interrupt);
-    // Sets the Content-Length of the head, nullopt if it has none; to be called before push().
+    // Sets the Content-Length of the head, nullopt if it has none; to be called before push(). A
+    // reader that stops after taking this many bytes has not stopped early, see abandon().
     void setDeclaredLength(std::optional<std::uint64_t> bytes);
-    // Appends bytes; waits for space until the deadline. Returns an error when the deadline has
-    // passed or the answer is no longer wanted; the receiver must then stop.
+    // Appends bytes; waits for space until the deadline. Returns nullopt when the bytes were
+    // appended, an error when the deadline has passed or the answer is no longer wanted; the
+    // receiver must then stop.
     body_end push(const char *data, std::size_t size);
     void detachReceiver();
     void finish(body_end end); // receiving has ended; the body is complete if `end` is nullopt
 
     // --- Called by the forwarding thread.
-    // Waits until the body has ended (returns true) or more than `bytes` have arrived (returns
-    // false). At the deadline it interrupts the receiver and ends the body with AnswerLate. A
-    // complete body larger than `bytes` returns false too, so that it is streamed.
+    // Waits until receiving has ended or more than `bytes` bytes have arrived. At the deadline it
+    // interrupts the receiver and ends the body with AnswerLate. Returns true if receiving failed,
+    // or if the body is complete and has at most `bytes` bytes; false if the body is to be
+    // streamed.
     bool waitForEndOrBytes(std::size_t bytes);
     // Returns the next bytes in order, at most StreamPartBytes; empty at the end of the body, see
     // end().
@@ -63,7 +66,8 @@
     // returned true.
     body_end end() const;
     void abandon(); // the reader stops; discards the rest, interrupts an unfinished receiver
-    // `observer` is called once, on the thread that ends the receiving, or at once if it has ended.
+    // `observer` is called once: by finish() on the receiving thread, or by observeEnd() itself if
+    // finish() was called before. abandon() does not call it.
     void observeEnd(end_observer observer);
 
 private:
--- a/libs/runtime/http.h
+++ b/libs/runtime/http.h
@@ -58,8 +58,9 @@
     std::string header(const std::string &name) const;
 };
 
-// Bytes on the wire, HTTP heads included, TCP/IP headers not, of calls that are answered with 200:
-// of a request that a server received, of the JSON answer that it sends, and of an answer that a
+// Sizes in bytes for metrics of the traffic between processes, HTTP heads included, TCP/IP headers
+// not. They are computed from the parsed messages, on the assumption of status 200 and of JSON
+// answers: the request that a server received, the answer that it sends, and the answer that a
 // client received.
 std::size_t receivedBytes(const http_request &request);
 std::size_t sentBytes(const http_response &answer);
@@ -162,7 +163,8 @@
 struct http_pool_limits
 {
     std::size_t maxIdleConnections = 64; // kept for reuse, per pool
-    // Must stay below the server's keepAliveTimeout, see http_pool::takeConnection().
+    // Must stay below the server's keepAliveTimeout, so that the server does not close an idle
+    // connection just as a request is sent on it.
     milliseconds maxIdleTime{2500};
     milliseconds connectTimeout{500};
     // Bytes of an answer's body, whether buffered or streamed.
@@ -182,7 +184,8 @@
     // Returns the complete answer, buffered.
     call_result call(const http_request &request, time_point deadline);
     // Like call() for answers up to MaxBufferedAnswerBytes; for a larger one it returns the head
-    // and a stream. The answer is received on one of `threads`, which must not outlive the pool.
+    // and a stream. The answer is received on one of `threads`, which must be destroyed before the
+    // pool.
     call_result callStreaming(http_request request, time_point deadline, answer_echo echo,
                               receiver_threads &threads);
 
--- a/libs/runtime/platform_client.h
+++ b/libs/runtime/platform_client.h
@@ -21,6 +21,7 @@
 class platform_client
 {
 public:
+    // `timeout` is the time limit of each call, connecting included.
     platform_client(const socket_address &platform, milliseconds timeout);
 
     // Outcome Unknown when no answer came: the write may have taken effect. With `expected`, a
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -55,7 +55,8 @@
     std::string output;
     std::string errors;
 };
-// On timeout the command is killed and the exit code is -1.
+// Output goes through files in `scratchFolder`. On timeout the command is killed and the exit code
+// is -1.
 command_result runCommand(const std::vector<std::string> &command, const std::string &scratchFolder,
                           milliseconds timeout = seconds(20));
 
@@ -75,16 +76,17 @@
     unsigned workers = 11; // each with an upstream and an agent
     std::string region = "kartli";
     std::vector<std::string> zones = {"kartli-a", "imereti-a", "kartli-b"};
-    std::string service = "tickets";
+    std::string service = "tickets";     // served by all upstreams
     std::int64_t millicores = 16'000;    // of each worker
     std::int64_t bytes = 60'000'000'000; // of each worker
     int upstreamWorkMs = 5;              // service time of one request at the upstream, ms
-    // Upstreams are slowed by the tasks of their worker, see the fault "noise" of the worker
-    // stand-in.
+    // Whether tasks slow the upstream beside their worker, by the amounts set as the worker's fault
+    // "noise" (standin.h).
     bool hasInterference = false;
     Json::Value entrySettings{Json::objectValue}; // merged over the defaults
     Json::Value agentSettings{Json::objectValue}; // merged over the defaults
-    // An agent announces one address, so all entries share the link to it: {"entries", "agent-2"}.
+    // All entries share one link to an agent, {"entries", "agent-2"}, because the agent announces
+    // one address to all of them.
     std::vector<link_ends> links; // created before the processes start
 };
 
@@ -137,6 +139,8 @@
     // Posts to /fault of the stand-in at `address`. Throws std::runtime_error if it does not
     // answer.
     void setFault(const std::string &address, const Json::Value &fault);
+    // GET requests to any process of the fleet. They return the body whatever the status, and throw
+    // std::runtime_error when no answer comes.
     std::string getText(const std::string &address, const std::string &target);
     Json::Value getJson(const std::string &address, const std::string &target);
     // Writes a file of the configuration folder directly to the platform's object store.
--- a/standins/link.h
+++ b/standins/link.h
@@ -14,7 +14,7 @@
 // What a link does to the traffic.
 enum class link_state {
     Passing,
-    Slow,           // each chunk is delayed
+    Slow,           // like Passing; for use with a delay
     Cut,            // connections are reset and new ones refused
     Blackholed,     // connections stay open but carry no data (half-open)
     AnswersDropped, // requests reach the target, its answers are discarded
@@ -30,8 +30,8 @@
     link(const link &) = delete;
     link &operator=(const link &) = delete;
 
-    // Returns when the relay has applied the state. `delay` is added to each relayed chunk in every
-    // state, and is meant for Slow.
+    // Returns when the relay has applied the state. `delay` is added to each relayed chunk,
+    // whatever the state.
     void setState(link_state state, milliseconds delay = milliseconds(0));
     std::string address() const { return toText(m_listen); }
     // Connections accepted since the link was created.
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -34,22 +34,25 @@
 
 // The platform's table and object store, with limited write and read rates.
 // POST /fault {"down": bool, "slow_ms": n, "lose_answers": n}: `down` answers 503 without any
-// effect; `slow_ms` delays each request; `lose_answers` drops the answers to the next n writes
-// after they were applied.
+// effect; `slow_ms` delays each request; `lose_answers` executes the next n writes but answers them
+// with an empty 500, which leaves their outcome unknown.
 struct platform_options
 {
     socket_address address;
-    unsigned writesPerSecond = 500; // rows and objects; a write above the rate is refused with 429
-    unsigned readsPerSecond = 2000; // calls; refused with 429 above the rate
+    // Rows and objects; a transaction or write above the rate is refused with 429. A larger
+    // transaction than this is executed if it is the first of its second.
+    unsigned writesPerSecond = 500;
+    unsigned readsPerSecond = 2000; // calls; above the rate likewise
 };
 std::unique_ptr<standin> startPlatform(const platform_options &options);
 
 // A worker: runs tasks under leases and starts every task without a check of its own capacity.
 // POST /fault {"fail_starts": bool, "slow_ms": n, "unreachable": bool, "lose_answers": n,
-// "noise": {job: x}}: `fail_starts` makes each task fail right after its start; `unreachable`
-// answers 503; `noise`: each running task of that job adds x times the service time to requests of
-// the instance's upstream, less while the task is throttled. GET /noise returns the sum over all
-// tasks.
+// "noise": {job: x}}: `fail_starts` lets each task fail right after its start; `slow_ms` delays
+// each call; `unreachable` answers 503 without any effect; `lose_answers` executes the next n calls
+// but answers them with an empty 500; `noise`: each running task of that job adds x times the
+// service time to each request that the instance's upstream echoes, or a part of it in proportion
+// to the CPU limit while the task is throttled. GET /noise returns the sum over all tasks.
 struct worker_options
 {
     socket_address address;
@@ -62,24 +65,25 @@
 std::unique_ptr<standin> startWorker(const worker_options &options);
 
 // An upstream that echoes each request. It has `slots` for concurrent requests; more are served
-// too, but counted as overruns. GET /large?bytes=n answers n pattern bytes; &framing=chunked omits
-// the length; &extra=n sends n bytes more than declared. POST /fault {"slow_ms": n, "cut": n,
-// "unavailable": bool, "target_ms": n}: `cut` closes the connection halfway through the next n
-// answers; `target_ms` sets the latency target and resets the counts of answers within and beyond
-// it.
+// too, but counted as overruns. GET /executions returns the counts. GET /large?bytes=n answers n
+// bytes of patternBytes(); &framing=chunked omits the length; &extra=n appends n bytes beyond
+// `bytes`, so more than a declared length. POST /fault {"slow_ms": n, "cut": n, "unavailable":
+// bool, "target_ms": n}: `slow_ms` is added to the service time; `cut` closes the connection
+// halfway through the next n answers; `unavailable` answers 503; `target_ms` sets the latency
+// target and resets the counts of answers within and beyond it.
 struct upstream_options
 {
     socket_address address;
     std::string id;
     unsigned slots = 8;
-    unsigned connections = 64; // served at the same time, each by a thread
+    unsigned connections = 64; // served at the same time; more wait
     milliseconds workTime{5};  // service time of one request
-    // Worker on the same instance, if any; the upstream is slowed by the noise of its tasks.
+    // Worker on the same instance, if any; the noise of its tasks slows the upstream.
     std::optional<socket_address> workerAddress{};
 };
 std::unique_ptr<standin> startUpstream(const upstream_options &options);
 
-// Bytes [`offset`, `offset + size`) of the body of /large.
+// Bytes [`offset`, `offset + size`) of the body of /large, with which tests compare an answer.
 std::string patternBytes(std::uint64_t offset, std::size_t size);
 
 } // namespace zinniabarrow::standins
--- a/tests/config_simulation.h
+++ b/tests/config_simulation.h
@@ -1,7 +1,7 @@
 // Simulates entries, agents and the in-memory platform in virtual time, with faults injected at
 // chosen steps. Each run checks the invariants of generations, listed below.
 //
-// - In each process the generation in force only rises.
+// - In each process the generation in force only rises, from each start to the next.
 // - Each generation has one content, and no invalid configuration is ever in force.
 // - Accepted generations only rise, and no generation has an older version of a file than the
 //   generation before.
@@ -59,8 +59,11 @@
 class config_simulation
 {
 public:
+    // Called for each request that a process sends, and for each receiver of a report that it
+    // pushes, with the sender and the action. Any fault loses a pushed report.
     std::function<fault(const simulated_process &, const generation_action &, int step)>
             chooseFault = [](const auto &, const auto &, int) { return fault::None; };
+    // Called after a process has handled an event, before its actions are executed.
     std::function<void(const simulated_process &, const generation_event &,
                        const generation_actions &)>
             onHandled = [](const auto &, const auto &, const auto &) {};
@@ -110,6 +113,7 @@
             addAgent(id);
     }
 
+    // Writes a file of the configuration folder, as an operator does. Returns its version.
     std::uint64_t put(const std::string &name, const std::string &content)
     {
         return platform.putObject(std::string(FolderPrefix) + name, content, std::nullopt).sequence;
@@ -201,7 +205,7 @@
                 continue;
             simulated.nextAnnounce = now + AnnounceInterval;
             for (const auto &[other, target] : m_processes) {
-                if (target.manager) // agents receive no announcements, only pushed reports
+                if (target.manager) // agents receive only pushed reports
                     send(simulated, target, simulated.activeFollower().report());
             }
         }
--- a/tests/delivery_simulation.h
+++ b/tests/delivery_simulation.h
@@ -26,18 +26,18 @@
 
 enum class fault {
     None,
-    EntryDies,        // the entry of this step; messages to it are lost
+    EntryDies,        // the entry of this step; from now on, messages to it are lost
     EntryFreezes,     // for three seconds, longer than every deadline here
     AgentsDie,        // all agents are replaced, their upstreams keep running
     AnswerLost,       // the step takes effect, but its answer is lost
     OnlySecondResult, // a commit is duplicated, and only the second result arrives
-    Duplicated,       // both copies at the same time
+    Duplicated,       // the step is executed twice at the same time
     Delayed,          // by three seconds, longer than every deadline here
     DuplicatedLate,   // a second copy arrives half a second later
     TableRefuses,     // for two seconds
     TableHangs,       // for two seconds: results are Unknown, nothing is applied
     WriteDelayed,     // the result of a commit is Unknown; it is applied 700 ms later
-    Last
+    Last              // not a fault: ends loops over all faults
 };
 
 // Runs real request_flows and attempt_guards. A test sets the faults, sends requests, calls
@@ -46,10 +46,14 @@
 {
 public:
     flow_settings settings;
-    std::map<int, fault> faults;                // by step
-    std::set<std::string> refusingAgents{"a1"}; // agents whose queue is full
-    std::set<std::string> disconnectingAgents;  // agents whose connections break during the answer
-    bool hasLargeAnswers = false;               // the head of an answer arrives before its end
+    std::map<int, fault> faults; // by step
+    // Agents whose queue is full. By default a1, which is chosen first, so that each request is
+    // retried at a2.
+    std::set<std::string> refusingAgents{"a1"};
+    // Agents whose connections break: they execute attempts, but the entry sees each attempt end as
+    // disconnected.
+    std::set<std::string> disconnectingAgents;
+    bool hasLargeAnswers = false; // the head of an answer arrives before its end
     memory_platform platform;
     std::map<std::string, int> runs;           // executions, by request id
     std::map<std::string, int> runsByOrder;    // executions, by order
@@ -63,10 +67,10 @@
     // Order by request id: the key, or the request id if it has no key.
     std::map<std::string, std::string> orderOf;
     std::map<std::string, std::uint64_t> counts; // by counter name
-    std::map<std::string, time_point> drainedAt; // by entry
+    std::map<std::string, time_point> drainedAt; // by entry: when drain() was completed
     std::set<std::string> deadEntries;
-    std::uint64_t tableCalls = 0; // commits, reads and scans sent to the table
-    std::uint64_t transactions = 0;
+    std::uint64_t tableCalls = 0;   // commits, reads and scans sent to the table
+    std::uint64_t transactions = 0; // executed by the table, with or without conflict
     std::uint64_t rowsWritten = 0;
     std::vector<std::string> trace; // events and actions of tracedEntry as lines of JSON
     std::string tracedEntry;
--- a/tests/work_model.h
+++ b/tests/work_model.h
@@ -35,9 +35,9 @@
 {
     std::string name;
     bool isAlive = true;
-    int startNumber = 1;
+    int startNumber = 1; // counts the starts; part of the session names of entries and agents
     time_point frozenUntil;
-    time_point restartAt = Never;
+    time_point restartAt = Never;           // of a killed process
     std::set<std::string> unreachablePeers; // names; messages to and from them are lost
 };
 
@@ -57,7 +57,7 @@
 {
     std::unique_ptr<shard_ownership> shardOwnership;
     std::unique_ptr<task_coordinator> coordinator;
-    std::map<task_id, std::string> workerByTask;
+    std::map<task_id, std::string> workerByTask; // tasks that take a slot, as this entry knows
 };
 
 // Counts over the whole run: counters by name, and applied writes and reads of the table.
@@ -116,6 +116,7 @@
     void cancel(const std::string &job) { m_jobsToCancel.insert(job); }
     void evict(const task_id &task) { m_tasksToEvict.insert(task); }
 
+    // A killed worker loses its tasks at once and gets its next incarnation.
     void kill(process &target, milliseconds restartAfter)
     {
         target.isAlive = false;
@@ -127,6 +128,7 @@
     }
     void freeze(process &target, milliseconds length) { target.frozenUntil = now + length; }
 
+    // Starts the entry's planned shutdown: it hands over its shard.
     void release(model_entry &entry)
     {
         feedOwnership(entry, release_shards{unresponsiveWorkers(entry)});
@@ -167,6 +169,7 @@
         return std::chrono::duration_cast<milliseconds>(now - start);
     }
 
+    // The running entry that owns the only shard and has read its rows; null if there is none.
     model_entry *owner()
     {
         for (auto &[name, entry] : entries) {
@@ -185,12 +188,15 @@
         }
         return {};
     }
+    // How often workers have started the task, resuming included.
     int startCount(const task_id &task) const
     {
         const auto found = m_starts.find(task);
         return found == m_starts.end() ? 0 : found->second;
     }
 
+    // Checks the trace at the end of a run, in which all tasks had time to end. To be called once,
+    // because it first adds the cancelled tasks to the trace.
     std::vector<trace_violation> violations()
     {
         traceCancelled();
@@ -201,7 +207,7 @@
     time_point now{seconds(1)};
     lease_settings leaseSettings;
     memory_platform platform;
-    bool placeInBacklog = false; // tasks for which no worker has free capacity go to a backlog
+    bool placeInBacklog = false; // tasks without room go to the first worker's backlog
     table_fault tableFault = table_fault::None;
     network_fault networkFault = network_fault::None;
     std::map<std::string, model_entry> entries;
@@ -710,6 +716,7 @@
         const int length = action.spec["runSeconds"].asInt();
         worker.finishAt[attempt.task] = length == 0 ? Never : now + seconds(length);
         ++m_starts[attempt.task];
+        // Resumes from the newest checkpoint that exists; newerCheckpoints has the newest first.
         std::string checkpoint = action.task.checkpoint;
         for (auto name = action.task.newerCheckpoints.rbegin();
              name != action.task.newerCheckpoints.rend(); ++name) {
