--- a/bench/config_bench.cpp
+++ b/bench/config_bench.cpp
@@ -43,7 +43,7 @@
         std::ignore = round;
         const auto checked = checkFolder(files);
         if (!checked.isAcceptable())
-            state.SkipWithError("the folder was refused");
+            state.SkipWithError("refused");
     }
     state.counters["jobs"] = static_cast<double>(state.range(0));
 }
